--- a/crates/adapter/src/codec.rs
+++ b/crates/adapter/src/codec.rs
@@ -78,16 +78,23 @@
 
 impl<'a> Parts<'a> {
     pub(crate) fn of(line: &'a str) -> Self {
-        Parts { line, tag: line.split('\t').next().unwrap_or("") }
+        Parts {
+            line,
+            tag: line.split('\t').next().unwrap_or(""),
+        }
     }
     pub(crate) fn tag(&self) -> &'a str {
         self.tag
     }
     fn text(&self, key: &'static str) -> Result<&'a str, Fault> {
-        self.find(key).ok_or_else(|| Fault::Missing(self.tag.to_string(), key))
+        self.find(key)
+            .ok_or_else(|| Fault::Missing(self.tag.to_string(), key))
     }
     fn find(&self, key: &str) -> Option<&'a str> {
-        self.line.split('\t').skip(1).find_map(|part| part.strip_prefix(key)?.strip_prefix('='))
+        self.line
+            .split('\t')
+            .skip(1)
+            .find_map(|part| part.strip_prefix(key)?.strip_prefix('='))
     }
     fn bad(&self, key: &'static str, text: &str) -> Fault {
         Fault::Bad(self.tag.to_string(), key, text.chars().take(40).collect())
@@ -152,7 +159,9 @@
         "your_turn" => return Ok(Message::Turn),
         "at" => return Ok(Message::At(p.parse("supervisor")?)),
         "begin" => {
-            let start = line.find("\tenv=").ok_or_else(|| Fault::Missing(tag.to_string(), "env"))?;
+            let start = line
+                .find("\tenv=")
+                .ok_or_else(|| Fault::Missing(tag.to_string(), "env"))?;
             return Ok(Message::Begin(
                 p.parse("nonce64")?,
                 Box::new(chutegrade_settings::from_text(&line[start + 5..])?),
@@ -160,7 +169,11 @@
         }
         "teardown" => return Ok(Message::Teardown),
         "discovery" => {
-            let rows = if p.find("rows").is_some() { p.parse("rows")? } else { 0 };
+            let rows = if p.find("rows").is_some() {
+                p.parse("rows")?
+            } else {
+                0
+            };
             return Ok(Message::List(p.word("how", &LIST_KINDS)?, rows));
         }
         "row" => return entry(&p).map(Message::Row),
@@ -178,13 +191,29 @@
             failed: p.count("bad")?,
             period: p.time("periodLenMs")?,
         },
-        "receipt" => Event::Receipt { proxy: p.proxy()?, mark: p.parse("gen")?, took: p.time("costTimeMs")? },
+        "receipt" => Event::Receipt {
+            proxy: p.proxy()?,
+            mark: p.parse("gen")?,
+            took: p.time("costTimeMs")?,
+        },
         "health" => {
             let end = p.word("ending", &ENDS).unwrap_or(ProbeEnd::Other);
-            Event::Probed { server: p.server()?, end, took: p.time("costTimeMs")?, load: p.load() }
+            Event::Probed {
+                server: p.server()?,
+                end,
+                took: p.time("costTimeMs")?,
+                load: p.load(),
+            }
         }
-        "tenure" => Event::Tenure { table: p.table()?, given: p.flag("active")? },
-        "held" => Event::Held { table: p.table()?, server: p.server()?, weight: p.count("weight")? },
+        "tenure" => Event::Tenure {
+            table: p.table()?,
+            given: p.flag("active")?,
+        },
+        "held" => Event::Held {
+            table: p.table()?,
+            server: p.server()?,
+            weight: p.count("weight")?,
+        },
         "tally" => Event::Heard {
             zone: p.zone()?,
             server: p.server()?,
@@ -196,13 +225,23 @@
         },
         "lost_stream" => Event::Left(p.proxy()?),
         // Here a bound proxy obeys one instance's withdrawals only: it brings none that cost a line.
-        "joined" => {
-            Event::Joined { proxy: p.proxy()?, zone: p.zone()?, rate: p.count("weight")?, brought: false }
-        }
+        "joined" => Event::Joined {
+            proxy: p.proxy()?,
+            zone: p.zone()?,
+            rate: p.count("weight")?,
+            brought: false,
+        },
         "whisper" => {
             let text = p.text("contents")?;
-            let data = if text == "-" { Ok(Vec::new()) } else { STANDARD.decode(text) };
-            Event::Peer { from: p.parse("from")?, data: data.map_err(|_| p.bad("contents", text))? }
+            let data = if text == "-" {
+                Ok(Vec::new())
+            } else {
+                STANDARD.decode(text)
+            };
+            Event::Peer {
+                from: p.parse("from")?,
+                data: data.map_err(|_| p.bad("contents", text))?,
+            }
         }
         "ring" => Event::Timer(p.parse("handle")?),
         _ => return Ok(Message::Unknown),
@@ -211,7 +250,13 @@
 }
 
 fn entry(p: &Parts) -> Result<Entry, Fault> {
-    let optional = |key: &'static str| if p.find(key).is_some() { p.count(key) } else { Ok(0.0) };
+    let optional = |key: &'static str| {
+        if p.find(key).is_some() {
+            p.count(key)
+        } else {
+            Ok(0.0)
+        }
+    };
     let started = optional("upSinceMs")?;
     Ok(Entry {
         server: p.server()?,
@@ -219,7 +264,11 @@
         kind: optional("familyType")? as u32,
         cell: optional("cluster")? as u32,
         life: p.word("lifecycle", &LIVES)?,
-        weight: if p.find("weight").is_some() { p.count("weight")? } else { 1.0 },
+        weight: if p.find("weight").is_some() {
+            p.count("weight")?
+        } else {
+            1.0
+        },
         started: (started > 0.0).then(|| Micros::from_ms(started)),
     })
 }
@@ -236,39 +285,74 @@
 pub fn write(action: &Action) -> Result<String, Fault> {
     let bit = u8::from;
     Ok(match action {
-        Action::Line { table, server, weight } => {
-            format!("endpoint\tmapId={}\tserver={}\tweight={}", table.0, server.0, amount(*weight)?)
+        Action::Line {
+            table,
+            server,
+            weight,
+        } => {
+            format!(
+                "endpoint\tmapId={}\tserver={}\tweight={}",
+                table.0,
+                server.0,
+                amount(*weight)?
+            )
         }
         Action::Clear(table) => format!("wipe\tmapId={}", table.0),
-        Action::Bind { proxy, table, classes } => {
-            format!("point\tclientLb={}\tmapId={}\tclassBits={}", proxy.0, table.0, classes.0)
+        Action::Bind {
+            proxy,
+            table,
+            classes,
+        } => {
+            format!(
+                "point\tclientLb={}\tmapId={}\tclassBits={}",
+                proxy.0, table.0, classes.0
+            )
         }
-        Action::Withdraw { server, out } => format!("suspend\tserver={}\tactive={}", server.0, bit(*out)),
-        Action::Admit { table, classes, level, retry } => format!(
+        Action::Withdraw { server, out } => {
+            format!("suspend\tserver={}\tactive={}", server.0, bit(*out))
+        }
+        Action::Admit {
+            table,
+            classes,
+            level,
+            retry,
+        } => format!(
             "allow\tallowance={}\tclassBits={}\tmapId={}\tsecondTry={}",
             amount(*level)?,
             classes.0,
             table.map_or(ALL_TABLES, |t| t.0),
             *retry as u8
         ),
-        Action::Mark { mark, everyone } => format!("ask_receipt\tgen={mark}\tactive={}", bit(*everyone)),
+        Action::Mark { mark, everyone } => {
+            format!("ask_receipt\tgen={mark}\tactive={}", bit(*everyone))
+        }
         Action::Probe(server) => format!("ping\tserver={}", server.0),
         Action::Subscribe(on) => format!("subscribe\tactive={}", bit(*on)),
         Action::FetchList => "list_all".to_string(),
         Action::Timer { id, after } => {
-            format!("arm\thandle={id}\tfromNowMs={}", after.0.max(0) as f64 / 1000.0)
+            format!(
+                "arm\thandle={id}\tfromNowMs={}",
+                after.0.max(0) as f64 / 1000.0
+            )
         }
         Action::Tell { peer, data } => {
             let to = peer.map_or("all".to_string(), |p| p.to_string());
-            let contents = if data.is_empty() { "-".to_string() } else { STANDARD.encode(data) };
+            let contents = if data.is_empty() {
+                "-".to_string()
+            } else {
+                STANDARD.encode(data)
+            };
             format!("notify\trecipient={to}\tcontents={contents}")
         }
         Action::Forget(_) | Action::Reconcile(_) => {
             return Err(Fault::Action(format!("nothing is said of {action:?}")))
         }
         Action::Note(note) => {
-            let told =
-                chutegrade_engine::told(note, |server| server.0.to_string(), |zone| zone.0.to_string());
+            let told = chutegrade_engine::told(
+                note,
+                |server| server.0.to_string(),
+                |zone| zone.0.to_string(),
+            );
             format!("write_log\twhat={}", chutegrade_records::text::line(&told))
         }
     })
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -35,7 +35,10 @@
 impl Host {
     /// One whose instances limit service as the operators wrote.
     pub fn limited(limits: Option<chutegrade_limits::pb::Limits>) -> Self {
-        Host { limits, ..Host::default() }
+        Host {
+            limits,
+            ..Host::default()
+        }
     }
 
     /// Takes one line in; the last line of a batch gives the whole reply.
@@ -59,7 +62,9 @@
         match message? {
             Message::Frame(now, frame) => {
                 (self.now, self.frame, self.at) = (now, frame, None);
-                self.instances.values_mut().for_each(|instance| instance.events.clear());
+                self.instances
+                    .values_mut()
+                    .for_each(|instance| instance.events.clear());
             }
             Message::Turn => return Ok(Some(self.reply())),
             Message::At(instance) => self.at = Some(instance),
@@ -67,20 +72,32 @@
                 if let Some(at) = self.at {
                     let service = self.limits.as_ref().and_then(|limits| {
                         let faults = |all: Vec<_>| {
-                            all.iter().for_each(|fault| eprintln!("chutegrade-adapter: {fault}"))
+                            all.iter()
+                                .for_each(|fault| eprintln!("chutegrade-adapter: {fault}"))
                         };
                         Service::new(limits, &settings).map_err(faults).ok()
                     });
                     let policy = Policy::new(*settings, seed);
-                    self.instances.insert(at, Instance { policy, service, events: Vec::new() });
+                    self.instances.insert(
+                        at,
+                        Instance {
+                            policy,
+                            service,
+                            events: Vec::new(),
+                        },
+                    );
                 }
             }
             Message::Teardown => {
                 self.at.and_then(|at| self.instances.remove(&at));
             }
             Message::List(kind, rows) => {
-                self.list =
-                    self.at.map(|instance| OpenList { instance, kind, missing: rows, entries: Vec::new() });
+                self.list = self.at.map(|instance| OpenList {
+                    instance,
+                    kind,
+                    missing: rows,
+                    entries: Vec::new(),
+                });
                 if rows == 0 {
                     self.close_list();
                 }
@@ -101,7 +118,11 @@
     /// arrived.
     fn close_list(&mut self) {
         if let Some(list) = self.list.take() {
-            let kind = if list.missing > 0 { ListKind::Changes } else { list.kind };
+            let kind = if list.missing > 0 {
+                ListKind::Changes
+            } else {
+                list.kind
+            };
             self.push(Some(list.instance), Event::Members(kind, list.entries));
         }
     }
@@ -123,7 +144,8 @@
                 reply.push_str(&format!("source\tsupervisor={id}\n"));
             }
             // The wire keeps every server known, and its proxies bring no withdrawals: nothing is said of either.
-            let unsaid = |action: &Action| matches!(action, Action::Forget(_) | Action::Reconcile(_));
+            let unsaid =
+                |action: &Action| matches!(action, Action::Forget(_) | Action::Reconcile(_));
             for action in actions.into_iter().filter(|action| !unsaid(action)) {
                 match codec::write(&action) {
                     Ok(line) => {
--- a/crates/adapter/src/limits.rs
+++ b/crates/adapter/src/limits.rs
@@ -41,21 +41,49 @@
             return None;
         }
         self.due = Some(now + TURN_EVERY);
-        let kept = Measure { heard: self.measure.heard, ..Measure::default() };
+        let kept = Measure {
+            heard: self.measure.heard,
+            ..Measure::default()
+        };
         let measure = std::mem::replace(&mut self.measure, kept);
         let inputs = seen(now, self.period, measure, policy.figures());
-        Some(Event::Limits(limits(&self.governor.turn(&inputs).orders, now)))
+        Some(Event::Limits(limits(
+            &self.governor.turn(&inputs).orders,
+            now,
+        )))
     }
 
     fn take(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::Usage { proxy, class, came, failed, .. } => {
+            Event::Usage {
+                proxy,
+                class,
+                came,
+                failed,
+                ..
+            } => {
                 let class = usize::from(class.0);
-                self.measure.demand.push(Demand { proxy: proxy.0, class, came: *came, failed: *failed });
+                self.measure.demand.push(Demand {
+                    proxy: proxy.0,
+                    class,
+                    came: *came,
+                    failed: *failed,
+                });
             }
-            Event::Heard { tries, failed, mean_ms, load, .. } => {
+            Event::Heard {
+                tries,
+                failed,
+                mean_ms,
+                load,
+                ..
+            } => {
                 let (tries, failed, mean_ms) = (*tries, *failed, *mean_ms);
-                self.measure.outcomes.push(Outcome { tries, failed, mean_ms, queue: load.queue });
+                self.measure.outcomes.push(Outcome {
+                    tries,
+                    failed,
+                    mean_ms,
+                    queue: load.queue,
+                });
             }
             Event::Probed { .. } => {}
             _ => return,
@@ -69,8 +97,17 @@
     Limits {
         refuse: orders.refuse,
         heavy: orders.heavy,
-        keep: orders.keep.iter().map(|(at, keep)| (class(*at), *keep)).collect(),
-        again: orders.again.iter().enumerate().map(|(at, again)| (class(at), way(*again))).collect(),
+        keep: orders
+            .keep
+            .iter()
+            .map(|(at, keep)| (class(*at), *keep))
+            .collect(),
+        again: orders
+            .again
+            .iter()
+            .enumerate()
+            .map(|(at, again)| (class(at), way(*again)))
+            .collect(),
         until: now + STANDS,
     }
 }
--- a/crates/adapter/src/other.rs
+++ b/crates/adapter/src/other.rs
@@ -53,14 +53,23 @@
 
 /// The word of the wire for a value; another where it has none.
 fn word<T: PartialEq>(words: &[(&'static str, T)], of: T, otherwise: &'static str) -> &'static str {
-    words.iter().find(|(_, value)| *value == of).map_or(otherwise, |(word, _)| *word)
+    words
+        .iter()
+        .find(|(_, value)| *value == of)
+        .map_or(otherwise, |(word, _)| *word)
 }
 
 fn load(of: &Load) -> String {
-    let pairs =
-        [("inflight", of.inflight), ("queue", of.queue), ("util", of.util), ("latency_ms", of.latency_ms)];
-    let told: Vec<String> =
-        pairs.iter().filter_map(|(name, value)| Some(format!("{name}:{}", (*value)?))).collect();
+    let pairs = [
+        ("inflight", of.inflight),
+        ("queue", of.queue),
+        ("util", of.util),
+        ("latency_ms", of.latency_ms),
+    ];
+    let told: Vec<String> = pairs
+        .iter()
+        .filter_map(|(name, value)| Some(format!("{name}:{}", (*value)?)))
+        .collect();
     if told.is_empty() {
         String::new()
     } else {
@@ -70,7 +79,10 @@
 
 fn entry(of: &Entry) -> String {
     let life = word(&LIVES, of.life, "");
-    let started = of.started.map(|at| format!("\tupSinceMs={}", ms(at))).unwrap_or_default();
+    let started = of
+        .started
+        .map(|at| format!("\tupSinceMs={}", ms(at)))
+        .unwrap_or_default();
     let (server, zone, kind, cell) = (of.server.0, of.zone.0, of.kind, of.cell);
     format!("row\tserver={server}\tlocality={zone}\tfamilyType={kind}\tcluster={cell}\tlifecycle={life}\tweight={}{started}\n", of.weight)
 }
@@ -120,10 +132,21 @@
     let p = Parts::of(line);
     let classes = || p.parse("classBits").map(ClassSet);
     Ok(Some(match p.tag() {
-        "endpoint" => Action::Line { table: p.table()?, server: p.server()?, weight: p.count("weight")? },
+        "endpoint" => Action::Line {
+            table: p.table()?,
+            server: p.server()?,
+            weight: p.count("weight")?,
+        },
         "wipe" => Action::Clear(p.table()?),
-        "point" => Action::Bind { proxy: p.proxy()?, table: p.table()?, classes: classes()? },
-        "suspend" => Action::Withdraw { server: p.server()?, out: p.flag("active")? },
+        "point" => Action::Bind {
+            proxy: p.proxy()?,
+            table: p.table()?,
+            classes: classes()?,
+        },
+        "suspend" => Action::Withdraw {
+            server: p.server()?,
+            out: p.flag("active")?,
+        },
         "allow" => Action::Admit {
             table: Some(p.table()?).filter(|of| of.0 != ALL_TABLES),
             classes: classes()?,
@@ -135,16 +158,27 @@
                 _ => Retry::Never,
             },
         },
-        "ask_receipt" => Action::Mark { mark: p.parse("gen")?, everyone: p.flag("active")? },
+        "ask_receipt" => Action::Mark {
+            mark: p.parse("gen")?,
+            everyone: p.flag("active")?,
+        },
         "ping" => Action::Probe(p.server()?),
         "subscribe" => Action::Subscribe(p.flag("active")?),
         "list_all" => Action::FetchList,
         "arm" => {
             let after = Micros((p.count("fromNowMs")? * 1000.0).round() as i64);
-            Action::Timer { id: p.parse("handle")?, after }
+            Action::Timer {
+                id: p.parse("handle")?,
+                after,
+            }
         }
         "source" | "write_log" | "notify" => return Ok(None),
-        other => return Err(codec::Fault::Missing(other.chars().take(80).collect(), "action of that name")),
+        other => {
+            return Err(codec::Fault::Missing(
+                other.chars().take(80).collect(),
+                "action of that name",
+            ))
+        }
     }))
 }
 
@@ -189,14 +223,32 @@
             .stderr(Stdio::null())
             .spawn()?;
         let gone = || std::io::Error::other("its standard input or output is not there");
-        let (input, output) = (child.stdin.take().ok_or_else(gone)?, child.stdout.take().ok_or_else(gone)?);
-        let begin = Some(format!("begin\tnonce64={seed}\tenv={}\n", to_json(settings, names)));
-        Ok(Other { child, input, output: BufReader::new(output), frame: 0, list: 0, begin, faults })
+        let (input, output) = (
+            child.stdin.take().ok_or_else(gone)?,
+            child.stdout.take().ok_or_else(gone)?,
+        );
+        let begin = Some(format!(
+            "begin\tnonce64={seed}\tenv={}\n",
+            to_json(settings, names)
+        ));
+        Ok(Other {
+            child,
+            input,
+            output: BufReader::new(output),
+            frame: 0,
+            list: 0,
+            begin,
+            faults,
+        })
     }
 
     fn ask(&mut self, now: Micros, events: &[Event]) -> Result<Vec<Action>, Fault> {
         self.frame += 1;
-        let mut batch = format!("frame\tatTimeMs={}\tframe={}\nat\tsupervisor=0\n", ms(now), self.frame);
+        let mut batch = format!(
+            "frame\tatTimeMs={}\tframe={}\nat\tsupervisor=0\n",
+            ms(now),
+            self.frame
+        );
         batch += &self.begin.take().unwrap_or_default();
         for event in events {
             self.list += 1;
@@ -248,15 +300,42 @@
     #[test]
     fn actions_that_are_written_read_the_same() {
         let all = [
-            Action::Line { table: TableId(7), server: ServerId(40), weight: 0.123_456_789 },
+            Action::Line {
+                table: TableId(7),
+                server: ServerId(40),
+                weight: 0.123_456_789,
+            },
             Action::Clear(TableId(3)),
-            Action::Bind { proxy: ProxyId(9), table: TableId(1), classes: ClassSet(5) },
-            Action::Withdraw { server: ServerId(1), out: true },
-            Action::Admit { table: None, classes: ClassSet(0), level: 0.75, retry: Retry::Unrun },
-            Action::Admit { table: Some(TableId(2)), classes: ClassSet(2), level: 1.0, retry: Retry::Twice },
-            Action::Mark { mark: 65_000, everyone: false },
+            Action::Bind {
+                proxy: ProxyId(9),
+                table: TableId(1),
+                classes: ClassSet(5),
+            },
+            Action::Withdraw {
+                server: ServerId(1),
+                out: true,
+            },
+            Action::Admit {
+                table: None,
+                classes: ClassSet(0),
+                level: 0.75,
+                retry: Retry::Unrun,
+            },
+            Action::Admit {
+                table: Some(TableId(2)),
+                classes: ClassSet(2),
+                level: 1.0,
+                retry: Retry::Twice,
+            },
+            Action::Mark {
+                mark: 65_000,
+                everyone: false,
+            },
             Action::Probe(ServerId(3)),
-            Action::Timer { id: 4, after: Micros(1_000_001) },
+            Action::Timer {
+                id: 4,
+                after: Micros(1_000_001),
+            },
         ];
         for of in all {
             let line = crate::codec::write(&of).expect("a line");
@@ -267,7 +346,11 @@
 
     #[test]
     fn events_that_are_written_read_the_same() {
-        let load = Load { queue: Some(3.5), latency_ms: Some(1.25), ..Load::default() };
+        let load = Load {
+            queue: Some(3.5),
+            latency_ms: Some(1.25),
+            ..Load::default()
+        };
         let all = [
             Event::Left(ProxyId(3)),
             Event::Heard {
@@ -286,13 +369,25 @@
                 failed: 0.0,
                 period: Micros(999_999),
             },
-            Event::Receipt { proxy: ProxyId(5), mark: 77, took: Micros(123_457) },
-            Event::Probed { server: ServerId(8), end: ProbeEnd::TimedOut, took: Micros(300_000), load },
+            Event::Receipt {
+                proxy: ProxyId(5),
+                mark: 77,
+                took: Micros(123_457),
+            },
+            Event::Probed {
+                server: ServerId(8),
+                end: ProbeEnd::TimedOut,
+                took: Micros(300_000),
+                load,
+            },
             Event::Timer(6),
         ];
         for of in all {
             let line = lines(&of, 1);
-            assert_eq!(crate::codec::parse(line.trim_end()), Ok(crate::codec::Message::Event(of)));
+            assert_eq!(
+                crate::codec::parse(line.trim_end()),
+                Ok(crate::codec::Message::Event(of))
+            );
         }
     }
 }
--- a/crates/adapter/tests/codec.rs
+++ b/crates/adapter/tests/codec.rs
@@ -12,7 +12,10 @@
 
 #[test]
 fn frame_lines_are_read() {
-    assert_eq!(parse("frame\tframe=7\tatTimeMs=1250.5"), Ok(Message::Frame(Micros(1_250_500), 7)));
+    assert_eq!(
+        parse("frame\tframe=7\tatTimeMs=1250.5"),
+        Ok(Message::Frame(Micros(1_250_500), 7))
+    );
     assert_eq!(parse("your_turn"), Ok(Message::Turn));
     assert_eq!(parse("at\tsupervisor=2"), Ok(Message::At(2)));
     assert_eq!(parse("teardown"), Ok(Message::Teardown));
@@ -24,7 +27,11 @@
     let tally =
         "tally\tserver=901\tlocality=2\tbad=3\ttotal=17\tperiodLenMs=900.0\tnovel=x\tcostTimeMs=61.5\t\
                  healthInfo=queue:4,mood:9,util:0.5";
-    let load = Load { queue: Some(4.0), util: Some(0.5), ..Load::default() };
+    let load = Load {
+        queue: Some(4.0),
+        util: Some(0.5),
+        ..Load::default()
+    };
     assert_eq!(
         event(tally),
         Event::Heard {
@@ -48,22 +55,55 @@
     );
     assert_eq!(
         event("joined\tclientLb=12\tlocality=1\tweight=3.5\tactive=1"),
-        Event::Joined { proxy: ProxyId(12), zone: ZoneId(1), rate: 3.5, brought: false }
+        Event::Joined {
+            proxy: ProxyId(12),
+            zone: ZoneId(1),
+            rate: 3.5,
+            brought: false
+        }
     );
     assert_eq!(event("lost_stream\tclientLb=12"), Event::Left(ProxyId(12)));
     assert_eq!(event("ring\thandle=31"), Event::Timer(31));
-    assert_eq!(event("tenure\tactive=0\tmapId=5"), Event::Tenure { table: TableId(5), given: false });
-    assert_eq!(event("whisper\tfrom=1\tcontents=AQI="), Event::Peer { from: 1, data: vec![1, 2] });
-    assert_eq!(event("whisper\tfrom=1\tcontents=-"), Event::Peer { from: 1, data: vec![] });
+    assert_eq!(
+        event("tenure\tactive=0\tmapId=5"),
+        Event::Tenure {
+            table: TableId(5),
+            given: false
+        }
+    );
+    assert_eq!(
+        event("whisper\tfrom=1\tcontents=AQI="),
+        Event::Peer {
+            from: 1,
+            data: vec![1, 2]
+        }
+    );
+    assert_eq!(
+        event("whisper\tfrom=1\tcontents=-"),
+        Event::Peer {
+            from: 1,
+            data: vec![]
+        }
+    );
     let took = Micros(88_000);
-    let receipt = Event::Receipt { proxy: ProxyId(3), mark: 9, took };
+    let receipt = Event::Receipt {
+        proxy: ProxyId(3),
+        mark: 9,
+        took,
+    };
     assert_eq!(event("receipt\tclientLb=3\tgen=9\tcostTimeMs=88"), receipt);
 }
 
 #[test]
 fn list_rows_are_read() {
-    assert_eq!(parse("discovery\tgen=3\thow=total\trows=2"), Ok(Message::List(ListKind::Complete, 2)));
-    assert_eq!(parse("discovery\tgen=3\thow=lost"), Ok(Message::List(ListKind::Lost, 0)));
+    assert_eq!(
+        parse("discovery\tgen=3\thow=total\trows=2"),
+        Ok(Message::List(ListKind::Complete, 2))
+    );
+    assert_eq!(
+        parse("discovery\tgen=3\thow=lost"),
+        Ok(Message::List(ListKind::Lost, 0))
+    );
     let row = "row\tserver=44\tlocality=1\tfamilyType=2\tcluster=6\tlifecycle=terminating\tweight=2.5\tupSinceMs=70.5";
     let entry = Entry {
         server: ServerId(44),
@@ -84,12 +124,23 @@
         "familyInfo":{"homeOnly":[true],"levelKind":"per_second","linesPerS":500,"messagesMost":"many"},
         "limits":{"probes":true},"peersTotal":3,"weights":"nominal"}"#
         .replace('\n', " ");
-    let Ok(Message::Begin(99, settings)) = parse(&line) else { panic!("{:?}", parse(&line)) };
+    let Ok(Message::Begin(99, settings)) = parse(&line) else {
+        panic!("{:?}", parse(&line))
+    };
     assert_eq!(settings.classes.len(), 1);
-    assert_eq!(settings.classes[0].effect, Effect::Keyed(Scope::Zone, Micros(6_000_000)));
+    assert_eq!(
+        settings.classes[0].effect,
+        Effect::Keyed(Scope::Zone, Micros(6_000_000))
+    );
     assert!(settings.classes[0].home_only && settings.probes);
-    assert_eq!((settings.zones, settings.zone, settings.instances), (2, ZoneId(1), 3));
-    assert_eq!((settings.levels, settings.listed), (LevelKind::PerSecond, Listed::Nominal));
+    assert_eq!(
+        (settings.zones, settings.zone, settings.instances),
+        (2, ZoneId(1), 3)
+    );
+    assert_eq!(
+        (settings.levels, settings.listed),
+        (LevelKind::PerSecond, Listed::Nominal)
+    );
     assert_eq!((settings.lines_per_s, settings.messages_most), (500.0, 0));
 }
 
@@ -107,7 +158,10 @@
     ] {
         assert!(parse(line).is_err(), "{line}");
     }
-    assert_eq!(parse("lost_stream"), Err(Fault::Missing("lost_stream".to_string(), "clientLb")));
+    assert_eq!(
+        parse("lost_stream"),
+        Err(Fault::Missing("lost_stream".to_string(), "clientLb"))
+    );
 }
 
 #[test]
@@ -116,24 +170,68 @@
     let classes = ClassSet::default().with(0).with(2);
     let cases = [
         (
-            Action::Line { table, server: ServerId(8), weight: 1.25 },
+            Action::Line {
+                table,
+                server: ServerId(8),
+                weight: 1.25,
+            },
             "endpoint\tmapId=3\tserver=8\tweight=1.25",
         ),
         (Action::Clear(table), "wipe\tmapId=3"),
-        (Action::Bind { proxy: ProxyId(6), table, classes }, "point\tclientLb=6\tmapId=3\tclassBits=5"),
-        (Action::Withdraw { server: ServerId(8), out: true }, "suspend\tserver=8\tactive=1"),
         (
-            Action::Admit { table: None, classes, level: 0.5, retry: Retry::Unrun },
+            Action::Bind {
+                proxy: ProxyId(6),
+                table,
+                classes,
+            },
+            "point\tclientLb=6\tmapId=3\tclassBits=5",
+        ),
+        (
+            Action::Withdraw {
+                server: ServerId(8),
+                out: true,
+            },
+            "suspend\tserver=8\tactive=1",
+        ),
+        (
+            Action::Admit {
+                table: None,
+                classes,
+                level: 0.5,
+                retry: Retry::Unrun,
+            },
             "allow\tallowance=0.5\tclassBits=5\tmapId=65535\tsecondTry=1",
         ),
-        (Action::Mark { mark: 4, everyone: false }, "ask_receipt\tgen=4\tactive=0"),
+        (
+            Action::Mark {
+                mark: 4,
+                everyone: false,
+            },
+            "ask_receipt\tgen=4\tactive=0",
+        ),
         (Action::Probe(ServerId(8)), "ping\tserver=8"),
         (Action::Subscribe(true), "subscribe\tactive=1"),
         (Action::FetchList, "list_all"),
-        (Action::Timer { id: 1, after: Micros(1500) }, "arm\thandle=1\tfromNowMs=1.5"),
-        (Action::Tell { peer: None, data: vec![1, 2] }, "notify\trecipient=all\tcontents=AQI="),
         (
-            Action::Note(Note::Cut { zone: ZoneId(2), cut: false, mute: 0.0 }),
+            Action::Timer {
+                id: 1,
+                after: Micros(1500),
+            },
+            "arm\thandle=1\tfromNowMs=1.5",
+        ),
+        (
+            Action::Tell {
+                peer: None,
+                data: vec![1, 2],
+            },
+            "notify\trecipient=all\tcontents=AQI=",
+        ),
+        (
+            Action::Note(Note::Cut {
+                zone: ZoneId(2),
+                cut: false,
+                mute: 0.0,
+            }),
             "write_log\twhat=zone 2 answers again",
         ),
     ];
@@ -141,6 +239,11 @@
         assert_eq!(write(&action).as_deref(), Ok(line));
     }
     for weight in [f64::NAN, f64::INFINITY, -0.5] {
-        assert!(write(&Action::Line { table, server: ServerId(8), weight }).is_err());
+        assert!(write(&Action::Line {
+            table,
+            server: ServerId(8),
+            weight
+        })
+        .is_err());
     }
 }
--- a/crates/adapter/tests/other.rs
+++ b/crates/adapter/tests/other.rs
@@ -22,7 +22,13 @@
         };
         decides(&command, settings, &names, seed, &faults)
     };
-    Setup { other: Some(chutegrade_model::Other { name, make: Arc::new(make) }), ..Setup::default() }
+    Setup {
+        other: Some(chutegrade_model::Other {
+            name,
+            make: Arc::new(make),
+        }),
+        ..Setup::default()
+    }
 }
 
 /// Danger: a comparison of builds that compares the wire instead.
@@ -31,7 +37,11 @@
     let scenario = scenario::read(FLEET).unwrap_or_else(|faults| panic!("{faults:?}"));
     let faults = Faults::default();
     let direct = play(&scenario, &Setup::default(), 3);
-    let over_the_wire = play(&scenario, &by(env!("CARGO_BIN_EXE_chutegrade-adapter"), &faults), 3);
+    let over_the_wire = play(
+        &scenario,
+        &by(env!("CARGO_BIN_EXE_chutegrade-adapter"), &faults),
+        3,
+    );
     assert_eq!(faults.lock().expect("no panic").clone(), None);
     assert!(direct.figure("channel") > 0.0, "it orders");
     assert_eq!(direct, over_the_wire);
@@ -40,7 +50,10 @@
 #[test]
 fn a_program_that_says_nonsense_or_ends_is_told() {
     let scenario = scenario::read(FLEET).unwrap_or_else(|faults| panic!("{faults:?}"));
-    for (command, wanted) in [("/bin/cat", "the other build said"), ("/bin/true", "the other build: ")] {
+    for (command, wanted) in [
+        ("/bin/cat", "the other build said"),
+        ("/bin/true", "the other build: "),
+    ] {
         let faults = Faults::default();
         play(&scenario, &by(command, &faults), 1);
         let said = faults.lock().expect("no panic").clone().unwrap_or_default();
--- a/crates/adapter/tests/stdio.rs
+++ b/crates/adapter/tests/stdio.rs
@@ -17,15 +17,21 @@
         format!("at\tsupervisor={instance}"),
         format!("begin\tnonce64=5\tenv={env}"),
         "discovery\tgen=1\thow=warm_copy\trows=2".to_string(),
-        "row\tserver=70\tlocality=0\tfamilyType=0\tcluster=0\tlifecycle=in_service\tweight=2".to_string(),
-        "row\tserver=71\tlocality=0\tfamilyType=0\tcluster=0\tlifecycle=in_service\tweight=2".to_string(),
+        "row\tserver=70\tlocality=0\tfamilyType=0\tcluster=0\tlifecycle=in_service\tweight=2"
+            .to_string(),
+        "row\tserver=71\tlocality=0\tfamilyType=0\tcluster=0\tlifecycle=in_service\tweight=2"
+            .to_string(),
         "joined\tclientLb=0\tlocality=0\tweight=4\tactive=1".to_string(),
     ]
     .to_vec()
 }
 
 fn batch(frame: u64, lines: &[String]) -> String {
-    format!("frame\tatTimeMs={}\tframe={frame}\n{}\nyour_turn\n", 100 * frame, lines.join("\n"))
+    format!(
+        "frame\tatTimeMs={}\tframe={frame}\n{}\nyour_turn\n",
+        100 * frame,
+        lines.join("\n")
+    )
 }
 
 fn run_binary(input: &str) -> (String, String, bool) {
@@ -35,10 +41,19 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the binary starts");
-    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("it reads its input");
+    child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes())
+        .expect("it reads its input");
     let output = child.wait_with_output().expect("it ends with its input");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    (text(output.stdout), text(output.stderr), output.status.success())
+    (
+        text(output.stdout),
+        text(output.stderr),
+        output.status.success(),
+    )
 }
 
 #[test]
@@ -46,9 +61,15 @@
     let input = batch(1, &[]) + &batch(2, &begin(3)) + &batch(3, &["at\tsupervisor=9".to_string()]);
     let (out, err, success) = run_binary(&input);
     assert!(success && err.is_empty(), "{err}");
-    let ends: Vec<&str> = out.lines().filter(|line| line.starts_with("end\t")).collect();
+    let ends: Vec<&str> = out
+        .lines()
+        .filter(|line| line.starts_with("end\t"))
+        .collect();
     assert_eq!(ends, ["end\tframe=1", "end\tframe=2", "end\tframe=3"]);
-    let sources: Vec<&str> = out.lines().filter(|line| line.starts_with("source")).collect();
+    let sources: Vec<&str> = out
+        .lines()
+        .filter(|line| line.starts_with("source"))
+        .collect();
     assert_eq!(sources, ["source\tsupervisor=3"]);
     assert!(out.contains("point\tclientLb=0\tmapId=0"), "{out}");
 }
@@ -65,8 +86,11 @@
 #[test]
 fn a_complete_list_with_a_malformed_row_removes_no_server() {
     let mut host = Host::default();
-    let mut feed =
-        |text: String| text.lines().filter_map(|line| host.line(line).ok().flatten()).collect::<String>();
+    let mut feed = |text: String| {
+        text.lines()
+            .filter_map(|line| host.line(line).ok().flatten())
+            .collect::<String>()
+    };
     feed(batch(1, &begin(0)));
     let list = [
         "at\tsupervisor=0".to_string(),
@@ -83,9 +107,17 @@
     let both = [begin(0), begin(1)].concat();
     let together = run_binary(&batch(1, &both)).0;
     let alone = run_binary(&batch(1, &begin(1))).0;
-    let of_one = |out: &str| out.split("source\tsupervisor=1\n").nth(1).map(str::to_string);
+    let of_one = |out: &str| {
+        out.split("source\tsupervisor=1\n")
+            .nth(1)
+            .map(str::to_string)
+    };
     assert_eq!(of_one(&together), of_one(&alone));
-    let killed = [begin(0), vec!["teardown".to_string(), "ring\thandle=1".to_string()]].concat();
+    let killed = [
+        begin(0),
+        vec!["teardown".to_string(), "ring\thandle=1".to_string()],
+    ]
+    .concat();
     assert_eq!(run_binary(&batch(1, &killed)).0, "end\tframe=1\n");
 }
 
--- a/crates/advice/benches/tick.rs
+++ b/crates/advice/benches/tick.rs
@@ -18,8 +18,10 @@
 const TICKS: i64 = 20;
 
 const AUDIT: &str = include_str!("../../../plugins/audit.chute");
-const ENDLESS: &str = "hook factor(server, class, zone) { for n in range(0, 1000000000) { } return 0 }";
-const SWINGING: &str = "hook factor(server, class, zone) { if fleet.turn % 2 == 0 { return 0.2 } return 1 }";
+const ENDLESS: &str =
+    "hook factor(server, class, zone) { for n in range(0, 1000000000) { } return 0 }";
+const SWINGING: &str =
+    "hook factor(server, class, zone) { if fleet.turn % 2 == 0 { return 0.2 } return 1 }";
 const VETO: &str = "hook factor(server, class, zone) { return 0 }";
 
 fn engine() -> Engine {
@@ -33,7 +35,11 @@
     let settings = Settings {
         instances: 1,
         zones: 2,
-        classes: vec![class(Effect::Safe), class(Effect::Unsafe), class(Effect::Safe)],
+        classes: vec![
+            class(Effect::Safe),
+            class(Effect::Unsafe),
+            class(Effect::Safe),
+        ],
         proxies: PROXIES as usize,
         usual_retry: Retry::Unrun,
         first_wait: 1.0,
@@ -60,10 +66,18 @@
         weight: 1.0,
         ..chutegrade_engine::Listed::default()
     });
-    engine.report(Report::List(ListKind::Complete, listed.collect())).expect("a list");
+    engine
+        .report(Report::List(ListKind::Complete, listed.collect()))
+        .expect("a list");
     for proxy in 0..PROXIES {
         let zone = ["a", "b"][proxy as usize % 2].to_string();
-        let joined = Report::Joined { stream: StreamId(proxy.into()), proxy, zone, rate: 5.0, new: true };
+        let joined = Report::Joined {
+            stream: StreamId(proxy.into()),
+            proxy,
+            zone,
+            rate: 5.0,
+            new: true,
+        };
         engine.report(joined).expect("a proxy");
     }
     engine
@@ -73,10 +87,25 @@
     for n in (0..SERVERS).filter(|n| *n as i64 % TICKS == lot) {
         for zone in ["a", "b"] {
             let tries = 4.0 + (n % 3) as f64;
-            let (zone, server, mean_ms) = (zone.to_string(), format!("s-{n:08x}"), 110.0 + (n % 17) as f64);
-            let load = Load { queue: Some(1.0), ..Load::default() };
+            let (zone, server, mean_ms) = (
+                zone.to_string(),
+                format!("s-{n:08x}"),
+                110.0 + (n % 17) as f64,
+            );
+            let load = Load {
+                queue: Some(1.0),
+                ..Load::default()
+            };
             let period = Micros(1_000_000);
-            let heard = Report::Outcomes { zone, server, tries, failed: 0.0, mean_ms, period, load };
+            let heard = Report::Outcomes {
+                zone,
+                server,
+                tries,
+                failed: 0.0,
+                mean_ms,
+                period,
+                load,
+            };
             engine.report(heard).expect("a known server");
         }
     }
@@ -85,8 +114,11 @@
 /// Mean and longest time of a tick's work, plug-ins and all.
 fn day(texts: &[String]) -> (Duration, Duration, u64) {
     let (mut engine, mut rules) = (engine(), Rules::default());
-    let named: Vec<(String, String)> =
-        texts.iter().enumerate().map(|(n, text)| (n.to_string(), text.clone())).collect();
+    let named: Vec<(String, String)> = texts
+        .iter()
+        .enumerate()
+        .map(|(n, text)| (n.to_string(), text.clone()))
+        .collect();
     rules.load(&named).expect("plug-ins");
     let (mut sum, mut longest, mut lines) = (Duration::ZERO, Duration::ZERO, 0);
     for tick in 0..2 * SECONDS * TICKS {
@@ -97,10 +129,18 @@
         engine.tick(now);
         let took = begun.elapsed();
         for stream in engine.pick_streams() {
-            let Some(order) = engine.pick_order(stream) else { continue };
+            let Some(order) = engine.pick_order(stream) else {
+                continue;
+            };
             lines += 1;
             if let Some(mark) = order.stamp {
-                engine.report(Report::Ack { stream, mark, took: Micros(200_000) }).expect("a stream");
+                engine
+                    .report(Report::Ack {
+                        stream,
+                        mark,
+                        took: Micros(200_000),
+                    })
+                    .expect("a stream");
             }
         }
         while engine.pick_note(now).is_some() {}
--- a/crates/advice/src/lib.rs
+++ b/crates/advice/src/lib.rs
@@ -37,14 +37,24 @@
         self.due = now + TURN_EVERY;
         let (advice, words) = if self.host.rests() {
             self.host.pass();
-            (Advised { until: now, ..Advised::default() }, Vec::new())
+            (
+                Advised {
+                    until: now,
+                    ..Advised::default()
+                },
+                Vec::new(),
+            )
         } else {
             let inputs = seen(engine);
             let turn = self.host.turn(&inputs);
             (advised(&turn.advice, &inputs, now), turn.words)
         };
         // Advice replaces the one before: nothing said in the place of nothing is no news.
-        let says = advice != Advised { until: advice.until, ..Advised::default() };
+        let says = advice
+            != Advised {
+                until: advice.until,
+                ..Advised::default()
+            };
         if says || self.standing {
             // The queue of reports drops outcomes and demand alone; advice is always taken.
             let _ = engine.report(Report::Advice(advice));
@@ -74,7 +84,13 @@
 
 fn fleet_in(gauge: &pb::Gauge, demand: f64) -> Fleet {
     let streams = f64::from(gauge.streams);
-    Fleet { strain: gauge.strain, refused: gauge.refused, waiting: gauge.waiting, streams, demand }
+    Fleet {
+        strain: gauge.strain,
+        refused: gauge.refused,
+        waiting: gauge.waiting,
+        streams,
+        demand,
+    }
 }
 
 fn server(name: &str, of: &Standing) -> Server {
@@ -99,9 +115,16 @@
 pub fn recorded(picture: &Picture, zones: &[String]) -> Inputs {
     let gauge = picture.gauge.clone().unwrap_or_default();
     let levels = gauge.levels.iter().copied().chain(std::iter::repeat(1.0));
-    let class = |(name, level): (&String, f64)| Class { level, ..Class::plain(name) };
+    let class = |(name, level): (&String, f64)| Class {
+        level,
+        ..Class::plain(name)
+    };
     Inputs {
-        servers: picture.servers.iter().map(|(name, of)| server(name, of)).collect(),
+        servers: picture
+            .servers
+            .iter()
+            .map(|(name, of)| server(name, of))
+            .collect(),
         classes: picture.classes.iter().zip(levels).map(class).collect(),
         zones: zones.iter().map(|zone| zone.as_str().into()).collect(),
         fleet: fleet_in(&gauge, 0.0),
@@ -110,8 +133,18 @@
 
 /// Advice by names.
 pub fn advised(advice: &Advice, inputs: &Inputs, now: Micros) -> Advised {
-    let server = |at: u32| inputs.servers.get(at as usize).map(|server| server.name.to_string());
-    let class = |at: u32| inputs.classes.get(at as usize).map(|class| class.name.to_string());
+    let server = |at: u32| {
+        inputs
+            .servers
+            .get(at as usize)
+            .map(|server| server.name.to_string())
+    };
+    let class = |at: u32| {
+        inputs
+            .classes
+            .get(at as usize)
+            .map(|class| class.name.to_string())
+    };
     let zone = |at: u32| inputs.zones.get(at as usize).map(ToString::to_string);
     let factor = |((of, to, class_at), factor): (&(u32, u32, Option<u32>), &f64)| {
         Some((server(*of)?, zone(*to)?, class_at.and_then(class), *factor))
@@ -119,7 +152,11 @@
     let until = |seconds: f64| now + Micros::from_ms(seconds * 1000.0);
     Advised {
         factors: advice.factors.iter().filter_map(factor).collect(),
-        caps: advice.caps.iter().filter_map(|(of, cap)| Some((class(*of)?, *cap))).collect(),
+        caps: advice
+            .caps
+            .iter()
+            .filter_map(|(of, cap)| Some((class(*of)?, *cap)))
+            .collect(),
         never: advice.never.iter().filter_map(|of| class(*of)).collect(),
         excluded: advice
             .excluded
--- a/crates/background/src/lib.rs
+++ b/crates/background/src/lib.rs
@@ -41,10 +41,16 @@
 
 impl Cost {
     fn plus(self, other: Cost) -> Cost {
-        Cost { time: self.time + other.time, bytes: self.bytes.saturating_add(other.bytes) }
+        Cost {
+            time: self.time + other.time,
+            bytes: self.bytes.saturating_add(other.bytes),
+        }
     }
     fn most(self, other: Cost) -> Cost {
-        Cost { time: self.time.max(other.time), bytes: self.bytes.max(other.bytes) }
+        Cost {
+            time: self.time.max(other.time),
+            bytes: self.bytes.max(other.bytes),
+        }
     }
     fn within(self, budget: Cost) -> bool {
         self.time <= budget.time && self.bytes <= budget.bytes
@@ -100,13 +106,25 @@
 impl Scheduler {
     /// A scheduler that lets steps take no more than this together in any window of [`WINDOW`].
     pub fn new(budget: Cost) -> Self {
-        Scheduler { budget, jobs: Vec::new(), spent: VecDeque::new(), turns: 0 }
+        Scheduler {
+            budget,
+            jobs: Vec::new(),
+            spent: VecDeque::new(),
+            turns: 0,
+        }
     }
 
     /// Adds a job that is due now; `bound` is the most that its first step may take. A job whose steps turn out larger
     /// than the whole budget never runs again: a budget that cannot be kept is not exceeded.
     pub fn add(&mut self, priority: Priority, bound: Cost, now: Instant) -> JobId {
-        let entry = Entry { priority, due: Some(now), step: bound, ran: 0, passed: 0, stopped: false };
+        let entry = Entry {
+            priority,
+            due: Some(now),
+            step: bound,
+            ran: 0,
+            passed: 0,
+            stopped: false,
+        };
         self.jobs.push(entry);
         JobId(self.jobs.len() - 1)
     }
@@ -127,10 +145,16 @@
 
     /// What was spent in the window that ends now.
     pub fn spent(&mut self, now: Instant) -> Cost {
-        while self.spent.front().is_some_and(|(at, _)| now.duration_since(*at) > WINDOW) {
+        while self
+            .spent
+            .front()
+            .is_some_and(|(at, _)| now.duration_since(*at) > WINDOW)
+        {
             self.spent.pop_front();
         }
-        self.spent.iter().fold(Cost::default(), |sum, (_, cost)| sum.plus(*cost))
+        self.spent
+            .iter()
+            .fold(Cost::default(), |sum, (_, cost)| sum.plus(*cost))
     }
 
     /// The job whose step should run now, or how long to wait.
@@ -140,13 +164,25 @@
         let due = |entry: &Entry| !entry.stopped && entry.due.is_some_and(|due| due <= now);
         let fits = |entry: &Entry| spent.plus(entry.step).within(budget);
         let order = |(at, entry): &(usize, &Entry)| {
-            let class = if entry.passed >= PASSED_MOST { None } else { Some(entry.priority) };
+            let class = if entry.passed >= PASSED_MOST {
+                None
+            } else {
+                Some(entry.priority)
+            };
             (class, entry.ran, *at)
         };
         let all = self.jobs.iter().enumerate();
-        let picked = all.filter(|(_, entry)| due(entry)).min_by_key(order).map(|(at, _)| at);
+        let picked = all
+            .filter(|(_, entry)| due(entry))
+            .min_by_key(order)
+            .map(|(at, _)| at);
         let Some(picked) = picked else {
-            let coming = self.jobs.iter().filter(|entry| !entry.stopped).filter_map(|entry| entry.due).min();
+            let coming = self
+                .jobs
+                .iter()
+                .filter(|entry| !entry.stopped)
+                .filter_map(|entry| entry.due)
+                .min();
             return Next::Wait(coming.map_or(IDLE, |due| due.duration_since(now)).min(IDLE));
         };
         // The first in turn waits for room; a smaller one of a lower class does not slip past and starve it.
@@ -157,7 +193,11 @@
             return Next::Wait(oldest.min(IDLE));
         }
         for (at, entry) in self.jobs.iter_mut().enumerate() {
-            entry.passed = if at == picked { 0 } else { entry.passed + u32::from(due(entry)) };
+            entry.passed = if at == picked {
+                0
+            } else {
+                entry.passed + u32::from(due(entry))
+            };
         }
         Next::Run(JobId(picked))
     }
@@ -177,7 +217,8 @@
         }
         let full = self.spent.len() >= SPENT_MOST;
         let merged = if full { self.spent.pop_back() } else { None };
-        self.spent.push_back((now, merged.map_or(cost, |(_, last)| last.plus(cost))));
+        self.spent
+            .push_back((now, merged.map_or(cost, |(_, last)| last.plus(cost))));
     }
 }
 
@@ -206,10 +247,20 @@
         match scheduler.next(now) {
             Next::Wait(wait) => std::thread::sleep(wait.min(NAP)),
             Next::Run(id) => {
-                let Some(job) = jobs.get_mut(id.0) else { return };
+                let Some(job) = jobs.get_mut(id.0) else {
+                    return;
+                };
                 let (bytes, left) = job.step();
                 let ended = Instant::now();
-                scheduler.took(id, Cost { time: ended - now, bytes }, left, ended);
+                scheduler.took(
+                    id,
+                    Cost {
+                        time: ended - now,
+                        bytes,
+                    },
+                    left,
+                    ended,
+                );
             }
         }
     }
@@ -226,11 +277,18 @@
     }
 
     fn cost(millis: u64, bytes: u64) -> Cost {
-        Cost { time: ms(millis), bytes }
+        Cost {
+            time: ms(millis),
+            bytes,
+        }
     }
 
     /// Runs jobs of fixed steps that never end for so long; when each step ended, and which.
-    fn play(budget: Cost, steps: &[(Priority, Cost)], length: Duration) -> Vec<(Instant, usize, Cost)> {
+    fn play(
+        budget: Cost,
+        steps: &[(Priority, Cost)],
+        length: Duration,
+    ) -> Vec<(Instant, usize, Cost)> {
         let begun = Instant::now();
         let (mut now, mut scheduler, mut log) = (begun, Scheduler::new(budget), Vec::new());
         for (priority, step) in steps {
@@ -252,21 +310,30 @@
     /// Danger: a job without an end takes all turns, and retention never runs: the disk fills.
     #[test]
     fn the_lowest_class_is_not_starved_for_good() {
-        let steps =
-            [(Priority::Urgent, cost(2, 10)), (Priority::Normal, cost(2, 10)), (Priority::Idle, cost(2, 10))];
+        let steps = [
+            (Priority::Urgent, cost(2, 10)),
+            (Priority::Normal, cost(2, 10)),
+            (Priority::Idle, cost(2, 10)),
+        ];
         let log = play(cost(1000, 1_000_000), &steps, Duration::from_secs(30));
         for at in 0..3 {
             let share = log.iter().filter(|step| step.1 == at).count() as f64 / log.len() as f64;
             assert!(share > 0.08, "job {at} has {share:.3} of the steps");
         }
         let urgent = log.iter().filter(|step| step.1 == 0).count();
-        assert!(urgent * 2 > log.len(), "the first class has most of the turns");
+        assert!(
+            urgent * 2 > log.len(),
+            "the first class has most of the turns"
+        );
     }
 
     /// Danger: a large step waits while small ones of lower classes use up the room it needs, for good.
     #[test]
     fn a_large_step_is_not_slipped_past() {
-        let steps = [(Priority::Normal, cost(800, 0)), (Priority::Idle, cost(10, 0))];
+        let steps = [
+            (Priority::Normal, cost(800, 0)),
+            (Priority::Idle, cost(10, 0)),
+        ];
         let log = play(cost(1000, 0), &steps, Duration::from_secs(60));
         assert!(log.iter().filter(|step| step.1 == 0).count() >= 3);
     }
--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -93,7 +93,9 @@
     }
 
     fn span_all(&self) -> (i64, i64) {
-        self.timeline.span().map_or((self.at_us, self.at_us), |span| (span.from_us, span.to_us))
+        self.timeline
+            .span()
+            .map_or((self.at_us, self.at_us), |span| (span.from_us, span.to_us))
     }
 
     fn move_to(&mut self, at_us: i64) -> Flow {
@@ -113,8 +115,16 @@
             (from.saturating_sub(1), from.saturating_sub(first))
         };
         let found = View::read(&self.timeline, window, span, &self.filter);
-        let mut wanted = found.rows.iter().filter(|row| row.sort != Sort::Plain).map(|row| row.at_us);
-        let at = if forward { wanted.find(|at| *at > from) } else { wanted.rfind(|at| *at < from) };
+        let mut wanted = found
+            .rows
+            .iter()
+            .filter(|row| row.sort != Sort::Plain)
+            .map(|row| row.at_us);
+        let at = if forward {
+            wanted.find(|at| *at > from)
+        } else {
+            wanted.rfind(|at| *at < from)
+        };
         at.map_or(Flow::On, |at| self.move_to(at))
     }
 
@@ -147,7 +157,11 @@
                 Flow::Changed
             }
             KeyCode::Char(' ') => {
-                self.cursor = if self.cursor.is_none() { Some(self.at_us) } else { None };
+                self.cursor = if self.cursor.is_none() {
+                    Some(self.at_us)
+                } else {
+                    None
+                };
                 Flow::Changed
             }
             KeyCode::Char('n') => self.jump(true),
--- a/crates/console/src/draw.rs
+++ b/crates/console/src/draw.rs
@@ -39,12 +39,20 @@
 /// Draws the state of the console.
 pub fn draw(frame: &mut Frame, app: &App) {
     let area = frame.area();
-    let [head, body, foot] =
-        Layout::vertical([Constraint::Length(1), Constraint::Min(1), Constraint::Length(1)]).areas(area);
+    let [head, body, foot] = Layout::vertical([
+        Constraint::Length(1),
+        Constraint::Min(1),
+        Constraint::Length(1),
+    ])
+    .areas(area);
     draw_head(frame, app, head);
     if area.width >= LARGE.0 && area.height >= LARGE.1 {
         let fleet = (body.height - FIGURES) * 3 / 5;
-        let parts = [Constraint::Length(fleet), Constraint::Length(FIGURES), Constraint::Min(3)];
+        let parts = [
+            Constraint::Length(fleet),
+            Constraint::Length(FIGURES),
+            Constraint::Min(3),
+        ];
         let [fleet, figures, events] = Layout::vertical(parts).areas(body);
         draw_fleet(frame, app, fleet);
         draw_figures(frame, app, figures);
@@ -72,7 +80,11 @@
         Some(_) => (" PAST ", Style::new().fg(Color::Black).bg(Color::Yellow)),
     };
     let time = text::time(app.at_us);
-    let time = if area.width < 60 { text::clock(app.at_us) } else { time };
+    let time = if area.width < 60 {
+        text::clock(app.at_us)
+    } else {
+        time
+    };
     let line = vec![
         Span::styled(mode, style.add_modifier(Modifier::BOLD)),
         Span::raw(format!(" {time} ")),
@@ -83,18 +95,32 @@
 
 fn draw_foot(frame: &mut Frame, app: &App, area: Rect) {
     let line = if app.typing {
-        Line::from(vec![Span::raw("/"), Span::raw(app.filter.clone()), Span::styled("_", soft())])
+        Line::from(vec![
+            Span::raw("/"),
+            Span::raw(app.filter.clone()),
+            Span::styled("_", soft()),
+        ])
     } else if let Some(fault) = &app.fault {
         Line::styled(fault.clone(), Style::new().fg(Color::Red))
     } else {
-        let filter = if app.filter.is_empty() { String::new() } else { format!("  filter: {}", app.filter) };
-        Line::styled(format!("? help  space stop  ←→ time  n p trouble  / filter  q end{filter}"), soft())
+        let filter = if app.filter.is_empty() {
+            String::new()
+        } else {
+            format!("  filter: {}", app.filter)
+        };
+        Line::styled(
+            format!("? help  space stop  ←→ time  n p trouble  / filter  q end{filter}"),
+            soft(),
+        )
     };
     frame.render_widget(line, area);
 }
 
 fn block(title: String) -> Block<'static> {
-    Block::new().borders(Borders::TOP).border_style(soft()).title(title)
+    Block::new()
+        .borders(Borders::TOP)
+        .border_style(soft())
+        .title(title)
 }
 
 /// Columns for supervisors; those that do not fit are told in the last one's title.
@@ -102,19 +128,30 @@
     let count = app.view.sides.len().max(1);
     let fit = usize::from((area.width / COLUMN_LEAST).max(1)).min(count);
     let parts = vec![Constraint::Ratio(1, u32::try_from(fit).unwrap_or(1)); fit];
-    (Layout::horizontal(parts).spacing(1).split(area).to_vec(), count - fit)
+    (
+        Layout::horizontal(parts).spacing(1).split(area).to_vec(),
+        count - fit,
+    )
 }
 
 fn draw_fleet(frame: &mut Frame, app: &App, area: Rect) {
     let (areas, hidden) = columns(app, area);
     let last = areas.len().saturating_sub(1);
     for (at, (area, (name, side))) in areas.iter().zip(&app.view.sides).enumerate() {
-        let more = if at == last && hidden > 0 { format!(" (and {hidden} more)") } else { String::new() };
+        let more = if at == last && hidden > 0 {
+            format!(" (and {hidden} more)")
+        } else {
+            String::new()
+        };
         let title = format!(" {name} · start {}{more} ", side.incarnation);
         let block = block(title);
         let inner = block.inner(*area);
         frame.render_widget(block, *area);
-        let lines = if let Some(gap) = &side.gap { not_known(gap, inner) } else { fleet(app, side, inner) };
+        let lines = if let Some(gap) = &side.gap {
+            not_known(gap, inner)
+        } else {
+            fleet(app, side, inner)
+        };
         frame.render_widget(Paragraph::new(lines), inner);
     }
 }
@@ -127,8 +164,11 @@
     };
     let hatch = || Line::styled("░".repeat(area.width.into()), soft());
     let mut lines = vec![hatch()];
-    let since =
-        if gap.from_us == i64::MIN { String::new() } else { format!("since {}", text::clock(gap.from_us)) };
+    let since = if gap.from_us == i64::MIN {
+        String::new()
+    } else {
+        format!("since {}", text::clock(gap.from_us))
+    };
     lines.push(Line::styled(words, Style::new().fg(Color::Yellow)));
     lines.push(Line::raw(since));
     lines.extend((3..area.height).map(|_| hatch()));
@@ -158,25 +198,51 @@
     let picture = &side.picture;
     let mut lines = Vec::new();
     if picture.stopped {
-        lines.push(Line::styled("stopped as asked", Style::new().fg(Color::Yellow)));
+        lines.push(Line::styled(
+            "stopped as asked",
+            Style::new().fg(Color::Yellow),
+        ));
     }
     if picture.discovery_silent {
-        lines.push(Line::styled("discovery is silent: the list may be old", Style::new().fg(Color::Red)));
+        lines.push(Line::styled(
+            "discovery is silent: the list may be old",
+            Style::new().fg(Color::Red),
+        ));
     }
     if picture.cold_held {
-        lines.push(Line::styled("cold servers are held out of tables", Style::new().fg(Color::Yellow)));
+        lines.push(Line::styled(
+            "cold servers are held out of tables",
+            Style::new().fg(Color::Yellow),
+        ));
     }
     lines.extend(service(side, area.width, (app.at_us, app.span_us())));
     lines.push(levels(side));
-    let mut zones: Vec<&str> = picture.servers.values().map(|server| server.zone.as_str()).collect();
+    let mut zones: Vec<&str> = picture
+        .servers
+        .values()
+        .map(|server| server.zone.as_str())
+        .collect();
     zones.sort_unstable();
     zones.dedup();
     let width = usize::from(area.width).saturating_sub(14).max(1);
     for zone in zones {
-        let of = || picture.servers.values().filter(|server| server.zone == zone);
+        let of = || {
+            picture
+                .servers
+                .values()
+                .filter(|server| server.zone == zone)
+        };
         let cut = picture.cut.contains(zone);
-        let style = if cut { Style::new().fg(Color::Red) } else { Style::new() };
-        let label = if cut { format!("zone {zone} CUT") } else { format!("zone {zone}") };
+        let style = if cut {
+            Style::new().fg(Color::Red)
+        } else {
+            Style::new()
+        };
+        let label = if cut {
+            format!("zone {zone} CUT")
+        } else {
+            format!("zone {zone}")
+        };
         let mut spans = vec![Span::styled(format!("{label:<12} "), style)];
         spans.extend(of().take(width).map(|server| {
             let (mark, color) = mark(server);
@@ -190,7 +256,10 @@
     }
     let room = usize::from(area.height).saturating_sub(lines.len() + 1);
     if room > 0 && !picture.servers.is_empty() {
-        lines.push(Line::styled("server         state      score err lat weight warm", soft()));
+        lines.push(Line::styled(
+            "server         state      score err lat weight warm",
+            soft(),
+        ));
         lines.extend(worst(side, room));
     }
     lines
@@ -210,8 +279,15 @@
         let short: String = name.chars().filter(|c| !c.is_control()).take(12).collect();
         Line::from(vec![
             Span::styled(mark, Style::new().fg(color)),
-            Span::raw(format!(" {short:<12} {:<10} {:>5.2} ", word(server), server.score)),
-            Span::raw(format!("{:>3.1} {:>3.1} {:>6.2} ", server.errors, server.latency, server.weight)),
+            Span::raw(format!(
+                " {short:<12} {:<10} {:>5.2} ",
+                word(server),
+                server.score
+            )),
+            Span::raw(format!(
+                "{:>3.1} {:>3.1} {:>6.2} ",
+                server.errors, server.latency, server.weight
+            )),
             Span::styled(format!("{:>3.0}%", 100.0 * server.warmth), soft()),
         ])
     };
@@ -220,27 +296,42 @@
 
 /// The level of service with its time and signals, and below it a band over the span: a letter for each change.
 fn service(side: &Side, width: u16, span: (i64, i64)) -> Vec<Line<'static>> {
-    let Some(level) = &side.picture.service_level else { return Vec::new() };
+    let Some(level) = &side.picture.service_level else {
+        return Vec::new();
+    };
     let full = level == "full";
     let style = if full {
         Style::new().fg(Color::Green)
     } else {
         Style::new().fg(Color::Yellow).add_modifier(Modifier::BOLD)
     };
-    let mut spans = vec![Span::raw("service "), Span::styled(text::printable(level), style)];
+    let mut spans = vec![
+        Span::raw("service "),
+        Span::styled(text::printable(level), style),
+    ];
     if let Some(gauge) = &side.picture.gauge {
         let since = side.picture.learned_us.saturating_sub(gauge.level_since_us);
         if gauge.level_since_us > 0 {
-            spans.push(Span::styled(format!(" for {}", text::length(since)), soft()));
+            spans.push(Span::styled(
+                format!(" for {}", text::length(since)),
+                soft(),
+            ));
         }
         let shown: Vec<String> = gauge.signals.iter().map(text::signal).collect();
         let shown = format!("  {}", shown.join(" "));
-        let room =
-            usize::from(width).saturating_sub(spans.iter().map(|span| span.content.chars().count()).sum());
-        spans.push(Span::styled(shown.chars().take(room).collect::<String>(), soft()));
+        let room = usize::from(width)
+            .saturating_sub(spans.iter().map(|span| span.content.chars().count()).sum());
+        spans.push(Span::styled(
+            shown.chars().take(room).collect::<String>(),
+            soft(),
+        ));
     }
     let mut lines = vec![Line::from(spans)];
-    let names: Vec<&str> = side.figures.iter().filter_map(|figure| figure.service_level.as_deref()).collect();
+    let names: Vec<&str> = side
+        .figures
+        .iter()
+        .filter_map(|figure| figure.service_level.as_deref())
+        .collect();
     if names.windows(2).any(|two| two[0] != two[1]) {
         lines.push(band(side, width, span));
     }
@@ -256,9 +347,15 @@
     let reach = usize::try_from(4_000_000 / step).unwrap_or(0);
     let mut cells: Vec<Option<&str>> = vec![None; width];
     for figure in &side.figures {
-        let at = usize::try_from((figure.at_us - from) / step).unwrap_or(0).min(width - 1);
+        let at = usize::try_from((figure.at_us - from) / step)
+            .unwrap_or(0)
+            .min(width - 1);
         let level = figure.service_level.as_deref();
-        cells.iter_mut().skip(at).take(reach + 1).for_each(|cell| *cell = level);
+        cells
+            .iter_mut()
+            .skip(at)
+            .take(reach + 1)
+            .for_each(|cell| *cell = level);
     }
     let mut spans = vec![Span::styled("levels  ", soft())];
     for run in cells.chunk_by(|one, other| one == other) {
@@ -277,12 +374,26 @@
 }
 
 fn levels(side: &Side) -> Line<'static> {
-    let Some(gauge) = &side.picture.gauge else { return Line::styled("no figures yet", soft()) };
+    let Some(gauge) = &side.picture.gauge else {
+        return Line::styled("no figures yet", soft());
+    };
     let mut spans = vec![Span::raw(format!("{} streams  ", gauge.streams))];
     for (at, level) in gauge.levels.iter().enumerate() {
-        let class = side.picture.classes.get(at).cloned().unwrap_or_else(|| format!("class {at}"));
-        let style = if *level < 1.0 { Style::new().fg(Color::Yellow) } else { soft() };
-        spans.push(Span::styled(format!("{class} {:.0}%  ", 100.0 * level), style));
+        let class = side
+            .picture
+            .classes
+            .get(at)
+            .cloned()
+            .unwrap_or_else(|| format!("class {at}"));
+        let style = if *level < 1.0 {
+            Style::new().fg(Color::Yellow)
+        } else {
+            soft()
+        };
+        spans.push(Span::styled(
+            format!("{class} {:.0}%  ", 100.0 * level),
+            style,
+        ));
     }
     Line::from(spans)
 }
@@ -300,11 +411,27 @@
         let most = |of: Of| side.figures.iter().map(of).fold(0.0, f64::max);
         let queue = most(|figure| figure.waiting);
         let refused = most(|figure| figure.refused);
-        let lowest = side.figures.iter().map(|figure| figure.admitted).fold(1.0, f64::min);
+        let lowest = side
+            .figures
+            .iter()
+            .map(|figure| figure.admitted)
+            .fold(1.0, f64::min);
         let figures: [(String, Of, f64); 3] = [
-            (format!("queue ≤{queue:.0}"), |figure| figure.waiting, queue.max(1.0)),
-            (format!("refused ≤{:.0}%", 100.0 * refused), |figure| figure.refused, 1.0),
-            (format!("admitted ≥{:.0}%", 100.0 * lowest), |figure| figure.admitted, 1.0),
+            (
+                format!("queue ≤{queue:.0}"),
+                |figure| figure.waiting,
+                queue.max(1.0),
+            ),
+            (
+                format!("refused ≤{:.0}%", 100.0 * refused),
+                |figure| figure.refused,
+                1.0,
+            ),
+            (
+                format!("admitted ≥{:.0}%", 100.0 * lowest),
+                |figure| figure.admitted,
+                1.0,
+            ),
         ];
         for (row, (label, of, most)) in rows.iter().zip(figures) {
             let parts = [Constraint::Length(15), Constraint::Min(4)];
@@ -324,7 +451,9 @@
     let step = (app.span_us() / width).max(1);
     let mut bars: Vec<Option<u64>> = vec![None; area.width.into()];
     for figure in &side.figures {
-        let at = usize::try_from((figure.at_us - from) / step).unwrap_or(0).min(bars.len().saturating_sub(1));
+        let at = usize::try_from((figure.at_us - from) / step)
+            .unwrap_or(0)
+            .min(bars.len().saturating_sub(1));
         if let Some(bar) = bars.get_mut(at) {
             let value = (of(figure) / most * STEPS) as u64;
             *bar = Some(bar.unwrap_or(0).max(value));
@@ -337,7 +466,9 @@
         .iter()
         .enumerate()
         .map(|(at, bar)| {
-            last = bar.map(|value| (at, value)).or(last.filter(|(seen, _)| at - seen <= reach));
+            last = bar
+                .map(|value| (at, value))
+                .or(last.filter(|(seen, _)| at - seen <= reach));
             SparklineBar::from(last.map(|(_, value)| value))
         })
         .collect();
@@ -352,7 +483,11 @@
 
 fn draw_events(frame: &mut Frame, app: &App, area: Rect) {
     let rows = &app.view.rows;
-    let block = block(format!(" events · {} in the last {} ", rows.len(), text::length(app.span_us())));
+    let block = block(format!(
+        " events · {} in the last {} ",
+        rows.len(),
+        text::length(app.span_us())
+    ));
     let inner = block.inner(area);
     frame.render_widget(block, area);
     let end = rows.len().saturating_sub(app.scroll);
@@ -365,20 +500,36 @@
             Sort::Gap => Style::new().fg(Color::Yellow),
         };
         let time = text::clock(row.at_us);
-        let time = if narrow { time.get(..8).unwrap_or_default().to_string() } else { time };
+        let time = if narrow {
+            time.get(..8).unwrap_or_default().to_string()
+        } else {
+            time
+        };
         let lead = Span::styled(format!("{time} {} ", row.supervisor), soft());
         Line::from(vec![lead, Span::styled(row.text.clone(), style)])
     };
-    let lines: Vec<Line> = rows.get(begin..end).unwrap_or_default().iter().map(line).collect();
+    let lines: Vec<Line> = rows
+        .get(begin..end)
+        .unwrap_or_default()
+        .iter()
+        .map(line)
+        .collect();
     let none = || vec![Line::styled("nothing in this time", soft())];
-    frame.render_widget(Paragraph::new(if lines.is_empty() { none() } else { lines }), inner);
+    frame.render_widget(
+        Paragraph::new(if lines.is_empty() { none() } else { lines }),
+        inner,
+    );
 }
 
 fn draw_help(frame: &mut Frame, area: Rect) {
     let width = area.width.min(78);
     let height = area.height.min(HELP.len() as u16 + 2);
-    let place =
-        Rect { x: area.x + (area.width - width) / 2, y: area.y + (area.height - height) / 2, width, height };
+    let place = Rect {
+        x: area.x + (area.width - width) / 2,
+        y: area.y + (area.height - height) / 2,
+        width,
+        height,
+    };
     frame.render_widget(Clear, place);
     let lines: Vec<Line> = HELP.iter().map(|line| Line::raw(*line)).collect();
     let block = Block::bordered().title(" keys · any key closes ");
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -40,7 +40,9 @@
 }
 
 fn now_us() -> i64 {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     i64::try_from(unix.as_micros()).unwrap_or(i64::MAX)
 }
 
@@ -81,10 +83,18 @@
 }
 
 /// Prints one frame as text.
-pub fn once(directories: &[PathBuf], at_us: Option<i64>, out: &mut impl Write) -> Result<(), Fault> {
+pub fn once(
+    directories: &[PathBuf],
+    at_us: Option<i64>,
+    out: &mut impl Write,
+) -> Result<(), Fault> {
     let mut app = App::open(directories, at_us)?;
     app.look(now_us());
-    let size = if std::io::stdout().is_terminal() { ratatui::crossterm::terminal::size().ok() } else { None };
+    let size = if std::io::stdout().is_terminal() {
+        ratatui::crossterm::terminal::size().ok()
+    } else {
+        None
+    };
     let (width, height) = size.unwrap_or(FRAME);
     for line in frame(&app, width, height) {
         writeln!(out, "{line}")?;
@@ -94,14 +104,20 @@
 
 /// One frame as lines of text.
 pub fn frame(app: &App, width: u16, height: u16) -> Vec<String> {
-    let Ok(mut terminal) = Terminal::new(TestBackend::new(width, height)) else { return Vec::new() };
+    let Ok(mut terminal) = Terminal::new(TestBackend::new(width, height)) else {
+        return Vec::new();
+    };
     if terminal.draw(|frame| draw(frame, app)).is_err() {
         return Vec::new();
     }
     let buffer = terminal.backend().buffer().clone();
     let line = |y: u16| {
         let cells = (0..buffer.area.width).filter_map(|x| buffer.cell((x, y)));
-        cells.map(|cell| cell.symbol()).collect::<String>().trim_end().to_string()
+        cells
+            .map(|cell| cell.symbol())
+            .collect::<String>()
+            .trim_end()
+            .to_string()
     };
     (0..buffer.area.height).map(line).collect()
 }
--- a/crates/console/src/view.rs
+++ b/crates/console/src/view.rs
@@ -83,18 +83,30 @@
         text += &format!(" (learned {} later)", text::length(late));
     }
     let sort = if trouble { Sort::Trouble } else { Sort::Plain };
-    Row { at_us: event.at_us, supervisor: Arc::clone(&event.supervisor), text, sort }
+    Row {
+        at_us: event.at_us,
+        supervisor: Arc::clone(&event.supervisor),
+        text,
+        sort,
+    }
 }
 
 impl View {
     /// Reads what lies before a moment, as far as the span, and lets pass the events that hold the filter's words.
     pub fn read(timeline: &Timeline, at_us: i64, span_us: i64, filter: &str) -> Self {
-        let window = Window { from_us: at_us.saturating_sub(span_us), to_us: at_us };
+        let window = Window {
+            from_us: at_us.saturating_sub(span_us),
+            to_us: at_us,
+        };
         let from = window.from_us.min(at_us.saturating_sub(LOOK_BACK_US));
         let (events, gaps) = timeline.read(&Query::between(from, at_us));
-        let mut view = View { gaps, ..View::default() };
+        let mut view = View {
+            gaps,
+            ..View::default()
+        };
         for supervisor in &timeline.supervisors {
-            view.sides.insert(Arc::clone(&supervisor.name), Side::default());
+            view.sides
+                .insert(Arc::clone(&supervisor.name), Side::default());
         }
         let words: Vec<String> = filter.split_whitespace().map(str::to_lowercase).collect();
         for event in &events {
@@ -108,7 +120,13 @@
                 let lowest = gauge.levels.iter().copied().fold(1.0, f64::min);
                 let (at_us, waiting, refused) = (event.at_us, gauge.waiting, gauge.refused);
                 let service_level = gauge.service_level.clone();
-                side.figures.push(Figure { at_us, waiting, refused, admitted: lowest, service_level });
+                side.figures.push(Figure {
+                    at_us,
+                    waiting,
+                    refused,
+                    admitted: lowest,
+                    service_level,
+                });
             }
             if is_event(event) {
                 view.rows.push(row(event));
@@ -128,7 +146,12 @@
     fn mark(&mut self, gap: Gap, at_us: i64) {
         let text = format!("--- {}", printable(&gap.line()));
         let supervisor = Arc::clone(&gap.supervisor);
-        self.rows.push(Row { at_us: gap.from_us, supervisor, text, sort: Sort::Gap });
+        self.rows.push(Row {
+            at_us: gap.from_us,
+            supervisor,
+            text,
+            sort: Sort::Gap,
+        });
         if let Some(side) = self.sides.get_mut(&gap.supervisor) {
             if gap.to_us >= at_us && at_us.saturating_sub(gap.from_us) > STALLED_US {
                 side.gap = Some(gap);
@@ -139,6 +162,7 @@
 
 /// Whether a row holds all words, in its time, its supervisor's name or its text.
 fn passes(row: &Row, words: &[String]) -> bool {
-    let whole = format!("{} {} {}", text::clock(row.at_us), row.supervisor, row.text).to_lowercase();
+    let whole =
+        format!("{} {} {}", text::clock(row.at_us), row.supervisor, row.text).to_lowercase();
     words.iter().all(|word| whole.contains(word.as_str()))
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -261,7 +261,11 @@
                 Effect::Keyed(..) => "keyed",
                 Effect::Unsafe => "unsafe",
             };
-            ClassView { name: name.clone(), effect, class: *class }
+            ClassView {
+                name: name.clone(),
+                effect,
+                class: *class,
+            }
         };
         Engine {
             classes: settings.classes.iter().zip(&classes).map(view).collect(),
@@ -269,7 +273,10 @@
             proxies: settings.proxies,
             zones: settings.zones,
             tables: Tables::new(settings.classes.len()),
-            list: ListWish { watch: !settings.list_on_request, fetch: false },
+            list: ListWish {
+                watch: !settings.list_on_request,
+                fetch: false,
+            },
             policy,
             streams: Streams::default(),
             events: Vec::new(),
@@ -292,49 +299,123 @@
             Report::List(kind, listed) => {
                 // A subscription that was lost is none: the decisions ask for it anew.
                 self.list.watch &= kind != ListKind::Lost;
-                Event::Members(kind, listed.iter().map(|listed| self.listed(listed)).collect())
+                Event::Members(
+                    kind,
+                    listed.iter().map(|listed| self.listed(listed)).collect(),
+                )
             }
-            Report::Joined { stream, proxy, zone, rate, new } => {
+            Report::Joined {
+                stream,
+                proxy,
+                zone,
+                rate,
+                new,
+            } => {
                 let (zone, id) = (self.zone(&zone)?, self.proxy(proxy)?);
                 if self.streams.of(id).is_some() {
                     self.events.push(Event::Left(id));
                 }
                 self.streams.join(id, stream, !new);
-                Event::Joined { proxy: id, zone, rate, brought: !new }
+                Event::Joined {
+                    proxy: id,
+                    zone,
+                    rate,
+                    brought: !new,
+                }
             }
             Report::Left(stream) => Event::Left(self.streams.leave(stream).ok_or(Unknown::Stream)?),
-            Report::Ended(stream) => Event::Ended(self.streams.leave(stream).ok_or(Unknown::Stream)?),
-            Report::Outcomes { zone, server, tries, failed, mean_ms, period, load } => {
+            Report::Ended(stream) => {
+                Event::Ended(self.streams.leave(stream).ok_or(Unknown::Stream)?)
+            }
+            Report::Outcomes {
+                zone,
+                server,
+                tries,
+                failed,
+                mean_ms,
+                period,
+                load,
+            } => {
                 let id = self.names.server(&server);
-                let (at, id) = (self.zone(&zone)?, id.ok_or_else(|| Unknown::Server(server.clone()))?);
+                let (at, id) = (
+                    self.zone(&zone)?,
+                    id.ok_or_else(|| Unknown::Server(server.clone()))?,
+                );
                 self.notes.heard((&zone, &server), tries, failed, period);
                 self.measuring.heard();
-                self.measuring.met(Outcome { tries, failed, mean_ms, queue: load.queue });
+                self.measuring.met(Outcome {
+                    tries,
+                    failed,
+                    mean_ms,
+                    queue: load.queue,
+                });
                 let (zone, server) = (at, id);
-                Event::Heard { zone, server, tries, failed, mean_ms, period, load }
+                Event::Heard {
+                    zone,
+                    server,
+                    tries,
+                    failed,
+                    mean_ms,
+                    period,
+                    load,
+                }
             }
-            Report::Demand { proxy, class, came, failed, period } => {
+            Report::Demand {
+                proxy,
+                class,
+                came,
+                failed,
+                period,
+            } => {
                 let class = self.names.class(&class).ok_or(Unknown::Class(class))?;
                 let id = ProxyId(proxy);
                 if self.streams.of(id).is_none() {
                     return Err(Unknown::Proxy(proxy));
                 }
                 self.measuring.heard();
-                self.measuring.came(Demand { proxy, class: class.0.into(), came, failed });
-                Event::Usage { proxy: id, class, came, failed, period }
-            }
-            Report::Ack { stream, mark, took } => {
-                Event::Receipt { proxy: self.streams.proxy(stream).ok_or(Unknown::Stream)?, mark, took }
+                self.measuring.came(Demand {
+                    proxy,
+                    class: class.0.into(),
+                    came,
+                    failed,
+                });
+                Event::Usage {
+                    proxy: id,
+                    class,
+                    came,
+                    failed,
+                    period,
+                }
             }
+            Report::Ack { stream, mark, took } => Event::Receipt {
+                proxy: self.streams.proxy(stream).ok_or(Unknown::Stream)?,
+                mark,
+                took,
+            },
             Report::Advice(advised) => Event::Advice(self.advice(&advised)),
             Report::Limits(limited) => Event::Limits(self.limits(&limited)),
-            Report::Probed { probe, end, took, load } => {
+            Report::Probed {
+                probe,
+                end,
+                took,
+                load,
+            } => {
                 self.measuring.heard();
                 let server = probe.server;
                 if self.is_current(&probe) {
-                    Event::Probed { server, end, took, load }
+                    Event::Probed {
+                        server,
+                        end,
+                        took,
+                        load,
+                    }
                 } else {
-                    Event::Probed { server, end: ProbeEnd::Other, took, load: Load::default() }
+                    Event::Probed {
+                        server,
+                        end: ProbeEnd::Other,
+                        took,
+                        load: Load::default(),
+                    }
                 }
             }
         };
@@ -374,7 +455,11 @@
         };
         Advice {
             factors: advised.factors.iter().filter_map(factor).collect(),
-            caps: advised.caps.iter().filter_map(|(name, cap)| Some((class(name)?, *cap))).collect(),
+            caps: advised
+                .caps
+                .iter()
+                .filter_map(|(name, cap)| Some((class(name)?, *cap)))
+                .collect(),
             never: set(&advised.never),
             excluded: advised
                 .excluded
@@ -391,8 +476,16 @@
         Limits {
             refuse: limited.refuse,
             heavy: limited.heavy,
-            keep: limited.keep.iter().filter_map(|(name, keep)| Some((class(name)?, *keep))).collect(),
-            again: limited.again.iter().filter_map(|(name, again)| Some((class(name)?, *again))).collect(),
+            keep: limited
+                .keep
+                .iter()
+                .filter_map(|(name, keep)| Some((class(name)?, *keep)))
+                .collect(),
+            again: limited
+                .again
+                .iter()
+                .filter_map(|(name, again)| Some((class(name)?, *again)))
+                .collect(),
             until: limited.until,
         }
     }
@@ -418,7 +511,10 @@
     }
 
     fn zone(&self, name: &str) -> Result<ZoneId, Unknown> {
-        let known = self.names.zone(name).filter(|zone| usize::from(zone.0) < self.zones);
+        let known = self
+            .names
+            .zone(name)
+            .filter(|zone| usize::from(zone.0) < self.zones);
         known.ok_or_else(|| Unknown::Zone(name.to_string()))
     }
 
@@ -465,7 +561,11 @@
         let (mut mark, mut sent) = (None, pb::Published::default());
         for action in actions {
             match &action {
-                Action::Line { table, server, weight } => {
+                Action::Line {
+                    table,
+                    server,
+                    weight,
+                } => {
                     sent.lines += 1;
                     self.tables.line(*table, *server, *weight);
                 }
@@ -477,15 +577,27 @@
                     }
                     sent.withdrawals += 1;
                 }
-                Action::Admit { table, classes, level, retry } => {
-                    let strain = if self.notes.recording { self.policy.figures().strain } else { 0.0 };
+                Action::Admit {
+                    table,
+                    classes,
+                    level,
+                    retry,
+                } => {
+                    let strain = if self.notes.recording {
+                        self.policy.figures().strain
+                    } else {
+                        0.0
+                    };
                     for class in self.tables.positions(*classes) {
                         self.tables.admit(*table, class, *level, *retry);
                         self.note_level((now, strain), *table, class, *level, *retry);
                     }
                 }
                 Action::Bind { .. } => sent.binds += 1,
-                Action::Mark { mark: number, everyone } => mark = Some((*number, *everyone)),
+                Action::Mark {
+                    mark: number,
+                    everyone,
+                } => mark = Some((*number, *everyone)),
                 Action::Probe(server) => self.probes.push_back(*server),
                 Action::Subscribe(on) => self.list.watch = *on,
                 Action::FetchList => self.list.fetch = true,
@@ -493,8 +605,11 @@
                     self.timers.insert((now + (*after).max(Micros(1)), *id));
                 }
                 Action::Note(note) => {
-                    let kind =
-                        notes::told(note, |id| self.server_name(id), |zone| self.names.zone_name(zone));
+                    let kind = notes::told(
+                        note,
+                        |id| self.server_name(id),
+                        |zone| self.names.zone_name(zone),
+                    );
                     self.notes.add(now, now, kind, true);
                 }
                 Action::Forget(server) => {
@@ -507,7 +622,16 @@
             let reached = self.streams.apply(&action, &self.tables);
             if let Action::Withdraw { server, out } = action {
                 let (server, streams) = (self.server_name(server), reached);
-                self.notes.add(now, now, Kind::Withdrawn(pb::Withdrawn { server, out, streams }), false);
+                self.notes.add(
+                    now,
+                    now,
+                    Kind::Withdrawn(pb::Withdrawn {
+                        server,
+                        out,
+                        streams,
+                    }),
+                    false,
+                );
             }
         }
         self.streams.end_turn(mark);
@@ -528,13 +652,16 @@
         for server in gone {
             tables.forget(server);
             streams.forget(server);
-            self.notes.forget(server, &self.names.name(server).unwrap_or_default());
+            self.notes
+                .forget(server, &self.names.name(server).unwrap_or_default());
             self.names.forget(server);
         }
     }
 
     fn server_name(&self, id: ServerId) -> String {
-        self.names.name(id).map_or_else(|| id.0.to_string(), |name| name.to_string())
+        self.names
+            .name(id)
+            .map_or_else(|| id.0.to_string(), |name| name.to_string())
     }
 
     fn note_level(
@@ -546,10 +673,26 @@
         retry: Retry,
     ) {
         if self.notes.recording {
-            let class =
-                self.names.class_name(class).map_or_else(|| class.to_string(), |name| name.to_string());
-            let (table, retry) = (table.map_or(0, |table| u32::from(table.0)), notes::retry(retry));
-            self.notes.add(now, now, Kind::Level(pb::Level { class, level, retry, table, strain }), false);
+            let class = self
+                .names
+                .class_name(class)
+                .map_or_else(|| class.to_string(), |name| name.to_string());
+            let (table, retry) = (
+                table.map_or(0, |table| u32::from(table.0)),
+                notes::retry(retry),
+            );
+            self.notes.add(
+                now,
+                now,
+                Kind::Level(pb::Level {
+                    class,
+                    level,
+                    retry,
+                    table,
+                    strain,
+                }),
+                false,
+            );
         }
     }
 
@@ -575,18 +718,29 @@
     /// All servers, as they stand after the last tick.
     pub fn fleet(&self) -> pb::Fleet {
         let named = |(id, of): (ServerId, Standing)| {
-            notes::server(self.server_name(id), self.names.zone_name(of.entry.zone), &of)
+            notes::server(
+                self.server_name(id),
+                self.names.zone_name(of.entry.zone),
+                &of,
+            )
         };
         pb::Fleet {
             servers: self.policy.standings().into_iter().map(named).collect(),
-            classes: self.classes.iter().map(|class| class.name.clone()).collect(),
+            classes: self
+                .classes
+                .iter()
+                .map(|class| class.name.clone())
+                .collect(),
         }
     }
 
     /// The names of zones and classes.
     pub fn vocabulary(&self) -> (Vec<String>, Vec<String>) {
         let classes = (0..self.tables.classes()).filter_map(|class| self.names.class_name(class));
-        (self.names.zones().to_vec(), classes.map(|name| name.to_string()).collect())
+        (
+            self.names.zones().to_vec(),
+            classes.map(|name| name.to_string()).collect(),
+        )
     }
 
     /// Streams that have had an order waiting since this was last asked.
@@ -604,7 +758,11 @@
     pub fn pick_probe(&mut self) -> Option<Probe> {
         let server = self.probes.pop_front()?;
         let address = self.names.address(server).unwrap_or_default().to_string();
-        Some(Probe { server, address, started: self.names.started(server) })
+        Some(Probe {
+            server,
+            address,
+            started: self.names.started(server),
+        })
     }
 
     /// What is wanted of the list of servers now; a wish to fetch it is given once.
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -39,7 +39,13 @@
 
 fn engine(classes: usize) -> Engine {
     let names = |of: &str, n: usize| (0..n).map(|k| format!("{of}{k}")).collect::<Vec<_>>();
-    Engine::new(settings(classes), 7, names("z", 2), names("c", classes), names("k", 2))
+    Engine::new(
+        settings(classes),
+        7,
+        names("z", 2),
+        names("c", classes),
+        names("k", 2),
+    )
 }
 
 fn listed(server: u32) -> Listed {
@@ -54,12 +60,24 @@
 }
 
 fn joined(stream: u64, proxy: u32, new: bool) -> Report {
-    Report::Joined { stream: StreamId(stream), proxy, zone: "z0".into(), rate: 10.0, new }
+    Report::Joined {
+        stream: StreamId(stream),
+        proxy,
+        zone: "z0".into(),
+        rate: 10.0,
+        new,
+    }
 }
 
 fn serving() -> Engine {
     let mut engine = engine(CLASSES);
-    assert_eq!(engine.report(Report::List(ListKind::WarmCopy, (0..4).map(listed).collect())), Ok(()));
+    assert_eq!(
+        engine.report(Report::List(
+            ListKind::WarmCopy,
+            (0..4).map(listed).collect()
+        )),
+        Ok(())
+    );
     engine.tick(Micros(0));
     engine
 }
@@ -71,12 +89,19 @@
     engine.tick(Micros(10_000));
     assert_eq!(engine.pick_streams(), BTreeSet::from([StreamId(1)]));
     let order = engine.pick_order(StreamId(1)).expect("an order");
-    let whole = order.parts.iter().find(|part| part.replace).expect("a whole table");
+    let whole = order
+        .parts
+        .iter()
+        .find(|part| part.replace)
+        .expect("a whole table");
     assert!(whole.classes.is_empty(), "one table serves all classes");
     assert_eq!(whole.rows.len(), 4);
     assert!(whole.rows.iter().all(|(_, weight)| *weight > 0.0));
     assert!(order.stamp.is_some());
-    assert!(order.drop.is_empty() && order.undrop.is_empty(), "a new proxy holds nobody's withdrawals");
+    assert!(
+        order.drop.is_empty() && order.undrop.is_empty(),
+        "a new proxy holds nobody's withdrawals"
+    );
     assert_eq!(engine.pick_order(StreamId(1)), None);
 }
 
@@ -84,19 +109,36 @@
 fn a_proxy_that_brings_tables_gets_back_what_is_not_shut_out_here() {
     let mut engine = serving();
     let names = |list: &[Rc<str>]| list.iter().map(|name| name.to_string()).collect::<Vec<_>>();
-    let shut = |out| Action::Withdraw { server: ServerId(3), out };
+    let shut = |out| Action::Withdraw {
+        server: ServerId(3),
+        out,
+    };
     engine.carry_out(Micros(0), vec![shut(true), shut(false)]);
     assert_eq!(engine.report(joined(1, 0, false)), Ok(()));
     engine.tick(Micros(10_000));
     let order = engine.pick_order(StreamId(1)).expect("an order");
-    assert_eq!(names(&order.undrop), ["s3"], "of the others nobody here knows that they ever left");
+    assert_eq!(
+        names(&order.undrop),
+        ["s3"],
+        "of the others nobody here knows that they ever left"
+    );
     let (stream, mark, took) = (StreamId(1), order.stamp.expect("a mark"), Micros(1000));
     assert_eq!(engine.report(Report::Ack { stream, mark, took }), Ok(()));
     engine.tick(engine.timers.first().expect("the module's own timer").0);
     let order = engine.pick_order(StreamId(1)).expect("an order");
-    assert_eq!(names(&order.undrop), ["s0", "s1", "s2"], "the rest once the channel has room");
-    let drains = Listed { life: Lifecycle::Draining, ..listed(2) };
-    assert_eq!(engine.report(Report::List(ListKind::Changes, vec![drains])), Ok(()));
+    assert_eq!(
+        names(&order.undrop),
+        ["s0", "s1", "s2"],
+        "the rest once the channel has room"
+    );
+    let drains = Listed {
+        life: Lifecycle::Draining,
+        ..listed(2)
+    };
+    assert_eq!(
+        engine.report(Report::List(ListKind::Changes, vec![drains])),
+        Ok(())
+    );
     engine.tick(Micros(900_000));
     let order = engine.pick_order(StreamId(1)).expect("an order");
     assert_eq!(names(&order.drop), ["s2"]);
@@ -113,16 +155,29 @@
     engine.tick(Micros(10_000));
     let probe = engine.pick_probe().expect("a probe");
     assert_eq!(probe.address, "127.0.0.1:1000");
-    let result = Report::Probed { probe, end: ProbeEnd::Done, took: Micros(3000), load: Load::default() };
+    let result = Report::Probed {
+        probe,
+        end: ProbeEnd::Done,
+        took: Micros(3000),
+        load: Load::default(),
+    };
     assert_eq!(engine.report(result), Ok(()));
     assert!(!engine.events.is_empty());
-    let moved = Listed { address: "127.0.0.1:9".into(), ..listed(1) };
-    assert_eq!(engine.report(Report::List(ListKind::Changes, vec![moved])), Ok(()));
+    let moved = Listed {
+        address: "127.0.0.1:9".into(),
+        ..listed(1)
+    };
+    assert_eq!(
+        engine.report(Report::List(ListKind::Changes, vec![moved])),
+        Ok(())
+    );
     engine.tick(next);
     assert!(engine.events.is_empty());
     assert!(engine.tick(next) > Some(next));
     let probes = std::iter::from_fn(|| engine.pick_probe());
-    assert!(probes.map(|probe| probe.address).any(|address| address == "127.0.0.1:9"));
+    assert!(probes
+        .map(|probe| probe.address)
+        .any(|address| address == "127.0.0.1:9"));
 }
 
 #[test]
@@ -151,12 +206,24 @@
         failed: 0.0,
         period: Micros(1_000_000),
     };
-    assert_eq!(engine.report(outcomes("z0", "nobody")), Err(Unknown::Server("nobody".into())));
-    assert_eq!(engine.report(outcomes("z9", "s0")), Err(Unknown::Zone("z9".into())));
+    assert_eq!(
+        engine.report(outcomes("z0", "nobody")),
+        Err(Unknown::Server("nobody".into()))
+    );
+    assert_eq!(
+        engine.report(outcomes("z9", "s0")),
+        Err(Unknown::Zone("z9".into()))
+    );
     assert_eq!(engine.report(joined(1, 4, true)), Err(Unknown::Proxy(4)));
     assert_eq!(engine.report(demand(0, "c0")), Err(Unknown::Proxy(0)));
-    assert_eq!(engine.report(demand(0, "c7")), Err(Unknown::Class("c7".into())));
-    assert_eq!(engine.report(Report::Left(StreamId(5))), Err(Unknown::Stream));
+    assert_eq!(
+        engine.report(demand(0, "c7")),
+        Err(Unknown::Class("c7".into()))
+    );
+    assert_eq!(
+        engine.report(Report::Left(StreamId(5))),
+        Err(Unknown::Stream)
+    );
     assert!(engine.events.is_empty());
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     assert_eq!(engine.report(demand(0, "c0")), Ok(()));
@@ -167,9 +234,16 @@
 fn a_flood_of_reports_is_bounded_and_keeps_out_nothing_else() {
     let mut engine = serving();
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
-    let demand =
-        Report::Demand { proxy: 0, class: "c0".into(), came: 1.0, failed: 0.0, period: Micros(1_000_000) };
-    let taken = (0..2 * REPORTS_MOST).filter(|_| engine.report(demand.clone()).is_ok()).count();
+    let demand = Report::Demand {
+        proxy: 0,
+        class: "c0".into(),
+        came: 1.0,
+        failed: 0.0,
+        period: Micros(1_000_000),
+    };
+    let taken = (0..2 * REPORTS_MOST)
+        .filter(|_| engine.report(demand.clone()).is_ok())
+        .count();
     assert!(taken < REPORTS_MOST);
     assert_eq!(engine.report(demand.clone()), Err(Unknown::Full));
     assert_eq!(engine.report(joined(2, 1, true)), Ok(()));
@@ -182,7 +256,10 @@
 #[test]
 fn a_lost_subscription_is_asked_for_anew() {
     let mut engine = Engine::new(
-        Settings { list_on_request: true, ..settings(1) },
+        Settings {
+            list_on_request: true,
+            ..settings(1)
+        },
         7,
         vec!["z0".into()],
         vec!["c0".into()],
@@ -204,9 +281,21 @@
 #[test]
 fn a_zone_of_the_list_alone_brings_no_reports() {
     let mut engine = serving();
-    let far = Listed { zone: "moon".into(), ..listed(9) };
-    assert_eq!(engine.report(Report::List(ListKind::Changes, vec![far])), Ok(()));
-    let hello = Report::Joined { stream: StreamId(1), proxy: 0, zone: "moon".into(), rate: 1.0, new: true };
+    let far = Listed {
+        zone: "moon".into(),
+        ..listed(9)
+    };
+    assert_eq!(
+        engine.report(Report::List(ListKind::Changes, vec![far])),
+        Ok(())
+    );
+    let hello = Report::Joined {
+        stream: StreamId(1),
+        proxy: 0,
+        zone: "moon".into(),
+        rate: 1.0,
+        new: true,
+    };
     assert_eq!(engine.report(hello), Err(Unknown::Zone("moon".into())));
 }
 
@@ -217,11 +306,23 @@
     engine.tick(Micros(10_000));
     assert_eq!(engine.report(joined(2, 0, false)), Ok(()));
     engine.tick(Micros(20_000));
-    let ack = Report::Ack { stream: StreamId(1), mark: 1, took: Micros(1) };
+    let ack = Report::Ack {
+        stream: StreamId(1),
+        mark: 1,
+        took: Micros(1),
+    };
     assert_eq!(engine.report(ack), Err(Unknown::Stream));
-    assert_eq!(engine.report(Report::Left(StreamId(1))), Err(Unknown::Stream));
+    assert_eq!(
+        engine.report(Report::Left(StreamId(1))),
+        Err(Unknown::Stream)
+    );
     assert_eq!(engine.pick_order(StreamId(1)), None);
-    assert!(engine.pick_order(StreamId(2)).expect("bound anew").parts.iter().any(|part| part.replace));
+    assert!(engine
+        .pick_order(StreamId(2))
+        .expect("bound anew")
+        .parts
+        .iter()
+        .any(|part| part.replace));
 }
 
 #[test]
@@ -236,13 +337,20 @@
         latency: 1.0,
         cause: Cause::Errors,
     };
-    let line = Action::Line { table: TableId(0), server: ServerId(1), weight: 1.0 };
+    let line = Action::Line {
+        table: TableId(0),
+        server: ServerId(1),
+        weight: 1.0,
+    };
     while engine.pick_note(Micros(0)).is_some() {}
     engine.carry_out(Micros(7), vec![Action::Note(state.clone()), line.clone()]);
     let noted = engine.pick_note(Micros(8)).expect("a note");
     assert_eq!((noted.at, noted.logged), (Micros(7), true));
     let text = chutegrade_records::text::line(&noted.kind);
-    assert_eq!(text, "s2 withdrawn, score 0.10: errors 0.00 latency 1.00, tries fail");
+    assert_eq!(
+        text,
+        "s2 withdrawn, score 0.10: errors 0.00 latency 1.00, tries fail"
+    );
     assert_eq!(engine.pick_note(Micros(8)), None);
     engine.record();
     engine.carry_out(Micros(9), vec![line]);
@@ -255,11 +363,25 @@
 fn notes_that_wait_are_bounded_and_what_went_is_counted() {
     let mut engine = serving();
     while engine.pick_note(Micros(0)).is_some() {}
-    let parts = |n| Action::Note(Note::Parts { parts: n, narrowed: false });
-    engine.carry_out(Micros(5), (0..crate::notes::NOTES_MOST + 10).map(parts).collect());
+    let parts = |n| {
+        Action::Note(Note::Parts {
+            parts: n,
+            narrowed: false,
+        })
+    };
+    engine.carry_out(
+        Micros(5),
+        (0..crate::notes::NOTES_MOST + 10).map(parts).collect(),
+    );
     let lost = engine.pick_note(Micros(6)).expect("a note");
-    assert!(matches!(&lost.kind, Kind::Lost(of) if of.count == 10), "{lost:?}");
-    assert_eq!(std::iter::from_fn(|| engine.pick_note(Micros(6))).count(), crate::notes::NOTES_MOST);
+    assert!(
+        matches!(&lost.kind, Kind::Lost(of) if of.count == 10),
+        "{lost:?}"
+    );
+    assert_eq!(
+        std::iter::from_fn(|| engine.pick_note(Micros(6))).count(),
+        crate::notes::NOTES_MOST
+    );
 }
 
 /// A start and a failure are told with the time at which they began, not that at which they were learned.
@@ -267,8 +389,14 @@
 fn what_is_learned_late_keeps_its_time() {
     let mut engine = serving();
     engine.record();
-    let again = Listed { started: Some(Micros(40_000_000)), ..listed(1) };
-    assert_eq!(engine.report(Report::List(ListKind::Changes, vec![again])), Ok(()));
+    let again = Listed {
+        started: Some(Micros(40_000_000)),
+        ..listed(1)
+    };
+    assert_eq!(
+        engine.report(Report::List(ListKind::Changes, vec![again])),
+        Ok(())
+    );
     let outcomes = Report::Outcomes {
         zone: "z1".into(),
         server: "s1".into(),
@@ -282,12 +410,25 @@
     let now = Micros(50_000_000);
     engine.tick(now);
     let noted: Vec<Noted> = std::iter::from_fn(|| engine.pick_note(now)).collect();
-    let at =
-        |wanted: fn(&Kind) -> bool| noted.iter().find(|noted| wanted(&noted.kind)).map(|n| (n.at, n.learned));
-    assert_eq!(at(|kind| matches!(kind, Kind::ServerStarted(_))), Some((Micros(40_000_000), now)));
-    assert_eq!(at(|kind| matches!(kind, Kind::Failing(_))), Some((Micros(48_000_000), now)));
+    let at = |wanted: fn(&Kind) -> bool| {
+        noted
+            .iter()
+            .find(|noted| wanted(&noted.kind))
+            .map(|n| (n.at, n.learned))
+    };
+    assert_eq!(
+        at(|kind| matches!(kind, Kind::ServerStarted(_))),
+        Some((Micros(40_000_000), now))
+    );
+    assert_eq!(
+        at(|kind| matches!(kind, Kind::Failing(_))),
+        Some((Micros(48_000_000), now))
+    );
     let fleet = engine.fleet();
-    assert!(fleet.servers.iter().any(|server| server.name == "s1" && server.zone == "z1"));
+    assert!(fleet
+        .servers
+        .iter()
+        .any(|server| server.name == "s1" && server.zone == "z1"));
     let gauge = engine.gauge();
     let counted = gauge.full + gauge.reduced + gauge.withdrawn + gauge.cold + gauge.leaving;
     assert_eq!(counted as usize, fleet.servers.len());
@@ -296,15 +437,34 @@
 #[test]
 fn an_order_never_has_more_parts_than_the_protocol_allows() {
     let mut engine = engine(32);
-    assert_eq!(engine.report(Report::List(ListKind::WarmCopy, (0..40).map(listed).collect())), Ok(()));
+    assert_eq!(
+        engine.report(Report::List(
+            ListKind::WarmCopy,
+            (0..40).map(listed).collect()
+        )),
+        Ok(())
+    );
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     let mut actions = Vec::new();
     for k in 0..32u16 {
         let (table, classes) = (TableId(k), ClassSet::default().with(usize::from(k)));
-        actions.push(Action::Line { table, server: ServerId(u32::from(k)), weight: 1.0 });
+        actions.push(Action::Line {
+            table,
+            server: ServerId(u32::from(k)),
+            weight: 1.0,
+        });
         let level = f64::from(k + 1) / 40.0;
-        actions.push(Action::Admit { table: Some(table), classes, level, retry: Retry::Never });
-        actions.push(Action::Bind { proxy: ProxyId(0), table, classes });
+        actions.push(Action::Admit {
+            table: Some(table),
+            classes,
+            level,
+            retry: Retry::Never,
+        });
+        actions.push(Action::Bind {
+            proxy: ProxyId(0),
+            table,
+            classes,
+        });
     }
     engine.carry_out(Micros(0), actions);
     let order = engine.pick_order(StreamId(1)).expect("an order");
@@ -318,12 +478,27 @@
     let mut engine = serving();
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     let (table, server) = (TableId(900), ServerId(1));
-    let line = |server, weight| Action::Line { table, server, weight };
-    let bind = Action::Bind { proxy: ProxyId(0), table, classes: ClassSet::default() };
-    engine.carry_out(Micros(0), vec![line(server, 1.0), line(ServerId(2), 1.0), bind]);
+    let line = |server, weight| Action::Line {
+        table,
+        server,
+        weight,
+    };
+    let bind = Action::Bind {
+        proxy: ProxyId(0),
+        table,
+        classes: ClassSet::default(),
+    };
+    engine.carry_out(
+        Micros(0),
+        vec![line(server, 1.0), line(ServerId(2), 1.0), bind],
+    );
     engine.carry_out(Micros(0), vec![line(server, 0.0)]);
     let order = engine.pick_order(StreamId(1)).expect("an order");
-    let rows: Vec<_> = order.parts[0].rows.iter().map(|(name, weight)| (name.to_string(), *weight)).collect();
+    let rows: Vec<_> = order.parts[0]
+        .rows
+        .iter()
+        .map(|(name, weight)| (name.to_string(), *weight))
+        .collect();
     assert_eq!(rows, [("s2".to_string(), 1.0)]);
 }
 
@@ -340,9 +515,16 @@
     fn apply(&mut self, order: &Order, classes: usize) {
         for part in &order.parts {
             let all: Vec<usize> = (0..classes).collect();
-            let named =
-                part.classes.iter().map(|name| name[1..].parse().expect("c and its position")).collect();
-            let concerned: &Vec<usize> = if part.classes.is_empty() { &all } else { &named };
+            let named = part
+                .classes
+                .iter()
+                .map(|name| name[1..].parse().expect("c and its position"))
+                .collect();
+            let concerned: &Vec<usize> = if part.classes.is_empty() {
+                &all
+            } else {
+                &named
+            };
             for class in concerned {
                 let rows = self.rows.entry(*class).or_default();
                 if part.replace {
@@ -358,7 +540,8 @@
                 }
             }
         }
-        self.dropped.extend(order.drop.iter().map(|name| name.to_string()));
+        self.dropped
+            .extend(order.drop.iter().map(|name| name.to_string()));
         for name in &order.undrop {
             self.dropped.remove(&**name);
         }
@@ -367,7 +550,9 @@
 
     fn picks(&self, class: usize) -> BTreeMap<String, f64> {
         let rows = self.rows.get(&class).cloned().unwrap_or_default();
-        rows.into_iter().filter(|(name, _)| !self.dropped.contains(name)).collect()
+        rows.into_iter()
+            .filter(|(name, _)| !self.dropped.contains(name))
+            .collect()
     }
 }
 
@@ -392,7 +577,11 @@
             (0..CLASSES).filter(move |class| classes == ClassSet::default() || classes.has(*class))
         };
         match action {
-            Action::Line { table, server, weight } => {
+            Action::Line {
+                table,
+                server,
+                weight,
+            } => {
                 let lines = self.lines.entry(*table).or_default();
                 lines.insert(format!("s{}", server.0), *weight);
                 lines.retain(|_, weight| *weight > 0.0);
@@ -407,8 +596,11 @@
                     shut.remove(&name);
                 });
                 if *out {
-                    let bound =
-                        |proxy: u32| (0..CLASSES).filter(|c| self.bound.contains_key(&(proxy, *c))).count();
+                    let bound = |proxy: u32| {
+                        (0..CLASSES)
+                            .filter(|c| self.bound.contains_key(&(proxy, *c)))
+                            .count()
+                    };
                     let strange = |proxy: &&u32| (1..CLASSES).contains(&bound(**proxy));
                     for proxy in joined.keys().filter(strange) {
                         self.unseen.entry(*proxy).or_default().insert(name.clone());
@@ -418,7 +610,12 @@
                     self.withdrawn.remove(&name);
                 }
             }
-            Action::Admit { table, classes, level, retry } => {
+            Action::Admit {
+                table,
+                classes,
+                level,
+                retry,
+            } => {
                 for class in each(classes) {
                     match table {
                         Some(table) => self.own.insert((*table, class), (*level, *retry)),
@@ -426,7 +623,11 @@
                     };
                 }
             }
-            Action::Bind { proxy, table, classes } if joined.contains_key(&proxy.0) => {
+            Action::Bind {
+                proxy,
+                table,
+                classes,
+            } if joined.contains_key(&proxy.0) => {
                 for class in each(classes) {
                     self.bound.insert((proxy.0, class), *table);
                 }
@@ -437,7 +638,10 @@
 
     fn picks(&self, table: TableId) -> BTreeMap<String, f64> {
         let lines = self.lines.get(&table).cloned().unwrap_or_default();
-        lines.into_iter().filter(|(name, _)| !self.withdrawn.contains(name)).collect()
+        lines
+            .into_iter()
+            .filter(|(name, _)| !self.withdrawn.contains(name))
+            .collect()
     }
 
     fn level(&self, table: TableId, class: usize) -> Option<Level> {
@@ -574,14 +778,19 @@
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     let mut now = Micros(10_000);
     let mut turn = |engine: &mut Engine, events: Vec<Listed>, seconds: i64| {
-        assert_eq!(engine.report(Report::List(ListKind::Changes, events)), Ok(()));
+        assert_eq!(
+            engine.report(Report::List(ListKind::Changes, events)),
+            Ok(())
+        );
         let mut told = (BTreeSet::new(), BTreeSet::new());
         for _ in 0..2 * seconds {
             now = now + Micros(500_000);
             engine.tick(now);
             if let Some(order) = engine.pick_order(StreamId(1)) {
-                told.0.extend(order.drop.iter().map(|name| name.to_string()));
-                told.1.extend(order.undrop.iter().map(|name| name.to_string()));
+                told.0
+                    .extend(order.drop.iter().map(|name| name.to_string()));
+                told.1
+                    .extend(order.undrop.iter().map(|name| name.to_string()));
                 let (stream, took) = (StreamId(1), Micros(1000));
                 let mark = order.stamp.expect("a mark");
                 assert_eq!(engine.report(Report::Ack { stream, mark, took }), Ok(()));
@@ -593,17 +802,43 @@
     for round in 0..20 {
         let came = (4 + 4 * round..8 + 4 * round).map(listed).collect();
         turn(&mut engine, came, 30);
-        ids.extend((4 * round..4 + 4 * round).filter_map(|of| engine.names.server(&format!("s{of}"))));
+        ids.extend(
+            (4 * round..4 + 4 * round).filter_map(|of| engine.names.server(&format!("s{of}"))),
+        );
         let life = |life| move |of| Listed { life, ..listed(of) };
-        turn(&mut engine, (4 * round..4 + 4 * round).map(life(Lifecycle::Draining)).collect(), 3);
-        turn(&mut engine, (4 * round..4 + 4 * round).map(life(Lifecycle::Gone)).collect(), 90);
+        turn(
+            &mut engine,
+            (4 * round..4 + 4 * round)
+                .map(life(Lifecycle::Draining))
+                .collect(),
+            3,
+        );
+        turn(
+            &mut engine,
+            (4 * round..4 + 4 * round)
+                .map(life(Lifecycle::Gone))
+                .collect(),
+            90,
+        );
     }
     assert_eq!(ids.len(), 80, "each has a number of its own");
-    let known = (0..84).filter(|of| engine.names.server(&format!("s{of}")).is_some()).count();
-    assert_eq!((known, engine.policy.standings().len(), engine.going.len()), (4, 4, 0));
-    assert!((0..80).all(|of| !engine.tables.is_withdrawn(ServerId(of))), "nor as shut out");
+    let known = (0..84)
+        .filter(|of| engine.names.server(&format!("s{of}")).is_some())
+        .count();
+    assert_eq!(
+        (known, engine.policy.standings().len(), engine.going.len()),
+        (4, 4, 0)
+    );
+    assert!(
+        (0..80).all(|of| !engine.tables.is_withdrawn(ServerId(of))),
+        "nor as shut out"
+    );
     let told = turn(&mut engine, vec![listed(3), listed(99)], 30);
-    assert_eq!(told, (BTreeSet::new(), BTreeSet::from(["s3".to_string()])), "s99 is new to all");
+    assert_eq!(
+        told,
+        (BTreeSet::new(), BTreeSet::from(["s3".to_string()])),
+        "s99 is new to all"
+    );
 }
 
 /// Danger: a stream that stands still would lose the line that takes a server out, with the server's name.
@@ -613,11 +848,25 @@
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     engine.tick(Micros(10_000));
     assert!(engine.pick_order(StreamId(1)).is_some());
-    let out = Action::Withdraw { server: ServerId(2), out: true };
+    let out = Action::Withdraw {
+        server: ServerId(2),
+        out: true,
+    };
     engine.carry_out(Micros(20_000), vec![out, Action::Forget(ServerId(2))]);
     let order = engine.pick_order(StreamId(1)).expect("an order");
-    assert_eq!(order.drop.iter().map(|name| name.to_string()).collect::<Vec<_>>(), ["s2"]);
-    let removed = |table| Action::Line { table: TableId(table), server: ServerId(2), weight: 0.0 };
+    assert_eq!(
+        order
+            .drop
+            .iter()
+            .map(|name| name.to_string())
+            .collect::<Vec<_>>(),
+        ["s2"]
+    );
+    let removed = |table| Action::Line {
+        table: TableId(table),
+        server: ServerId(2),
+        weight: 0.0,
+    };
     engine.carry_out(Micros(30_000), vec![removed(0), removed(1)]);
     assert!(engine.pick_order(StreamId(1)).is_some());
     engine.carry_out(Micros(40_000), vec![]);
@@ -638,8 +887,20 @@
         ..settings(CLASSES)
     };
     let names = |of: &str, n: usize| (0..n).map(|k| format!("{of}{k}")).collect::<Vec<_>>();
-    let mut engine = Engine::new(settings, 7, names("z", 2), names("c", CLASSES), names("k", 2));
-    assert_eq!(engine.report(Report::List(ListKind::WarmCopy, (0..MANY).map(listed).collect())), Ok(()));
+    let mut engine = Engine::new(
+        settings,
+        7,
+        names("z", 2),
+        names("c", CLASSES),
+        names("k", 2),
+    );
+    assert_eq!(
+        engine.report(Report::List(
+            ListKind::WarmCopy,
+            (0..MANY).map(listed).collect()
+        )),
+        Ok(())
+    );
     let mut now = Micros(0);
     engine.tick(now);
     for proxy in 0..MANY {
@@ -658,16 +919,35 @@
         while let Some(probe) = engine.pick_probe() {
             probes += 1;
             let (end, took, load) = (ProbeEnd::Done, Micros(5000), Load::default());
-            assert_eq!(engine.report(Report::Probed { probe, end, took, load }), Ok(()));
+            assert_eq!(
+                engine.report(Report::Probed {
+                    probe,
+                    end,
+                    took,
+                    load
+                }),
+                Ok(())
+            );
         }
     }
     assert_eq!(holders.len(), MANY as usize);
-    assert!(holders.values().all(|holder| (0..CLASSES).all(|class| !holder.picks(class).is_empty())));
-    let named: BTreeSet<String> = holders.values().flat_map(|holder| holder.picks(0).into_keys()).collect();
+    assert!(holders
+        .values()
+        .all(|holder| (0..CLASSES).all(|class| !holder.picks(class).is_empty())));
+    let named: BTreeSet<String> = holders
+        .values()
+        .flat_map(|holder| holder.picks(0).into_keys())
+        .collect();
     assert_eq!(named.len(), MANY as usize, "each server is in some table");
-    assert!(probes >= 8 * MANY, "each server is probed every second: {probes}");
+    assert!(
+        probes >= 8 * MANY,
+        "each server is probed every second: {probes}"
+    );
     assert_eq!(engine.fleet().servers.len(), MANY as usize);
-    assert_eq!(engine.report(joined(MANY.into(), MANY, true)), Err(Unknown::Proxy(MANY)));
+    assert_eq!(
+        engine.report(joined(MANY.into(), MANY, true)),
+        Err(Unknown::Proxy(MANY))
+    );
 }
 
 /// What the decisions hear of probes, of all servers that the list names.
@@ -696,26 +976,65 @@
 fn a_probe_of_a_former_process_says_nothing_of_the_next() {
     let hears = Hears::default();
     let heard = Rc::clone(&hears.0);
-    let mut engine = Engine::with(Box::new(hears), &settings(CLASSES), vec!["z0".into()], vec![], vec![]);
+    let mut engine = Engine::with(
+        Box::new(hears),
+        &settings(CLASSES),
+        vec!["z0".into()],
+        vec![],
+        vec![],
+    );
     let tell = |engine: &mut Engine, server: Listed| {
-        assert_eq!(engine.report(Report::List(ListKind::Changes, vec![server])), Ok(()));
+        assert_eq!(
+            engine.report(Report::List(ListKind::Changes, vec![server])),
+            Ok(())
+        );
         engine.tick(Micros(0));
         engine.pick_probe().expect("a probe")
     };
     let ends = |engine: &mut Engine, probe: Probe| {
         let (end, took, load) = (ProbeEnd::Unreachable, Micros(1000), Load::default());
-        assert_eq!(engine.report(Report::Probed { probe, end, took, load }), Ok(()));
+        assert_eq!(
+            engine.report(Report::Probed {
+                probe,
+                end,
+                took,
+                load
+            }),
+            Ok(())
+        );
         engine.tick(Micros(0));
         heard.borrow_mut().pop().expect("an end").1
     };
     let first = tell(&mut engine, listed(0));
     let again = tell(&mut engine, listed(0));
-    assert_eq!(ends(&mut engine, first), ProbeEnd::Unreachable, "told again, but the same");
-    let moved = tell(&mut engine, Listed { address: "127.0.0.1:9".into(), ..listed(0) });
-    assert_eq!(ends(&mut engine, again), ProbeEnd::Other, "it listens elsewhere");
-    let anew = Listed { address: "127.0.0.1:9".into(), started: Some(Micros(5)), ..listed(0) };
+    assert_eq!(
+        ends(&mut engine, first),
+        ProbeEnd::Unreachable,
+        "told again, but the same"
+    );
+    let moved = tell(
+        &mut engine,
+        Listed {
+            address: "127.0.0.1:9".into(),
+            ..listed(0)
+        },
+    );
+    assert_eq!(
+        ends(&mut engine, again),
+        ProbeEnd::Other,
+        "it listens elsewhere"
+    );
+    let anew = Listed {
+        address: "127.0.0.1:9".into(),
+        started: Some(Micros(5)),
+        ..listed(0)
+    };
     let anew = tell(&mut engine, anew);
-    assert_eq!(ends(&mut engine, moved), ProbeEnd::Other, "it has started anew at the same address");
+    assert_eq!(
+        ends(&mut engine, moved),
+        ProbeEnd::Other,
+        "it has started anew at the same address"
+    );
     assert_eq!(ends(&mut engine, anew), ProbeEnd::Unreachable);
 }
 
@@ -730,13 +1049,31 @@
 
 impl Shop {
     fn new(prefix: &str, of: Settings) -> Shop {
-        let names = |of: &str, n: usize| (0..n).map(|k| format!("{prefix}{of}{k}")).collect::<Vec<_>>();
+        let names = |of: &str, n: usize| {
+            (0..n)
+                .map(|k| format!("{prefix}{of}{k}"))
+                .collect::<Vec<_>>()
+        };
         let (zones, classes) = (names("z", of.zones), names("c", of.classes.len()));
         let (class, zone) = (classes[0].clone(), zones[0].clone());
         let mut engine = Engine::new(of, 7, zones, classes, names("k", 2));
-        let list = (0..6).map(|of| Listed { zone: zone.clone(), ..listed(of) }).collect();
-        assert_eq!(engine.report(Report::List(ListKind::WarmCopy, list)), Ok(()));
-        Shop { engine, now: Micros(0), said: Vec::new(), class, zone }
+        let list = (0..6)
+            .map(|of| Listed {
+                zone: zone.clone(),
+                ..listed(of)
+            })
+            .collect();
+        assert_eq!(
+            engine.report(Report::List(ListKind::WarmCopy, list)),
+            Ok(())
+        );
+        Shop {
+            engine,
+            now: Micros(0),
+            said: Vec::new(),
+            class,
+            zone,
+        }
     }
 
     fn second(&mut self, second: u32) {
@@ -744,20 +1081,46 @@
         for proxy in 0..2 {
             let stream = StreamId(u64::from(10 * second + proxy));
             if second % 9 == proxy {
-                let joined =
-                    Report::Joined { stream, proxy, zone: zone.clone(), rate: 10.0, new: second < 9 };
+                let joined = Report::Joined {
+                    stream,
+                    proxy,
+                    zone: zone.clone(),
+                    rate: 10.0,
+                    new: second < 9,
+                };
                 assert_eq!(self.engine.report(joined), Ok(()));
             }
             let (class, came, failed) = (class.clone(), 30.0, 0.0);
-            let demand = Report::Demand { proxy, class, came, failed, period: Micros(1_000_000) };
+            let demand = Report::Demand {
+                proxy,
+                class,
+                came,
+                failed,
+                period: Micros(1_000_000),
+            };
             let _ = self.engine.report(demand);
         }
         for server in 0..6 {
-            let (zone, server, tries, failed) =
-                (zone.clone(), format!("s{server}"), 10.0, f64::from(second * server % 7));
-            let load = Load { queue: Some(f64::from(second % 5)), ..Load::default() };
+            let (zone, server, tries, failed) = (
+                zone.clone(),
+                format!("s{server}"),
+                10.0,
+                f64::from(second * server % 7),
+            );
+            let load = Load {
+                queue: Some(f64::from(second % 5)),
+                ..Load::default()
+            };
             let (mean_ms, period) = (50.0, Micros(1_000_000));
-            let heard = Report::Outcomes { zone, server, tries, failed, mean_ms, period, load };
+            let heard = Report::Outcomes {
+                zone,
+                server,
+                tries,
+                failed,
+                mean_ms,
+                period,
+                load,
+            };
             assert_eq!(self.engine.report(heard), Ok(()));
         }
         for _ in 0..4 {
@@ -767,13 +1130,25 @@
                 let order = self.engine.pick_order(stream).expect("an order");
                 self.said.push(format!("{stream:?} {order:?}"));
                 if let Some(mark) = order.stamp {
-                    let _ = self.engine.report(Report::Ack { stream, mark, took: Micros(1000) });
+                    let _ = self.engine.report(Report::Ack {
+                        stream,
+                        mark,
+                        took: Micros(1000),
+                    });
                 }
             }
             while let Some(probe) = self.engine.pick_probe() {
                 self.said.push(format!("{probe:?}"));
                 let (end, took, load) = (ProbeEnd::Done, Micros(3000), Load::default());
-                assert_eq!(self.engine.report(Report::Probed { probe, end, took, load }), Ok(()));
+                assert_eq!(
+                    self.engine.report(Report::Probed {
+                        probe,
+                        end,
+                        took,
+                        load
+                    }),
+                    Ok(())
+                );
             }
         }
     }
@@ -784,7 +1159,11 @@
 fn two_engines_in_one_process_decide_as_each_alone_does() {
     let one = || Shop::new("a", settings(CLASSES));
     let other = || {
-        let unsafe_class = Class { effect: Effect::Unsafe, home_only: true, ..settings(1).classes[0] };
+        let unsafe_class = Class {
+            effect: Effect::Unsafe,
+            home_only: true,
+            ..settings(1).classes[0]
+        };
         let settings = Settings {
             classes: vec![unsafe_class; 2],
             zones: 1,
--- a/crates/engine/src/measure.rs
+++ b/crates/engine/src/measure.rs
@@ -60,6 +60,12 @@
     /// All that was kept; when something was last heard stays known.
     pub fn take(&mut self) -> Measure {
         let heard = self.kept.heard;
-        std::mem::replace(&mut self.kept, Measure { heard, ..Measure::default() })
+        std::mem::replace(
+            &mut self.kept,
+            Measure {
+                heard,
+                ..Measure::default()
+            },
+        )
     }
 }
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -55,11 +55,19 @@
 impl Names {
     pub fn new(zones: Vec<String>, classes: Vec<String>, kinds: Vec<String>) -> Self {
         let classes = classes.into_iter().map(Rc::from).collect();
-        Names { zones, kinds, classes, ..Names::default() }
+        Names {
+            zones,
+            kinds,
+            classes,
+            ..Names::default()
+        }
     }
 
     pub fn class(&self, name: &str) -> Option<ClassId> {
-        self.classes.iter().position(|class| **class == *name).map(|at| ClassId(at as u8))
+        self.classes
+            .iter()
+            .position(|class| **class == *name)
+            .map(|at| ClassId(at as u8))
     }
 
     pub fn class_name(&self, class: usize) -> Option<Rc<str>> {
@@ -67,7 +75,10 @@
     }
 
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
-        self.zones.iter().position(|zone| zone == name).map(|at| ZoneId(at as u16))
+        self.zones
+            .iter()
+            .position(|zone| zone == name)
+            .map(|at| ZoneId(at as u16))
     }
 
     pub fn zones(&self) -> &[String] {
@@ -75,7 +86,10 @@
     }
 
     pub fn zone_name(&self, zone: ZoneId) -> String {
-        self.zones.get(usize::from(zone.0)).cloned().unwrap_or_default()
+        self.zones
+            .get(usize::from(zone.0))
+            .cloned()
+            .unwrap_or_default()
     }
 
     pub fn server(&self, name: &str) -> Option<ServerId> {
@@ -87,7 +101,9 @@
     }
 
     pub fn address(&self, server: ServerId) -> Option<&str> {
-        self.servers.get(&server).map(|known| known.address.as_str())
+        self.servers
+            .get(&server)
+            .map(|known| known.address.as_str())
     }
 
     /// The latest start of the server, as far as the list told it.
@@ -97,7 +113,9 @@
 
     /// Nothing names the server any more. Its number is not used again.
     pub fn forget(&mut self, server: ServerId) {
-        let Some(known) = self.servers.remove(&server) else { return };
+        let Some(known) = self.servers.remove(&server) else {
+            return;
+        };
         self.by_name.remove(&known.name);
         if self.forgotten.len() >= FORGOTTEN_MOST {
             self.forgotten.pop_front();
@@ -136,7 +154,14 @@
         let returned = self.forgotten.len() < forgotten;
         let name: Rc<str> = Rc::from(name);
         self.by_name.insert(Rc::clone(&name), id);
-        self.servers.insert(id, Known { name, address: String::new(), started: None });
+        self.servers.insert(
+            id,
+            Known {
+                name,
+                address: String::new(),
+                started: None,
+            },
+        );
         (id, returned)
     }
 }
@@ -148,8 +173,11 @@
 }
 
 fn position(names: &mut Vec<String>, name: &str) -> usize {
-    names.iter().position(|known| known == name).unwrap_or_else(|| {
-        names.push(name.to_string());
-        names.len() - 1
-    })
+    names
+        .iter()
+        .position(|known| known == name)
+        .unwrap_or_else(|| {
+            names.push(name.to_string());
+            names.len() - 1
+        })
 }
--- a/crates/engine/src/notes.rs
+++ b/crates/engine/src/notes.rs
@@ -59,14 +59,20 @@
                 self.lost = Some((count + 1, from, oldest.at));
             }
         }
-        self.waiting.push_back(Noted { at, learned, kind, logged });
+        self.waiting.push_back(Noted {
+            at,
+            learned,
+            kind,
+            logged,
+        });
     }
 
     /// What proxies met at a server over a period that ends about now.
     pub fn heard(&mut self, (zone, server): (&str, &str), tries: f64, failed: f64, period: Micros) {
         if self.recording {
             let news = self.observer.heard(zone, server, tries, failed);
-            self.fresh.extend(news.map(|news| (Begun::Before(period), Kind::Failing(news))));
+            self.fresh
+                .extend(news.map(|news| (Begun::Before(period), Kind::Failing(news))));
         }
     }
 
@@ -79,7 +85,10 @@
         }
         let Some(at) = listed.started else { return };
         if self.started.insert(id, at).is_none_or(|known| known < at) {
-            let of = pb::ServerStarted { server: listed.name.clone(), zone: listed.zone.clone() };
+            let of = pb::ServerStarted {
+                server: listed.name.clone(),
+                zone: listed.zone.clone(),
+            };
             self.fresh.push((Begun::At(at), Kind::ServerStarted(of)));
         }
     }
@@ -104,8 +113,18 @@
     /// The next note; first of all how many were lost.
     pub fn pick(&mut self, now: Micros) -> Option<Noted> {
         if let Some((count, from, to)) = self.lost.take() {
-            let lost = pb::Lost { count, from_us: from.0, to_us: to.0, reason: "queue".to_string() };
-            return Some(Noted { at: from, learned: now, kind: Kind::Lost(lost), logged: false });
+            let lost = pb::Lost {
+                count,
+                from_us: from.0,
+                to_us: to.0,
+                reason: "queue".to_string(),
+            };
+            return Some(Noted {
+                at: from,
+                learned: now,
+                kind: Kind::Lost(lost),
+                logged: false,
+            });
         }
         self.waiting.pop_front()
     }
@@ -150,24 +169,66 @@
     zone_name: impl Fn(ZoneId) -> String,
 ) -> Kind {
     match *note {
-        Note::State { server, zone, state: now, score, errors, latency, cause: by } => {
+        Note::State {
+            server,
+            zone,
+            state: now,
+            score,
+            errors,
+            latency,
+            cause: by,
+        } => {
             let (server, zone) = (server_name(server), zone_name(zone));
             let (state, cause) = (state(now).into(), cause(by).into());
-            Kind::StateChanged(pb::StateChanged { server, zone, state, score, errors, latency, cause })
+            Kind::StateChanged(pb::StateChanged {
+                server,
+                zone,
+                state,
+                score,
+                errors,
+                latency,
+                cause,
+            })
         }
-        Note::Life { server, zone, life: now } => {
+        Note::Life {
+            server,
+            zone,
+            life: now,
+        } => {
             let (server, zone) = (server_name(server), zone_name(zone));
-            Kind::LifeChanged(pb::LifeChanged { server, zone, life: life(now).into() })
+            Kind::LifeChanged(pb::LifeChanged {
+                server,
+                zone,
+                life: life(now).into(),
+            })
         }
         Note::Cold { held, tries } => Kind::ColdHeld(pb::ColdHeld { held, tries }),
-        Note::Cut { zone, cut, mute } => Kind::ZoneCut(pb::ZoneCut { zone: zone_name(zone), cut, mute }),
-        Note::Saturation { refused, strain, queues, probes, mute } => {
-            Kind::Saturation(pb::Saturation { refused, strain, queues, probes, mute })
-        }
-        Note::Void { table, void } => Kind::AdviceVoid(pb::AdviceVoid { table: u32::from(table.0), void }),
-        Note::Parts { parts, narrowed } => {
-            Kind::Parts(pb::Parts { parts: u32::try_from(parts).unwrap_or(u32::MAX), narrowed })
-        }
+        Note::Cut { zone, cut, mute } => Kind::ZoneCut(pb::ZoneCut {
+            zone: zone_name(zone),
+            cut,
+            mute,
+        }),
+        Note::Saturation {
+            refused,
+            strain,
+            queues,
+            probes,
+            mute,
+        } => Kind::Saturation(pb::Saturation {
+            refused,
+            strain,
+            queues,
+            probes,
+            mute,
+        }),
+        Note::Void { table, void } => Kind::AdviceVoid(pb::AdviceVoid {
+            table: u32::from(table.0),
+            void,
+        }),
+        Note::Parts { parts, narrowed } => Kind::Parts(pb::Parts {
+            parts: u32::try_from(parts).unwrap_or(u32::MAX),
+            narrowed,
+        }),
     }
 }
 
@@ -176,7 +237,18 @@
     let (errors, latency) = of.terms;
     let (state, life) = (state(of.state).into(), life(of.entry.life).into());
     let (score, weight, warmth, shut) = (of.score, of.weight, of.warmth, of.shut);
-    pb::Server { name, zone, state, life, score, errors, latency, weight, warmth, shut }
+    pb::Server {
+        name,
+        zone,
+        state,
+        life,
+        score,
+        errors,
+        latency,
+        weight,
+        warmth,
+        shut,
+    }
 }
 
 /// The figures of one moment.
@@ -185,9 +257,22 @@
     streams: usize,
     standings: impl Iterator<Item = Standing>,
 ) -> pb::Gauge {
-    let Figures { waiting, refused, strain, levels, .. } = figures;
+    let Figures {
+        waiting,
+        refused,
+        strain,
+        levels,
+        ..
+    } = figures;
     let streams = u32::try_from(streams).unwrap_or(u32::MAX);
-    let mut gauge = pb::Gauge { waiting, refused, strain, streams, levels, ..pb::Gauge::default() };
+    let mut gauge = pb::Gauge {
+        waiting,
+        refused,
+        strain,
+        streams,
+        levels,
+        ..pb::Gauge::default()
+    };
     for of in standings {
         let count = match (of.entry.life, of.state) {
             (Lifecycle::InService, State::Withdrawn) => &mut gauge.withdrawn,
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -80,7 +80,14 @@
 
     pub fn replace(&mut self, class: usize, rows: &BTreeMap<ServerId, f64>, gate: Option<Level>) {
         self.touched = true;
-        self.classes.insert(class, Pending { replace: true, rows: rows.clone(), gate });
+        self.classes.insert(
+            class,
+            Pending {
+                replace: true,
+                rows: rows.clone(),
+                gate,
+            },
+        );
     }
 
     pub fn gate(&mut self, class: usize, level: Level) {
@@ -104,7 +111,10 @@
 
     /// Whether what waits names the server.
     pub fn mentions(&self, server: ServerId) -> bool {
-        let rows = self.classes.values().any(|pending| pending.rows.contains_key(&server));
+        let rows = self
+            .classes
+            .values()
+            .any(|pending| pending.rows.contains_key(&server));
         rows || self.withdrawn.contains_key(&server)
     }
 
@@ -116,14 +126,21 @@
     /// whole table makes the proxy forget its levels.
     pub fn into_order(self, all: usize, names: &Names) -> Order {
         let pending = self.classes.iter();
-        let mut gates = alike(pending.clone().filter_map(|(class, p)| Some((*class, p.gate?))));
+        let mut gates = alike(
+            pending
+                .clone()
+                .filter_map(|(class, p)| Some((*class, p.gate?))),
+        );
         let changed = pending.filter(|(_, p)| p.replace || !p.rows.is_empty());
         let tables = alike(changed.map(|(class, p)| (*class, (p.replace, &p.rows))));
         let named = |classes: Vec<usize>| {
             if classes.len() == all {
                 return Vec::new();
             }
-            classes.into_iter().filter_map(|class| names.class_name(class)).collect()
+            classes
+                .into_iter()
+                .filter_map(|class| names.class_name(class))
+                .collect()
         };
         let row = |(server, weight): (&ServerId, &f64)| Some((names.name(*server)?, *weight));
         let mut parts: Vec<Part> = Vec::new();
@@ -131,15 +148,31 @@
             let at = gates.iter().position(|(gated, _)| *gated == classes);
             let gate = at.map(|at| gates.remove(at).1);
             let rows = rows.iter().filter_map(row).collect();
-            parts.push(Part { classes: named(classes), replace, rows, gate });
+            parts.push(Part {
+                classes: named(classes),
+                replace,
+                rows,
+                gate,
+            });
         }
         for (classes, level) in gates {
-            parts.push(Part { classes: named(classes), gate: Some(level), ..Part::default() });
+            parts.push(Part {
+                classes: named(classes),
+                gate: Some(level),
+                ..Part::default()
+            });
         }
         let list = |out: bool| {
             let those = self.withdrawn.iter().filter(|(_, shut)| **shut == out);
-            those.filter_map(|(server, _)| names.name(*server)).collect()
+            those
+                .filter_map(|(server, _)| names.name(*server))
+                .collect()
         };
-        Order { parts, drop: list(true), undrop: list(false), stamp: self.stamp }
+        Order {
+            parts,
+            drop: list(true),
+            undrop: list(false),
+            stamp: self.stamp,
+        }
     }
 }
--- a/crates/engine/src/streams.rs
+++ b/crates/engine/src/streams.rs
@@ -23,7 +23,11 @@
 
 impl Joined {
     fn on(&self, table: TableId) -> Vec<usize> {
-        self.tables.iter().filter(|(_, own)| **own == table).map(|(class, _)| *class).collect()
+        self.tables
+            .iter()
+            .filter(|(_, own)| **own == table)
+            .map(|(class, _)| *class)
+            .collect()
     }
 
     /// The proxy must know of a server that its tables name whether it is shut out: withdrawals stay with a proxy across
@@ -33,7 +37,11 @@
         let out = all.is_withdrawn(server);
         let unsure = self.brought && (self.reconciled || all.has_left(server));
         let unknown = unsure || all.has_returned(server);
-        let known = self.told.get(&server).copied().or((!unknown).then_some(false));
+        let known = self
+            .told
+            .get(&server)
+            .copied()
+            .or((!unknown).then_some(false));
         if known != Some(out) {
             self.told.insert(server, out);
             self.draft.withdraw(server, out);
@@ -55,7 +63,8 @@
         let lines = held.map_or(&none, |table| &table.lines);
         for class in classes {
             self.tables.insert(*class, table);
-            self.draft.replace(*class, lines, all.level(Some(table), *class));
+            self.draft
+                .replace(*class, lines, all.level(Some(table), *class));
         }
         for server in lines.keys() {
             self.names(*server, all);
@@ -65,8 +74,10 @@
     fn reconcile(&mut self, all: &Tables) {
         self.reconciled = true;
         let tables: BTreeSet<TableId> = self.tables.values().copied().collect();
-        for server in
-            tables.into_iter().filter_map(|table| all.get(table)).flat_map(|table| table.lines.keys())
+        for server in tables
+            .into_iter()
+            .filter_map(|table| all.get(table))
+            .flat_map(|table| table.lines.keys())
         {
             self.names(*server, all);
         }
@@ -74,7 +85,8 @@
 
     fn clear(&mut self, table: TableId, all: &Tables) {
         for class in self.on(table) {
-            self.draft.replace(class, &BTreeMap::new(), all.level(None, class));
+            self.draft
+                .replace(class, &BTreeMap::new(), all.level(None, class));
         }
     }
 
@@ -91,7 +103,10 @@
     /// A server is shut out or let back: of no concern to a proxy whose tables do not name it, nor to one that has none of
     /// ours yet. Whether it is. What its tables name later they put right with the line itself.
     fn withdraw(&mut self, server: ServerId, out: bool, all: &Tables) -> bool {
-        let named = |table: &TableId| all.get(*table).is_some_and(|t| t.lines.contains_key(&server));
+        let named = |table: &TableId| {
+            all.get(*table)
+                .is_some_and(|t| t.lines.contains_key(&server))
+        };
         let concerned = self.tables.values().any(named) || (out && self.bound_in_part(all));
         if concerned {
             self.told.insert(server, out);
@@ -165,11 +180,19 @@
     /// Carries one action to the streams it concerns; the tables hold it already. Tells how many a withdrawal concerns.
     pub fn apply(&mut self, action: &Action, all: &Tables) -> u32 {
         match action {
-            Action::Line { table, server, weight } => {
+            Action::Line {
+                table,
+                server,
+                weight,
+            } => {
                 self.users(*table, |joined| joined.line(*table, *server, *weight, all));
             }
             Action::Clear(table) => self.users(*table, |joined| joined.clear(*table, all)),
-            Action::Bind { proxy, table, classes } => {
+            Action::Bind {
+                proxy,
+                table,
+                classes,
+            } => {
                 self.bind(*proxy, *table, &all.positions(*classes), all);
             }
             Action::Reconcile(proxy) => {
@@ -193,9 +216,13 @@
     }
 
     fn bind(&mut self, proxy: ProxyId, table: TableId, classes: &[usize], all: &Tables) {
-        let Some(joined) = self.proxies.get_mut(&proxy) else { return };
-        let before: Vec<TableId> =
-            classes.iter().filter_map(|class| joined.tables.get(class).copied()).collect();
+        let Some(joined) = self.proxies.get_mut(&proxy) else {
+            return;
+        };
+        let before: Vec<TableId> = classes
+            .iter()
+            .filter_map(|class| joined.tables.get(class).copied())
+            .collect();
         joined.bind(table, classes, all);
         for old in before.iter().filter(|old| joined.on(**old).is_empty()) {
             if let Some(users) = self.by_table.get_mut(old) {
@@ -219,7 +246,9 @@
 
     /// Whether anything that waits to be written names the server.
     pub fn mention(&self, server: ServerId) -> bool {
-        self.proxies.values().any(|joined| joined.draft.mentions(server))
+        self.proxies
+            .values()
+            .any(|joined| joined.draft.mentions(server))
     }
 
     pub fn forget(&mut self, server: ServerId) {
@@ -239,7 +268,9 @@
     }
 
     fn users(&mut self, table: TableId, mut apply: impl FnMut(&mut Joined)) {
-        let Some(users) = self.by_table.get(&table) else { return };
+        let Some(users) = self.by_table.get(&table) else {
+            return;
+        };
         self.touched.extend(users);
         for proxy in users {
             if let Some(joined) = self.proxies.get_mut(proxy) {
@@ -255,7 +286,9 @@
             concerned.extend(self.proxies.keys());
         }
         for proxy in concerned {
-            let Some(joined) = self.proxies.get_mut(&proxy) else { continue };
+            let Some(joined) = self.proxies.get_mut(&proxy) else {
+                continue;
+            };
             let touched = joined.draft.take_touched();
             if let Some((mark, _)) = mark.filter(|(_, everyone)| touched || *everyone) {
                 joined.draft.stamp(mark);
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -28,12 +28,17 @@
 
 impl Tables {
     pub fn new(classes: usize) -> Self {
-        Tables { classes, ..Tables::default() }
+        Tables {
+            classes,
+            ..Tables::default()
+        }
     }
 
     /// The positions of a set of classes; no class in the set stands for all of them.
     pub fn positions(&self, classes: ClassSet) -> Vec<usize> {
-        (0..self.classes).filter(|class| classes == ClassSet::default() || classes.has(*class)).collect()
+        (0..self.classes)
+            .filter(|class| classes == ClassSet::default() || classes.has(*class))
+            .collect()
     }
 
     pub fn classes(&self) -> usize {
@@ -68,7 +73,9 @@
     /// The level in force for a class: the lower of the table's and that for all, with the table's own way of
     /// trying again.
     pub fn level(&self, table: Option<TableId>, class: usize) -> Option<Level> {
-        let own = table.and_then(|table| self.tables.get(&table)?.levels.get(&class)).copied();
+        let own = table
+            .and_then(|table| self.tables.get(&table)?.levels.get(&class))
+            .copied();
         let for_all = self.for_all.get(&class).copied();
         match (own, for_all) {
             (Some((own, retry)), Some((all, _))) => Some((own.min(all), retry)),
@@ -101,7 +108,9 @@
 
     /// Whether any table has a line of the server.
     pub fn mention(&self, server: ServerId) -> bool {
-        self.tables.values().any(|table| table.lines.contains_key(&server))
+        self.tables
+            .values()
+            .any(|table| table.lines.contains_key(&server))
     }
 
     pub fn forget(&mut self, server: ServerId) {
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -63,7 +63,10 @@
 impl Precision {
     /// How often results are looked at: each look doubles the runs.
     pub fn looks(&self) -> usize {
-        let doublings = (self.most as f64 / self.pilot.max(1) as f64).log2().ceil().max(0.0);
+        let doublings = (self.most as f64 / self.pilot.max(1) as f64)
+            .log2()
+            .ceil()
+            .max(0.0);
         1 + doublings as usize
     }
 
@@ -114,7 +117,12 @@
     let written: pb::Experiment =
         chutegrade_textproto::parse(SCHEMA, MESSAGE, text).map_err(|wrong| vec![wrong])?;
     let mut faults: Vec<Wrong> = Vec::new();
-    let mut fault = |field: &str, said: String| faults.push(Wrong { place: find(text, field), text: said });
+    let mut fault = |field: &str, said: String| {
+        faults.push(Wrong {
+            place: find(text, field),
+            text: said,
+        })
+    };
     let precision = written.precision.unwrap_or_default();
     let precision = Precision {
         confidence: precision.confidence.unwrap_or(0.95),
@@ -123,16 +131,30 @@
         most: precision.most.unwrap_or(64) as usize,
     };
     if !(0.5..1.0).contains(&precision.confidence) {
-        fault("confidence", format!("confidence {} must lie from 0.5 to below 1", precision.confidence));
+        fault(
+            "confidence",
+            format!(
+                "confidence {} must lie from 0.5 to below 1",
+                precision.confidence
+            ),
+        );
     }
     if precision.half_width.is_nan() || precision.half_width <= 0.0 {
-        fault("half_width", format!("half_width {} must be above 0", precision.half_width));
+        fault(
+            "half_width",
+            format!("half_width {} must be above 0", precision.half_width),
+        );
     }
-    if precision.pilot < 2 || precision.most < precision.pilot || precision.most > RUNS_MOST as usize {
+    if precision.pilot < 2
+        || precision.most < precision.pilot
+        || precision.most > RUNS_MOST as usize
+    {
         let (pilot, most) = (precision.pilot, precision.most);
         fault(
             "most",
-            format!("from {pilot} to {most} runs: give 2 or more at first, and {RUNS_MOST} at most"),
+            format!(
+                "from {pilot} to {most} runs: give 2 or more at first, and {RUNS_MOST} at most"
+            ),
         );
     }
     let mut variants = Vec::new();
@@ -157,8 +179,14 @@
         }
     }
     let mut seen = std::collections::BTreeSet::new();
-    if let Some(twice) = variants.iter().find(|variant| !seen.insert(variant.name.clone())) {
-        fault("variant", format!("two variants are named {:?}", twice.name));
+    if let Some(twice) = variants
+        .iter()
+        .find(|variant| !seen.insert(variant.name.clone()))
+    {
+        fault(
+            "variant",
+            format!("two variants are named {:?}", twice.name),
+        );
     }
     let (mut cases, mut arms) = (Vec::new(), Vec::new());
     for (number, of) in written.case.iter().enumerate() {
@@ -182,16 +210,28 @@
             let both = changed(&scenario, &variant.change);
             match Scenario::try_from(&both) {
                 Ok(scenario) => {
-                    let setup = Setup { traffic: traffic.clone(), ..variant.setup.clone() };
+                    let setup = Setup {
+                        traffic: traffic.clone(),
+                        ..variant.setup.clone()
+                    };
                     if let Err(said) = setup.fits(&scenario) {
                         fault("case", format!("{name} with {}: {said}", variant.name));
                     }
                     let digest = arm_digest(&digest(&both), &setup);
-                    arms.push(Arm { case: name.clone(), variant: place, scenario, setup, digest });
+                    arms.push(Arm {
+                        case: name.clone(),
+                        variant: place,
+                        scenario,
+                        setup,
+                        digest,
+                    });
                 }
                 Err(said) => {
                     let said: Vec<String> = said.into_iter().map(|(_, said)| said).collect();
-                    fault("case", format!("{name} with {}: {}", variant.name, said.join("; ")));
+                    fault(
+                        "case",
+                        format!("{name} with {}: {}", variant.name, said.join("; ")),
+                    );
                 }
             }
         }
@@ -201,12 +241,22 @@
         fault("case", "no scenario: give at least one case".to_string());
     }
     if arms.len() > ARMS_MOST {
-        fault("variant", format!("{} scenarios with variants are too many: at most {ARMS_MOST}", arms.len()));
+        fault(
+            "variant",
+            format!(
+                "{} scenarios with variants are too many: at most {ARMS_MOST}",
+                arms.len()
+            ),
+        );
     }
     if !faults.is_empty() {
         return Err(faults);
     }
-    let measures = if written.measure.is_empty() { vec!["service".to_string()] } else { written.measure };
+    let measures = if written.measure.is_empty() {
+        vec!["service".to_string()]
+    } else {
+        written.measure
+    };
     Ok(Plan {
         name: written.name.unwrap_or_else(|| "experiment".to_string()),
         question: written.question.unwrap_or_default(),
@@ -226,7 +276,9 @@
 
 fn case(of: &pb::Case, directory: &Path) -> Result<model::Scenario, String> {
     let base = match &of.file {
-        Some(file) => parse(&read_text(directory, file)?).map_err(|wrong| format!("{file}:{wrong}"))?,
+        Some(file) => {
+            parse(&read_text(directory, file)?).map_err(|wrong| format!("{file}:{wrong}"))?
+        }
         None => model::Scenario::default(),
     };
     Ok(match &of.scenario {
@@ -236,8 +288,11 @@
 }
 
 fn traffic(of: &pb::Case, directory: &Path) -> Result<Option<Arc<Traffic>>, String> {
-    let Some(file) = &of.traffic else { return Ok(None) };
-    let opened = std::fs::File::open(directory.join(file)).map_err(|fault| format!("{file}: {fault}"))?;
+    let Some(file) = &of.traffic else {
+        return Ok(None);
+    };
+    let opened =
+        std::fs::File::open(directory.join(file)).map_err(|fault| format!("{file}: {fault}"))?;
     let read = chutegrade_traffic::read(opened).map_err(|fault| format!("{file}: {fault}"))?;
     Ok(Some(Arc::new(read)))
 }
@@ -250,14 +305,31 @@
         pb::variant::Control::Module | pb::variant::Control::Unspecified => Control::Module,
     };
     let text = |file: &String| Ok((file.clone(), read_text(directory, file)?));
-    let plugins = of.plugin.iter().map(text).collect::<Result<Vec<_>, String>>()?;
+    let plugins = of
+        .plugin
+        .iter()
+        .map(text)
+        .collect::<Result<Vec<_>, String>>()?;
     let faults = Faults::default();
-    let other = of.sim.as_ref().map(|command| other(command, &faults)).transpose()?;
-    let setup = Setup { control, plugins, other, limits: of.limits.clone(), traffic: None };
+    let other = of
+        .sim
+        .as_ref()
+        .map(|command| other(command, &faults))
+        .transpose()?;
+    let setup = Setup {
+        control,
+        plugins,
+        other,
+        limits: of.limits.clone(),
+        traffic: None,
+    };
     setup.check()?;
     Ok(Variant {
         faults,
-        name: of.name.clone().unwrap_or_else(|| format!("variant-{}", number + 1)),
+        name: of
+            .name
+            .clone()
+            .unwrap_or_else(|| format!("variant-{}", number + 1)),
         setup,
         change: of.change.clone().unwrap_or_default(),
     })
@@ -270,7 +342,8 @@
     let name = format!("{command} {}", blake3::hash(&bytes).to_hex());
     let (command, faults) = (command.to_string(), Arc::clone(faults));
     let make = move |settings: &Settings, seed: u64| -> Box<dyn Decides> {
-        let numbered = |prefix: &str, count: usize| (0..count).map(|n| format!("{prefix}{n}")).collect();
+        let numbered =
+            |prefix: &str, count: usize| (0..count).map(|n| format!("{prefix}{n}")).collect();
         let names = Names {
             zones: numbered("z", settings.zones),
             classes: numbered("c", settings.classes.len()),
@@ -278,7 +351,10 @@
         };
         decides(&command, settings, &names, seed, &faults)
     };
-    Ok(Other { name, make: Arc::new(make) })
+    Ok(Other {
+        name,
+        make: Arc::new(make),
+    })
 }
 
 /// The first variant with a field set to each of some values.
@@ -286,19 +362,29 @@
     let path = of.field();
     let set = |value: &f64| {
         let change = set(&base.change, path, *value)?;
-        Ok(Variant { name: format!("{path} {value}"), change, ..base.clone() })
+        Ok(Variant {
+            name: format!("{path} {value}"),
+            change,
+            ..base.clone()
+        })
     };
     of.value.iter().map(set).collect()
 }
 
 /// A scenario with one field set, by its path.
 pub fn set(scenario: &model::Scenario, path: &str, value: f64) -> Result<model::Scenario, String> {
-    let schema =
-        chutegrade_textproto::describe(chutegrade_model::scenario::SCHEMA, "chutegrade.model.v1.Scenario");
+    let schema = chutegrade_textproto::describe(
+        chutegrade_model::scenario::SCHEMA,
+        "chutegrade.model.v1.Scenario",
+    );
     let mut whole = DynamicMessage::new(schema.map_err(|wrong| wrong.text)?);
-    whole.transcode_from(scenario).map_err(|fault| fault.to_string())?;
+    whole
+        .transcode_from(scenario)
+        .map_err(|fault| fault.to_string())?;
     let names: Vec<&str> = path.split('.').collect();
-    let (last, way) = names.split_last().ok_or_else(|| "no field is named".to_string())?;
+    let (last, way) = names
+        .split_last()
+        .ok_or_else(|| "no field is named".to_string())?;
     let mut at = &mut whole;
     for name in way {
         let field = at
@@ -306,15 +392,19 @@
             .get_field_by_name(name)
             .ok_or_else(|| format!("no field {name:?} in {path:?}"))?;
         if field.is_list() || field.is_map() {
-            return Err(format!("{name:?} in {path:?} is a list: a sweep sets single figures"));
+            return Err(format!(
+                "{name:?} in {path:?} is a list: a sweep sets single figures"
+            ));
         }
         at = at
             .get_field_mut(&field)
             .as_message_mut()
             .ok_or_else(|| format!("{name:?} in {path:?} has no fields"))?;
     }
-    let field =
-        at.descriptor().get_field_by_name(last).ok_or_else(|| format!("no field {last:?} in {path:?}"))?;
+    let field = at
+        .descriptor()
+        .get_field_by_name(last)
+        .ok_or_else(|| format!("no field {last:?} in {path:?}"))?;
     use prost_reflect::Kind;
     let value = match field.kind() {
         _ if field.is_list() => return Err(format!("{path:?} is a list")),
@@ -332,7 +422,13 @@
     let mut hasher = blake3::Hasher::new();
     hasher.update(scenario.as_bytes());
     hasher.update(format!("{:?}", setup.control).as_bytes());
-    hasher.update(setup.other.as_ref().map_or("", |other| other.name.as_str()).as_bytes());
+    hasher.update(
+        setup
+            .other
+            .as_ref()
+            .map_or("", |other| other.name.as_str())
+            .as_bytes(),
+    );
     for (_, text) in &setup.plugins {
         hasher.update(&(text.len() as u64).to_le_bytes());
         hasher.update(text.as_bytes());
@@ -345,7 +441,13 @@
     if let Some(traffic) = &setup.traffic {
         hasher.update(format!("traffic {:?}", traffic).as_bytes());
     }
-    hasher.finalize().to_hex().as_str().get(..16).unwrap_or_default().to_string()
+    hasher
+        .finalize()
+        .to_hex()
+        .as_str()
+        .get(..16)
+        .unwrap_or_default()
+        .to_string()
 }
 
 impl Plan {
@@ -372,8 +474,15 @@
             "{CASE} variant {{ name: 'now' }} sweep {{ field: 'rules.drain_grace_s' value: 1 value: 4 }}"
         );
         let plan = read(&text, Path::new(".")).expect("a plan");
-        let names: Vec<&str> = plan.variants.iter().map(|variant| variant.name.as_str()).collect();
-        assert_eq!(names, ["now", "rules.drain_grace_s 1", "rules.drain_grace_s 4"]);
+        let names: Vec<&str> = plan
+            .variants
+            .iter()
+            .map(|variant| variant.name.as_str())
+            .collect();
+        assert_eq!(
+            names,
+            ["now", "rules.drain_grace_s 1", "rules.drain_grace_s 4"]
+        );
         assert_eq!(plan.arms[2].scenario.drain_grace_us, 4_000_000);
         assert_eq!(plan.comparisons(), 2);
         assert!(plan.arms[0].digest != plan.arms[1].digest);
@@ -385,8 +494,11 @@
     fn all_faults_are_told() {
         let text = "case { file: '/nowhere.txtpb' }\nvariant { name: 'a' } variant { name: 'a' }\n\
             sweep { field: 'rules.grace' value: 1 }\nprecision { confidence: 2 pilot: 1 }";
-        let faults: Vec<String> =
-            read(text, Path::new(".")).expect_err("faults").iter().map(|f| f.to_string()).collect();
+        let faults: Vec<String> = read(text, Path::new("."))
+            .expect_err("faults")
+            .iter()
+            .map(|f| f.to_string())
+            .collect();
         for wanted in [
             "/nowhere.txtpb",
             "two variants are named",
@@ -394,10 +506,16 @@
             "confidence 2",
             "from 1 to 64 runs",
         ] {
-            assert!(faults.iter().any(|said| said.contains(wanted)), "{wanted}: {faults:#?}");
+            assert!(
+                faults.iter().any(|said| said.contains(wanted)),
+                "{wanted}: {faults:#?}"
+            );
         }
-        assert!(read("", Path::new(".")).expect_err("nothing")[0].text.contains("no scenario"));
-        let impossible = format!("{CASE} variant {{ name: 'v' change {{ rules {{ fall_multiple: 0 }} }} }}");
+        assert!(read("", Path::new(".")).expect_err("nothing")[0]
+            .text
+            .contains("no scenario"));
+        let impossible =
+            format!("{CASE} variant {{ name: 'v' change {{ rules {{ fall_multiple: 0 }} }} }}");
         assert!(read(&impossible, Path::new(".")).expect_err("a fault")[0]
             .text
             .contains("c with v: fall_multiple"));
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -94,7 +94,12 @@
 
 fn judge(written: &Written, quarry: &Quarry, seed: u64) -> Option<Found> {
     let scenario = Scenario::try_from(written).ok()?;
-    let mut found = Found { scenario: written.clone(), broken: Vec::new(), service: (0.0, 0.0), runs: 0 };
+    let mut found = Found {
+        scenario: written.clone(),
+        broken: Vec::new(),
+        service: (0.0, 0.0),
+        runs: 0,
+    };
     for number in 0..SEEDS {
         let own = play(&scenario, &quarry.setup, seed + number);
         let other = play(&scenario, &quarry.against, seed + number);
@@ -103,7 +108,11 @@
         found.runs += 2;
         for of in &own.broken {
             let said = format!("{}: {}", of.rule.word(), of.how);
-            if !found.broken.iter().any(|known| known.starts_with(of.rule.word())) {
+            if !found
+                .broken
+                .iter()
+                .any(|known| known.starts_with(of.rule.word()))
+            {
                 found.broken.push(said);
             }
         }
@@ -215,9 +224,16 @@
     seed: u64,
     mut tell: impl FnMut(usize, Option<&Found>) -> bool,
 ) -> Option<Found> {
-    let zones = if base.zone.is_empty() { vec!["a".to_string()] } else { base.zone.clone() };
-    let mut search =
-        Search { rng: ChaCha8Rng::seed_from_u64(seed), seconds: base.seconds.unwrap_or(60.0), zones };
+    let zones = if base.zone.is_empty() {
+        vec!["a".to_string()]
+    } else {
+        base.zone.clone()
+    };
+    let mut search = Search {
+        rng: ChaCha8Rng::seed_from_u64(seed),
+        seconds: base.seconds.unwrap_or(60.0),
+        zones,
+    };
     let (mut best, mut runs): (Vec<Found>, usize) = (Vec::new(), 0);
     while runs < budget {
         // Half are new, half are neighbours of the worst so far.
@@ -227,11 +243,17 @@
                 _ => search.fresh(base),
             })
             .collect();
-        let found: Vec<Found> =
-            candidates.par_iter().filter_map(|candidate| judge(candidate, quarry, seed)).collect();
+        let found: Vec<Found> = candidates
+            .par_iter()
+            .filter_map(|candidate| judge(candidate, quarry, seed))
+            .collect();
         runs += found.iter().map(|of| of.runs).sum::<usize>().max(1);
         best.extend(found);
-        best.sort_by(|one, other| other.bad(quarry.rules_only).total_cmp(&one.bad(quarry.rules_only)));
+        best.sort_by(|one, other| {
+            other
+                .bad(quarry.rules_only)
+                .total_cmp(&one.bad(quarry.rules_only))
+        });
         best.truncate(ROUND.1);
         if !tell(runs, best.first()) {
             break;
@@ -239,7 +261,10 @@
     }
     let worst = best.into_iter().next()?;
     let worth = !worst.broken.is_empty() || (!quarry.rules_only && worst.loss() >= LOSS_LEAST);
-    worth.then(|| Found { runs, ..shrink(worst, quarry, seed) })
+    worth.then(|| Found {
+        runs,
+        ..shrink(worst, quarry, seed)
+    })
 }
 
 /// Smaller scenarios that may still do it, the largest steps first.
@@ -266,7 +291,8 @@
     });
     with(&|scenario| scenario.seconds = of.seconds.map(|seconds| (seconds / 2.0).max(10.0)));
     for at in 0..of.trouble.len() {
-        let halved = |figure: Option<f64>, least: f64| figure.map(|figure| (figure / 2.0).max(least));
+        let halved =
+            |figure: Option<f64>, least: f64| figure.map(|figure| (figure / 2.0).max(least));
         with(&|scenario| scenario.trouble[at].length_s = halved(of.trouble[at].length_s, 0.5));
         with(&|scenario| scenario.trouble[at].part = halved(of.trouble[at].part, 0.02));
         with(&|scenario| scenario.trouble[at].zone = None);
@@ -277,18 +303,26 @@
 
 /// The smallest scenario that still breaks the same rules, or loses most of what the found one lost.
 fn shrink(found: Found, quarry: &Quarry, seed: u64) -> Found {
-    let rules: Vec<String> =
-        found.broken.iter().filter_map(|said| said.split(':').next()).map(String::from).collect();
+    let rules: Vec<String> = found
+        .broken
+        .iter()
+        .filter_map(|said| said.split(':').next())
+        .map(String::from)
+        .collect();
     let least = found.loss() * KEPT;
     let still = |of: &Found| match rules.is_empty() {
         true => of.loss() >= least,
-        false => rules.iter().all(|rule| of.broken.iter().any(|said| said.starts_with(rule.as_str()))),
+        false => rules
+            .iter()
+            .all(|rule| of.broken.iter().any(|said| said.starts_with(rule.as_str()))),
     };
     let mut smallest = found;
     loop {
         let candidates = smaller(&smallest.scenario);
-        let tried: Vec<Option<Found>> =
-            candidates.par_iter().map(|candidate| judge(candidate, quarry, seed)).collect();
+        let tried: Vec<Option<Found>> = candidates
+            .par_iter()
+            .map(|candidate| judge(candidate, quarry, seed))
+            .collect();
         match tried.into_iter().flatten().find(still) {
             Some(of) => smallest = of,
             None => return smallest,
@@ -300,7 +334,10 @@
 pub fn usual(rules_only: bool) -> Quarry {
     Quarry {
         setup: Setup::default(),
-        against: Setup { control: Control::Ideal(IDEAL_LATE_MS), ..Setup::default() },
+        against: Setup {
+            control: Control::Ideal(IDEAL_LATE_MS),
+            ..Setup::default()
+        },
         rules_only,
     }
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -20,8 +20,8 @@
 const NAME_MOST: usize = 44;
 /// Beginnings of measures of which less is better.
 const LESS_IS_BETTER: [&str; 12] = [
-    "p50", "p90", "p99", "refused", "failed", "wasted", "backlog", "queue", "shut_out", "rules", "channel",
-    "comings",
+    "p50", "p90", "p99", "refused", "failed", "wasted", "backlog", "queue", "shut_out", "rules",
+    "channel", "comings",
 ];
 /// Lines of a chart at most: more can't be told apart.
 const LINES_MOST: usize = 6;
@@ -40,12 +40,17 @@
         return "too few runs".to_string();
     }
     let digits = digits(of.difference.half);
-    format!("{:+.digits$} ± {:.digits$}", of.difference.mean, of.difference.half)
+    format!(
+        "{:+.digits$} ± {:.digits$}",
+        of.difference.mean, of.difference.half
+    )
 }
 
 /// Whether a difference is good, bad or neither: more service is good, a longer wait is not.
 fn colour(of: &Comparison) -> &'static str {
-    let less_is_better = LESS_IS_BETTER.iter().any(|name| of.measure.starts_with(name));
+    let less_is_better = LESS_IS_BETTER
+        .iter()
+        .any(|name| of.measure.starts_with(name));
     match (of.verdict, less_is_better) {
         (Verdict::More, false) | (Verdict::Less, true) => "good",
         (Verdict::More, true) | (Verdict::Less, false) => "bad",
@@ -56,7 +61,8 @@
 
 /// Runs that are needed, of the first measure.
 fn wanted(of: &Comparison) -> String {
-    of.needed.map_or_else(|| "-".to_string(), |runs| runs.to_string())
+    of.needed
+        .map_or_else(|| "-".to_string(), |runs| runs.to_string())
 }
 
 fn chance(p: f64) -> String {
@@ -116,8 +122,10 @@
     for arm in &plan.arms {
         let runs = store.of(&arm.digest, build);
         for measure in &plan.measures {
-            let figures: Vec<f64> =
-                runs.values().map(|result| result.figures.get(measure).copied().unwrap_or(0.0)).collect();
+            let figures: Vec<f64> = runs
+                .values()
+                .map(|result| result.figures.get(measure).copied().unwrap_or(0.0))
+                .collect();
             let (mean, sd) = moments(&figures);
             let row = [
                 arm.case.clone(),
@@ -133,7 +141,12 @@
 }
 
 fn columns<const N: usize>(rows: &[[String; N]]) -> String {
-    let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
+    let width = |column: usize| {
+        rows.iter()
+            .map(|row| row[column].chars().count())
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..N).map(width).collect();
     let mut text = String::new();
     for row in rows {
@@ -149,14 +162,22 @@
 
 /// All runs with all figures, as CSV: machine-independent, one row a run.
 pub fn runs_csv(store: &Store) -> String {
-    let names: std::collections::BTreeSet<&String> =
-        store.results().iter().flat_map(|result| result.figures.keys()).collect();
+    let names: std::collections::BTreeSet<&String> = store
+        .results()
+        .iter()
+        .flat_map(|result| result.figures.keys())
+        .collect();
     let head: Vec<String> = names.iter().map(|name| cell(name)).collect();
     let mut text = format!("scenario,variant,digest,build,seed,{}\n", head.join(","));
     let mut results: Vec<&Result> = store.results().iter().collect();
     results.sort_by_key(|result| (&result.case, &result.variant, &result.build, result.seed));
     for result in results {
-        let figure = |name: &&String| result.figures.get(*name).map_or(String::new(), f64::to_string);
+        let figure = |name: &&String| {
+            result
+                .figures
+                .get(*name)
+                .map_or(String::new(), f64::to_string)
+        };
         let figures: Vec<String> = names.iter().map(figure).collect();
         let (case, variant) = (cell(&result.case), cell(&result.variant));
         let _ = writeln!(
@@ -268,7 +289,10 @@
                 )
             }
             Verdict::Alike => {
-                format!("{} and the first are alike in {} on {}: {sure}.", of.variant, of.measure, of.case)
+                format!(
+                    "{} and the first are alike in {} on {}: {sure}.",
+                    of.variant, of.measure, of.case
+                )
             }
             Verdict::Open => format!(
                 "{} and the first are not told apart in {} on {}: {sure}, after {} runs.",
@@ -305,9 +329,19 @@
 fn forests(plan: &Plan, measure: &str, all: &[&Comparison]) -> Markup {
     // What counts as alike is asked for in the units of the first measure.
     let is_first = plan.measures.first().is_some_and(|first| first == measure);
-    let half_width = if is_first { plan.precision.half_width } else { 0.0 };
-    let ends = all.iter().flat_map(|of| [of.difference.ends().0, of.difference.ends().1]);
-    let most = ends.filter(|end| end.is_finite()).map(f64::abs).fold(half_width * 1.5, f64::max).max(1e-9);
+    let half_width = if is_first {
+        plan.precision.half_width
+    } else {
+        0.0
+    };
+    let ends = all
+        .iter()
+        .flat_map(|of| [of.difference.ends().0, of.difference.ends().1]);
+    let most = ends
+        .filter(|end| end.is_finite())
+        .map(f64::abs)
+        .fold(half_width * 1.5, f64::max)
+        .max(1e-9);
     html! {
         @for case in &plan.cases {
             @let own: Vec<&Comparison> = all.iter().copied().filter(|of| of.case == *case).collect();
@@ -320,7 +354,9 @@
 /// Differences with their bars, and the band within which they count as alike.
 fn forest(all: &[&Comparison], half_width: f64, most: f64) -> Markup {
     let (width, _, names) = CHART;
-    let x = |value: f64| names + (value.clamp(-most, most) + most) / (2.0 * most) * (width - names - 40.0);
+    let x = |value: f64| {
+        names + (value.clamp(-most, most) + most) / (2.0 * most) * (width - names - 40.0)
+    };
     let height = ROW * all.len() as f64 + 24.0;
     html! {
         svg viewBox=(format!("0 0 {width} {height}")) role="img" aria-label="differences with their bars" {
@@ -366,14 +402,25 @@
     let x = |second: usize| left + (width - left - 8.0) * second as f64 / (seconds - 1) as f64;
     let y = |share: f64| 8.0 + (height - 30.0) * (1.0 - share.clamp(0.0, 1.0));
     let path = |line: &[(f64, f64)]| {
-        let points =
-            line.iter().enumerate().map(|(second, (mean, _))| format!("{},{}", r(x(second)), r(y(*mean))));
+        let points = line
+            .iter()
+            .enumerate()
+            .map(|(second, (mean, _))| format!("{},{}", r(x(second)), r(y(*mean))));
         points.collect::<Vec<_>>().join(" ")
     };
     let band = |line: &[(f64, f64)]| {
-        let up = line.iter().enumerate().map(|(second, (mean, sd))| (second, mean + sd));
-        let down = line.iter().enumerate().rev().map(|(second, (mean, sd))| (second, mean - sd));
-        let points = up.chain(down).map(|(second, share)| format!("{},{}", r(x(second)), r(y(share))));
+        let up = line
+            .iter()
+            .enumerate()
+            .map(|(second, (mean, sd))| (second, mean + sd));
+        let down = line
+            .iter()
+            .enumerate()
+            .rev()
+            .map(|(second, (mean, sd))| (second, mean - sd));
+        let points = up
+            .chain(down)
+            .map(|(second, share)| format!("{},{}", r(x(second)), r(y(share))));
         points.collect::<Vec<_>>().join(" ")
     };
     let step = (seconds / 6).max(1);
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -47,7 +47,13 @@
 
 /// What came of a run, as it is kept.
 pub fn kept(arm: &Arm, variant: &str, build: &str, seed: u64, outcome: Outcome) -> Result {
-    let share = |of: &Second| if of.asked > 0.0 { (of.earned / of.asked) as f32 } else { 1.0 };
+    let share = |of: &Second| {
+        if of.asked > 0.0 {
+            (of.earned / of.asked) as f32
+        } else {
+            1.0
+        }
+    };
     let broken = outcome.broken.iter().map(|of| Broken {
         rule: of.rule.word().to_string(),
         times: of.times,
@@ -60,7 +66,11 @@
         digest: arm.digest.clone(),
         build: build.to_string(),
         seed,
-        classes: outcome.classes.iter().map(|class| (class.name.clone(), class.service)).collect(),
+        classes: outcome
+            .classes
+            .iter()
+            .map(|class| (class.name.clone(), class.service))
+            .collect(),
         seconds: outcome.seconds.iter().map(share).collect(),
         broken: broken.collect(),
         events: outcome.events,
@@ -93,22 +103,34 @@
             .filter(|arm| open.contains(&arm.case))
             .flat_map(|arm| (0..runs as u64).map(move |number| (arm, plan.seed + number)))
             .collect();
-        let missing: Vec<&(&Arm, u64)> =
-            wanted.iter().filter(|(arm, seed)| !store.has(&arm.digest, build, *seed)).collect();
+        let missing: Vec<&(&Arm, u64)> = wanted
+            .iter()
+            .filter(|(arm, seed)| !store.has(&arm.digest, build, *seed))
+            .collect();
         let mut done = wanted.len() - missing.len();
         let lot = TOGETHER * rayon::current_num_threads();
-        if !tell(Progress { done, wanted: wanted.len(), look: (look, looks) }) {
+        if !tell(Progress {
+            done,
+            wanted: wanted.len(),
+            look: (look, looks),
+        }) {
             return Ok(false);
         }
         for some in missing.chunks(lot.max(1)) {
-            let results: Vec<Result> =
-                some.par_iter().map(|(arm, seed)| one(plan, arm, build, *seed)).collect();
+            let results: Vec<Result> = some
+                .par_iter()
+                .map(|(arm, seed)| one(plan, arm, build, *seed))
+                .collect();
             if let Some(said) = plan.variants.iter().find_map(|variant| variant.fault()) {
                 return Err(Fault::Other(said));
             }
             done += results.len();
             store.add(results)?;
-            if !tell(Progress { done, wanted: wanted.len(), look: (look, looks) }) {
+            if !tell(Progress {
+                done,
+                wanted: wanted.len(),
+                look: (look, looks),
+            }) {
                 return Ok(false);
             }
         }
@@ -142,7 +164,9 @@
 fn pairs(store: &Store, build: &str, measure: &str, (base, arm): (&Arm, &Arm)) -> Vec<(f64, f64)> {
     let of_base = figures(store, &base.digest, build, measure);
     let own = figures(store, &arm.digest, build, measure);
-    own.into_iter().filter_map(|(seed, figure)| Some((*of_base.get(&seed)?, figure))).collect()
+    own.into_iter()
+        .filter_map(|(seed, figure)| Some((*of_base.get(&seed)?, figure)))
+        .collect()
 }
 
 fn differences(pairs: &[(f64, f64)]) -> Vec<f64> {
@@ -152,10 +176,19 @@
 /// Figures of an arm by seed.
 fn figures(store: &Store, digest: &str, build: &str, measure: &str) -> BTreeMap<u64, f64> {
     let figure = |result: &&Result| {
-        let class = measure.strip_prefix("class.").and_then(|class| result.classes.get(class));
-        class.or_else(|| result.figures.get(measure)).copied().unwrap_or(0.0)
+        let class = measure
+            .strip_prefix("class.")
+            .and_then(|class| result.classes.get(class));
+        class
+            .or_else(|| result.figures.get(measure))
+            .copied()
+            .unwrap_or(0.0)
     };
-    store.of(digest, build).into_iter().map(|(seed, result)| (seed, figure(&result))).collect()
+    store
+        .of(digest, build)
+        .into_iter()
+        .map(|(seed, result)| (seed, figure(&result)))
+        .collect()
 }
 
 /// All differences, in pairs of the same seed.
@@ -164,7 +197,9 @@
     let mut all = Vec::new();
     for case in &plan.cases {
         let arms: Vec<&Arm> = plan.of_case(case).collect();
-        let Some((base, others)) = arms.split_first() else { continue };
+        let Some((base, others)) = arms.split_first() else {
+            continue;
+        };
         for measure in &plan.measures {
             for arm in others {
                 let pairs = pairs(store, build, measure, (base, arm));
@@ -189,19 +224,30 @@
     let corrected = holm(&all.iter().map(|of| of.difference.p).collect::<Vec<_>>());
     for (of, p) in all.iter_mut().zip(corrected) {
         of.p = p;
-        of.verdict = verdict(&of.difference, p, plan.precision.confidence, plan.precision.half_width);
+        of.verdict = verdict(
+            &of.difference,
+            p,
+            plan.precision.confidence,
+            plan.precision.half_width,
+        );
     }
     all
 }
 
 /// Rules that were broken, by scenario, variant and rule, with how often and the first seed.
-pub fn broken(plan: &Plan, build: &str, store: &Store) -> Vec<(String, String, String, u64, u64, String)> {
+pub fn broken(
+    plan: &Plan,
+    build: &str,
+    store: &Store,
+) -> Vec<(String, String, String, u64, u64, String)> {
     let mut found = Vec::new();
     for arm in &plan.arms {
         let mut by_rule: BTreeMap<String, (u64, u64, String)> = BTreeMap::new();
         for (seed, result) in store.of(&arm.digest, build) {
             for of in &result.broken {
-                let entry = by_rule.entry(of.rule.clone()).or_insert((0, seed, of.how.clone()));
+                let entry = by_rule
+                    .entry(of.rule.clone())
+                    .or_insert((0, seed, of.how.clone()));
                 entry.0 += 1;
             }
         }
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -51,7 +51,8 @@
 /// The multiple of the standard error that holds at a confidence, for so many figures.
 fn multiple(runs: usize, confidence: f64) -> f64 {
     let freedom = (runs.max(2) - 1) as f64;
-    StudentsT::new(0.0, 1.0, freedom).map_or(f64::INFINITY, |t| t.inverse_cdf(0.5 + confidence / 2.0))
+    StudentsT::new(0.0, 1.0, freedom)
+        .map_or(f64::INFINITY, |t| t.inverse_cdf(0.5 + confidence / 2.0))
 }
 
 /// What figures tell of their mean, at a confidence. Fewer than two tell nothing of how sure it is.
@@ -60,7 +61,10 @@
     if by_t.runs < 2 {
         return by_t;
     }
-    Estimate { bootstrap: bootstrap(figures, confidence, seed), ..by_t }
+    Estimate {
+        bootstrap: bootstrap(figures, confidence, seed),
+        ..by_t
+    }
 }
 
 /// The same without the bootstrap.
@@ -69,10 +73,21 @@
     let runs = figures.len();
     if runs < 2 {
         let nothing = (f64::NEG_INFINITY, f64::INFINITY);
-        return Estimate { runs, mean, sd, half: f64::INFINITY, bootstrap: nothing, p: 1.0 };
+        return Estimate {
+            runs,
+            mean,
+            sd,
+            half: f64::INFINITY,
+            bootstrap: nothing,
+            p: 1.0,
+        };
     }
     let error = sd / (runs as f64).sqrt();
-    let half = if sd > 0.0 { multiple(runs, confidence) * error } else { 0.0 };
+    let half = if sd > 0.0 {
+        multiple(runs, confidence) * error
+    } else {
+        0.0
+    };
     let p = match (error > 0.0, mean == 0.0) {
         (true, _) => {
             let t = StudentsT::new(0.0, 1.0, (runs - 1) as f64);
@@ -81,7 +96,14 @@
         (false, true) => 1.0,
         (false, false) => 0.0,
     };
-    Estimate { runs, mean, sd, half, bootstrap: (mean - half, mean + half), p }
+    Estimate {
+        runs,
+        mean,
+        sd,
+        half,
+        bootstrap: (mean - half, mean + half),
+        p,
+    }
 }
 
 /// The ends of an interval of the mean by drawing from the figures themselves; seeded.
@@ -91,7 +113,12 @@
     if count == 0 {
         return (0.0, 0.0);
     }
-    let mut drawn = || (0..count).map(|_| figures[rng.random_range(0..count)]).sum::<f64>() / count as f64;
+    let mut drawn = || {
+        (0..count)
+            .map(|_| figures[rng.random_range(0..count)])
+            .sum::<f64>()
+            / count as f64
+    };
     let mut means: Vec<f64> = (0..DRAWS).map(|_| drawn()).collect();
     means.sort_unstable_by(f64::total_cmp);
     let at = |share: f64| means[((share * DRAWS as f64) as usize).min(DRAWS - 1)];
@@ -155,7 +182,11 @@
 pub fn verdict(of: &Estimate, corrected: f64, confidence: f64, half_width: f64) -> Verdict {
     let (low, high) = of.ends();
     if corrected < 1.0 - confidence && (low > 0.0 || high < 0.0) {
-        return if of.mean > 0.0 { Verdict::More } else { Verdict::Less };
+        return if of.mean > 0.0 {
+            Verdict::More
+        } else {
+            Verdict::Less
+        };
     }
     if low >= -half_width && high <= half_width {
         Verdict::Alike
@@ -196,7 +227,9 @@
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let mut uniform = || rng.next_u32() as f64 / f64::from(u32::MAX);
         let held = (0..2000).filter(|_| {
-            let figures: Vec<f64> = (0..12).map(|_| (0..6).map(|_| uniform()).sum::<f64>() - 3.0).collect();
+            let figures: Vec<f64> = (0..12)
+                .map(|_| (0..6).map(|_| uniform()).sum::<f64>() - 3.0)
+                .collect();
             let (low, high) = interval(&figures, 0.95).ends();
             low <= 0.0 && 0.0 <= high
         });
@@ -208,7 +241,10 @@
     fn runs_needed_follow_the_square() {
         let pilot = [0.0, 1.0, 0.0, 1.0, 0.0, 1.0, 0.0, 1.0];
         let (rough, fine) = (needed(&pilot, 0.95, 0.2), needed(&pilot, 0.95, 0.1));
-        assert!((25..36).contains(&rough) && (100..125).contains(&fine), "{rough} {fine}");
+        assert!(
+            (25..36).contains(&rough) && (100..125).contains(&fine),
+            "{rough} {fine}"
+        );
         assert_eq!(needed(&[1.0, 1.0, 1.0], 0.95, 0.1), 3);
     }
 
@@ -217,8 +253,18 @@
         let of = |figures: &[f64]| estimate(figures, 0.95, 1);
         let clear = of(&[0.1, 0.11, 0.09, 0.1]);
         assert_eq!(verdict(&clear, clear.p, 0.95, 0.01), Verdict::More);
-        assert_eq!(verdict(&clear, 0.2, 0.95, 0.01), Verdict::Open, "too many were compared");
-        assert_eq!(verdict(&of(&[0.001, -0.001, 0.0, 0.0005]), 1.0, 0.95, 0.01), Verdict::Alike);
-        assert_eq!(verdict(&of(&[0.5, -0.5, 0.3]), 1.0, 0.95, 0.01), Verdict::Open);
+        assert_eq!(
+            verdict(&clear, 0.2, 0.95, 0.01),
+            Verdict::Open,
+            "too many were compared"
+        );
+        assert_eq!(
+            verdict(&of(&[0.001, -0.001, 0.0, 0.0005]), 1.0, 0.95, 0.01),
+            Verdict::Alike
+        );
+        assert_eq!(
+            verdict(&of(&[0.5, -0.5, 0.3]), 1.0, 0.95, 0.01),
+            Verdict::Open
+        );
     }
 }
--- a/crates/lab/src/store.rs
+++ b/crates/lab/src/store.rs
@@ -69,16 +69,30 @@
         let path = directory.join("results.jsonl");
         let io = |fault| Fault::Io(path.clone(), fault);
         std::fs::create_dir_all(directory).map_err(io)?;
-        let file = OpenOptions::new().create(true).append(true).open(&path).map_err(io)?;
+        let file = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&path)
+            .map_err(io)?;
         let bytes = std::fs::read(&path).map_err(io)?;
-        let whole = bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1);
+        let whole = bytes
+            .iter()
+            .rposition(|byte| *byte == b'\n')
+            .map_or(0, |at| at + 1);
         if whole < bytes.len() {
             // What a kill left of a line.
             file.set_len(whole as u64).map_err(io)?;
         }
-        let mut store = Store { path: path.clone(), file, known: BTreeSet::new(), results: Vec::new() };
-        for (number, line) in
-            bytes[..whole].split(|byte| *byte == b'\n').enumerate().filter(|(_, line)| !line.is_empty())
+        let mut store = Store {
+            path: path.clone(),
+            file,
+            known: BTreeSet::new(),
+            results: Vec::new(),
+        };
+        for (number, line) in bytes[..whole]
+            .split(|byte| *byte == b'\n')
+            .enumerate()
+            .filter(|(_, line)| !line.is_empty())
         {
             let result: Result = serde_json::from_slice(line)
                 .map_err(|fault| Fault::Line(path.clone(), number + 1, fault.to_string()))?;
@@ -96,7 +110,8 @@
 
     /// Whether a run is there.
     pub fn has(&self, digest: &str, build: &str, seed: u64) -> bool {
-        self.known.contains(&(digest.to_string(), build.to_string(), seed))
+        self.known
+            .contains(&(digest.to_string(), build.to_string(), seed))
     }
 
     /// Appends runs; on return they are on the disk.
@@ -121,7 +136,10 @@
 
     /// Runs of a scenario with a variant, by seed.
     pub fn of(&self, digest: &str, build: &str) -> BTreeMap<u64, &Result> {
-        let own = self.results.iter().filter(|result| result.digest == digest && result.build == build);
+        let own = self
+            .results
+            .iter()
+            .filter(|result| result.digest == digest && result.build == build);
         own.map(|result| (result.seed, result)).collect()
     }
 }
@@ -132,7 +150,13 @@
 
     fn result(seed: u64) -> Result {
         let figures = BTreeMap::from([("service".to_string(), 0.1 + seed as f64)]);
-        Result { digest: "d".into(), build: "b".into(), seed, figures, ..Result::default() }
+        Result {
+            digest: "d".into(),
+            build: "b".into(),
+            seed,
+            figures,
+            ..Result::default()
+        }
     }
 
     /// Danger: a kill in the middle of a line loses what was there before, or counts a run twice.
@@ -146,11 +170,22 @@
         for length in 0..=whole.len() {
             std::fs::write(directory.path().join("results.jsonl"), &whole[..length]).expect("cut");
             let mut store = Store::open(directory.path()).expect("a store");
-            let lines = whole[..length].iter().filter(|byte| **byte == b'\n').count();
-            assert_eq!(store.results().len(), lines, "{length} of {} bytes", whole.len());
+            let lines = whole[..length]
+                .iter()
+                .filter(|byte| **byte == b'\n')
+                .count();
+            assert_eq!(
+                store.results().len(),
+                lines,
+                "{length} of {} bytes",
+                whole.len()
+            );
             store.add(vec![result(9)]).expect("written");
             assert_eq!(
-                Store::open(directory.path()).expect("a store").results().len(),
+                Store::open(directory.path())
+                    .expect("a store")
+                    .results()
+                    .len(),
                 lines + 1,
                 "{length} {line}"
             );
@@ -162,7 +197,14 @@
         let directory = tempfile::tempdir().expect("a directory");
         let mut store = Store::open(directory.path()).expect("a store");
         store.add(vec![result(1), result(1)]).expect("written");
-        assert_eq!((store.results().len(), store.has("d", "b", 1), store.has("d", "c", 1)), (1, true, false));
+        assert_eq!(
+            (
+                store.results().len(),
+                store.has("d", "b", 1),
+                store.has("d", "c", 1)
+            ),
+            (1, true, false)
+        );
         let again = Store::open(directory.path()).expect("a store");
         assert_eq!(again.results(), [result(1)]);
         std::fs::write(directory.path().join("results.jsonl"), "{}\n").expect("spoilt");
--- a/crates/lab/tests/experiments.rs
+++ b/crates/lab/tests/experiments.rs
@@ -30,8 +30,12 @@
     let results = |threads: usize| {
         let directory = tempfile::tempdir().expect("a directory");
         let mut store = Store::open(directory.path()).expect("a store");
-        let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
-        pool.install(|| play(&plan, "b", &mut store, |_| true)).expect("played");
+        let pool = rayon::ThreadPoolBuilder::new()
+            .num_threads(threads)
+            .build()
+            .expect("threads");
+        pool.install(|| play(&plan, "b", &mut store, |_| true))
+            .expect("played");
         (report::runs_csv(&store), report::page(&plan, "b", &store))
     };
     let one = results(1);
@@ -48,17 +52,39 @@
     play(&plan, "b", &mut store, |_| true).expect("played");
     let all = compare(&plan, "b", &store);
     let of = |variant: &str, measure: &str| {
-        all.iter().find(|of| of.variant == variant && of.measure == measure).expect("compared").clone()
+        all.iter()
+            .find(|of| of.variant == variant && of.measure == measure)
+            .expect("compared")
+            .clone()
     };
-    assert_eq!(of("nobody", "service").verdict, Verdict::Less, "{:?}", of("nobody", "service"));
+    assert_eq!(
+        of("nobody", "service").verdict,
+        Verdict::Less,
+        "{:?}",
+        of("nobody", "service")
+    );
     assert_eq!(of("nobody", "failed").verdict, Verdict::More);
-    assert_eq!(of("the same", "service").verdict, Verdict::Alike, "{:?}", of("the same", "service"));
+    assert_eq!(
+        of("the same", "service").verdict,
+        Verdict::Alike,
+        "{:?}",
+        of("the same", "service")
+    );
     assert!(broken(&plan, "b", &store).is_empty());
     let table = report::table(&plan, "b", &store);
-    assert!(table.contains("nobody") && table.contains("less") && table.contains("alike"), "{table}");
+    assert!(
+        table.contains("nobody") && table.contains("less") && table.contains("alike"),
+        "{table}"
+    );
     let page = report::page(&plan, "b", &store);
-    assert!(page.contains("No rule was broken") && page.matches("<svg").count() == 3, "{}", page.len());
-    assert!(compare(&plan, "another build", &store).iter().all(|of| of.difference.runs == 0));
+    assert!(
+        page.contains("No rule was broken") && page.matches("<svg").count() == 3,
+        "{}",
+        page.len()
+    );
+    assert!(compare(&plan, "another build", &store)
+        .iter()
+        .all(|of| of.difference.runs == 0));
 }
 
 /// Danger: a kill loses what was played, or a run counts twice.
@@ -107,10 +133,20 @@
         .replace("name: 'read'", "name: 'order' effect: UNSAFE")
         .replace("front_ends {", "front_ends { usual_retry: ONCE");
     let base = scenario::parse(&text).expect("a scenario");
-    let nobody = Setup { control: Control::Nobody, ..Setup::default() };
-    let quarry = Quarry { setup: nobody, ..usual(true) };
+    let nobody = Setup {
+        control: Control::Nobody,
+        ..Setup::default()
+    };
+    let quarry = Quarry {
+        setup: nobody,
+        ..usual(true)
+    };
     let found = hunt(&base, &quarry, 60, 1, |_, _| true).expect("something");
-    assert!(found.broken.iter().any(|said| said.starts_with("twice")), "{:?}", found.broken);
+    assert!(
+        found.broken.iter().any(|said| said.starts_with("twice")),
+        "{:?}",
+        found.broken
+    );
     assert!(
         found.scenario.trouble.len() <= 1 && found.scenario.kind[0].servers() <= 4,
         "{}",
@@ -137,6 +173,11 @@
         let scenario: Scenario =
             scenario::read(&text).unwrap_or_else(|faults| panic!("{}: {faults:?}", file.display()));
         let outcome = chutegrade_model::run(&scenario, Control::Module, 1);
-        assert!(outcome.broken.is_empty(), "{}: {:?}", file.display(), outcome.broken);
+        assert!(
+            outcome.broken.is_empty(),
+            "{}: {:?}",
+            file.display(),
+            outcome.broken
+        );
     }
 }
