--- a/crates/levels/src/lib.rs
+++ b/crates/levels/src/lib.rs
@@ -22,7 +22,13 @@
         policy::Effect::Keyed(..) => Effect::Keyed(0.0),
         policy::Effect::Unsafe => Effect::Unsafe,
     };
-    Class { name, worth: of.worth, aim_s: of.aim.secs(), deadline_s: of.deadline.secs(), effect }
+    Class {
+        name,
+        worth: of.worth,
+        aim_s: of.aim.secs(),
+        deadline_s: of.deadline.secs(),
+        effect,
+    }
 }
 
 /// A way of trying again, as the decisions have it.
@@ -36,7 +42,11 @@
 
 /// The classes of an engine, as limits need them.
 pub fn classes(engine: &Engine) -> Vec<Class> {
-    engine.classes().iter().map(|of| class(of.name.clone(), &of.class)).collect()
+    engine
+        .classes()
+        .iter()
+        .map(|of| class(of.name.clone(), &of.class))
+        .collect()
 }
 
 /// Levels, limits and budgets of one supervisor: asked once a second, what they decide handed to the decisions.
@@ -52,7 +62,12 @@
     pub fn new(plan: Plan, engine: &mut Engine, period: Micros) -> Self {
         engine.measure();
         let governor = Governor::new(plan, classes(engine), engine.size().0);
-        Service { governor, due: Micros(i64::MIN), period: period.max(TURN_EVERY), standing: false }
+        Service {
+            governor,
+            due: Micros(i64::MIN),
+            period: period.max(TURN_EVERY),
+            standing: false,
+        }
     }
 
     /// What decides.
@@ -62,7 +77,9 @@
 
     /// Takes another plan, as records of what changed by it.
     pub fn replace(&mut self, now: Micros, plan: Plan) -> Option<Kind> {
-        self.governor.replace(now.0, plan).map(|change| changed(&change))
+        self.governor
+            .replace(now.0, plan)
+            .map(|change| changed(&change))
     }
 
     /// Takes up the level from before a restart: the record of it, or of why it is left.
@@ -70,7 +87,10 @@
         match self.governor.restore(now.0, saved) {
             Ok(change) => change.map(|change| changed(&change)),
             Err(why) => {
-                let (from, to) = (saved.level.clone(), chutegrade_limits::ladder::FULL.to_string());
+                let (from, to) = (
+                    saved.level.clone(),
+                    chutegrade_limits::ladder::FULL.to_string(),
+                );
                 let reason = "not restored".to_string();
                 Some(Kind::ServiceLevel(pb::ServiceLevel {
                     from,
@@ -89,7 +109,12 @@
             return None;
         }
         self.due = now + TURN_EVERY;
-        let turn = self.governor.turn(&seen(now, self.period, engine.pick_measure(), engine.figures()));
+        let turn = self.governor.turn(&seen(
+            now,
+            self.period,
+            engine.pick_measure(),
+            engine.figures(),
+        ));
         let says = turn.orders != Orders::default();
         if says || self.standing {
             // The queue of reports drops outcomes and demand alone; limits are always taken.
@@ -103,7 +128,10 @@
     pub fn gauge(&self, gauge: &mut pb::Gauge, now: Micros) {
         let board = self.governor.board();
         let shown = SIGNALS.into_iter().map(|signal| board.shown(signal, now.0));
-        gauge.signals = shown.filter(|shown| shown.value.is_some()).map(|shown| signal(&shown)).collect();
+        gauge.signals = shown
+            .filter(|shown| shown.value.is_some())
+            .map(|shown| signal(&shown))
+            .collect();
         gauge.limit = Some(self.governor.limit().0);
         if let Some(steps) = self.governor.steps() {
             gauge.service_level = Some(steps.name().to_string());
@@ -134,7 +162,11 @@
     Limited {
         refuse: orders.refuse,
         heavy: orders.heavy,
-        keep: orders.keep.iter().filter_map(|(at, keep)| Some((class(*at)?, *keep))).collect(),
+        keep: orders
+            .keep
+            .iter()
+            .filter_map(|(at, keep)| Some((class(*at)?, *keep)))
+            .collect(),
         again: orders.again.iter().enumerate().filter_map(again).collect(),
         until: now + STANDS,
     }
@@ -142,7 +174,11 @@
 
 fn signal(of: &Shown) -> pb::Signal {
     let age_ms = u64::try_from(of.age / 1000).unwrap_or(0);
-    pb::Signal { name: of.signal.name().to_string(), value: of.value, age_ms }
+    pb::Signal {
+        name: of.signal.name().to_string(),
+        value: of.value,
+        age_ms,
+    }
 }
 
 /// A change of level as a record.
--- a/crates/limits/benches/limits.rs
+++ b/crates/limits/benches/limits.rs
@@ -14,7 +14,9 @@
 fn heavy(criterion: &mut Criterion) {
     let mut chance = rand_chacha::ChaCha8Rng::seed_from_u64(1);
     let zipf = Zipf::new(10_000.0, 1.1).expect("a distribution");
-    let keys: Vec<u32> = (0..30_000).map(|_| zipf.sample(&mut chance) as u32).collect();
+    let keys: Vec<u32> = (0..30_000)
+        .map(|_| zipf.sample(&mut chance) as u32)
+        .collect();
     let mut group = criterion.benchmark_group("30,000 reports of 10,000 front ends");
     group.bench_function("sketch", |bench| {
         bench.iter(|| {
@@ -26,8 +28,10 @@
     group.bench_function("exact table", |bench| {
         bench.iter(|| {
             let mut sums: HashMap<u32, f64> = HashMap::new();
-            keys.iter().for_each(|key| *sums.entry(*key).or_default() += 1.0);
-            let mut above: Vec<(u32, f64)> = sums.into_iter().filter(|(_, sum)| *sum > 300.0).collect();
+            keys.iter()
+                .for_each(|key| *sums.entry(*key).or_default() += 1.0);
+            let mut above: Vec<(u32, f64)> =
+                sums.into_iter().filter(|(_, sum)| *sum > 300.0).collect();
             above.sort_by(|a, b| b.1.total_cmp(&a.1));
             black_box(above)
         });
@@ -36,24 +40,33 @@
 }
 
 fn turn(criterion: &mut Criterion) {
-    let class =
-        |name: &str, worth, effect| Class { name: name.into(), worth, aim_s: 1.0, deadline_s: 3.0, effect };
+    let class = |name: &str, worth, effect| Class {
+        name: name.into(),
+        worth,
+        aim_s: 1.0,
+        deadline_s: 3.0,
+        effect,
+    };
     let classes = vec![
         class("read", 1.0, Effect::Safe),
         class("file", 5.0, Effect::Keyed(10.0)),
         class("order", 3.0, Effect::Unsafe),
     ];
     let of = pb::Limits {
-        ladder: Some(pb::Ladder { usual: Some(true), ..Default::default() }),
+        ladder: Some(pb::Ladder {
+            usual: Some(true),
+            ..Default::default()
+        }),
         adaptive: Some(pb::Adaptive::default()),
         repeats: Some(pb::Repeats::default()),
         fairness: Some(pb::Fairness::default()),
     };
     let plan = Plan::read(&of, Some(&classes)).expect("a plan");
     let mut group = criterion.benchmark_group("a turn");
-    for (name, proxies, servers) in
-        [("160 front ends, 32 servers", 160u32, 32), ("10,000 front ends, 3,000 servers", 10_000, 3000)]
-    {
+    for (name, proxies, servers) in [
+        ("160 front ends, 32 servers", 160u32, 32),
+        ("10,000 front ends, 3,000 servers", 10_000, 3000),
+    ] {
         let mut governor = Governor::new(plan.clone(), classes.clone(), proxies as usize);
         let mut inputs = Inputs {
             period: 1_000_000,
@@ -61,10 +74,22 @@
             warm: 100.0,
             strain: 0.4,
             demand: (0..proxies)
-                .flat_map(|proxy| (0..3).map(move |class| Demand { proxy, class, came: 3.0, failed: 0.1 }))
+                .flat_map(|proxy| {
+                    (0..3).map(move |class| Demand {
+                        proxy,
+                        class,
+                        came: 3.0,
+                        failed: 0.1,
+                    })
+                })
                 .collect(),
             outcomes: (0..servers)
-                .map(|_| Outcome { tries: 9.0, failed: 0.2, mean_ms: 300.0, queue: Some(1.0) })
+                .map(|_| Outcome {
+                    tries: 9.0,
+                    failed: 0.2,
+                    mean_ms: 300.0,
+                    queue: Some(1.0),
+                })
                 .collect(),
             ..Inputs::default()
         };
--- a/crates/limits/src/comings.rs
+++ b/crates/limits/src/comings.rs
@@ -44,7 +44,10 @@
     /// Takes a report in.
     pub fn learn(&mut self, came: Came) {
         let figures = [came.came, came.refused, came.failed, came.ordered];
-        if figures.iter().any(|figure| !figure.is_finite() || *figure < 0.0) {
+        if figures
+            .iter()
+            .any(|figure| !figure.is_finite() || *figure < 0.0)
+        {
             return;
         }
         self.past.push_back(came);
@@ -63,10 +66,22 @@
         });
         let step = at.ordered - before.ordered;
         // A step among others teaches nothing: what follows it would be theirs.
-        let later = self.past.iter().skip(STEADY.0 + 1).zip(self.past.iter().skip(STEADY.0));
-        let alone = later.clone().all(|(next, last)| (next.ordered - last.ordered).abs() < MOVE_LEAST);
+        let later = self
+            .past
+            .iter()
+            .skip(STEADY.0 + 1)
+            .zip(self.past.iter().skip(STEADY.0));
+        let alone = later
+            .clone()
+            .all(|(next, last)| (next.ordered - last.ordered).abs() < MOVE_LEAST);
         if step.abs() >= MOVE_LEAST && alone && stood && before.came > 0.0 {
-            let after = self.past.iter().skip(STEADY.0 + 1).map(|of| of.came).sum::<f64>() / FOLLOWS as f64;
+            let after = self
+                .past
+                .iter()
+                .skip(STEADY.0 + 1)
+                .map(|of| of.came)
+                .sum::<f64>()
+                / FOLLOWS as f64;
             // What comes again comes again and may be lost again: the share that comes grows by r * step for each that came.
             self.followed += step * (after - before.came) / before.came;
             self.moved += step * step;
@@ -81,7 +96,9 @@
 
     /// The share of what came with the last report that came before.
     pub fn share(&self) -> f64 {
-        let Some(last) = self.past.back().filter(|last| last.came > 0.0) else { return 0.0 };
+        let Some(last) = self.past.back().filter(|last| last.came > 0.0) else {
+            return 0.0;
+        };
         let before = self.past.iter().rev().nth(1).unwrap_or(last);
         let lost = 0.5 * (last.refused + last.failed + before.refused + before.failed);
         (self.again().0 * lost / last.came).clamp(0.0, 0.9)
@@ -106,7 +123,12 @@
             fresh = (fresh + chance.random_range(-3.0..3.0f64)).clamp(70.0, 130.0);
             let came = fresh + again * lost;
             let refused = came * (1.0 - level);
-            comings.learn(Came { came, refused, failed: 0.0, ordered: 1.0 - level });
+            comings.learn(Came {
+                came,
+                refused,
+                failed: 0.0,
+                ordered: 1.0 - level,
+            });
             if second * 2 > seconds {
                 repeated += again * lost;
                 all += came;
@@ -123,7 +145,11 @@
             let (none, share, _) = play(0.0, 400, seed);
             assert!(none.again().0 < 0.2 && share < 0.1, "{:?}", none.again());
             let (most, _, _) = play(0.8, 400, seed);
-            assert!((0.5..=1.0).contains(&most.again().0) && most.again().1 > 0.9, "{:?}", most.again());
+            assert!(
+                (0.5..=1.0).contains(&most.again().0) && most.again().1 > 0.9,
+                "{:?}",
+                most.again()
+            );
         }
     }
 
@@ -135,8 +161,17 @@
         for second in 0..200 {
             let wanted = if second % 50 > 20 { 200.0 } else { 60.0 };
             came += 0.5 * (wanted - came);
-            let ordered = if second % 50 > 22 || (second > 50 && second % 50 < 3) { 0.5 } else { 0.0 };
-            comings.learn(Came { came, refused: came * ordered, failed: 0.0, ordered });
+            let ordered = if second % 50 > 22 || (second > 50 && second % 50 < 3) {
+                0.5
+            } else {
+                0.0
+            };
+            comings.learn(Came {
+                came,
+                refused: came * ordered,
+                failed: 0.0,
+                ordered,
+            });
         }
         assert!(comings.share() < 0.1, "{:?}", comings.again());
     }
@@ -148,7 +183,12 @@
         for second in 0..300 {
             let came = if second % 40 > 20 { 200.0 } else { 80.0 };
             let failed = f64::max(0.0, came - 100.0);
-            comings.learn(Came { came, refused: 0.0, failed, ordered: 0.0 });
+            comings.learn(Came {
+                came,
+                refused: 0.0,
+                failed,
+                ordered: 0.0,
+            });
         }
         assert_eq!((comings.again(), comings.share()), ((0.0, 0.0), 0.0));
     }
--- a/crates/limits/src/condition.rs
+++ b/crates/limits/src/condition.rs
@@ -66,10 +66,21 @@
     pub fn distance(&self, board: &Board, now: i64, most_age: i64) -> Distance {
         let newest = board.newest(self.signal, now, most_age);
         let value = newest.map(|sample| sample.value);
-        let short = value.map(|value| if self.above { self.bound - value } else { value - self.bound });
+        let short = value.map(|value| {
+            if self.above {
+                self.bound - value
+            } else {
+                value - self.bound
+            }
+        });
         let held = board.held(self.signal, most_age, |value| self.met(value));
         let wait = (self.hold - held.unwrap_or(0)).max(0);
-        Distance { test: *self, newest, short: short.map(|short| short.max(0.0)), wait }
+        Distance {
+            test: *self,
+            newest,
+            short: short.map(|short| short.max(0.0)),
+            wait,
+        }
     }
 }
 
@@ -114,10 +125,26 @@
     }
 
     /// What is known of it, tests that `leave_out` names aside. Nothing is known of one without any test left.
-    pub fn known(&self, board: &Board, now: i64, most_age: i64, leave_out: impl Fn(Signal) -> bool) -> Known {
+    pub fn known(
+        &self,
+        board: &Board,
+        now: i64,
+        most_age: i64,
+        leave_out: impl Fn(Signal) -> bool,
+    ) -> Known {
         let known = |test: &Test| test.known(board, now, most_age);
-        let all: Vec<Known> = self.all.iter().filter(|test| !leave_out(test.signal)).map(known).collect();
-        let any: Vec<Known> = self.any.iter().filter(|test| !leave_out(test.signal)).map(known).collect();
+        let all: Vec<Known> = self
+            .all
+            .iter()
+            .filter(|test| !leave_out(test.signal))
+            .map(known)
+            .collect();
+        let any: Vec<Known> = self
+            .any
+            .iter()
+            .filter(|test| !leave_out(test.signal))
+            .map(known)
+            .collect();
         if all.is_empty() && any.is_empty() {
             return Known::Unknown;
         }
@@ -146,7 +173,8 @@
             }
         }
         for test in self.all.iter().filter(|test| test.above) {
-            let against = |of: &&Test| of.signal == test.signal && !of.above && of.bound <= test.bound;
+            let against =
+                |of: &&Test| of.signal == test.signal && !of.above && of.bound <= test.bound;
             if let Some(of) = self.all.iter().find(against) {
                 return Err(format!("{test} and {of} contradict each other"));
             }
@@ -157,12 +185,18 @@
     /// Reads one; what is wrong, as sentences.
     pub fn read(of: &pb::Condition) -> Result<Condition, String> {
         let test = |test: &pb::Test| -> Result<Test, String> {
-            let signal = Signal::of(test.signal())
-                .ok_or_else(|| "a test without a signal: give one, such as SATURATION".to_string())?;
+            let signal = Signal::of(test.signal()).ok_or_else(|| {
+                "a test without a signal: give one, such as SATURATION".to_string()
+            })?;
             let (above, bound) = match test.bound {
                 Some(pb::test::Bound::Above(bound)) => (true, bound),
                 Some(pb::test::Bound::Below(bound)) => (false, bound),
-                None => return Err(format!("{} without a bound: give above or below", signal.name())),
+                None => {
+                    return Err(format!(
+                        "{} without a bound: give above or below",
+                        signal.name()
+                    ))
+                }
             };
             let hold = test.for_s.unwrap_or(0.0);
             if !bound.is_finite() || !(0.0..=HOLD_MOST_S).contains(&hold) {
@@ -171,10 +205,18 @@
                     signal.name()
                 ));
             }
-            Ok(Test { signal, above, bound, hold: (hold * 1e6) as i64 })
+            Ok(Test {
+                signal,
+                above,
+                bound,
+                hold: (hold * 1e6) as i64,
+            })
         };
         let tests = |of: &[pb::Test]| of.iter().map(test).collect::<Result<Vec<_>, _>>();
-        let condition = Condition { all: tests(&of.all)?, any: tests(&of.any)? };
+        let condition = Condition {
+            all: tests(&of.all)?,
+            any: tests(&of.any)?,
+        };
         condition.possible()?;
         Ok(condition)
     }
@@ -190,13 +232,25 @@
     const AGE: i64 = 5_000_000;
 
     fn test(signal: Signal, above: bool, bound: f64, seconds: i64) -> Test {
-        Test { signal, above, bound, hold: seconds * 1_000_000 }
+        Test {
+            signal,
+            above,
+            bound,
+            hold: seconds * 1_000_000,
+        }
     }
 
     fn board(of: &[(Signal, i64, f64)]) -> Board {
         let mut board = Board::default();
         for (signal, at, value) in of {
-            board.learn(*signal, Sample { at: at * 1_000_000, value: *value, sure: 1.0 });
+            board.learn(
+                *signal,
+                Sample {
+                    at: at * 1_000_000,
+                    value: *value,
+                    sure: 1.0,
+                },
+            );
         }
         board
     }
@@ -210,9 +264,19 @@
             (Signal::Saturation, 3, 0.6),
         ]);
         assert_eq!(busy.known(&board, 3_000_000, AGE), Known::Yes);
-        assert_eq!(test(Signal::Saturation, true, 0.5, 3).known(&board, 3_000_000, AGE), Known::No);
-        assert_eq!(busy.known(&board, 9_000_000, AGE), Known::Unknown, "too old");
-        assert_eq!(test(Signal::Room, true, 1.0, 0).known(&board, 3_000_000, AGE), Known::Unknown);
+        assert_eq!(
+            test(Signal::Saturation, true, 0.5, 3).known(&board, 3_000_000, AGE),
+            Known::No
+        );
+        assert_eq!(
+            busy.known(&board, 9_000_000, AGE),
+            Known::Unknown,
+            "too old"
+        );
+        assert_eq!(
+            test(Signal::Room, true, 1.0, 0).known(&board, 3_000_000, AGE),
+            Known::Unknown
+        );
         let far = test(Signal::Saturation, true, 0.9, 2).distance(&board, 3_000_000, AGE);
         assert!((far.short.expect("known") - 0.3).abs() < 1e-9 && far.wait == 2_000_000);
     }
@@ -220,10 +284,16 @@
     #[test]
     fn what_is_unknown_is_neither_met_nor_not() {
         let board = board(&[(Signal::Saturation, 1, 0.6)]);
-        let (busy, room) = (test(Signal::Saturation, true, 0.5, 0), test(Signal::Room, true, 1.0, 0));
+        let (busy, room) = (
+            test(Signal::Saturation, true, 0.5, 0),
+            test(Signal::Room, true, 1.0, 0),
+        );
         let calm = test(Signal::Saturation, false, 0.2, 0);
         let known = |all: &[Test], any: &[Test], out: bool| {
-            let condition = Condition { all: all.to_vec(), any: any.to_vec() };
+            let condition = Condition {
+                all: all.to_vec(),
+                any: any.to_vec(),
+            };
             condition.known(&board, 1_000_000, AGE, |signal| out && signal.by_list())
         };
         assert_eq!(known(&[busy, room], &[], false), Known::Unknown);
@@ -237,15 +307,27 @@
 
     #[test]
     fn conditions_that_can_never_hold_are_faults() {
-        let impossible =
-            |all: &[Test]| Condition { all: all.to_vec(), any: vec![] }.possible().expect_err("a fault");
+        let impossible = |all: &[Test]| {
+            Condition {
+                all: all.to_vec(),
+                any: vec![],
+            }
+            .possible()
+            .expect_err("a fault")
+        };
         assert!(impossible(&[]).contains("no test"));
         assert!(impossible(&[test(Signal::Late, true, 1.0, 0)]).contains("never so"));
-        assert!(impossible(&[test(Signal::Late, true, 0.5, 0), test(Signal::Late, false, 0.4, 0)])
-            .contains("contradict"));
+        assert!(impossible(&[
+            test(Signal::Late, true, 0.5, 0),
+            test(Signal::Late, false, 0.4, 0)
+        ])
+        .contains("contradict"));
         let either = Condition {
             all: vec![],
-            any: vec![test(Signal::Late, true, 0.5, 0), test(Signal::Late, false, 0.4, 0)],
+            any: vec![
+                test(Signal::Late, true, 0.5, 0),
+                test(Signal::Late, false, 0.4, 0),
+            ],
         };
         assert_eq!(either.possible(), Ok(()));
         assert_eq!(either.to_string(), "LATE above 0.5 or LATE below 0.4");
--- a/crates/limits/src/govern.rs
+++ b/crates/limits/src/govern.rs
@@ -47,19 +47,37 @@
             let value = given.unwrap_or(usual);
             if !(least..=most).contains(&value) {
                 let said = format!("{field} is {value}: give a figure from {least} to {most}");
-                faults.push(Fault { level: None, field, said });
+                faults.push(Fault {
+                    level: None,
+                    field,
+                    said,
+                });
             }
             value
         };
         let adaptive = of.adaptive.as_ref().map(|adaptive| {
-            let rule = if adaptive.rule() == Rule::Unspecified { Rule::Capacity } else { adaptive.rule() };
+            let rule = if adaptive.rule() == Rule::Unspecified {
+                Rule::Capacity
+            } else {
+                adaptive.rule()
+            };
             (rule, within("target", adaptive.target, TARGET, TARGETS))
         });
         let repeats = of.repeats.as_ref().map(|repeats| {
-            (within("ratio", repeats.ratio, RATIO, RATIOS), repeats.once_while_room.unwrap_or(false))
+            (
+                within("ratio", repeats.ratio, RATIO, RATIOS),
+                repeats.once_while_room.unwrap_or(false),
+            )
         });
-        let fairness = of.fairness.as_ref().map(|of| within("times_mean", of.times_mean, TIMES_MEAN, TIMES));
-        let ladder = match of.ladder.as_ref().map(|ladder| Ladder::read(ladder, classes)) {
+        let fairness = of
+            .fairness
+            .as_ref()
+            .map(|of| within("times_mean", of.times_mean, TIMES_MEAN, TIMES));
+        let ladder = match of
+            .ladder
+            .as_ref()
+            .map(|ladder| Ladder::read(ladder, classes))
+        {
             Some(Err(wrong)) => {
                 faults.extend(wrong);
                 None
@@ -68,7 +86,12 @@
             None => None,
         };
         if faults.is_empty() {
-            Ok(Plan { ladder, adaptive, repeats, fairness })
+            Ok(Plan {
+                ladder,
+                adaptive,
+                repeats,
+                fairness,
+            })
         } else {
             Err(faults)
         }
@@ -185,7 +208,9 @@
             board: Board::default(),
             steps: plan.ladder.clone().map(Steps::new),
             limiter: Limiter::new(rule, target),
-            repeats: plan.repeats.map(|(ratio, widens)| Repeats::new(ratio, widens, &classes)),
+            repeats: plan
+                .repeats
+                .map(|(ratio, widens)| Repeats::new(ratio, widens, &classes)),
             comings: Comings::default(),
             heavy: Heavy::new(COUNTS),
             proxies: proxies.max(1),
@@ -217,13 +242,22 @@
             self.limiter = Limiter::new(rule, target);
         }
         if plan.repeats != self.plan.repeats {
-            self.repeats = plan.repeats.map(|(ratio, widens)| Repeats::new(ratio, widens, &self.classes));
+            self.repeats = plan
+                .repeats
+                .map(|(ratio, widens)| Repeats::new(ratio, widens, &self.classes));
         }
         let change = match (&mut self.steps, plan.ladder.clone()) {
             (Some(steps), Some(ladder)) => steps.replace(now, ladder, &self.board),
             (steps, ladder) => {
-                let empty = Ladder { levels: Vec::new(), without_signals: 0, most_age: 0, doubt_list: 0 };
-                let change = steps.as_mut().and_then(|steps| steps.replace(now, empty, &self.board));
+                let empty = Ladder {
+                    levels: Vec::new(),
+                    without_signals: 0,
+                    most_age: 0,
+                    doubt_list: 0,
+                };
+                let change = steps
+                    .as_mut()
+                    .and_then(|steps| steps.replace(now, empty, &self.board));
                 *steps = ladder.map(Steps::new);
                 change
             }
@@ -242,14 +276,26 @@
 
     /// The limit's share of the work that is let in, and what it takes the fleet to be able to do over what comes.
     pub fn limit(&self) -> (f64, Option<f64>) {
-        (self.limiter.share(), self.board.of(Signal::Room).last().map(|sample| sample.value))
+        (
+            self.limiter.share(),
+            self.board
+                .of(Signal::Room)
+                .last()
+                .map(|sample| sample.value),
+        )
     }
 
     /// One turn: takes in what is seen, and says what follows.
     pub fn turn(&mut self, of: &Inputs) -> Turn {
         self.learn(of);
-        let change = self.steps.as_mut().and_then(|steps| steps.step(of.now, &self.board));
-        Turn { orders: self.orders(), change }
+        let change = self
+            .steps
+            .as_mut()
+            .and_then(|steps| steps.step(of.now, &self.board));
+        Turn {
+            orders: self.orders(),
+            change,
+        }
     }
 
     fn learn(&mut self, of: &Inputs) {
@@ -263,24 +309,50 @@
         }
         let since = self.rates.since.replace(of.now);
         // After a silence the first reports cover one period, not all of it.
-        let passed =
-            since.map_or(of.period, |since| of.now.saturating_sub(since).min(of.period.saturating_mul(2)));
+        let passed = since.map_or(of.period, |since| {
+            of.now
+                .saturating_sub(since)
+                .min(of.period.saturating_mul(2))
+        });
         let seconds = (passed.max(100_000)) as f64 / 1e6;
         self.sum(of, seconds);
         // Reports tell of the period that ended; its middle is when it was so.
         let at = of.now.saturating_sub(of.period / 2);
         let (offered, let_in) = (self.work(&self.rates.came), self.work(&self.rates.let_in));
         let rates = &self.rates;
-        let (came, admitted) = (rates.came.iter().sum::<f64>(), rates.let_in.iter().sum::<f64>());
+        let (came, admitted) = (
+            rates.came.iter().sum::<f64>(),
+            rates.let_in.iter().sum::<f64>(),
+        );
         let refused = (came - admitted).max(0.0);
         let failed: f64 = rates.failed.iter().sum();
-        let in_time = if admitted > 0.0 { (rates.in_time / admitted).min(1.0) } else { 0.0 };
-        let answered = if admitted > 0.0 { (rates.good / admitted).min(1.0) } else { 0.0 };
+        let in_time = if admitted > 0.0 {
+            (rates.in_time / admitted).min(1.0)
+        } else {
+            0.0
+        };
+        let answered = if admitted > 0.0 {
+            (rates.good / admitted).min(1.0)
+        } else {
+            0.0
+        };
         let good = let_in * answered;
         let ordered = if came > 0.0 { refused / came } else { 0.0 };
-        self.comings.learn(Came { came, refused, failed, ordered });
-        let seen =
-            Seen { seconds, offered, let_in, good, strain: of.strain, took_ms: rates.took_ms, warm: of.warm };
+        self.comings.learn(Came {
+            came,
+            refused,
+            failed,
+            ordered,
+        });
+        let seen = Seen {
+            seconds,
+            offered,
+            let_in,
+            good,
+            strain: of.strain,
+            took_ms: rates.took_ms,
+            warm: of.warm,
+        };
         self.limiter.step(&seen);
         let again = self.comings.share();
         let sure = (admitted * seconds / SURE).min(1.0);
@@ -311,7 +383,11 @@
 
     /// The work in requests by class: their aims stand for it.
     fn work(&self, requests: &[f64]) -> f64 {
-        requests.iter().zip(&self.classes).map(|(requests, class)| requests * class.aim_s).sum()
+        requests
+            .iter()
+            .zip(&self.classes)
+            .map(|(requests, class)| requests * class.aim_s)
+            .sum()
     }
 
     /// What was reported since the last turn, as rates.
@@ -326,7 +402,8 @@
             }
             came[demand.class] += demand.came;
             failed[demand.class] += demand.failed.clamp(0.0, demand.came);
-            self.heavy.add(demand.proxy, demand.came * self.classes[demand.class].aim_s);
+            self.heavy
+                .add(demand.proxy, demand.came * self.classes[demand.class].aim_s);
         }
         if !of.demand.is_empty() {
             for class in 0..count {
@@ -340,22 +417,32 @@
         let all: f64 = self.rates.came.iter().sum();
         let aim_ms = if all > 0.0 { 1000.0 * aims / all } else { 0.0 };
         let (mut tries, mut good, mut in_time, mut took) = (0.0, 0.0, 0.0, 0.0);
-        let sane =
-            |of: &&Outcome| [of.tries, of.failed, of.mean_ms].iter().all(|f| f.is_finite() && *f >= 0.0);
+        let sane = |of: &&Outcome| {
+            [of.tries, of.failed, of.mean_ms]
+                .iter()
+                .all(|f| f.is_finite() && *f >= 0.0)
+        };
         for outcome in of.outcomes.iter().filter(sane) {
             let well = (outcome.tries - outcome.failed).max(0.0);
             tries += outcome.tries;
             good += well;
             took += well * outcome.mean_ms;
             // Of answers with this mean, those within the aim: all at half of it, none at one and a half times it.
-            let late = if aim_ms > 0.0 { (outcome.mean_ms / aim_ms - 0.5).clamp(0.0, 1.0) } else { 0.0 };
+            let late = if aim_ms > 0.0 {
+                (outcome.mean_ms / aim_ms - 0.5).clamp(0.0, 1.0)
+            } else {
+                0.0
+            };
             in_time += well * (1.0 - late);
         }
         if !of.outcomes.is_empty() {
             smooth(&mut self.rates.tries, tries / seconds);
             smooth(&mut self.rates.good, good / seconds);
             smooth(&mut self.rates.in_time, in_time / seconds);
-            smooth(&mut self.rates.took_ms, if good > 0.0 { took / good } else { 0.0 });
+            smooth(
+                &mut self.rates.took_ms,
+                if good > 0.0 { took / good } else { 0.0 },
+            );
         }
     }
 
@@ -364,27 +451,47 @@
     }
 
     fn tell_queue(&mut self, of: &Inputs) {
-        let queues = of.outcomes.iter().filter_map(|outcome| outcome.queue).filter(|queue| queue.is_finite());
-        let (sum, count) = queues.fold((0.0, 0.0), |(sum, count), queue| (sum + queue, count + 1.0));
+        let queues = of
+            .outcomes
+            .iter()
+            .filter_map(|outcome| outcome.queue)
+            .filter(|queue| queue.is_finite());
+        let (sum, count) =
+            queues.fold((0.0, 0.0), |(sum, count), queue| (sum + queue, count + 1.0));
         if count > 0.0 {
-            self.tell(Signal::Queue, of.now.saturating_sub(of.period / 2), sum / count, 1.0);
+            self.tell(
+                Signal::Queue,
+                of.now.saturating_sub(of.period / 2),
+                sum / count,
+                1.0,
+            );
         }
     }
 
     fn orders(&self) -> Orders {
         let kept = |steps: &Steps| {
-            let keeps = self.classes.iter().map(|class| steps.keeps(&class.name)).enumerate();
+            let keeps = self
+                .classes
+                .iter()
+                .map(|class| steps.keeps(&class.name))
+                .enumerate();
             keeps.filter(|(_, keep)| *keep < 1.0).collect()
         };
         let refuse = self.plan.adaptive.map(|_| self.refuse());
         Orders {
             refuse,
-            heavy: refuse.zip(self.plan.fairness).and_then(|(refuse, times)| self.fair(refuse, times)),
+            heavy: refuse
+                .zip(self.plan.fairness)
+                .and_then(|(refuse, times)| self.fair(refuse, times)),
             keep: self.steps.as_ref().map(kept).unwrap_or_default(),
             again: self
                 .repeats
                 .as_ref()
-                .map(|repeats| (0..self.classes.len()).map(|class| repeats.of(class)).collect())
+                .map(|repeats| {
+                    (0..self.classes.len())
+                        .map(|class| repeats.of(class))
+                        .collect()
+                })
                 .unwrap_or_default(),
         }
     }
@@ -434,12 +541,16 @@
             deadline_s: 3.0,
             effect,
         };
-        vec![class("read", 1.0, Effect::Safe), class("file", 5.0, Effect::Keyed(10.0))]
+        vec![
+            class("read", 1.0, Effect::Safe),
+            class("file", 5.0, Effect::Keyed(10.0)),
+        ]
     }
 
     fn plan(text: &str) -> Result<Plan, Vec<Fault>> {
         let of: pb::Limits =
-            chutegrade_textproto::parse(crate::SCHEMA, "chutegrade.limits.v1.Limits", text).expect(text);
+            chutegrade_textproto::parse(crate::SCHEMA, "chutegrade.limits.v1.Limits", text)
+                .expect(text);
         Plan::read(&of, Some(&classes()))
     }
 
@@ -447,9 +558,16 @@
     fn second(now: i64, rate: f64, can: f64, strain: f64, first: f64, levels: &[f64]) -> Inputs {
         let of = |proxy: u32, class| {
             let came = rate / 20.0 * if proxy == 0 { first } else { 1.0 };
-            Demand { proxy, class, came, failed: 0.0 }
+            Demand {
+                proxy,
+                class,
+                came,
+                failed: 0.0,
+            }
         };
-        let demand: Vec<Demand> = (0..10).flat_map(|proxy| [of(proxy, 0), of(proxy, 1)]).collect();
+        let demand: Vec<Demand> = (0..10)
+            .flat_map(|proxy| [of(proxy, 0), of(proxy, 1)])
+            .collect();
         let let_in: f64 = demand.iter().map(|of| of.came * levels[of.class]).sum();
         let outcomes = vec![Outcome {
             tries: let_in,
@@ -486,29 +604,52 @@
         for now in 0..80 {
             let offered = if now < 10 { 60.0 } else { 200.0 };
             queue = (queue + offered * 0.5 * (levels[0] + levels[1]) - 100.0).clamp(0.0, 400.0);
-            let turn = governor.turn(&second(now, offered, 100.0, (queue / 300.0).min(1.0), 1.0, &levels));
+            let turn = governor.turn(&second(
+                now,
+                offered,
+                100.0,
+                (queue / 300.0).min(1.0),
+                1.0,
+                &levels,
+            ));
             let refuse = turn.orders.refuse.expect("a limit");
-            levels = [(1.0 - 2.0 * refuse).max(0.1), (1.0 - (2.0 * refuse - 0.9).max(0.0)).clamp(0.1, 1.0)];
+            levels = [
+                (1.0 - 2.0 * refuse).max(0.1),
+                (1.0 - (2.0 * refuse - 0.9).max(0.0)).clamp(0.1, 1.0),
+            ];
             shares.push(refuse);
         }
         let refuse = shares[40..].iter().sum::<f64>() / 40.0;
         assert!((0.35..0.65).contains(&refuse), "{refuse}");
-        assert!(governor.limit().1.expect("known") < 0.7, "{:?}", governor.limit());
+        assert!(
+            governor.limit().1.expect("known") < 0.7,
+            "{:?}",
+            governor.limit()
+        );
     }
 
     #[test]
     fn one_heavy_front_end_is_held_to_its_share_first() {
-        let mut governor =
-            Governor::new(plan("adaptive { rule: AIMD } fairness {}").expect("a plan"), classes(), 10);
+        let mut governor = Governor::new(
+            plan("adaptive { rule: AIMD } fairness {}").expect("a plan"),
+            classes(),
+            10,
+        );
         let mut turn = Turn::default();
         let strain = |now: i64| if now > 26 { 0.6 } else { 0.0 };
         for now in 0..30 {
             turn = governor.turn(&second(now, 200.0, 300.0, strain(now), 12.0, &[1.0, 1.0]));
         }
         let (rest, heavy) = turn.orders.heavy.expect("one is heavy");
-        assert!(heavy > 2.0 * rest && rest < turn.orders.refuse.expect("a limit"), "{rest} {heavy}");
-        let mut even =
-            Governor::new(plan("adaptive { rule: AIMD } fairness {}").expect("a plan"), classes(), 10);
+        assert!(
+            heavy > 2.0 * rest && rest < turn.orders.refuse.expect("a limit"),
+            "{rest} {heavy}"
+        );
+        let mut even = Governor::new(
+            plan("adaptive { rule: AIMD } fairness {}").expect("a plan"),
+            classes(),
+            10,
+        );
         for now in 0..30 {
             turn = even.turn(&second(now, 200.0, 300.0, strain(now), 1.0, &[1.0, 1.0]));
         }
@@ -517,21 +658,28 @@
 
     #[test]
     fn a_plan_with_faults_tells_them_all() {
-        let faults =
-            plan("adaptive { target: 2 } repeats { ratio: -1 } fairness { times_mean: 1 } ladder {}")
-                .expect_err("faults");
+        let faults = plan(
+            "adaptive { target: 2 } repeats { ratio: -1 } fairness { times_mean: 1 } ladder {}",
+        )
+        .expect_err("faults");
         let fields: Vec<&str> = faults.iter().map(|fault| fault.field).collect();
         assert_eq!(fields, ["target", "ratio", "times_mean", "ladder"]);
     }
 
     #[test]
     fn a_plan_that_drops_its_ladder_ends_the_level_with_a_reason() {
-        let mut governor = Governor::new(plan("ladder { usual: true }").expect("a plan"), classes(), 10);
+        let mut governor = Governor::new(
+            plan("ladder { usual: true }").expect("a plan"),
+            classes(),
+            10,
+        );
         for now in 0..10 {
             governor.turn(&second(now, 100.0, 50.0, 0.9, 1.0, &[1.0, 1.0]));
         }
         assert!(governor.steps().expect("a ladder").level() > 0);
-        let change = governor.replace(11_000_000, plan("").expect("a plan")).expect("a change");
+        let change = governor
+            .replace(11_000_000, plan("").expect("a plan"))
+            .expect("a change");
         assert_eq!((change.to.as_str(), change.number), ("full", 0));
         assert!(governor.steps().is_none());
     }
--- a/crates/limits/src/heavy.rs
+++ b/crates/limits/src/heavy.rs
@@ -26,7 +26,12 @@
     /// An empty one with so many counts.
     pub fn new(most: usize) -> Self {
         let most = most.max(1);
-        Heavy { heap: Vec::with_capacity(most), places: FxHashMap::default(), most, total: 0.0 }
+        Heavy {
+            heap: Vec::with_capacity(most),
+            places: FxHashMap::default(),
+            most,
+            total: 0.0,
+        }
     }
 
     /// Adds to a key. What is no positive number is passed over.
@@ -39,13 +44,21 @@
             self.heap[place].sum += weight;
             self.sink(place);
         } else if self.heap.len() < self.most {
-            self.heap.push(Count { key, sum: weight, over: 0.0 });
+            self.heap.push(Count {
+                key,
+                sum: weight,
+                over: 0.0,
+            });
             self.places.insert(key, self.heap.len() - 1);
             self.rise(self.heap.len() - 1);
         } else {
             let smallest = self.heap[0];
             self.places.remove(&smallest.key);
-            self.heap[0] = Count { key, sum: smallest.sum + weight, over: smallest.sum };
+            self.heap[0] = Count {
+                key,
+                sum: smallest.sum + weight,
+                over: smallest.sum,
+            };
             self.places.insert(key, 0);
             self.sink(0);
         }
@@ -70,7 +83,10 @@
 
     /// Keys that surely bring more than so much, the heaviest first, each with what it surely brings.
     pub fn above(&self, least: f64) -> Vec<(u32, f64)> {
-        let sure = self.heap.iter().map(|count| (count.key, count.sum - count.over));
+        let sure = self
+            .heap
+            .iter()
+            .map(|count| (count.key, count.sum - count.over));
         let mut above: Vec<(u32, f64)> = sure.filter(|(_, sum)| *sum > least).collect();
         above.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         above
@@ -85,8 +101,9 @@
 
     fn sink(&mut self, mut place: usize) {
         loop {
-            let children =
-                [2 * place + 1, 2 * place + 2].into_iter().filter(|child| *child < self.heap.len());
+            let children = [2 * place + 1, 2 * place + 2]
+                .into_iter()
+                .filter(|child| *child < self.heap.len());
             let smallest = children.min_by(|a, b| self.heap[*a].sum.total_cmp(&self.heap[*b].sum));
             match smallest {
                 Some(child) if self.heap[child].sum < self.heap[place].sum => {
@@ -118,11 +135,21 @@
         let mut heavy = Heavy::new(COUNTS);
         for round in 0..50u32 {
             for key in 0..10_000 {
-                heavy
-                    .add(key, if key % 5000 == 7 { 500.0 } else { 1.0 + f64::from((key + round) % 3) * 0.1 });
+                heavy.add(
+                    key,
+                    if key % 5000 == 7 {
+                        500.0
+                    } else {
+                        1.0 + f64::from((key + round) % 3) * 0.1
+                    },
+                );
             }
         }
-        let found: Vec<u32> = heavy.above(heavy.total() / 100.0).into_iter().map(|(key, _)| key).collect();
+        let found: Vec<u32> = heavy
+            .above(heavy.total() / 100.0)
+            .into_iter()
+            .map(|(key, _)| key)
+            .collect();
         assert_eq!(found, [7, 5007]);
     }
 
--- a/crates/limits/src/ladder.rs
+++ b/crates/limits/src/ladder.rs
@@ -42,7 +42,10 @@
 impl Level {
     /// What is kept of a class.
     pub fn keeps(&self, class: &str) -> f64 {
-        self.keep.iter().find(|(name, _)| name == class).map_or(1.0, |(_, keep)| *keep)
+        self.keep
+            .iter()
+            .find(|(name, _)| name == class)
+            .map_or(1.0, |(_, keep)| *keep)
     }
 }
 
@@ -78,7 +81,9 @@
     /// Where the fault stands in the text that the ladder was read from.
     pub fn place(&self, text: &str) -> Option<Place> {
         match self.level {
-            Some(level) => find_within(text, "level", level, self.field).or_else(|| find(text, self.field)),
+            Some(level) => {
+                find_within(text, "level", level, self.field).or_else(|| find(text, self.field))
+            }
             None => find(text, self.field),
         }
     }
@@ -98,7 +103,10 @@
         if name == FULL {
             return Some(0);
         }
-        self.levels.iter().position(|level| level.name == name).map(|at| at + 1)
+        self.levels
+            .iter()
+            .position(|level| level.name == name)
+            .map(|at| at + 1)
     }
 
     /// Reads and checks one; all faults at once. Without classes nothing is said of what depends on them.
@@ -108,7 +116,11 @@
         let mut seconds = |field, given: Option<f64>, usual: f64| {
             let value = given.unwrap_or(usual);
             if !(0.0..=SECONDS_MOST).contains(&value) {
-                fault(None, field, format!("{field} is {value}: give seconds from 0 to {SECONDS_MOST}"));
+                fault(
+                    None,
+                    field,
+                    format!("{field} is {value}: give seconds from 0 to {SECONDS_MOST}"),
+                );
             }
             (value * 1e6) as i64
         };
@@ -120,14 +132,29 @@
         };
         if of.usual == Some(true) {
             if !of.level.is_empty() {
-                fault(None, "usual", "the usual ladder has its own levels: give either".to_string());
+                fault(
+                    None,
+                    "usual",
+                    "the usual ladder has its own levels: give either".to_string(),
+                );
             }
             ladder.levels = usual::levels(classes.unwrap_or_default());
         } else if of.level.is_empty() {
-            fault(None, "ladder", "a ladder without a level: give levels, or usual: true".to_string());
+            fault(
+                None,
+                "ladder",
+                "a ladder without a level: give levels, or usual: true".to_string(),
+            );
         }
         if of.level.len() > LEVELS_MOST {
-            fault(None, "ladder", format!("{} levels are too many: at most {LEVELS_MOST}", of.level.len()));
+            fault(
+                None,
+                "ladder",
+                format!(
+                    "{} levels are too many: at most {LEVELS_MOST}",
+                    of.level.len()
+                ),
+            );
         }
         for (number, level) in of.level.iter().enumerate() {
             let mut own = |field, said| fault(Some(number), field, said);
@@ -148,11 +175,21 @@
     /// What is wrong with levels that are each right by themselves.
     pub fn faults(&self, classes: Option<&[Class]>) -> Vec<Fault> {
         let mut faults = Vec::new();
-        let mut fault = |level, field, said: String| faults.push(Fault { level: Some(level), field, said });
+        let mut fault = |level, field, said: String| {
+            faults.push(Fault {
+                level: Some(level),
+                field,
+                said,
+            })
+        };
         for (at, level) in self.levels.iter().enumerate() {
             let name = &level.name;
             if self.levels.iter().take(at).any(|other| other.name == *name) || name == FULL {
-                fault(at, "name", format!("{name:?} is taken: every level has a name of its own"));
+                fault(
+                    at,
+                    "name",
+                    format!("{name:?} is taken: every level has a name of its own"),
+                );
             }
             if let Some((enter, leave)) = together(&level.enter, &level.leave) {
                 fault(
@@ -170,7 +207,9 @@
                     );
                 }
             }
-            let Some(next) = self.levels.get(at + 1) else { continue };
+            let Some(next) = self.levels.get(at + 1) else {
+                continue;
+            };
             let milder = |(class, keep): &&(String, f64)| next.keeps(class) > *keep;
             if let Some((class, keep)) = level.keep.iter().find(milder) {
                 fault(at + 1, "shed", format!("{:?} keeps more of {class} than {name:?}, which keeps {keep}: levels go from mild to severe", next.name));
@@ -179,7 +218,10 @@
                 fault(
                     at,
                     "enter",
-                    format!("{name:?} is never entered: whenever it would be, {:?} is already", next.name),
+                    format!(
+                        "{name:?} is never entered: whenever it would be, {:?} is already",
+                        next.name
+                    ),
                 );
             }
         }
@@ -193,10 +235,20 @@
     classes: Option<&[Class]>,
     fault: &mut impl FnMut(&'static str, String),
 ) -> Option<Level> {
-    let name = if of.name.is_empty() { format!("level-{}", number + 1) } else { of.name.clone() };
-    if !name.chars().all(|c| c.is_alphanumeric() || matches!(c, '-' | '_' | ' ')) || name.chars().count() > 40
+    let name = if of.name.is_empty() {
+        format!("level-{}", number + 1)
+    } else {
+        of.name.clone()
+    };
+    if !name
+        .chars()
+        .all(|c| c.is_alphanumeric() || matches!(c, '-' | '_' | ' '))
+        || name.chars().count() > 40
     {
-        fault("name", format!("{name:?}: give up to 40 letters, digits, blanks, - and _"));
+        fault(
+            "name",
+            format!("{name:?}: give up to 40 letters, digits, blanks, - and _"),
+        );
     }
     for shed in &of.shed {
         if classes.is_some_and(|classes| classes.iter().all(|class| class.name != shed.class)) {
@@ -206,28 +258,53 @@
             let least = KEEP_LEAST;
             fault(
                 "keep",
-                format!("{name:?} keeps {} of {}: give a share from {least} to 1", shed.keep, shed.class),
+                format!(
+                    "{name:?} keeps {} of {}: give a share from {least} to 1",
+                    shed.keep, shed.class
+                ),
             );
         }
     }
     if of.shed.is_empty() {
-        fault("level", format!("{name:?} sheds nothing: say of which class how much is kept"));
+        fault(
+            "level",
+            format!("{name:?} sheds nothing: say of which class how much is kept"),
+        );
     }
     let mut condition = |field, of: &Option<pb::Condition>, what: &str| {
         let Some(of) = of else {
             fault(field, format!("{name:?} can't be {what}: give a condition"));
             return None;
         };
-        Condition::read(of).map_err(|said| fault(field, format!("{name:?} can't be {what}: {said}"))).ok()
+        Condition::read(of)
+            .map_err(|said| fault(field, format!("{name:?} can't be {what}: {said}")))
+            .ok()
     };
-    let (enter, leave) = (condition("enter", &of.enter, "reached"), condition("leave", &of.leave, "left"));
+    let (enter, leave) = (
+        condition("enter", &of.enter, "reached"),
+        condition("leave", &of.leave, "left"),
+    );
     let stay = of.least_stay_s.unwrap_or(STAY_S);
     if !(0.0..=SECONDS_MOST).contains(&stay) {
-        fault("least_stay_s", format!("{name:?} stays {stay}: give seconds from 0 to {SECONDS_MOST}"));
+        fault(
+            "least_stay_s",
+            format!("{name:?} stays {stay}: give seconds from 0 to {SECONDS_MOST}"),
+        );
     }
-    let keep = of.shed.iter().map(|shed| (shed.class.clone(), shed.keep)).collect();
+    let keep = of
+        .shed
+        .iter()
+        .map(|shed| (shed.class.clone(), shed.keep))
+        .collect();
     let (tell, least_stay) = (of.tell.clone(), (stay * 1e6) as i64);
-    Some(Level { name, keep, enter: enter?, leave: leave?, least_stay, tell })
+    Some(Level {
+        name,
+        keep,
+        enter: enter?,
+        leave: leave?,
+        least_stay,
+        tell,
+    })
 }
 
 /// The ways in which a condition can hold, each a set of tests.
@@ -243,38 +320,66 @@
 /// Two ways of entering and leaving that could both hold, or hold by turns at the least noise.
 fn together(enter: &Condition, leave: &Condition) -> Option<(String, String)> {
     let apart = |one: &Test, other: &Test| {
-        let (high, low) = if one.above { (one, other) } else { (other, one) };
+        let (high, low) = if one.above {
+            (one, other)
+        } else {
+            (other, one)
+        };
         let gap = GAP_LEAST * high.bound.abs().max(low.bound.abs());
-        one.signal == other.signal && one.above != other.above && high.bound - low.bound >= gap - 1e-9
+        one.signal == other.signal
+            && one.above != other.above
+            && high.bound - low.bound >= gap - 1e-9
+    };
+    let told = |way: &[Test]| {
+        way.iter()
+            .map(Test::to_string)
+            .collect::<Vec<_>>()
+            .join(" and ")
     };
-    let told = |way: &[Test]| way.iter().map(Test::to_string).collect::<Vec<_>>().join(" and ");
     let (enters, leaves) = (ways(enter), ways(leave));
-    let pairs = enters.iter().flat_map(|enter| leaves.iter().map(move |leave| (enter, leave)));
-    let mut both =
-        pairs.filter(|(enter, leave)| !enter.iter().any(|one| leave.iter().any(|other| apart(one, other))));
+    let pairs = enters
+        .iter()
+        .flat_map(|enter| leaves.iter().map(move |leave| (enter, leave)));
+    let mut both = pairs.filter(|(enter, leave)| {
+        !enter
+            .iter()
+            .any(|one| leave.iter().any(|other| apart(one, other)))
+    });
     both.next().map(|(enter, leave)| (told(enter), told(leave)))
 }
 
 /// Whether the second condition holds whenever the first does.
 fn implied(first: &Condition, second: &Condition) -> bool {
     let stronger = |one: &Test, other: &Test| {
-        let bound = if one.above { one.bound >= other.bound } else { one.bound <= other.bound };
+        let bound = if one.above {
+            one.bound >= other.bound
+        } else {
+            one.bound <= other.bound
+        };
         one.signal == other.signal && one.above == other.above && bound && one.hold >= other.hold
     };
     let weaker = ways(second);
     ways(first).iter().all(|way| {
-        weaker.iter().any(|other| other.iter().all(|test| way.iter().any(|one| stronger(one, test))))
+        weaker.iter().any(|other| {
+            other
+                .iter()
+                .all(|test| way.iter().any(|one| stronger(one, test)))
+        })
     })
 }
 
 /// A class that loses more than a cheaper one does.
 fn dear_first<'a>(level: &Level, classes: &'a [Class]) -> Option<(&'a str, &'a str)> {
-    let order: Vec<&Class> = cheapest_first(classes).into_iter().map(|at| &classes[at]).collect();
+    let order: Vec<&Class> = cheapest_first(classes)
+        .into_iter()
+        .map(|at| &classes[at])
+        .collect();
     let kept = |class: &Class| level.keeps(&class.name);
     // Of two that are worth the same either may go first.
     let pair = order.iter().enumerate().find_map(|(at, dear)| {
-        let cheap =
-            order[..at].iter().find(|cheap| cheap.value() < dear.value() && kept(cheap) > kept(dear))?;
+        let cheap = order[..at]
+            .iter()
+            .find(|cheap| cheap.value() < dear.value() && kept(cheap) > kept(dear))?;
         Some((dear.name.as_str(), cheap.name.as_str()))
     });
     pair
@@ -284,7 +389,13 @@
 pub fn used(ladder: &Ladder) -> Vec<Signal> {
     let mut used: Vec<Signal> = Vec::new();
     for level in &ladder.levels {
-        used.extend(level.enter.tests().chain(level.leave.tests()).map(|test| test.signal));
+        used.extend(
+            level
+                .enter
+                .tests()
+                .chain(level.leave.tests())
+                .map(|test| test.signal),
+        );
     }
     used.sort_unstable();
     used.dedup();
@@ -332,10 +443,17 @@
             ("full", "calm reads", "petitions first")
         );
         assert_eq!(
-            (ladder.number("petitions first"), ladder.number("full"), ladder.number("x")),
+            (
+                ladder.number("petitions first"),
+                ladder.number("full"),
+                ladder.number("x")
+            ),
             (Some(2), Some(0), None)
         );
-        assert_eq!((ladder.levels[1].least_stay, ladder.levels[0].least_stay), (12_000_000, 8_000_000));
+        assert_eq!(
+            (ladder.levels[1].least_stay, ladder.levels[0].least_stay),
+            (12_000_000, 8_000_000)
+        );
         assert_eq!(used(&ladder), [Signal::Saturation, Signal::Room]);
     }
 
@@ -346,38 +464,96 @@
             let faults = parse(text).expect_err(text);
             let found = faults.iter().find(|fault| fault.said.contains(wanted));
             let fault = found.unwrap_or_else(|| panic!("{wanted}: {faults:?}"));
-            assert_eq!(fault.place(text).map(|place| place.line), Some(line), "{fault}");
+            assert_eq!(
+                fault.place(text).map(|place| place.line),
+                Some(line),
+                "{fault}"
+            );
         };
         let swapped = format!("{HARD}{MILD}");
         says(&swapped, 4, "levels go from mild to severe");
-        says(&format!("{MILD}{}", HARD.replace("above: 0.7", "above: 0.4")), 2, "is never entered");
-        says(&MILD.replace("below: 0.2", "below: 0.39"), 3, "entered and left at once");
-        says(&MILD.replace("SATURATION below: 0.2", "LATE below: 0.2"), 3, "entered and left at once");
-        let stays = MILD.split("leave").next().map(|head| format!("{head} }}")).unwrap_or_default();
+        says(
+            &format!("{MILD}{}", HARD.replace("above: 0.7", "above: 0.4")),
+            2,
+            "is never entered",
+        );
+        says(
+            &MILD.replace("below: 0.2", "below: 0.39"),
+            3,
+            "entered and left at once",
+        );
+        says(
+            &MILD.replace("SATURATION below: 0.2", "LATE below: 0.2"),
+            3,
+            "entered and left at once",
+        );
+        let stays = MILD
+            .split("leave")
+            .next()
+            .map(|head| format!("{head} }}"))
+            .unwrap_or_default();
         says(&stays, 1, "can't be left");
-        says(&MILD.replace("above: 1.2", "below: 0"), 3, "can't be left: ROOM below 0 is never so");
-        says(&MILD.replace("above: 0.4", "above: 1"), 2, "can't be reached");
+        says(
+            &MILD.replace("above: 1.2", "below: 0"),
+            3,
+            "can't be left: ROOM below 0 is never so",
+        );
+        says(
+            &MILD.replace("above: 0.4", "above: 1"),
+            2,
+            "can't be reached",
+        );
         says(
             &MILD.replace("status-read", "petition-file"),
             1,
             "sheds more of petition-file, which is dearer",
         );
-        says(&MILD.replace("status-read", "nothing"), 1, "no class \"nothing\"");
-        says(&MILD.replace("keep: 0.5", "keep: 0"), 1, "give a share from 0.1 to 1");
-        says(&format!("{MILD}{}", HARD.replace("petitions first", "calm reads")), 4, "is taken");
-        says(&MILD.replace("for_s: 1", "for_s: 99"), 2, "for_s from 0 to 30");
-        assert!(parse("").expect_err("nothing")[0].said.contains("without a level"));
-        assert!(parse(&format!("usual: true {MILD}")).expect_err("both")[0].said.contains("give either"));
-        assert!(parse("usual: true doubt_list_s: -1").expect_err("a fault")[0]
+        says(
+            &MILD.replace("status-read", "nothing"),
+            1,
+            "no class \"nothing\"",
+        );
+        says(
+            &MILD.replace("keep: 0.5", "keep: 0"),
+            1,
+            "give a share from 0.1 to 1",
+        );
+        says(
+            &format!("{MILD}{}", HARD.replace("petitions first", "calm reads")),
+            4,
+            "is taken",
+        );
+        says(
+            &MILD.replace("for_s: 1", "for_s: 99"),
+            2,
+            "for_s from 0 to 30",
+        );
+        assert!(parse("").expect_err("nothing")[0]
+            .said
+            .contains("without a level"));
+        assert!(parse(&format!("usual: true {MILD}")).expect_err("both")[0]
             .said
-            .contains("doubt_list_s is -1"));
+            .contains("give either"));
+        assert!(
+            parse("usual: true doubt_list_s: -1").expect_err("a fault")[0]
+                .said
+                .contains("doubt_list_s is -1")
+        );
     }
 
     #[test]
     fn either_way_of_entering_needs_its_gap() {
-        let any = MILD.replace("enter { all {", "enter { any { signal: LATE above: 0.3 } any {");
-        assert!(parse(&any).expect_err("LATE has no gap")[0].said.contains("LATE above 0.3"));
-        let both = any.replace("leave { all {", "leave { all { signal: LATE below: 0.1 } all {");
+        let any = MILD.replace(
+            "enter { all {",
+            "enter { any { signal: LATE above: 0.3 } any {",
+        );
+        assert!(parse(&any).expect_err("LATE has no gap")[0]
+            .said
+            .contains("LATE above 0.3"));
+        let both = any.replace(
+            "leave { all {",
+            "leave { all { signal: LATE below: 0.1 } all {",
+        );
         assert!(parse(&both).is_ok(), "{:?}", parse(&both));
     }
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -63,6 +63,11 @@
 /// The order of classes in which service is reduced: the least worth for its time first.
 pub fn cheapest_first(classes: &[Class]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..classes.len()).collect();
-    order.sort_by(|a, b| classes[*a].value().total_cmp(&classes[*b].value()).then(a.cmp(b)));
+    order.sort_by(|a, b| {
+        classes[*a]
+            .value()
+            .total_cmp(&classes[*b].value())
+            .then(a.cmp(b))
+    });
     order
 }
--- a/crates/limits/src/limiter.rs
+++ b/crates/limits/src/limiter.rs
@@ -66,7 +66,15 @@
 impl Limiter {
     /// One that lets all in.
     pub fn new(rule: Rule, target: f64) -> Self {
-        Limiter { rule, target, share: 1.0, does: 0.0, least_ms: 0.0, strain: 0.0, told: false }
+        Limiter {
+            rule,
+            target,
+            share: 1.0,
+            does: 0.0,
+            least_ms: 0.0,
+            strain: 0.0,
+            told: false,
+        }
     }
 
     /// The share let in.
@@ -81,9 +89,20 @@
 
     /// Takes in what a report shows, and moves the share. What is no number is passed over.
     pub fn step(&mut self, seen: &Seen) -> f64 {
-        let figures =
-            [seen.seconds, seen.offered, seen.let_in, seen.good, seen.strain, seen.took_ms, seen.warm];
-        if figures.iter().any(|figure| !figure.is_finite() || *figure < 0.0) || seen.seconds <= 0.0 {
+        let figures = [
+            seen.seconds,
+            seen.offered,
+            seen.let_in,
+            seen.good,
+            seen.strain,
+            seen.took_ms,
+            seen.warm,
+        ];
+        if figures
+            .iter()
+            .any(|figure| !figure.is_finite() || *figure < 0.0)
+            || seen.seconds <= 0.0
+        {
             return self.share;
         }
         self.learn(seen);
@@ -144,14 +163,22 @@
             return self.share;
         }
         let least = self.least_ms * (1.0 + GRADIENT.1).powf(seen.seconds);
-        self.least_ms =
-            if self.least_ms > 0.0 { least.min(seen.took_ms) } else { seen.took_ms }.max(LEAST_MS);
+        self.least_ms = if self.least_ms > 0.0 {
+            least.min(seen.took_ms)
+        } else {
+            seen.took_ms
+        }
+        .max(LEAST_MS);
         let gradient = (GRADIENT.0 * self.least_ms / seen.took_ms).clamp(0.5, 1.0);
         self.share + GRADIENT.2 * (self.share * gradient + GRADIENT.3 - self.share)
     }
 
     fn by_target(&self, seen: &Seen) -> f64 {
-        let moved = if self.told { seen.strain - self.strain } else { 0.0 };
+        let moved = if self.told {
+            seen.strain - self.strain
+        } else {
+            0.0
+        };
         self.share - GAINS.0 * moved - GAINS.1 * (seen.strain - self.target) * seen.seconds
     }
 }
@@ -210,7 +237,10 @@
     fn every_rule_lets_all_in_while_there_is_room() {
         for rule in RULES {
             let shares = play(rule, 2, |_| 60.0, |_| 1.0);
-            assert!(shares.iter().all(|share| *share > 0.95), "{rule:?}: {shares:?}");
+            assert!(
+                shares.iter().all(|share| *share > 0.95),
+                "{rule:?}: {shares:?}"
+            );
         }
     }
 
@@ -218,8 +248,18 @@
     #[test]
     fn every_rule_finds_what_can_be_done_and_lets_go() {
         for rule in RULES {
-            let shares =
-                play(rule, 2, |second| if (40..100).contains(&second) { 200.0 } else { 60.0 }, |_| 1.0);
+            let shares = play(
+                rule,
+                2,
+                |second| {
+                    if (40..100).contains(&second) {
+                        200.0
+                    } else {
+                        60.0
+                    }
+                },
+                |_| 1.0,
+            );
             let during = mean(&shares[70..100]);
             assert!((0.3..0.7).contains(&during), "{rule:?}: {during}");
             assert!(mean(&shares[150..]) > 0.9, "{rule:?}: {:?}", &shares[140..]);
@@ -230,13 +270,23 @@
     #[test]
     fn by_capacity_the_share_stands_still_under_a_steady_overload() {
         let swing = |rule: Rule, late: usize| {
-            let shares = play(rule, late, |second| if second >= 40 { 200.0 } else { 60.0 }, |_| 1.0);
-            let (least, most) =
-                shares[100..].iter().fold((1.0f64, 0.0f64), |(l, m), s| (l.min(*s), m.max(*s)));
+            let shares = play(
+                rule,
+                late,
+                |second| if second >= 40 { 200.0 } else { 60.0 },
+                |_| 1.0,
+            );
+            let (least, most) = shares[100..]
+                .iter()
+                .fold((1.0f64, 0.0f64), |(l, m), s| (l.min(*s), m.max(*s)));
             most - least
         };
         for late in [1, 2] {
-            assert!(swing(Rule::Capacity, late) < 0.2, "{}", swing(Rule::Capacity, late));
+            assert!(
+                swing(Rule::Capacity, late) < 0.2,
+                "{}",
+                swing(Rule::Capacity, late)
+            );
         }
         assert!(swing(Rule::Aimd, 2) > swing(Rule::Capacity, 2));
     }
@@ -250,7 +300,11 @@
             |second| if second >= 30 { 180.0 } else { 60.0 },
             |second| if second >= 90 { 0.5 } else { 1.0 },
         );
-        assert!(shares[95] < 0.75 * mean(&shares[70..88]), "{:?}", &shares[86..98]);
+        assert!(
+            shares[95] < 0.75 * mean(&shares[70..88]),
+            "{:?}",
+            &shares[86..98]
+        );
     }
 
     proptest! {
--- a/crates/limits/src/repeats.rs
+++ b/crates/limits/src/repeats.rs
@@ -117,7 +117,11 @@
             add(&mut sums.1, of.let_in.get(class).copied().unwrap_or(0.0));
         }
         let roomy = of.strain < ROOM.0 && of.room.is_some_and(|room| room > ROOM.1);
-        self.roomy = if roomy { self.roomy.saturating_add(1) } else { 0 };
+        self.roomy = if roomy {
+            self.roomy.saturating_add(1)
+        } else {
+            0
+        };
         self.waits = self.waits.saturating_add(1);
         let spent = self.spent();
         if spent > self.ratio && self.waits >= PACE.0 && self.narrowed < self.order.len() {
@@ -150,7 +154,13 @@
     use super::*;
 
     fn class(worth: f64, effect: Effect) -> Class {
-        Class { name: format!("{worth}"), worth, aim_s: 1.0, deadline_s: 5.0, effect }
+        Class {
+            name: format!("{worth}"),
+            worth,
+            aim_s: 1.0,
+            deadline_s: 5.0,
+            effect,
+        }
     }
 
     fn classes() -> Vec<Class> {
@@ -185,7 +195,10 @@
         for _ in 0..3 {
             repeats.learn(&report(140.0, 10.0, 0.5));
         }
-        assert_eq!(ways(&repeats), [Again::Unrun, Again::Never, Again::Unrun, Again::Unrun]);
+        assert_eq!(
+            ways(&repeats),
+            [Again::Unrun, Again::Never, Again::Unrun, Again::Unrun]
+        );
         for _ in 0..10 {
             repeats.learn(&report(140.0, 10.0, 0.5));
         }
--- a/crates/limits/src/signals.rs
+++ b/crates/limits/src/signals.rs
@@ -24,8 +24,14 @@
 }
 
 /// All signals, in the order of their numbers.
-pub const SIGNALS: [Signal; 6] =
-    [Signal::Saturation, Signal::Late, Signal::Queue, Signal::Again, Signal::Room, Signal::Cut];
+pub const SIGNALS: [Signal; 6] = [
+    Signal::Saturation,
+    Signal::Late,
+    Signal::Queue,
+    Signal::Again,
+    Signal::Room,
+    Signal::Cut,
+];
 
 impl Signal {
     /// Its name as the text format has it.
@@ -42,7 +48,9 @@
 
     /// A signal by its name.
     pub fn by_name(name: &str) -> Option<Signal> {
-        SIGNALS.into_iter().find(|signal| signal.name().eq_ignore_ascii_case(name))
+        SIGNALS
+            .into_iter()
+            .find(|signal| signal.name().eq_ignore_ascii_case(name))
     }
 
     /// Least and greatest value.
@@ -117,10 +125,16 @@
             return false;
         }
         let (least, most) = signal.range();
-        let sample = Sample { value: sample.value.clamp(least, most), ..sample };
+        let sample = Sample {
+            value: sample.value.clamp(least, most),
+            ..sample
+        };
         let samples = &mut self.samples[signal as usize];
         let place = samples.partition_point(|known| known.at < sample.at);
-        if samples.get(place).is_some_and(|known| known.at == sample.at) {
+        if samples
+            .get(place)
+            .is_some_and(|known| known.at == sample.at)
+        {
             return false;
         }
         if samples.len() >= KEPT {
@@ -180,7 +194,11 @@
     use super::*;
 
     fn sample(at: i64, value: f64) -> Sample {
-        Sample { at, value, sure: 1.0 }
+        Sample {
+            at,
+            value,
+            sure: 1.0,
+        }
     }
 
     #[test]
@@ -194,7 +212,14 @@
         assert_eq!(board.held(Signal::Late, 10, |value| value > 0.6), None);
         assert!(!board.learn(Signal::Late, sample(2, 0.9)), "known already");
         assert!(!board.learn(Signal::Late, sample(9, f64::NAN)));
-        assert!(!board.learn(Signal::Late, Sample { at: 9, value: 1.0, sure: 0.1 }));
+        assert!(!board.learn(
+            Signal::Late,
+            Sample {
+                at: 9,
+                value: 1.0,
+                sure: 0.1
+            }
+        ));
     }
 
     #[test]
@@ -205,7 +230,10 @@
         }
         assert_eq!(board.held(Signal::Queue, 5, |value| value > 2.0), Some(1));
         assert_eq!(board.newest(Signal::Queue, 30, 5), None);
-        assert_eq!(board.newest(Signal::Queue, 24, 5).map(|newest| newest.at), Some(21));
+        assert_eq!(
+            board.newest(Signal::Queue, 24, 5).map(|newest| newest.at),
+            Some(21)
+        );
     }
 
     #[test]
--- a/crates/limits/src/steps.rs
+++ b/crates/limits/src/steps.rs
@@ -104,7 +104,15 @@
     /// Full service, under a ladder.
     pub fn new(ladder: Ladder) -> Self {
         let left = vec![(None, 1); ladder.levels.len() + 1];
-        Steps { ladder, level: 0, since: i64::MIN / 2, missing: None, good: None, left, believed: 1 }
+        Steps {
+            ladder,
+            level: 0,
+            since: i64::MIN / 2,
+            missing: None,
+            good: None,
+            left,
+            believed: 1,
+        }
     }
 
     /// The ladder.
@@ -142,7 +150,9 @@
             let level = self.ladder.levels.get(number - 1);
             level.is_some_and(|level| level.enter.known(board, now, age, |_| false) == Known::Yes)
         };
-        let up = (self.level + 1..=self.ladder.levels.len()).rev().find(holds);
+        let up = (self.level + 1..=self.ladder.levels.len())
+            .rev()
+            .find(holds);
         if let Some(number) = up.filter(|_| now.saturating_sub(self.since) >= SHOWS) {
             let condition = self.ladder.levels[number - 1].enter.to_string();
             return Some(self.go(now, number, Reason::Entered, condition, board));
@@ -153,16 +163,27 @@
         let stayed = now.saturating_sub(self.since) >= self.stays();
         self.missing = (leave == Known::Unknown).then(|| self.missing.unwrap_or(now));
         self.good = (measured == Known::Yes).then(|| self.good.unwrap_or(now));
-        let long =
-            |since: Option<i64>, most: i64| since.is_some_and(|since| now.saturating_sub(since) >= most);
+        let long = |since: Option<i64>, most: i64| {
+            since.is_some_and(|since| now.saturating_sub(since) >= most)
+        };
         let (condition, reason) = if leave == Known::Yes && stayed {
             (level.leave.to_string(), Reason::Left)
         } else if long(self.missing, self.ladder.without_signals) && stayed {
             let seconds = self.ladder.without_signals as f64 / 1e6;
-            (format!("nothing known of {} for {seconds} s", level.leave), Reason::NoSignals)
-        } else if long(self.good, self.ladder.doubt_list.saturating_mul(self.believed)) && stayed {
+            (
+                format!("nothing known of {} for {seconds} s", level.leave),
+                Reason::NoSignals,
+            )
+        } else if long(
+            self.good,
+            self.ladder.doubt_list.saturating_mul(self.believed),
+        ) && stayed
+        {
             self.believed = (self.believed * BACKOFF.0).min(BACKOFF.1 * BACKOFF.1);
-            (format!("all that is measured in {}", level.leave), Reason::Doubted)
+            (
+                format!("all that is measured in {}", level.leave),
+                Reason::Doubted,
+            )
         } else {
             return None;
         };
@@ -171,12 +192,22 @@
 
     /// How long the level in force stays at least.
     fn stays(&self) -> i64 {
-        let stay =
-            self.level.checked_sub(1).and_then(|at| self.ladder.levels.get(at)).map_or(0, |of| of.least_stay);
+        let stay = self
+            .level
+            .checked_sub(1)
+            .and_then(|at| self.ladder.levels.get(at))
+            .map_or(0, |of| of.least_stay);
         stay.saturating_mul(self.left.get(self.level).map_or(1, |(_, times)| *times))
     }
 
-    fn go(&mut self, now: i64, number: usize, reason: Reason, condition: String, board: &Board) -> Change {
+    fn go(
+        &mut self,
+        now: i64,
+        number: usize,
+        reason: Reason,
+        condition: String,
+        board: &Board,
+    ) -> Change {
         let from = self.name().to_string();
         if number < self.level {
             if let Some(left) = self.left.get_mut(self.level) {
@@ -185,7 +216,10 @@
         } else {
             // Danger: a load that hovers drives a level in and out as fast as its least stay allows.
             for left in self.left.iter_mut().skip(1).take(number) {
-                let soon = left.0.take().map(|at| now.saturating_sub(at) < AGAIN_WITHIN);
+                let soon = left
+                    .0
+                    .take()
+                    .map(|at| now.saturating_sub(at) < AGAIN_WITHIN);
                 left.1 = match soon {
                     Some(true) => (left.1 * BACKOFF.0).min(BACKOFF.1),
                     Some(false) => 1,
@@ -197,10 +231,22 @@
             self.believed = 1;
         }
         (self.level, self.since, self.missing, self.good) = (number, now, None, None);
-        let shown = used(&self.ladder).into_iter().map(|signal| board.shown(signal, now));
-        let entered = number.checked_sub(1).and_then(|at| self.ladder.levels.get(at));
+        let shown = used(&self.ladder)
+            .into_iter()
+            .map(|signal| board.shown(signal, now));
+        let entered = number
+            .checked_sub(1)
+            .and_then(|at| self.ladder.levels.get(at));
         let tell = entered.map(|level| level.tell.clone()).unwrap_or_default();
-        Change { from, to: self.name().to_string(), number, reason, condition, shown: shown.collect(), tell }
+        Change {
+            from,
+            to: self.name().to_string(),
+            number,
+            reason,
+            condition,
+            shown: shown.collect(),
+            tell,
+        }
     }
 
     /// Puts another ladder in the place of this one. A level that it has too, by name, stays in force with its time; else the
@@ -216,7 +262,8 @@
         let (level, since, left) = (self.level, self.since, std::mem::take(&mut self.left));
         let old = std::mem::replace(&mut self.ladder, ladder);
         let sheds = |number: &usize| {
-            kept.iter().all(|(class, keep)| self.ladder.levels[number - 1].keeps(class) <= *keep)
+            kept.iter()
+                .all(|(class, keep)| self.ladder.levels[number - 1].keeps(class) <= *keep)
         };
         let last = self.ladder.levels.len();
         let number = match self.ladder.number(&from) {
@@ -224,23 +271,37 @@
             None => (1..=last).find(sheds).unwrap_or(last),
         };
         // What is known of a level that stays declared stays known.
-        let past =
-            |name: &str| old.number(name).and_then(|number| left.get(number).copied()).unwrap_or((None, 1));
-        self.left = (0..=last).map(|number| past(self.ladder.name(number))).collect();
+        let past = |name: &str| {
+            old.number(name)
+                .and_then(|number| left.get(number).copied())
+                .unwrap_or((None, 1))
+        };
+        self.left = (0..=last)
+            .map(|number| past(self.ladder.name(number)))
+            .collect();
         if level == 0 || number > 0 && self.ladder.name(number) == from {
             (self.level, self.since, self.missing, self.good) = (number, since, None, None);
             return None;
         }
         self.level = 0;
-        let mut change =
-            self.go(now, number, Reason::Replaced, format!("{from:?} is not in the new ladder"), board);
+        let mut change = self.go(
+            now,
+            number,
+            Reason::Replaced,
+            format!("{from:?} is not in the new ladder"),
+            board,
+        );
         change.from = from;
         Some(change)
     }
 
     /// What should survive a restart.
     pub fn saved(&self, now: i64) -> pb::Saved {
-        pb::Saved { level: self.name().to_string(), since_us: self.since, at_us: now }
+        pb::Saved {
+            level: self.name().to_string(),
+            since_us: self.since,
+            at_us: now,
+        }
     }
 
     /// As it was at a moment of which records tell: for looking at it, not for serving. Whether the ladder has this level.
@@ -253,7 +314,12 @@
     }
 
     /// Takes up the level that was in force before a restart; or a sentence on why it is left.
-    pub fn restore(&mut self, now: i64, saved: &pb::Saved, board: &Board) -> Result<Option<Change>, String> {
+    pub fn restore(
+        &mut self,
+        now: i64,
+        saved: &pb::Saved,
+        board: &Board,
+    ) -> Result<Option<Change>, String> {
         let age = now.saturating_sub(saved.at_us);
         if saved.level == self.ladder.name(0) {
             return Ok(None);
@@ -271,7 +337,9 @@
             .ok_or_else(|| format!("no level {:?} in this ladder", saved.level))?;
         let condition = format!("in force {:.1} s ago", age as f64 / 1e6);
         let change = self.go(now, number, Reason::Restored, condition, board);
-        self.since = saved.since_us.clamp(now.saturating_sub(SHOWS).min(saved.at_us), now);
+        self.since = saved
+            .since_us
+            .clamp(now.saturating_sub(SHOWS).min(saved.at_us), now);
         Ok(Some(change))
     }
 
@@ -284,12 +352,21 @@
             up,
             condition: condition.to_string(),
             known: condition.known(board, now, age, |_| false),
-            tests: condition.tests().map(|test| test.distance(board, now, age)).collect(),
+            tests: condition
+                .tests()
+                .map(|test| test.distance(board, now, age))
+                .collect(),
             stay: if up { 0 } else { stay },
         };
         let higher = self.ladder.levels.iter().enumerate().skip(self.level);
-        let mut rows: Vec<Row> = higher.map(|(at, level)| row(at + 1, true, &level.enter)).collect();
-        if let Some(level) = self.level.checked_sub(1).and_then(|at| self.ladder.levels.get(at)) {
+        let mut rows: Vec<Row> = higher
+            .map(|(at, level)| row(at + 1, true, &level.enter))
+            .collect();
+        if let Some(level) = self
+            .level
+            .checked_sub(1)
+            .and_then(|at| self.ladder.levels.get(at))
+        {
             rows.insert(0, row(self.level - 1, false, &level.leave));
         }
         rows
--- a/crates/limits/src/usual.rs
+++ b/crates/limits/src/usual.rs
@@ -28,7 +28,11 @@
     for (place, class) in order.iter().enumerate() {
         let name = &classes[*class].name;
         let last = place + 1 == order.len();
-        let parts = if last { vec![("half", HALF)] } else { vec![("half", HALF), ("little", KEEP_LEAST)] };
+        let parts = if last {
+            vec![("half", HALF)]
+        } else {
+            vec![("half", HALF), ("little", KEEP_LEAST)]
+        };
         for (word, keep) in parts {
             kept.retain(|(known, _)| known != name);
             kept.push((name.clone(), keep));
@@ -37,14 +41,26 @@
     }
     let count = steps.len();
     let level = |(number, (name, keep)): (usize, (String, Vec<(String, f64)>))| {
-        let way = if count > 1 { number as f64 / (count - 1) as f64 } else { 0.0 };
+        let way = if count > 1 {
+            number as f64 / (count - 1) as f64
+        } else {
+            0.0
+        };
         let enter = ((ENTER.0 + (ENTER.1 - ENTER.0) * way) * 100.0).round() / 100.0;
         let leave = ((enter - GAP) * 100.0).round() / 100.0;
-        let test = |signal, above, bound, hold| Test { signal, above, bound, hold };
+        let test = |signal, above, bound, hold| Test {
+            signal,
+            above,
+            bound,
+            hold,
+        };
         Level {
             name,
             keep,
-            enter: Condition { all: vec![test(Signal::Saturation, true, enter, HOLD.0)], any: vec![] },
+            enter: Condition {
+                all: vec![test(Signal::Saturation, true, enter, HOLD.0)],
+                any: vec![],
+            },
             leave: Condition {
                 all: vec![
                     test(Signal::Saturation, false, leave, HOLD.1),
@@ -66,16 +82,27 @@
     use crate::{pb, Effect};
 
     fn class(name: &str, worth: f64, aim_s: f64) -> Class {
-        Class { name: name.into(), worth, aim_s, deadline_s: 3.0, effect: Effect::Safe }
+        Class {
+            name: name.into(),
+            worth,
+            aim_s,
+            deadline_s: 3.0,
+            effect: Effect::Safe,
+        }
     }
 
     #[test]
     fn the_usual_ladder_is_right_for_any_classes() {
-        let of = pb::Ladder { usual: Some(true), ..pb::Ladder::default() };
+        let of = pb::Ladder {
+            usual: Some(true),
+            ..pb::Ladder::default()
+        };
         for count in 1..=6 {
-            let classes: Vec<Class> =
-                (0..count).map(|n| class(&format!("c{n}"), 1.0 + f64::from((n * 5) % 7), 0.5)).collect();
-            let ladder = Ladder::read(&of, Some(&classes)).unwrap_or_else(|faults| panic!("{faults:?}"));
+            let classes: Vec<Class> = (0..count)
+                .map(|n| class(&format!("c{n}"), 1.0 + f64::from((n * 5) % 7), 0.5))
+                .collect();
+            let ladder =
+                Ladder::read(&of, Some(&classes)).unwrap_or_else(|faults| panic!("{faults:?}"));
             assert_eq!(ladder.levels.len(), 2 * count as usize - 1);
         }
     }
@@ -85,11 +112,21 @@
         let levels = levels(&[class("file", 8.0, 1.5), class("read", 2.0, 0.6)]);
         let told: Vec<(&str, f64, f64)> = levels
             .iter()
-            .map(|level| (level.name.as_str(), level.keeps("read"), level.keeps("file")))
+            .map(|level| {
+                (
+                    level.name.as_str(),
+                    level.keeps("read"),
+                    level.keeps("file"),
+                )
+            })
             .collect();
         assert_eq!(
             told,
-            [("half of read", 0.5, 1.0), ("little of read", 0.1, 1.0), ("half of file", 0.1, 0.5)]
+            [
+                ("half of read", 0.5, 1.0),
+                ("little of read", 0.1, 1.0),
+                ("half of file", 0.1, 0.5)
+            ]
         );
     }
 }
--- a/crates/limits/tests/ladder.rs
+++ b/crates/limits/tests/ladder.rs
@@ -11,9 +11,17 @@
 const S: i64 = 1_000_000;
 
 fn classes() -> Vec<Class> {
-    let class =
-        |name: &str, worth, effect| Class { name: name.into(), worth, aim_s: 1.0, deadline_s: 3.0, effect };
-    vec![class("status-read", 1.0, Effect::Safe), class("petition-file", 5.0, Effect::Keyed(10.0))]
+    let class = |name: &str, worth, effect| Class {
+        name: name.into(),
+        worth,
+        aim_s: 1.0,
+        deadline_s: 3.0,
+        effect,
+    };
+    vec![
+        class("status-read", 1.0, Effect::Safe),
+        class("petition-file", 5.0, Effect::Keyed(10.0)),
+    ]
 }
 
 fn read(text: &str) -> Ladder {
@@ -55,11 +63,23 @@
 
 impl Played {
     fn new(ladder: Ladder) -> Self {
-        Played { steps: Steps::new(ladder), board: Board::default(), now: 1000 * S, changes: Vec::new() }
+        Played {
+            steps: Steps::new(ladder),
+            board: Board::default(),
+            now: 1000 * S,
+            changes: Vec::new(),
+        }
     }
 
     fn tell(&mut self, signal: Signal, at: i64, value: f64) {
-        self.board.learn(signal, Sample { at, value, sure: 1.0 });
+        self.board.learn(
+            signal,
+            Sample {
+                at,
+                value,
+                sure: 1.0,
+            },
+        );
     }
 
     /// A second in which signals tell of now; what is nothing is not told.
@@ -79,7 +99,8 @@
             assert_eq!(change.to, self.steps.name());
             assert!(!change.condition.is_empty(), "a change without its cause");
             assert!(
-                change.reason == Reason::NoSignals || change.shown.iter().any(|shown| shown.value.is_some())
+                change.reason == Reason::NoSignals
+                    || change.shown.iter().any(|shown| shown.value.is_some())
             );
             self.changes.push((self.now, change));
         }
@@ -100,10 +121,22 @@
     }
     played.many(40, 0.1, 2.0);
     // A level that was left too early stays longer the next time, so that there may be fewer changes than swings, never more.
-    let ways: Vec<usize> = played.changes.iter().map(|(_, change)| change.number).collect();
+    let ways: Vec<usize> = played
+        .changes
+        .iter()
+        .map(|(_, change)| change.number)
+        .collect();
     assert!(ways.len() <= 20 && ways.len() >= 8, "{ways:?}");
-    assert!(ways.iter().enumerate().all(|(at, way)| *way == (at + 1) % 2), "{ways:?}");
-    assert!(played.changes.iter().all(|(_, change)| change.shown.len() == 2));
+    assert!(
+        ways.iter()
+            .enumerate()
+            .all(|(at, way)| *way == (at + 1) % 2),
+        "{ways:?}"
+    );
+    assert!(played
+        .changes
+        .iter()
+        .all(|(_, change)| change.shown.len() == 2));
 }
 
 /// Danger: load that hovers at a threshold drives the level in and out.
@@ -118,15 +151,26 @@
                 Some(1.1 + chance.random_range(-0.1..0.1)),
             );
         }
-        assert!(played.changes.len() <= 2, "{centre}: {}", played.changes.len());
+        assert!(
+            played.changes.len() <= 2,
+            "{centre}: {}",
+            played.changes.len()
+        );
     }
     // Wider than the gap, as fast as the ladder allows: each return stays longer.
     let mut played = Played::new(one());
     for second in 0..600 {
         let high = second % 24 < 12;
-        played.second(Some(if high { 0.9 } else { 0.1 }), Some(if high { 0.5 } else { 2.0 }));
+        played.second(
+            Some(if high { 0.9 } else { 0.1 }),
+            Some(if high { 0.5 } else { 2.0 }),
+        );
     }
-    assert!(played.changes.len() <= 25, "{} changes in 25 swings", played.changes.len());
+    assert!(
+        played.changes.len() <= 25,
+        "{} changes in 25 swings",
+        played.changes.len()
+    );
 }
 
 /// Signals that come in lumps, late and twice lead to the same levels as when they come one by one, so much later.
@@ -137,22 +181,40 @@
     let mut lumpy = Played::new(one());
     let begin = plain.now;
     for second in 1..=120 {
-        plain.second(Some(value(second)), Some(if value(second) > 0.5 { 0.5 } else { 2.0 }));
+        plain.second(
+            Some(value(second)),
+            Some(if value(second) > 0.5 { 0.5 } else { 2.0 }),
+        );
         lumpy.now = begin + second * S;
         if second % 4 == 0 {
             // The last four seconds, the newest first, and all of them twice.
             for back in [0, 1, 2, 3, 2, 1, 0] {
                 let at = second - back;
                 lumpy.tell(Signal::Saturation, begin + at * S, value(at));
-                lumpy.tell(Signal::Room, begin + at * S, if value(at) > 0.5 { 0.5 } else { 2.0 });
+                lumpy.tell(
+                    Signal::Room,
+                    begin + at * S,
+                    if value(at) > 0.5 { 0.5 } else { 2.0 },
+                );
             }
         }
         lumpy.look();
     }
-    let told = |played: &Played| played.changes.iter().map(|(_, change)| change.number).collect::<Vec<_>>();
+    let told = |played: &Played| {
+        played
+            .changes
+            .iter()
+            .map(|(_, change)| change.number)
+            .collect::<Vec<_>>()
+    };
     assert_eq!((told(&plain), told(&lumpy)), (vec![1, 0], vec![1, 0]));
     for (one, other) in plain.changes.iter().zip(&lumpy.changes) {
-        assert!((0..=4 * S).contains(&(other.0 - one.0)), "{} against {}", other.0, one.0);
+        assert!(
+            (0..=4 * S).contains(&(other.0 - one.0)),
+            "{} against {}",
+            other.0,
+            one.0
+        );
     }
 }
 
@@ -166,7 +228,10 @@
     played.many(30, 0.1, 0.8);
     assert_eq!(played.steps.level(), 1, "let go before servers are warm");
     played.many(5, 0.1, 1.5);
-    assert_eq!((played.steps.level(), played.changes[1].1.reason), (0, Reason::Left));
+    assert_eq!(
+        (played.steps.level(), played.changes[1].1.reason),
+        (0, Reason::Left)
+    );
     // The roster never tells of the recovery: after a minute in which all that is measured is good it is doubted.
     played.many(20, 0.9, 0.5);
     played.many(70, 0.1, 0.8);
@@ -194,10 +259,15 @@
     for _ in 0..80 {
         played.second(None, None);
     }
-    let times: Vec<i64> = played.changes[1..].iter().map(|(at, _)| (at - begin) / S).collect();
+    let times: Vec<i64> = played.changes[1..]
+        .iter()
+        .map(|(at, _)| (at - begin) / S)
+        .collect();
     // Too old after 5 s, 15 s without: one level at a time.
     assert_eq!(times, [21, 37, 53], "{times:?}");
-    assert!(played.changes[1..].iter().all(|(_, change)| change.reason == Reason::NoSignals));
+    assert!(played.changes[1..]
+        .iter()
+        .all(|(_, change)| change.reason == Reason::NoSignals));
 }
 
 /// A supervisor that stood still: what it finds afterwards is old, and no level is entered on it.
@@ -230,20 +300,38 @@
         (steps.level(), told)
     };
     let (level, told) = again(10 * S, &saved);
-    assert_eq!((level, told.expect("in time").expect("a change").reason), (1, Reason::Restored));
+    assert_eq!(
+        (level, told.expect("in time").expect("a change").reason),
+        (1, Reason::Restored)
+    );
     let (level, told) = again(RESTORE_WITHIN + S, &saved);
     assert!(level == 0 && told.expect_err("too old").contains("at most 60 s"));
     let (level, told) = again(-S, &saved);
     assert!(level == 0 && told.is_err(), "from the future");
-    let (level, told) = again(S, &pb::Saved { level: "another".into(), ..saved.clone() });
+    let (level, told) = again(
+        S,
+        &pb::Saved {
+            level: "another".into(),
+            ..saved.clone()
+        },
+    );
     assert!(level == 0 && told.expect_err("unknown").contains("no level \"another\""));
-    let (_, told) = again(S, &pb::Saved { level: "full".into(), ..saved });
+    let (_, told) = again(
+        S,
+        &pb::Saved {
+            level: "full".into(),
+            ..saved
+        },
+    );
     assert_eq!(told, Ok(None));
     // Restored and without signals, it does not stand for good.
     let mut restored = Played::new(one());
     restored.now = at + 10 * S;
     let saved = played.steps.saved(at);
-    restored.steps.restore(restored.now, &saved, &restored.board).expect("in time");
+    restored
+        .steps
+        .restore(restored.now, &saved, &restored.board)
+        .expect("in time");
     (0..40).for_each(|_| restored.second(None, None));
     assert_eq!(restored.steps.level(), 0);
 }
@@ -260,7 +348,14 @@
          leave { all { signal: SATURATION below: 0.4 for_s: 2 } } }",
     );
     assert_eq!(played.steps.replace(now, two, &played.board), None);
-    assert_eq!((played.steps.name(), played.steps.level(), played.steps.since()), ("l2", 1, since));
+    assert_eq!(
+        (
+            played.steps.name(),
+            played.steps.level(),
+            played.steps.since()
+        ),
+        ("l2", 1, since)
+    );
     // It is gone: the mildest that sheds no less takes over, with its reason.
     let other = read(
         "level { name: 'mild' shed { class: 'status-read' keep: 0.8 } enter { all { signal: SATURATION above: 0.3 } }\n\
@@ -268,8 +363,14 @@
          level { name: 'hard' shed { class: 'status-read' keep: 0.2 } enter { all { signal: SATURATION above: 0.8 } }\n\
          leave { all { signal: SATURATION below: 0.5 } } }",
     );
-    let change = played.steps.replace(now, other, &played.board).expect("a change");
-    assert_eq!((change.from.as_str(), change.to.as_str(), change.reason), ("l2", "hard", Reason::Replaced));
+    let change = played
+        .steps
+        .replace(now, other, &played.board)
+        .expect("a change");
+    assert_eq!(
+        (change.from.as_str(), change.to.as_str(), change.reason),
+        ("l2", "hard", Reason::Replaced)
+    );
     played.many(60, 0.05, 1.0);
     assert_eq!(played.steps.level(), 0);
 }
@@ -293,8 +394,9 @@
     let state = |played: &Played| {
         let age = ((played.now - played.steps.since()) / S).clamp(0, 6);
         let samples = played.board.of(Signal::Saturation).iter().rev().take(2);
-        let samples: Vec<(i64, i64)> =
-            samples.map(|of| ((of.value * 100.0) as i64, ((played.now - of.at) / S).min(6))).collect();
+        let samples: Vec<(i64, i64)> = samples
+            .map(|of| ((of.value * 100.0) as i64, ((played.now - of.at) / S).min(6)))
+            .collect();
         (played.steps.level(), age, samples)
     };
     let (mut seen, mut open) = (HashSet::new(), VecDeque::from([(0, Played::new(three()))]));
@@ -307,8 +409,16 @@
         for two in played.changes.windows(2) {
             let (first, second) = (&two[0], &two[1]);
             let down = second.1.number < first.1.number;
-            assert!(!down || second.0 - first.0 >= 5 * S, "left too early: {:?}", played.changes);
-            assert!(second.0 - first.0 >= 4 * S, "changed at once: {:?}", played.changes);
+            assert!(
+                !down || second.0 - first.0 >= 5 * S,
+                "left too early: {:?}",
+                played.changes
+            );
+            assert!(
+                second.0 - first.0 >= 4 * S,
+                "changed at once: {:?}",
+                played.changes
+            );
         }
         // Once the cause is gone the level goes, from wherever it stands; and without any signal as well.
         if played.steps.level() > 0 {
@@ -317,7 +427,12 @@
             assert_eq!(calm.steps.level(), 0, "a trap after {:?}", played.changes);
             let mut silent = played.clone();
             (0..200).for_each(|_| silent.second(None, None));
-            assert_eq!(silent.steps.level(), 0, "a trap in silence after {:?}", played.changes);
+            assert_eq!(
+                silent.steps.level(),
+                0,
+                "a trap in silence after {:?}",
+                played.changes
+            );
         }
         for next in shown.iter().filter(|_| depth < 14) {
             let mut carried = played.clone();
@@ -350,7 +465,8 @@
         }
         load += 0.1 * (aim - load) + chance.random_range(-0.01..0.01);
         let shed = if played.steps.level() == 1 { 0.75 } else { 1.0 };
-        let saturation = ((load * shed - 0.7) / 0.6 + chance.random_range(-0.05..0.05)).clamp(0.0, 1.0);
+        let saturation =
+            ((load * shed - 0.7) / 0.6 + chance.random_range(-0.05..0.05)).clamp(0.0, 1.0);
         played.now += 4 * S;
         played.second(Some(saturation), Some(1.0 / load.max(0.1)));
         let over = if oracle { load > 0.95 } else { load > 1.05 };
@@ -366,7 +482,10 @@
         swings as f64 / (DAYS * 24) as f64,
         100.0 * share
     );
-    assert!(hourly <= 1.2 * swings as f64 / (DAYS * 24) as f64 + 0.05, "{hourly} changes an hour");
+    assert!(
+        hourly <= 1.2 * swings as f64 / (DAYS * 24) as f64 + 0.05,
+        "{hourly} changes an hour"
+    );
     assert!(share < 0.05, "{share} of the time in the wrong level");
     assert!(played.changes.len() > 20, "nothing happened");
 }
--- a/crates/model/benches/queue.rs
+++ b/crates/model/benches/queue.rs
@@ -75,8 +75,15 @@
 
 fn resident_mib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or("0");
-    line.split_whitespace().next().and_then(|kib| kib.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .unwrap_or("0");
+    line.split_whitespace()
+        .next()
+        .and_then(|kib| kib.parse::<f64>().ok())
+        .unwrap_or(0.0)
+        / 1024.0
 }
 
 /// Seconds of work for a simulated second by size, both on logarithmic scales, as a picture; and the exponent.
@@ -94,8 +101,10 @@
             y - 10.0
         )
     };
-    let line: Vec<String> =
-        points.iter().map(|(size, cost)| format!("{:.0},{:.0}", x(*size), y(*cost))).collect();
+    let line: Vec<String> = points
+        .iter()
+        .map(|(size, cost)| format!("{:.0},{:.0}", x(*size), y(*cost)))
+        .collect();
     format!(
         "<svg xmlns='http://www.w3.org/2000/svg' viewBox='0 0 640 320' font-family='sans-serif' font-size='11'>\n\
          <rect width='640' height='320' fill='white'/>\n\
@@ -113,10 +122,16 @@
         return;
     }
     for times in [0.1, 1.0] {
-        let tape = Taped { inner: Wheel::default(), steps: RefCell::default() };
+        let tape = Taped {
+            inner: Wheel::default(),
+            steps: RefCell::default(),
+        };
         let (_, tape) = run_on(&grown(times, 10), &Setup::default(), 1, tape);
         let steps = tape.steps.into_inner();
-        let (heap, wheel) = (replay(&steps, Plain::default), replay(&steps, Wheel::default));
+        let (heap, wheel) = (
+            replay(&steps, Plain::default),
+            replay(&steps, Wheel::default),
+        );
         let ratio = heap / wheel;
         println!("{times:>4} of the grown fleet, {} steps: heap {heap:.1} ns, wheel {wheel:.1} ns, {ratio:.2} times", steps.len());
     }
--- a/crates/model/src/chance.rs
+++ b/crates/model/src/chance.rs
@@ -131,7 +131,8 @@
     #[test]
     fn means_are_as_asked() {
         let mut chance = Chance::new(1, Source::Requests, 0);
-        let mean = |mut draw: Box<dyn FnMut() -> f64>| (0..40_000).map(|_| draw()).sum::<f64>() / 40_000.0;
+        let mean =
+            |mut draw: Box<dyn FnMut() -> f64>| (0..40_000).map(|_| draw()).sum::<f64>() / 40_000.0;
         let mut other = chance.clone();
         assert!((mean(Box::new(move || chance.spread(0.8))) - 1.0).abs() < 0.02);
         assert!((mean(Box::new(move || other.gap(3.0))) - 3.0).abs() < 0.08);
--- a/crates/model/src/front.rs
+++ b/crates/model/src/front.rs
@@ -151,11 +151,20 @@
             let classes: Vec<usize> = if part.classes.is_empty() {
                 (0..self.tables.len()).collect()
             } else {
-                part.classes.iter().filter_map(|name| class_of(name)).collect()
+                part.classes
+                    .iter()
+                    .filter_map(|name| class_of(name))
+                    .collect()
+            };
+            let rows = || {
+                part.rows
+                    .iter()
+                    .filter_map(|(name, weight)| Some((server_of(name)?, *weight)))
             };
-            let rows = || part.rows.iter().filter_map(|(name, weight)| Some((server_of(name)?, *weight)));
             if part.replace {
-                let table = Rc::new(Table::new(rows().filter(|(_, weight)| *weight > 0.0).collect()));
+                let table = Rc::new(Table::new(
+                    rows().filter(|(_, weight)| *weight > 0.0).collect(),
+                ));
                 for class in &classes {
                     self.tables[*class] = Rc::clone(&table);
                     self.levels[*class] = None;
@@ -165,17 +174,26 @@
                 self.change(&classes, rows);
             }
             if let Some(gate) = part.gate {
-                classes.iter().for_each(|class| self.levels[*class] = Some(gate));
+                classes
+                    .iter()
+                    .for_each(|class| self.levels[*class] = Some(gate));
             }
         }
-        let named = |names: &[Rc<str>]| names.iter().filter_map(|name| server_of(name)).collect::<Vec<u32>>();
+        let named = |names: &[Rc<str>]| {
+            names
+                .iter()
+                .filter_map(|name| server_of(name))
+                .collect::<Vec<u32>>()
+        };
         let (out, back) = (named(&order.drop), named(&order.undrop));
         if !out.is_empty() || !back.is_empty() {
             self.withdrawn.extend(out);
             for server in &back {
                 self.withdrawn.remove(server);
             }
-            self.tables.iter_mut().for_each(|table| Rc::make_mut(table).sums = None);
+            self.tables
+                .iter_mut()
+                .for_each(|table| Rc::make_mut(table).sums = None);
             self.share_alike();
         }
     }
@@ -185,8 +203,10 @@
         let mut made: Vec<(Rc<Table>, Rc<Table>)> = Vec::new();
         for class in classes {
             let old = Rc::clone(&self.tables[*class]);
-            let known =
-                made.iter().find(|(before, _)| Rc::ptr_eq(before, &old)).map(|(_, new)| Rc::clone(new));
+            let known = made
+                .iter()
+                .find(|(before, _)| Rc::ptr_eq(before, &old))
+                .map(|(_, new)| Rc::clone(new));
             let new = known.unwrap_or_else(|| {
                 let mut table = (*old).clone();
                 rows().for_each(|(server, weight)| table.set(server, weight));
@@ -220,7 +240,12 @@
 
     /// Whether a server can be picked for some class.
     pub fn picks(&self, server: u32) -> bool {
-        let names = |table: &Rc<Table>| table.rows.binary_search_by_key(&server, |(known, _)| *known).is_ok();
+        let names = |table: &Rc<Table>| {
+            table
+                .rows
+                .binary_search_by_key(&server, |(known, _)| *known)
+                .is_ok()
+        };
         !self.withdrawn.contains(&server) && self.tables.iter().any(names)
     }
 
@@ -228,15 +253,20 @@
     pub fn has_lines(&self, class: usize) -> bool {
         match &self.tables[class].sums {
             Some(sums) => !sums.is_empty(),
-            None => self.tables[class].rows.iter().any(|(server, _)| !self.withdrawn.contains(server)),
+            None => self.tables[class]
+                .rows
+                .iter()
+                .any(|(server, _)| !self.withdrawn.contains(server)),
         }
     }
 
     fn sums(&mut self, class: usize) -> usize {
         if self.tables[class].sums.is_none() {
             let mut sum = 0.0;
-            let usable =
-                self.tables[class].rows.iter().filter(|(server, _)| !self.withdrawn.contains(server));
+            let usable = self.tables[class]
+                .rows
+                .iter()
+                .filter(|(server, _)| !self.withdrawn.contains(server));
             let sums: Vec<(u32, f64)> = usable
                 .map(|(server, weight)| {
                     sum += weight;
@@ -244,8 +274,15 @@
                 })
                 .collect();
             let old = Rc::clone(&self.tables[class]);
-            let new = Rc::new(Table { rows: old.rows.clone(), sums: Some(sums) });
-            for table in self.tables.iter_mut().filter(|table| Rc::ptr_eq(table, &old)) {
+            let new = Rc::new(Table {
+                rows: old.rows.clone(),
+                sums: Some(sums),
+            });
+            for table in self
+                .tables
+                .iter_mut()
+                .filter(|table| Rc::ptr_eq(table, &old))
+            {
                 *table = Rc::clone(&new);
             }
         }
@@ -262,7 +299,9 @@
         };
         let sums = self.tables[class].sums.as_deref().unwrap_or_default();
         let total = sums.last().map_or(0.0, |(_, sum)| *sum);
-        let at = sums.partition_point(|(_, sum)| *sum <= share * total).min(sums.len().saturating_sub(1));
+        let at = sums
+            .partition_point(|(_, sum)| *sum <= share * total)
+            .min(sums.len().saturating_sub(1));
         sums.get(at).map_or(0, |(server, _)| *server)
     }
 
@@ -271,7 +310,13 @@
         let lines = self.sums(class);
         if lines == 0
             || (lines == 1
-                && not.is_some_and(|not| self.tables[class].sums.iter().flatten().any(|(s, _)| *s == not)))
+                && not.is_some_and(|not| {
+                    self.tables[class]
+                        .sums
+                        .iter()
+                        .flatten()
+                        .any(|(s, _)| *s == not)
+                }))
         {
             return None;
         }
@@ -281,7 +326,8 @@
             if pick == Pick::LeastOfTwo {
                 let other = self.draw(class, pick);
                 let held = |server: u32| self.connections.get(&server).map_or(0, |of| of.inflight);
-                let worse = |server: u32| (Some(server) == not, self.avoids(now, server), held(server));
+                let worse =
+                    |server: u32| (Some(server) == not, self.avoids(now, server), held(server));
                 if worse(other) < worse(drawn) {
                     drawn = other;
                 }
@@ -294,14 +340,20 @@
             }
         }
         let sums = self.tables[class].sums.as_deref().unwrap_or_default();
-        let others = || sums.iter().map(|(server, _)| *server).filter(|server| Some(*server) != not);
+        let others = || {
+            sums.iter()
+                .map(|(server, _)| *server)
+                .filter(|server| Some(*server) != not)
+        };
         let free = others().find(|server| !self.avoids(now, *server));
         // Who avoids all is better served by any than by none.
         free.or(last).or_else(|| others().next())
     }
 
     fn avoids(&self, now: u64, server: u32) -> bool {
-        self.own.get(&server).is_some_and(|own| own.avoided_until > now)
+        self.own
+            .get(&server)
+            .is_some_and(|own| own.avoided_until > now)
     }
 
     /// A try at a server ended: a run of failures makes the front end avoid it.
@@ -313,7 +365,10 @@
         let own = self.own.entry(server).or_default();
         own.failures += 1;
         if after > 0 && own.failures >= after {
-            *own = Own { failures: 0, avoided_until: now + length };
+            *own = Own {
+                failures: 0,
+                avoided_until: now + length,
+            };
         }
     }
 
@@ -331,11 +386,19 @@
     use crate::chance::Source;
 
     fn front(rows: &[(u32, f64)]) -> Front {
-        Front::new(0, 2, Table::new(rows.to_vec()), Chance::new(1, Source::Picks, 0))
+        Front::new(
+            0,
+            2,
+            Table::new(rows.to_vec()),
+            Chance::new(1, Source::Picks, 0),
+        )
     }
 
     fn order(part: Part) -> Order {
-        Order { parts: vec![part], ..Order::default() }
+        Order {
+            parts: vec![part],
+            ..Order::default()
+        }
     }
 
     fn carry(front: &mut Front, order: &Order) {
@@ -348,35 +411,93 @@
     fn every_way_of_picking_follows_the_weights() {
         for pick in [Pick::Random, Pick::Rotate] {
             let mut front = front(&[(1, 1.0), (2, 3.0)]);
-            let twos = (0..4000).filter(|_| front.pick(0, 0, pick, None) == Some(2)).count();
+            let twos = (0..4000)
+                .filter(|_| front.pick(0, 0, pick, None) == Some(2))
+                .count();
             assert!((2900..3100).contains(&twos), "{pick:?}: {twos}");
         }
         let mut front = front(&[(1, 1.0), (2, 1.0)]);
-        front.connections.insert(2, Connection { inflight: 5, used_us: 0 });
-        let ones = (0..1000).filter(|_| front.pick(0, 0, Pick::LeastOfTwo, None) == Some(1)).count();
-        assert!((700..800).contains(&ones), "three quarters of pairs hold the first: {ones}");
+        front.connections.insert(
+            2,
+            Connection {
+                inflight: 5,
+                used_us: 0,
+            },
+        );
+        let ones = (0..1000)
+            .filter(|_| front.pick(0, 0, Pick::LeastOfTwo, None) == Some(1))
+            .count();
+        assert!(
+            (700..800).contains(&ones),
+            "three quarters of pairs hold the first: {ones}"
+        );
     }
 
     #[test]
     fn orders_change_the_tables_of_their_classes() {
         let mut front = front(&[(1, 1.0), (2, 1.0)]);
         let rows = vec![(Rc::from("s3"), 2.0), (Rc::from("s1"), 0.0)];
-        carry(&mut front, &order(Part { classes: vec!["c1".into()], rows, ..Part::default() }));
+        carry(
+            &mut front,
+            &order(Part {
+                classes: vec!["c1".into()],
+                rows,
+                ..Part::default()
+            }),
+        );
         assert_eq!(
             (front.table(0).rows().len(), front.table(1).rows()),
             (2, [(2, 1.0), (3, 2.0)].as_slice())
         );
-        carry(&mut front, &Order { drop: vec!["s2".into()], ..Order::default() });
+        carry(
+            &mut front,
+            &Order {
+                drop: vec!["s2".into()],
+                ..Order::default()
+            },
+        );
         assert!((0..50).all(|_| front.pick(0, 1, Pick::Random, None) == Some(3)));
-        carry(&mut front, &Order { drop: vec!["s3".into()], ..Order::default() });
-        assert!(!front.has_lines(1) && front.has_lines(0) && front.pick(0, 1, Pick::Random, None).is_none());
-        carry(&mut front, &Order { undrop: vec!["s3".into()], ..Order::default() });
+        carry(
+            &mut front,
+            &Order {
+                drop: vec!["s3".into()],
+                ..Order::default()
+            },
+        );
+        assert!(
+            !front.has_lines(1)
+                && front.has_lines(0)
+                && front.pick(0, 1, Pick::Random, None).is_none()
+        );
+        carry(
+            &mut front,
+            &Order {
+                undrop: vec!["s3".into()],
+                ..Order::default()
+            },
+        );
         assert!(front.has_lines(1));
         let gate = Some((0.5, Retry::Once));
-        carry(&mut front, &order(Part { gate, ..Part::default() }));
+        carry(
+            &mut front,
+            &order(Part {
+                gate,
+                ..Part::default()
+            }),
+        );
         assert_eq!((front.gate(0), front.gate(1)), (gate, gate));
-        carry(&mut front, &order(Part { replace: true, rows: vec![("s9".into(), 1.0)], ..Part::default() }));
-        assert_eq!((front.pick(0, 0, Pick::Random, None), front.gate(0)), (Some(9), None));
+        carry(
+            &mut front,
+            &order(Part {
+                replace: true,
+                rows: vec![("s9".into(), 1.0)],
+                ..Part::default()
+            }),
+        );
+        assert_eq!(
+            (front.pick(0, 0, Pick::Random, None), front.gate(0)),
+            (Some(9), None)
+        );
     }
 
     #[test]
@@ -384,7 +505,11 @@
         let mut front = front(&[(1, 100.0), (2, 1.0)]);
         (0..3).for_each(|_| front.learn(0, 1, false, (3, 1000)));
         assert!((0..50).all(|_| front.pick(10, 0, Pick::Random, None) == Some(2)));
-        assert_eq!(front.pick(10, 0, Pick::Random, Some(2)), Some(1), "who avoids all takes any");
+        assert_eq!(
+            front.pick(10, 0, Pick::Random, Some(2)),
+            Some(1),
+            "who avoids all takes any"
+        );
         assert_eq!(front.pick(2000, 0, Pick::Random, Some(2)), Some(1));
         let mut lone = super::tests::front(&[(7, 1.0)]);
         assert_eq!(lone.pick(0, 0, Pick::Random, Some(7)), None);
--- a/crates/model/src/measure.rs
+++ b/crates/model/src/measure.rs
@@ -120,13 +120,21 @@
 
 fn times() -> Histogram<u64> {
     // Two digits over ten minutes always fit.
-    Histogram::new_with_bounds(1, TIME_MOST_US, 2).unwrap_or_else(|_| unreachable!("bounds are constant"))
+    Histogram::new_with_bounds(1, TIME_MOST_US, 2)
+        .unwrap_or_else(|_| unreachable!("bounds are constant"))
 }
 
 impl Meter {
     /// For a scenario, nothing counted.
     pub fn new(scenario: &Scenario) -> Self {
-        let tally = |_| Tally { came: 0, asked: 0.0, earned: 0.0, refused: 0, failed: 0, times: times() };
+        let tally = |_| Tally {
+            came: 0,
+            asked: 0.0,
+            earned: 0.0,
+            refused: 0,
+            failed: 0,
+            times: times(),
+        };
         Meter {
             classes: scenario.classes.iter().map(tally).collect(),
             seconds: vec![Second::default(); (scenario.length_us / 1_000_000) as usize + 1],
@@ -204,21 +212,48 @@
 
     /// All that was counted.
     pub fn finish(self, scenario: &Scenario, broken: Vec<Broken>, events: u64) -> Outcome {
-        let Meter { classes, mut seconds, counts, tops, shut_out_s, restored_s, changes } = self;
+        let Meter {
+            classes,
+            mut seconds,
+            counts,
+            tops,
+            shut_out_s,
+            restored_s,
+            changes,
+        } = self;
         let mut figures = service(&seconds, &classes, &scenario.service);
         let mut put = |name: &str, value: f64| {
             figures.insert(name.to_string(), value);
         };
-        let came: f64 = classes.iter().map(|class| class.came as f64).sum::<f64>().max(1.0);
-        put("refused", classes.iter().map(|class| class.refused as f64).sum::<f64>() / came);
-        put("failed", classes.iter().map(|class| class.failed as f64).sum::<f64>() / came);
+        let came: f64 = classes
+            .iter()
+            .map(|class| class.came as f64)
+            .sum::<f64>()
+            .max(1.0);
+        put(
+            "refused",
+            classes
+                .iter()
+                .map(|class| class.refused as f64)
+                .sum::<f64>()
+                / came,
+        );
+        put(
+            "failed",
+            classes.iter().map(|class| class.failed as f64).sum::<f64>() / came,
+        );
         put("came", came);
         let mut all = times();
         for class in &classes {
             // Histograms of the same bounds always add.
             let _ = all.add(&class.times);
         }
-        for (name, quantile) in [("p50_ms", 0.5), ("p90_ms", 0.9), ("p99_ms", 0.99), ("p999_ms", 0.999)] {
+        for (name, quantile) in [
+            ("p50_ms", 0.5),
+            ("p90_ms", 0.9),
+            ("p99_ms", 0.99),
+            ("p999_ms", 0.999),
+        ] {
             put(name, all.value_at_quantile(quantile) as f64 / 1e3);
         }
         let per_first = |name: &str| counts.get(name).copied().unwrap_or(0.0) / came;
@@ -228,27 +263,57 @@
         put("connects", per_first("connects"));
         put("probes", per_first("probes"));
         let offered = counts.get("offered_ms").copied().unwrap_or(0.0).max(1e-9);
-        put("wasted", counts.get("wasted_ms").copied().unwrap_or(0.0) / offered);
+        put(
+            "wasted",
+            counts.get("wasted_ms").copied().unwrap_or(0.0) / offered,
+        );
         let length_s = scenario.length_us as f64 / 1e6;
         let pace = scenario.lines_per_s * scenario.supervisors as f64 * length_s.max(1e-9);
-        put("channel", counts.get("lines").copied().unwrap_or(0.0) / pace);
+        put(
+            "channel",
+            counts.get("lines").copied().unwrap_or(0.0) / pace,
+        );
         put("backlog", tops.get("backlog").copied().unwrap_or(0.0));
         put("queue", tops.get("queue").copied().unwrap_or(0.0));
-        put("connections", tops.get("connections").copied().unwrap_or(0.0));
+        put(
+            "connections",
+            tops.get("connections").copied().unwrap_or(0.0),
+        );
         put("changes", changes.len() as f64);
-        put("rules", broken.iter().map(|of| of.times).sum::<u64>() as f64);
+        put(
+            "rules",
+            broken.iter().map(|of| of.times).sum::<u64>() as f64,
+        );
         if !shut_out_s.is_empty() {
-            put("shut_out_s", shut_out_s.iter().sum::<f64>() / shut_out_s.len() as f64);
+            put(
+                "shut_out_s",
+                shut_out_s.iter().sum::<f64>() / shut_out_s.len() as f64,
+            );
         }
         if !restored_s.is_empty() {
-            put("restored_s", restored_s.iter().sum::<f64>() / restored_s.len() as f64);
+            put(
+                "restored_s",
+                restored_s.iter().sum::<f64>() / restored_s.len() as f64,
+            );
         }
         if seconds.last().is_some_and(|last| last.asked == 0.0) {
             seconds.pop();
         }
-        let classes =
-            classes.iter().zip(&scenario.classes).map(|(of, class)| of.outcome(&class.name)).collect();
-        Outcome { figures, classes, seconds, broken, events, shut_out_s, restored_s, changes }
+        let classes = classes
+            .iter()
+            .zip(&scenario.classes)
+            .map(|(of, class)| of.outcome(&class.name))
+            .collect();
+        Outcome {
+            figures,
+            classes,
+            seconds,
+            broken,
+            events,
+            shut_out_s,
+            restored_s,
+            changes,
+        }
     }
 }
 
@@ -261,7 +326,8 @@
             service: share(self.earned, self.asked),
             refused: self.refused as f64 / came,
             failed: self.failed as f64 / came,
-            quantiles_ms: [0.5, 0.9, 0.99, 0.999].map(|at| self.times.value_at_quantile(at) as f64 / 1e3),
+            quantiles_ms: [0.5, 0.9, 0.99, 0.999]
+                .map(|at| self.times.value_at_quantile(at) as f64 / 1e3),
         }
     }
 }
@@ -276,17 +342,26 @@
 }
 
 fn sums(seconds: &[Second]) -> (f64, f64) {
-    seconds.iter().fold((0.0, 0.0), |(earned, asked), of| (earned + of.earned, asked + of.asked))
+    seconds.iter().fold((0.0, 0.0), |(earned, asked), of| {
+        (earned + of.earned, asked + of.asked)
+    })
 }
 
 fn service(seconds: &[Second], classes: &[Tally], by: &Service) -> BTreeMap<String, f64> {
     let (earned, asked) = sums(seconds);
     let whole = share(earned, asked);
     let window = by.window_s.min(seconds.len()).max(1);
-    let windows = seconds.windows(window).map(sums).filter(|(_, asked)| *asked > 0.0);
-    let worst_window = windows.map(|(earned, asked)| earned / asked).fold(1.0, f64::min);
+    let windows = seconds
+        .windows(window)
+        .map(sums)
+        .filter(|(_, asked)| *asked > 0.0);
+    let worst_window = windows
+        .map(|(earned, asked)| earned / asked)
+        .fold(1.0, f64::min);
     let asked_for = classes.iter().filter(|class| class.asked > 0.0);
-    let worst_class = asked_for.map(|class| class.earned / class.asked).fold(1.0, f64::min);
+    let worst_class = asked_for
+        .map(|class| class.earned / class.asked)
+        .fold(1.0, f64::min);
     let spans: Vec<f64> = seconds
         .chunks(NINES_SPAN)
         .map(sums)
@@ -300,7 +375,11 @@
             }
         })
         .collect();
-    let nines = if spans.is_empty() { 1.0 } else { spans.iter().sum::<f64>() / spans.len() as f64 };
+    let nines = if spans.is_empty() {
+        1.0
+    } else {
+        spans.iter().sum::<f64>() / spans.len() as f64
+    };
     let parts = [
         (by.whole, whole),
         (by.worst_window, worst_window),
@@ -308,7 +387,10 @@
         (by.nines, nines),
     ];
     let weights: f64 = parts.iter().map(|(weight, _)| weight).sum();
-    let service = share(parts.iter().map(|(weight, value)| weight * value).sum(), weights);
+    let service = share(
+        parts.iter().map(|(weight, value)| weight * value).sum(),
+        weights,
+    );
     let named = [
         ("service", service),
         ("whole", whole),
@@ -316,7 +398,10 @@
         ("worst_class", worst_class),
         ("nines", nines),
     ];
-    named.into_iter().map(|(name, value)| (name.to_string(), value)).collect()
+    named
+        .into_iter()
+        .map(|(name, value)| (name.to_string(), value))
+        .collect()
 }
 
 #[cfg(test)]
@@ -332,19 +417,39 @@
         let mut meter = Meter::new(&scenario);
         for second in 0..20u64 {
             let came = second * 1_000_000;
-            meter.ended(&scenario, 0, came, Ending::Answered(if second < 10 { 50_000 } else { 150_000 }));
-            meter.ended(&scenario, 1, came, if second == 0 { Ending::Failed } else { Ending::Answered(1) });
+            meter.ended(
+                &scenario,
+                0,
+                came,
+                Ending::Answered(if second < 10 { 50_000 } else { 150_000 }),
+            );
+            meter.ended(
+                &scenario,
+                1,
+                came,
+                if second == 0 {
+                    Ending::Failed
+                } else {
+                    Ending::Answered(1)
+                },
+            );
         }
         let outcome = meter.finish(&scenario, Vec::new(), 0);
         let close = |name: &str, value: f64| {
-            assert!((outcome.figure(name) - value).abs() < 1e-9, "{name}: {outcome:?}")
+            assert!(
+                (outcome.figure(name) - value).abs() < 1e-9,
+                "{name}: {outcome:?}"
+            )
         };
         // 60 asked for: 10 x 2 in time, 10 x 1 late, 19 x 1.
         close("whole", 49.0 / 60.0);
         close("worst_window", 20.0 / 30.0);
         close("worst_class", 30.0 / 40.0);
         let nines = |lost: f64| (-lost.log10() / 2.0).clamp(0.0, 1.0);
-        close("nines", (nines(1.0 / 15.0) + 1.0 + 2.0 * nines(5.0 / 15.0)) / 4.0);
+        close(
+            "nines",
+            (nines(1.0 / 15.0) + 1.0 + 2.0 * nines(5.0 / 15.0)) / 4.0,
+        );
         close("failed", 1.0 / 40.0);
         assert_eq!(outcome.classes[1].came, 20);
     }
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -69,14 +69,22 @@
 
 impl<T> Default for Plain<T> {
     fn default() -> Self {
-        Plain { heap: BinaryHeap::new(), seq: 0, now: 0 }
+        Plain {
+            heap: BinaryHeap::new(),
+            seq: 0,
+            now: 0,
+        }
     }
 }
 
 impl<T> Queue<T> for Plain<T> {
     fn push(&mut self, at: u64, what: T) {
         self.seq += 1;
-        self.heap.push(Entry { at: at.max(self.now), seq: self.seq, what });
+        self.heap.push(Entry {
+            at: at.max(self.now),
+            seq: self.seq,
+            what,
+        });
     }
 
     fn pop(&mut self) -> Option<(u64, T)> {
@@ -115,8 +123,15 @@
     fn from(&self, at: usize) -> Option<usize> {
         let first = at / 64;
         let own = self.0.get(first)? & (u64::MAX << (at % 64));
-        let rest = self.0.iter().enumerate().skip(first + 1).map(|(word, bits)| (word, *bits));
-        let (word, bits) = std::iter::once((first, own)).chain(rest).find(|(_, bits)| *bits != 0)?;
+        let rest = self
+            .0
+            .iter()
+            .enumerate()
+            .skip(first + 1)
+            .map(|(word, bits)| (word, *bits));
+        let (word, bits) = std::iter::once((first, own))
+            .chain(rest)
+            .find(|(_, bits)| *bits != 0)?;
         Some(word * 64 + bits.trailing_zeros() as usize)
     }
 }
@@ -164,7 +179,9 @@
     fn place(&mut self, entry: Entry<T>) {
         let (slot, page) = (entry.slot(), entry.page());
         if slot <= self.slot {
-            let at = self.current.partition_point(|known| known.key() > entry.key());
+            let at = self
+                .current
+                .partition_point(|known| known.key() > entry.key());
             self.current.insert(at, entry);
         } else if page == self.page() {
             let at = (slot & MASK) as usize;
@@ -186,10 +203,13 @@
             self.slot = (self.page() << WHEEL_BITS) | at as u64;
             self.near_full.clear(at);
             std::mem::swap(&mut self.current, &mut self.near[at]);
-            self.current.sort_unstable_by_key(|entry| std::cmp::Reverse(entry.key()));
+            self.current
+                .sort_unstable_by_key(|entry| std::cmp::Reverse(entry.key()));
             return true;
         }
-        let Some(page) = self.next_page() else { return false };
+        let Some(page) = self.next_page() else {
+            return false;
+        };
         self.slot = page << WHEEL_BITS;
         let at = (page & MASK) as usize;
         self.far_full.clear(at);
@@ -197,7 +217,11 @@
         here.drain(..).for_each(|entry| self.place(entry));
         // The room stays with its slot.
         self.far[at] = here;
-        while self.beyond.peek().is_some_and(|entry| entry.page() < page + WHEEL as u64) {
+        while self
+            .beyond
+            .peek()
+            .is_some_and(|entry| entry.page() < page + WHEEL as u64)
+        {
             if let Some(entry) = self.beyond.pop() {
                 self.place(entry);
             }
@@ -210,7 +234,11 @@
         let page = self.page();
         let own = (page & MASK) as usize;
         let ahead = |at: usize| page + ((at as u64).wrapping_sub(own as u64) & MASK);
-        let far = self.far_full.from(own + 1).or_else(|| self.far_full.from(0)).map(ahead);
+        let far = self
+            .far_full
+            .from(own + 1)
+            .or_else(|| self.far_full.from(0))
+            .map(ahead);
         let beyond = self.beyond.peek().map(Entry::page);
         far.into_iter().chain(beyond).min()
     }
@@ -220,7 +248,11 @@
     fn push(&mut self, at: u64, what: T) {
         self.seq += 1;
         self.len += 1;
-        self.place(Entry { at: at.max(self.now), seq: self.seq, what });
+        self.place(Entry {
+            at: at.max(self.now),
+            seq: self.seq,
+            what,
+        });
     }
 
     fn pop(&mut self) -> Option<(u64, T)> {
@@ -248,7 +280,13 @@
 
     /// Times ahead in every part of the queue: now, this slot, this wheel, the far one, beyond it.
     fn ahead() -> impl Strategy<Value = u64> {
-        prop_oneof![Just(0), 0..64u64, 0..70_000u64, 0..80_000_000u64, 60_000_000..900_000_000u64]
+        prop_oneof![
+            Just(0),
+            0..64u64,
+            0..70_000u64,
+            0..80_000_000u64,
+            60_000_000..900_000_000u64
+        ]
     }
 
     proptest! {
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -57,7 +57,12 @@
 impl Rules {
     /// A rule was broken.
     pub fn broken(&mut self, rule: Rule, now: u64, how: impl FnOnce() -> String) {
-        let first = || Broken { rule, times: 0, at_s: now as f64 / 1e6, how: how() };
+        let first = || Broken {
+            rule,
+            times: 0,
+            at_s: now as f64 / 1e6,
+            how: how(),
+        };
         self.0.entry(rule).or_insert_with(first).times += 1;
     }
 
@@ -71,7 +76,9 @@
 pub fn may_repeat(effect: Effect, ran: Option<u64>, now: u64) -> bool {
     match (effect, ran) {
         (Effect::Safe, _) | (_, None) => true,
-        (Effect::Keyed(_, window), Some(sent)) => now.saturating_sub(sent) <= window.0.max(0) as u64,
+        (Effect::Keyed(_, window), Some(sent)) => {
+            now.saturating_sub(sent) <= window.0.max(0) as u64
+        }
         (Effect::Unsafe, Some(_)) => false,
     }
 }
@@ -103,7 +110,11 @@
     if sum <= most {
         return Cold::Stands;
     }
-    let known: f64 = sent.iter().filter(|(.., knowing)| *knowing).map(|(_, work, _)| work).sum();
+    let known: f64 = sent
+        .iter()
+        .filter(|(.., knowing)| *knowing)
+        .map(|(_, work, _)| work)
+        .sum();
     if known >= KNOWING * sum {
         Cold::Pushed
     } else {
@@ -131,7 +142,10 @@
         // A core and a half may be sent 4.5 s of work in a second, and 40 ms by chance.
         let push = |knowing: bool, more: f64| {
             let mut sent = VecDeque::new();
-            assert_eq!(sent_cold(&mut sent, (0, 4000.0, knowing), 1.5, by), Cold::Stands);
+            assert_eq!(
+                sent_cold(&mut sent, (0, 4000.0, knowing), 1.5, by),
+                Cold::Stands
+            );
             sent_cold(&mut sent, (500_000, more, knowing), 1.5, by)
         };
         assert_eq!(
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -166,7 +166,13 @@
 pub fn read(text: &str) -> Result<Scenario, Vec<Wrong>> {
     let written = parse(text).map_err(|wrong| vec![wrong])?;
     Scenario::try_from(&written).map_err(|faults| {
-        faults.into_iter().map(|(field, said)| Wrong { place: find(text, field), text: said }).collect()
+        faults
+            .into_iter()
+            .map(|(field, said)| Wrong {
+                place: find(text, field),
+                text: said,
+            })
+            .collect()
     })
 }
 
@@ -185,7 +191,12 @@
 
 /// A digest of all that a scenario says.
 pub fn digest(scenario: &pb::Scenario) -> String {
-    blake3::hash(&scenario.encode_to_vec()).to_hex().as_str().get(..16).unwrap_or_default().to_string()
+    blake3::hash(&scenario.encode_to_vec())
+        .to_hex()
+        .as_str()
+        .get(..16)
+        .unwrap_or_default()
+        .to_string()
 }
 
 /// A field and what is wrong with it.
@@ -199,10 +210,20 @@
     }
 
     /// A figure, or what holds without it; it must lie between two bounds.
-    fn figure(&mut self, field: &'static str, given: Option<f64>, usual: f64, least: f64, most: f64) -> f64 {
+    fn figure(
+        &mut self,
+        field: &'static str,
+        given: Option<f64>,
+        usual: f64,
+        least: f64,
+        most: f64,
+    ) -> f64 {
         let value = given.unwrap_or(usual);
         if !(least..=most).contains(&value) {
-            self.fault(field, format!("{field} is {value}: give a figure from {least} to {most}"));
+            self.fault(
+                field,
+                format!("{field} is {value}: give a figure from {least} to {most}"),
+            );
         }
         value
     }
@@ -215,8 +236,21 @@
         (self.figure(field, given, usual, 0.0, SECONDS_MOST * 1e6 / unit) * unit) as u64
     }
 
-    fn count(&mut self, field: &'static str, given: Option<u32>, usual: u32, least: u32, most: u32) -> usize {
-        self.figure(field, given.map(f64::from), usual.into(), least.into(), most.into()) as usize
+    fn count(
+        &mut self,
+        field: &'static str,
+        given: Option<u32>,
+        usual: u32,
+        least: u32,
+        most: u32,
+    ) -> usize {
+        self.figure(
+            field,
+            given.map(f64::from),
+            usual.into(),
+            least.into(),
+            most.into(),
+        ) as usize
     }
 
     fn names<'a>(&mut self, field: &'static str, names: impl Iterator<Item = &'a str>) {
@@ -226,7 +260,10 @@
             self.fault(field, format!("{name:?} is named twice"));
         }
         if seen.len() > PARTS_MOST {
-            self.fault(field, format!("{} are too many: at most {PARTS_MOST}", seen.len()));
+            self.fault(
+                field,
+                format!("{} are too many: at most {PARTS_MOST}", seen.len()),
+            );
         }
     }
 }
@@ -237,10 +274,15 @@
 fn kind(c: &mut Checker, of: &pb::Kind, number: usize) -> Kind {
     let cores = c.count("cores", of.cores, 2, 1, 1024) as f64;
     let per_core = |value: f64| (value * cores).round().max(1.0);
-    let slots = per_core(c.figure("slots_per_core", of.slots_per_core, 4.0, 0.1, 10_000.0)) as usize;
-    let queue = (c.figure("queue_per_core", of.queue_per_core, 10.0, 0.0, 1e6) * cores).round() as usize;
+    let slots =
+        per_core(c.figure("slots_per_core", of.slots_per_core, 4.0, 0.1, 10_000.0)) as usize;
+    let queue =
+        (c.figure("queue_per_core", of.queue_per_core, 10.0, 0.0, 1e6) * cores).round() as usize;
     Kind {
-        name: of.name.clone().unwrap_or_else(|| format!("kind-{}", number + 1)),
+        name: of
+            .name
+            .clone()
+            .unwrap_or_else(|| format!("kind-{}", number + 1)),
         servers: c.count("servers", of.servers, 1, 0, SIZE_MOST),
         cores,
         speed: c.figure("speed", of.speed, 1.0, 0.001, 1000.0),
@@ -249,8 +291,13 @@
         queue,
         cold_from: c.figure("cold_from", of.cold_from, 0.3, 0.01, 1.0),
         cold_us: c.us("cold_s", of.cold_s, 10.0, S),
-        connections: per_core(c.figure("connections_per_core", of.connections_per_core, 110.0, 1.0, 1e6))
-            as u32,
+        connections: per_core(c.figure(
+            "connections_per_core",
+            of.connections_per_core,
+            110.0,
+            1.0,
+            1e6,
+        )) as u32,
         handshake_ms: c.figure("handshake_ms", of.handshake_ms, 5.0, 0.0, 10_000.0),
         error_rate: c.share("error_rate", of.error_rate, 0.0005),
         cancel: match of.cancel() {
@@ -271,7 +318,10 @@
     }
     let window = Micros(c.us("window_ms", of.window_ms, 10_000.0, MS) as i64);
     Class {
-        name: of.name.clone().unwrap_or_else(|| format!("class-{}", number + 1)),
+        name: of
+            .name
+            .clone()
+            .unwrap_or_else(|| format!("class-{}", number + 1)),
         share: c.figure("share", of.share, 1.0, 0.0, 1e6),
         work_ms: c.figure("work_ms", of.work_ms, 100.0, 0.01, 1e6),
         work_cv: c.figure("work_cv", of.work_cv, 0.6, 0.0, 10.0),
@@ -301,7 +351,10 @@
         known
     });
     if matches!(of.sort(), Sort::ZoneLost | Sort::Way) && of.zone.is_none() {
-        c.fault("trouble", format!("{} needs a zone", of.sort().as_str_name()));
+        c.fault(
+            "trouble",
+            format!("{} needs a zone", of.sort().as_str_name()),
+        );
     }
     let from_us = c.us("at_s", of.at_s, 0.0, S);
     // What a size means without being given: nothing faster than twice as slow, as much again, half of it.
@@ -310,7 +363,11 @@
         Sort::FrontEndsStand | Sort::Way => 500.0,
         _ => 2.0,
     };
-    let most = if matches!(of.sort(), Sort::FailFast | Sort::Neighbour) { 1.0 } else { 1e6 };
+    let most = if matches!(of.sort(), Sort::FailFast | Sort::Neighbour) {
+        1.0
+    } else {
+        1e6
+    };
     let extra = match of.sort() {
         Sort::Neighbour => 2.0,
         Sort::Heavy => 0.02,
@@ -331,13 +388,21 @@
 }
 
 fn points(c: &mut Checker, given: &[pb::Point]) -> Vec<(f64, f64)> {
-    let points: Vec<(f64, f64)> =
-        given.iter().map(|point| (point.at_s() * S, point.factor.unwrap_or(1.0))).collect();
+    let points: Vec<(f64, f64)> = given
+        .iter()
+        .map(|point| (point.at_s() * S, point.factor.unwrap_or(1.0)))
+        .collect();
     if points.windows(2).any(|two| two[0].0 >= two[1].0) {
         c.fault("point", "points must be given in the order of their times");
     }
-    if points.iter().any(|(at, factor)| *at < 0.0 || !(0.0..=1000.0).contains(factor)) {
-        c.fault("point", "a point's factor must lie from 0 to 1000, and its time not before the start");
+    if points
+        .iter()
+        .any(|(at, factor)| *at < 0.0 || !(0.0..=1000.0).contains(factor))
+    {
+        c.fault(
+            "point",
+            "a point's factor must lie from 0 to 1000, and its time not before the start",
+        );
     }
     points
 }
@@ -347,23 +412,42 @@
 
     fn try_from(of: &pb::Scenario) -> Result<Self, Vec<Said>> {
         let c = &mut Checker(Vec::new());
-        let zones = if of.zone.is_empty() { vec!["a".to_string()] } else { of.zone.clone() };
+        let zones = if of.zone.is_empty() {
+            vec!["a".to_string()]
+        } else {
+            of.zone.clone()
+        };
         c.names("zone", zones.iter().map(String::as_str));
-        let kinds: Vec<Kind> = of.kind.iter().enumerate().map(|(n, kind_of)| kind(c, kind_of, n)).collect();
+        let kinds: Vec<Kind> = of
+            .kind
+            .iter()
+            .enumerate()
+            .map(|(n, kind_of)| kind(c, kind_of, n))
+            .collect();
         c.names("kind", kinds.iter().map(|kind| kind.name.as_str()));
         let servers: usize = kinds.iter().map(|kind| kind.servers).sum();
         if servers == 0 || servers > SIZE_MOST as usize {
-            c.fault("kind", format!("{servers} servers: give from 1 to {SIZE_MOST}"));
+            c.fault(
+                "kind",
+                format!("{servers} servers: give from 1 to {SIZE_MOST}"),
+            );
         }
-        let classes: Vec<Class> =
-            of.class.iter().enumerate().map(|(n, class_of)| class(c, class_of, n)).collect();
+        let classes: Vec<Class> = of
+            .class
+            .iter()
+            .enumerate()
+            .map(|(n, class_of)| class(c, class_of, n))
+            .collect();
         c.names("class", classes.iter().map(|class| class.name.as_str()));
         let shares: f64 = classes.iter().map(|class| class.share).sum();
         if classes.is_empty() || shares <= 0.0 {
             c.fault("class", "no class that anything comes of");
         }
         if of.trouble.len() > PARTS_MOST {
-            c.fault("trouble", format!("{} are too many: at most {PARTS_MOST}", of.trouble.len()));
+            c.fault(
+                "trouble",
+                format!("{} are too many: at most {PARTS_MOST}", of.trouble.len()),
+            );
         }
         let troubles = of.trouble.iter().map(|of| trouble(c, of, &zones)).collect();
         let load = of.load.clone().unwrap_or_default();
@@ -378,22 +462,46 @@
         let service = of.service.unwrap_or_default();
         let lines_per_s = c.figure("lines_per_s", supervisors.lines_per_s, 9500.0, 1.0, 1e9);
         let least = c.figure("notice_least_s", discovery.notice_least_s, 0.8, 0.0, 3600.0);
-        let most = c.figure("notice_most_s", discovery.notice_most_s, 4.0_f64.max(least), least, 3600.0);
+        let most = c.figure(
+            "notice_most_s",
+            discovery.notice_most_s,
+            4.0_f64.max(least),
+            least,
+            3600.0,
+        );
         // Work that comes in a second at a rate of 1, against what all servers do in a second.
-        let work: f64 =
-            classes.iter().map(|class| class.share * class.work_ms / 1e3).sum::<f64>() / shares.max(1e-9);
-        let capacity: f64 = kinds.iter().map(|kind| kind.servers as f64 * kind.cores * kind.speed).sum();
+        let work: f64 = classes
+            .iter()
+            .map(|class| class.share * class.work_ms / 1e3)
+            .sum::<f64>()
+            / shares.max(1e-9);
+        let capacity: f64 = kinds
+            .iter()
+            .map(|kind| kind.servers as f64 * kind.cores * kind.speed)
+            .sum();
         let level = c.figure("level", load.level, 0.5, 0.0, 100.0);
         let scenario = Scenario {
             name: of.name.clone().unwrap_or_else(|| "unnamed".to_string()),
             length_us: c.us("seconds", of.seconds, 60.0, S),
-            rate: c.figure("rate", load.rate, level * capacity / work.max(1e-9), 0.0, RATE_MOST),
+            rate: c.figure(
+                "rate",
+                load.rate,
+                level * capacity / work.max(1e-9),
+                0.0,
+                RATE_MOST,
+            ),
             points: points(c, &load.point),
             zone_skew: c.figure("zone_skew", load.zone_skew, 0.1, 0.0, 0.9),
             client_retries: c.count("retries", clients.retries, 1, 0, 20) as u32,
             client_try_share: c.figure("try_share", clients.try_share, 0.7, 0.01, 1.0),
             client_backoff_us: c.us("backoff_ms", clients.backoff_ms, 100.0, MS) as f64,
-            client_backoff_growth: c.figure("backoff_growth", clients.backoff_growth, 2.0, 1.0, 10.0),
+            client_backoff_growth: c.figure(
+                "backoff_growth",
+                clients.backoff_growth,
+                2.0,
+                1.0,
+                10.0,
+            ),
             front_ends: c.count("count", front.count, 6, 1, SIZE_MOST),
             pick: match front.pick() {
                 Pick::Unspecified => Pick::Random,
@@ -497,15 +605,28 @@
             effect: class.effect,
             home_only: class.home_only,
         };
-        let coldest = self.kinds.iter().map(|kind| kind.cold_from).fold(1.0, f64::min);
-        let longest = self.kinds.iter().map(|kind| kind.cold_us).max().unwrap_or(0);
+        let coldest = self
+            .kinds
+            .iter()
+            .map(|kind| kind.cold_from)
+            .fold(1.0, f64::min);
+        let longest = self
+            .kinds
+            .iter()
+            .map(|kind| kind.cold_us)
+            .max()
+            .unwrap_or(0);
         policy::Settings {
             instances: self.supervisors,
             zones: self.zones.len(),
             zone: policy::ZoneId(zone as u16),
             classes: self.classes.iter().map(class).collect(),
             proxies: self.front_ends,
-            levels: if self.admits { policy::LevelKind::Fraction } else { policy::LevelKind::Silent },
+            levels: if self.admits {
+                policy::LevelKind::Fraction
+            } else {
+                policy::LevelKind::Silent
+            },
             usual_retry: self.usual_retry,
             first_wait: self.first_wait,
             pick: match self.pick {
@@ -552,7 +673,14 @@
     #[test]
     fn what_is_not_said_has_its_usual_figure() {
         let scenario = read(SMALL).expect("a scenario");
-        assert_eq!((scenario.servers(), scenario.zones.len(), scenario.supervisors), (4, 2, 2));
+        assert_eq!(
+            (
+                scenario.servers(),
+                scenario.zones.len(),
+                scenario.supervisors
+            ),
+            (4, 2, 2)
+        );
         // Half of eight cores at 50 ms a request.
         assert!((scenario.rate - 80.0).abs() < 1e-9, "{}", scenario.rate);
         assert_eq!(scenario.demand(5), 1.0);
@@ -560,20 +688,36 @@
 
     #[test]
     fn demand_moves_on_straight_lines() {
-        let text =
-            format!("{SMALL}\nload {{ point {{ at_s: 10 factor: 1 }} point {{ at_s: 20 factor: 3 }} }}");
+        let text = format!(
+            "{SMALL}\nload {{ point {{ at_s: 10 factor: 1 }} point {{ at_s: 20 factor: 3 }} }}"
+        );
         let scenario = read(&text).expect("a scenario");
         let demand = |s: u64| scenario.demand(s * 1_000_000);
-        assert_eq!((demand(0), demand(15), demand(20), demand(99)), (1.0, 2.0, 3.0, 3.0));
+        assert_eq!(
+            (demand(0), demand(15), demand(20), demand(99)),
+            (1.0, 2.0, 3.0, 3.0)
+        );
     }
 
     #[test]
     fn all_faults_are_told_with_their_lines() {
         let text = format!("{SMALL}\nrules {{\n  fall_multiple: 0.5\n}}\ntrouble {{ sort: WAY }}\nclients {{ try_share: nan }}");
-        let faults: Vec<String> = read(&text).expect_err("faults").iter().map(ToString::to_string).collect();
+        let faults: Vec<String> = read(&text)
+            .expect_err("faults")
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         assert_eq!(faults.len(), 3, "{faults:?}");
-        assert!(faults.iter().any(|said| said.starts_with("6:3: fall_multiple is 0.5")), "{faults:?}");
-        assert!(faults.iter().any(|said| said.contains("WAY needs a zone")), "{faults:?}");
+        assert!(
+            faults
+                .iter()
+                .any(|said| said.starts_with("6:3: fall_multiple is 0.5")),
+            "{faults:?}"
+        );
+        assert!(
+            faults.iter().any(|said| said.contains("WAY needs a zone")),
+            "{faults:?}"
+        );
         let wrong = read("kind { cores: two }").expect_err("a fault");
         assert_eq!(wrong[0].place.map(|place| place.line), Some(1));
         assert!(read("").expect_err("nothing")[0].text.contains("0 servers"));
@@ -582,7 +726,8 @@
     #[test]
     fn a_change_replaces_single_figures_and_is_another_scenario() {
         let base = parse(SMALL).expect("a scenario");
-        let change = parse("rules { drain_grace_s: 5 } front_ends { pick: ROTATE }").expect("a change");
+        let change =
+            parse("rules { drain_grace_s: 5 } front_ends { pick: ROTATE }").expect("a change");
         let both = changed(&base, &change);
         let scenario = Scenario::try_from(&both).expect("a scenario");
         assert_eq!(
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -39,7 +39,13 @@
 
 impl Default for Effects {
     fn default() -> Self {
-        Effects { hangs: false, fails: 0.0, slow: 1.0, taken: 0.0, handshake: (1.0, 0) }
+        Effects {
+            hangs: false,
+            fails: 0.0,
+            slow: 1.0,
+            taken: 0.0,
+            handshake: (1.0, 0),
+        }
     }
 }
 
@@ -165,7 +171,8 @@
 
     /// Whether it is still cold.
     pub fn is_cold(&self, now: u64) -> bool {
-        self.started_us.is_some_and(|started| now < started + self.cold.1)
+        self.started_us
+            .is_some_and(|started| now < started + self.cold.1)
     }
 
     /// Work that it can do in a second, in seconds; nothing while it hangs or is down.
@@ -175,7 +182,8 @@
         }
         let (most, tax) = self.full;
         let open = 1.0 - tax * (f64::from(self.connections) / most).min(1.0);
-        self.cores * self.speed * open * self.warmth(now) * (1.0 - self.effects.taken) / self.effects.slow
+        self.cores * self.speed * open * self.warmth(now) * (1.0 - self.effects.taken)
+            / self.effects.slow
     }
 
     /// Work that it can do in a second as far as its start goes, troubles aside: nobody is blamed for a cold server that a
@@ -241,7 +249,9 @@
     pub fn finish(&mut self, now: u64) -> (Vec<AttemptKey>, Vec<(AttemptKey, Place)>) {
         self.advance(now);
         let (mut done, mut begun) = (Vec::new(), Vec::new());
-        while let Some((place, (attempt, since))) = self.working.first_key_value().map(|(p, a)| (*p, *a)) {
+        while let Some((place, (attempt, since))) =
+            self.working.first_key_value().map(|(p, a)| (*p, *a))
+        {
             // A microsecond's work at the fastest is the least that can be told.
             if f64::from_bits(place.0) > self.done + 1e-6 * self.done.max(1.0) {
                 break;
@@ -278,7 +288,9 @@
                 self.waiting.retain(|(known, _)| *known != attempt);
                 (self.waiting.len() < before, None)
             }
-            Place::Working(place) if cancel == Cancel::All && self.working.remove(&place).is_some() => {
+            Place::Working(place)
+                if cancel == Cancel::All && self.working.remove(&place).is_some() =>
+            {
                 (true, self.follow(now))
             }
             _ => (false, None),
@@ -290,8 +302,12 @@
         self.advance(now);
         self.life = life;
         self.connections = 0;
-        let working = std::mem::take(&mut self.working).into_values().map(|(attempt, _)| attempt);
-        let waiting = std::mem::take(&mut self.waiting).into_iter().map(|(attempt, _)| attempt);
+        let working = std::mem::take(&mut self.working)
+            .into_values()
+            .map(|(attempt, _)| attempt);
+        let waiting = std::mem::take(&mut self.waiting)
+            .into_iter()
+            .map(|(attempt, _)| attempt);
         working.chain(waiting).collect()
     }
 
@@ -361,7 +377,10 @@
     #[test]
     fn cores_are_shared_among_what_is_in_work() {
         let (mut server, keys) = server(1, 4.0, 4.0);
-        assert!(matches!(server.take(0, keys[0], 10.0, 1.0), Taken::In(Place::Working(_))));
+        assert!(matches!(
+            server.take(0, keys[0], 10.0, 1.0),
+            Taken::In(Place::Working(_))
+        ));
         assert_eq!(server.next_us(0), Some(10_000));
         server.take(5_000, keys[1], 10.0, 1.0);
         // The first has 5 ms left at half pace, the second 10 ms.
@@ -376,7 +395,10 @@
     fn what_does_not_fit_waits_or_is_turned_away() {
         let (mut server, keys) = server(1, 1.0, 1.0);
         server.take(0, keys[0], 10.0, 1.0);
-        assert_eq!(server.take(0, keys[1], 10.0, 1.0), Taken::In(Place::Waiting));
+        assert_eq!(
+            server.take(0, keys[1], 10.0, 1.0),
+            Taken::In(Place::Waiting)
+        );
         assert_eq!(server.take(0, keys[2], 10.0, 1.0), Taken::Full);
         let (done, begun) = server.finish(10_000);
         assert_eq!((done, begun[0].0), (vec![keys[0]], keys[1]));
@@ -386,9 +408,15 @@
     #[test]
     fn a_cancel_stops_what_the_kind_allows() {
         let (mut server, keys) = server(1, 1.0, 2.0);
-        let Taken::In(place) = server.take(0, keys[0], 10.0, 1.0) else { panic!("taken") };
+        let Taken::In(place) = server.take(0, keys[0], 10.0, 1.0) else {
+            panic!("taken")
+        };
         server.take(0, keys[1], 10.0, 1.0);
-        assert!(!server.cancel(1_000, keys[1], Place::Waiting, Cancel::Nothing).0);
+        assert!(
+            !server
+                .cancel(1_000, keys[1], Place::Waiting, Cancel::Nothing)
+                .0
+        );
         assert!(!server.cancel(1_000, keys[0], place, Cancel::Waiting).0);
         let (stopped, next) = server.cancel(2_000, keys[0], place, Cancel::All);
         assert!(stopped && next.is_some_and(|(key, _)| key == keys[1]));
@@ -410,13 +438,19 @@
     fn cold_slow_and_hanging_servers_do_less() {
         let (mut server, keys) = server(2, 4.0, 4.0);
         server.start(0);
-        assert!((server.capacity(0) - 1.0).abs() < 1e-9 && (server.capacity(5_000_000) - 1.5).abs() < 1e-9);
+        assert!(
+            (server.capacity(0) - 1.0).abs() < 1e-9
+                && (server.capacity(5_000_000) - 1.5).abs() < 1e-9
+        );
         assert!(server.is_cold(9_999_999) && !server.is_cold(10_000_000));
         server.effects.slow = 4.0;
         assert!((server.capacity(20_000_000) - 0.5).abs() < 1e-9);
         server.take(20_000_000, keys[0], 10.0, 1.0);
         server.effects.hangs = true;
-        assert_eq!((server.next_us(20_000_000), server.probe_ms(20_000_000, 1.0)), (None, None));
+        assert_eq!(
+            (server.next_us(20_000_000), server.probe_ms(20_000_000, 1.0)),
+            (None, None)
+        );
         assert_eq!(server.die(20_000_100, Life::Down), [keys[0]]);
     }
 }
