--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -84,32 +84,88 @@
 #[allow(missing_docs)]
 pub enum Event {
     Arrive,
-    Comes { request: RequestKey, coming: u32 },
-    Reach { attempt: AttemptKey, fresh: bool },
-    Work { server: u32, version: u32 },
-    Answer { attempt: AttemptKey, end: End },
-    GiveUp { request: RequestKey, coming: u32 },
-    Wait { attempt: AttemptKey },
-    Cancel { attempt: AttemptKey },
+    Comes {
+        request: RequestKey,
+        coming: u32,
+    },
+    Reach {
+        attempt: AttemptKey,
+        fresh: bool,
+    },
+    Work {
+        server: u32,
+        version: u32,
+    },
+    Answer {
+        attempt: AttemptKey,
+        end: End,
+    },
+    GiveUp {
+        request: RequestKey,
+        coming: u32,
+    },
+    Wait {
+        attempt: AttemptKey,
+    },
+    Cancel {
+        attempt: AttemptKey,
+    },
     Second,
     Look,
-    Sums { supervisor: u32, epoch: u32 },
-    Intake { supervisor: u32, epoch: u32 },
-    Tick { supervisor: u32, number: u32 },
-    Dial { front: u32, epoch: u32 },
-    Rehome { front: u32, epoch: u32 },
+    Sums {
+        supervisor: u32,
+        epoch: u32,
+    },
+    Intake {
+        supervisor: u32,
+        epoch: u32,
+    },
+    Tick {
+        supervisor: u32,
+        number: u32,
+    },
+    Dial {
+        front: u32,
+        epoch: u32,
+    },
+    Rehome {
+        front: u32,
+        epoch: u32,
+    },
     Message(Box<Message>),
-    Ack { supervisor: u32, epoch: u32, stream: u64, mark: u16, took: u64 },
+    Ack {
+        supervisor: u32,
+        epoch: u32,
+        stream: u64,
+        mark: u16,
+        took: u64,
+    },
     ProbeReach(Box<Probing>),
     ProbeEnd(Box<(Probing, ProbeEnd, Load, bool)>),
-    News { supervisor: u32, server: u32, life: Lifecycle, started_us: Option<u64>, seq: u32 },
-    Relist { supervisor: u32, epoch: u32 },
+    News {
+        supervisor: u32,
+        server: u32,
+        life: Lifecycle,
+        started_us: Option<u64>,
+        seq: u32,
+    },
+    Relist {
+        supervisor: u32,
+        epoch: u32,
+    },
     TroubleBegins(u32),
     TroubleEnds(u32),
     TroubleMoves(u32),
-    Drains { server: u32, trouble: u32 },
-    Removed { server: u32 },
-    Replacement { server: u32 },
+    Drains {
+        server: u32,
+        trouble: u32,
+    },
+    Removed {
+        server: u32,
+    },
+    Replacement {
+        server: u32,
+    },
 }
 
 /// A client's request, until it is answered or given up.
@@ -194,7 +250,14 @@
 
 /// Plays a scenario without plug-ins.
 pub fn run(scenario: &Scenario, control: Control, seed: u64) -> Outcome {
-    play(scenario, &Setup { control, ..Setup::default() }, seed)
+    play(
+        scenario,
+        &Setup {
+            control,
+            ..Setup::default()
+        },
+        seed,
+    )
 }
 
 /// Plays a scenario. The same scenario, setup and seed give the same outcome to the bit.
@@ -228,7 +291,11 @@
             servers: chance(Source::Servers),
         };
         let shares: f64 = scenario.classes.iter().map(|class| class.share).sum();
-        let work: f64 = scenario.classes.iter().map(|class| class.share * class.work_ms).sum();
+        let work: f64 = scenario
+            .classes
+            .iter()
+            .map(|class| class.share * class.work_ms)
+            .sum();
         Sim {
             scenario,
             seed,
@@ -241,7 +308,10 @@
             fronts: Vec::new(),
             supervisors: Vec::new(),
             struck: vec![Struck::default(); scenario.troubles.len()],
-            ways_troubled: scenario.troubles.iter().any(|of| of.sort == crate::scenario::Sort::Way),
+            ways_troubled: scenario
+                .troubles
+                .iter()
+                .any(|of| of.sort == crate::scenario::Sort::Way),
             watched: Vec::new(),
             healing: Vec::new(),
             by_zone: vec![Vec::new(); scenario.zones.len()],
@@ -255,7 +325,12 @@
             chances,
             shares,
             mean_work_ms: work / shares.max(1e-9),
-            longest_cold_us: scenario.kinds.iter().map(|kind| kind.cold_us).max().unwrap_or(0),
+            longest_cold_us: scenario
+                .kinds
+                .iter()
+                .map(|kind| kind.cold_us)
+                .max()
+                .unwrap_or(0),
             replayed: 0,
             recorded: setup.recorded(scenario),
         }
@@ -275,7 +350,8 @@
         let name: Rc<str> = format!("s-{number:05}").into();
         let of = &self.scenario.kinds[kind];
         let faster = self.chances.servers.spread(of.speed_cv);
-        self.servers.push(Server::new(Rc::clone(&name), zone, kind, of, faster));
+        self.servers
+            .push(Server::new(Rc::clone(&name), zone, kind, of, faster));
         self.names.insert(name, number as u32);
         self.news.push(0);
         self.silent.push(false);
@@ -286,10 +362,22 @@
         let home: Vec<usize> = (0..self.servers.len())
             .filter(|at| self.servers[*at].life == Life::Up && self.servers[*at].zone == zone)
             .collect();
-        let all = || (0..self.servers.len()).filter(|at| self.servers[*at].life == Life::Up).collect();
+        let all = || {
+            (0..self.servers.len())
+                .filter(|at| self.servers[*at].life == Life::Up)
+                .collect()
+        };
         let from: Vec<usize> = if home.len() >= 3 { home } else { all() };
-        let chosen = self.chances.standing.some(from.len(), self.scenario.standing);
-        Table::new(chosen.into_iter().map(|at| (from[at] as u32, self.servers[from[at]].listed)).collect())
+        let chosen = self
+            .chances
+            .standing
+            .some(from.len(), self.scenario.standing);
+        Table::new(
+            chosen
+                .into_iter()
+                .map(|at| (from[at] as u32, self.servers[from[at]].listed))
+                .collect(),
+        )
     }
 
     fn mind(&self, supervisor: usize, epoch: u32) -> Mind {
@@ -297,11 +385,26 @@
             return Mind::Plain(true);
         }
         let zone = supervisor % self.scenario.zones.len();
-        let seed = Chance::new(self.seed, Source::Supervisors, supervisor * 1000 + epoch as usize).number();
+        let seed = Chance::new(
+            self.seed,
+            Source::Supervisors,
+            supervisor * 1000 + epoch as usize,
+        )
+        .number();
         let settings = self.scenario.settings(zone);
         let zones = self.scenario.zones.clone();
-        let classes = self.scenario.classes.iter().map(|class| class.name.clone()).collect();
-        let kinds = self.scenario.kinds.iter().map(|kind| kind.name.clone()).collect();
+        let classes = self
+            .scenario
+            .classes
+            .iter()
+            .map(|class| class.name.clone())
+            .collect();
+        let kinds = self
+            .scenario
+            .kinds
+            .iter()
+            .map(|kind| kind.name.clone())
+            .collect();
         let mut engine = Box::new(match &self.setup.other {
             Some(other) => {
                 let decides = (other.make)(&settings, seed);
@@ -326,11 +429,17 @@
             let standing = self.standing(at % zones);
             let chance = Chance::new(self.seed, Source::Picks, at);
             self.by_zone[at % zones].push(at as u32);
-            self.fronts.push(Front::new(at % zones, self.scenario.classes.len(), standing, chance));
+            self.fronts.push(Front::new(
+                at % zones,
+                self.scenario.classes.len(),
+                standing,
+                chance,
+            ));
         }
         for at in 0..self.scenario.supervisors {
             let mind = self.mind(at, 0);
-            self.supervisors.push(Supervisor::new(at % zones, mind, self.servers.len()));
+            self.supervisors
+                .push(Supervisor::new(at % zones, mind, self.servers.len()));
             self.supervisor_begins(at, ListKind::Complete);
         }
         if self.setup.control != Control::Nobody {
@@ -339,8 +448,10 @@
             }
         }
         for (at, trouble) in self.scenario.troubles.iter().enumerate() {
-            self.queue.push(BEGIN_US + trouble.from_us, Event::TroubleBegins(at as u32));
-            self.queue.push(BEGIN_US + trouble.to_us, Event::TroubleEnds(at as u32));
+            self.queue
+                .push(BEGIN_US + trouble.from_us, Event::TroubleBegins(at as u32));
+            self.queue
+                .push(BEGIN_US + trouble.to_us, Event::TroubleEnds(at as u32));
         }
         self.push(BEGIN_US, Event::Arrive);
         self.push(BEGIN_US + LOOK_US, Event::Look);
@@ -360,12 +471,19 @@
     }
 
     fn finish(mut self) -> Run<Q> {
-        let left: Vec<(usize, u64)> =
-            self.requests.values().map(|of| (of.class, of.came_us - BEGIN_US)).collect();
+        let left: Vec<(usize, u64)> = self
+            .requests
+            .values()
+            .map(|of| (of.class, of.came_us - BEGIN_US))
+            .collect();
         for (class, came) in left {
             self.meter.ended(self.scenario, class, came, Ending::Failed);
         }
-        (self.meter.finish(self.scenario, self.rules.finish(), self.events), self.queue)
+        (
+            self.meter
+                .finish(self.scenario, self.rules.finish(), self.events),
+            self.queue,
+        )
     }
 
     fn handle(&mut self, event: Event) {
@@ -386,14 +504,30 @@
             Event::Dial { front, epoch } => self.dials(front as usize, epoch),
             Event::Rehome { front, epoch } => self.rehome(front as usize, epoch),
             Event::Message(message) => self.message(*message),
-            Event::Ack { supervisor, epoch, stream, mark, took } => {
+            Event::Ack {
+                supervisor,
+                epoch,
+                stream,
+                mark,
+                took,
+            } => {
                 let took = Micros(took as i64);
-                let report = Report::Ack { stream: StreamId(stream), mark, took };
+                let report = Report::Ack {
+                    stream: StreamId(stream),
+                    mark,
+                    took,
+                };
                 self.report(supervisor as usize, epoch, report);
             }
             Event::ProbeReach(probing) => self.probe_reach(*probing),
             Event::ProbeEnd(ended) => self.probe_end(*ended),
-            Event::News { supervisor, server, life, started_us, seq } => {
+            Event::News {
+                supervisor,
+                server,
+                life,
+                started_us,
+                seq,
+            } => {
                 self.news(supervisor as usize, server as usize, life, started_us, seq);
             }
             Event::Relist { supervisor, epoch } => self.relist(supervisor as usize, epoch),
@@ -418,7 +552,11 @@
         }
         let (more, heavy_share, heavier) = self.pressure();
         let rate = self.scenario.rate * self.scenario.demand(self.elapsed()) * more;
-        let gap = if rate > 0.0 { self.chances.arrivals.gap(1e6 / rate) } else { f64::INFINITY };
+        let gap = if rate > 0.0 {
+            self.chances.arrivals.gap(1e6 / rate)
+        } else {
+            f64::INFINITY
+        };
         if gap > GAP_MOST_US {
             // Nothing comes meanwhile; what comes later does not depend on how long nothing came.
             self.push(self.now + GAP_MOST_US as u64, Event::Arrive);
@@ -446,8 +584,12 @@
             self.replayed += 1;
             let (_, heavy_share, heavier) = self.pressure();
             let (classes, zones) = &self.recorded;
-            let zone = of.zone.and_then(|zone| zones.get(usize::from(zone)).copied().flatten());
-            let Some(class) = classes.get(usize::from(of.class)).copied().flatten() else { continue };
+            let zone = of
+                .zone
+                .and_then(|zone| zones.get(usize::from(zone)).copied().flatten());
+            let Some(class) = classes.get(usize::from(of.class)).copied().flatten() else {
+                continue;
+            };
             self.request(class, zone, of.work_ms, (heavy_share, heavier));
         }
     }
@@ -462,7 +604,8 @@
     ) {
         let of = &self.scenario.classes[class];
         let chance = &mut self.chances.requests;
-        let (zone_drawn, front_drawn, spread) = (chance.share(), chance.share(), chance.spread(of.work_cv));
+        let (zone_drawn, front_drawn, spread) =
+            (chance.share(), chance.share(), chance.spread(of.work_cv));
         let tries_noise = [chance.spread(of.try_cv), chance.spread(of.try_cv)];
         let heavy = chance.share() < heavy_share;
         let work_ms = work_ms.unwrap_or(of.work_ms * spread) * if heavy { heavier } else { 1.0 };
@@ -491,7 +634,11 @@
     fn zone(&self, drawn: f64) -> usize {
         let zones = self.scenario.zones.len();
         let weight = |zone: usize| {
-            let place = if zones > 1 { zone as f64 / (zones - 1) as f64 } else { 0.5 };
+            let place = if zones > 1 {
+                zone as f64 / (zones - 1) as f64
+            } else {
+                0.5
+            };
             1.0 + self.scenario.zone_skew * (1.0 - 2.0 * place)
         };
         let mut left = drawn * (0..zones).map(weight).sum::<f64>();
@@ -512,21 +659,38 @@
     }
 
     fn comes(&mut self, key: RequestKey, coming: u32) {
-        let Some(request) = self.requests.get_mut(key) else { return };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
         let front = &mut self.fronts[request.front as usize];
         if front.still_until > self.now {
             // What comes meanwhile waits.
-            self.queue.push(front.still_until, Event::Comes { request: key, coming });
+            self.queue.push(
+                front.still_until,
+                Event::Comes {
+                    request: key,
+                    coming,
+                },
+            );
             return;
         }
-        (request.comings, request.tries, request.coming_ran, request.current) = (coming, 0, false, None);
+        (
+            request.comings,
+            request.tries,
+            request.coming_ran,
+            request.current,
+        ) = (coming, 0, false, None);
         let class = request.class;
         let of = &self.scenario.classes[class];
         self.meter.count("comings", 1.0);
         let deadline = request.came_us + of.deadline_us;
         let patience = (of.deadline_us as f64 * self.scenario.client_try_share) as u64;
         let last = coming >= self.scenario.client_retries;
-        let ends = if last { deadline } else { deadline.min(self.now + patience) };
+        let ends = if last {
+            deadline
+        } else {
+            deadline.min(self.now + patience)
+        };
         if !front.up {
             self.coming_fails(key, true, false);
             return;
@@ -537,20 +701,29 @@
             self.coming_fails(key, true, true);
             return;
         }
-        self.push(ends, Event::GiveUp { request: key, coming });
+        self.push(
+            ends,
+            Event::GiveUp {
+                request: key,
+                coming,
+            },
+        );
         self.send(key, None);
     }
 
     /// A coming has failed: the client comes again, or not.
     fn coming_fails(&mut self, key: RequestKey, unrun: bool, refused: bool) {
-        let Some(request) = self.requests.get_mut(key) else { return };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
         let of = &self.scenario.classes[request.class];
         let front = &mut self.fronts[request.front as usize];
         if front.up && !refused {
             front.usage[request.class].failed += 1.0;
         }
         let scenario = self.scenario;
-        let wait = scenario.client_backoff_us * scenario.client_backoff_growth.powi(request.comings as i32);
+        let wait = scenario.client_backoff_us
+            * scenario.client_backoff_growth.powi(request.comings as i32);
         let again = self.now + (wait * self.chances.clients.between(0.75, 1.25)) as u64;
         let safe = unrun && !request.coming_ran || may_repeat(of.effect, request.ran_us, again);
         let (came, class, zone) = (request.came_us, request.class, request.zone);
@@ -562,17 +735,31 @@
                 request.front = front;
                 request.comings = coming;
             }
-            self.push(again, Event::Comes { request: key, coming });
+            self.push(
+                again,
+                Event::Comes {
+                    request: key,
+                    coming,
+                },
+            );
             return;
         }
         self.requests.remove(key);
-        let ending = if refused { Ending::Refused } else { Ending::Failed };
+        let ending = if refused {
+            Ending::Refused
+        } else {
+            Ending::Failed
+        };
         self.meter.ended(scenario, class, came - BEGIN_US, ending);
     }
 
     fn give_up(&mut self, key: RequestKey, coming: u32) {
-        let Some(request) = self.requests.get_mut(key).filter(|of| of.comings == coming) else { return };
-        let Some(attempt) = request.current.take() else { return };
+        let Some(request) = self.requests.get_mut(key).filter(|of| of.comings == coming) else {
+            return;
+        };
+        let Some(attempt) = request.current.take() else {
+            return;
+        };
         self.abandon(attempt);
         self.coming_fails(key, false, false);
     }
@@ -580,7 +767,11 @@
     // Front ends.
 
     fn way(&mut self, from: usize, to: usize) -> (u64, bool) {
-        let base = if from == to { self.scenario.same_us } else { self.scenario.cross_us };
+        let base = if from == to {
+            self.scenario.same_us
+        } else {
+            self.scenario.cross_us
+        };
         let (more, lost) = self.way_troubles(from, to);
         let jitter = self.scenario.jitter;
         let us = (base + more) * self.chances.ways.between(1.0 - jitter, 1.0 + jitter);
@@ -589,7 +780,9 @@
     }
 
     fn send(&mut self, key: RequestKey, not: Option<u32>) {
-        let Some(request) = self.requests.get_mut(key) else { return };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
         let (class, at) = (request.class, request.front);
         let front = &mut self.fronts[at as usize];
         let Some(server) = front.pick(self.now, class, self.scenario.pick, not) else {
@@ -615,7 +808,8 @@
         }
         let to = of.zone;
         self.meter.count("tries", 1.0);
-        self.meter.count("crossing", f64::from(u8::from(zone != to)));
+        self.meter
+            .count("crossing", f64::from(u8::from(zone != to)));
         let attempt = self.attempts.insert(Attempt {
             request: key,
             coming,
@@ -637,7 +831,13 @@
         if lost {
             if fresh {
                 let ends = self.now + self.scenario.connect_timeout_us;
-                self.push(ends, Event::Answer { attempt, end: End::Unrun });
+                self.push(
+                    ends,
+                    Event::Answer {
+                        attempt,
+                        end: End::Unrun,
+                    },
+                );
             }
         } else {
             self.push(reaches, Event::Reach { attempt, fresh });
@@ -656,7 +856,9 @@
 
     /// The level and the way of trying again that hold for a class at a front end.
     fn gate(&self, front: usize, class: usize) -> (f64, Retry) {
-        self.fronts[front].gate(class).unwrap_or((1.0, self.scenario.usual_retry))
+        self.fronts[front]
+            .gate(class)
+            .unwrap_or((1.0, self.scenario.usual_retry))
     }
 
     /// Rules on what is sent: to whom drains are told, and to whom that is cold.
@@ -693,8 +895,17 @@
             return;
         }
         let capacity = of.cold_capacity(self.now);
-        let by = (self.scenario.fall_multiple, self.scenario.fall_us, self.mean_work_ms);
-        let stands = sent_cold(&mut of.sent_cold, (self.now, work_ms, knowing), capacity, by);
+        let by = (
+            self.scenario.fall_multiple,
+            self.scenario.fall_us,
+            self.mean_work_ms,
+        );
+        let stands = sent_cold(
+            &mut of.sent_cold,
+            (self.now, work_ms, knowing),
+            capacity,
+            by,
+        );
         if stands == Cold::Stands {
             return;
         }
@@ -702,17 +913,29 @@
         let name = Rc::clone(&of.name);
         if stands == Cold::Pushed {
             let at = self.now - BEGIN_US;
-            self.rules.broken(Rule::Cold, at, || format!("{name} was pushed over while it was cold"));
+            self.rules.broken(Rule::Cold, at, || {
+                format!("{name} was pushed over while it was cold")
+            });
         }
         self.server_dies(server as usize, false);
     }
 
     /// An attempt is given up by its front end; the server may be told.
     fn abandon(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get_mut(key).filter(|attempt| !attempt.abandoned) else { return };
+        let Some(attempt) = self
+            .attempts
+            .get_mut(key)
+            .filter(|attempt| !attempt.abandoned)
+        else {
+            return;
+        };
         attempt.abandoned = true;
-        let (front, server, request, sent) =
-            (attempt.front as usize, attempt.server, attempt.request, attempt.sent_us);
+        let (front, server, request, sent) = (
+            attempt.front as usize,
+            attempt.server,
+            attempt.request,
+            attempt.sent_us,
+        );
         if let Some(request) = self.requests.get_mut(request) {
             request.ran_us.get_or_insert(sent);
             request.coming_ran = true;
@@ -729,13 +952,24 @@
         let (now, scenario) = (self.now, self.scenario);
         let of = &mut self.fronts[front];
         if let Some(connection) = of.connections.get_mut(&server) {
-            (connection.inflight, connection.used_us) = (connection.inflight.saturating_sub(1), now);
+            (connection.inflight, connection.used_us) =
+                (connection.inflight.saturating_sub(1), now);
         }
-        of.learn(now, server, end == End::Good, (scenario.avoids_after, scenario.avoids_us));
-        let Some((supervisor, ..)) = of.joined else { return };
+        of.learn(
+            now,
+            server,
+            end == End::Good,
+            (scenario.avoids_after, scenario.avoids_us),
+        );
+        let Some((supervisor, ..)) = of.joined else {
+            return;
+        };
         let zone = of.zone;
         let told = (end == End::Good).then(|| self.servers[server as usize].told);
-        let tally: &mut Tally = self.supervisors[supervisor].sums.entry((zone, server)).or_default();
+        let tally: &mut Tally = self.supervisors[supervisor]
+            .sums
+            .entry((zone, server))
+            .or_default();
         tally.tries += 1.0;
         match told {
             Some((_, queue, service)) => {
@@ -747,17 +981,30 @@
     }
 
     fn answer(&mut self, key: AttemptKey, end: End) {
-        let Some(attempt) = self.attempts.remove(key) else { return };
+        let Some(attempt) = self.attempts.remove(key) else {
+            return;
+        };
         if attempt.abandoned {
             return;
         }
-        let Attempt { request: request_key, front, server, sent_us, coming, .. } = attempt;
+        let Attempt {
+            request: request_key,
+            front,
+            server,
+            sent_us,
+            coming,
+            ..
+        } = attempt;
         self.try_ended(front as usize, server, sent_us, end);
         if end == End::Unrun {
             // A connection that was never made is none.
             self.forget_unmade(front as usize, server);
         }
-        let Some(request) = self.requests.get_mut(request_key).filter(|of| of.comings == coming) else {
+        let Some(request) = self
+            .requests
+            .get_mut(request_key)
+            .filter(|of| of.comings == coming)
+        else {
             return;
         };
         request.current = None;
@@ -766,7 +1013,12 @@
             End::Good => {
                 self.requests.remove(request_key);
                 let took = self.now + self.scenario.client_way_us as u64 - came;
-                self.meter.ended(self.scenario, class, came - BEGIN_US, Ending::Answered(took));
+                self.meter.ended(
+                    self.scenario,
+                    class,
+                    came - BEGIN_US,
+                    Ending::Answered(took),
+                );
             }
             End::Unrun => self.try_again(request_key, server, true),
             End::Failed => {
@@ -785,9 +1037,15 @@
 
     /// A try has failed: the front end tries again as it is ordered, or gives up.
     fn try_again(&mut self, key: RequestKey, server: u32, unrun: bool) {
-        let Some(request) = self.requests.get(key) else { return };
-        let (class, front, tries, ran) =
-            (request.class, request.front as usize, request.tries, request.ran_us);
+        let Some(request) = self.requests.get(key) else {
+            return;
+        };
+        let (class, front, tries, ran) = (
+            request.class,
+            request.front as usize,
+            request.tries,
+            request.ran_us,
+        );
         let (_, retry) = self.gate(front, class);
         let again = match retry {
             Retry::Never => false,
@@ -813,9 +1071,15 @@
 
     /// A try that may be followed has waited long enough.
     fn waited(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get(key).filter(|attempt| !attempt.abandoned) else { return };
+        let Some(attempt) = self.attempts.get(key).filter(|attempt| !attempt.abandoned) else {
+            return;
+        };
         let (request, server, coming) = (attempt.request, attempt.server, attempt.coming);
-        if self.requests.get(request).is_none_or(|of| of.comings != coming || of.current != Some(key)) {
+        if self
+            .requests
+            .get(request)
+            .is_none_or(|of| of.comings != coming || of.current != Some(key))
+        {
             return;
         }
         self.abandon(key);
@@ -828,14 +1092,26 @@
     // Servers.
 
     fn reach(&mut self, key: AttemptKey, fresh: bool) {
-        let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.connected) else { return };
-        let (front, at, work_ms) = (attempt.front as usize, attempt.server as usize, attempt.work_ms);
+        let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.connected) else {
+            return;
+        };
+        let (front, at, work_ms) = (
+            attempt.front as usize,
+            attempt.server as usize,
+            attempt.work_ms,
+        );
         let zones = (self.servers[at].zone, self.fronts[front].zone);
         if !self.servers[at].runs() {
             if self.silent[at] {
                 if fresh {
                     let ends = attempt.sent_us + self.scenario.connect_timeout_us;
-                    self.push(ends, Event::Answer { attempt: key, end: End::Unrun });
+                    self.push(
+                        ends,
+                        Event::Answer {
+                            attempt: key,
+                            end: End::Unrun,
+                        },
+                    );
                 }
                 return;
             }
@@ -854,7 +1130,11 @@
             server.connections += 1;
         }
         let abandoned = attempt.abandoned;
-        let chance = if server.effects.fails > 0.0 { self.chances.errors.share() } else { 1.0 };
+        let chance = if server.effects.fails > 0.0 {
+            self.chances.errors.share()
+        } else {
+            1.0
+        };
         match server.take(self.now, key, work_ms, chance) {
             Taken::In(place) => {
                 if let Some(attempt) = self.attempts.get_mut(key) {
@@ -888,7 +1168,13 @@
         of.version += 1;
         if let Some(at) = next {
             let version = of.version;
-            self.push(at, Event::Work { server: server as u32, version });
+            self.push(
+                at,
+                Event::Work {
+                    server: server as u32,
+                    version,
+                },
+            );
         }
     }
 
@@ -905,10 +1191,16 @@
         let (kind, zone) = (server.kind, server.zone);
         self.placed(begun);
         for key in done {
-            let Some(attempt) = self.attempts.get_mut(key) else { continue };
+            let Some(attempt) = self.attempts.get_mut(key) else {
+                continue;
+            };
             attempt.place = Place::Away;
-            let (front, request, sent, work_ms) =
-                (attempt.front as usize, attempt.request, attempt.sent_us, attempt.work_ms);
+            let (front, request, sent, work_ms) = (
+                attempt.front as usize,
+                attempt.request,
+                attempt.sent_us,
+                attempt.work_ms,
+            );
             let abandoned = attempt.abandoned;
             self.ran(request, sent);
             if abandoned {
@@ -925,18 +1217,23 @@
 
     /// A request ran to its end at a server.
     fn ran(&mut self, key: RequestKey, sent_us: u64) {
-        let Some(request) = self.requests.get_mut(key) else { return };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
         let of = &self.scenario.classes[request.class];
         request.effects += 1;
         let first = *request.ran_us.get_or_insert(sent_us);
         let twice = match of.effect {
             Effect::Safe => false,
             Effect::Unsafe => request.effects > 1,
-            Effect::Keyed(..) => request.effects > 1 && !may_repeat(of.effect, Some(first), sent_us),
+            Effect::Keyed(..) => {
+                request.effects > 1 && !may_repeat(of.effect, Some(first), sent_us)
+            }
         };
         if twice {
             let (name, at) = (&of.name, self.now - BEGIN_US);
-            self.rules.broken(Rule::Twice, at, || format!("a {name} ran twice"));
+            self.rules
+                .broken(Rule::Twice, at, || format!("a {name} ran twice"));
         }
     }
 
@@ -949,7 +1246,9 @@
     }
 
     fn cancel(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get(key) else { return };
+        let Some(attempt) = self.attempts.get(key) else {
+            return;
+        };
         let (at, place) = (attempt.server as usize, attempt.place);
         if place == Place::Away {
             return;
@@ -975,7 +1274,9 @@
         self.reschedule(at);
         let zone = self.servers[at].zone;
         for key in lost {
-            let Some(attempt) = self.attempts.get_mut(key) else { continue };
+            let Some(attempt) = self.attempts.get_mut(key) else {
+                continue;
+            };
             (attempt.place, attempt.connected) = (Place::Away, false);
             let front = attempt.front as usize;
             if attempt.abandoned {
@@ -1029,15 +1330,29 @@
             let late = if silent {
                 scenario.list_silent_us * self.chances.discovery.between(0.8, 1.2)
             } else {
-                self.chances.discovery.between(scenario.list_least_us, scenario.list_most_us)
+                self.chances
+                    .discovery
+                    .between(scenario.list_least_us, scenario.list_most_us)
+            };
+            let news = Event::News {
+                supervisor: supervisor as u32,
+                server: server as u32,
+                life,
+                started_us,
+                seq,
             };
-            let news =
-                Event::News { supervisor: supervisor as u32, server: server as u32, life, started_us, seq };
             self.push(self.now + late as u64, news);
         }
     }
 
-    fn news(&mut self, at: usize, server: usize, life: Lifecycle, started_us: Option<u64>, seq: u32) {
+    fn news(
+        &mut self,
+        at: usize,
+        server: usize,
+        life: Lifecycle,
+        started_us: Option<u64>,
+        seq: u32,
+    ) {
         let now = self.now;
         let supervisor = &mut self.supervisors[at];
         if !supervisor.up || !supervisor.learn(now, server, life, started_us, seq) {
@@ -1064,7 +1379,10 @@
         let list = self.supervisors[at].list(self.scenario, &self.servers);
         self.listed(at, kind, list);
         let (supervisor, epoch) = (at as u32, self.supervisors[at].epoch);
-        self.push(self.now + self.scenario.period_us, Event::Sums { supervisor, epoch });
+        self.push(
+            self.now + self.scenario.period_us,
+            Event::Sums { supervisor, epoch },
+        );
     }
 
     pub(crate) fn supervisor_dies(&mut self, at: usize) {
@@ -1092,8 +1410,17 @@
         (of.up, of.mind, of.still_until, of.tick) = (true, mind, 0, None);
         (of.free_us, of.taking) = (self.now as f64, false);
         self.supervisor_begins(at, ListKind::WarmCopy);
-        let late = self.chances.discovery.between(self.scenario.list_least_us, self.scenario.list_most_us);
-        self.push(self.now + late as u64, Event::Relist { supervisor: at as u32, epoch });
+        let late = self
+            .chances
+            .discovery
+            .between(self.scenario.list_least_us, self.scenario.list_most_us);
+        self.push(
+            self.now + late as u64,
+            Event::Relist {
+                supervisor: at as u32,
+                epoch,
+            },
+        );
     }
 
     /// Discovery tells a supervisor that started anew what it has missed.
@@ -1133,14 +1460,23 @@
     /// Asks for a tick at a time, no denser than ticks may be.
     fn wake(&mut self, at: usize, when: u64) {
         let of = &mut self.supervisors[at];
-        let due = when.max(of.ticked_us + self.scenario.tick_us).max(of.still_until).max(self.now);
+        let due = when
+            .max(of.ticked_us + self.scenario.tick_us)
+            .max(of.still_until)
+            .max(self.now);
         if of.tick.is_some_and(|(known, _)| known <= due) {
             return;
         }
         of.ticks += 1;
         of.tick = Some((due, of.ticks));
         let number = of.ticks;
-        self.push(due, Event::Tick { supervisor: at as u32, number });
+        self.push(
+            due,
+            Event::Tick {
+                supervisor: at as u32,
+                number,
+            },
+        );
     }
 
     fn tick(&mut self, at: usize, number: u32) {
@@ -1159,9 +1495,16 @@
         match &mut of.mind {
             Mind::Engine(engine, rules, service) => {
                 rules.turn(Micros(now as i64), engine);
-                if let Some(change) = service.as_mut().and_then(|of| of.turn(Micros(now as i64), engine)) {
+                if let Some(change) = service
+                    .as_mut()
+                    .and_then(|of| of.turn(Micros(now as i64), engine))
+                {
                     let at_s = (now - BEGIN_US) as f64 / 1e6;
-                    self.meter.changed(LevelChange { at_s, supervisor: at, change });
+                    self.meter.changed(LevelChange {
+                        at_s,
+                        supervisor: at,
+                        change,
+                    });
                 }
                 let next = engine.tick(Micros(now as i64));
                 let probes: Vec<Probe> = std::iter::from_fn(|| engine.pick_probe()).collect();
@@ -1173,7 +1516,9 @@
                     self.wake(at, next.0.max(0) as u64);
                 }
                 probes.into_iter().for_each(|probe| self.probe(at, probe));
-                orders.into_iter().for_each(|(stream, order)| self.order(at, stream, Rc::new(order)));
+                orders
+                    .into_iter()
+                    .for_each(|(stream, order)| self.order(at, stream, Rc::new(order)));
             }
             Mind::Plain(_) => self.plain(at),
         }
@@ -1181,17 +1526,26 @@
 
     /// A turn of a baseline.
     fn plain(&mut self, at: usize) {
-        let Mind::Plain(dirty) = &mut self.supervisors[at].mind else { return };
+        let Mind::Plain(dirty) = &mut self.supervisors[at].mind else {
+            return;
+        };
         let changed = std::mem::take(dirty);
         let ideal = matches!(self.setup.control, Control::Ideal(_));
         if !changed && !ideal {
             return;
         }
-        let truth = self.past.front().map(|(_, truth)| truth.clone()).unwrap_or_default();
+        let truth = self
+            .past
+            .front()
+            .map(|(_, truth)| truth.clone())
+            .unwrap_or_default();
         let seen = &self.supervisors[at].seen;
         let weight = |server: usize| {
             if ideal {
-                return truth.get(server).copied().unwrap_or(self.servers[server].listed);
+                return truth
+                    .get(server)
+                    .copied()
+                    .unwrap_or(self.servers[server].listed);
             }
             let seen = seen.get(server).copied().unwrap_or_default();
             let in_service = seen.listed && seen.life == Lifecycle::InService;
@@ -1203,8 +1557,11 @@
         };
         let of_zone = |zone: usize| Rc::new(whole(self.scenario, &self.servers, zone, weight));
         let orders: Vec<Rc<Order>> = (0..self.scenario.zones.len()).map(of_zone).collect();
-        let streams: Vec<(u64, u32)> =
-            self.supervisors[at].streams.iter().map(|(stream, front)| (*stream, *front)).collect();
+        let streams: Vec<(u64, u32)> = self.supervisors[at]
+            .streams
+            .iter()
+            .map(|(stream, front)| (*stream, *front))
+            .collect();
         for (stream, front) in streams {
             let order = Rc::clone(&orders[self.fronts[front as usize].zone]);
             self.order(at, stream, order);
@@ -1217,7 +1574,9 @@
     /// An order goes through the channel.
     fn order(&mut self, at: usize, stream: u64, order: Rc<Order>) {
         let (now, scenario) = (self.now, self.scenario);
-        let Some(front) = self.supervisors[at].streams.get(&stream).copied() else { return };
+        let Some(front) = self.supervisors[at].streams.get(&stream).copied() else {
+            return;
+        };
         let cost = lines(&order) + scenario.head;
         let of = &mut self.supervisors[at];
         let mut leaves = now as f64;
@@ -1229,31 +1588,55 @@
             self.meter.top("backlog", waiting / scenario.backlog);
             if waiting > scenario.backlog {
                 let at_us = now - BEGIN_US;
-                self.rules
-                    .broken(Rule::Queue, at_us, || format!("{waiting:.0} lines wait at supervisor {at}"));
+                self.rules.broken(Rule::Queue, at_us, || {
+                    format!("{waiting:.0} lines wait at supervisor {at}")
+                });
             }
         }
-        let way = self.chances.ways.gap(scenario.way_us).min(scenario.way_most_us);
+        let way = self
+            .chances
+            .ways
+            .gap(scenario.way_us)
+            .min(scenario.way_most_us);
         let to = &mut self.fronts[front as usize];
-        while to.messages.front().is_some_and(|sent| sent + MESSAGES_US < now) {
+        while to
+            .messages
+            .front()
+            .is_some_and(|sent| sent + MESSAGES_US < now)
+        {
             to.messages.pop_front();
         }
         to.messages.push_back(now);
         let written = to.messages.len();
         if scenario.messages_most > 0 && written > scenario.messages_most {
             let at_us = now - BEGIN_US;
-            self.rules
-                .broken(Rule::Queue, at_us, || format!("{written} messages in 10 s to front end {front}"));
+            self.rules.broken(Rule::Queue, at_us, || {
+                format!("{written} messages in 10 s to front end {front}")
+            });
         }
         // In the order in which they were sent.
         let arrives = ((leaves + way) as u64).max(to.last_arrival_us + 1);
         to.last_arrival_us = arrives;
-        let message = Message { front, epoch: to.epoch, supervisor: at as u32, stream, sent_us: now, order };
+        let message = Message {
+            front,
+            epoch: to.epoch,
+            supervisor: at as u32,
+            stream,
+            sent_us: now,
+            order,
+        };
         self.push(arrives, Event::Message(Box::new(message)));
     }
 
     fn message(&mut self, message: Message) {
-        let Message { front, epoch, supervisor, stream, sent_us, order } = message;
+        let Message {
+            front,
+            epoch,
+            supervisor,
+            stream,
+            sent_us,
+            order,
+        } = message;
         let of = &mut self.fronts[front as usize];
         if of.epoch != epoch || !of.up {
             return;
@@ -1262,7 +1645,14 @@
             let until = of.still_until;
             self.push(
                 until,
-                Event::Message(Box::new(Message { front, epoch, supervisor, stream, sent_us, order })),
+                Event::Message(Box::new(Message {
+                    front,
+                    epoch,
+                    supervisor,
+                    stream,
+                    sent_us,
+                    order,
+                })),
             );
             return;
         }
@@ -1281,7 +1671,16 @@
             let until = of.still_until;
             let (way, _) = self.way(zones.0, zones.1);
             let epoch = self.supervisors[supervisor as usize].epoch;
-            self.push(until + way, Event::Ack { supervisor, epoch, stream, mark, took });
+            self.push(
+                until + way,
+                Event::Ack {
+                    supervisor,
+                    epoch,
+                    stream,
+                    mark,
+                    took,
+                },
+            );
         }
     }
 
@@ -1292,14 +1691,18 @@
         let scenario = self.scenario;
         let notice = if lost { scenario.notice_us as f64 } else { 0.0 };
         let wait = (notice + scenario.redial_us as f64) * self.chances.ways.between(0.5, 1.0);
-        let event = Event::Dial { front: at as u32, epoch: self.fronts[at].epoch };
+        let event = Event::Dial {
+            front: at as u32,
+            epoch: self.fronts[at].epoch,
+        };
         self.push(self.now + wait as u64 + 1, event);
     }
 
     fn home(&self, front: usize) -> usize {
         let zone = self.fronts[front].zone;
-        let home: Vec<usize> =
-            (0..self.supervisors.len()).filter(|at| self.supervisors[*at].zone == zone).collect();
+        let home: Vec<usize> = (0..self.supervisors.len())
+            .filter(|at| self.supervisors[*at].zone == zone)
+            .collect();
         if home.is_empty() {
             front % self.supervisors.len()
         } else {
@@ -1317,7 +1720,9 @@
             let (_, lost) = sim.way_troubles(sim.fronts[at].zone, sim.supervisors[other].zone);
             sim.supervisors[other].up && lost < 1.0
         };
-        let found = (0..all).map(|step| (home + step) % all).find(|other| reachable(self, *other));
+        let found = (0..all)
+            .map(|step| (home + step) % all)
+            .find(|other| reachable(self, *other));
         let Some(supervisor) = found else {
             self.dial(at, false);
             return;
@@ -1333,14 +1738,25 @@
         let rate = self.scenario.rate / self.fronts.len() as f64;
         let zone_name = self.scenario.zones[zone].clone();
         let epoch_of = self.supervisors[supervisor].epoch;
-        let joined =
-            Report::Joined { stream: StreamId(stream), proxy: at as u32, zone: zone_name, rate, new };
+        let joined = Report::Joined {
+            stream: StreamId(stream),
+            proxy: at as u32,
+            zone: zone_name,
+            rate,
+            new,
+        };
         if let Mind::Plain(dirty) = &mut self.supervisors[supervisor].mind {
             *dirty = true;
         }
         self.report(supervisor, epoch_of, joined);
         if supervisor != home && self.scenario.rehome_us > 0 {
-            self.push(self.now + self.scenario.rehome_us, Event::Rehome { front: at as u32, epoch });
+            self.push(
+                self.now + self.scenario.rehome_us,
+                Event::Rehome {
+                    front: at as u32,
+                    epoch,
+                },
+            );
         }
     }
 
@@ -1351,7 +1767,13 @@
         if self.supervisors[self.home(at)].up {
             self.stream_breaks(at);
         } else {
-            self.push(self.now + self.scenario.rehome_us, Event::Rehome { front: at as u32, epoch });
+            self.push(
+                self.now + self.scenario.rehome_us,
+                Event::Rehome {
+                    front: at as u32,
+                    epoch,
+                },
+            );
         }
     }
 
@@ -1367,7 +1789,9 @@
     }
 
     pub(crate) fn stream_breaks(&mut self, at: usize) {
-        let Some((supervisor, stream, _)) = self.fronts[at].joined else { return };
+        let Some((supervisor, stream, _)) = self.fronts[at].joined else {
+            return;
+        };
         self.supervisors[supervisor].streams.remove(&stream);
         let epoch = self.supervisors[supervisor].epoch;
         self.unjoin(at);
@@ -1392,8 +1816,13 @@
             .map(|(key, _)| key)
             .collect();
         for key in held {
-            let attempt = self.requests.get_mut(key).and_then(|request| request.current.take());
-            attempt.into_iter().for_each(|attempt| self.abandon(attempt));
+            let attempt = self
+                .requests
+                .get_mut(key)
+                .and_then(|request| request.current.take());
+            attempt
+                .into_iter()
+                .for_each(|attempt| self.abandon(attempt));
             self.coming_fails(key, false, false);
         }
     }
@@ -1416,9 +1845,16 @@
             return;
         }
         let (scenario, noise) = (self.scenario, self.scenario.reports_noise);
-        self.push(self.now + scenario.period_us, Event::Sums { supervisor: at as u32, epoch });
+        self.push(
+            self.now + scenario.period_us,
+            Event::Sums {
+                supervisor: at as u32,
+                epoch,
+            },
+        );
         let chance = &mut self.chances.reports;
-        let mut reports = self.supervisors[at].report(scenario, &self.servers, || chance.noise(noise));
+        let mut reports =
+            self.supervisors[at].report(scenario, &self.servers, || chance.noise(noise));
         let period = Micros(scenario.period_us as i64);
         for front in self.supervisors[at].streams.values() {
             let usage = &mut self.fronts[*front as usize].usage;
@@ -1426,17 +1862,31 @@
                 let of = std::mem::take(of);
                 if of.came > 0.0 {
                     let (class, proxy) = (class.name.clone(), *front);
-                    reports.push(Report::Demand { proxy, class, came: of.came, failed: of.failed, period });
+                    reports.push(Report::Demand {
+                        proxy,
+                        class,
+                        came: of.came,
+                        failed: of.failed,
+                        period,
+                    });
                 }
             }
         }
-        let late = (scenario.reports_late_us as f64 * chance.between(0.6, 1.4)) as u64 + self.reports_later();
+        let late = (scenario.reports_late_us as f64 * chance.between(0.6, 1.4)) as u64
+            + self.reports_later();
         let due = self.now + late;
         let of = &mut self.supervisors[at];
-        of.intake.extend(reports.into_iter().map(|report| (due, report)));
+        of.intake
+            .extend(reports.into_iter().map(|report| (due, report)));
         if !of.taking && !of.intake.is_empty() {
             of.taking = true;
-            self.push(due, Event::Intake { supervisor: at as u32, epoch });
+            self.push(
+                due,
+                Event::Intake {
+                    supervisor: at as u32,
+                    epoch,
+                },
+            );
         }
     }
 
@@ -1449,7 +1899,9 @@
         let of = &mut self.supervisors[at];
         let mut taken = 0;
         while taken < most && of.intake.front().is_some_and(|(due, _)| *due <= now) {
-            let Some((_, report)) = of.intake.pop_front() else { break };
+            let Some((_, report)) = of.intake.pop_front() else {
+                break;
+            };
             taken += 1;
             if let Mind::Engine(engine, ..) = &mut of.mind {
                 // A front end that has left meanwhile is no longer known; the report is dropped, as in service.
@@ -1459,7 +1911,13 @@
         match of.intake.front() {
             Some((due, _)) => {
                 let next = (*due).max(now + INTAKE_US);
-                self.push(next, Event::Intake { supervisor: at as u32, epoch });
+                self.push(
+                    next,
+                    Event::Intake {
+                        supervisor: at as u32,
+                        epoch,
+                    },
+                );
             }
             None => of.taking = false,
         }
@@ -1471,15 +1929,28 @@
     // Probes.
 
     fn probe(&mut self, at: usize, probe: Probe) {
-        let Some(server) = probe.address.parse::<u32>().ok().filter(|of| (*of as usize) < self.servers.len())
+        let Some(server) = probe
+            .address
+            .parse::<u32>()
+            .ok()
+            .filter(|of| (*of as usize) < self.servers.len())
         else {
             return;
         };
         self.meter.count("probes", 1.0);
-        let zones = (self.supervisors[at].zone, self.servers[server as usize].zone);
+        let zones = (
+            self.supervisors[at].zone,
+            self.servers[server as usize].zone,
+        );
         let (way, lost) = self.way(zones.0, zones.1);
         let epoch = self.supervisors[at].epoch;
-        let probing = Probing { supervisor: at as u32, epoch, server, sent_us: self.now, probe };
+        let probing = Probing {
+            supervisor: at as u32,
+            epoch,
+            server,
+            sent_us: self.now,
+            probe,
+        };
         if lost {
             self.probe_times_out(probing);
         } else {
@@ -1495,7 +1966,10 @@
 
     fn probe_reach(&mut self, probing: Probing) {
         let at = probing.server as usize;
-        let zones = (self.servers[at].zone, self.supervisors[probing.supervisor as usize].zone);
+        let zones = (
+            self.servers[at].zone,
+            self.supervisors[probing.supervisor as usize].zone,
+        );
         if !self.servers[at].runs() && self.silent[at] {
             self.probe_times_out(probing);
             return;
@@ -1521,16 +1995,23 @@
             return;
         }
         let waits = if deep { of.wait_ms() } else { 0.0 };
-        let took = of.probe_ms(self.now, self.scenario.probe_ms).map(|ms| ((ms + waits) * 1e3) as u64);
-        let in_time =
-            took.filter(|took| self.now + took + way < probing.sent_us + self.scenario.probe_timeout_us);
+        let took = of
+            .probe_ms(self.now, self.scenario.probe_ms)
+            .map(|ms| ((ms + waits) * 1e3) as u64);
+        let in_time = took.filter(|took| {
+            self.now + took + way < probing.sent_us + self.scenario.probe_timeout_us
+        });
         let Some(took) = in_time else {
             self.probe_times_out(probing);
             return;
         };
         let (queue, service) = (of.queue() as f64, of.service_ms());
         let load = if self.scenario.load_reports {
-            Load { queue: Some(queue), latency_ms: Some(service), ..Load::default() }
+            Load {
+                queue: Some(queue),
+                latency_ms: Some(service),
+                ..Load::default()
+            }
         } else {
             Load::default()
         };
@@ -1545,23 +2026,46 @@
             of.probes = of.probes.saturating_sub(1);
         }
         let took = Micros((self.now - probing.sent_us) as i64);
-        let Probing { supervisor, epoch, probe, .. } = probing;
-        self.report(supervisor as usize, epoch, Report::Probed { probe, end, took, load });
+        let Probing {
+            supervisor,
+            epoch,
+            probe,
+            ..
+        } = probing;
+        self.report(
+            supervisor as usize,
+            epoch,
+            Report::Probed {
+                probe,
+                end,
+                took,
+                load,
+            },
+        );
     }
 
     // Housekeeping.
 
     /// A trouble of servers has ended: those that nobody picks are watched until somebody does.
     pub(crate) fn watch_healed(&mut self, number: usize) {
-        let picked = |server: u32| self.fronts.iter().any(|front| front.up && front.picks(server));
-        let left = self.struck[number].whom.iter().map(|at| *at as u32).filter(|server| !picked(*server));
+        let picked = |server: u32| {
+            self.fronts
+                .iter()
+                .any(|front| front.up && front.picks(server))
+        };
+        let left = self.struck[number]
+            .whom
+            .iter()
+            .map(|at| *at as u32)
+            .filter(|server| !picked(*server));
         let left: Vec<(u32, u64)> = left.map(|server| (server, self.now)).collect();
         self.healing.extend(left);
     }
 
     pub(crate) fn watch_struck(&mut self, number: usize) {
         let whom = &self.struck[number].whom;
-        self.watched.extend(whom.iter().map(|at| (*at as u32, self.now)));
+        self.watched
+            .extend(whom.iter().map(|at| (*at as u32, self.now)));
     }
 
     /// Looks at what holds over time: who has nobody to pick, and which struck servers nobody picks any more.
@@ -1578,19 +2082,27 @@
                 }
             });
             self.past.push_back((now, truth.collect()));
-            while self.past.get(1).is_some_and(|(at, _)| at + u64::from(late_ms) * 1000 <= now) {
+            while self
+                .past
+                .get(1)
+                .is_some_and(|(at, _)| at + u64::from(late_ms) * 1000 <= now)
+            {
                 self.past.pop_front();
             }
         }
         for at in 0..self.fronts.len() {
-            let Some((supervisor, _, since)) = self.fronts[at].joined else { continue };
+            let Some((supervisor, _, since)) = self.fronts[at].joined else {
+                continue;
+            };
             for class in 0..scenario.classes.len() {
                 if self.fronts[at].has_lines(class) {
                     self.fronts[at].bare_since[class] = None;
                     continue;
                 }
                 let bare = *self.fronts[at].bare_since[class].get_or_insert(now);
-                let home = scenario.classes[class].home_only.then_some(self.fronts[at].zone);
+                let home = scenario.classes[class]
+                    .home_only
+                    .then_some(self.fronts[at].zone);
                 let of = &self.supervisors[supervisor];
                 if now > bare.max(since) + scenario.unserved_us
                     && of.lists_warm(now, &self.servers, self.longest_cold_us, home)
@@ -1599,14 +2111,19 @@
                     self.fronts[at].bare_since[class] = Some(now);
                     let name = &scenario.classes[class].name;
                     let at_us = now - BEGIN_US;
-                    self.rules
-                        .broken(Rule::Unserved, at_us, || format!("front end {at} has nobody for {name}"));
+                    self.rules.broken(Rule::Unserved, at_us, || {
+                        format!("front end {at} has nobody for {name}")
+                    });
                 }
             }
         }
         let healing = std::mem::take(&mut self.healing);
         for (server, since) in healing {
-            if self.fronts.iter().any(|front| front.up && front.picks(server)) {
+            if self
+                .fronts
+                .iter()
+                .any(|front| front.up && front.picks(server))
+            {
                 self.meter.restored((now - since) as f64 / 1e6);
             } else {
                 self.healing.push((server, since));
@@ -1614,7 +2131,11 @@
         }
         let watched = std::mem::take(&mut self.watched);
         for (server, since) in watched {
-            if self.fronts.iter().any(|front| front.up && front.picks(server)) {
+            if self
+                .fronts
+                .iter()
+                .any(|front| front.up && front.picks(server))
+            {
                 self.watched.push((server, since));
             } else {
                 self.meter.shut_out((now - since) as f64 / 1e6);
@@ -1647,13 +2168,24 @@
             }
         }
         let queue: usize = self.servers.iter().map(Server::queue).sum();
-        let up = self.servers.iter().filter(|server| server.runs()).count().max(1);
-        let open: f64 = self.servers.iter().map(|server| f64::from(server.connections)).sum();
+        let up = self
+            .servers
+            .iter()
+            .filter(|server| server.runs())
+            .count()
+            .max(1);
+        let open: f64 = self
+            .servers
+            .iter()
+            .map(|server| f64::from(server.connections))
+            .sum();
         self.meter.top("queue", queue as f64);
         self.meter.top("connections", open / up as f64);
         let scenario = self.scenario;
-        let waiting =
-            self.supervisors.iter().map(|of| (of.free_us - now as f64).max(0.0) / 1e6 * scenario.lines_per_s);
+        let waiting = self
+            .supervisors
+            .iter()
+            .map(|of| (of.free_us - now as f64).max(0.0) / 1e6 * scenario.lines_per_s);
         let fullest = waiting.fold(0.0, f64::max) / scenario.backlog;
         let second = (self.elapsed() / 1_000_000).saturating_sub(1) as usize;
         self.meter.stands(second, queue as f64, fullest);
--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -90,12 +90,18 @@
                 format!("limits: {}", said.join("; "))
             })?;
         }
-        let Some(traffic) = &self.traffic else { return Ok(()) };
+        let Some(traffic) = &self.traffic else {
+            return Ok(());
+        };
         let unknown = |name: &&String| scenario.classes.iter().all(|class| class.name != **name);
         if let Some(name) = traffic.classes.iter().find(unknown) {
             return Err(format!("traffic: the scenario has no class {name:?}"));
         }
-        match traffic.zones.iter().find(|name| !scenario.zones.contains(name)) {
+        match traffic
+            .zones
+            .iter()
+            .find(|name| !scenario.zones.contains(name))
+        {
             Some(name) => Err(format!("traffic: the scenario has no zone {name:?}")),
             None => Ok(()),
         }
@@ -103,25 +109,46 @@
 
     /// What the classes, and the zones, of recorded traffic are in a scenario.
     pub fn recorded(&self, scenario: &Scenario) -> (Vec<Option<usize>>, Vec<Option<usize>>) {
-        let Some(traffic) = &self.traffic else { return Default::default() };
-        let class = |name: &String| scenario.classes.iter().position(|class| class.name == *name);
+        let Some(traffic) = &self.traffic else {
+            return Default::default();
+        };
+        let class = |name: &String| {
+            scenario
+                .classes
+                .iter()
+                .position(|class| class.name == *name)
+        };
         let zone = |name: &String| scenario.zones.iter().position(|zone| zone == name);
-        (traffic.classes.iter().map(class).collect(), traffic.zones.iter().map(zone).collect())
+        (
+            traffic.classes.iter().map(class).collect(),
+            traffic.zones.iter().map(zone).collect(),
+        )
     }
 
     /// Levels, limits and budgets of one supervisor, if they are wanted and fit.
     pub fn service(&self, scenario: &Scenario, engine: &mut Engine) -> Option<Box<Service>> {
         let plan = Plan::read(self.limits.as_ref()?, Some(&classes(scenario))).ok()?;
-        Some(Box::new(Service::new(plan, engine, Micros(scenario.period_us as i64))))
+        Some(Box::new(Service::new(
+            plan,
+            engine,
+            Micros(scenario.period_us as i64),
+        )))
     }
 
     /// Whether the plug-ins compile; a sentence if not.
     pub fn check(&self) -> Result<(), String> {
-        let refused = Rules::default().load(&self.plugins).err().unwrap_or_default();
+        let refused = Rules::default()
+            .load(&self.plugins)
+            .err()
+            .unwrap_or_default();
         match refused.first() {
             None => Ok(()),
             Some(one) => {
-                let first = one.faults.first().map(ToString::to_string).unwrap_or_default();
+                let first = one
+                    .faults
+                    .first()
+                    .map(ToString::to_string)
+                    .unwrap_or_default();
                 Err(format!("{}:{first}", one.name))
             }
         }
@@ -211,7 +238,10 @@
 impl Supervisor {
     /// One that knows the list as it is at the beginning.
     pub fn new(zone: usize, mind: Mind, servers: usize) -> Self {
-        let listed = Seen { listed: true, ..Seen::default() };
+        let listed = Seen {
+            listed: true,
+            ..Seen::default()
+        };
         Supervisor {
             zone,
             up: true,
@@ -253,16 +283,35 @@
             return false;
         }
         let drains = life != Lifecycle::InService;
-        let start_learned = if seen.started_us == started_us { seen.start_learned } else { now };
+        let start_learned = if seen.started_us == started_us {
+            seen.start_learned
+        } else {
+            now
+        };
         let drains_since = drains.then(|| seen.drains_since.unwrap_or(now));
-        *seen = Seen { listed: true, life, started_us, drains_since, start_learned, seq };
+        *seen = Seen {
+            listed: true,
+            life,
+            started_us,
+            drains_since,
+            start_learned,
+            seq,
+        };
         true
     }
 
     /// Whether a warm server in service is listed that a class may use from a zone.
-    pub fn lists_warm(&self, now: u64, servers: &[Server], cold_us: u64, home: Option<usize>) -> bool {
+    pub fn lists_warm(
+        &self,
+        now: u64,
+        servers: &[Server],
+        cold_us: u64,
+        home: Option<usize>,
+    ) -> bool {
         self.seen.iter().zip(servers).any(|(seen, server)| {
-            let warm = seen.started_us.is_none_or(|started| started + cold_us <= now);
+            let warm = seen
+                .started_us
+                .is_none_or(|started| started + cold_us <= now);
             let open = home.is_none_or(|zone| zone == server.zone);
             seen.listed && seen.life == Lifecycle::InService && warm && open
         })
@@ -287,7 +336,9 @@
     pub fn list(&self, scenario: &Scenario, servers: &[Server]) -> Vec<Listed> {
         let known = self.seen.iter().zip(servers).enumerate();
         let listed = known.filter(|(_, (seen, _))| seen.listed && seen.life != Lifecycle::Gone);
-        listed.map(|(at, (_, server))| self.entry(scenario, at, server)).collect()
+        listed
+            .map(|(at, (_, server))| self.entry(scenario, at, server))
+            .collect()
     }
 
     /// Sums since the last report, as reports with some noise.
@@ -301,15 +352,19 @@
         let sums = std::mem::take(&mut self.sums);
         let report = |((zone, server), of): ((usize, u32), Tally)| {
             let good = of.tries - of.failed;
-            let mean_ms = if good > 0.0 { of.sum_ms / good * noise() } else { 0.0 };
-            let load = of.load.filter(|_| scenario.load_reports && scenario.load_with_answers).map_or(
-                Load::default(),
-                |(queue, latency_ms)| Load {
+            let mean_ms = if good > 0.0 {
+                of.sum_ms / good * noise()
+            } else {
+                0.0
+            };
+            let load = of
+                .load
+                .filter(|_| scenario.load_reports && scenario.load_with_answers)
+                .map_or(Load::default(), |(queue, latency_ms)| Load {
                     queue: Some(queue),
                     latency_ms: Some(latency_ms),
                     ..Load::default()
-                },
-            );
+                });
             Report::Outcomes {
                 zone: scenario.zones[zone].clone(),
                 server: servers[server as usize].name.to_string(),
@@ -325,24 +380,49 @@
 }
 
 /// The whole table that a baseline gives to all front ends of a zone: a part for each group of classes.
-pub fn whole(scenario: &Scenario, servers: &[Server], zone: usize, weight: impl Fn(usize) -> f64) -> Order {
+pub fn whole(
+    scenario: &Scenario,
+    servers: &[Server],
+    zone: usize,
+    weight: impl Fn(usize) -> f64,
+) -> Order {
     let rows = |home: bool| -> Vec<(Rc<str>, f64)> {
-        let all = servers.iter().enumerate().filter(|(_, server)| !home || server.zone == zone);
+        let all = servers
+            .iter()
+            .enumerate()
+            .filter(|(_, server)| !home || server.zone == zone);
         let weighed = all.map(|(at, server)| (Rc::clone(&server.name), weight(at)));
         weighed.filter(|(_, weight)| *weight > 0.0).collect()
     };
     let classes = |home: bool| -> Vec<Rc<str>> {
-        let of = scenario.classes.iter().filter(|class| class.home_only == home);
+        let of = scenario
+            .classes
+            .iter()
+            .filter(|class| class.home_only == home);
         of.map(|class| Rc::from(class.name.as_str())).collect()
     };
-    let part = |home: bool| Part { classes: classes(home), replace: true, rows: rows(home), gate: None };
-    let parts = [false, true].map(part).into_iter().filter(|part| !part.classes.is_empty()).collect();
-    Order { parts, ..Order::default() }
+    let part = |home: bool| Part {
+        classes: classes(home),
+        replace: true,
+        rows: rows(home),
+        gate: None,
+    };
+    let parts = [false, true]
+        .map(part)
+        .into_iter()
+        .filter(|part| !part.classes.is_empty())
+        .collect();
+    Order {
+        parts,
+        ..Order::default()
+    }
 }
 
 /// Lines that an order costs, its head not counted.
 pub fn lines(order: &Order) -> f64 {
-    let part = |part: &Part| part.rows.len() + usize::from(part.replace) + usize::from(part.gate.is_some());
+    let part = |part: &Part| {
+        part.rows.len() + usize::from(part.replace) + usize::from(part.gate.is_some())
+    };
     let lines: usize = order.parts.iter().map(part).sum();
     (lines + order.drop.len() + order.undrop.len() + usize::from(order.stamp.is_some())) as f64
 }
--- a/crates/model/src/trouble.rs
+++ b/crates/model/src/trouble.rs
@@ -25,7 +25,10 @@
 impl Trouble {
     /// Its size at a moment: it may grow to its full.
     pub fn size_at(&self, now: u64) -> f64 {
-        let neutral = if matches!(self.sort, Sort::Slow | Sort::Burst | Sort::Heavy | Sort::Handshake) {
+        let neutral = if matches!(
+            self.sort,
+            Sort::Slow | Sort::Burst | Sort::Heavy | Sort::Handshake
+        ) {
             1.0
         } else {
             0.0
@@ -58,22 +61,32 @@
             Sort::Streams => (0..self.fronts.len())
                 .filter(|at| self.fronts[*at].joined.is_some() && here(self.fronts[*at].zone))
                 .collect(),
-            Sort::FrontEndsStand | Sort::FrontEndsDie => {
-                (0..self.fronts.len()).filter(|at| here(self.fronts[*at].zone)).collect()
-            }
-            Sort::SupervisorsStand | Sort::SupervisorsDie => {
-                (0..self.supervisors.len()).filter(|at| here(self.supervisors[*at].zone)).collect()
-            }
+            Sort::FrontEndsStand | Sort::FrontEndsDie => (0..self.fronts.len())
+                .filter(|at| here(self.fronts[*at].zone))
+                .collect(),
+            Sort::SupervisorsStand | Sort::SupervisorsDie => (0..self.supervisors.len())
+                .filter(|at| here(self.supervisors[*at].zone))
+                .collect(),
             _ => (0..self.servers.len())
                 .filter(|at| self.servers[*at].life == Life::Up && here(self.servers[*at].zone))
                 .collect(),
         };
-        let part = if trouble.sort == Sort::ZoneLost { 1.0 } else { trouble.part };
+        let part = if trouble.sort == Sort::ZoneLost {
+            1.0
+        } else {
+            trouble.part
+        };
         let least = usize::from(part > 0.0 && !candidates.is_empty());
         let count = ((candidates.len() as f64 * part).round() as usize).max(least);
-        let whom: Vec<usize> =
-            chance.some(candidates.len(), count).into_iter().map(|at| candidates[at]).collect();
-        self.struck[number] = Struck { on: true, whom: whom.clone() };
+        let whom: Vec<usize> = chance
+            .some(candidates.len(), count)
+            .into_iter()
+            .map(|at| candidates[at])
+            .collect();
+        self.struck[number] = Struck {
+            on: true,
+            whom: whom.clone(),
+        };
         match trouble.sort {
             Sort::Way if trouble.extra >= 1.0 => self.streams_are_cut(trouble),
             Sort::Crash => whom.iter().for_each(|at| self.server_dies(*at, false)),
@@ -86,19 +99,29 @@
             Sort::Streams => whom.iter().for_each(|at| self.stream_breaks(*at)),
             Sort::FrontEndsDie => whom.iter().for_each(|at| self.front_dies(*at)),
             Sort::SupervisorsStand => {
-                whom.iter().for_each(|at| self.supervisors[*at].still_until = trouble.to_us);
+                whom.iter()
+                    .for_each(|at| self.supervisors[*at].still_until = trouble.to_us);
             }
             Sort::SupervisorsDie => whom.iter().for_each(|at| self.supervisor_dies(*at)),
             Sort::Replace => {
                 let wave = (trouble.to_us - trouble.from_us) / WAVES as u64;
                 for (place, at) in whom.iter().enumerate() {
                     let due = self.now + wave * (place % WAVES) as u64;
-                    self.push(due, Event::Drains { server: *at as u32, trouble: number as u32 });
+                    self.push(
+                        due,
+                        Event::Drains {
+                            server: *at as u32,
+                            trouble: number as u32,
+                        },
+                    );
                 }
             }
             _ => self.trouble_moves(number),
         }
-        if matches!(trouble.sort, Sort::Crash | Sort::Hang | Sort::FailFast | Sort::ZoneLost) {
+        if matches!(
+            trouble.sort,
+            Sort::Crash | Sort::Hang | Sort::FailFast | Sort::ZoneLost
+        ) {
             self.watch_struck(number);
         }
         if trouble.moves() {
@@ -111,7 +134,9 @@
         let beyond = |zone: usize| trouble.zone == Some(zone);
         let crosses = |at: &usize| {
             let front = &self.fronts[*at];
-            let joined = front.joined.map(|(supervisor, ..)| self.supervisors[supervisor].zone);
+            let joined = front
+                .joined
+                .map(|(supervisor, ..)| self.supervisors[supervisor].zone);
             joined.is_some_and(|zone| beyond(zone) != beyond(front.zone))
         };
         let cut: Vec<usize> = (0..self.fronts.len()).filter(crosses).collect();
@@ -120,15 +145,19 @@
 
     fn others_of_zone(&mut self, trouble: &Trouble, back: bool) {
         let zone = trouble.zone.unwrap_or(0);
-        for at in (0..self.fronts.len()).filter(|at| self.fronts[*at].zone == zone).collect::<Vec<_>>() {
+        for at in (0..self.fronts.len())
+            .filter(|at| self.fronts[*at].zone == zone)
+            .collect::<Vec<_>>()
+        {
             if back {
                 self.front_starts(at);
             } else {
                 self.front_dies(at);
             }
         }
-        for at in
-            (0..self.supervisors.len()).filter(|at| self.supervisors[*at].zone == zone).collect::<Vec<_>>()
+        for at in (0..self.supervisors.len())
+            .filter(|at| self.supervisors[*at].zone == zone)
+            .collect::<Vec<_>>()
         {
             if back {
                 self.supervisor_starts(at);
@@ -179,7 +208,8 @@
                 let within = (self.now - trouble.from_us) % 1_000_000;
                 let still = (trouble.size_at(self.now) * 1e3) as u64;
                 if within < STEP_US {
-                    whom.iter().for_each(|at| self.fronts[*at].still_until = self.now + still);
+                    whom.iter()
+                        .for_each(|at| self.fronts[*at].still_until = self.now + still);
                 }
             }
             _ => {}
@@ -206,7 +236,10 @@
                     effects.taken = 1.0 - (1.0 - effects.taken) * (1.0 - size.min(0.99));
                 }
                 Sort::Handshake => {
-                    effects.handshake = (effects.handshake.0 * size.max(1.0), (trouble.extra * 1e3) as u64);
+                    effects.handshake = (
+                        effects.handshake.0 * size.max(1.0),
+                        (trouble.extra * 1e3) as u64,
+                    );
                 }
                 _ => {}
             }
@@ -223,20 +256,41 @@
         if self.servers[server].life != Life::Up {
             return;
         }
-        let (size, extra) = (self.scenario.troubles[number].size, self.scenario.troubles[number].extra);
+        let (size, extra) = (
+            self.scenario.troubles[number].size,
+            self.scenario.troubles[number].extra,
+        );
         self.servers[server].life = Life::Draining;
         self.tell(server, Lifecycle::Draining, false);
-        self.push(self.now + (size * 1e6) as u64, Event::Removed { server: server as u32 });
-        self.push(self.now + (extra * 1e6) as u64, Event::Replacement { server: server as u32 });
+        self.push(
+            self.now + (size * 1e6) as u64,
+            Event::Removed {
+                server: server as u32,
+            },
+        );
+        self.push(
+            self.now + (extra * 1e6) as u64,
+            Event::Replacement {
+                server: server as u32,
+            },
+        );
     }
 
     /// How much more comes, by troubles, and which share is how many times as heavy.
     pub(crate) fn pressure(&self) -> (f64, f64, f64) {
         let (mut more, mut share, mut heavier) = (1.0, 0.0, 1.0);
-        for (trouble, _) in self.scenario.troubles.iter().zip(&self.struck).filter(|(_, struck)| struck.on) {
+        for (trouble, _) in self
+            .scenario
+            .troubles
+            .iter()
+            .zip(&self.struck)
+            .filter(|(_, struck)| struck.on)
+        {
             match trouble.sort {
                 Sort::Burst => more *= trouble.size_at(self.now),
-                Sort::Heavy => (share, heavier) = (trouble.extra.min(1.0), trouble.size_at(self.now)),
+                Sort::Heavy => {
+                    (share, heavier) = (trouble.extra.min(1.0), trouble.size_at(self.now))
+                }
                 _ => {}
             }
         }
@@ -249,8 +303,16 @@
             return (0.0, 0.0);
         }
         let (mut more, mut kept) = (0.0, 1.0);
-        for (trouble, _) in self.scenario.troubles.iter().zip(&self.struck).filter(|(_, struck)| struck.on) {
-            if trouble.sort == Sort::Way && trouble.zone.is_some_and(|zone| zone == from || zone == to) {
+        for (trouble, _) in self
+            .scenario
+            .troubles
+            .iter()
+            .zip(&self.struck)
+            .filter(|(_, struck)| struck.on)
+        {
+            if trouble.sort == Sort::Way
+                && trouble.zone.is_some_and(|zone| zone == from || zone == to)
+            {
                 more += trouble.size_at(self.now) * 1e3;
                 kept *= 1.0 - trouble.extra.min(1.0);
             }
--- a/crates/model/tests/levels.rs
+++ b/crates/model/tests/levels.rs
@@ -25,7 +25,10 @@
 }
 
 fn setup(text: &str) -> Setup {
-    Setup { limits: Some(written(text)), ..Setup::default() }
+    Setup {
+        limits: Some(written(text)),
+        ..Setup::default()
+    }
 }
 
 /// Five swings of two minutes each: at most one change each way for each swing, every change with its cause; the dear class
@@ -35,22 +38,39 @@
     let points: String = (0..5)
         .flat_map(|swing| {
             let at = 120 * swing;
-            [(at + 40, 1.0), (at + 50, 2.1), (at + 90, 2.1), (at + 100, 1.0)]
+            [
+                (at + 40, 1.0),
+                (at + 50, 2.1),
+                (at + 90, 2.1),
+                (at + 100, 1.0),
+            ]
         })
         .map(|(at, factor)| format!("point {{ at_s: {at} factor: {factor} }} "))
         .collect();
     let scenario = scenario_of(&format!("seconds: 600 load {{ level: 0.6 {points} }}"));
     let with = setup(LADDER);
     with.fits(&scenario).expect("it fits");
-    let (plain, levels) = (play(&scenario, &Setup::default(), 3), play(&scenario, &with, 3));
-    let ways: Vec<(usize, u64)> =
-        levels.changes.iter().map(|of| (of.change.number, of.at_s as u64 / 120)).collect();
+    let (plain, levels) = (
+        play(&scenario, &Setup::default(), 3),
+        play(&scenario, &with, 3),
+    );
+    let ways: Vec<(usize, u64)> = levels
+        .changes
+        .iter()
+        .map(|of| (of.change.number, of.at_s as u64 / 120))
+        .collect();
     assert!(ways.len() >= 4, "{ways:?}");
     for swing in 0..5 {
         for way in [0, 1] {
             // The last way back may fall into the calm time of the next swing.
-            let count = ways.iter().filter(|(number, at)| (*number, *at) == (way, swing)).count();
-            assert!(count <= 1, "{count} changes to {way} in swing {swing}: {ways:?}");
+            let count = ways
+                .iter()
+                .filter(|(number, at)| (*number, *at) == (way, swing))
+                .count();
+            assert!(
+                count <= 1,
+                "{count} changes to {way} in swing {swing}: {ways:?}"
+            );
         }
     }
     for of in &levels.changes {
@@ -71,8 +91,9 @@
 fn a_limit_from_capacity_serves_better_under_a_steady_overload() {
     let scenario = scenario_of("seconds: 60 load { level: 1.6 }");
     let limit = setup("adaptive { rule: CAPACITY }");
-    let gain =
-        |seed| play(&scenario, &limit, seed).service() - play(&scenario, &Setup::default(), seed).service();
+    let gain = |seed| {
+        play(&scenario, &limit, seed).service() - play(&scenario, &Setup::default(), seed).service()
+    };
     let gains: Vec<f64> = (1..=4).map(gain).collect();
     assert!(gains.iter().all(|gain| *gain > 0.02), "{gains:?}");
 }
@@ -81,7 +102,9 @@
 #[test]
 fn limits_are_a_function_of_what_is_seen() {
     let scenario = scenario_of("seconds: 30 load { level: 1.3 }");
-    let all = setup(&format!("{LADDER} adaptive {{}} repeats {{ once_while_room: true }} fairness {{}}"));
+    let all = setup(&format!(
+        "{LADDER} adaptive {{}} repeats {{ once_while_room: true }} fairness {{}}"
+    ));
     let outcome = play(&scenario, &all, 5);
     assert_eq!(outcome, play(&scenario, &all, 5));
     assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
@@ -90,12 +113,20 @@
 #[test]
 fn what_does_not_fit_is_told() {
     let scenario = scenario_of("seconds: 10");
-    let said =
-        setup(&LADDER.replace("'status-read' keep", "'nothing' keep")).fits(&scenario).expect_err("a fault");
+    let said = setup(&LADDER.replace("'status-read' keep", "'nothing' keep"))
+        .fits(&scenario)
+        .expect_err("a fault");
     assert!(said.contains("no class \"nothing\""), "{said}");
-    let traffic = Traffic { classes: vec!["other".into()], ..Traffic::default() };
-    let said =
-        Setup { traffic: Some(Arc::new(traffic)), ..Setup::default() }.fits(&scenario).expect_err("a fault");
+    let traffic = Traffic {
+        classes: vec!["other".into()],
+        ..Traffic::default()
+    };
+    let said = Setup {
+        traffic: Some(Arc::new(traffic)),
+        ..Setup::default()
+    }
+    .fits(&scenario)
+    .expect_err("a fault");
     assert!(said.contains("no class \"other\""), "{said}");
 }
 
@@ -108,16 +139,38 @@
         // Pairs of lines that stand the wrong way round.
         let at = (number ^ 1) * 9;
         let class = ["status-read", "petition-file"][usize::from(number % 10 == 0)];
-        lines.push(format!("{at},{class},{},k{},40", ["a", "b"][(number % 2) as usize], number / 20));
+        lines.push(format!(
+            "{at},{class},{},k{},40",
+            ["a", "b"][(number % 2) as usize],
+            number / 20
+        ));
     }
     let traffic = read(lines.join("\n").as_bytes()).expect("traffic");
     assert!(traffic.out_of_order > 900 && traffic.repeats(10_000_000) > 0);
-    let setup = Setup { traffic: Some(Arc::new(traffic)), ..Setup::default() };
+    let setup = Setup {
+        traffic: Some(Arc::new(traffic)),
+        ..Setup::default()
+    };
     setup.fits(&scenario).expect("it fits");
     let outcome = play(&scenario, &setup, 1);
-    assert_eq!(outcome.classes.iter().map(|class| class.came).collect::<Vec<_>>(), [1800, 200, 0]);
-    let by_second: Vec<f64> = outcome.seconds.iter().take(17).map(|second| second.asked).collect();
+    assert_eq!(
+        outcome
+            .classes
+            .iter()
+            .map(|class| class.came)
+            .collect::<Vec<_>>(),
+        [1800, 200, 0]
+    );
+    let by_second: Vec<f64> = outcome
+        .seconds
+        .iter()
+        .take(17)
+        .map(|second| second.asked)
+        .collect();
     // 111 a second, one in ten of them worth six.
-    assert!(by_second.iter().all(|asked| (asked - 167.0).abs() < 12.0), "{by_second:?}");
+    assert!(
+        by_second.iter().all(|asked| (asked - 167.0).abs() < 12.0),
+        "{by_second:?}"
+    );
     assert_eq!(outcome, play(&scenario, &setup, 1));
 }
--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -78,29 +78,56 @@
     assert!(outcome.figure("failed") < 1e-3, "{:?}", outcome.figures);
     let (median, p90) = (outcome.figure("p50_ms"), outcome.figure("p90_ms"));
     // Mean wait 117 ms, so mean time 217 ms; the median of M/D/1 at 0.7 lies a little below it, nine tenths near 2.2 times it.
-    assert!((150.0..217.0).contains(&median) && (380.0..560.0).contains(&p90), "{median} {p90}");
+    assert!(
+        (150.0..217.0).contains(&median) && (380.0..560.0).contains(&p90),
+        "{median} {p90}"
+    );
 }
 
 #[test]
 fn abandoned_work_and_clients_that_come_again_are_counted() {
     let scenario = fleet("load { level: 1.6 } clients { retries: 3 }");
     let nobody = run(&scenario, Control::Nobody, 2);
-    assert!(nobody.figure("comings") > 1.2 && nobody.figure("wasted") > 0.02, "{:?}", nobody.figures);
+    assert!(
+        nobody.figure("comings") > 1.2 && nobody.figure("wasted") > 0.02,
+        "{:?}",
+        nobody.figures
+    );
     let module = run(&scenario, Control::Module, 2);
-    assert!(module.figure("refused") > 0.05, "the module lets in less: {:?}", module.figures);
+    assert!(
+        module.figure("refused") > 0.05,
+        "the module lets in less: {:?}",
+        module.figures
+    );
     kept(&module);
 }
 
 #[test]
 fn the_module_leaves_failing_servers_and_a_fixed_table_does_not() {
     let scenario = fleet("trouble { sort: FAIL_FAST at_s: 5 length_s: 12 part: 0.25 size: 0.9 } front_ends { avoids_after: 0 }");
-    let (module, fixed) = (run(&scenario, Control::Module, 4), run(&scenario, Control::Fixed, 4));
+    let (module, fixed) = (
+        run(&scenario, Control::Module, 4),
+        run(&scenario, Control::Fixed, 4),
+    );
     kept(&module);
-    assert!(module.service() > fixed.service() + 0.03, "{} {}", module.service(), fixed.service());
+    assert!(
+        module.service() > fixed.service() + 0.03,
+        "{} {}",
+        module.service(),
+        fixed.service()
+    );
     let left = module.figure("shut_out_s");
-    assert!(left > 0.2 && left < 6.0, "{left} s until all have left them");
+    assert!(
+        left > 0.2 && left < 6.0,
+        "{left} s until all have left them"
+    );
     let ideal = run(&scenario, Control::Ideal(500), 4);
-    assert!(ideal.service() > module.service(), "{} {}", ideal.service(), module.service());
+    assert!(
+        ideal.service() > module.service(),
+        "{} {}",
+        ideal.service(),
+        module.service()
+    );
 }
 
 /// Every trouble there is, one by one and some together, with restarts of supervisors: the model's own checks of the five
@@ -135,7 +162,10 @@
         let outcome = run(&fleet(trouble), Control::Module, seed as u64);
         assert!(outcome.broken.is_empty(), "{trouble}: {:?}", outcome.broken);
         let ended: f64 = outcome.classes.iter().map(|class| class.came as f64).sum();
-        assert!(ended > 2000.0 && ended == outcome.figure("came"), "{trouble}");
+        assert!(
+            ended > 2000.0 && ended == outcome.figure("came"),
+            "{trouble}"
+        );
     }
 }
 
@@ -145,7 +175,11 @@
 fn the_checks_find_what_breaks_a_rule() {
     let broken = |more: &str, control| {
         let outcome = run(&fleet(more), control, 1);
-        outcome.broken.iter().map(|of| of.rule.word()).collect::<Vec<_>>()
+        outcome
+            .broken
+            .iter()
+            .map(|of| of.rule.word())
+            .collect::<Vec<_>>()
     };
     let replace = "trouble { sort: REPLACE at_s: 4 length_s: 3 part: 0.5 size: 9 extra: 20 } rules { drain_grace_s: 0.05 }";
     assert_eq!(broken(replace, Control::Fixed), ["drain"]);
@@ -156,5 +190,9 @@
         Control::Nobody
     )
     .contains(&"twice"));
-    assert!(broken("supervisors { backlog: 20 lines_per_s: 60 }", Control::Fixed).contains(&"queue"));
+    assert!(broken(
+        "supervisors { backlog: 20 lines_per_s: 60 }",
+        Control::Fixed
+    )
+    .contains(&"queue"));
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -127,24 +127,50 @@
 
 /// Reads the file; all faults at once.
 pub fn load(path: &Path) -> Result<Operator, Vec<Fault>> {
-    let fault = |text: String| vec![Fault { path: path.to_path_buf(), place: None, text }];
-    let length = std::fs::metadata(path).map_err(|io| fault(format!("cannot be opened: {io}")))?.len();
+    let fault = |text: String| {
+        vec![Fault {
+            path: path.to_path_buf(),
+            place: None,
+            text,
+        }]
+    };
+    let length = std::fs::metadata(path)
+        .map_err(|io| fault(format!("cannot be opened: {io}")))?
+        .len();
     if length > LENGTH_MOST {
-        return Err(fault(format!("{length} bytes are too long, at most {LENGTH_MOST} are read")));
+        return Err(fault(format!(
+            "{length} bytes are too long, at most {LENGTH_MOST} are read"
+        )));
     }
-    let text = std::fs::read_to_string(path).map_err(|io| fault(format!("cannot be read: {io}")))?;
+    let text =
+        std::fs::read_to_string(path).map_err(|io| fault(format!("cannot be read: {io}")))?;
     read(path, &text)
 }
 
 /// Reads a text, as of a file with this name.
 pub fn read(path: &Path, text: &str) -> Result<Operator, Vec<Fault>> {
-    let fault = |place, text| Fault { path: path.to_path_buf(), place, text };
+    let fault = |place, text| Fault {
+        path: path.to_path_buf(),
+        place,
+        text,
+    };
     let file: pb::Operator = chutegrade_textproto::parse(SCHEMA, MESSAGE, text)
         .map_err(|wrong| vec![fault(wrong.place, wrong.text)])?;
     let mut faults = Vec::new();
-    let limits = file.limits.clone().map(|written| Limits { path: path.into(), text: text.into(), written });
-    let operator = check(&file, &mut |field, said| faults.push(fault(find(text, field), said)));
-    faults.extend(limits.as_ref().and_then(|limits| limits.plan(None).err()).unwrap_or_default());
+    let limits = file.limits.clone().map(|written| Limits {
+        path: path.into(),
+        text: text.into(),
+        written,
+    });
+    let operator = check(&file, &mut |field, said| {
+        faults.push(fault(find(text, field), said))
+    });
+    faults.extend(
+        limits
+            .as_ref()
+            .and_then(|limits| limits.plan(None).err())
+            .unwrap_or_default(),
+    );
     let operator = Operator { limits, ..operator };
     if faults.is_empty() {
         Ok(operator)
@@ -158,9 +184,16 @@
         Some(pb::log::Format::Json) => LogFormat::Json,
         _ => LogFormat::Plain,
     };
-    let plugins = file.plugins.as_ref().map(|plugins| check_plugins(plugins, fault)).unwrap_or_default();
+    let plugins = file
+        .plugins
+        .as_ref()
+        .map(|plugins| check_plugins(plugins, fault))
+        .unwrap_or_default();
     Operator {
-        records: file.records.as_ref().and_then(|records| check_records(records, fault)),
+        records: file
+            .records
+            .as_ref()
+            .and_then(|records| check_records(records, fault)),
         log,
         plugins,
         limits: None,
@@ -169,13 +202,21 @@
 
 fn check_plugins(plugins: &pb::Plugins, fault: &mut impl FnMut(&str, String)) -> Vec<PathBuf> {
     if plugins.file.len() > PLUGINS_MOST {
-        fault("plugins", format!("{} plug-ins are too many: at most {PLUGINS_MOST}", plugins.file.len()));
+        fault(
+            "plugins",
+            format!(
+                "{} plug-ins are too many: at most {PLUGINS_MOST}",
+                plugins.file.len()
+            ),
+        );
     }
     let files: Vec<PathBuf> = plugins.file.iter().map(PathBuf::from).collect();
     for file in files.iter().filter(|file| !file.is_absolute()) {
         fault(
             "file",
-            format!("{file:?} depends on where the program is started: give a path that begins with /"),
+            format!(
+                "{file:?} depends on where the program is started: give a path that begins with /"
+            ),
         );
     }
     files
@@ -206,17 +247,32 @@
         );
         fault("directory", said);
     }
-    let (mib, hours) = (given(records.keep_mib, KEEP_MIB), given(records.keep_hours, KEEP_HOURS));
+    let (mib, hours) = (
+        given(records.keep_mib, KEEP_MIB),
+        given(records.keep_hours, KEEP_HOURS),
+    );
     if mib < KEEP_MIB_LEAST {
-        fault("keep_mib", format!("{mib} MiB hold less than two segments: give {KEEP_MIB_LEAST} or more"));
+        fault(
+            "keep_mib",
+            format!("{mib} MiB hold less than two segments: give {KEEP_MIB_LEAST} or more"),
+        );
     }
     if hours > KEEP_HOURS_MOST {
-        fault("keep_hours", format!("{hours} hours are too long: give {KEEP_HOURS_MOST} or fewer"));
+        fault(
+            "keep_hours",
+            format!("{hours} hours are too long: give {KEEP_HOURS_MOST} or fewer"),
+        );
     }
     let budget = records.background.unwrap_or_default();
     let (cpu, bytes) = (given(budget.cpu_ms, BUDGET.0), given(budget.mib, BUDGET.1));
     if !(CPU_MS.0..=CPU_MS.1).contains(&cpu) {
-        fault("cpu_ms", format!("{cpu} ms in any ten seconds: give {} to {}", CPU_MS.0, CPU_MS.1));
+        fault(
+            "cpu_ms",
+            format!(
+                "{cpu} ms in any ten seconds: give {} to {}",
+                CPU_MS.0, CPU_MS.1
+            ),
+        );
     }
     if bytes < MIB_LEAST {
         fault(
@@ -248,7 +304,10 @@
         let said: Vec<String> = faults.iter().map(Fault::to_string).collect();
         assert_eq!(said.len(), wanted.len(), "{said:?}");
         for (said, wanted) in said.iter().zip(wanted) {
-            assert!(said.starts_with(&format!("o.txtpb:{wanted}")) && !said.contains('\n'), "{said}");
+            assert!(
+                said.starts_with(&format!("o.txtpb:{wanted}")) && !said.contains('\n'),
+                "{said}"
+            );
         }
     }
 
@@ -260,8 +319,14 @@
             .expect("a file")
             .records
             .expect("records");
-        assert_eq!((records.keep_bytes, records.keep_for.as_secs()), (1 << 30, 7 * 86_400));
-        assert_eq!(parse("log { format: JSON }").expect("a file").log, LogFormat::Json);
+        assert_eq!(
+            (records.keep_bytes, records.keep_for.as_secs()),
+            (1 << 30, 7 * 86_400)
+        );
+        assert_eq!(
+            parse("log { format: JSON }").expect("a file").log,
+            LogFormat::Json
+        );
     }
 
     #[test]
@@ -276,7 +341,10 @@
         says("records {\n  directory: 7\n}", &["2:"]);
         says("records {\n", &["2:1: "]);
         says("log { format: XML }", &["1:"]);
-        says("# records come later\nrecords { keep_mib: 3 }", &["2:1: records without a directory"]);
+        says(
+            "# records come later\nrecords { keep_mib: 3 }",
+            &["2:1: records without a directory"],
+        );
         says(
             "records {\n directory: \"x\" # keep_mib\n keep_mib: 3\n background { cpu_ms: 3 mib: 1 }\n}",
             &[
@@ -297,8 +365,14 @@
 
     #[test]
     fn a_file_that_is_not_there_is_one_sentence() {
-        let fault = load(Path::new("/nowhere/o.txtpb")).expect_err("no file").remove(0).to_string();
-        assert!(fault.starts_with("/nowhere/o.txtpb: cannot be opened"), "{fault}");
+        let fault = load(Path::new("/nowhere/o.txtpb"))
+            .expect_err("no file")
+            .remove(0)
+            .to_string();
+        assert!(
+            fault.starts_with("/nowhere/o.txtpb: cannot be opened"),
+            "{fault}"
+        );
     }
 
     proptest! {
--- a/crates/plugins/benches/machine.rs
+++ b/crates/plugins/benches/machine.rs
@@ -22,9 +22,14 @@
     let named = |n: usize| Server::well(&format!("s-{n:08x}"), ["a", "b"][n % 2]);
     Inputs {
         servers: (0..servers).map(named).collect(),
-        classes: ["refund-order", "petition-file", "status-read"].map(Class::plain).into(),
+        classes: ["refund-order", "petition-file", "status-read"]
+            .map(Class::plain)
+            .into(),
         zones: vec!["a".into(), "b".into()],
-        fleet: Fleet { demand: 900.0, ..Fleet::default() },
+        fleet: Fleet {
+            demand: 900.0,
+            ..Fleet::default()
+        },
     }
 }
 
@@ -40,7 +45,13 @@
             b.iter(|| {
                 let mut fuel = u64::MAX;
                 let mut context = Context::new(&program, &inputs, &mut memory, &mut fuel, 1);
-                machine.call(&program, program.hooks.factor.expect("a hook"), &values, &mut context, 10_000)
+                machine.call(
+                    &program,
+                    program.hooks.factor.expect("a hook"),
+                    &values,
+                    &mut context,
+                    10_000,
+                )
             })
         });
         group.bench_function("tree walker", |b| {
@@ -71,7 +82,9 @@
     host.load(&eight).expect("plug-ins");
     let turn = host.turn(&inputs);
     assert!(turn.words.is_empty(), "{:?}", turn.words);
-    c.bench_function("turn of 320 servers, 3 classes, 8 plug-ins", |b| b.iter(|| host.turn(&inputs)));
+    c.bench_function("turn of 320 servers, 3 classes, 8 plug-ins", |b| {
+        b.iter(|| host.turn(&inputs))
+    });
     let hostile: Vec<(String, String)> = (0..8)
         .map(|n| {
             let text = format!("plugin \"hostile-{n}\" version 1 host 1\nhook factor(server, class, zone) {{ for n in range(0, 1000000000) {{ }} return 0 }}");
--- a/crates/plugins/src/cases.rs
+++ b/crates/plugins/src/cases.rs
@@ -77,13 +77,21 @@
         };
         for (path, value) in &case.given {
             let words: Vec<&str> = path.iter().map(|word| word.of.as_str()).collect();
-            given.set(&words, value).ok_or_else(|| format!("{} has another type", words.join(".")))?;
+            given
+                .set(&words, value)
+                .ok_or_else(|| format!("{} has another type", words.join(".")))?;
         }
         Ok(given)
     }
 
     fn set(&mut self, path: &[&str], value: &At<Expr>) -> Option<()> {
-        let Given { server, class, zone, fleet, turns } = self;
+        let Given {
+            server,
+            class,
+            zone,
+            fleet,
+            turns,
+        } = self;
         match path {
             ["server", "name"] => server.name = text(value)?.into(),
             ["server", "zone"] => server.zone = text(value)?.into(),
@@ -113,7 +121,11 @@
 
 /// Runs a program's cases; for each its name, and what went wrong, if something did.
 pub fn run(program: &Program) -> Vec<(String, Result<(), String>)> {
-    program.cases.iter().map(|case| (case.name.of.clone(), one(program, case))).collect()
+    program
+        .cases
+        .iter()
+        .map(|case| (case.name.of.clone(), one(program, case)))
+        .collect()
 }
 
 fn one(program: &Program, case: &Case) -> Result<(), String> {
@@ -130,13 +142,18 @@
         if let Some(hook) = program.hooks.turn {
             let mut fuel = FUEL;
             let mut context = Context::new(program, &inputs, &mut memory, &mut fuel, turn);
-            machine.call(program, hook, &[], &mut context, FUEL).map_err(|stopped| stopped.to_string())?;
+            machine
+                .call(program, hook, &[], &mut context, FUEL)
+                .map_err(|stopped| stopped.to_string())?;
         }
     }
     for (hook, wanted) in &case.expected {
         let zone = Value::Text(given.zone.as_str().into());
         let (at, values) = match hook.of.as_str() {
-            "factor" => (program.hooks.factor, vec![Value::Server(0), Value::Class(0), zone]),
+            "factor" => (
+                program.hooks.factor,
+                vec![Value::Server(0), Value::Class(0), zone],
+            ),
             "cap" => (program.hooks.cap, vec![Value::Class(0)]),
             "retry" => (program.hooks.retry, vec![Value::Class(0)]),
             _ => (program.hooks.exclude, vec![Value::Server(0)]),
@@ -144,8 +161,9 @@
         let at = at.ok_or_else(|| format!("there is no hook {}", hook.of))?;
         let mut fuel = FUEL;
         let mut context = Context::new(program, &inputs, &mut memory, &mut fuel, given.turns);
-        let value =
-            machine.call(program, at, &values, &mut context, FUEL).map_err(|stopped| stopped.to_string())?;
+        let value = machine
+            .call(program, at, &values, &mut context, FUEL)
+            .map_err(|stopped| stopped.to_string())?;
         let Effects { excluded, .. } = context.effects;
         // An exclusion is told by its seconds, 0 for none.
         let found = match (hook.of.as_str(), value) {
@@ -158,7 +176,12 @@
             _ => return Err(format!("{} answers no text", hook.of)),
         };
         if !alike(&found, &wanted) {
-            return Err(format!("{} answered {}, expected {}", hook.of, shown(&found), shown(&wanted)));
+            return Err(format!(
+                "{} answered {}, expected {}",
+                hook.of,
+                shown(&found),
+                shown(&wanted)
+            ));
         }
     }
     Ok(())
--- a/crates/plugins/src/code.rs
+++ b/crates/plugins/src/code.rs
@@ -85,9 +85,15 @@
 
     /// The type that a word names in a function's head.
     pub fn named(word: &str) -> Option<Self> {
-        [Type::Number, Type::Bool, Type::Text, Type::Server, Type::Class]
-            .into_iter()
-            .find(|of| of.word() == word)
+        [
+            Type::Number,
+            Type::Bool,
+            Type::Text,
+            Type::Server,
+            Type::Class,
+        ]
+        .into_iter()
+        .find(|of| of.word() == word)
     }
 
     /// What a loop over it gives.
@@ -134,7 +140,10 @@
     /// Whether the fleet has it, and no server or class.
     pub fn is_of_fleet(self) -> bool {
         use Field::*;
-        matches!(self, Strain | Refused | Waiting | Streams | Demand | Turn | Servers | Classes | Zones)
+        matches!(
+            self,
+            Strain | Refused | Waiting | Streams | Demand | Turn | Servers | Classes | Zones
+        )
     }
 }
 
--- a/crates/plugins/src/compile.rs
+++ b/crates/plugins/src/compile.rs
@@ -63,7 +63,16 @@
         hook: None,
     };
     compiler.plugin(&plugin);
-    let Compiler { faults, constants, functions, states, hooks, steers, by_zone, .. } = compiler;
+    let Compiler {
+        faults,
+        constants,
+        functions,
+        states,
+        hooks,
+        steers,
+        by_zone,
+        ..
+    } = compiler;
     if !faults.is_empty() {
         return Err(faults);
     }
@@ -89,7 +98,8 @@
 
 impl Compiler<'_> {
     fn fault(&mut self, span: &Span, text: impl Into<String>) {
-        self.faults.push(Diagnostic::new(self.source, span.clone(), text));
+        self.faults
+            .push(Diagnostic::new(self.source, span.clone(), text));
     }
 
     fn line(&self, span: &Span) -> u32 {
@@ -136,7 +146,9 @@
         }
         for item in &plugin.items {
             match item {
-                Item::Steers(classes) => self.steers.extend(classes.iter().map(|class| class.of.clone())),
+                Item::Steers(classes) => self
+                    .steers
+                    .extend(classes.iter().map(|class| class.of.clone())),
                 Item::State(name, shape) => self.state(name, shape),
                 Item::Let(name, value) => self.fixed(name, value),
                 Item::Fn(function) => self.function(function),
@@ -161,7 +173,10 @@
     fn state(&mut self, name: &At<String>, shape: &At<Shape>) {
         if let Shape::Mean(turns) = shape.of {
             if !(MEAN.0..=MEAN.1).contains(&turns) {
-                let text = format!("a mean fades by half in {} to {} turns, not in {turns}", MEAN.0, MEAN.1);
+                let text = format!(
+                    "a mean fades by half in {} to {} turns, not in {turns}",
+                    MEAN.0, MEAN.1
+                );
                 self.fault(&shape.span, text);
             }
         }
@@ -194,11 +209,18 @@
                     let (value, its) = self.literal(element)?;
                     of = if all.is_empty() { its } else { of };
                     if its != of || !matches!(its, Type::Number | Type::Text) {
-                        self.fault(&element.span, "a set holds numbers or texts, all of one type");
+                        self.fault(
+                            &element.span,
+                            "a set holds numbers or texts, all of one type",
+                        );
                     }
                     all.push(value);
                 }
-                let of = if of == Type::Number { Type::Numbers } else { Type::Texts };
+                let of = if of == Type::Number {
+                    Type::Numbers
+                } else {
+                    Type::Texts
+                };
                 (Value::Set(all.into()), of)
             }
             _ => return None,
@@ -230,7 +252,10 @@
         let gives = match &function.gives {
             None => Type::Nothing,
             Some(word) => Type::named(&word.of).unwrap_or_else(|| {
-                self.fault(&word.span, format!("no type {:?}: number, bool, text, server or class", word.of));
+                self.fault(
+                    &word.span,
+                    format!("no type {:?}: number, bool, text, server or class", word.of),
+                );
                 Type::Number
             }),
         };
@@ -241,14 +266,22 @@
 
     fn hook(&mut self, hook: &Tree) {
         let known: [(&str, &[Type], Type); 5] = [
-            ("factor", &[Type::Server, Type::Class, Type::Text], Type::Number),
+            (
+                "factor",
+                &[Type::Server, Type::Class, Type::Text],
+                Type::Number,
+            ),
             ("cap", &[Type::Class], Type::Number),
             ("retry", &[Type::Class], Type::Bool),
             ("exclude", &[Type::Server], Type::Nothing),
             ("turn", &[], Type::Nothing),
         ];
-        let Some((_, types, gives)) = known.into_iter().find(|(name, _, _)| *name == hook.name.of) else {
-            let text = format!("no hook {:?}: factor, cap, retry, exclude or turn", hook.name.of);
+        let Some((_, types, gives)) = known.into_iter().find(|(name, _, _)| *name == hook.name.of)
+        else {
+            let text = format!(
+                "no hook {:?}: factor, cap, retry, exclude or turn",
+                hook.name.of
+            );
             return self.fault(&hook.name.span, text);
         };
         if hook.params.len() != types.len()
@@ -274,7 +307,10 @@
             _ => &mut self.hooks.turn,
         };
         if slot.replace(at).is_some() {
-            self.fault(&hook.name.span, format!("the hook {} is there already", hook.name.of));
+            self.fault(
+                &hook.name.span,
+                format!("the hook {} is there already", hook.name.of),
+            );
         }
     }
 
@@ -364,11 +400,17 @@
                 let at = self.local(&name.span);
                 self.emit(Op::Store(at), &name.span);
                 if name.of == "fleet"
-                    || matches!(self.names.get(&name.of), Some(Named::Function(..) | Named::State(..)))
+                    || matches!(
+                        self.names.get(&name.of),
+                        Some(Named::Function(..) | Named::State(..))
+                    )
                 {
                     self.fault(&name.span, format!("the name {:?} is taken", name.of));
                 }
-                self.names.insert(name.of.clone(), Named::Local(at, of.unwrap_or(Type::Number)));
+                self.names.insert(
+                    name.of.clone(),
+                    Named::Local(at, of.unwrap_or(Type::Number)),
+                );
             }
             Stmt::Assign(name, value) => self.assign(name, value),
             Stmt::Put(name, key, value) => self.put(name, key, value),
@@ -397,7 +439,10 @@
                     );
                 }
                 if self.loops >= NAMES_MOST {
-                    return self.fault(&over.span, format!("at most {NAMES_MOST} loops in a function"));
+                    return self.fault(
+                        &over.span,
+                        format!("at most {NAMES_MOST} loops in a function"),
+                    );
                 }
                 let slot = self.loops as u8;
                 self.loops += 1;
@@ -405,8 +450,10 @@
                 let at = self.local(&name.span);
                 let begin = self.here();
                 let next = self.emit(Op::Next(slot, at, 0), &over.span);
-                let outer =
-                    self.names.insert(name.of.clone(), Named::Local(at, element.unwrap_or(Type::Number)));
+                let outer = self.names.insert(
+                    name.of.clone(),
+                    Named::Local(at, element.unwrap_or(Type::Number)),
+                );
                 self.block(block);
                 self.emit(Op::Jump(begin), &over.span);
                 self.patch(next);
@@ -451,7 +498,10 @@
             Some(Named::State(_, Shape::Map)) => {
                 self.fault(
                     &name.span,
-                    format!("{} is a map: set its parts, as in {}[\"key\"] = 1", name.of, name.of),
+                    format!(
+                        "{} is a map: set its parts, as in {}[\"key\"] = 1",
+                        name.of, name.of
+                    ),
                 );
             }
             Some(Named::State(at, shape)) => {
@@ -474,7 +524,10 @@
 
     fn wants(&mut self, value: &At<Expr>, wanted: Type) {
         if let Some(of) = self.expression(value).filter(|of| *of != wanted) {
-            self.fault(&value.span, format!("found a {}, expected a {}", of.word(), wanted.word()));
+            self.fault(
+                &value.span,
+                format!("found a {}, expected a {}", of.word(), wanted.word()),
+            );
         }
     }
 
@@ -535,7 +588,9 @@
             Some(Named::State(_, Shape::Map)) => {
                 self.fault(
                     span,
-                    format!("{name} is a map: ask for its parts, as in {name}[\"key\"], or len({name})"),
+                    format!(
+                        "{name} is a map: ask for its parts, as in {name}[\"key\"], or len({name})"
+                    ),
                 );
                 None
             }
@@ -544,7 +599,10 @@
                 Some(shape_type(&shape))
             }
             Some(Named::Function(..)) => {
-                self.fault(span, format!("{name} is a function: call it, as in {name}()"));
+                self.fault(
+                    span,
+                    format!("{name} is a function: call it, as in {name}()"),
+                );
                 None
             }
             None if name == "fleet" => {
@@ -571,11 +629,20 @@
 
     fn field(&mut self, of: &At<Expr>, field: &At<String>, span: &Span) -> Option<Type> {
         let fleet = matches!(&of.of, Expr::Name(name) if name == "fleet");
-        let has = if fleet { Type::Nothing } else { self.expression(of)? };
-        let known = FIELDS.iter().find(|(its, name, _, _)| *its == has && *name == field.of);
+        let has = if fleet {
+            Type::Nothing
+        } else {
+            self.expression(of)?
+        };
+        let known = FIELDS
+            .iter()
+            .find(|(its, name, _, _)| *its == has && *name == field.of);
         let Some((_, _, get, gives)) = known else {
-            let all: Vec<&str> =
-                FIELDS.iter().filter(|(its, ..)| *its == has).map(|(_, name, ..)| *name).collect();
+            let all: Vec<&str> = FIELDS
+                .iter()
+                .filter(|(its, ..)| *its == has)
+                .map(|(_, name, ..)| *name)
+                .collect();
             let what = if fleet { "fleet" } else { has.word() };
             let text = if all.is_empty() {
                 format!("a {what} has no fields")
@@ -611,12 +678,18 @@
                 (Builtin::Exclude, &[Text, Number], Nothing)
             }
             "exclude" => {
-                self.fault(&name.span, "exclude is called in the hook exclude(server) alone");
+                self.fault(
+                    &name.span,
+                    "exclude is called in the hook exclude(server) alone",
+                );
                 return None;
             }
             "len" => return self.length(name, arguments, span),
             _ => {
-                let text = format!("no function {:?}: one is made with fn, before it is called", name.of);
+                let text = format!(
+                    "no function {:?}: one is made with fn, before it is called",
+                    name.of
+                );
                 self.fault(&name.span, text);
                 return None;
             }
@@ -654,7 +727,12 @@
 
     fn arguments(&mut self, name: &At<String>, arguments: &[At<Expr>], types: &[Type]) {
         if arguments.len() != types.len() {
-            let text = format!("{} takes {} values, found {}", name.of, types.len(), arguments.len());
+            let text = format!(
+                "{} takes {} values, found {}",
+                name.of,
+                types.len(),
+                arguments.len()
+            );
             self.fault(&name.span, text);
         }
         for (argument, of) in arguments.iter().zip(types) {
@@ -662,7 +740,13 @@
         }
     }
 
-    fn binary(&mut self, op: Binary, left: &At<Expr>, right: &At<Expr>, span: &Span) -> Option<Type> {
+    fn binary(
+        &mut self,
+        op: Binary,
+        left: &At<Expr>,
+        right: &At<Expr>,
+        span: &Span,
+    ) -> Option<Type> {
         use Binary as B;
         match op {
             B::And | B::Or => {
@@ -682,7 +766,10 @@
             B::Add => {
                 let of = self.expression(left)?;
                 if !matches!(of, Type::Number | Type::Text) {
-                    self.fault(&left.span, format!("found a {}, expected a number or a text", of.word()));
+                    self.fault(
+                        &left.span,
+                        format!("found a {}, expected a number or a text", of.word()),
+                    );
                     return None;
                 }
                 self.wants(right, of);
--- a/crates/plugins/src/format.rs
+++ b/crates/plugins/src/format.rs
@@ -25,7 +25,10 @@
 /// Whether a space stands between two tokens. A sign before a value has none behind it.
 fn spaced(before: &Token, sign: bool, next: &Token) -> bool {
     let word = |token: &Token| {
-        matches!(token, Token::Name(_) | Token::CloseSet | Token::Close | Token::Number(_) | Token::Text(_))
+        matches!(
+            token,
+            Token::Name(_) | Token::CloseSet | Token::Close | Token::Number(_) | Token::Text(_)
+        )
     };
     match (before, next) {
         (_, Token::Comma | Token::Close | Token::CloseSet | Token::Dot | Token::Colon) => false,
@@ -69,7 +72,10 @@
     for (token, span) in Token::lexer(code).spanned() {
         let Ok(token) = token else { continue };
         let is_sign = token == Token::Minus && signs(all.last());
-        if all.last().is_some_and(|before| spaced(before, sign, &token)) {
+        if all
+            .last()
+            .is_some_and(|before| spaced(before, sign, &token))
+        {
             out.push(' ');
         }
         out.push_str(code.get(span).unwrap_or_default());
@@ -109,7 +115,11 @@
         }
         out.push('\n');
         for token in &all {
-            depth = if opens(token) { depth + 1 } else { depth.saturating_sub(usize::from(closes(token))) };
+            depth = if opens(token) {
+                depth + 1
+            } else {
+                depth.saturating_sub(usize::from(closes(token)))
+            };
         }
     }
     let end = out.trim_end_matches('\n').len();
--- a/crates/plugins/src/host.rs
+++ b/crates/plugins/src/host.rs
@@ -122,38 +122,60 @@
                         0..0,
                         format!("a plug-in named {:?} is loaded already", program.name),
                     );
-                    refused.push(Refused { name: name.clone(), faults: vec![twice] });
+                    refused.push(Refused {
+                        name: name.clone(),
+                        faults: vec![twice],
+                    });
                 }
                 Ok(program) => loaded.push(self.carried(program)),
-                Err(faults) => refused.push(Refused { name: name.clone(), faults }),
+                Err(faults) => refused.push(Refused {
+                    name: name.clone(),
+                    faults,
+                }),
             }
         }
         if texts.len() > PLUGINS_MOST {
             let many = Diagnostic::new(
                 "",
                 0..0,
-                format!("{} plug-ins are too many: at most {PLUGINS_MOST}", texts.len()),
+                format!(
+                    "{} plug-ins are too many: at most {PLUGINS_MOST}",
+                    texts.len()
+                ),
             );
-            refused.push(Refused { name: "all".to_string(), faults: vec![many] });
+            refused.push(Refused {
+                name: "all".to_string(),
+                faults: vec![many],
+            });
         }
         if !refused.is_empty() {
             return Err(refused);
         }
         self.loaded = loaded;
-        let told = |one: &Loaded| (one.name.to_string(), one.program.version, one.program.digest);
+        let told = |one: &Loaded| {
+            (
+                one.name.to_string(),
+                one.program.version,
+                one.program.digest,
+            )
+        };
         Ok(self.loaded.iter().map(told).collect())
     }
 
     fn carried(&self, program: Program) -> Loaded {
-        let older = self.loaded.iter().find(|known| *known.name == *program.name);
+        let older = self
+            .loaded
+            .iter()
+            .find(|known| *known.name == *program.name);
         let memory = match older {
             Some(older) => Memory::carried(&program, &older.program, &older.memory),
             None => Memory::new(&program),
         };
         // A changed text begins with a clean record; the same one keeps its pauses.
         let same = older.filter(|older| older.program.digest == program.digest);
-        let (faults, pause, until) =
-            same.map_or((0, PAUSE.0, 0), |older| (older.faults, older.pause, older.until));
+        let (faults, pause, until) = same.map_or((0, PAUSE.0, 0), |older| {
+            (older.faults, older.pause, older.until)
+        });
         Loaded {
             name: program.name.as_str().into(),
             program,
@@ -195,8 +217,17 @@
     pub fn turn(&mut self, inputs: &Inputs) -> Turn {
         self.turn += 1;
         let mut turn = Turn::default();
-        let place = |name: &String| inputs.servers.iter().position(|server| *server.name == **name);
-        self.machine.watched = self.watched.as_ref().and_then(place).and_then(|at| u32::try_from(at).ok());
+        let place = |name: &String| {
+            inputs
+                .servers
+                .iter()
+                .position(|server| *server.name == **name)
+        };
+        self.machine.watched = self
+            .watched
+            .as_ref()
+            .and_then(place)
+            .and_then(|at| u32::try_from(at).ok());
         for one in &mut self.loaded {
             if one.until >= self.turn {
                 continue;
@@ -207,7 +238,9 @@
             let asked = ask(one, &mut self.machine, inputs, self.turn, &mut spent);
             turn.spent.push((Arc::clone(&one.name), spent));
             let traces = std::mem::take(&mut self.machine.traces);
-            let told = traces.iter().map(|trace| (Arc::clone(&one.name), trace.lines(&one.program, inputs)));
+            let told = traces
+                .iter()
+                .map(|trace| (Arc::clone(&one.name), trace.lines(&one.program, inputs)));
             turn.traces.extend(told);
             match asked {
                 Ok((advice, notes, said)) => {
@@ -215,8 +248,11 @@
                     if one.sound >= FORGIVEN_AFTER {
                         (one.faults, one.pause) = (0, PAUSE.0);
                     }
-                    turn.words
-                        .extend(notes.into_iter().map(|note| (Arc::clone(&one.name), Word::Noted(note))));
+                    turn.words.extend(
+                        notes
+                            .into_iter()
+                            .map(|note| (Arc::clone(&one.name), Word::Noted(note))),
+                    );
                     tell(&mut turn, one, said);
                     compose(&mut turn, &one.name, advice, inputs);
                 }
@@ -225,10 +261,12 @@
                     tell(&mut turn, one, Said::new());
                     one.sound = 0;
                     one.faults += 1;
-                    turn.words.push((Arc::clone(&one.name), Word::Faulted(stopped)));
+                    turn.words
+                        .push((Arc::clone(&one.name), Word::Faulted(stopped)));
                     if one.faults >= FAULTS_MOST {
                         one.until = self.turn + one.pause;
-                        turn.words.push((Arc::clone(&one.name), Word::Paused(one.pause)));
+                        turn.words
+                            .push((Arc::clone(&one.name), Word::Paused(one.pause)));
                         one.pause = (one.pause * 2).min(PAUSE.1);
                         // After the pause a single fault is enough.
                         one.faults = FAULTS_MOST - 1;
@@ -243,10 +281,19 @@
 /// Tells what is new in a plug-in's advice, and what has ended.
 fn tell(turn: &mut Turn, one: &mut Loaded, said: Said) {
     let word = |word| (Arc::clone(&one.name), word);
-    let new = said.iter().filter(|(text, _)| !one.said.contains_key(*text));
-    turn.words.extend(new.take(WORDS_MOST).map(|(text, line)| word(Word::Advises(text.clone(), *line))));
+    let new = said
+        .iter()
+        .filter(|(text, _)| !one.said.contains_key(*text));
+    turn.words.extend(
+        new.take(WORDS_MOST)
+            .map(|(text, line)| word(Word::Advises(text.clone(), *line))),
+    );
     let ended = one.said.keys().filter(|text| !said.contains_key(*text));
-    turn.words.extend(ended.take(WORDS_MOST).map(|text| word(Word::Ends(text.clone()))));
+    turn.words.extend(
+        ended
+            .take(WORDS_MOST)
+            .map(|text| word(Word::Ends(text.clone()))),
+    );
     one.said = said;
 }
 
@@ -258,20 +305,33 @@
     turn: u64,
     spent: &mut u64,
 ) -> Result<(Advice, Vec<String>, Said), Stopped> {
-    let Loaded { program, memory, .. } = one;
+    let Loaded {
+        program, memory, ..
+    } = one;
     memory.fade();
     let steered: Vec<u32> = places(&program.steers, inputs);
-    let zones = if program.by_zone { inputs.zones.len() } else { 1 };
+    let zones = if program.by_zone {
+        inputs.zones.len()
+    } else {
+        1
+    };
     let groups: Vec<Option<u32>> = if program.steers.is_empty() {
         vec![None]
     } else {
         steered.iter().map(|class| Some(*class)).collect()
     };
-    let answers =
-        inputs.servers.len() * zones * groups.len().max(1) + inputs.servers.len() + 2 * inputs.classes.len();
+    let answers = inputs.servers.len() * zones * groups.len().max(1)
+        + inputs.servers.len()
+        + 2 * inputs.classes.len();
     let full = FUEL_TURN.0 * answers as u64 + FUEL_TURN.1;
     let mut fuel = full;
-    let asked = questions(program, machine, inputs, (memory, &mut fuel, turn), (steered, groups, zones));
+    let asked = questions(
+        program,
+        machine,
+        inputs,
+        (memory, &mut fuel, turn),
+        (steered, groups, zones),
+    );
     *spent = full - fuel;
     asked
 }
@@ -298,18 +358,36 @@
                 // A factor that looks at no class gets any: it cannot ask for it.
                 let class = Value::Class(group.unwrap_or(0));
                 for server in server_places() {
-                    let values = [Value::Server(server), class.clone(), Value::Text(Arc::clone(&name))];
+                    let values = [
+                        Value::Server(server),
+                        class.clone(),
+                        Value::Text(Arc::clone(&name)),
+                    ];
                     let value = machine.call(program, hook, &values, &mut context, FUEL.0)?;
-                    let Value::Number(factor) = value else { continue };
+                    let Value::Number(factor) = value else {
+                        continue;
+                    };
                     if factor < 1.0 {
                         said.insert(
-                            keeps(inputs, server, *group, program.by_zone.then_some(&name), factor),
+                            keeps(
+                                inputs,
+                                server,
+                                *group,
+                                program.by_zone.then_some(&name),
+                                factor,
+                            ),
                             machine.line,
                         );
-                        let all = if program.by_zone { zone..zone + 1 } else { 0..inputs.zones.len() };
+                        let all = if program.by_zone {
+                            zone..zone + 1
+                        } else {
+                            0..inputs.zones.len()
+                        };
                         for zone in all {
                             let zone = u32::try_from(zone).unwrap_or(u32::MAX);
-                            advice.factors.insert((server, zone, *group), factor.max(0.0));
+                            advice
+                                .factors
+                                .insert((server, zone, *group), factor.max(0.0));
                         }
                     }
                 }
@@ -319,11 +397,16 @@
     }
     if let Some(hook) = program.hooks.cap {
         for class in class_places() {
-            let value = machine.call(program, hook, &[Value::Class(class)], &mut context, FUEL.0)?;
+            let value =
+                machine.call(program, hook, &[Value::Class(class)], &mut context, FUEL.0)?;
             if let Value::Number(cap) = value {
                 if cap < 1.0 {
                     said.insert(
-                        format!("{} is capped at {:.0} %", class_name(inputs, class), 100.0 * cap),
+                        format!(
+                            "{} is capped at {:.0} %",
+                            class_name(inputs, class),
+                            100.0 * cap
+                        ),
                         machine.line,
                     );
                     advice.caps.insert(class, cap.max(0.0));
@@ -333,9 +416,13 @@
     }
     if let Some(hook) = program.hooks.retry {
         for class in class_places() {
-            let value = machine.call(program, hook, &[Value::Class(class)], &mut context, FUEL.0)?;
+            let value =
+                machine.call(program, hook, &[Value::Class(class)], &mut context, FUEL.0)?;
             if value == Value::Bool(false) {
-                said.insert(format!("{} is not tried again", class_name(inputs, class)), machine.line);
+                said.insert(
+                    format!("{} is not tried again", class_name(inputs, class)),
+                    machine.line,
+                );
                 advice.never.push(class);
             }
         }
@@ -343,14 +430,22 @@
     if let Some(hook) = program.hooks.exclude {
         for server in server_places() {
             context.effects.excluded = None;
-            machine.call(program, hook, &[Value::Server(server)], &mut context, FUEL.0)?;
+            machine.call(
+                program,
+                hook,
+                &[Value::Server(server)],
+                &mut context,
+                FUEL.0,
+            )?;
             if let Some((reason, seconds)) = context.effects.excluded.take() {
                 if seconds > 0.0 {
                     said.insert(
                         format!("{} is left out: {reason}", server_name(inputs, server)),
                         machine.line,
                     );
-                    advice.excluded.insert(server, (reason, seconds.min(EXCLUDED_MOST)));
+                    advice
+                        .excluded
+                        .insert(server, (reason, seconds.min(EXCLUDED_MOST)));
                 }
             }
         }
@@ -359,22 +454,47 @@
 }
 
 fn server_name(inputs: &Inputs, at: u32) -> &str {
-    inputs.servers.get(at as usize).map_or("", |server| &server.name)
+    inputs
+        .servers
+        .get(at as usize)
+        .map_or("", |server| &server.name)
 }
 
 fn class_name(inputs: &Inputs, at: u32) -> &str {
-    inputs.classes.get(at as usize).map_or("", |class| &class.name)
+    inputs
+        .classes
+        .get(at as usize)
+        .map_or("", |class| &class.name)
 }
 
-fn keeps(inputs: &Inputs, server: u32, class: Option<u32>, zone: Option<&Arc<str>>, factor: f64) -> String {
+fn keeps(
+    inputs: &Inputs,
+    server: u32,
+    class: Option<u32>,
+    zone: Option<&Arc<str>>,
+    factor: f64,
+) -> String {
     let class = class.map_or("all classes", |class| class_name(inputs, class));
     let from = zone.map(|zone| format!(" from {zone}")).unwrap_or_default();
-    format!("{} keeps {:.0} % for {class}{from}", server_name(inputs, server), 100.0 * factor.max(0.0))
+    format!(
+        "{} keeps {:.0} % for {class}{from}",
+        server_name(inputs, server),
+        100.0 * factor.max(0.0)
+    )
 }
 
 fn places(names: &[String], inputs: &Inputs) -> Vec<u32> {
-    let place = |name: &String| inputs.classes.iter().position(|class| *class.name == **name);
-    names.iter().filter_map(place).filter_map(|at| u32::try_from(at).ok()).collect()
+    let place = |name: &String| {
+        inputs
+            .classes
+            .iter()
+            .position(|class| *class.name == **name)
+    };
+    names
+        .iter()
+        .filter_map(place)
+        .filter_map(|at| u32::try_from(at).ok())
+        .collect()
 }
 
 /// Adds one plug-in's advice to what those before it gave: factors multiply, the lower cap holds, whoever forbids a second
@@ -387,8 +507,12 @@
     for (class, cap) in own.caps {
         match all.caps.get_mut(&class) {
             Some(known) if *known != cap => {
-                let of = inputs.classes.get(class as usize).map_or("", |class| &class.name);
-                let words = format!("the cap of {of} is {cap} here and {known} before: the lower holds");
+                let of = inputs
+                    .classes
+                    .get(class as usize)
+                    .map_or("", |class| &class.name);
+                let words =
+                    format!("the cap of {of} is {cap} here and {known} before: the lower holds");
                 *known = known.min(cap);
                 turn.words.push((Arc::clone(name), Word::Differs(words)));
             }
@@ -401,9 +525,13 @@
     for (server, (reason, seconds)) in own.excluded {
         match all.excluded.get_mut(&server) {
             Some((known, length)) => {
-                let of = inputs.servers.get(server as usize).map_or("", |server| &server.name);
-                let words =
-                    format!("{of} is left out for {reason:?} here and {known:?} before: the longer holds");
+                let of = inputs
+                    .servers
+                    .get(server as usize)
+                    .map_or("", |server| &server.name);
+                let words = format!(
+                    "{of} is left out for {reason:?} here and {known:?} before: the longer holds"
+                );
                 if seconds > *length {
                     (*known, *length) = (reason, seconds);
                 }
--- a/crates/plugins/src/inputs.rs
+++ b/crates/plugins/src/inputs.rs
@@ -76,6 +76,11 @@
 impl Class {
     /// A class that may be read again: what a case begins with.
     pub fn plain(name: &str) -> Self {
-        Class { name: name.into(), effect: "safe".into(), worth: 1.0, level: 1.0 }
+        Class {
+            name: name.into(),
+            effect: "safe".into(),
+            worth: 1.0,
+            level: 1.0,
+        }
     }
 }
--- a/crates/plugins/src/lex.rs
+++ b/crates/plugins/src/lex.rs
@@ -168,7 +168,10 @@
 pub fn tokens(source: &str) -> (Vec<(Token, Span)>, Vec<Diagnostic>) {
     let (mut tokens, mut faults) = (Vec::new(), Vec::new());
     if source.len() > SOURCE_MOST {
-        let text = format!("{} bytes are too long for a plug-in: at most {SOURCE_MOST}", source.len());
+        let text = format!(
+            "{} bytes are too long for a plug-in: at most {SOURCE_MOST}",
+            source.len()
+        );
         return (tokens, vec![Diagnostic::new(source, 0..0, text)]);
     }
     let mut depth = 0usize;
@@ -176,24 +179,32 @@
         let fault = |text: String| Diagnostic::new(source, span.clone(), text);
         match token {
             Ok(Token::Text(text)) if text.len() > TEXT_MOST => {
-                faults
-                    .push(fault(format!("a text of {} bytes is too long: at most {TEXT_MOST}", text.len())));
+                faults.push(fault(format!(
+                    "a text of {} bytes is too long: at most {TEXT_MOST}",
+                    text.len()
+                )));
             }
             Ok(token) => {
                 match token {
                     Token::Open | Token::OpenBlock | Token::OpenSet => depth += 1,
-                    Token::Close | Token::CloseBlock | Token::CloseSet => depth = depth.saturating_sub(1),
+                    Token::Close | Token::CloseBlock | Token::CloseSet => {
+                        depth = depth.saturating_sub(1)
+                    }
                     _ => {}
                 }
                 if depth > DEPTH_MOST {
-                    faults.push(fault(format!("brackets are nested too deep: at most {DEPTH_MOST}")));
+                    faults.push(fault(format!(
+                        "brackets are nested too deep: at most {DEPTH_MOST}"
+                    )));
                     return (Vec::new(), faults);
                 }
                 tokens.push((token, span));
             }
             Err(()) => {
                 let found = source.get(span.clone()).unwrap_or_default();
-                faults.push(fault(format!("found {found:?}, which begins no word of the language")));
+                faults.push(fault(format!(
+                    "found {found:?}, which begins no word of the language"
+                )));
             }
         }
     }
--- a/crates/plugins/src/machine.rs
+++ b/crates/plugins/src/machine.rs
@@ -68,7 +68,11 @@
             Shape::Number(number) => Cell::Plain(Value::Number(*number)),
             Shape::Bool(of) => Cell::Plain(Value::Bool(*of)),
             Shape::Text(text) => Cell::Plain(Value::Text(Arc::from(text.as_str()))),
-            Shape::Mean(half_life) => Cell::Mean { sum: 0.0, weight: 0.0, half_life: *half_life },
+            Shape::Mean(half_life) => Cell::Mean {
+                sum: 0.0,
+                weight: 0.0,
+                half_life: *half_life,
+            },
             Shape::Map => Cell::Map(BTreeMap::new()),
         }
     }
@@ -104,7 +108,9 @@
 
     /// Sets a part of a map; 0 takes it out.
     pub fn put(&mut self, key: Arc<str>, value: f64) -> Result<(), Trap> {
-        let Cell::Map(map) = self else { return Err(Trap::Unsound) };
+        let Cell::Map(map) = self else {
+            return Err(Trap::Unsound);
+        };
         if value == 0.0 {
             map.remove(&key);
         } else if map.len() < MAP_MOST || map.contains_key(&key) {
@@ -123,14 +129,23 @@
 impl Memory {
     /// As the text declares it.
     pub fn new(program: &Program) -> Self {
-        Memory(program.states.iter().map(|(_, shape)| Cell::new(shape)).collect())
+        Memory(
+            program
+                .states
+                .iter()
+                .map(|(_, shape)| Cell::new(shape))
+                .collect(),
+        )
     }
 
     /// As the text declares it, with what an older version holds under the same name in the same shape.
     pub fn carried(program: &Program, older: &Program, memory: &Memory) -> Self {
         let mut new = Memory::new(program);
         for ((name, shape), cell) in program.states.iter().zip(&mut new.0) {
-            let known = older.states.iter().position(|(its, of)| its == name && same_shape(of, shape));
+            let known = older
+                .states
+                .iter()
+                .position(|(its, of)| its == name && same_shape(of, shape));
             if let Some(old) = known.and_then(|at| memory.0.get(at)) {
                 *cell = old.clone();
             }
@@ -141,7 +156,12 @@
     /// A turn has begun: means fade.
     pub fn fade(&mut self) {
         for cell in &mut self.0 {
-            if let Cell::Mean { sum, weight, half_life } = cell {
+            if let Cell::Mean {
+                sum,
+                weight,
+                half_life,
+            } = cell
+            {
                 let keep = 0.5f64.powf(1.0 / *half_life);
                 (*sum, *weight) = (*sum * keep, *weight * keep);
             }
@@ -193,8 +213,20 @@
         fuel: &'a mut u64,
         turn: u64,
     ) -> Self {
-        let seed = program.digest.iter().take(8).fold(0u64, |seed, byte| (seed << 8) | u64::from(*byte));
-        Context { inputs, memory, fuel, turn, chance: seed ^ turn, effects: Effects::default(), arena: 0 }
+        let seed = program
+            .digest
+            .iter()
+            .take(8)
+            .fold(0u64, |seed, byte| (seed << 8) | u64::from(*byte));
+        Context {
+            inputs,
+            memory,
+            fuel,
+            turn,
+            chance: seed ^ turn,
+            effects: Effects::default(),
+            arena: 0,
+        }
     }
 
     fn burn(&mut self, fuel: &mut u64, cost: u64) -> Result<(), Trap> {
@@ -285,7 +317,11 @@
             Value::Set(all) => all.get(at).cloned(),
             Value::Servers => (at < self.inputs.servers.len()).then_some(Value::Server(place)),
             Value::Classes => (at < self.inputs.classes.len()).then_some(Value::Class(place)),
-            Value::Zones => self.inputs.zones.get(at).map(|zone| Value::Text(Arc::clone(zone))),
+            Value::Zones => self
+                .inputs
+                .zones
+                .get(at)
+                .map(|zone| Value::Text(Arc::clone(zone))),
             Value::Range(from, to) => {
                 let value = from.saturating_add(i64::try_from(at).unwrap_or(i64::MAX));
                 (value < *to).then_some(Value::Number(value as f64))
@@ -311,7 +347,10 @@
             Builtin::Floor => finite(number(0)?.floor()),
             Builtin::Clamp => finite(number(0)?.min(number(2)?).max(number(1)?)),
             // A cast of a float to an integer saturates; loops over what is too long run out of fuel.
-            Builtin::Range => Ok(Value::Range(number(0)?.ceil() as i64, number(1)?.ceil() as i64)),
+            Builtin::Range => Ok(Value::Range(
+                number(0)?.ceil() as i64,
+                number(1)?.ceil() as i64,
+            )),
             Builtin::LenSet | Builtin::LenServers => {
                 let of = values.first().ok_or(Trap::Unsound)?;
                 finite(self.length(of)? as f64)
@@ -324,7 +363,12 @@
             Builtin::Starts => Ok(Value::Bool(text(0)?.starts_with(&**text(1)?))),
             Builtin::Words => {
                 let number = number(0)?;
-                self.text(format!("{:.3}", number).trim_end_matches('0').trim_end_matches('.').to_string())
+                self.text(
+                    format!("{:.3}", number)
+                        .trim_end_matches('0')
+                        .trim_end_matches('.')
+                        .to_string(),
+                )
             }
             Builtin::Random => finite(self.chance()),
             Builtin::Note => {
@@ -401,7 +445,12 @@
 impl Trace {
     /// The call in words: its head, a line for each operation, its answer.
     pub fn lines(&self, program: &Program, inputs: &Inputs) -> Vec<String> {
-        let name = |function: usize| program.functions.get(function).map_or("", |of| of.name.as_str());
+        let name = |function: usize| {
+            program
+                .functions
+                .get(function)
+                .map_or("", |of| of.name.as_str())
+        };
         let shown = |value: &Value| shown(value, inputs);
         let values: Vec<String> = self.values.iter().map(shown).collect();
         let mut lines = vec![format!("{}({})", name(self.function), values.join(", "))];
@@ -410,7 +459,11 @@
                 true => String::new(),
                 false => format!("{}, ", name(step.function)),
             };
-            let top = step.top.as_ref().map(|top| format!(" on {}", shown(top))).unwrap_or_default();
+            let top = step
+                .top
+                .as_ref()
+                .map(|top| format!(" on {}", shown(top)))
+                .unwrap_or_default();
             lines.push(format!("  {within}line {}: {:?}{top}", step.line, step.op));
         }
         if self.more > 0 {
@@ -427,8 +480,18 @@
 
 /// A value as the text would write it; servers and classes by name.
 fn shown(value: &Value, inputs: &Inputs) -> String {
-    let server = |at: &u32| inputs.servers.get(*at as usize).map_or("?", |server| &server.name);
-    let class = |at: &u32| inputs.classes.get(*at as usize).map_or("?", |class| &class.name);
+    let server = |at: &u32| {
+        inputs
+            .servers
+            .get(*at as usize)
+            .map_or("?", |server| &server.name)
+    };
+    let class = |at: &u32| {
+        inputs
+            .classes
+            .get(*at as usize)
+            .map_or("?", |class| &class.name)
+    };
     match value {
         Value::Nothing => "nothing".to_string(),
         Value::Number(number) => number.to_string(),
@@ -475,10 +538,16 @@
         context.arena = 0;
         let mut left = fuel;
         let mut place = (usize::from(function), 0);
-        let watched = self.watched.is_some_and(|server| values.contains(&Value::Server(server)));
+        let watched = self
+            .watched
+            .is_some_and(|server| values.contains(&Value::Server(server)));
         let own = usize::from(function);
         let ran = if watched {
-            self.traces.push(Trace { function: own, values: values.to_vec(), ..Trace::default() });
+            self.traces.push(Trace {
+                function: own,
+                values: values.to_vec(),
+                ..Trace::default()
+            });
             self.run::<true>(program, own, context, &mut left, &mut place)
         } else {
             self.run::<false>(program, own, context, &mut left, &mut place)
@@ -487,8 +556,13 @@
             let stopped = program.functions.get(place.0);
             Stopped {
                 trap,
-                function: stopped.map(|function| function.name.clone()).unwrap_or_default(),
-                line: stopped.and_then(|function| function.lines.get(place.1)).copied().unwrap_or(0),
+                function: stopped
+                    .map(|function| function.name.clone())
+                    .unwrap_or_default(),
+                line: stopped
+                    .and_then(|function| function.lines.get(place.1))
+                    .copied()
+                    .unwrap_or(0),
             }
         });
         if let Some(trace) = self.traces.last_mut().filter(|_| watched) {
@@ -499,9 +573,16 @@
 
     fn step(&mut self, function: usize, line: u32, op: Op) {
         let top = self.stack.last().cloned();
-        let Some(trace) = self.traces.last_mut() else { return };
+        let Some(trace) = self.traces.last_mut() else {
+            return;
+        };
         if trace.steps.len() < STEPS_MOST {
-            trace.steps.push(Step { function, line, op, top });
+            trace.steps.push(Step {
+                function,
+                line,
+                op,
+                top,
+            });
         } else {
             trace.more += 1;
         }
@@ -543,10 +624,16 @@
     ) -> Result<Value, Trap> {
         let function = program.functions.get(own).ok_or(Trap::Unsound)?;
         let (base, loops) = (self.locals.len(), self.loops.len());
-        let from = self.stack.len().checked_sub(function.params.into()).ok_or(Trap::Unsound)?;
+        let from = self
+            .stack
+            .len()
+            .checked_sub(function.params.into())
+            .ok_or(Trap::Unsound)?;
         self.locals.extend(self.stack.drain(from..));
-        self.locals.resize(base + usize::from(function.locals), Value::Nothing);
-        self.loops.resize(loops + usize::from(function.loops), (Value::Nothing, 0));
+        self.locals
+            .resize(base + usize::from(function.locals), Value::Nothing);
+        self.loops
+            .resize(loops + usize::from(function.loops), (Value::Nothing, 0));
         let mut at = 0usize;
         loop {
             *place = (own, at);
@@ -558,40 +645,80 @@
             at += 1;
             match op {
                 Op::Const(constant) => {
-                    self.stack
-                        .push(program.constants.get(usize::from(constant)).ok_or(Trap::Unsound)?.clone());
+                    self.stack.push(
+                        program
+                            .constants
+                            .get(usize::from(constant))
+                            .ok_or(Trap::Unsound)?
+                            .clone(),
+                    );
                 }
                 Op::Load(local) => {
-                    let value = self.locals.get(base + usize::from(local)).ok_or(Trap::Unsound)?.clone();
+                    let value = self
+                        .locals
+                        .get(base + usize::from(local))
+                        .ok_or(Trap::Unsound)?
+                        .clone();
                     self.stack.push(value);
                 }
                 Op::Store(local) => {
                     let value = self.pop()?;
-                    *self.locals.get_mut(base + usize::from(local)).ok_or(Trap::Unsound)? = value;
+                    *self
+                        .locals
+                        .get_mut(base + usize::from(local))
+                        .ok_or(Trap::Unsound)? = value;
                 }
                 Op::LoadState(state) => {
-                    let value = context.memory.0.get(usize::from(state)).ok_or(Trap::Unsound)?.read();
+                    let value = context
+                        .memory
+                        .0
+                        .get(usize::from(state))
+                        .ok_or(Trap::Unsound)?
+                        .read();
                     self.stack.push(value);
                 }
                 Op::StoreState(state) => {
                     let value = self.pop()?;
-                    context.memory.0.get_mut(usize::from(state)).ok_or(Trap::Unsound)?.write(value);
+                    context
+                        .memory
+                        .0
+                        .get_mut(usize::from(state))
+                        .ok_or(Trap::Unsound)?
+                        .write(value);
                 }
                 Op::MapGet(state) => {
                     let key = self.text()?;
-                    let value = context.memory.0.get(usize::from(state)).ok_or(Trap::Unsound)?.get(&key);
+                    let value = context
+                        .memory
+                        .0
+                        .get(usize::from(state))
+                        .ok_or(Trap::Unsound)?
+                        .get(&key);
                     self.stack.push(Value::Number(value));
                 }
                 Op::MapPut(state) => {
                     let (value, key) = (self.number()?, self.text()?);
-                    context.memory.0.get_mut(usize::from(state)).ok_or(Trap::Unsound)?.put(key, value)?;
+                    context
+                        .memory
+                        .0
+                        .get_mut(usize::from(state))
+                        .ok_or(Trap::Unsound)?
+                        .put(key, value)?;
                 }
                 Op::Get(field) => {
                     let fleet = field.is_of_fleet();
                     let of = if fleet { None } else { Some(self.pop()?) };
                     self.stack.push(context.field(field, of.as_ref())?);
                 }
-                Op::Add | Op::Sub | Op::Mul | Op::Div | Op::Rem | Op::Lt | Op::Le | Op::Gt | Op::Ge => {
+                Op::Add
+                | Op::Sub
+                | Op::Mul
+                | Op::Div
+                | Op::Rem
+                | Op::Lt
+                | Op::Le
+                | Op::Gt
+                | Op::Ge => {
                     let (right, left) = (self.number()?, self.number()?);
                     self.stack.push(arithmetic(op, left, right)?);
                 }
@@ -610,7 +737,8 @@
                 Op::Eq | Op::Ne => {
                     let (right, left) = (self.pop()?, self.pop()?);
                     context.burn(fuel, weight(&left))?;
-                    self.stack.push(Value::Bool((left == right) == (op == Op::Eq)));
+                    self.stack
+                        .push(Value::Bool((left == right) == (op == Op::Eq)));
                 }
                 Op::In => {
                     let (Value::Set(all), value) = (self.pop()?, self.pop()?) else {
@@ -626,25 +754,40 @@
                     }
                 }
                 Op::Call(function) => {
-                    let value = self.run::<TRACED>(program, usize::from(function), context, fuel, place)?;
+                    let value =
+                        self.run::<TRACED>(program, usize::from(function), context, fuel, place)?;
                     self.stack.push(value);
                 }
                 Op::Do(builtin) => {
-                    let from = self.stack.len().checked_sub(builtin.takes()).ok_or(Trap::Unsound)?;
-                    let value = context.builtin(builtin, self.stack.get(from..).unwrap_or_default())?;
+                    let from = self
+                        .stack
+                        .len()
+                        .checked_sub(builtin.takes())
+                        .ok_or(Trap::Unsound)?;
+                    let value =
+                        context.builtin(builtin, self.stack.get(from..).unwrap_or_default())?;
                     self.stack.truncate(from);
                     self.stack.push(value);
                 }
                 Op::Each(slot) => {
                     let over = self.pop()?;
-                    *self.loops.get_mut(loops + usize::from(slot)).ok_or(Trap::Unsound)? = (over, 0);
+                    *self
+                        .loops
+                        .get_mut(loops + usize::from(slot))
+                        .ok_or(Trap::Unsound)? = (over, 0);
                 }
                 Op::Next(slot, local, end) => {
-                    let (over, next) = self.loops.get_mut(loops + usize::from(slot)).ok_or(Trap::Unsound)?;
+                    let (over, next) = self
+                        .loops
+                        .get_mut(loops + usize::from(slot))
+                        .ok_or(Trap::Unsound)?;
                     match context.element(over, *next)? {
                         Some(value) => {
                             *next += 1;
-                            *self.locals.get_mut(base + usize::from(local)).ok_or(Trap::Unsound)? = value;
+                            *self
+                                .locals
+                                .get_mut(base + usize::from(local))
+                                .ok_or(Trap::Unsound)? = value;
                         }
                         None => at = end.into(),
                     }
--- a/crates/plugins/src/parse.rs
+++ b/crates/plugins/src/parse.rs
@@ -22,7 +22,9 @@
 }
 
 fn name() -> impl Parser<Token, At<String>, Error = Faulty> + Clone {
-    select! { Token::Name(name) => name }.labelled("a name").map_with_span(at)
+    select! { Token::Name(name) => name }
+        .labelled("a name")
+        .map_with_span(at)
 }
 
 /// The name of a field, which may be a word of the language elsewhere.
@@ -35,7 +37,9 @@
 }
 
 fn text() -> impl Parser<Token, At<String>, Error = Faulty> + Clone {
-    select! { Token::Text(text) => text }.labelled("a text").map_with_span(at)
+    select! { Token::Text(text) => text }
+        .labelled("a text")
+        .map_with_span(at)
 }
 
 fn number() -> impl Parser<Token, At<f64>, Error = Faulty> + Clone {
@@ -57,17 +61,31 @@
     inner: impl Parser<Token, At<Expr>, Error = Faulty> + Clone + 'static,
     ops: &[(Token, Binary)],
 ) -> BoxedParser<'static, Token, At<Expr>, Faulty> {
-    let op = choice(ops.iter().map(|(token, op)| just(token.clone()).to(*op)).collect::<Vec<_>>());
-    inner.clone().then(op.then(inner).repeated()).foldl(|left, (op, right)| both(op)(left, right)).boxed()
+    let op = choice(
+        ops.iter()
+            .map(|(token, op)| just(token.clone()).to(*op))
+            .collect::<Vec<_>>(),
+    );
+    inner
+        .clone()
+        .then(op.then(inner).repeated())
+        .foldl(|left, (op, right)| both(op)(left, right))
+        .boxed()
 }
 
 fn expression() -> BoxedParser<'static, Token, At<Expr>, Faulty> {
     recursive(|expr: Recursive<Token, At<Expr>, Faulty>| {
-        let list = || expr.clone().separated_by(just(Token::Comma)).allow_trailing();
+        let list = || {
+            expr.clone()
+                .separated_by(just(Token::Comma))
+                .allow_trailing()
+        };
         let call = name()
             .then(list().delimited_by(just(Token::Open), just(Token::Close)))
             .map(|(name, arguments)| Expr::Call(name, arguments));
-        let set = list().delimited_by(just(Token::OpenSet), just(Token::CloseSet)).map(Expr::Set);
+        let set = list()
+            .delimited_by(just(Token::OpenSet), just(Token::CloseSet))
+            .map(Expr::Set);
         let atom = choice((
             number().map(|number| Expr::Number(number.of)),
             text().map(|text| Expr::Text(text.of)),
@@ -78,7 +96,9 @@
             set,
         ))
         .map_with_span(at)
-        .or(expr.clone().delimited_by(just(Token::Open), just(Token::Close)))
+        .or(expr
+            .clone()
+            .delimited_by(just(Token::Open), just(Token::Close)))
         .labelled("a value")
         .boxed();
         enum Tail {
@@ -86,8 +106,14 @@
             Index(At<Expr>),
         }
         let field = just(Token::Dot).ignore_then(word()).map(Tail::Field);
-        let index = expr.clone().delimited_by(just(Token::OpenSet), just(Token::CloseSet)).map(Tail::Index);
-        let tails = field.or(index).map_with_span(|tail, span: Span| (tail, span)).repeated();
+        let index = expr
+            .clone()
+            .delimited_by(just(Token::OpenSet), just(Token::CloseSet))
+            .map(Tail::Index);
+        let tails = field
+            .or(index)
+            .map_with_span(|tail, span: Span| (tail, span))
+            .repeated();
         let reach = atom.then(tails).foldl(|of, (tail, span)| {
             let whole = of.span.start..span.end;
             match tail {
@@ -95,14 +121,28 @@
                 Tail::Index(index) => at(Expr::Index(Box::new(of), Box::new(index)), whole),
             }
         });
-        let sign = choice((just(Token::Minus).to(Unary::Neg), just(Token::Not).to(Unary::Not)));
+        let sign = choice((
+            just(Token::Minus).to(Unary::Neg),
+            just(Token::Not).to(Unary::Not),
+        ));
         let sign = sign.map_with_span(|op, span: Span| (op, span));
-        let signed = sign.repeated().at_most(4).then(reach).foldr(|(op, span), of| {
-            let whole = span.start..of.span.end;
-            at(Expr::Unary(op, Box::new(of)), whole)
-        });
+        let signed = sign
+            .repeated()
+            .at_most(4)
+            .then(reach)
+            .foldr(|(op, span), of| {
+                let whole = span.start..of.span.end;
+                at(Expr::Unary(op, Box::new(of)), whole)
+            });
         use Binary::*;
-        let product = level(signed, &[(Token::Star, Mul), (Token::Slash, Div), (Token::Percent, Rem)]);
+        let product = level(
+            signed,
+            &[
+                (Token::Star, Mul),
+                (Token::Slash, Div),
+                (Token::Percent, Rem),
+            ],
+        );
         let sum = level(product, &[(Token::Plus, Add), (Token::Minus, Sub)]);
         let compares = [
             (Token::Eq, Eq),
@@ -129,7 +169,10 @@
             .then(expr.clone())
             .map(|(name, value)| Stmt::Let(name, value));
         let put = name()
-            .then(expr.clone().delimited_by(just(Token::OpenSet), just(Token::CloseSet)))
+            .then(
+                expr.clone()
+                    .delimited_by(just(Token::OpenSet), just(Token::CloseSet)),
+            )
             .then_ignore(just(Token::Assign))
             .then(expr.clone())
             .map(|((name, key), value)| Stmt::Put(name, key, value));
@@ -137,7 +180,9 @@
             .then_ignore(just(Token::Assign))
             .then(expr.clone())
             .map(|(name, value)| Stmt::Assign(name, value));
-        let arm = just(Token::If).ignore_then(expr.clone()).then(block.clone());
+        let arm = just(Token::If)
+            .ignore_then(expr.clone())
+            .then(block.clone());
         let more = just(Token::Else).ignore_then(arm.clone()).repeated();
         let rest = just(Token::Else).ignore_then(block.clone()).or_not();
         let choose = arm.then(more).then(rest).map(|((first, more), rest)| {
@@ -155,7 +200,9 @@
             .then(expr.clone().or_not())
             .map(|(span, value)| Stmt::Return(span, value));
         let statement = choice((make, put, assign, choose, each, give, expr.map(Stmt::Do))).boxed();
-        statement.repeated().delimited_by(just(Token::OpenBlock), just(Token::CloseBlock))
+        statement
+            .repeated()
+            .delimited_by(just(Token::OpenBlock), just(Token::CloseBlock))
     })
     .boxed()
 }
@@ -167,17 +214,27 @@
         .allow_trailing()
         .delimited_by(just(Token::Open), just(Token::Close));
     let gives = just(Token::Arrow).ignore_then(name()).or_not();
-    name().then(params).then(gives).then(block()).map(|(((name, params), gives), body)| Function {
-        name,
-        params,
-        gives,
-        body,
-    })
+    name()
+        .then(params)
+        .then(gives)
+        .then(block())
+        .map(|(((name, params), gives), body)| Function {
+            name,
+            params,
+            gives,
+            body,
+        })
 }
 
 fn shape() -> impl Parser<Token, At<Shape>, Error = Faulty> {
     let signed = just(Token::Minus).or_not().then(number());
-    let signed = signed.map(|(minus, number)| if minus.is_some() { -number.of } else { number.of });
+    let signed = signed.map(|(minus, number)| {
+        if minus.is_some() {
+            -number.of
+        } else {
+            number.of
+        }
+    });
     let mean = just(Token::Name("mean".to_string()))
         .ignore_then(number().delimited_by(just(Token::Open), just(Token::Close)))
         .map(|half_life| Shape::Mean(half_life.of));
@@ -196,13 +253,20 @@
 fn case() -> impl Parser<Token, Case, Error = Faulty> {
     let path = word().separated_by(just(Token::Dot)).at_least(1);
     let given = path.then_ignore(just(Token::Assign)).then(expression());
-    let expected = just(Token::Expect).ignore_then(name()).then_ignore(just(Token::Eq)).then(expression());
+    let expected = just(Token::Expect)
+        .ignore_then(name())
+        .then_ignore(just(Token::Eq))
+        .then(expression());
     text()
         .then_ignore(just(Token::OpenBlock))
         .then(given.repeated())
         .then(expected.repeated())
         .then_ignore(just(Token::CloseBlock))
-        .map(|((name, given), expected)| Case { name, given, expected })
+        .map(|((name, given), expected)| Case {
+            name,
+            given,
+            expected,
+        })
 }
 
 fn head() -> impl Parser<Token, (At<String>, At<f64>, At<f64>), Error = Faulty> {
@@ -242,7 +306,11 @@
 }
 
 fn told(source: &str, fault: &Faulty, next: Option<&Token>) -> Diagnostic {
-    let mut expected: Vec<String> = fault.expected().flatten().map(ToString::to_string).collect();
+    let mut expected: Vec<String> = fault
+        .expected()
+        .flatten()
+        .map(ToString::to_string)
+        .collect();
     if let Some(label) = fault.label() {
         expected = vec![label.to_string()];
     }
@@ -250,7 +318,10 @@
     expected.dedup();
     expected.truncate(6);
     // The end of a part is where the next one begins.
-    let found = fault.found().or(next).map_or("the end of the text".to_string(), ToString::to_string);
+    let found = fault
+        .found()
+        .or(next)
+        .map_or("the end of the text".to_string(), ToString::to_string);
     let text = if expected.is_empty() {
         format!("found {found}, which cannot stand here")
     } else {
@@ -269,7 +340,10 @@
         let begins = match token {
             Token::Hook | Token::Fn | Token::Steers | Token::Case => true,
             Token::State => {
-                !dot && !matches!(parts.last().and_then(|part| part.first()), Some((Token::Case, _)))
+                !dot && !matches!(
+                    parts.last().and_then(|part| part.first()),
+                    Some((Token::Case, _))
+                )
             }
             Token::Let => depth == 0,
             _ => false,
@@ -298,10 +372,16 @@
     let mut parts = parts(tokens).into_iter().peekable();
     let each = |part: Tokens, next: Option<&Tokens>| {
         let next = next.and_then(|part| part.first()).cloned();
-        let end = next.as_ref().map_or(whole.clone(), |(_, span)| span.clone());
-        (Stream::from_iter(end, part.into_iter()), next.map(|(token, _)| token))
+        let end = next
+            .as_ref()
+            .map_or(whole.clone(), |(_, span)| span.clone());
+        (
+            Stream::from_iter(end, part.into_iter()),
+            next.map(|(token, _)| token),
+        )
     };
-    let first = parts.next_if(|part| matches!(part.first(), Some((Token::Plugin, _))) || part.len() < 6);
+    let first =
+        parts.next_if(|part| matches!(part.first(), Some((Token::Plugin, _))) || part.len() < 6);
     let (stream, next) = each(first.unwrap_or_default(), parts.peek());
     let head = head().parse(stream).map_err(|found| {
         faults.extend(found.iter().map(|fault| told(source, fault, next.as_ref())));
@@ -311,14 +391,21 @@
         let (stream, next) = each(part, parts.peek());
         match item.parse(stream) {
             Ok(item) => items.push(item),
-            Err(found) => faults.extend(found.iter().map(|fault| told(source, fault, next.as_ref()))),
+            Err(found) => {
+                faults.extend(found.iter().map(|fault| told(source, fault, next.as_ref())))
+            }
         }
     }
     faults.sort_by_key(|fault| fault.span.start);
     faults.dedup_by_key(|fault| fault.span.start);
     faults.truncate(FAULTS_MOST);
     match head {
-        Ok((name, version, host)) if faults.is_empty() => Ok(Plugin { name, version, host, items }),
+        Ok((name, version, host)) if faults.is_empty() => Ok(Plugin {
+            name,
+            version,
+            host,
+            items,
+        }),
         _ if faults.is_empty() => Err(vec![Diagnostic::new(source, 0..0, "this is no plug-in")]),
         _ => Err(faults),
     }
@@ -328,8 +415,14 @@
 pub fn parse(source: &str) -> Result<Plugin, Vec<Diagnostic>> {
     let refused = |text: &str| vec![Diagnostic::new(source, 0..0, text)];
     std::thread::scope(|scope| {
-        let reader = std::thread::Builder::new().stack_size(STACK).spawn_scoped(scope, || read(source));
-        let Ok(reader) = reader else { return Err(refused("no thread to read it")) };
-        reader.join().unwrap_or_else(|_| Err(refused("this text cannot be read")))
+        let reader = std::thread::Builder::new()
+            .stack_size(STACK)
+            .spawn_scoped(scope, || read(source));
+        let Ok(reader) = reader else {
+            return Err(refused("no thread to read it"));
+        };
+        reader
+            .join()
+            .unwrap_or_else(|_| Err(refused("this text cannot be read")))
     })
 }
--- a/crates/plugins/src/verify.rs
+++ b/crates/plugins/src/verify.rs
@@ -22,7 +22,12 @@
 fn effect(op: Op, program: &Program) -> (usize, usize) {
     match op {
         Op::Const(_) | Op::Load(_) | Op::LoadState(_) => (0, 1),
-        Op::Store(_) | Op::StoreState(_) | Op::JumpIfNot(_) | Op::Each(_) | Op::Pop | Op::Return => (1, 0),
+        Op::Store(_)
+        | Op::StoreState(_)
+        | Op::JumpIfNot(_)
+        | Op::Each(_)
+        | Op::Pop
+        | Op::Return => (1, 0),
         Op::MapGet(_) | Op::Neg | Op::Not => (1, 1),
         Op::MapPut(_) => (2, 0),
         Op::Get(field) => match FIELDS.iter().find(|(_, _, known, _)| *known == field) {
@@ -32,34 +37,56 @@
         Op::Add | Op::Sub | Op::Mul | Op::Div | Op::Rem | Op::Join => (2, 1),
         Op::Eq | Op::Ne | Op::Lt | Op::Le | Op::Gt | Op::Ge | Op::In => (2, 1),
         Op::Jump(_) | Op::Next(..) => (0, 0),
-        Op::Call(at) => (program.functions.get(usize::from(at)).map_or(0, |f| usize::from(f.params)), 1),
+        Op::Call(at) => (
+            program
+                .functions
+                .get(usize::from(at))
+                .map_or(0, |f| usize::from(f.params)),
+            1,
+        ),
         Op::Do(builtin) => (builtin.takes(), 1),
     }
 }
 
 /// Whether what an operation names is there.
 fn named(op: Op, own: usize, program: &Program) -> Result<(), &'static str> {
-    let Some(function) = program.functions.get(own) else { return Err("no function") };
+    let Some(function) = program.functions.get(own) else {
+        return Err("no function");
+    };
     let code = function.code.len();
     let check = |holds: bool, what| if holds { Ok(()) } else { Err(what) };
     match op {
-        Op::Const(at) => check(usize::from(at) < program.constants.len(), "no such constant"),
+        Op::Const(at) => check(
+            usize::from(at) < program.constants.len(),
+            "no such constant",
+        ),
         Op::Load(at) | Op::Store(at) => check(at < function.locals, "no such local"),
         Op::LoadState(at) | Op::StoreState(at) => {
             let state = program.states.get(usize::from(at));
-            check(state.is_some_and(|(_, shape)| *shape != crate::ast::Shape::Map), "no such state")
+            check(
+                state.is_some_and(|(_, shape)| *shape != crate::ast::Shape::Map),
+                "no such state",
+            )
         }
         Op::MapGet(at) | Op::MapPut(at) => {
             let state = program.states.get(usize::from(at));
-            check(state.is_some_and(|(_, shape)| *shape == crate::ast::Shape::Map), "no such map")
+            check(
+                state.is_some_and(|(_, shape)| *shape == crate::ast::Shape::Map),
+                "no such map",
+            )
+        }
+        Op::Jump(to) | Op::JumpIfNot(to) => {
+            check(usize::from(to) < code, "a jump out of the function")
         }
-        Op::Jump(to) | Op::JumpIfNot(to) => check(usize::from(to) < code, "a jump out of the function"),
         Op::Next(slot, local, to) => check(
             slot < function.loops && local < function.locals && usize::from(to) < code,
             "a loop out of the function",
         ),
         Op::Each(slot) => check(slot < function.loops, "no such loop"),
-        Op::Call(at) => check(usize::from(at) < own, "a call of itself or of a later function"),
+        Op::Call(at) => check(
+            usize::from(at) < own,
+            "a call of itself or of a later function",
+        ),
         _ => Ok(()),
     }
 }
@@ -73,7 +100,11 @@
     for (own, function) in program.functions.iter().enumerate() {
         let code = &function.code;
         if code.is_empty() || code.len() > CODE_MOST || code.len() != function.lines.len() {
-            return Err(unsound(own, 0, "no code, too much of it, or lines that do not fit"));
+            return Err(unsound(
+                own,
+                0,
+                "no code, too much of it, or lines that do not fit",
+            ));
         }
         if function.params > function.locals || usize::from(function.locals) > NAMES_MOST {
             return Err(unsound(own, 0, "locals that do not hold the parameters"));
@@ -87,7 +118,13 @@
             };
             match known {
                 Some(known) if *known == height => continue,
-                Some(_) => return Err(unsound(own, at, "two ways with stacks of different heights")),
+                Some(_) => {
+                    return Err(unsound(
+                        own,
+                        at,
+                        "two ways with stacks of different heights",
+                    ))
+                }
                 None => *known = Some(height),
             }
             named(op, own, program).map_err(|what| unsound(own, at, what))?;
@@ -100,7 +137,9 @@
                 return Err(unsound(own, at, "the stack is too high"));
             }
             match op {
-                Op::Return if left != 0 => return Err(unsound(own, at, "a return leaves values behind")),
+                Op::Return if left != 0 => {
+                    return Err(unsound(own, at, "a return leaves values behind"))
+                }
                 Op::Return => {}
                 Op::Jump(to) => open.push((to.into(), after)),
                 Op::JumpIfNot(to) | Op::Next(_, _, to) => {
@@ -111,9 +150,22 @@
         }
     }
     let hooks = program.hooks;
-    let all = [(hooks.factor, 3), (hooks.cap, 1), (hooks.retry, 1), (hooks.exclude, 1), (hooks.turn, 0)];
-    for (hook, params) in all.into_iter().filter_map(|(hook, params)| Some((usize::from(hook?), params))) {
-        if program.functions.get(hook).is_none_or(|function| function.params != params) {
+    let all = [
+        (hooks.factor, 3),
+        (hooks.cap, 1),
+        (hooks.retry, 1),
+        (hooks.exclude, 1),
+        (hooks.turn, 0),
+    ];
+    for (hook, params) in all
+        .into_iter()
+        .filter_map(|(hook, params)| Some((usize::from(hook?), params)))
+    {
+        if program
+            .functions
+            .get(hook)
+            .is_none_or(|function| function.params != params)
+        {
             return Err(unsound(hook, 0, "a hook that is no function of its form"));
         }
     }
--- a/crates/plugins/src/walk.rs
+++ b/crates/plugins/src/walk.rs
@@ -28,7 +28,10 @@
 impl<'a> Walker<'a> {
     /// A walker over a tree that the compiler has taken.
     pub fn new(plugin: &'a Plugin) -> Self {
-        Walker { plugin, steps: STEPS_MOST }
+        Walker {
+            plugin,
+            steps: STEPS_MOST,
+        }
     }
 
     fn find(&self, name: &str, hook: bool) -> Option<&'a Function> {
@@ -48,7 +51,12 @@
     }
 
     /// Calls a hook.
-    pub fn hook(&mut self, name: &str, values: &[Value], context: &mut Context) -> Result<Value, Trap> {
+    pub fn hook(
+        &mut self,
+        name: &str,
+        values: &[Value],
+        context: &mut Context,
+    ) -> Result<Value, Trap> {
         self.steps = STEPS_MOST;
         context.arena = 0;
         let function = self.find(name, true).ok_or(Trap::Unsound)?;
@@ -70,7 +78,12 @@
     }
 
     /// A block of its own: what it names is forgotten, what it changes outside is kept.
-    fn block(&mut self, block: &'a [Stmt], outer: &mut Scope, context: &mut Context) -> Result<Flow, Trap> {
+    fn block(
+        &mut self,
+        block: &'a [Stmt],
+        outer: &mut Scope,
+        context: &mut Context,
+    ) -> Result<Flow, Trap> {
         let mut scope = outer.clone();
         let mut own: Vec<&str> = Vec::new();
         for statement in block {
@@ -78,7 +91,10 @@
                 own.push(&name.of);
             }
             let flow = self.statement(statement, &mut scope, context)?;
-            for (name, value) in outer.iter_mut().filter(|(name, _)| !own.contains(&name.as_str())) {
+            for (name, value) in outer
+                .iter_mut()
+                .filter(|(name, _)| !own.contains(&name.as_str()))
+            {
                 if let Some(changed) = scope.get(name) {
                     value.clone_from(changed);
                 }
@@ -108,17 +124,29 @@
                     Some(known) => *known = value,
                     None => {
                         let at = self.state(&name.of).ok_or(Trap::Unsound)?;
-                        context.memory.0.get_mut(at).ok_or(Trap::Unsound)?.write(value);
+                        context
+                            .memory
+                            .0
+                            .get_mut(at)
+                            .ok_or(Trap::Unsound)?
+                            .write(value);
                     }
                 }
             }
             Stmt::Put(name, key, value) => {
-                let Value::Text(key) = self.value(key, scope, context)? else { return Err(Trap::Unsound) };
+                let Value::Text(key) = self.value(key, scope, context)? else {
+                    return Err(Trap::Unsound);
+                };
                 let Value::Number(value) = self.value(value, scope, context)? else {
                     return Err(Trap::Unsound);
                 };
                 let at = self.state(&name.of).ok_or(Trap::Unsound)?;
-                context.memory.0.get_mut(at).ok_or(Trap::Unsound)?.put(key, value)?;
+                context
+                    .memory
+                    .0
+                    .get_mut(at)
+                    .ok_or(Trap::Unsound)?
+                    .put(key, value)?;
             }
             Stmt::If(arms, rest) => {
                 for (condition, block) in arms {
@@ -146,7 +174,10 @@
                 };
             }
             Stmt::Return(_, value) => {
-                let value = value.as_ref().map(|value| self.value(value, scope, context)).transpose()?;
+                let value = value
+                    .as_ref()
+                    .map(|value| self.value(value, scope, context))
+                    .transpose()?;
                 return Ok(Flow::Gives(value.unwrap_or(Value::Nothing)));
             }
             Stmt::Do(value) => {
@@ -165,9 +196,12 @@
                 Expr::Number(number) => Value::Number(-number),
                 _ => return None,
             },
-            Expr::Set(all) => {
-                Value::Set(all.iter().map(|of| Walker::literal(&of.of)).collect::<Option<Vec<_>>>()?.into())
-            }
+            Expr::Set(all) => Value::Set(
+                all.iter()
+                    .map(|of| Walker::literal(&of.of))
+                    .collect::<Option<Vec<_>>>()?
+                    .into(),
+            ),
             _ => return None,
         })
     }
@@ -186,10 +220,16 @@
             Expr::Name(name) => self.name(name, scope, context),
             Expr::Field(of, field) => self.field(of, &field.of, scope, context),
             Expr::Index(of, key) => {
-                let Expr::Name(name) = &of.of else { return Err(Trap::Unsound) };
-                let Value::Text(key) = self.value(key, scope, context)? else { return Err(Trap::Unsound) };
+                let Expr::Name(name) = &of.of else {
+                    return Err(Trap::Unsound);
+                };
+                let Value::Text(key) = self.value(key, scope, context)? else {
+                    return Err(Trap::Unsound);
+                };
                 let at = self.state(name).ok_or(Trap::Unsound)?;
-                Ok(Value::Number(context.memory.0.get(at).ok_or(Trap::Unsound)?.get(&key)))
+                Ok(Value::Number(
+                    context.memory.0.get(at).ok_or(Trap::Unsound)?.get(&key),
+                ))
             }
             Expr::Call(name, arguments) => self.call(&name.of, arguments, scope, context),
             Expr::Unary(op, of) => match (op, self.value(of, scope, context)?) {
@@ -224,14 +264,20 @@
         context: &mut Context,
     ) -> Result<Value, Trap> {
         let fleet = matches!(&of.of, Expr::Name(name) if name == "fleet");
-        let of = if fleet { None } else { Some(self.value(of, scope, context)?) };
+        let of = if fleet {
+            None
+        } else {
+            Some(self.value(of, scope, context)?)
+        };
         let has = match &of {
             None => Type::Nothing,
             Some(Value::Server(_)) => Type::Server,
             Some(Value::Class(_)) => Type::Class,
             Some(_) => return Err(Trap::Unsound),
         };
-        let known = FIELDS.iter().find(|(its, name, ..)| *its == has && *name == field);
+        let known = FIELDS
+            .iter()
+            .find(|(its, name, ..)| *its == has && *name == field);
         context.field(known.ok_or(Trap::Unsound)?.2, of.as_ref())
     }
 
@@ -242,7 +288,14 @@
         scope: &mut Scope,
         context: &mut Context,
     ) -> Result<Value, Trap> {
-        if let ("len", [At { of: Expr::Name(map), .. }]) = (name, arguments) {
+        if let (
+            "len",
+            [At {
+                of: Expr::Name(map),
+                ..
+            }],
+        ) = (name, arguments)
+        {
             if let Some(crate::machine::Cell::Map(map)) =
                 self.state(map).and_then(|at| context.memory.0.get(at))
             {
--- a/crates/plugins/tests/differential.rs
+++ b/crates/plugins/tests/differential.rs
@@ -8,10 +8,23 @@
 use proptest::prelude::*;
 
 fn inputs() -> Inputs {
-    let mut servers = vec![Server::well("s-1", "a"), Server::well("s-2", "b"), Server::well("canary-3", "a")];
+    let mut servers = vec![
+        Server::well("s-1", "a"),
+        Server::well("s-2", "b"),
+        Server::well("canary-3", "a"),
+    ];
     servers[1].score = 0.25;
-    let fleet = Fleet { strain: 0.5, demand: 120.0, ..Fleet::default() };
-    Inputs { servers, classes: vec![Class::plain("lookup")], zones: vec!["a".into(), "b".into()], fleet }
+    let fleet = Fleet {
+        strain: 0.5,
+        demand: 120.0,
+        ..Fleet::default()
+    };
+    Inputs {
+        servers,
+        classes: vec![Class::plain("lookup")],
+        zones: vec!["a".into(), "b".into()],
+        fleet,
+    }
 }
 
 fn number(depth: u32) -> BoxedStrategy<String> {
@@ -81,7 +94,8 @@
     if depth == 0 {
         return leaf.boxed();
     }
-    let block = || proptest::collection::vec(statement(depth - 1), 0..3).prop_map(|all| all.concat());
+    let block =
+        || proptest::collection::vec(statement(depth - 1), 0..3).prop_map(|all| all.concat());
     prop_oneof![
         3 => leaf,
         1 => (truth(1), block(), block()).prop_map(|(of, yes, no)| format!("if {of} {{ {yes} }} else {{ {no} }}\n")),
--- a/crates/plugins/tests/hostile.rs
+++ b/crates/plugins/tests/hostile.rs
@@ -30,17 +30,28 @@
 
 fn turn(text: &str) -> Turn {
     let mut host = Host::default();
-    host.load(&[("h".to_string(), text.to_string())]).unwrap_or_else(|refused| panic!("{refused:?}"));
+    host.load(&[("h".to_string(), text.to_string())])
+        .unwrap_or_else(|refused| panic!("{refused:?}"));
     host.turn(&inputs())
 }
 
 /// Texts that are refused.
 fn refused() -> Vec<String> {
     let deep = |open: &str, close: &str| {
-        text(&format!("hook cap(class) {{ return {}1{} }}", open.repeat(5000), close.repeat(5000)))
+        text(&format!(
+            "hook cap(class) {{ return {}1{} }}",
+            open.repeat(5000),
+            close.repeat(5000)
+        ))
     };
     let nested = format!("{}{}", "if true { ".repeat(2000), "} ".repeat(2000));
-    let many = |part: &str| text(&(0..2000).map(|n| part.replace('@', &n.to_string())).collect::<String>());
+    let many = |part: &str| {
+        text(
+            &(0..2000)
+                .map(|n| part.replace('@', &n.to_string()))
+                .collect::<String>(),
+        )
+    };
     vec![
         String::new(),
         "\u{0}\u{1}\u{2}".to_string(),
@@ -79,11 +90,18 @@
         text("hook turn() { let n = 99999999999999999999999999 }"),
         text("hook turn() { let n = 1e400 }"),
         text("hook turn() { let n = nan }"),
-        text(&format!("let s = [{}]", (0..3000).map(|n| format!("{n},")).collect::<String>())),
+        text(&format!(
+            "let s = [{}]",
+            (0..3000).map(|n| format!("{n},")).collect::<String>()
+        )),
         many("state s@ = 0\n"),
         many("fn f@() { }\n"),
         many("hook turn() { }\n"),
-        format!("{}hook turn() {{ {} }}", text(""), "note(\"x\") ".repeat(9000)),
+        format!(
+            "{}hook turn() {{ {} }}",
+            text(""),
+            "note(\"x\") ".repeat(9000)
+        ),
         "plugin \"h\" version 1.5 host 1".to_string(),
         "plugin \"h\" version 1 host 2".to_string(),
         text("hook cap(class) { return class }"),
@@ -108,8 +126,14 @@
         let begun = Instant::now();
         let faults = compile(&text).expect_err(&text.chars().take(200).collect::<String>());
         assert!(!faults.is_empty() && faults.len() <= 4000);
-        assert!(faults.iter().all(|fault| fault.line >= 1 && !fault.to_string().contains('\n')));
-        assert!(begun.elapsed() < SOON, "{:?}", text.chars().take(100).collect::<String>());
+        assert!(faults
+            .iter()
+            .all(|fault| fault.line >= 1 && !fault.to_string().contains('\n')));
+        assert!(
+            begun.elapsed() < SOON,
+            "{:?}",
+            text.chars().take(100).collect::<String>()
+        );
         let rendered = faults[0].render("h", &text);
         assert!(!rendered.is_empty());
     }
@@ -121,7 +145,10 @@
         let begun = Instant::now();
         let turn = turn(&text(body));
         assert_eq!(turn.advice, Default::default(), "{body}");
-        let stopped = turn.words.iter().any(|(_, word)| matches!(word, Word::Faulted(_)));
+        let stopped = turn
+            .words
+            .iter()
+            .any(|(_, word)| matches!(word, Word::Faulted(_)));
         assert!(stopped, "{body}: {:?}", turn.words);
         assert!(begun.elapsed() < SOON, "{body}");
     }
@@ -131,14 +158,25 @@
 fn advice_stays_within_what_advice_may_be() {
     for body in ADVISED {
         let mut host = Host::default();
-        host.load(&[("h".to_string(), text(body))]).expect("it compiles");
+        host.load(&[("h".to_string(), text(body))])
+            .expect("it compiles");
         for _ in 0..5 {
             let advice = host.turn(&inputs()).advice;
             assert!(
-                advice.factors.values().chain(advice.caps.values()).all(|value| (0.0..1.0).contains(value)),
+                advice
+                    .factors
+                    .values()
+                    .chain(advice.caps.values())
+                    .all(|value| (0.0..1.0).contains(value)),
+                "{body}"
+            );
+            assert!(
+                advice
+                    .excluded
+                    .values()
+                    .all(|(_, seconds)| (0.0..=3600.0).contains(seconds)),
                 "{body}"
             );
-            assert!(advice.excluded.values().all(|(_, seconds)| (0.0..=3600.0).contains(seconds)), "{body}");
             assert!(advice.never.is_empty(), "{body}");
         }
     }
@@ -151,7 +189,12 @@
     let mut texts: Vec<(String, String)> = STOPPED
         .iter()
         .enumerate()
-        .map(|(n, body)| (n.to_string(), text(body).replace("\"h\"", &format!("\"h{n}\""))))
+        .map(|(n, body)| {
+            (
+                n.to_string(),
+                text(body).replace("\"h\"", &format!("\"h{n}\"")),
+            )
+        })
         .collect();
     texts.push(("good".to_string(), good.to_string()));
     let mut host = Host::default();
@@ -169,7 +212,9 @@
     let text = text("state n = 0\nhook turn() { n = n + 1 if n > 60 { for i in range(0, 1000000000) { } } }\nhook cap(class) { return 0.5 }");
     let mut host = Host::default();
     host.load(&[("h".to_string(), text)]).expect("it compiles");
-    let heard = (0..400).filter(|_| !host.turn(&inputs()).advice.caps.is_empty()).count();
+    let heard = (0..400)
+        .filter(|_| !host.turn(&inputs()).advice.caps.is_empty())
+        .count();
     assert_eq!(heard, 60);
 }
 
@@ -180,8 +225,11 @@
 }
 
 fn compiled() -> Vec<Program> {
-    let mut all: Vec<Program> =
-        ADVISED.iter().chain(&STOPPED).map(|body| compile(&text(body)).expect("a program")).collect();
+    let mut all: Vec<Program> = ADVISED
+        .iter()
+        .chain(&STOPPED)
+        .map(|body| compile(&text(body)).expect("a program"))
+        .collect();
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../plugins");
     for entry in std::fs::read_dir(folder).expect("the folder") {
         let text = std::fs::read_to_string(entry.expect("a file").path()).expect("its text");
@@ -195,8 +243,10 @@
     let (mut memory, mut machine, mut fuel) = (Memory::new(program), Machine::default(), 20_000);
     let mut context = Context::new(program, &inputs, &mut memory, &mut fuel, 3);
     let zone = chutegrade_plugins::code::Value::Text("a".into());
-    let (server, class) =
-        (chutegrade_plugins::code::Value::Server(1), chutegrade_plugins::code::Value::Class(0));
+    let (server, class) = (
+        chutegrade_plugins::code::Value::Server(1),
+        chutegrade_plugins::code::Value::Class(0),
+    );
     let hooks = program.hooks;
     let calls = [
         (hooks.turn, vec![]),
@@ -225,7 +275,11 @@
         any::<u16>().prop_map(|n| Op::JumpIfNot(n % 40)),
         any::<u8>().prop_map(|n| Op::Call(n % 6)),
         any::<u8>().prop_map(|n| Op::Each(n % 3)),
-        (any::<u8>(), any::<u8>(), any::<u16>()).prop_map(|(a, b, c)| Op::Next(a % 3, b % 8, c % 40)),
+        (any::<u8>(), any::<u8>(), any::<u16>()).prop_map(|(a, b, c)| Op::Next(
+            a % 3,
+            b % 8,
+            c % 40
+        )),
         Just(Op::Add),
         Just(Op::Join),
         Just(Op::Eq),
--- a/crates/policy/benches/tick.rs
+++ b/crates/policy/benches/tick.rs
@@ -21,7 +21,11 @@
     Settings {
         instances: 5,
         zones: ZONES.into(),
-        classes: vec![class(Effect::Safe), class(Effect::Unsafe), class(Effect::Safe)],
+        classes: vec![
+            class(Effect::Safe),
+            class(Effect::Unsafe),
+            class(Effect::Safe),
+        ],
         proxies: proxies as usize,
         levels: LevelKind::Fraction,
         probes: true,
@@ -57,7 +61,13 @@
         ..Entry::default()
     };
     let mut policy = Policy::new(settings(proxies), 7);
-    policy.handle(Micros(0), &[Event::Members(ListKind::WarmCopy, (0..servers).map(entry).collect())]);
+    policy.handle(
+        Micros(0),
+        &[Event::Members(
+            ListKind::WarmCopy,
+            (0..servers).map(entry).collect(),
+        )],
+    );
     policy
 }
 
@@ -80,8 +90,12 @@
         _ => None,
     });
     let took = Micros(1000);
-    let receipts = mark.into_iter().flat_map(|mark| bound.clone().map(move |proxy| (proxy, mark)));
-    let receipts: Vec<_> = receipts.map(|(proxy, mark)| Event::Receipt { proxy, mark, took }).collect();
+    let receipts = mark
+        .into_iter()
+        .flat_map(|mark| bound.clone().map(move |proxy| (proxy, mark)));
+    let receipts: Vec<_> = receipts
+        .map(|(proxy, mark)| Event::Receipt { proxy, mark, took })
+        .collect();
     policy.handle(now, &receipts);
 }
 
@@ -99,7 +113,10 @@
             failed: 0.0,
             mean_ms: 120.0 + f64::from(id % 7),
             period: Micros(1_000_000),
-            load: Load { queue: Some(0.5), ..Load::default() },
+            load: Load {
+                queue: Some(0.5),
+                ..Load::default()
+            },
         };
         let mut events: Vec<Event> = (0..servers).map(heard).collect();
         events.push(Event::Timer(1));
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -483,12 +483,19 @@
 impl Limits {
     /// The most of a class that is let in: what is no number says nothing.
     pub fn keeps(&self, class: usize) -> f64 {
-        let own = self.keep.iter().filter(|(of, keep)| usize::from(of.0) == class && !keep.is_nan());
+        let own = self
+            .keep
+            .iter()
+            .filter(|(of, keep)| usize::from(of.0) == class && !keep.is_nan());
         own.fold(1.0, |least, (_, keep)| least.min(*keep))
     }
     /// How a class may be tried again, if anything is said of it: the narrowest.
     pub fn again(&self, class: usize) -> Option<Retry> {
-        self.again.iter().filter(|(of, _)| usize::from(of.0) == class).map(|(_, again)| *again).min()
+        self.again
+            .iter()
+            .filter(|(of, _)| usize::from(of.0) == class)
+            .map(|(_, again)| *again)
+            .min()
     }
 }
 
