--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -123,16 +123,29 @@
 
 impl Server {
     fn new(entry: Entry, warm: bool) -> Self {
-        let mut server =
-            Server { entry, return_after: RESTORE_TICKS, terms: (1.0, 1.0), ..Server::default() };
-        let (state, score) = if warm { (State::Full, 1.0) } else { (State::Reduced, NEW_SCORE) };
+        let mut server = Server {
+            entry,
+            return_after: RESTORE_TICKS,
+            terms: (1.0, 1.0),
+            ..Server::default()
+        };
+        let (state, score) = if warm {
+            (State::Full, 1.0)
+        } else {
+            (State::Reduced, NEW_SCORE)
+        };
         server.enter(state, score, score);
         server
     }
 
     fn fade(&mut self, elapsed: f64) {
-        let heard = self.heard.values_mut().flat_map(|evidence| [&mut evidence.failed, &mut evidence.cost]);
-        heard.chain([&mut self.busy, &mut self.probes_now]).for_each(|e| e.fade(elapsed, EVIDENCE_HALF_LIFE));
+        let heard = self
+            .heard
+            .values_mut()
+            .flat_map(|evidence| [&mut evidence.failed, &mut evidence.cost]);
+        heard
+            .chain([&mut self.busy, &mut self.probes_now])
+            .for_each(|e| e.fade(elapsed, EVIDENCE_HALF_LIFE));
         self.probing.failed *= 0.5f64.powf(elapsed / EVIDENCE_HALF_LIFE);
         self.speed.fade(elapsed, SPEED_HALF_LIFE);
     }
@@ -153,12 +166,24 @@
     fn probed(&mut self, end: ProbeEnd, took: Micros, way: f64) {
         if end == ProbeEnd::Done {
             let speed = 1.0 / (took.secs() - way).max(took.secs() / 4.0).max(1e-6);
-            self.speed.probes.add(speed.powi(QUICK + 1), speed.powi(QUICK));
+            self.speed
+                .probes
+                .add(speed.powi(QUICK + 1), speed.powi(QUICK));
             // Danger: one that idled, as a new one does, would pass for saturated once it has work.
-            let works = self.heard.values().map(|met| clamp01(met.failed.weight)).fold(0.0, f64::max);
-            self.speed.at_work.add(works * speed.powi(QUICK + 1), works * speed.powi(QUICK));
+            let works = self
+                .heard
+                .values()
+                .map(|met| clamp01(met.failed.weight))
+                .fold(0.0, f64::max);
+            self.speed
+                .at_work
+                .add(works * speed.powi(QUICK + 1), works * speed.powi(QUICK));
             self.probes_now.add(speed, 1.0);
-            self.quickest = if self.quickest > 0.0 { self.quickest.min(took.secs()) } else { took.secs() };
+            self.quickest = if self.quickest > 0.0 {
+                self.quickest.min(took.secs())
+            } else {
+                took.secs()
+            };
             self.probing.failing = 0;
         }
         let probing = &mut self.probing;
@@ -211,10 +236,22 @@
 impl Policy {
     /// An instance that knows its settings and nothing else.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let channel = Channel { pace: settings.lines_per_s, ..Channel::default() };
+        let channel = Channel {
+            pace: settings.lines_per_s,
+            ..Channel::default()
+        };
         let came = vec![Fading::default(); settings.classes.len()];
-        let admission = Admission { came, ..Admission::default() };
-        Policy { settings, seed, channel, admission, ..Policy::default() }
+        let admission = Admission {
+            came,
+            ..Admission::default()
+        };
+        Policy {
+            settings,
+            seed,
+            channel,
+            admission,
+            ..Policy::default()
+        }
     }
 
     /// Takes in what happened by `now` and returns the orders to give.
@@ -222,22 +259,38 @@
         let mut out = Vec::new();
         if !std::mem::replace(&mut self.started, true) {
             self.ticked = now;
-            out.extend(self.settings.list_on_request.then_some(Action::Subscribe(true)));
+            out.extend(
+                self.settings
+                    .list_on_request
+                    .then_some(Action::Subscribe(true)),
+            );
             // Instances that tick in step would act in step on the same reports.
             let first = Micros(TICK.0 / 2 + (self.seed % (TICK.0 as u64 / 2)) as i64);
-            out.push(Action::Timer { id: TICK_TIMER, after: first });
+            out.push(Action::Timer {
+                id: TICK_TIMER,
+                after: first,
+            });
         }
         for event in events {
             self.take(now, event);
         }
         let ticks = events.contains(&Event::Timer(TICK_TIMER));
         if ticks {
-            out.push(Action::Timer { id: TICK_TIMER, after: TICK });
+            out.push(Action::Timer {
+                id: TICK_TIMER,
+                after: TICK,
+            });
             self.tick(now, &mut out);
         }
         // Probe answers and tallies wait for the tick. Danger: work for each makes a large fleet late.
-        let news = |e: &Event| matches!(e, Event::Members(..) | Event::Joined { .. } | Event::Tenure { .. });
-        let frees = |e: &Event| matches!(e, Event::Receipt { .. } | Event::Left(_) | Event::Ended(_));
+        let news = |e: &Event| {
+            matches!(
+                e,
+                Event::Members(..) | Event::Joined { .. } | Event::Tenure { .. }
+            )
+        };
+        let frees =
+            |e: &Event| matches!(e, Event::Receipt { .. } | Event::Left(_) | Event::Ended(_));
         let freed = |e: &Event| self.settings.sole_owner && frees(e);
         if ticks || events.iter().any(|event| news(event) || freed(event)) {
             self.probe(now, &mut out);
@@ -252,9 +305,22 @@
         match event {
             Event::Members(ListKind::Lost, _) => self.subscribe_at = Some(now + UPDATE_EVERY),
             Event::Members(kind, entries) => self.members(now, *kind, entries),
-            Event::Joined { proxy, zone, rate, brought } => {
-                let came = Fading { sum: *rate, weight: 1.0 };
-                let joined = Proxy { zone: *zone, brought: *brought, came, ..Proxy::default() };
+            Event::Joined {
+                proxy,
+                zone,
+                rate,
+                brought,
+            } => {
+                let came = Fading {
+                    sum: *rate,
+                    weight: 1.0,
+                };
+                let joined = Proxy {
+                    zone: *zone,
+                    brought: *brought,
+                    came,
+                    ..Proxy::default()
+                };
                 self.proxies.insert(*proxy, joined);
             }
             Event::Left(proxy) | Event::Ended(proxy) => {
@@ -268,7 +334,15 @@
                     handover.not_before = handover.not_before.max(now + self.settings.lease);
                 }
             }
-            Event::Heard { zone, server, tries, failed, mean_ms, load, .. } => {
+            Event::Heard {
+                zone,
+                server,
+                tries,
+                failed,
+                mean_ms,
+                load,
+                ..
+            } => {
                 if let Some(server) = self.servers.get_mut(server) {
                     let good = (tries - failed).max(0.0);
                     let seen = server.heard.entry(*zone).or_default();
@@ -278,9 +352,18 @@
                     server.report(load);
                 }
             }
-            Event::Probed { server, end, took, load } => {
+            Event::Probed {
+                server,
+                end,
+                took,
+                load,
+            } => {
                 if let Some(server) = self.servers.get_mut(server) {
-                    let way = if server.entry.zone == self.settings.zone { 0.0 } else { self.link_latency };
+                    let way = if server.entry.zone == self.settings.zone {
+                        0.0
+                    } else {
+                        self.link_latency
+                    };
                     server.probed(*end, *took, way);
                     server.report(load);
                 }
@@ -288,13 +371,24 @@
             Event::Usage { class, came, .. } | Event::SliceUsage { class, came, .. } => {
                 let classes = self.admission.came.len() as f64;
                 if let Event::Usage { proxy, period, .. } = event {
-                    self.proxies.entry(*proxy).and_modify(|p| p.came.add(*came, period.secs() / classes));
+                    self.proxies
+                        .entry(*proxy)
+                        .and_modify(|p| p.came.add(*came, period.secs() / classes));
                 }
-                self.admission.came.get_mut(usize::from(class.0)).into_iter().for_each(|c| c.add(*came, 1.0));
+                self.admission
+                    .came
+                    .get_mut(usize::from(class.0))
+                    .into_iter()
+                    .for_each(|c| c.add(*came, 1.0));
             }
             Event::Receipt { proxy, mark, took } => {
                 self.channel.confirmed(now, *proxy, *mark, *took);
-                for handover in self.slices.values_mut().flatten().filter(|h| h.mark == *mark) {
+                for handover in self
+                    .slices
+                    .values_mut()
+                    .flatten()
+                    .filter(|h| h.mark == *mark)
+                {
                     handover.waits_for.remove(proxy);
                 }
             }
@@ -303,8 +397,16 @@
                 self.slices.remove(table);
                 self.slices.extend(given.then_some((*table, None)));
             }
-            Event::Held { table, server, weight } => {
-                self.tables.entry(*table).or_default().lines.insert(*server, *weight);
+            Event::Held {
+                table,
+                server,
+                weight,
+            } => {
+                self.tables
+                    .entry(*table)
+                    .or_default()
+                    .lines
+                    .insert(*server, *weight);
             }
             Event::Advice(advice) => self.take_advice(now, advice),
             Event::Limits(limits) => self.limits = limits.clone(),
@@ -315,10 +417,17 @@
     /// Takes advice, no oftener than it may change. Danger: a rule that swings fills the channel and starves
     /// the lines of servers that fail. In a saturated fleet all are needed, and none is left out or spared.
     fn take_advice(&mut self, now: Micros, advice: &Advice) {
-        if self.advised.taken.is_some_and(|taken| now - taken < ADVICE.0) {
+        if self
+            .advised
+            .taken
+            .is_some_and(|taken| now - taken < ADVICE.0)
+        {
             return;
         }
-        self.advised = Advised { until: advice.until.min(now + ADVICE.1), ..Advised::of(advice, now) };
+        self.advised = Advised {
+            until: advice.until.min(now + ADVICE.1),
+            ..Advised::of(advice, now)
+        };
         self.apart = advice.apart;
         if self.admission.strain >= REFUSE.0 {
             self.advised.factors.clear();
@@ -330,7 +439,11 @@
         let first = self.servers.is_empty();
         if kind != ListKind::Changes {
             let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
-            for (_, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(*id)) {
+            for (_, server) in self
+                .servers
+                .iter_mut()
+                .filter(|(id, _)| !listed.contains(*id))
+            {
                 server.entry.life = Lifecycle::Gone;
             }
         }
@@ -338,18 +451,29 @@
         let mut ordered: Vec<&Entry> = entries.iter().collect();
         ordered.sort_by_key(|entry| (entry.zone, entry.kind, entry.server));
         for entry in ordered {
-            let cold = entry.started.is_some_and(|started| now - started < self.settings.cold_for);
+            let cold = entry
+                .started
+                .is_some_and(|started| now - started < self.settings.cold_for);
             match self.servers.get_mut(&entry.server) {
                 // A process that started anew is another server in all that matters: cold, with no past.
                 Some(known) if entry.started > known.entry.started => {
                     let (shut, ordinal, told) = (known.shut, known.ordinal, known.told);
-                    *known = Server { shut, ordinal, told, ..Server::new(*entry, !cold) };
+                    *known = Server {
+                        shut,
+                        ordinal,
+                        told,
+                        ..Server::new(*entry, !cold)
+                    };
                 }
                 Some(known) => known.entry = *entry,
                 None => {
                     // One that was forgotten may be shut out by name, or is listed only now that it leaves.
                     let shut = !first && entry.life == Lifecycle::InService;
-                    let new = Server { shut, ordinal: self.listed, ..Server::new(*entry, first && !cold) };
+                    let new = Server {
+                        shut,
+                        ordinal: self.listed,
+                        ..Server::new(*entry, first && !cold)
+                    };
                     self.servers.insert(entry.server, new);
                     self.listed += 1;
                 }
@@ -363,49 +487,81 @@
         let elapsed = (now - self.ticked).secs().max(0.0);
         self.ticked = now;
         if self.advised.until <= now {
-            self.advised = Advised { taken: self.advised.taken, ..Advised::default() };
+            self.advised = Advised {
+                taken: self.advised.taken,
+                ..Advised::default()
+            };
         }
         // Danger: limits whose maker stands still would refuse for good.
         if self.limits.until <= now || self.limits.until > now + ADVICE.1 {
             self.limits = Limits::default();
         }
-        out.extend(self.subscribe_at.take_if(|at| *at <= now).map(|_| Action::Subscribe(true)));
+        out.extend(
+            self.subscribe_at
+                .take_if(|at| *at <= now)
+                .map(|_| Action::Subscribe(true)),
+        );
         self.link_latency = link_latency(self.open().map(|(_, server)| server), self.settings.zone);
         self.pace(elapsed);
         // Failed probes blame no server while few are answered: the own process or the way there may fail.
         let mute = unanswered_probes(self.open().map(|(_, server)| server));
         // Danger: a zone cut off from here would pass for a jam, and all would be refused for it.
         let answers = mute.values().any(|share| *share <= 1.0 - PROBES_ANSWERED.0);
-        let most = |zone| 1.0 - if self.cut.contains(zone) { PROBES_ANSWERED.0 } else { PROBES_ANSWERED.1 };
-        let (cut, mute): (Zones, Zones) =
-            mute.iter().partition(|(zone, share)| answers && **share > most(*zone));
+        let most = |zone| {
+            1.0 - if self.cut.contains(zone) {
+                PROBES_ANSWERED.0
+            } else {
+                PROBES_ANSWERED.1
+            }
+        };
+        let (cut, mute): (Zones, Zones) = mute
+            .iter()
+            .partition(|(zone, share)| answers && **share > most(*zone));
         let shut: BTreeSet<ZoneId> = cut.keys().copied().collect();
         for &zone in shut.symmetric_difference(&self.cut) {
             let mute = cut.get(&zone).copied().unwrap_or(0.0);
-            out.push(Action::Note(Note::Cut { zone, cut: shut.contains(&zone), mute }));
+            out.push(Action::Note(Note::Cut {
+                zone,
+                cut: shut.contains(&zone),
+                mute,
+            }));
         }
         self.cut = shut;
         let median_mute = quantile(mute.values().copied(), 0.5).unwrap_or(0.0);
         let probes_count = median_mute <= 1.0 - PROBES_ANSWERED.0;
         let zones = self.references();
-        let failing = zones.values().map(|zone| zone.0).reduce(f64::min).unwrap_or(0.0);
+        let failing = zones
+            .values()
+            .map(|zone| zone.0)
+            .reduce(f64::min)
+            .unwrap_or(0.0);
         let narrow = probes_count && failing > NARROW_FROM.0 && self.admission.strain < REFUSE.0;
         self.narrowed = if narrow { Some(now) } else { self.narrowed };
-        let usual: Zones =
-            self.zones().filter_map(|zone| Some((zone, self.median(Some(zone), Server::slowed)?))).collect();
+        let usual: Zones = self
+            .zones()
+            .filter_map(|zone| Some((zone, self.median(Some(zone), Server::slowed)?)))
+            .collect();
         // Terms count by what the others can take: work moved off a server of a full fleet jams the next.
-        let spare = 1.0 - self.median(None, |server| Some(server.saturated())).unwrap_or(0.0);
+        let spare = 1.0
+            - self
+                .median(None, |server| Some(server.saturated()))
+                .unwrap_or(0.0);
         for (id, server) in self.servers.iter_mut().filter(|(_, server)| server.open()) {
-            let (zone, at) = (server.entry.zone, |zones: &Zones, zone| zones.get(zone).copied());
+            let (zone, at) = (server.entry.zone, |zones: &Zones, zone| {
+                zones.get(zone).copied()
+            });
             let answered = probes_count && at(&mute, &zone).is_some_and(|mute| mute <= 0.5);
             // What failed meanwhile blames nobody later: once the way is back, answers come one by one.
             if !answered {
-                (server.probing.failed, server.probing.failing) = (0.0, server.probing.failing.min(1));
+                (server.probing.failed, server.probing.failing) =
+                    (0.0, server.probing.failing.min(1));
             }
             let (failing, answers) = met(server, &zones);
             let error = 1.0 - spare * clamp01(failing / ERROR_BUDGET);
             // Probe times now show a slowed machine whatever its model, answer times what probes do not meet.
-            let probed = server.slowed().map(|now| now / at(&usual, &zone).unwrap_or(1.0));
+            let probed = server
+                .slowed()
+                .map(|now| now / at(&usual, &zone).unwrap_or(1.0));
             server.slower = probed.unwrap_or(1.0).max(1.0); // What it can do has shrunk by as much.
             let ratio = probed.map_or(answers, |probed| probed.max(answers * ANSWERS_COUNT));
             let latency = 1.0 - spare * clamp01(ratio / LATENCY_BUDGET);
@@ -413,13 +569,24 @@
             step(server, error, latency);
             server.terms = (error, latency);
             if server.state != before {
-                let (state, score, cause) = (server.state, server.score, view::cause(server, before));
-                let note = Note::State { server: *id, zone, state, score, errors: error, latency, cause };
+                let (state, score, cause) =
+                    (server.state, server.score, view::cause(server, before));
+                let note = Note::State {
+                    server: *id,
+                    zone,
+                    state,
+                    score,
+                    errors: error,
+                    latency,
+                    cause,
+                };
                 out.push(Action::Note(note));
             }
             server.fade(elapsed);
         }
-        self.proxies.values_mut().for_each(|proxy| proxy.came.fade(elapsed, SPEED_HALF_LIFE));
+        self.proxies
+            .values_mut()
+            .for_each(|proxy| proxy.came.fade(elapsed, SPEED_HALF_LIFE));
         self.admit(elapsed, &zones, median_mute, out);
     }
 
@@ -429,32 +596,60 @@
     /// healthy servers their weight. A zone that probes show cut off has a way without score at once.
     fn references(&mut self) -> References {
         let seen = |f: Fading| (f.weight >= 1.0).then(|| f.sum / f.weight);
-        let of = |from: ZoneId, f: fn(&Evidence) -> Fading| move |s: &Server| seen(f(s.heard.get(&from)?));
-        let view =
-            |from, to| (self.median(to, of(from, |e| e.failed)), self.median(to, of(from, |e| e.cost)));
-        let heard: BTreeSet<ZoneId> = self.open().flat_map(|(_, s)| s.heard.keys().copied()).collect();
-        let pairs = heard.iter().flat_map(|from| self.zones().map(move |to| (*from, to)));
+        let of = |from: ZoneId, f: fn(&Evidence) -> Fading| {
+            move |s: &Server| seen(f(s.heard.get(&from)?))
+        };
+        let view = |from, to| {
+            (
+                self.median(to, of(from, |e| e.failed)),
+                self.median(to, of(from, |e| e.cost)),
+            )
+        };
+        let heard: BTreeSet<ZoneId> = self
+            .open()
+            .flat_map(|(_, s)| s.heard.keys().copied())
+            .collect();
+        let pairs = heard
+            .iter()
+            .flat_map(|from| self.zones().map(move |to| (*from, to)));
         let seen: BTreeMap<_, _> = pairs.map(|way| (way, view(way.0, Some(way.1)))).collect();
-        let fleet: BTreeMap<_, _> = heard.iter().map(|from| (*from, view(*from, None))).collect();
+        let fleet: BTreeMap<_, _> = heard
+            .iter()
+            .map(|from| (*from, view(*from, None)))
+            .collect();
         let mut usual = References::new();
-        let bad = self.links.iter().filter(|(_, score)| **score < RESTORE_ABOVE);
+        let bad = self
+            .links
+            .iter()
+            .filter(|(_, score)| **score < RESTORE_ABOVE);
         let beside: BTreeSet<ZoneId> = bad.map(|((from, _), _)| *from).collect();
         for ((from, to), met) in seen.iter() {
             let all = with_fallback(fleet.get(from).copied().unwrap_or_default(), (0.0, 0.0));
-            let there = seen.get(&(*to, *to)).or(seen.get(&(*from, *from))).copied().unwrap_or_default();
+            let there = seen
+                .get(&(*to, *to))
+                .or(seen.get(&(*from, *from)))
+                .copied()
+                .unwrap_or_default();
             let (met, there) = (with_fallback(*met, all), with_fallback(there, all));
             let error = 1.0 - clamp01((met.0 - there.0) / ERROR_BUDGET);
             let latency = 1.0 - clamp01(met.1 / there.1.max(1.0) / LATENCY_BUDGET);
             let score = self.links.entry((*from, *to)).or_insert(1.0);
             let (was, cut) = (*score, from != to && self.cut.contains(to));
-            let now = if was > 0.0 { smooth(was, error.min(latency)) } else { NEW_SCORE };
+            let now = if was > 0.0 {
+                smooth(was, error.min(latency))
+            } else {
+                NEW_SCORE
+            };
             *score = if cut { 0.0 } else { now };
             // Danger: beside a bad way, what the fleet's median fails passes for usual everywhere.
             let apart = *score < RESTORE_ABOVE || beside.contains(from);
             usual.insert((*from, *to), if apart { met } else { all });
             // What failed on the way blames neither it nor a server once it is back.
             let back = !cut && (was <= 0.0 || (was < RESTORE_ABOVE && *score >= RESTORE_ABOVE));
-            let there = self.servers.values_mut().filter(|s| back && s.entry.zone == *to);
+            let there = self
+                .servers
+                .values_mut()
+                .filter(|s| back && s.entry.zone == *to);
             there.for_each(|server| server.heard.retain(|zone, _| zone != from));
         }
         usual
@@ -463,9 +658,17 @@
     /// Danger: while nobody has work for the servers, what probes take passes for a usual speed that is none.
     fn probe(&mut self, now: Micros, out: &mut Vec<Action>) {
         let wanted = self.settings.probes && !self.proxies.is_empty();
-        for (id, server) in self.servers.iter_mut().filter(|(_, server)| wanted && server.open()) {
+        for (id, server) in self
+            .servers
+            .iter_mut()
+            .filter(|(_, server)| wanted && server.open())
+        {
             let probing = &mut server.probing;
-            if probing.asked.is_none_or(|asked| now - asked >= PROBE_EVERY.1) && probing.next <= now {
+            if probing
+                .asked
+                .is_none_or(|asked| now - asked >= PROBE_EVERY.1)
+                && probing.next <= now
+            {
                 (probing.asked, probing.next) = (Some(now), now + PROBE_EVERY.0);
                 out.push(Action::Probe(*id));
             }
@@ -476,19 +679,29 @@
 
     /// How fast each server is for its listed weight, by the fleet, or its kind where that holds the speed.
     fn speeds(&self) -> Lines {
-        let gauge = |Speed { probes, service, .. }: &Speed| {
+        let gauge = |Speed {
+                         probes, service, ..
+                     }: &Speed| {
             let served = || service.mean().map(|ms| (1.0 / ms, service.weight));
-            probes.mean().map(|speed| (speed, PROBE_WORTH)).or_else(served)
+            probes
+                .mean()
+                .map(|speed| (speed, PROBE_WORTH))
+                .or_else(served)
         };
         let nominal = self.settings.listed == Listed::Nominal;
         let group = |server: &Server| if nominal { server.entry.kind } else { 0 };
         let mut speeds = Lines::new();
-        for of in self.open().map(|(_, server)| group(server)).collect::<BTreeSet<u32>>() {
+        for of in self
+            .open()
+            .map(|(_, server)| group(server))
+            .collect::<BTreeSet<u32>>()
+        {
             let read = self.open().filter(|(_, s)| group(s) == of);
             let read = read.filter_map(|(id, server)| Some((*id, gauge(&server.speed)?)));
             let median = quantile(read.clone().map(|(_, (speed, _))| speed), 0.5).unwrap_or(1.0);
             let known = |worth: f64| worth / (worth + PRIOR_REPORTS);
-            speeds.extend(read.map(|(id, (speed, worth))| (id, (speed / median).powf(known(worth)))));
+            speeds
+                .extend(read.map(|(id, (speed, worth))| (id, (speed / median).powf(known(worth)))));
         }
         speeds
     }
@@ -498,12 +711,16 @@
         let speeds = self.speeds();
         for (id, server) in &mut self.servers {
             server.warmth = server.warmth(now, &self.settings);
-            let speed = speeds.get(id).copied().unwrap_or(1.0).clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
+            let speed = speeds
+                .get(id)
+                .copied()
+                .unwrap_or(1.0)
+                .clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
             let share = match server.state {
                 State::Full => 1.0,
-                State::Reduced => {
-                    (server.score / RESTORE_ABOVE).min(1.0 / server.slower).clamp(LEAST_SHARE, 1.0)
-                }
+                State::Reduced => (server.score / RESTORE_ABOVE)
+                    .min(1.0 / server.slower)
+                    .clamp(LEAST_SHARE, 1.0),
                 State::Withdrawn => 0.0,
             };
             server.weight = server.size() * speed * share.min(server.ceiling).min(server.warmth);
@@ -511,21 +728,44 @@
     }
 
     /// The lines a table should have.
-    fn target(&self, scheme: Scheme, parts: &Parts, lean: &Zones, cold: (f64, bool)) -> (Lines, bool) {
-        let Scheme { zone, home_only, part, .. } = scheme;
+    fn target(
+        &self,
+        scheme: Scheme,
+        parts: &Parts,
+        lean: &Zones,
+        cold: (f64, bool),
+    ) -> (Lines, bool) {
+        let Scheme {
+            zone,
+            home_only,
+            part,
+            ..
+        } = scheme;
         let home = |server: &Server| !home_only || zone == server.entry.zone;
-        let of = |part| parts.get(part).into_iter().flatten().filter_map(|id| self.servers.get_key_value(id));
+        let of = |part| {
+            parts
+                .get(part)
+                .into_iter()
+                .flatten()
+                .filter_map(|id| self.servers.get_key_value(id))
+        };
         // Nobody without a server: a part that lost all its warm ones borrows those of the other parts.
-        let bare = !of(part).any(|(_, server)| server.open() && home(server) && server.warmth >= 1.0);
+        let bare =
+            !of(part).any(|(_, server)| server.open() && home(server) && server.warmth >= 1.0);
         let within = of(if bare { self.parts } else { part }).filter(|(_, server)| home(server));
         let lean = |server: &Server| match lean.get(&server.entry.zone).filter(|_| !home_only) {
             Some(_) if self.alone() && server.warmth < 1.0 && zone != server.entry.zone => 0.0,
             lean => lean.copied().unwrap_or(1.0),
         };
         let here = within.clone().filter(|(_, server)| server.open());
-        let mut lines: Lines = here.map(|(id, server)| (*id, server.weight * lean(server))).collect();
+        let mut lines: Lines = here
+            .map(|(id, server)| (*id, server.weight * lean(server)))
+            .collect();
         let known = within.map(|(_, server)| server.size()).sum();
-        let listed = of(part).filter(|(_, server)| server.open()).map(|(_, server)| server.size()).sum();
+        let listed = of(part)
+            .filter(|(_, server)| server.open())
+            .map(|(_, server)| server.size())
+            .sum();
         let void = self.advise(scheme, &mut lines);
         self.spare_the_cold(known, listed, cold, &mut lines);
         (lines, void)
@@ -536,12 +776,25 @@
         if self.advised.factors.is_empty() && self.advised.excluded.is_empty() {
             return false;
         }
-        let class = (0..self.settings.classes.len()).find(|k| scheme.apart.has(*k) && scheme.classes.has(*k));
+        let class = (0..self.settings.classes.len())
+            .find(|k| scheme.apart.has(*k) && scheme.classes.has(*k));
         let class = class.map(|k| ClassId(k as u8));
         let share = |id: &ServerId| self.advised.share(*id, scheme.zone, class, self.ticked);
-        let advised: Lines = lines.iter().map(|(id, weight)| (*id, weight * share(id))).collect();
-        let warm = |id: &ServerId| self.servers.get(id).is_some_and(|server| server.warmth >= 1.0);
-        let sum = |of: &Lines| of.iter().filter(|(id, _)| warm(id)).map(|line| line.1).sum::<f64>();
+        let advised: Lines = lines
+            .iter()
+            .map(|(id, weight)| (*id, weight * share(id)))
+            .collect();
+        let warm = |id: &ServerId| {
+            self.servers
+                .get(id)
+                .is_some_and(|server| server.warmth >= 1.0)
+        };
+        let sum = |of: &Lines| {
+            of.iter()
+                .filter(|(id, _)| warm(id))
+                .map(|line| line.1)
+                .sum::<f64>()
+        };
         let void = sum(&advised) < ADVICE_LEAVES * sum(lines);
         if !void {
             *lines = advised;
@@ -557,30 +810,47 @@
     /// leans, what its own can do stays at home, the rest goes where others have more than comes to them.
     fn lean(&self, zone: ZoneId, can: &Zones, comes: &Zones) -> Zones {
         let link = |to: ZoneId| {
-            let score = self.links.get(&(zone, to)).map_or(1.0, |score| score / RESTORE_ABOVE);
+            let score = self
+                .links
+                .get(&(zone, to))
+                .map_or(1.0, |score| score / RESTORE_ABOVE);
             score.clamp(LEAST_SHARE * LEAST_SHARE, 1.0)
         };
         if !leans(&self.settings) {
             return self.zones().map(|to| (to, link(to))).collect();
         }
         let comes = |zone: &ZoneId| comes.get(zone).copied().unwrap_or(0.0);
-        let stays = can.get(&zone).map_or(0.0, |can| can / comes(&zone).max(1e-6)).min(1.0);
-        let spare = |zone: &ZoneId| can.get(zone).map_or(0.0, |can| (can - comes(zone)).max(0.0));
+        let stays = can
+            .get(&zone)
+            .map_or(0.0, |can| can / comes(&zone).max(1e-6))
+            .min(1.0);
+        let spare = |zone: &ZoneId| {
+            can.get(zone)
+                .map_or(0.0, |can| (can - comes(zone)).max(0.0))
+        };
         let all_spare = can.keys().map(spare).sum::<f64>();
         let lean = if self.alone() { 1.0 } else { LEAN };
         let own = can.get(&zone).map_or(0.0, |can| can.max(0.01));
         let part = |other: &ZoneId, can: f64| {
             let away = (1.0 - stays) * spare(other) / all_spare.max(1e-6);
-            let leaning = if *other == zone { stays } else { away * own / can.max(1e-6) };
+            let leaning = if *other == zone {
+                stays
+            } else {
+                away * own / can.max(1e-6)
+            };
             (lean * leaning + (1.0 - lean) * own) * link(*other)
         };
-        can.iter().map(|(other, can)| (*other, part(other, *can))).collect()
+        can.iter()
+            .map(|(other, can)| (*other, part(other, *can)))
+            .collect()
     }
 
     /// The demand, in fleets, that a cold server's part must bear. And whether cold ones stay out: proxies
     /// that avoid failing servers send all to a cold one, once the others fail.
     fn cold_demand(&self) -> (f64, bool) {
-        let seen = self.open().flat_map(|(_, s)| s.heard.values().map(|e| (e.failed.weight, e.cost.weight)));
+        let seen = self
+            .open()
+            .flat_map(|(_, s)| s.heard.values().map(|e| (e.failed.weight, e.cost.weight)));
         let (tries, good) = seen.fold((0.0, 0.0), |sum, seen| (sum.0 + seen.0, sum.1 + seen.1));
         let beyond = ((tries + PRIOR_TRIES) / (good + PRIOR_TRIES)).max(1.0);
         let out = self.settings.proxy_ejects_after > 0
@@ -589,10 +859,25 @@
     }
 
     /// No cold server pushed over: its part stays under what makes it fall, with all proxies together.
-    fn spare_the_cold(&self, known: f64, listed: f64, (demand, out): (f64, bool), lines: &mut Lines) {
-        let of = |id: &ServerId| self.servers.get(id).map_or((1.0, 0.0), |s| (s.warmth, s.size()));
-        let sum =
-            |lines: &Lines| lines.iter().filter(|(id, _)| of(id).0 >= 1.0).map(|line| line.1).sum::<f64>();
+    fn spare_the_cold(
+        &self,
+        known: f64,
+        listed: f64,
+        (demand, out): (f64, bool),
+        lines: &mut Lines,
+    ) {
+        let of = |id: &ServerId| {
+            self.servers
+                .get(id)
+                .map_or((1.0, 0.0), |s| (s.warmth, s.size()))
+        };
+        let sum = |lines: &Lines| {
+            lines
+                .iter()
+                .filter(|(id, _)| of(id).0 >= 1.0)
+                .map(|line| line.1)
+                .sum::<f64>()
+        };
         // Nobody without a server: warm ones, though withdrawn, are picked before cold ones alone.
         let none = sum(lines) <= 0.0;
         for (id, weight) in lines.iter_mut().filter(|(id, _)| none && of(id).0 >= 1.0) {
@@ -604,11 +889,23 @@
         if warm <= 0.0 && bear * self.settings.fall_multiple < COLD_ALONE * known {
             lines.values_mut().for_each(|weight| *weight = 0.0);
         }
-        let part = |id: &ServerId| self.settings.fall_multiple / demand * of(id).0 * of(id).1 / listed;
+        let part =
+            |id: &ServerId| self.settings.fall_multiple / demand * of(id).0 * of(id).1 / listed;
         let cold = |id: &ServerId| warm > 0.0 && of(id).0 < 1.0;
-        let whole = warm / (1.0 - lines.keys().filter(|id| cold(id)).map(part).sum::<f64>().min(0.9));
+        let whole = warm
+            / (1.0
+                - lines
+                    .keys()
+                    .filter(|id| cold(id))
+                    .map(part)
+                    .sum::<f64>()
+                    .min(0.9));
         for (id, weight) in lines.iter_mut().filter(|(id, _)| cold(id)) {
-            *weight = if out { 0.0 } else { weight.min(whole * part(id)) };
+            *weight = if out {
+                0.0
+            } else {
+                weight.min(whole * part(id))
+            };
         }
     }
 
@@ -620,20 +917,35 @@
         // Each counts by the work it takes: cold ones that idle would hide that all the others are full.
         let queued = |s: &Server| (s.busy.weight > 0.1).then(|| s.busy.sum / s.busy.weight);
         let busy = self.mean_over_work(queued);
-        let aims: f64 = self.settings.classes.iter().map(|class| class.aim.secs() * 1000.0).sum();
+        let aims: f64 = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.aim.secs() * 1000.0)
+            .sum();
         let aim = (aims / self.settings.classes.len().max(1) as f64).max(1.0);
-        let failing = |zone: &(f64, f64)| clamp01(zone.0 / ERROR_BUDGET).max(full(zone.1 / aim, LATE));
+        let failing =
+            |zone: &(f64, f64)| clamp01(zone.0 / ERROR_BUDGET).max(full(zone.1 / aim, LATE));
         // A queue is told only when every answer is late: probe times and time-outs show what waits before.
         // Danger: the own trouble of some, which have less weight for it, would pass for a common jam.
-        let well = |s: &Server| s.loaded().filter(|_| s.state == State::Full && s.speed.service.sum > 0.0);
+        let well = |s: &Server| {
+            s.loaded()
+                .filter(|_| s.state == State::Full && s.speed.service.sum > 0.0)
+        };
         let shared = full(self.median_over_work(well).unwrap_or(1.0), BUSY_STRETCH);
         let failing = quantile(zones.values().map(failing), 0.5).unwrap_or(0.0);
         let term = busy.map_or(failing, |busy| busy.max(shared).max(mute));
         let admission = &mut self.admission;
-        admission.came.iter_mut().for_each(|came| came.fade(elapsed, 2.0 * EVIDENCE_HALF_LIFE));
+        admission
+            .came
+            .iter_mut()
+            .for_each(|came| came.fade(elapsed, 2.0 * EVIDENCE_HALF_LIFE));
         admission.strain = -smooth(-admission.strain, -term);
         let refused = REFUSE.1 * clamp01((admission.strain - REFUSE.0) / (1.0 - REFUSE.0));
-        let refused = self.limits.refuse.map_or(refused, |limit| limit.max(refused).min(REFUSE.1));
+        let refused = self
+            .limits
+            .refuse
+            .map_or(refused, |limit| limit.max(refused).min(REFUSE.1));
         let step = |refused: f64| (10.0 * refused).round();
         if step(refused) != step(admission.refused) && self.settings.levels != LevelKind::Silent {
             let strain = admission.strain;
@@ -661,31 +973,61 @@
         let mut levels = vec![if rates { ADMIT.1 } else { 1.0 }; classes.len()];
         let came = self.admission.came.iter().map(|came| came.sum + 1.0);
         let all: f64 = came.clone().sum();
-        let busiest = self.proxies.values().filter_map(|proxy| proxy.came.mean()).fold(0.0, f64::max);
+        let busiest = self
+            .proxies
+            .values()
+            .filter_map(|proxy| proxy.came.mean())
+            .fold(0.0, f64::max);
         let mut order: Vec<(usize, f64)> = came.enumerate().collect();
-        let value = |k: usize| classes.get(k).map_or(0.0, |class| class.worth / class.aim.secs().max(0.001));
+        let value = |k: usize| {
+            classes
+                .get(k)
+                .map_or(0.0, |class| class.worth / class.aim.secs().max(0.001))
+        };
         order.sort_by(|a, b| value(a.0).total_cmp(&value(b.0)));
         let mut refuse = refused * all;
-        for (k, came) in order.into_iter().filter(|_| self.settings.levels != LevelKind::Silent) {
+        for (k, came) in order
+            .into_iter()
+            .filter(|_| self.settings.levels != LevelKind::Silent)
+        {
             let refused = refuse.min(came * (1.0 - ADMIT.0));
             refuse -= refused;
             let share = (20.0 * (1.0 - refused / came)).round() / 20.0;
-            let cap = self.advised.caps.get(&k).copied().unwrap_or(1.0).min(self.limits.keeps(k));
+            let cap = self
+                .advised
+                .caps
+                .get(&k)
+                .copied()
+                .unwrap_or(1.0)
+                .min(self.limits.keeps(k));
             let share = share.min(cap.max(ADMIT.0));
             if let Some(level) = levels.get_mut(k).filter(|_| share < 1.0) {
-                *level = if rates { (share * busiest * came / all).max(ADMIT.0).ceil() } else { share };
+                *level = if rates {
+                    (share * busiest * came / all).max(ADMIT.0).ceil()
+                } else {
+                    share
+                };
             }
         }
-        levels.into_iter().enumerate().map(|(k, level)| (level, self.again(k))).collect()
+        levels
+            .into_iter()
+            .enumerate()
+            .map(|(k, level)| (level, self.again(k)))
+            .collect()
     }
 
     /// No effect twice: a second try only after proof that the first did not run; or, where it surely changes
     /// nothing (keys hold twice as long as clients wait: clocks are off), if limits ask and there is room.
     fn again(&self, class: usize) -> Retry {
         let safe = |of: &Class| of.effect.harmless(of.deadline + of.deadline);
-        let safe = self.settings.classes.get(class).is_some_and(safe) && self.admission.strain < REFUSE.0;
+        let safe =
+            self.settings.classes.get(class).is_some_and(safe) && self.admission.strain < REFUSE.0;
         let most = if safe { Retry::Once } else { Retry::Unrun };
-        let most = if self.advised.never.has(class) { Retry::Never } else { most };
+        let most = if self.advised.never.has(class) {
+            Retry::Never
+        } else {
+            most
+        };
         self.limits.again(class).unwrap_or(Retry::Unrun).min(most)
     }
 
@@ -695,10 +1037,17 @@
         // Short queue: what is not confirmed waits, however slow the channel; after long silence none does.
         let (way, least) = (self.settings.way_most, PACE.0 * self.settings.lines_per_s);
         let largest = Micros::from_ms(1000.0 * self.channel.largest() / least);
-        self.channel.forget(now - way - way - CHANNEL_SILENT - largest);
+        self.channel
+            .forget(now - way - way - CHANNEL_SILENT - largest);
         let past = now - self.settings.messages_window;
-        self.proxies.values_mut().for_each(|proxy| proxy.written.retain(|at| *at >= past));
-        let mut orders = Orders::new(now, self.channel.waiting(), self.settings.message_head + 1.0);
+        self.proxies
+            .values_mut()
+            .for_each(|proxy| proxy.written.retain(|at| *at >= past));
+        let mut orders = Orders::new(
+            now,
+            self.channel.waiting(),
+            self.settings.message_head + 1.0,
+        );
         self.shut_the_leaving(now, &mut orders);
         self.forget_the_gone(now, &mut orders);
         self.weigh(now);
@@ -711,9 +1060,14 @@
         }
         if !orders.lines.is_empty() {
             let mark = self.channel.next_mark();
-            orders.actions.push(Action::Mark { mark, everyone: false });
+            orders.actions.push(Action::Mark {
+                mark,
+                everyone: false,
+            });
             for id in orders.lines.keys() {
-                self.proxies.entry(*id).and_modify(|proxy| proxy.written.push_back(now));
+                self.proxies
+                    .entry(*id)
+                    .and_modify(|proxy| proxy.written.push_back(now));
             }
             self.channel.send(now, mark, orders.lines);
         }
@@ -725,20 +1079,36 @@
         let gone = std::mem::take(&mut self.channel.gone) / elapsed.max(1e-3);
         let (stated, pace) = (self.settings.lines_per_s, self.channel.pace);
         let late = self.settings.way_most + TICK;
-        let seen = |took| if took > late { smooth(pace, gone) } else { pace * PACE.1 };
-        self.channel.pace = self.channel.quickest.take().map_or(pace, seen).clamp(PACE.0 * stated, stated);
+        let seen = |took| {
+            if took > late {
+                smooth(pace, gone)
+            } else {
+                pace * PACE.1
+            }
+        };
+        self.channel.pace = self
+            .channel
+            .quickest
+            .take()
+            .map_or(pace, seen)
+            .clamp(PACE.0 * stated, stated);
     }
 
     /// The one account of the channel, which every order asks: whether so many lines for each of these fit
     /// what their kind may fill, with all that waits. Drains, guards and joins go when nothing waits at all.
     fn fits(&self, orders: &Orders, to: &[ProxyId], lines: f64, kind: Fill) -> bool {
         let urgent = kind.0 > LEVELS.0;
-        let pace = if urgent { self.settings.lines_per_s } else { self.channel.pace };
+        let pace = if urgent {
+            self.settings.lines_per_s
+        } else {
+            self.channel.pace
+        };
         let grace = self.settings.drain_grace.secs().max(1e-3);
         let ahead = pace * (self.settings.way_most.secs() + kind.2 * grace);
         let waits = orders.waiting + orders.cost(to, lines);
         let room = waits <= kind.0 * self.settings.backlog && orders.waiting <= ahead;
-        let room = (room || (urgent && orders.waiting <= 0.0)) && self.messages_used(to.iter()) <= kind.1;
+        let room =
+            (room || (urgent && orders.waiting <= 0.0)) && self.messages_used(to.iter()) <= kind.1;
         to.is_empty() || room
     }
 
@@ -750,8 +1120,13 @@
         if joined < 1.0 || (self.parts == 0 && joined < usual && self.ticked != now) {
             return;
         }
-        let by_zone = leans(&self.settings) || self.settings.classes.iter().any(|class| class.home_only);
-        let sets = if by_zone { self.settings.zones.max(1) as f64 } else { 1.0 };
+        let by_zone =
+            leans(&self.settings) || self.settings.classes.iter().any(|class| class.home_only);
+        let sets = if by_zone {
+            self.settings.zones.max(1) as f64
+        } else {
+            1.0
+        };
         let (proxies, servers) = (self.settings.proxies as f64 / sets, servers / sets);
         if self.usual_parts == 0 {
             let rate = self.proxies.values().map(Proxy::rate).sum::<f64>() / joined;
@@ -763,14 +1138,26 @@
         }
         let narrow = (proxies / NARROW_TO.0).min(servers / NARROW_TO.1) as usize;
         let narrowed = self.narrowed.is_some_and(|at| now - at < NARROW_FROM.1);
-        let parts = if narrowed { narrow.max(self.usual_parts) } else { self.usual_parts };
-        if parts != self.parts || self.schemes.first().map_or(self.apart, |s| s.apart) != self.apart {
+        let parts = if narrowed {
+            narrow.max(self.usual_parts)
+        } else {
+            self.usual_parts
+        };
+        if parts != self.parts || self.schemes.first().map_or(self.apart, |s| s.apart) != self.apart
+        {
             // Tables under new numbers, which cost nothing while nobody uses them.
-            let first = self.schemes.last().map_or(0, |scheme| (scheme.table.0 + 1) % (u16::MAX / 2));
+            let first = self
+                .schemes
+                .last()
+                .map_or(0, |scheme| (scheme.table.0 + 1) % (u16::MAX / 2));
             self.schemes = lay_out_tables(&self.settings, parts, first, self.apart);
             self.parts = parts;
-            orders.actions.push(Action::Note(Note::Parts { parts, narrowed }));
-            self.proxies.values_mut().for_each(|proxy| proxy.bound = false);
+            orders
+                .actions
+                .push(Action::Note(Note::Parts { parts, narrowed }));
+            self.proxies
+                .values_mut()
+                .for_each(|proxy| proxy.bound = false);
         }
     }
 
@@ -796,26 +1183,55 @@
         let kept = |table: &TableId| self.schemes.iter().any(|scheme| scheme.table == *table);
         if self.parts > 0 && self.proxies.values().all(|proxy| proxy.bound) {
             let unused = self.tables.keys().filter(|table| !kept(table));
-            orders.actions.extend(unused.map(|table| Action::Clear(*table)));
+            orders
+                .actions
+                .extend(unused.map(|table| Action::Clear(*table)));
             self.tables.retain(|table, _| kept(table));
         }
         for server in self.servers.values_mut() {
-            let Entry { server: id, zone, life, .. } = server.entry;
+            let Entry {
+                server: id,
+                zone,
+                life,
+                ..
+            } = server.entry;
             if std::mem::replace(&mut server.told, life) != life {
                 server.since = now;
-                orders.actions.push(Action::Note(Note::Life { server: id, zone, life }));
+                orders.actions.push(Action::Note(Note::Life {
+                    server: id,
+                    zone,
+                    life,
+                }));
             }
         }
         let leaves = |server: &Server| server.entry.life != Lifecycle::InService;
-        let turned = self.servers.iter().filter(|(_, server)| server.shut != leaves(server));
-        for (id, out) in turned.map(|(id, server)| (*id, leaves(server))).collect::<Vec<_>>() {
-            let names = |table: &TableId| self.tables.get(table).is_some_and(|t| t.lines.contains_key(&id));
-            let holders = self.proxies.iter().filter(|(_, proxy)| proxy.tables.iter().any(names));
+        let turned = self
+            .servers
+            .iter()
+            .filter(|(_, server)| server.shut != leaves(server));
+        for (id, out) in turned
+            .map(|(id, server)| (*id, leaves(server)))
+            .collect::<Vec<_>>()
+        {
+            let names = |table: &TableId| {
+                self.tables
+                    .get(table)
+                    .is_some_and(|t| t.lines.contains_key(&id))
+            };
+            let holders = self
+                .proxies
+                .iter()
+                .filter(|(_, proxy)| proxy.tables.iter().any(names));
             let holders: Vec<ProxyId> = holders.map(|(id, _)| *id).collect();
-            let fits =
-                if out { self.fits(orders, &holders, 1.0, DRAINS) } else { !self.tables.keys().any(names) };
+            let fits = if out {
+                self.fits(orders, &holders, 1.0, DRAINS)
+            } else {
+                !self.tables.keys().any(names)
+            };
             if fits {
-                self.servers.entry(id).and_modify(|server| server.shut = out);
+                self.servers
+                    .entry(id)
+                    .and_modify(|server| server.shut = out);
                 orders.give(Action::Withdraw { server: id, out }, &holders, 1.0);
             }
         }
@@ -824,8 +1240,15 @@
     /// What is known of one that is long gone goes, once no table names it.
     fn forget_the_gone(&mut self, now: Micros, orders: &mut Orders) {
         let long = |s: &Server| s.shut && s.told == Lifecycle::Gone && now - s.since >= FORGET;
-        let named = |id: &ServerId| self.tables.values().any(|table| table.lines.contains_key(id));
-        let gone = self.servers.iter().filter(|(id, server)| long(server) && !named(id));
+        let named = |id: &ServerId| {
+            self.tables
+                .values()
+                .any(|table| table.lines.contains_key(id))
+        };
+        let gone = self
+            .servers
+            .iter()
+            .filter(|(id, server)| long(server) && !named(id));
         for id in gone.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.servers.remove(&id);
             orders.actions.push(Action::Forget(id));
@@ -840,10 +1263,20 @@
         let refused = self.limits.heavy.filter(|_| self.parts > 1).unwrap_or(all);
         let levels = (self.class_levels(refused.0), self.class_levels(refused.1));
         if std::mem::replace(&mut self.cold_out, out) != out {
-            orders.actions.push(Action::Note(Note::Cold { held: out, tries: demand / COLD_DEMAND }));
+            orders.actions.push(Action::Note(Note::Cold {
+                held: out,
+                tries: demand / COLD_DEMAND,
+            }));
         }
-        let comes = shares(self.proxies.values().map(|proxy| (proxy.zone, proxy.rate())));
-        let can = shares(self.open().map(|(_, server)| (server.entry.zone, server.weight)));
+        let comes = shares(
+            self.proxies
+                .values()
+                .map(|proxy| (proxy.zone, proxy.rate())),
+        );
+        let can = shares(
+            self.open()
+                .map(|(_, server)| (server.entry.zone, server.weight)),
+        );
         let lean = |zone: ZoneId| (zone, self.lean(zone, &can, &comes));
         let lean: BTreeMap<ZoneId, Zones> = self.zones().map(lean).collect();
         let by_part = servers_by_part(&self.servers, self.parts);
@@ -852,23 +1285,53 @@
             let lean = lean.get(&scheme.zone).unwrap_or(&whole);
             // A cold server that only its own zone's tables name meets no more than that zone's traffic.
             let traffic = comes.get(&scheme.zone).copied().filter(|_| self.alone());
-            let cold = (demand * traffic.unwrap_or(1.0).max(0.5 / comes.len().max(1) as f64), out);
-            let users = on.get(&(scheme.zone, scheme.part)).map_or(&[][..], Vec::as_slice);
+            let cold = (
+                demand * traffic.unwrap_or(1.0).max(0.5 / comes.len().max(1) as f64),
+                out,
+            );
+            let users = on
+                .get(&(scheme.zone, scheme.part))
+                .map_or(&[][..], Vec::as_slice);
             let (target, void) = self.target(scheme, &by_part, lean, cold);
-            let rates = users.iter().filter_map(|id| Some(self.proxies.get(id)?.rate()));
+            let rates = users
+                .iter()
+                .filter_map(|id| Some(self.proxies.get(id)?.rate()));
             let rate = rates.sum::<f64>() / users.len().max(1) as f64;
             self.changes(scheme, &target, rate, &mut changes);
             let known = self.tables.entry(scheme.table).or_default();
             if std::mem::replace(&mut known.void, void) != void {
-                orders.actions.push(Action::Note(Note::Void { table: scheme.table, void }));
+                orders.actions.push(Action::Note(Note::Void {
+                    table: scheme.table,
+                    void,
+                }));
             }
-            let levels = if scheme.part == self.parts { &levels.1 } else { &levels.0 };
-            for (k, &(level, retry)) in levels.iter().enumerate().filter(|(k, _)| scheme.classes.has(*k)) {
-                let known = self.tables.get(&scheme.table).and_then(|table| table.levels.get(&k));
+            let levels = if scheme.part == self.parts {
+                &levels.1
+            } else {
+                &levels.0
+            };
+            for (k, &(level, retry)) in levels
+                .iter()
+                .enumerate()
+                .filter(|(k, _)| scheme.classes.has(*k))
+            {
+                let known = self
+                    .tables
+                    .get(&scheme.table)
+                    .and_then(|table| table.levels.get(&k));
                 if known != Some(&(level, retry)) && self.fits(orders, users, 1.0, LEVELS) {
-                    self.tables.entry(scheme.table).or_default().levels.insert(k, (level, retry));
+                    self.tables
+                        .entry(scheme.table)
+                        .or_default()
+                        .levels
+                        .insert(k, (level, retry));
                     let (table, classes) = (Some(scheme.table), ClassSet::default().with(k));
-                    let order = Action::Admit { table, classes, level, retry };
+                    let order = Action::Admit {
+                        table,
+                        classes,
+                        level,
+                        retry,
+                    };
                     orders.give(order, users, 1.0);
                 }
             }
@@ -877,10 +1340,22 @@
         changes.sort_by(|a, b| b.guard.cmp(&a.guard).then(b.size.total_cmp(&a.size)));
         // Messages have heads: all proxies' may take no more than a part of the channel.
         let heads = self.proxies.len() as f64 * (self.settings.message_head + 1.0);
-        let every = UPDATE_EVERY.secs().max(heads / HEADS_SHARE / self.channel.pace);
+        let every = UPDATE_EVERY
+            .secs()
+            .max(heads / HEADS_SHARE / self.channel.pace);
         let due = self.updated.is_none_or(|at| (now - at).secs() >= every);
-        for Change { scheme: Scheme { table, .. }, server, weight, guard, lines, .. } in changes {
-            let Some(&users) = tables.get(&table) else { continue };
+        for Change {
+            scheme: Scheme { table, .. },
+            server,
+            weight,
+            guard,
+            lines,
+            ..
+        } in changes
+        {
+            let Some(&users) = tables.get(&table) else {
+                continue;
+            };
             if !users.is_empty() {
                 // What rides on a message already due costs none: else refusals and guards use up the limit.
                 let rides = users.iter().all(|user| orders.lines.contains_key(user));
@@ -888,67 +1363,132 @@
                 if !(ordinary || (guard && self.fits(orders, users, lines, GUARDS))) {
                     continue;
                 }
-                self.updated = if guard || rides { self.updated } else { Some(now) };
+                self.updated = if guard || rides {
+                    self.updated
+                } else {
+                    Some(now)
+                };
             }
             let known = self.tables.entry(table).or_default();
             known.lines.insert(server, weight);
             known.lines.retain(|_, weight| *weight > 0.0);
-            orders.give(Action::Line { table, server, weight }, users, lines);
+            orders.give(
+                Action::Line {
+                    table,
+                    server,
+                    weight,
+                },
+                users,
+                lines,
+            );
         }
     }
 
     /// Lines that differ from what was sent.
     fn changes(&self, scheme: Scheme, target: &Lines, rate: f64, changes: &mut Vec<Change>) {
-        let sent = self.tables.get(&scheme.table).map(|table| table.lines.clone()).unwrap_or_default();
+        let sent = self
+            .tables
+            .get(&scheme.table)
+            .map(|table| table.lines.clone())
+            .unwrap_or_default();
         let total = target.values().sum::<f64>().max(f64::MIN_POSITIVE);
         // Only parts of a table count: what moves all alike would fill the channel and change nothing.
-        let warm = |id: &ServerId| self.servers.get(id).is_some_and(|server| server.warmth >= 1.0);
-        let moved = target.iter().filter(|(id, weight)| **weight > 0.0 && warm(id));
-        let scale =
-            quantile(moved.filter_map(|(id, weight)| Some(sent.get(id)? / weight)), 0.5).unwrap_or(1.0);
-        for server in sent.keys().chain(target.keys()).copied().collect::<BTreeSet<ServerId>>() {
+        let warm = |id: &ServerId| {
+            self.servers
+                .get(id)
+                .is_some_and(|server| server.warmth >= 1.0)
+        };
+        let moved = target
+            .iter()
+            .filter(|(id, weight)| **weight > 0.0 && warm(id));
+        let scale = quantile(
+            moved.filter_map(|(id, weight)| Some(sent.get(id)? / weight)),
+            0.5,
+        )
+        .unwrap_or(1.0);
+        for server in sent
+            .keys()
+            .chain(target.keys())
+            .copied()
+            .collect::<BTreeSet<ServerId>>()
+        {
             let old = sent.get(&server).copied().unwrap_or(0.0);
             let weight = target.get(&server).copied().unwrap_or(0.0) * scale;
             let known = self.servers.get(&server);
             // Only the rules' lines have precedence: else failing servers crowd out those that recovered.
-            let guard = sent.is_empty() || (weight < old && known.is_some_and(|server| server.warmth < 1.0));
+            let guard = sent.is_empty()
+                || (weight < old && known.is_some_and(|server| server.warmth < 1.0));
             if (weight - old).abs() > RESEND_SHARE * old {
                 // Traffic moved for each line; one not named yet counts whole: else a grown fleet idles.
                 let home = |server: &&Server| scheme.zone == server.entry.zone;
-                let whole = known.filter(|_| old <= 0.0).filter(home).map_or(0.0, Server::size) * scale;
+                let whole = known
+                    .filter(|_| old <= 0.0)
+                    .filter(home)
+                    .map_or(0.0, Server::size)
+                    * scale;
                 let moved = (weight - old).abs().max(whole);
-                let size = if known.is_some_and(Server::open) { rate * moved / (total * scale) } else { 0.0 };
+                let size = if known.is_some_and(Server::open) {
+                    rate * moved / (total * scale)
+                } else {
+                    0.0
+                };
                 // One that is named anew may have to be let back. Danger: uncounted lines.
                 let lines = if old <= 0.0 { 2.0 } else { 1.0 };
-                changes.push(Change { scheme, server, weight, guard, size, lines });
+                changes.push(Change {
+                    scheme,
+                    server,
+                    weight,
+                    guard,
+                    size,
+                    lines,
+                });
             }
         }
     }
 
     /// Puts proxies, busiest first, on the parts with most room, as the channel takes them, or moves them.
     fn bind_joined(&mut self, orders: &mut Orders) {
-        let set = |zone: ZoneId| if leans(&self.settings) { zone } else { ZoneId::default() };
+        let set = |zone: ZoneId| {
+            if leans(&self.settings) {
+                zone
+            } else {
+                ZoneId::default()
+            }
+        };
         let mut room = self.weight_and_traffic(set);
-        let brings = shares(self.proxies.values().map(|proxy| (set(proxy.zone), proxy.rate())));
+        let brings = shares(
+            self.proxies
+                .values()
+                .map(|proxy| (set(proxy.zone), proxy.rate())),
+        );
         let all = self.proxies.values().map(Proxy::rate).sum::<f64>();
         // With a table goes what was seen to leave here, with a further one all. Danger: uncounted lines.
         let left = |id: &&ServerId| self.servers.get(id).is_some_and(Server::left);
         let told = |t: &Table, all: bool| t.lines.keys().filter(|id| all || left(id)).count();
         let size = |t: &Table, all| 1 + t.lines.len() + t.levels.len() + told(t, all);
         // Those on tables in ticks alone. Danger: while a fleet joins all would be looked at each time.
-        let some = self.proxies.iter().filter(|(_, p)| !p.bound || self.ticked == orders.at);
-        let some = some.filter(|_| self.parts > 0).map(|(id, p)| (*id, (p.holds(), p.bound), p.rate()));
+        let some = self
+            .proxies
+            .iter()
+            .filter(|(_, p)| !p.bound || self.ticked == orders.at);
+        let some = some
+            .filter(|_| self.parts > 0)
+            .map(|(id, p)| (*id, (p.holds(), p.bound), p.rate()));
         let mut proxies: Vec<_> = some.collect();
         proxies.sort_by(|a, b| a.1.cmp(&b.1).then(b.2.total_cmp(&a.2)));
         for (id, (holds, bound), rate) in proxies {
-            let Some(proxy) = self.proxies.get(&id) else { continue };
+            let Some(proxy) = self.proxies.get(&id) else {
+                continue;
+            };
             let zone = set(proxy.zone);
-            let loaded = |(weight, comes): &(f64, f64), more: f64| (comes + more) / weight.max(1e-6);
+            let loaded =
+                |(weight, comes): &(f64, f64), more: f64| (comes + more) / weight.max(1e-6);
             let parts = room.range((zone, 0)..=(zone, usize::MAX));
             let freest = parts.min_by(|a, b| loaded(a.1, rate).total_cmp(&loaded(b.1, rate)));
             let part = freest.map_or((0, 0.0), |((_, part), room)| (*part, loaded(room, rate)));
             // One that brings more than a part can bear gets all parts, or its part's servers jam for good.
-            let most = if proxy.part == self.parts { 0.5 } else { 1.0 } * brings.get(&zone).unwrap_or(&1.0);
+            let most = if proxy.part == self.parts { 0.5 } else { 1.0 }
+                * brings.get(&zone).unwrap_or(&1.0);
             let split = self.parts > 1 && self.parts == self.usual_parts;
             let heavy = split && rate * self.parts as f64 > most * all;
             let (part, freest) = if heavy { (self.parts, 0.0) } else { part };
@@ -956,16 +1496,26 @@
             if bound && (part == proxy.part || loaded(own, 0.0) < REDEAL * freest) {
                 // Another instance may have shut out what never left here: that waits for room. Danger: joins
                 // twice as long, and the tables that a proxy brought name what is gone until then.
-                let named = proxy.tables.iter().filter_map(|table| self.tables.get(table));
+                let named = proxy
+                    .tables
+                    .iter()
+                    .filter_map(|table| self.tables.get(table));
                 let lines = named.map(|table| table.lines.len()).sum::<usize>() as f64;
                 if proxy.brought && self.fits(orders, &[id], lines, ORDINARY) {
                     orders.give(Action::Reconcile(id), &[id], lines);
-                    self.proxies.entry(id).and_modify(|proxy| proxy.brought = false);
+                    self.proxies
+                        .entry(id)
+                        .and_modify(|proxy| proxy.brought = false);
                 }
                 continue;
             }
-            let tables = self.schemes.iter().filter(|scheme| scheme.serves(proxy.zone, part));
-            let cost = tables.clone().filter_map(|scheme| self.tables.get(&scheme.table));
+            let tables = self
+                .schemes
+                .iter()
+                .filter(|scheme| scheme.serves(proxy.zone, part));
+            let cost = tables
+                .clone()
+                .filter_map(|scheme| self.tables.get(&scheme.table));
             let cost = cost.map(|table| size(table, holds) as f64).sum::<f64>();
             if !self.fits(orders, &[id], cost, if holds { ORDINARY } else { JOINS }) {
                 break;
@@ -973,26 +1523,38 @@
             own.1 -= if bound { rate } else { 0.0 };
             room.entry((zone, part)).or_default().1 += rate;
             orders.add(id, cost);
-            let bind = |s: &Scheme| Action::Bind { proxy: id, table: s.table, classes: s.classes };
+            let bind = |s: &Scheme| Action::Bind {
+                proxy: id,
+                table: s.table,
+                classes: s.classes,
+            };
             orders.actions.extend(tables.clone().map(bind));
             let tables = tables.map(|scheme| scheme.table).collect();
-            self.proxies.entry(id).and_modify(|p| (p.part, p.bound, p.tables) = (part, true, tables));
+            self.proxies
+                .entry(id)
+                .and_modify(|p| (p.part, p.bound, p.tables) = (part, true, tables));
         }
     }
 
     /// Tables of slices in charge: a line stays while its server is usable, since it knows the slice's keys.
     fn slice_lines(&mut self, now: Micros, orders: &mut Orders) {
         let (all, whole) = (servers_by_part(&self.servers, 0), Zones::new());
-        let usable = self.target(Scheme::default(), &all, &whole, self.cold_demand()).0;
+        let usable = self
+            .target(Scheme::default(), &all, &whole, self.cold_demand())
+            .0;
         let mark = self.channel.next_mark();
         let every: Vec<ProxyId> = self.proxies.keys().copied().collect();
         for id in self.slices.keys().copied().collect::<Vec<_>>() {
             let fits = self.fits(orders, &every, 2.0, DRAINS);
-            let Some(slice) = self.slices.get_mut(&id).filter(|_| fits) else { continue };
+            let Some(slice) = self.slices.get_mut(&id).filter(|_| fits) else {
+                continue;
+            };
             let table = self.tables.entry(id).or_default();
             let gone = |server: &ServerId| usable.get(server).is_none_or(|weight| *weight <= 0.0);
             let ending: Vec<ServerId> = table.lines.keys().copied().filter(gone).collect();
-            let Some(next) = rendezvous(id, &usable) else { continue };
+            let Some(next) = rendezvous(id, &usable) else {
+                continue;
+            };
             if ending.is_empty() && !table.lines.is_empty() {
                 continue;
             }
@@ -1001,19 +1563,41 @@
                 let not_before = now + self.settings.lease;
                 let handover = slice.get_or_insert_with(|| {
                     orders.give(Action::Clear(id), &every, 1.0);
-                    Handover { waits_for: every.iter().copied().collect(), mark, not_before }
+                    Handover {
+                        waits_for: every.iter().copied().collect(),
+                        mark,
+                        not_before,
+                    }
                 });
                 table.lines.clear();
-                if !handover.waits_for.is_empty() || now < handover.not_before + self.settings.settle {
+                if !handover.waits_for.is_empty()
+                    || now < handover.not_before + self.settings.settle
+                {
                     continue;
                 }
                 *slice = None;
             }
             table.lines.insert(next, 1.0);
-            orders.give(Action::Line { table: id, server: next, weight: 1.0 }, &every, 1.0);
+            orders.give(
+                Action::Line {
+                    table: id,
+                    server: next,
+                    weight: 1.0,
+                },
+                &every,
+                1.0,
+            );
             for server in ending.into_iter().filter(|_| !self.settings.sole_owner) {
                 table.lines.remove(&server);
-                orders.give(Action::Line { table: id, server, weight: 0.0 }, &every, 1.0);
+                orders.give(
+                    Action::Line {
+                        table: id,
+                        server,
+                        weight: 0.0,
+                    },
+                    &every,
+                    1.0,
+                );
             }
         }
     }
@@ -1031,7 +1615,10 @@
     let (mut tries, mut failed, mut good, mut took) =
         (PRIOR_TRIES + probed, probed, PRIOR_TRIES, PRIOR_TRIES);
     for (zone, evidence) in &server.heard {
-        let (usual, median) = zones.get(&(*zone, server.entry.zone)).copied().unwrap_or_default();
+        let (usual, median) = zones
+            .get(&(*zone, server.entry.zone))
+            .copied()
+            .unwrap_or_default();
         tries += evidence.failed.weight;
         failed += (evidence.failed.sum - usual * evidence.failed.weight).max(0.0);
         if median > 0.0 {
@@ -1055,9 +1642,17 @@
     server.score = smooth(server.score, term);
     let fails = server.score.max(error) < WITHDRAW_BELOW.0;
     server.below = if fails { server.below + 1 } else { 0 };
-    server.above = if server.score > RESTORE_ABOVE { server.above + 1 } else { 0 };
+    server.above = if server.score > RESTORE_ABOVE {
+        server.above + 1
+    } else {
+        0
+    };
     if server.fresh_good >= 1.0 && error > RESTORE_ABOVE {
-        let top = if server.state == State::Full { 1.0 } else { NEW_SCORE };
+        let top = if server.state == State::Full {
+            1.0
+        } else {
+            NEW_SCORE
+        };
         server.ceiling = (server.ceiling * CEILING_GROWTH).min(top.max(server.ceiling));
         server.fresh_good = 0.0; // Kept until it counts: a small weight brings less than one answer a tick.
     }
@@ -1065,13 +1660,16 @@
         State::Withdrawn => {
             server.out_ticks += 1;
             if server.out_ticks >= server.return_after && server.probing.failing == 0 {
-                server.return_after = (server.return_after * RETURN_BACKOFF.0).min(RETURN_BACKOFF.1);
+                server.return_after =
+                    (server.return_after * RETURN_BACKOFF.0).min(RETURN_BACKOFF.1);
                 server.heard.clear();
                 server.probing.failed = 0.0;
                 server.enter(State::Reduced, REDUCE_BELOW, LEAST_SHARE);
             }
         }
-        _ if server.below >= WITHDRAW_BELOW.1 => server.enter(State::Withdrawn, server.score, LEAST_SHARE),
+        _ if server.below >= WITHDRAW_BELOW.1 => {
+            server.enter(State::Withdrawn, server.score, LEAST_SHARE)
+        }
         State::Full if server.score < REDUCE_BELOW => {
             server.enter(State::Reduced, server.score, server.ceiling)
         }
@@ -1086,8 +1684,13 @@
 /// The server a slice falls to: the highest of the hashes of both numbers.
 fn rendezvous(slice: TableId, usable: &Lines) -> Option<ServerId> {
     let hash = |server: &ServerId| {
-        let x = ((u64::from(slice.0) << 32) | u64::from(server.0)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let x =
+            ((u64::from(slice.0) << 32) | u64::from(server.0)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         (x ^ (x >> 29)).wrapping_mul(0x9E37_79B9_7F4A_7C15)
     };
-    usable.iter().filter(|(_, weight)| **weight > 0.0).map(|(server, _)| *server).max_by_key(hash)
+    usable
+        .iter()
+        .filter(|(_, weight)| **weight > 0.0)
+        .map(|(server, _)| *server)
+        .max_by_key(hash)
 }
--- a/crates/policy/src/policy/queries.rs
+++ b/crates/policy/src/policy/queries.rs
@@ -19,19 +19,29 @@
     }
 
     /// The median of what open servers show: of a zone's, if enough do, else of the fleet's.
-    pub(super) fn median(&self, zone: Option<ZoneId>, of: impl Fn(&Server) -> Option<f64>) -> Option<f64> {
+    pub(super) fn median(
+        &self,
+        zone: Option<ZoneId>,
+        of: impl Fn(&Server) -> Option<f64>,
+    ) -> Option<f64> {
         let shown = |zone: Option<ZoneId>| -> Vec<f64> {
-            let near = self.open().filter(|(_, s)| zone.is_none_or(|zone| zone == s.entry.zone));
+            let near = self
+                .open()
+                .filter(|(_, s)| zone.is_none_or(|zone| zone == s.entry.zone));
             near.filter_map(|(_, server)| of(server)).collect()
         };
-        let near = zone.map(|zone| shown(Some(zone))).filter(|near| near.len() >= LINK_LEAST);
+        let near = zone
+            .map(|zone| shown(Some(zone)))
+            .filter(|near| near.len() >= LINK_LEAST);
         quantile(near.unwrap_or_else(|| shown(None)).into_iter(), 0.5)
     }
 
     /// What open servers show, with the work that each takes; those that take none are left out.
     fn shown_at_work(&self, of: impl Fn(&Server) -> Option<f64>) -> Vec<(f64, f64)> {
         let warm_ones = self.open().any(|(_, server)| server.warmth >= 1.0);
-        let shown = self.open().filter_map(|(_, s)| Some((of(s)?, self.work_taken(s, warm_ones))));
+        let shown = self
+            .open()
+            .filter_map(|(_, s)| Some((of(s)?, self.work_taken(s, warm_ones))));
         shown.filter(|(_, work)| *work > 0.0).collect()
     }
 
@@ -83,7 +93,9 @@
 
     /// Share of the message limit in use at the fullest of these proxies, this turn's message counted.
     pub(super) fn messages_used<'a>(&self, proxies: impl Iterator<Item = &'a ProxyId>) -> f64 {
-        let written = proxies.filter_map(|id| Some(self.proxies.get(id)?.written.len() + 1)).max();
+        let written = proxies
+            .filter_map(|id| Some(self.proxies.get(id)?.written.len() + 1))
+            .max();
         let most = Some(self.settings.messages_most).filter(|most| *most > 0);
         most.map_or(0.0, |most| written.unwrap_or(1) as f64 / most as f64)
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -122,7 +122,10 @@
     }
     /// Share of its capacity that a server is sure to have, by the time since its start.
     pub fn warmth(&self, now: Micros, settings: &Settings) -> f64 {
-        let age = self.entry.started.map_or(f64::MAX, |started| (now - started).secs().max(0.0));
+        let age = self
+            .entry
+            .started
+            .map_or(f64::MAX, |started| (now - started).secs().max(0.0));
         let warmed = clamp01(age / settings.cold_for.secs().max(1e-6));
         (settings.cold_from + (1.0 - settings.cold_from) * warmed).clamp(0.01, 1.0)
     }
@@ -177,21 +180,48 @@
     pub fn of(advice: &Advice, now: Micros) -> Self {
         let mut factors = BTreeMap::<_, Lines>::new();
         for (server, zone, class, factor) in &advice.factors {
-            factors.entry((*zone, *class)).or_default().insert(*server, *factor);
+            factors
+                .entry((*zone, *class))
+                .or_default()
+                .insert(*server, *factor);
         }
         let caps = advice.caps.iter().filter(|(_, cap)| !cap.is_nan());
-        let caps = caps.map(|(class, cap)| (usize::from(class.0), *cap)).collect();
+        let caps = caps
+            .map(|(class, cap)| (usize::from(class.0), *cap))
+            .collect();
         let excluded = advice.excluded.iter().copied().collect();
-        Advised { factors, caps, never: advice.never, excluded, until: advice.until, taken: Some(now) }
+        Advised {
+            factors,
+            caps,
+            never: advice.never,
+            excluded,
+            until: advice.until,
+            taken: Some(now),
+        }
     }
     /// The share of its weight that a server keeps for a class, or for all, in a zone's tables.
-    pub fn share(&self, server: ServerId, zone: ZoneId, class: Option<ClassId>, now: Micros) -> f64 {
+    pub fn share(
+        &self,
+        server: ServerId,
+        zone: ZoneId,
+        class: Option<ClassId>,
+        now: Micros,
+    ) -> f64 {
         if self.excluded.get(&server).is_some_and(|until| *until > now) {
             return 0.0;
         }
         // What is no number says nothing.
-        let of = |class| self.factors.get(&(zone, class)).and_then(|lines| lines.get(&server));
-        let of = |class| of(class).copied().filter(|factor| !factor.is_nan()).map_or(1.0, clamp01);
+        let of = |class| {
+            self.factors
+                .get(&(zone, class))
+                .and_then(|lines| lines.get(&server))
+        };
+        let of = |class| {
+            of(class)
+                .copied()
+                .filter(|factor| !factor.is_nan())
+                .map_or(1.0, clamp01)
+        };
         class.map_or(1.0, |class| of(Some(class))) * of(None)
     }
 }
@@ -238,13 +268,21 @@
     /// Messages leave in order: one that arrived tells that all of earlier turns have left. A mark that was not
     /// written to this proxy tells nothing.
     pub fn confirmed(&mut self, now: Micros, proxy: ProxyId, mark: u16, took: Micros) {
-        let written =
-            |(_, sent, lines): &(_, u16, BTreeMap<ProxyId, f64>)| *sent == mark && lines.contains_key(&proxy);
+        let written = |(_, sent, lines): &(_, u16, BTreeMap<ProxyId, f64>)| {
+            *sent == mark && lines.contains_key(&proxy)
+        };
         if let Some(turn) = self.turns.iter().position(written) {
             self.confirmed = now;
             self.quickest = Some(self.quickest.map_or(took, |quickest| quickest.min(took)));
-            self.gone += self.turns.drain(..turn).flat_map(|(_, _, lines)| lines.into_values()).sum::<f64>();
-            let first = self.turns.front_mut().and_then(|(_, _, lines)| lines.remove(&proxy));
+            self.gone += self
+                .turns
+                .drain(..turn)
+                .flat_map(|(_, _, lines)| lines.into_values())
+                .sum::<f64>();
+            let first = self
+                .turns
+                .front_mut()
+                .and_then(|(_, _, lines)| lines.remove(&proxy));
             self.gone += first.unwrap_or(0.0);
         }
     }
@@ -255,14 +293,22 @@
         }
     }
     pub fn forget(&mut self, before: Micros) {
-        self.turns.retain(|(at, _, lines)| !lines.is_empty() && (*at).max(self.confirmed) >= before);
+        self.turns
+            .retain(|(at, _, lines)| !lines.is_empty() && (*at).max(self.confirmed) >= before);
     }
     pub fn waiting(&self) -> f64 {
-        self.turns.iter().flat_map(|(_, _, lines)| lines.values()).sum()
+        self.turns
+            .iter()
+            .flat_map(|(_, _, lines)| lines.values())
+            .sum()
     }
     /// The lines of the largest message that waits.
     pub fn largest(&self) -> f64 {
-        self.turns.iter().flat_map(|(_, _, lines)| lines.values()).copied().fold(0.0, f64::max)
+        self.turns
+            .iter()
+            .flat_map(|(_, _, lines)| lines.values())
+            .copied()
+            .fold(0.0, f64::max)
     }
 }
 
@@ -295,11 +341,22 @@
 impl Orders {
     /// Nothing yet, while so many lines wait and a message costs so many beside its own.
     pub fn new(at: Micros, waiting: f64, head: f64) -> Self {
-        Orders { at, waiting, head, ..Orders::default() }
+        Orders {
+            at,
+            waiting,
+            head,
+            ..Orders::default()
+        }
     }
     /// What so many lines more for each of these cost: one that gets no message yet gets one.
     pub fn cost<'a>(&self, to: impl IntoIterator<Item = &'a ProxyId>, lines: f64) -> f64 {
-        let head = |id: &ProxyId| if self.lines.contains_key(id) { 0.0 } else { self.head };
+        let head = |id: &ProxyId| {
+            if self.lines.contains_key(id) {
+                0.0
+            } else {
+                self.head
+            }
+        };
         to.into_iter().map(|id| lines + head(id)).sum()
     }
     pub fn add(&mut self, to: ProxyId, lines: f64) {
@@ -362,12 +419,23 @@
 }
 
 /// How much longer probes take to servers of other zones than to those of this one, in seconds, by the quickest of each.
-pub(crate) fn link_latency<'a>(open: impl Iterator<Item = &'a Server> + Clone, zone: ZoneId) -> f64 {
+pub(crate) fn link_latency<'a>(
+    open: impl Iterator<Item = &'a Server> + Clone,
+    zone: ZoneId,
+) -> f64 {
     let home = |s: &Server| s.entry.zone == zone;
     let timed = open.filter(|s| s.quickest > 0.0);
     let kinds: BTreeSet<u32> = timed.clone().map(|s| s.entry.kind).collect();
-    let times = |kind| timed.clone().filter(move |s| home(s) && s.entry.kind == kind).map(|s| s.quickest);
-    let near: BTreeMap<_, _> = kinds.into_iter().map(|kind| (kind, quantile(times(kind), 0.5))).collect();
+    let times = |kind| {
+        timed
+            .clone()
+            .filter(move |s| home(s) && s.entry.kind == kind)
+            .map(|s| s.quickest)
+    };
+    let near: BTreeMap<_, _> = kinds
+        .into_iter()
+        .map(|kind| (kind, quantile(times(kind), 0.5)))
+        .collect();
     let longer = timed.clone().filter(|s| !home(s));
     let longer = longer.filter_map(|far| Some(far.quickest - (*near.get(&far.entry.kind)?)?));
     quantile(longer, 0.5).unwrap_or(0.0).max(0.0)
@@ -380,7 +448,10 @@
 pub(crate) fn servers_by_part(servers: &BTreeMap<ServerId, Server>, parts: usize) -> Parts {
     let mut by_part = vec![Vec::new(); parts];
     for (id, server) in servers.iter().filter(|_| parts > 0) {
-        by_part.get_mut(server.ordinal % parts).into_iter().for_each(|part| part.push(*id));
+        by_part
+            .get_mut(server.ordinal % parts)
+            .into_iter()
+            .for_each(|part| part.push(*id));
     }
     by_part.push(servers.keys().copied().collect());
     by_part
@@ -390,29 +461,60 @@
 pub(crate) fn unanswered_probes<'a>(open: impl Iterator<Item = &'a Server>) -> Zones {
     let mut zones = BTreeMap::<ZoneId, Fading>::new();
     for server in open {
-        zones.entry(server.entry.zone).or_default().add(f64::from(server.probing.failing.min(1)), 1.0);
+        zones
+            .entry(server.entry.zone)
+            .or_default()
+            .add(f64::from(server.probing.failing.min(1)), 1.0);
     }
-    zones.into_iter().map(|(zone, silent)| (zone, silent.sum / silent.weight)).collect()
+    zones
+        .into_iter()
+        .map(|(zone, silent)| (zone, silent.sum / silent.weight))
+        .collect()
 }
 
 /// The tables without slices: for each part of the fleet and zone, one more where classes stay at home, and
 /// one for each class that is steered apart.
-pub(crate) fn lay_out_tables(settings: &Settings, parts: usize, first: u16, apart: ClassSet) -> Vec<Scheme> {
+pub(crate) fn lay_out_tables(
+    settings: &Settings,
+    parts: usize,
+    first: u16,
+    apart: ClassSet,
+) -> Vec<Scheme> {
     let mut groups: Vec<(bool, ClassSet)> = Vec::new();
     for home_only in [false, true] {
-        let classes = settings.classes.iter().enumerate().filter(|(_, class)| class.home_only == home_only);
-        let (own, together): (Vec<usize>, Vec<usize>) = classes.map(|(k, _)| k).partition(|k| apart.has(*k));
-        groups.push((home_only, together.into_iter().fold(ClassSet::default(), ClassSet::with)));
-        groups.extend(own.into_iter().map(|k| (home_only, ClassSet::default().with(k))));
+        let classes = settings
+            .classes
+            .iter()
+            .enumerate()
+            .filter(|(_, class)| class.home_only == home_only);
+        let (own, together): (Vec<usize>, Vec<usize>) =
+            classes.map(|(k, _)| k).partition(|k| apart.has(*k));
+        groups.push((
+            home_only,
+            together
+                .into_iter()
+                .fold(ClassSet::default(), ClassSet::with),
+        ));
+        groups.extend(
+            own.into_iter()
+                .map(|k| (home_only, ClassSet::default().with(k))),
+        );
     }
     groups.retain(|(_, classes)| *classes != ClassSet::default());
-    let tables =
-        (0..settings.zones.max(1) as u16).flat_map(|z| groups.iter().map(move |group| (ZoneId(z), group)));
-    let tables = tables
-        .flat_map(|(zone, group)| (0..parts + usize::from(parts > 1)).map(move |part| (zone, *group, part)));
+    let tables = (0..settings.zones.max(1) as u16)
+        .flat_map(|z| groups.iter().map(move |group| (ZoneId(z), group)));
+    let tables = tables.flat_map(|(zone, group)| {
+        (0..parts + usize::from(parts > 1)).map(move |part| (zone, *group, part))
+    });
     let tables = (first..u16::MAX).map(TableId).zip(tables);
-    let scheme =
-        |(table, (zone, (home_only, classes), part))| Scheme { table, zone, home_only, part, classes, apart };
+    let scheme = |(table, (zone, (home_only, classes), part))| Scheme {
+        table,
+        zone,
+        home_only,
+        part,
+        classes,
+        apart,
+    };
     tables.map(scheme).collect()
 }
 
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -15,9 +15,21 @@
 fn queued(servers: u32, queue: f64) -> Vec<Event> {
     let mut events: Vec<Event> = (0..servers)
         .map(|id| {
-            let load = Load { queue: Some(queue), latency_ms: Some(100.0), ..Load::default() };
+            let load = Load {
+                queue: Some(queue),
+                latency_ms: Some(100.0),
+                ..Load::default()
+            };
             let (zone, server, period) = (ZoneId(0), ServerId(id), ms(1000));
-            Event::Heard { zone, server, tries: 8.0, failed: 0.0, mean_ms: 300.0, period, load }
+            Event::Heard {
+                zone,
+                server,
+                tries: 8.0,
+                failed: 0.0,
+                mean_ms: 300.0,
+                period,
+                load,
+            }
         })
         .collect();
     events.extend((0..2).map(|class| Event::Usage {
@@ -36,21 +48,44 @@
     world.run(5, &queued(8, 0.0));
     assert_eq!((world.levels[&0], world.levels[&1]), (1.0, 1.0));
     world.run(2, &queued(8, 3.0));
-    assert!(world.levels[&0] < 1.0, "refused within two seconds: {:?}", world.levels);
+    assert!(
+        world.levels[&0] < 1.0,
+        "refused within two seconds: {:?}",
+        world.levels
+    );
     assert_eq!(world.levels[&1], 1.0);
     world.run(10, &queued(8, 30.0));
-    assert!(world.levels[&0] <= 0.2 && world.levels[&1] < 0.5, "{:?}", world.levels);
+    assert!(
+        world.levels[&0] <= 0.2 && world.levels[&1] < 0.5,
+        "{:?}",
+        world.levels
+    );
     world.run(8, &queued(8, 0.0));
-    assert_eq!((world.levels[&0], world.levels[&1]), (1.0, 1.0), "no level outlasts its cause");
+    assert_eq!(
+        (world.levels[&0], world.levels[&1]),
+        (1.0, 1.0),
+        "no level outlasts its cause"
+    );
 }
 
 #[test]
 fn one_saturated_server_is_no_reason_to_refuse() {
     let mut world = World::new(two_classes(), 8, 4);
     let mut events = queued(8, 0.0);
-    let load = Load { queue: Some(40.0), ..Load::default() };
+    let load = Load {
+        queue: Some(40.0),
+        ..Load::default()
+    };
     let (zone, server, period) = (ZoneId(0), ServerId(3), ms(1000));
-    events.push(Event::Heard { zone, server, tries: 8.0, failed: 0.0, mean_ms: 300.0, period, load });
+    events.push(Event::Heard {
+        zone,
+        server,
+        tries: 8.0,
+        failed: 0.0,
+        mean_ms: 300.0,
+        period,
+        load,
+    });
     world.run(15, &events);
     assert_eq!((world.levels[&0], world.levels[&1]), (1.0, 1.0));
 }
@@ -62,7 +97,10 @@
     let mut world = World::new(silent, 8, 4);
     world.run(10, &queued(8, 30.0));
     assert_eq!((world.levels[&0], world.levels[&1]), (1.0, 1.0));
-    assert!(!world.actions.iter().any(|a| matches!(a, Action::Note(Note::Saturation { .. }))));
+    assert!(!world
+        .actions
+        .iter()
+        .any(|a| matches!(a, Action::Note(Note::Saturation { .. }))));
 }
 
 #[test]
@@ -82,11 +120,19 @@
     rates.levels = LevelKind::PerSecond;
     let mut world = World::new(rates, 8, 4);
     world.run(5, &queued(8, 0.0));
-    assert!(world.levels.values().all(|level| *level > 1000.0), "{:?}", world.levels);
+    assert!(
+        world.levels.values().all(|level| *level > 1000.0),
+        "{:?}",
+        world.levels
+    );
     world.run(8, &queued(8, 30.0));
     assert!(world.levels[&0] < 50.0, "{:?}", world.levels);
     world.run(8, &queued(8, 0.0));
-    assert!(world.levels.values().all(|level| *level > 1000.0), "{:?}", world.levels);
+    assert!(
+        world.levels.values().all(|level| *level > 1000.0),
+        "{:?}",
+        world.levels
+    );
 }
 
 /// Found by hunting: servers with many slots took in four times what their cores could do before a queue was told.
@@ -118,13 +164,23 @@
     for second in 0..16 {
         world.actions.clear();
         world.run(1, &queued(8, if second % 4 < 2 { 30.0 } else { 0.0 }));
-        ordered += world.actions.iter().filter(|a| matches!(a, Action::Admit { .. })).count();
+        ordered += world
+            .actions
+            .iter()
+            .filter(|a| matches!(a, Action::Admit { .. }))
+            .count();
     }
     assert!(ordered > 20, "levels moved {ordered} times");
     assert!(world.weight(2) > 3.0, "weight {}", world.weight(2));
     for written in world.messages.values() {
-        let window = written.iter().filter(|at| world.now - **at <= ms(10_000)).count();
-        assert!((1..=25).contains(&window), "{window} messages in the window");
+        let window = written
+            .iter()
+            .filter(|at| world.now - **at <= ms(10_000))
+            .count();
+        assert!(
+            (1..=25).contains(&window),
+            "{window} messages in the window"
+        );
     }
 }
 
@@ -144,8 +200,13 @@
 
 /// A second of servers that report no queue and the time of their answers.
 fn unqueued(ids: std::ops::Range<u32>) -> Vec<Event> {
-    let load = |id: u32| Load { queue: Some(0.0), latency_ms: Some(f64::from(id)), ..Load::default() };
-    ids.map(|id| reporting(heard(id, 8.0, 0.0, 200.0), load(id))).collect()
+    let load = |id: u32| Load {
+        queue: Some(0.0),
+        latency_ms: Some(f64::from(id)),
+        ..Load::default()
+    };
+    ids.map(|id| reporting(heard(id, 8.0, 0.0, 200.0), load(id)))
+        .collect()
 }
 
 /// Seen on sockets: during a release the new servers were probed while they idled; as they took the work over, each probe
@@ -154,14 +215,20 @@
 fn new_servers_that_idled_do_not_pass_for_a_saturated_fleet_once_they_have_work() {
     let mut world = World::new(settings(), 8, 4);
     world.run(6, &unqueued(0..8));
-    let list = |gone: u32, until: u32| Event::Members(ListKind::Complete, (gone..until).map(entry).collect());
+    let list = |gone: u32, until: u32| {
+        Event::Members(ListKind::Complete, (gone..until).map(entry).collect())
+    };
     world.send(&[list(0, 20)]);
     world.run(6, &unqueued(0..8));
     world.send(&[list(8, 20)]);
     world.slow_probes.extend(8..20);
     for _ in 0..8 {
         world.run(1, &unqueued(8..20));
-        assert!(world.levels.values().all(|level| *level == 1.0), "{:?}", world.levels);
+        assert!(
+            world.levels.values().all(|level| *level == 1.0),
+            "{:?}",
+            world.levels
+        );
     }
 }
 
@@ -175,17 +242,36 @@
     for first in [0, 3, 6] {
         world.slow_probes.extend(first..first + 3);
         world.run(5, &unqueued(0..16));
-        assert!(world.levels.values().all(|level| *level == 1.0), "{:?}", world.levels);
+        assert!(
+            world.levels.values().all(|level| *level == 1.0),
+            "{:?}",
+            world.levels
+        );
     }
 }
 
 /// A fleet whose proxies avoid failing servers: twelve of its twenty servers were replaced by cold ones.
 fn mostly_replaced() -> World {
-    let mut world = World::new(Settings { proxy_ejects_after: 3, ..two_classes() }, 20, 4);
+    let mut world = World::new(
+        Settings {
+            proxy_ejects_after: 3,
+            ..two_classes()
+        },
+        20,
+        4,
+    );
     world.run(8, &unqueued(0..20));
     let started = Some(world.now);
-    let mut changes: Vec<Entry> = (0..12).map(|id| Entry { life: Lifecycle::Gone, ..entry(id) }).collect();
-    changes.extend((20..32).map(|id| Entry { started, ..entry(id) }));
+    let mut changes: Vec<Entry> = (0..12)
+        .map(|id| Entry {
+            life: Lifecycle::Gone,
+            ..entry(id)
+        })
+        .collect();
+    changes.extend((20..32).map(|id| Entry {
+        started,
+        ..entry(id)
+    }));
     world.send(&[Event::Members(ListKind::Changes, changes)]);
     world
 }
@@ -195,8 +281,14 @@
 #[test]
 fn cold_servers_that_idle_do_not_hide_the_queues_of_those_that_work() {
     let mut world = mostly_replaced();
-    let full = Load { queue: Some(20.0), latency_ms: Some(100.0), ..Load::default() };
-    let tallies: Vec<Event> = (12..20).map(|id| reporting(heard(id, 8.0, 2.0, 900.0), full)).collect();
+    let full = Load {
+        queue: Some(20.0),
+        latency_ms: Some(100.0),
+        ..Load::default()
+    };
+    let tallies: Vec<Event> = (12..20)
+        .map(|id| reporting(heard(id, 8.0, 2.0, 900.0), full))
+        .collect();
     world.run(6, &[tallies, unqueued(20..32)].concat());
     assert!(world.levels[&0] <= 0.2, "{:?}", world.levels);
 }
--- a/crates/policy/tests/advice.rs
+++ b/crates/policy/tests/advice.rs
@@ -8,14 +8,20 @@
 use proptest::prelude::*;
 
 fn long() -> Advice {
-    Advice { until: ms(i64::from(u32::MAX)), ..Advice::default() }
+    Advice {
+        until: ms(i64::from(u32::MAX)),
+        ..Advice::default()
+    }
 }
 
 /// The same for all zones.
 fn factors(of: &[(u32, Option<u8>, f64)]) -> Vec<(ServerId, ZoneId, Option<ClassId>, f64)> {
     let zones = [ZoneId(0), ZoneId(1)];
-    let each = zones.into_iter().flat_map(|zone| of.iter().map(move |of| (zone, of)));
-    each.map(|(zone, (id, class, factor))| (ServerId(*id), zone, class.map(ClassId), *factor)).collect()
+    let each = zones
+        .into_iter()
+        .flat_map(|zone| of.iter().map(move |of| (zone, of)));
+    each.map(|(zone, (id, class, factor))| (ServerId(*id), zone, class.map(ClassId), *factor))
+        .collect()
 }
 
 /// Seconds in which advice is given each second, as a host does.
@@ -29,24 +35,37 @@
 fn advice_lowers_a_server_and_lets_it_back_when_it_ends() {
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
-    let advice = Advice { factors: factors(&[(2, None, 0.25)]), ..long() };
+    let advice = Advice {
+        factors: factors(&[(2, None, 0.25)]),
+        ..long()
+    };
     advised(&mut world, 8, &advice, &healthy(8, &[]));
     let share = world.weight(2) / world.weight(3);
     assert!((share - 0.25).abs() < 0.06, "{share}");
     // The host says nothing any more: within the time that advice stands, all is as before.
     world.run(20, &healthy(8, &[]));
-    assert!((world.weight(2) / world.weight(3) - 1.0).abs() < 0.06, "{}", world.weight(2));
+    assert!(
+        (world.weight(2) / world.weight(3) - 1.0).abs() < 0.06,
+        "{}",
+        world.weight(2)
+    );
 }
 
 #[test]
 fn an_exclusion_holds_until_its_end() {
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
-    let advice = Advice { excluded: vec![(ServerId(5), world.now + ms(9000))], ..long() };
+    let advice = Advice {
+        excluded: vec![(ServerId(5), world.now + ms(9000))],
+        ..long()
+    };
     advised(&mut world, 6, &advice, &healthy(8, &[]));
     assert_eq!(world.weight(5), 0.0);
     advised(&mut world, 10, &advice, &healthy(8, &[]));
-    assert!(world.weight(5) > 0.0, "the advice says it still, but its time is over");
+    assert!(
+        world.weight(5) > 0.0,
+        "the advice says it still, but its time is over"
+    );
 }
 
 #[test]
@@ -54,14 +73,35 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let apart = ClassSet::default().with(1);
-    let advice = Advice { factors: factors(&[(2, Some(1), 0.0)]), apart, ..long() };
+    let advice = Advice {
+        factors: factors(&[(2, Some(1), 0.0)]),
+        apart,
+        ..long()
+    };
     advised(&mut world, 8, &advice, &healthy(8, &[]));
     for proxy in 0..4u32 {
         let bound = &world.bound[&ProxyId(proxy)];
-        let table = |class| bound.iter().rev().find(|(_, classes)| classes.has(class)).expect("bound").0;
-        let weight = |class| world.tables[&table(class)].get(&ServerId(2)).copied().unwrap_or(0.0);
+        let table = |class| {
+            bound
+                .iter()
+                .rev()
+                .find(|(_, classes)| classes.has(class))
+                .expect("bound")
+                .0
+        };
+        let weight = |class| {
+            world.tables[&table(class)]
+                .get(&ServerId(2))
+                .copied()
+                .unwrap_or(0.0)
+        };
         assert_ne!(table(0), table(1), "tables of their own");
-        assert!(weight(0) > 0.0 && weight(1) == 0.0, "{} {}", weight(0), weight(1));
+        assert!(
+            weight(0) > 0.0 && weight(1) == 0.0,
+            "{} {}",
+            weight(0),
+            weight(1)
+        );
     }
     assert!(world.retries.values().all(|retry| *retry == Retry::Unrun));
 }
@@ -71,12 +111,26 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let caps = vec![(ClassId(0), 0.4), (ClassId(1), 0.0)];
-    let advice = Advice { caps, never: ClassSet::default().with(1), ..long() };
+    let advice = Advice {
+        caps,
+        never: ClassSet::default().with(1),
+        ..long()
+    };
     advised(&mut world, 7, &advice, &healthy(8, &[]));
-    assert_eq!((world.levels[&0], world.levels[&1]), (0.4, 0.1), "a class is never shut out whole");
-    assert_eq!((world.retries[&0], world.retries[&1]), (Retry::Unrun, Retry::Never));
+    assert_eq!(
+        (world.levels[&0], world.levels[&1]),
+        (0.4, 0.1),
+        "a class is never shut out whole"
+    );
+    assert_eq!(
+        (world.retries[&0], world.retries[&1]),
+        (Retry::Unrun, Retry::Never)
+    );
     world.run(20, &healthy(8, &[]));
-    assert_eq!((world.levels[&0], world.levels[&1], world.retries[&1]), (1.0, 1.0, Retry::Unrun));
+    assert_eq!(
+        (world.levels[&0], world.levels[&1], world.retries[&1]),
+        (1.0, 1.0, Retry::Unrun)
+    );
 }
 
 /// Danger: a rule that vetoes everything leaves nobody to pick, or one server for all.
@@ -86,9 +140,23 @@
         let mut world = World::new(settings(), 8, 4);
         world.run(3, &healthy(8, &[]));
         let all: Vec<(u32, Option<u8>, f64)> = (0..vetoed).map(|id| (id, None, 0.0)).collect();
-        advised(&mut world, 8, &Advice { factors: factors(&all), ..long() }, &healthy(8, &[]));
-        assert!((0..8).all(|id| world.weight(id) == 4.0), "{vetoed} of 8 vetoed");
-        let void = world.actions.iter().any(|a| matches!(a, Action::Note(Note::Void { void: true, .. })));
+        advised(
+            &mut world,
+            8,
+            &Advice {
+                factors: factors(&all),
+                ..long()
+            },
+            &healthy(8, &[]),
+        );
+        assert!(
+            (0..8).all(|id| world.weight(id) == 4.0),
+            "{vetoed} of 8 vetoed"
+        );
+        let void = world
+            .actions
+            .iter()
+            .any(|a| matches!(a, Action::Note(Note::Void { void: true, .. })));
         assert!(void, "{vetoed} of 8 vetoed");
     }
 }
@@ -102,26 +170,46 @@
         world.actions.clear();
         for second in 0..30 {
             let of = if second % 2 == 0 { 0 } else { 4 };
-            let down: Vec<(u32, Option<u8>, f64)> = (of..of + 3).map(|id| (id, None, 0.0)).collect();
-            let advice = Advice { factors: factors(&down), ..long() };
+            let down: Vec<(u32, Option<u8>, f64)> =
+                (of..of + 3).map(|id| (id, None, 0.0)).collect();
+            let advice = Advice {
+                factors: factors(&down),
+                ..long()
+            };
             let mut events = healthy(8, &[]);
             events.extend(swings.then_some(Event::Advice(advice)));
             world.run(1, &events);
         }
-        world.actions.iter().filter(|a| matches!(a, Action::Line { .. })).count()
+        world
+            .actions
+            .iter()
+            .filter(|a| matches!(a, Action::Line { .. }))
+            .count()
     };
     let (still, swinging) = (lines(false), lines(true));
     // Two tables; at most a change each five seconds, of six lines each.
-    assert!(swinging - still <= 2 * 6 * 7, "{swinging} lines against {still}");
+    assert!(
+        swinging - still <= 2 * 6 * 7,
+        "{swinging} lines against {still}"
+    );
 }
 
 #[test]
 fn a_saturated_fleet_is_not_made_smaller() {
     let mut world = World::new(settings(), 8, 4);
-    let full = Load { queue: Some(30.0), ..Load::default() };
-    let busy: Vec<Event> = healthy(8, &[]).into_iter().map(|tally| reporting(tally, full)).collect();
+    let full = Load {
+        queue: Some(30.0),
+        ..Load::default()
+    };
+    let busy: Vec<Event> = healthy(8, &[])
+        .into_iter()
+        .map(|tally| reporting(tally, full))
+        .collect();
     world.run(8, &busy);
-    let advice = Advice { factors: factors(&[(0, None, 0.0), (1, None, 0.0)]), ..long() };
+    let advice = Advice {
+        factors: factors(&[(0, None, 0.0), (1, None, 0.0)]),
+        ..long()
+    };
     advised(&mut world, 8, &advice, &busy);
     assert!((0..8).all(|id| world.weight(id) > 0.0));
 }
@@ -135,7 +223,10 @@
             if round % 7 == 0 {
                 events.push(Event::Members(
                     ListKind::Changes,
-                    vec![Entry { started: Some(world.now), ..entry(round % 8) }],
+                    vec![Entry {
+                        started: Some(world.now),
+                        ..entry(round % 8)
+                    }],
                 ));
             }
             events.extend(advice.then(|| Event::Advice(long())));
@@ -147,7 +238,14 @@
 }
 
 fn advice_strategy() -> impl Strategy<Value = Advice> {
-    let factor = prop_oneof![Just(0.0), Just(1.0), Just(1e9), Just(-1.0), Just(f64::NAN), 0.0..1.0f64];
+    let factor = prop_oneof![
+        Just(0.0),
+        Just(1.0),
+        Just(1e9),
+        Just(-1.0),
+        Just(f64::NAN),
+        0.0..1.0f64
+    ];
     let class = prop_oneof![Just(None), (0..3u8).prop_map(|class| Some(ClassId(class)))];
     let factors = prop::collection::vec((0..10u32, 0..3u16, class, factor.clone()), 0..30);
     let caps = prop::collection::vec((0..3u8, factor), 0..4);
@@ -158,7 +256,10 @@
                 .into_iter()
                 .map(|(id, zone, class, of)| (ServerId(id), ZoneId(zone), class, of))
                 .collect(),
-            caps: caps.into_iter().map(|(class, cap)| (ClassId(class), cap)).collect(),
+            caps: caps
+                .into_iter()
+                .map(|(class, cap)| (ClassId(class), cap))
+                .collect(),
             never: ClassSet(never),
             excluded: excluded
                 .into_iter()
@@ -171,7 +272,11 @@
 }
 
 fn event_strategy() -> impl Strategy<Value = Event> {
-    let life = prop_oneof![Just(Lifecycle::InService), Just(Lifecycle::Draining), Just(Lifecycle::Gone)];
+    let life = prop_oneof![
+        Just(Lifecycle::InService),
+        Just(Lifecycle::Draining),
+        Just(Lifecycle::Gone)
+    ];
     let end = prop_oneof![Just(ProbeEnd::Done), Just(ProbeEnd::TimedOut)];
     prop_oneof![
         3 => (0..8u32, 0.0..20.0f64, 0.0..1.0f64).prop_map(|(id, tries, bad)| heard(id, tries, tries * bad, 200.0)),
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -11,7 +11,13 @@
 }
 
 pub fn class(effect: Effect, home_only: bool) -> Class {
-    Class { aim: ms(800), deadline: ms(2400), worth: 2.0, effect, home_only }
+    Class {
+        aim: ms(800),
+        deadline: ms(2400),
+        worth: 2.0,
+        effect,
+        home_only,
+    }
 }
 
 pub fn settings() -> Settings {
@@ -68,20 +74,47 @@
 }
 
 pub fn joined(id: u32) -> Event {
-    Event::Joined { proxy: ProxyId(id), zone: ZoneId((id % 2) as u16), rate: 10.0, brought: false }
+    Event::Joined {
+        proxy: ProxyId(id),
+        zone: ZoneId((id % 2) as u16),
+        rate: 10.0,
+        brought: false,
+    }
 }
 
 pub fn heard(server: u32, tries: f64, failed: f64, mean_ms: f64) -> Event {
     let load = Load::default();
-    Event::Heard { zone: ZoneId(0), server: ServerId(server), tries, failed, mean_ms, period: ms(1000), load }
+    Event::Heard {
+        zone: ZoneId(0),
+        server: ServerId(server),
+        tries,
+        failed,
+        mean_ms,
+        period: ms(1000),
+        load,
+    }
 }
 
 /// The same tally with a load report.
 pub fn reporting(tally: Event, report: Load) -> Event {
     match tally {
-        Event::Heard { zone, server, tries, failed, mean_ms, period, .. } => {
-            Event::Heard { zone, server, tries, failed, mean_ms, period, load: report }
-        }
+        Event::Heard {
+            zone,
+            server,
+            tries,
+            failed,
+            mean_ms,
+            period,
+            ..
+        } => Event::Heard {
+            zone,
+            server,
+            tries,
+            failed,
+            mean_ms,
+            period,
+            load: report,
+        },
         other => other,
     }
 }
@@ -91,7 +124,12 @@
 }
 
 pub fn probed_in(server: ServerId, end: ProbeEnd, took: Micros) -> Event {
-    Event::Probed { server, end, took, load: Load::default() }
+    Event::Probed {
+        server,
+        end,
+        took,
+        load: Load::default(),
+    }
 }
 
 /// A module under test: delivers its timers, answers its probes and keeps what proxies would hold.
@@ -139,7 +177,10 @@
             confirms: true,
             unconfirmed: Vec::new(),
         };
-        let mut events = vec![Event::Members(ListKind::WarmCopy, (0..servers).map(entry).collect())];
+        let mut events = vec![Event::Members(
+            ListKind::WarmCopy,
+            (0..servers).map(entry).collect(),
+        )];
         events.extend((0..proxies).map(joined));
         world.send(&events);
         world
@@ -167,18 +208,29 @@
     /// The proxies that an order becomes part of a message for.
     fn reaches(&self, action: &Action, reached: &mut BTreeSet<ProxyId>) {
         let on = |table: &TableId| {
-            let bound = self.bound.iter().filter(|(_, on)| on.iter().any(|(its, _)| its == table));
+            let bound = self
+                .bound
+                .iter()
+                .filter(|(_, on)| on.iter().any(|(its, _)| its == table));
             bound.map(|(proxy, _)| *proxy).collect::<Vec<ProxyId>>()
         };
         match action {
-            Action::Line { table, .. } | Action::Clear(table) | Action::Admit { table: Some(table), .. } => {
+            Action::Line { table, .. }
+            | Action::Clear(table)
+            | Action::Admit {
+                table: Some(table), ..
+            } => {
                 reached.extend(on(table));
             }
             Action::Bind { proxy, .. } => {
                 reached.insert(*proxy);
             }
             Action::Withdraw { server, .. } => {
-                let names = |table: &TableId| self.tables.get(table).is_some_and(|t| t.contains_key(server));
+                let names = |table: &TableId| {
+                    self.tables
+                        .get(table)
+                        .is_some_and(|t| t.contains_key(server))
+                };
                 reached.extend(self.tables.keys().filter(|table| names(table)).flat_map(on));
             }
             _ => {}
@@ -187,8 +239,15 @@
 
     fn apply(&mut self, action: &Action) {
         match action {
-            Action::Line { table, server, weight } if *weight > 0.0 => {
-                self.tables.entry(*table).or_default().insert(*server, *weight);
+            Action::Line {
+                table,
+                server,
+                weight,
+            } if *weight > 0.0 => {
+                self.tables
+                    .entry(*table)
+                    .or_default()
+                    .insert(*server, *weight);
             }
             Action::Line { table, server, .. } => {
                 self.tables.entry(*table).or_default().remove(server);
@@ -196,8 +255,15 @@
             Action::Clear(table) => {
                 self.tables.remove(table);
             }
-            Action::Bind { proxy, table, classes } => {
-                self.bound.entry(*proxy).or_default().push((*table, *classes));
+            Action::Bind {
+                proxy,
+                table,
+                classes,
+            } => {
+                self.bound
+                    .entry(*proxy)
+                    .or_default()
+                    .push((*table, *classes));
             }
             Action::Withdraw { server, out: true } => {
                 self.shut.insert(*server);
@@ -205,13 +271,20 @@
             Action::Withdraw { server, .. } => {
                 self.shut.remove(server);
             }
-            Action::Admit { classes, retry, level, .. } => {
+            Action::Admit {
+                classes,
+                retry,
+                level,
+                ..
+            } => {
                 for class in (0..32).filter(|class| classes.has(*class)) {
                     self.retries.insert(class, *retry);
                     self.levels.insert(class, *level);
                 }
             }
-            Action::Timer { id, after } => self.timers.entry(self.now + *after).or_default().push(*id),
+            Action::Timer { id, after } => {
+                self.timers.entry(self.now + *after).or_default().push(*id)
+            }
             Action::Mark { mark, .. } => self.unconfirmed.push(*mark),
             Action::Probe(server) => self.probes.push(*server),
             _ => {}
@@ -230,13 +303,28 @@
                 }
                 self.now = self.now.max(at);
                 let mut events: Vec<Event> = ids.into_iter().map(Event::Timer).collect();
-                for mark in std::mem::take(&mut self.unconfirmed).into_iter().filter(|_| self.confirms) {
-                    let receipt = |proxy: &ProxyId| Event::Receipt { proxy: *proxy, mark, took: ms(200) };
+                for mark in std::mem::take(&mut self.unconfirmed)
+                    .into_iter()
+                    .filter(|_| self.confirms)
+                {
+                    let receipt = |proxy: &ProxyId| Event::Receipt {
+                        proxy: *proxy,
+                        mark,
+                        took: ms(200),
+                    };
                     events.extend(self.bound.keys().map(receipt));
                 }
                 for server in std::mem::take(&mut self.probes) {
-                    let end = if self.mute.contains(&server.0) { ProbeEnd::TimedOut } else { ProbeEnd::Done };
-                    let slowness = if self.slow_probes.contains(&server.0) { self.slowness } else { 1 };
+                    let end = if self.mute.contains(&server.0) {
+                        ProbeEnd::TimedOut
+                    } else {
+                        ProbeEnd::Done
+                    };
+                    let slowness = if self.slow_probes.contains(&server.0) {
+                        self.slowness
+                    } else {
+                        1
+                    };
                     events.push(probed_in(server, end, Micros(5000 * slowness)));
                 }
                 self.send(&events);
@@ -249,13 +337,20 @@
         if self.shut.contains(&ServerId(server)) {
             return 0.0;
         }
-        self.tables.get(&TableId(0)).and_then(|table| table.get(&ServerId(server))).copied().unwrap_or(0.0)
+        self.tables
+            .get(&TableId(0))
+            .and_then(|table| table.get(&ServerId(server)))
+            .copied()
+            .unwrap_or(0.0)
     }
 }
 
 /// A second's tallies of a healthy fleet, without the servers in `but`.
 pub fn healthy(servers: u32, but: &[u32]) -> Vec<Event> {
-    (0..servers).filter(|id| !but.contains(id)).map(|id| heard(id, 8.0, 0.0, 200.0)).collect()
+    (0..servers)
+        .filter(|id| !but.contains(id))
+        .map(|id| heard(id, 8.0, 0.0, 200.0))
+        .collect()
 }
 
 /// What the test itself knows of the list: servers in service, and those that have started anew.
@@ -267,7 +362,10 @@
 impl Roster {
     /// So many servers, all of them long running.
     pub fn new(servers: u32) -> Self {
-        Roster { open: (0..servers).collect(), cold: BTreeSet::new() }
+        Roster {
+            open: (0..servers).collect(),
+            cold: BTreeSet::new(),
+        }
     }
 
     /// Takes in what is sent to a world, whose proxies that join or leave hold no table.
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -7,7 +7,10 @@
 use chutegrade_policy::interface::*;
 
 fn standing(world: &World, limits: Limits) -> Event {
-    Event::Limits(Limits { until: world.now + ms(4000), ..limits })
+    Event::Limits(Limits {
+        until: world.now + ms(4000),
+        ..limits
+    })
 }
 
 /// Seconds in which the same limits are said each second, as their maker does.
@@ -20,8 +23,18 @@
 }
 
 fn keyed(window: i64) -> Settings {
-    let keyed = Class { effect: Effect::Keyed(Scope::All, ms(window)), ..class(Effect::Safe, false) };
-    Settings { classes: vec![class(Effect::Safe, false), class(Effect::Unsafe, false), keyed], ..settings() }
+    let keyed = Class {
+        effect: Effect::Keyed(Scope::All, ms(window)),
+        ..class(Effect::Safe, false)
+    };
+    Settings {
+        classes: vec![
+            class(Effect::Safe, false),
+            class(Effect::Unsafe, false),
+            keyed,
+        ],
+        ..settings()
+    }
 }
 
 #[test]
@@ -29,19 +42,45 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let keep = vec![(ClassId(0), 0.5), (ClassId(1), 0.0)];
-    limited(&mut world, 5, &Limits { keep, ..Limits::default() }, &healthy(8, &[]));
-    assert_eq!((world.levels[&0], world.levels[&1]), (0.5, 0.1), "a class is never shut out whole");
+    limited(
+        &mut world,
+        5,
+        &Limits {
+            keep,
+            ..Limits::default()
+        },
+        &healthy(8, &[]),
+    );
+    assert_eq!(
+        (world.levels[&0], world.levels[&1]),
+        (0.5, 0.1),
+        "a class is never shut out whole"
+    );
     world.run(8, &healthy(8, &[]));
     assert_eq!((world.levels[&0], world.levels[&1]), (1.0, 1.0));
 }
 
 #[test]
 fn a_limit_adds_to_what_saturation_tells_and_lifts_no_level() {
-    let full = Load { queue: Some(30.0), ..Load::default() };
-    let busy: Vec<Event> = healthy(8, &[]).into_iter().map(|tally| reporting(tally, full)).collect();
+    let full = Load {
+        queue: Some(30.0),
+        ..Load::default()
+    };
+    let busy: Vec<Event> = healthy(8, &[])
+        .into_iter()
+        .map(|tally| reporting(tally, full))
+        .collect();
     let lowest = |refuse: Option<f64>, events: &[Event]| {
         let mut world = World::new(settings(), 8, 4);
-        limited(&mut world, 10, &Limits { refuse, ..Limits::default() }, events);
+        limited(
+            &mut world,
+            10,
+            &Limits {
+                refuse,
+                ..Limits::default()
+            },
+            events,
+        );
         (world.levels[&0], world.levels[&1])
     };
     let calm = healthy(8, &[]);
@@ -51,7 +90,10 @@
         assert_eq!(lowest(Some(nothing), &busy), own, "{nothing}");
     }
     let half = lowest(Some(0.5), &calm);
-    assert!(half.0 < 0.2 && half.1 > 0.8, "the least worth for its time goes first: {half:?}");
+    assert!(
+        half.0 < 0.2 && half.1 > 0.8,
+        "the least worth for its time goes first: {half:?}"
+    );
     assert_eq!(lowest(None, &calm), (1.0, 1.0));
     assert_eq!(lowest(Some(9.0), &calm), lowest(Some(0.9), &calm));
 }
@@ -62,7 +104,11 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let keep = vec![(ClassId(0), 0.5)];
-    let forever = Event::Limits(Limits { keep, until: Micros(i64::MAX), ..Limits::default() });
+    let forever = Event::Limits(Limits {
+        keep,
+        until: Micros(i64::MAX),
+        ..Limits::default()
+    });
     let mut events = healthy(8, &[]);
     events.push(forever);
     world.run(4, &events);
@@ -75,21 +121,51 @@
         let mut world = World::new(settings, 8, 4);
         world.run(3, &healthy(8, &[]));
         let again = (0..3).map(|class| (ClassId(class), Retry::Twice)).collect();
-        limited(&mut world, 6, &Limits { again, ..Limits::default() }, also);
+        limited(
+            &mut world,
+            6,
+            &Limits {
+                again,
+                ..Limits::default()
+            },
+            also,
+        );
         (world.retries[&0], world.retries[&1], world.retries[&2])
     };
     let calm = healthy(8, &[]);
     // The client waits 2.4 s: a key must hold twice as long.
-    assert_eq!(once(keyed(10_000), &calm), (Retry::Once, Retry::Unrun, Retry::Once));
-    assert_eq!(once(keyed(4000), &calm), (Retry::Once, Retry::Unrun, Retry::Unrun));
-    let zone = Class { effect: Effect::Keyed(Scope::Zone, ms(60_000)), ..class(Effect::Safe, false) };
+    assert_eq!(
+        once(keyed(10_000), &calm),
+        (Retry::Once, Retry::Unrun, Retry::Once)
+    );
+    assert_eq!(
+        once(keyed(4000), &calm),
+        (Retry::Once, Retry::Unrun, Retry::Unrun)
+    );
+    let zone = Class {
+        effect: Effect::Keyed(Scope::Zone, ms(60_000)),
+        ..class(Effect::Safe, false)
+    };
     let mut own = keyed(10_000);
     own.classes[2] = zone;
-    assert_eq!(once(own, &calm).2, Retry::Unrun, "another zone does not know the key");
+    assert_eq!(
+        once(own, &calm).2,
+        Retry::Unrun,
+        "another zone does not know the key"
+    );
     // Nothing widens in a fleet that is short of room.
-    let full = Load { queue: Some(30.0), ..Load::default() };
-    let busy: Vec<Event> = calm.into_iter().map(|tally| reporting(tally, full)).collect();
-    assert_eq!(once(keyed(10_000), &busy), (Retry::Unrun, Retry::Unrun, Retry::Unrun));
+    let full = Load {
+        queue: Some(30.0),
+        ..Load::default()
+    };
+    let busy: Vec<Event> = calm
+        .into_iter()
+        .map(|tally| reporting(tally, full))
+        .collect();
+    assert_eq!(
+        once(keyed(10_000), &busy),
+        (Retry::Unrun, Retry::Unrun, Retry::Unrun)
+    );
 }
 
 #[test]
@@ -97,14 +173,21 @@
     let mut world = World::new(keyed(10_000), 8, 4);
     world.run(3, &healthy(8, &[]));
     let again = vec![(ClassId(0), Retry::Never), (ClassId(2), Retry::Once)];
-    let limits = Limits { again, ..Limits::default() };
+    let limits = Limits {
+        again,
+        ..Limits::default()
+    };
     limited(&mut world, 4, &limits, &healthy(8, &[]));
     assert_eq!(
         (world.retries[&0], world.retries[&1], world.retries[&2]),
         (Retry::Never, Retry::Unrun, Retry::Once)
     );
     let never = ClassSet::default().with(2);
-    let advice = Event::Advice(Advice { never, until: world.now + ms(14_000), ..Advice::default() });
+    let advice = Event::Advice(Advice {
+        never,
+        until: world.now + ms(14_000),
+        ..Advice::default()
+    });
     let mut events = healthy(8, &[]);
     events.push(advice);
     limited(&mut world, 3, &limits, &events);
@@ -114,7 +197,11 @@
 /// Danger: one heavy proxy takes from all what only it should lose.
 #[test]
 fn heavy_proxies_with_tables_of_their_own_are_refused_first() {
-    let sparse = Settings { proxies: 40, idle_close: ms(2000), ..settings() };
+    let sparse = Settings {
+        proxies: 40,
+        idle_close: ms(2000),
+        ..settings()
+    };
     let mut world = World::new(sparse, 64, 40);
     let usage = |proxy: u32| Event::Usage {
         proxy: ProxyId(proxy),
@@ -126,19 +213,37 @@
     let mut events = healthy(64, &[]);
     events.extend((0..40).map(usage));
     world.run(12, &events);
-    let limits = Limits { refuse: Some(0.4), heavy: Some((0.0, 0.8)), ..Limits::default() };
+    let limits = Limits {
+        refuse: Some(0.4),
+        heavy: Some((0.0, 0.8)),
+        ..Limits::default()
+    };
     limited(&mut world, 6, &limits, &events);
     // The level of each proxy's table is what was ordered for it last.
     let level = |proxy: u32| {
         let bound = &world.bound[&ProxyId(proxy)];
-        let table = bound.iter().rev().find(|(_, classes)| classes.has(0)).map(|of| of.0);
+        let table = bound
+            .iter()
+            .rev()
+            .find(|(_, classes)| classes.has(0))
+            .map(|of| of.0);
         let own = world.actions.iter().rev().find_map(|action| match action {
-            Action::Admit { table: of, classes, level, .. } if *of == table && classes.has(0) => Some(*level),
+            Action::Admit {
+                table: of,
+                classes,
+                level,
+                ..
+            } if *of == table && classes.has(0) => Some(*level),
             _ => None,
         });
         own.unwrap_or(1.0)
     };
-    assert!(level(3) < 0.5 && level(4) == 1.0, "{} {}", level(3), level(4));
+    assert!(
+        level(3) < 0.5 && level(4) == 1.0,
+        "{} {}",
+        level(3),
+        level(4)
+    );
 }
 
 #[test]
@@ -156,8 +261,22 @@
 }
 
 fn limits_strategy() -> impl Strategy<Value = Limits> {
-    let figure = || prop_oneof![Just(0.0), Just(1.0), Just(1e9), Just(-1.0), Just(f64::NAN), 0.0..1.0f64];
-    let retry = prop_oneof![Just(Retry::Never), Just(Retry::Unrun), Just(Retry::Once), Just(Retry::Twice)];
+    let figure = || {
+        prop_oneof![
+            Just(0.0),
+            Just(1.0),
+            Just(1e9),
+            Just(-1.0),
+            Just(f64::NAN),
+            0.0..1.0f64
+        ]
+    };
+    let retry = prop_oneof![
+        Just(Retry::Never),
+        Just(Retry::Unrun),
+        Just(Retry::Once),
+        Just(Retry::Twice)
+    ];
     let keep = prop::collection::vec((0..4u8, figure()), 0..5);
     let again = prop::collection::vec((0..4u8, retry), 0..5);
     let refuse = prop::option::of(figure());
@@ -165,8 +284,14 @@
     (refuse, heavy, keep, again, 0..100i64).prop_map(|(refuse, heavy, keep, again, until)| Limits {
         refuse,
         heavy,
-        keep: keep.into_iter().map(|(class, keep)| (ClassId(class), keep)).collect(),
-        again: again.into_iter().map(|(class, again)| (ClassId(class), again)).collect(),
+        keep: keep
+            .into_iter()
+            .map(|(class, keep)| (ClassId(class), keep))
+            .collect(),
+        again: again
+            .into_iter()
+            .map(|(class, again)| (ClassId(class), again))
+            .collect(),
         until: ms(1_000_000 + 1000 * until),
     })
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -12,9 +12,18 @@
 fn a_joining_proxy_is_bound_at_once_to_a_table_that_has_lines() {
     let world = World::new(settings(), 6, 3);
     assert_eq!(world.bound.len(), 3);
-    let first_bind = world.actions.iter().position(|a| matches!(a, Action::Bind { .. }));
-    let last_line = world.actions.iter().rposition(|a| matches!(a, Action::Line { .. }));
-    assert!(last_line < first_bind, "lines in a table that nobody uses cost nothing");
+    let first_bind = world
+        .actions
+        .iter()
+        .position(|a| matches!(a, Action::Bind { .. }));
+    let last_line = world
+        .actions
+        .iter()
+        .rposition(|a| matches!(a, Action::Line { .. }));
+    assert!(
+        last_line < first_bind,
+        "lines in a table that nobody uses cost nothing"
+    );
     assert_eq!(world.tables[&TableId(0)].len(), 6);
 }
 
@@ -23,10 +32,14 @@
     let mut world = World::new(settings(), 6, 3);
     world.run(5, &healthy(6, &[]));
     for bad in 1..=6 {
-        let events: Vec<Event> =
-            (0..6).map(|id| heard(id, 8.0, if id < bad { 8.0 } else { 0.0 }, 200.0)).collect();
+        let events: Vec<Event> = (0..6)
+            .map(|id| heard(id, 8.0, if id < bad { 8.0 } else { 0.0 }, 200.0))
+            .collect();
         world.run(6, &events);
-        assert!((0..6).any(|id| world.weight(id) > 0.0), "{bad} of 6 failing");
+        assert!(
+            (0..6).any(|id| world.weight(id) > 0.0),
+            "{bad} of 6 failing"
+        );
     }
 }
 
@@ -37,16 +50,25 @@
     let world = World::new(with_home, 6, 2);
     for proxy in 0..2u32 {
         let bound = &world.bound[&ProxyId(proxy)];
-        let table = bound.iter().find(|(_, classes)| classes.has(2)).map(|(table, _)| *table).expect("bound");
+        let table = bound
+            .iter()
+            .find(|(_, classes)| classes.has(2))
+            .map(|(table, _)| *table)
+            .expect("bound");
         assert!(!world.tables[&table].is_empty());
-        assert!(world.tables[&table].keys().all(|server| server.0 % 2 == proxy));
+        assert!(world.tables[&table]
+            .keys()
+            .all(|server| server.0 % 2 == proxy));
     }
 }
 
 #[test]
 fn an_empty_change_and_a_lost_list_withdraw_nothing() {
     let mut world = World::new(settings(), 6, 3);
-    world.send(&[Event::Members(ListKind::Changes, vec![]), Event::Members(ListKind::Lost, vec![])]);
+    world.send(&[
+        Event::Members(ListKind::Changes, vec![]),
+        Event::Members(ListKind::Lost, vec![]),
+    ]);
     assert!((0..6).all(|id| world.weight(id) == 4.0));
 }
 
@@ -74,15 +96,30 @@
 fn a_draining_or_removed_server_is_shut_out_at_once() {
     let mut world = World::new(settings(), 6, 3);
     world.run(3, &healthy(6, &[]));
-    let draining = Entry { life: Lifecycle::Draining, ..entry(2) };
+    let draining = Entry {
+        life: Lifecycle::Draining,
+        ..entry(2)
+    };
     let actions = world.send(&[Event::Members(ListKind::Changes, vec![draining])]);
-    assert!(actions.contains(&Action::Withdraw { server: ServerId(2), out: true }));
-    let complete: Vec<Entry> = (0..6).filter(|id| *id != 2 && *id != 4).map(entry).collect();
+    assert!(actions.contains(&Action::Withdraw {
+        server: ServerId(2),
+        out: true
+    }));
+    let complete: Vec<Entry> = (0..6)
+        .filter(|id| *id != 2 && *id != 4)
+        .map(entry)
+        .collect();
     let actions = world.send(&[Event::Members(ListKind::Complete, complete)]);
-    assert!(actions.contains(&Action::Withdraw { server: ServerId(4), out: true }));
+    assert!(actions.contains(&Action::Withdraw {
+        server: ServerId(4),
+        out: true
+    }));
     world.run(5, &healthy(6, &[2, 4]));
     assert!(world.weight(2) == 0.0 && world.weight(4) == 0.0);
-    let back = Entry { started: Some(world.now), ..entry(2) };
+    let back = Entry {
+        started: Some(world.now),
+        ..entry(2)
+    };
     world.send(&[Event::Members(ListKind::Changes, vec![back])]);
     assert!(!world.shut.contains(&ServerId(2)));
 }
@@ -92,7 +129,10 @@
     let mut policy = Policy::new(settings(), 1);
     let mut list: Vec<Entry> = (0..4).map(entry).collect();
     list[1].life = Lifecycle::Draining;
-    let actions = policy.handle(ms(5), &[Event::Members(ListKind::WarmCopy, list), joined(0)]);
+    let actions = policy.handle(
+        ms(5),
+        &[Event::Members(ListKind::WarmCopy, list), joined(0)],
+    );
     assert!(!actions
         .iter()
         .any(|a| matches!(a, Action::Line { server: ServerId(1), weight, .. } if *weight > 0.0)));
@@ -104,14 +144,23 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(5, &healthy(8, &[]));
     let started = world.now;
-    world.send(&[Event::Members(ListKind::Changes, vec![Entry { started: Some(started), ..entry(3) }])]);
+    world.send(&[Event::Members(
+        ListKind::Changes,
+        vec![Entry {
+            started: Some(started),
+            ..entry(3)
+        }],
+    )]);
     for _ in 0..16 {
         let total: f64 = (0..8).map(|id| world.weight(id)).sum();
         let age = (world.now - started).secs();
         let warmth = 0.2 + 0.8 * (age + 1.0) / 16.0;
         // All of the fleet's capacity as demand; the multiple is 3.
         let load = world.weight(3) / total * 8.0;
-        assert!(load <= 0.6 * 3.0 * warmth, "age {age}: load {load} warmth {warmth}");
+        assert!(
+            load <= 0.6 * 3.0 * warmth,
+            "age {age}: load {load} warmth {warmth}"
+        );
         world.run(1, &healthy(8, &[]));
     }
     world.run(8, &healthy(8, &[]));
@@ -124,14 +173,29 @@
     (sliced.slices, sliced.sole_owner) = (4, true);
     let mut world = World::new(sliced, 4, 3);
     world.send(&[
-        Event::Tenure { table: TableId(2), given: true },
-        Event::Held { table: TableId(2), server: ServerId(1), weight: 1.0 },
+        Event::Tenure {
+            table: TableId(2),
+            given: true,
+        },
+        Event::Held {
+            table: TableId(2),
+            server: ServerId(1),
+            weight: 1.0,
+        },
     ]);
-    let gone = Entry { life: Lifecycle::Gone, ..entry(1) };
+    let gone = Entry {
+        life: Lifecycle::Gone,
+        ..entry(1)
+    };
     let actions = world.send(&[Event::Members(ListKind::Changes, vec![gone])]);
     assert!(actions.contains(&Action::Clear(TableId(2))));
-    let mark =
-        actions.iter().find_map(|a| if let Action::Mark { mark, .. } = a { Some(*mark) } else { None });
+    let mark = actions.iter().find_map(|a| {
+        if let Action::Mark { mark, .. } = a {
+            Some(*mark)
+        } else {
+            None
+        }
+    });
     let mark = mark.expect("the clearing is marked");
     let line = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Line { .. }));
     world.actions.clear();
@@ -139,15 +203,29 @@
     assert!(!line(&world.actions), "not before the proxies answered");
     let took = ms(200);
     world.send(&[
-        Event::Receipt { proxy: ProxyId(0), mark, took },
-        Event::Receipt { proxy: ProxyId(1), mark, took },
+        Event::Receipt {
+            proxy: ProxyId(0),
+            mark,
+            took,
+        },
+        Event::Receipt {
+            proxy: ProxyId(1),
+            mark,
+            took,
+        },
     ]);
     world.send(&[Event::Left(ProxyId(2))]);
     world.run(2, &[]);
-    assert!(!line(&world.actions), "not before the lost proxy's lease is over");
+    assert!(
+        !line(&world.actions),
+        "not before the lost proxy's lease is over"
+    );
     world.run(3, &[]);
     assert!(line(&world.actions));
-    assert!(!world.actions.iter().any(|a| matches!(a, Action::Bind { .. })));
+    assert!(!world
+        .actions
+        .iter()
+        .any(|a| matches!(a, Action::Bind { .. })));
 }
 
 #[test]
@@ -159,7 +237,14 @@
     world.actions.clear();
     world.send(&[Event::Members(ListKind::Lost, vec![])]);
     world.run(3, &[]);
-    assert_eq!(world.actions.iter().filter(|a| **a == Action::Subscribe(true)).count(), 1);
+    assert_eq!(
+        world
+            .actions
+            .iter()
+            .filter(|a| **a == Action::Subscribe(true))
+            .count(),
+        1
+    );
 }
 
 #[test]
@@ -176,8 +261,16 @@
 
 /// What a proxy would hold, and an independent count of its messages and of the lines that wait.
 fn event_strategy() -> impl Strategy<Value = Event> {
-    let life = prop_oneof![Just(Lifecycle::InService), Just(Lifecycle::Draining), Just(Lifecycle::Gone)];
-    let end = prop_oneof![Just(ProbeEnd::Done), Just(ProbeEnd::TimedOut), Just(ProbeEnd::Unreachable)];
+    let life = prop_oneof![
+        Just(Lifecycle::InService),
+        Just(Lifecycle::Draining),
+        Just(Lifecycle::Gone)
+    ];
+    let end = prop_oneof![
+        Just(ProbeEnd::Done),
+        Just(ProbeEnd::TimedOut),
+        Just(ProbeEnd::Unreachable)
+    ];
     prop_oneof![
         4 => (0..8u32, 0.0..20.0f64, 0.0..1.0f64, 1.0..3000.0f64)
             .prop_map(|(id, tries, bad, mean)| heard(id, tries, tries * bad, mean)),
@@ -246,10 +339,19 @@
     avoiding.proxy_ejects_after = 3;
     let mut world = World::new(avoiding, 8, 4);
     world.run(3, &healthy(8, &[3]));
-    let failing: Vec<Event> = (0..8).filter(|id| *id != 3).map(|id| heard(id, 8.0, 7.0, 900.0)).collect();
+    let failing: Vec<Event> = (0..8)
+        .filter(|id| *id != 3)
+        .map(|id| heard(id, 8.0, 7.0, 900.0))
+        .collect();
     world.run(6, &failing);
     let started = Some(world.now);
-    world.send(&[Event::Members(ListKind::Changes, vec![Entry { started, ..entry(3) }])]);
+    world.send(&[Event::Members(
+        ListKind::Changes,
+        vec![Entry {
+            started,
+            ..entry(3)
+        }],
+    )]);
     world.run(4, &failing);
     assert_eq!(world.weight(3), 0.0);
     assert!((0..8).any(|id| world.weight(id) > 0.0));
@@ -272,7 +374,10 @@
         let tick = (round % 50 == 0).then_some(Event::Timer(1));
         let events: Vec<Event> = std::iter::once(refused).chain(tick).collect();
         let actions = world.send(&events);
-        asked += actions.iter().filter(|a| **a == Action::Probe(ServerId(1))).count();
+        asked += actions
+            .iter()
+            .filter(|a| **a == Action::Probe(ServerId(1)))
+            .count();
         world.now = world.now + ms(10);
     }
     assert!((2..=5).contains(&asked), "asked {asked} times in 2 s");
@@ -285,9 +390,18 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let started = Some(world.now);
-    let gone = (3..8).map(|id| Entry { life: Lifecycle::Gone, ..entry(id) });
-    let cold = (0..3).map(|id| Entry { started, ..entry(id) });
-    world.send(&[Event::Members(ListKind::Changes, gone.chain(cold).collect())]);
+    let gone = (3..8).map(|id| Entry {
+        life: Lifecycle::Gone,
+        ..entry(id)
+    });
+    let cold = (0..3).map(|id| Entry {
+        started,
+        ..entry(id)
+    });
+    world.send(&[Event::Members(
+        ListKind::Changes,
+        gone.chain(cold).collect(),
+    )]);
     for second in 0..15 {
         let weights: f64 = (0..8).map(|id| world.weight(id)).sum();
         let bears = 3.0 * 3.0 * (0.2 + 0.8 * f64::from(second) / 16.0);
@@ -295,7 +409,10 @@
         world.run(1, &healthy(3, &[]));
     }
     world.run(3, &healthy(3, &[]));
-    assert!((0..3).all(|id| world.weight(id) > 0.0), "warm servers serve");
+    assert!(
+        (0..3).all(|id| world.weight(id) > 0.0),
+        "warm servers serve"
+    );
 }
 
 /// Found by random events: servers that had all started at once were named only after they had become warm, which a test
@@ -305,9 +422,18 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let started = world.now;
-    let cold = (0..2).map(|id| Entry { started: Some(started), ..entry(id) });
-    let gone = (2..8).map(|id| Entry { life: Lifecycle::Gone, ..entry(id) });
-    world.send(&[Event::Members(ListKind::Changes, gone.chain(cold).collect())]);
+    let cold = (0..2).map(|id| Entry {
+        started: Some(started),
+        ..entry(id)
+    });
+    let gone = (2..8).map(|id| Entry {
+        life: Lifecycle::Gone,
+        ..entry(id)
+    });
+    world.send(&[Event::Members(
+        ListKind::Changes,
+        gone.chain(cold).collect(),
+    )]);
     let warm = started + settings().cold_for;
     while world.now <= warm {
         world.run(1, &[]);
@@ -320,12 +446,23 @@
     let mut world = World::new(settings(), 4, 3);
     world.run(3, &healthy(4, &[]));
     let started = Some(world.now);
-    world.send(&[Event::Members(ListKind::Changes, vec![Entry { started, ..entry(3) }])]);
+    world.send(&[Event::Members(
+        ListKind::Changes,
+        vec![Entry {
+            started,
+            ..entry(3)
+        }],
+    )]);
     for id in 0..3 {
-        let events: Vec<Event> =
-            (0..4).map(|other| heard(other, 8.0, if other <= id { 8.0 } else { 0.0 }, 200.0)).collect();
+        let events: Vec<Event> = (0..4)
+            .map(|other| heard(other, 8.0, if other <= id { 8.0 } else { 0.0 }, 200.0))
+            .collect();
         world.run(5, &events);
-        assert!((0..3).any(|warm| world.weight(warm) > 0.0), "{} of 3 warm servers failing", id + 1);
+        assert!(
+            (0..3).any(|warm| world.weight(warm) > 0.0),
+            "{} of 3 warm servers failing",
+            id + 1
+        );
     }
 }
 
@@ -334,7 +471,11 @@
 #[test]
 fn servers_are_not_probed_while_no_proxy_is_joined() {
     let mut policy = Policy::new(settings(), 1);
-    let asks = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Probe(_)));
+    let asks = |actions: &[Action]| {
+        actions
+            .iter()
+            .any(|action| matches!(action, Action::Probe(_)))
+    };
     let list = Event::Members(ListKind::WarmCopy, (0..4).map(entry).collect());
     let mut actions = policy.handle(ms(0), &[list]);
     for tick in 1..6 {
@@ -360,24 +501,54 @@
 #[test]
 fn what_a_proxy_brings_along_counts_when_it_is_bound() {
     let leaves = |servers: std::ops::Range<u32>, life| {
-        Event::Members(ListKind::Changes, servers.map(|id| Entry { life, ..entry(id) }).collect())
+        Event::Members(
+            ListKind::Changes,
+            servers.map(|id| Entry { life, ..entry(id) }).collect(),
+        )
     };
     let joining = |left: u32, brought: bool| {
-        let settings = Settings { proxies: 200, backlog: 2000.0, ..settings() };
+        let settings = Settings {
+            proxies: 200,
+            backlog: 2000.0,
+            ..settings()
+        };
         let mut policy = Policy::new(settings, 1);
-        policy.handle(ms(0), &[Event::Members(ListKind::WarmCopy, (0..20).map(entry).collect())]);
+        policy.handle(
+            ms(0),
+            &[Event::Members(
+                ListKind::WarmCopy,
+                (0..20).map(entry).collect(),
+            )],
+        );
         policy.handle(ms(10), &[leaves(0..left, Lifecycle::Draining)]);
         policy.handle(ms(20), &[leaves(0..left, Lifecycle::InService)]);
-        let join = |id: u32| Event::Joined { proxy: ProxyId(id), zone: ZoneId(0), rate: 10.0, brought };
+        let join = |id: u32| Event::Joined {
+            proxy: ProxyId(id),
+            zone: ZoneId(0),
+            rate: 10.0,
+            brought,
+        };
         let joins: Vec<Event> = (0..200).map(join).collect();
         let actions = policy.handle(ms(100), &joins);
-        (actions.iter().filter(|action| matches!(action, Action::Bind { .. })).count(), policy)
+        (
+            actions
+                .iter()
+                .filter(|action| matches!(action, Action::Bind { .. }))
+                .count(),
+            policy,
+        )
     };
     let ((new, _), (left, _), (unsure, mut policy)) =
         (joining(0, false), joining(20, true), joining(0, true));
     // Twenty rows, two levels, the whole-table line and the head; a word for each row of one that left.
-    assert!(new as f64 * (20.0 + 3.0 + 6.0) <= 2000.0 && new > 30, "{new}");
-    assert!(left as f64 * (40.0 + 3.0 + 6.0) <= 2000.0 && left > 15 && left < new, "{left}");
+    assert!(
+        new as f64 * (20.0 + 3.0 + 6.0) <= 2000.0 && new > 30,
+        "{new}"
+    );
+    assert!(
+        left as f64 * (40.0 + 3.0 + 6.0) <= 2000.0 && left > 15 && left < new,
+        "{left}"
+    );
     assert_eq!(unsure, new, "what never left here waits");
 
     let mut reconciled = BTreeSet::new();
@@ -387,11 +558,22 @@
         // Twenty words each, and the head.
         assert!(told.len() as f64 * (20.0 + 6.0) <= 2000.0, "{}", told.len());
         reconciled.extend(told);
-        let mark =
-            actions.iter().find_map(|a| if let Action::Mark { mark, .. } = a { Some(*mark) } else { None });
-        let receipt =
-            |id| Event::Receipt { proxy: ProxyId(id), mark: mark.unwrap_or_default(), took: ms(10) };
-        policy.handle(ms(1000 * second + 100), &(0..200).map(receipt).collect::<Vec<_>>());
+        let mark = actions.iter().find_map(|a| {
+            if let Action::Mark { mark, .. } = a {
+                Some(*mark)
+            } else {
+                None
+            }
+        });
+        let receipt = |id| Event::Receipt {
+            proxy: ProxyId(id),
+            mark: mark.unwrap_or_default(),
+            took: ms(10),
+        };
+        policy.handle(
+            ms(1000 * second + 100),
+            &(0..200).map(receipt).collect::<Vec<_>>(),
+        );
     }
     assert_eq!(reconciled.len(), 200, "each is told, once there is room");
 }
--- a/crates/policy/tests/size.rs
+++ b/crates/policy/tests/size.rs
@@ -33,12 +33,23 @@
 
 fn large(classes: Vec<Class>) -> Settings {
     let (backlog, lines_per_s) = (20_000.0, 12_000.0);
-    Settings { instances: 1, cross_price: 0.0, proxies: 1000, classes, backlog, lines_per_s, ..settings() }
+    Settings {
+        instances: 1,
+        cross_price: 0.0,
+        proxies: 1000,
+        classes,
+        backlog,
+        lines_per_s,
+        ..settings()
+    }
 }
 
 /// Few requests a second at each of very many proxies.
 fn sparse() -> Settings {
-    large(vec![class(Effect::Safe, false), class(Effect::Unsafe, false)])
+    large(vec![
+        class(Effect::Safe, false),
+        class(Effect::Unsafe, false),
+    ])
 }
 
 impl Site {
@@ -66,14 +77,21 @@
 
     fn started(settings: Settings, pace: f64, servers: u32, proxies: u32) -> Site {
         let mut site = Site::new(settings, pace);
-        let mut events = vec![Event::Members(ListKind::WarmCopy, (0..servers).map(entry).collect())];
+        let mut events = vec![Event::Members(
+            ListKind::WarmCopy,
+            (0..servers).map(entry).collect(),
+        )];
         events.extend((0..proxies).map(|id| rated(id, 1.0 + f64::from(id % 10))));
         site.send(&events);
         site
     }
 
     fn holders(&self, names: impl Fn(&TableId) -> bool) -> Vec<ProxyId> {
-        self.bound.iter().filter(|(_, tables)| tables.values().any(&names)).map(|(id, _)| *id).collect()
+        self.bound
+            .iter()
+            .filter(|(_, tables)| tables.values().any(&names))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     fn send(&mut self, events: &[Event]) -> Vec<Action> {
@@ -98,13 +116,19 @@
         let (mut lines, mut mark): (BTreeMap<ProxyId, f64>, u16) = (BTreeMap::new(), 0);
         for action in &actions {
             let to = match action {
-                Action::Line { table, server, weight } => {
+                Action::Line {
+                    table,
+                    server,
+                    weight,
+                } => {
                     let named = self.tables.entry(*table).or_default();
                     named.insert(*server, *weight);
                     named.retain(|_, weight| *weight > 0.0);
                     self.holders(|held| held == table)
                 }
-                Action::Admit { table: Some(table), .. } => {
+                Action::Admit {
+                    table: Some(table), ..
+                } => {
                     *self.levels.entry(*table).or_default() += 1;
                     self.holders(|held| held == table)
                 }
@@ -115,12 +139,21 @@
                         self.shut.remove(server);
                     }
                     self.holders(|table| {
-                        self.tables.get(table).is_some_and(|lines| lines.contains_key(server))
+                        self.tables
+                            .get(table)
+                            .is_some_and(|lines| lines.contains_key(server))
                     })
                 }
-                Action::Bind { proxy, table, classes } => {
+                Action::Bind {
+                    proxy,
+                    table,
+                    classes,
+                } => {
                     let named = self.tables.get(table).map_or(0, BTreeMap::len);
-                    self.bound.entry(*proxy).or_default().insert(*classes, *table);
+                    self.bound
+                        .entry(*proxy)
+                        .or_default()
+                        .insert(*classes, *table);
                     *lines.entry(*proxy).or_default() += 1.0 + named as f64;
                     vec![]
                 }
@@ -143,15 +176,23 @@
             }
         }
         for (proxy, lines) in lines {
-            self.queue.push_back((proxy, mark, lines + 1.0 + self.settings.message_head));
+            self.queue
+                .push_back((proxy, mark, lines + 1.0 + self.settings.message_head));
             let written = self.written.entry(proxy).or_default();
             written.push_back(self.now);
             let past = self.now - self.settings.messages_window;
             written.retain(|at| *at > past);
-            assert!(written.len() <= self.settings.messages_most, "messages to {proxy:?}");
+            assert!(
+                written.len() <= self.settings.messages_most,
+                "messages to {proxy:?}"
+            );
         }
         let waiting: f64 = self.queue.iter().map(|(_, _, lines)| lines).sum();
-        assert!(waiting <= self.settings.backlog, "{waiting} lines wait at {:?}", self.now);
+        assert!(
+            waiting <= self.settings.backlog,
+            "{waiting} lines wait at {:?}",
+            self.now
+        );
         self.most_waiting = self.most_waiting.max(waiting);
         actions
     }
@@ -171,15 +212,33 @@
                 self.queue.pop_front();
             }
             let mut events = Vec::new();
-            while self.receipts.front().is_some_and(|(at, _, _)| *at <= self.now) {
+            while self
+                .receipts
+                .front()
+                .is_some_and(|(at, _, _)| *at <= self.now)
+            {
                 let (at, proxy, mark) = self.receipts.pop_front().expect("seen");
                 self.first_applied.entry(proxy).or_insert(at);
-                events.push(Event::Receipt { proxy, mark, took: ms(400) });
+                events.push(Event::Receipt {
+                    proxy,
+                    mark,
+                    took: ms(400),
+                });
             }
             let asked = std::mem::take(&mut self.probes);
-            let end = |server| if mute(server) { ProbeEnd::TimedOut } else { ProbeEnd::Done };
+            let end = |server| {
+                if mute(server) {
+                    ProbeEnd::TimedOut
+                } else {
+                    ProbeEnd::Done
+                }
+            };
             events.extend(asked.into_iter().map(|server| probed(server, end(server))));
-            while self.timers.first_key_value().is_some_and(|(at, _)| *at <= self.now) {
+            while self
+                .timers
+                .first_key_value()
+                .is_some_and(|(at, _)| *at <= self.now)
+            {
                 let (_, id) = self.timers.pop_first().expect("seen");
                 events.push(Event::Timer(id));
             }
@@ -193,8 +252,15 @@
     }
 
     fn named(&self, proxy: u32) -> BTreeSet<ServerId> {
-        let tables = self.bound.get(&ProxyId(proxy)).into_iter().flat_map(BTreeMap::values);
-        let lines = tables.filter_map(|table| self.tables.get(table)).flat_map(BTreeMap::keys).copied();
+        let tables = self
+            .bound
+            .get(&ProxyId(proxy))
+            .into_iter()
+            .flat_map(BTreeMap::values);
+        let lines = tables
+            .filter_map(|table| self.tables.get(table))
+            .flat_map(BTreeMap::keys)
+            .copied();
         lines.filter(|server| !self.shut.contains(server)).collect()
     }
 
@@ -204,7 +270,12 @@
 }
 
 fn rated(id: u32, rate: f64) -> Event {
-    Event::Joined { proxy: ProxyId(id), zone: ZoneId((id % 2) as u16), rate, brought: false }
+    Event::Joined {
+        proxy: ProxyId(id),
+        zone: ZoneId((id % 2) as u16),
+        rate,
+        brought: false,
+    }
 }
 
 fn all_answer(_: ServerId) -> bool {
@@ -212,7 +283,10 @@
 }
 
 fn cold(id: u32, now: Micros) -> Entry {
-    Entry { started: Some(now), ..entry(id) }
+    Entry {
+        started: Some(now),
+        ..entry(id)
+    }
 }
 
 #[test]
@@ -227,41 +301,84 @@
     site.send(&back);
     site.run(20, &healthy(300, &[]), &all_answer);
     assert_eq!(site.binds(), 1000, "and after a mass reconnect");
-    let drained: Vec<Entry> = (0..120).map(|id| Entry { life: Lifecycle::Draining, ..entry(id) }).collect();
+    let drained: Vec<Entry> = (0..120)
+        .map(|id| Entry {
+            life: Lifecycle::Draining,
+            ..entry(id)
+        })
+        .collect();
     let actions = site.send(&[Event::Members(ListKind::Changes, drained)]);
-    let out = actions.iter().filter(|action| matches!(action, Action::Withdraw { out: true, .. })).count();
+    let out = actions
+        .iter()
+        .filter(|action| matches!(action, Action::Withdraw { out: true, .. }))
+        .count();
     assert_eq!(out, 120, "drains go out in the turn that tells of them");
     let now = site.now;
-    site.send(&[Event::Members(ListKind::Changes, (500..900).map(|id| cold(id, now)).collect())]);
+    site.send(&[Event::Members(
+        ListKind::Changes,
+        (500..900).map(|id| cold(id, now)).collect(),
+    )]);
     site.run(30, &healthy(300, &[]), &all_answer);
-    assert!(site.most_waiting > 0.2 * site.settings.backlog, "the channel was put to the test");
-    assert!(site.named(999).iter().any(|server| server.0 >= 500), "newcomers are named");
+    assert!(
+        site.most_waiting > 0.2 * site.settings.backlog,
+        "the channel was put to the test"
+    );
+    assert!(
+        site.named(999).iter().any(|server| server.0 >= 500),
+        "newcomers are named"
+    );
 }
 
 /// Danger: each step of a level reaches all proxies, and a channel that has slowed to a sixth fills with them.
 #[test]
 fn levels_that_swing_stay_within_the_backlog_of_a_slow_channel() {
-    let mut site = Site::started(Settings { messages_most: 1000, ..sparse() }, 0.5, 200, 1000);
+    let mut site = Site::started(
+        Settings {
+            messages_most: 1000,
+            ..sparse()
+        },
+        0.5,
+        200,
+        1000,
+    );
     site.run(20, &healthy(200, &[]), &all_answer);
     site.pace = 0.15 * site.settings.lines_per_s;
     let before = site.levels.values().sum::<usize>();
     for second in 0..40 {
         let queue = Some(f64::from(second % 5));
-        let load = Load { queue, latency_ms: Some(20.0), ..Load::default() };
-        let tallies = healthy(200, &[]).into_iter().map(|tally| reporting(tally, load));
+        let load = Load {
+            queue,
+            latency_ms: Some(20.0),
+            ..Load::default()
+        };
+        let tallies = healthy(200, &[])
+            .into_iter()
+            .map(|tally| reporting(tally, load));
         site.run(1, &tallies.collect::<Vec<_>>(), &all_answer);
     }
-    assert!(site.most_waiting > 0.4 * site.settings.backlog, "the channel was put to the test");
+    assert!(
+        site.most_waiting > 0.4 * site.settings.backlog,
+        "the channel was put to the test"
+    );
     assert!(site.levels.values().sum::<usize>() > before, "levels moved");
 }
 
 #[test]
 fn the_busiest_proxies_are_bound_first() {
     let site = Site::started(sparse(), 0.5, 500, 1000);
-    let (bound, unbound): (Vec<_>, Vec<_>) =
-        site.rates.iter().partition(|(id, _)| site.bound.contains_key(id));
-    assert!(!bound.is_empty() && !unbound.is_empty(), "{} bound at once", bound.len());
-    let least = bound.iter().map(|(_, rate)| **rate).fold(f64::MAX, f64::min);
+    let (bound, unbound): (Vec<_>, Vec<_>) = site
+        .rates
+        .iter()
+        .partition(|(id, _)| site.bound.contains_key(id));
+    assert!(
+        !bound.is_empty() && !unbound.is_empty(),
+        "{} bound at once",
+        bound.len()
+    );
+    let least = bound
+        .iter()
+        .map(|(_, rate)| **rate)
+        .fold(f64::MAX, f64::min);
     let most = unbound.iter().map(|(_, rate)| **rate).fold(0.0, f64::max);
     assert!(least >= most, "bound at {least}, waiting at {most}");
 }
@@ -272,31 +389,63 @@
     site.run(20, &healthy(300, &[]), &all_answer);
     let before = site.orders;
     for id in 0..500 {
-        site.send(&[heard(id, 8.0, 8.0, 900.0), probed(ServerId(id), ProbeEnd::TimedOut)]);
+        site.send(&[
+            heard(id, 8.0, 8.0, 900.0),
+            probed(ServerId(id), ProbeEnd::TimedOut),
+        ]);
     }
     assert_eq!(site.orders, before);
 }
 
 #[test]
 fn a_small_fleet_stays_whole_and_a_large_sparse_one_is_dealt_into_parts() {
-    let mut small = Site::started(Settings { proxies: 8, ..sparse() }, 1.0, 20, 8);
+    let mut small = Site::started(
+        Settings {
+            proxies: 8,
+            ..sparse()
+        },
+        1.0,
+        20,
+        8,
+    );
     small.run(2, &[], &all_answer);
     assert_eq!(small.named(3).len(), 20);
     // 12,000 lines a second for 2.5 s beyond the way are 30 at each of 1,000 proxies: 9 of a first table and 7 of a drain
     // beside its rows leave 14, under the usual 16.
     let grace = sparse().way_most + ms(2500);
-    let mut large = Site::started(Settings { drain_grace: grace, ..sparse() }, 1.0, 500, 1000);
+    let mut large = Site::started(
+        Settings {
+            drain_grace: grace,
+            ..sparse()
+        },
+        1.0,
+        500,
+        1000,
+    );
     large.run(12, &[], &all_answer);
     let widths: Vec<usize> = (0..1000).map(|id| large.named(id).len()).collect();
-    assert!(widths.iter().all(|width| (12..=125).contains(width)), "{:?}", widths.iter().max());
+    assert!(
+        widths.iter().all(|width| (12..=125).contains(width)),
+        "{:?}",
+        widths.iter().max()
+    );
     let all: BTreeSet<ServerId> = (0..1000).flat_map(|id| large.named(id)).collect();
     assert_eq!(all.len(), 500, "every server is named by some part");
-    assert!(large.tables.len() < 100, "few shared tables: {}", large.tables.len());
+    assert!(
+        large.tables.len() < 100,
+        "few shared tables: {}",
+        large.tables.len()
+    );
 }
 
 /// A fleet all of which joins one instance whose channel sends little.
 fn joining_one_instance(lines_per_s: f64, drain_grace: Micros) -> Site {
-    let settings = Settings { lines_per_s, backlog: 60_000.0, drain_grace, ..sparse() };
+    let settings = Settings {
+        lines_per_s,
+        backlog: 60_000.0,
+        drain_grace,
+        ..sparse()
+    };
     Site::started(settings, 1.0, 500, 1000)
 }
 
@@ -318,11 +467,18 @@
     // Each server's line and level, the whole-table line, mark and head; a drain's line, mark and head.
     let table = width + settings.classes.len() as f64 + 2.0 + settings.message_head;
     let drain = 2.0 + settings.message_head;
-    assert!(1000.0 * (table + drain) <= 1150.0 * (20.0 - settings.way_most.secs()), "{width} servers");
+    assert!(
+        1000.0 * (table + drain) <= 1150.0 * (20.0 - settings.way_most.secs()),
+        "{width} servers"
+    );
     assert!(width >= 5.0, "{width} servers");
     let unbound = width_at(12_000.0, ms(20_000));
     assert!(unbound >= 16.0, "{unbound} servers");
-    assert_eq!(width_at(12_000.0, ms(0)), unbound, "no part is narrow enough: none is narrowed for it");
+    assert_eq!(
+        width_at(12_000.0, ms(0)),
+        unbound,
+        "no part is narrow enough: none is narrowed for it"
+    );
 }
 
 /// Seen on a day when four of five supervisors died in a release: drains went ahead of joins each time, and the last
@@ -335,18 +491,40 @@
     for batch in 0..4 {
         site.run(4, &[], &all_answer);
         let leaving = 30 * batch..30 * (batch + 1);
-        let entries = leaving.map(|id| Entry { life: Lifecycle::Draining, ..entry(id) }).collect();
+        let entries = leaving
+            .map(|id| Entry {
+                life: Lifecycle::Draining,
+                ..entry(id)
+            })
+            .collect();
         site.send(&[Event::Members(ListKind::Changes, entries)]);
     }
     site.run(20, &[], &all_answer);
-    let late = site.first_applied.values().filter(|at| **at - joined_at > grace).count();
-    assert_eq!((site.first_applied.len(), late), (1000, 0), "proxies served, and served too late");
+    let late = site
+        .first_applied
+        .values()
+        .filter(|at| **at - joined_at > grace)
+        .count();
+    assert_eq!(
+        (site.first_applied.len(), late),
+        (1000, 0),
+        "proxies served, and served too late"
+    );
 }
 
 #[test]
 fn a_large_fleet_with_much_traffic_at_each_proxy_stays_whole() {
-    let mut site = Site::new(Settings { proxies: 40, ..sparse() }, 1.0);
-    let mut events = vec![Event::Members(ListKind::WarmCopy, (0..60).map(entry).collect())];
+    let mut site = Site::new(
+        Settings {
+            proxies: 40,
+            ..sparse()
+        },
+        1.0,
+    );
+    let mut events = vec![Event::Members(
+        ListKind::WarmCopy,
+        (0..60).map(entry).collect(),
+    )];
     events.extend((0..40).map(|id| rated(id, 80.0)));
     site.send(&events);
     site.run(3, &[], &all_answer);
@@ -356,8 +534,17 @@
 /// Seen on a drawn day: one proxy brought four times what its part could bear, and the part's servers stayed full.
 #[test]
 fn a_proxy_that_brings_more_than_a_part_can_bear_is_given_the_whole_fleet() {
-    let mut site = Site::new(Settings { proxies: 300, ..sparse() }, 1.0);
-    let mut events = vec![Event::Members(ListKind::WarmCopy, (0..200).map(entry).collect())];
+    let mut site = Site::new(
+        Settings {
+            proxies: 300,
+            ..sparse()
+        },
+        1.0,
+    );
+    let mut events = vec![Event::Members(
+        ListKind::WarmCopy,
+        (0..200).map(entry).collect(),
+    )];
     events.extend((0..300).map(|id| rated(id, if id == 6 { 400.0 } else { 2.0 })));
     site.send(&events);
     site.run(6, &[], &all_answer);
@@ -370,14 +557,27 @@
 #[test]
 fn the_only_proxy_of_a_zone_is_bound_whatever_its_rate() {
     for tenths in 1..60 {
-        let lean = Settings { instances: 1, cross_price: 0.05, proxies: 3, ..settings() };
+        let lean = Settings {
+            instances: 1,
+            cross_price: 0.05,
+            proxies: 3,
+            ..settings()
+        };
         let mut site = Site::new(lean, 1.0);
         let rate = f64::from(tenths) * 0.1;
-        let mut events = vec![Event::Members(ListKind::WarmCopy, (0..12).map(entry).collect())];
+        let mut events = vec![Event::Members(
+            ListKind::WarmCopy,
+            (0..12).map(entry).collect(),
+        )];
         events.extend([rated(0, rate), rated(1, 0.7), rated(3, rate * 0.3)]);
         site.send(&events);
         site.run(1, &[], &all_answer);
-        assert!((0..4).filter(|id| *id != 2).all(|id| !site.named(id).is_empty()), "rate {rate}");
+        assert!(
+            (0..4)
+                .filter(|id| *id != 2)
+                .all(|id| !site.named(id).is_empty()),
+            "rate {rate}"
+        );
     }
 }
 
@@ -386,8 +586,14 @@
 fn a_part_that_lost_all_its_servers_borrows_or_its_proxies_move() {
     let mut site = Site::started(sparse(), 1.0, 200, 300);
     site.run(10, &healthy(200, &[]), &all_answer);
-    let lost: Vec<Entry> =
-        site.named(7).into_iter().map(|server| Entry { life: Lifecycle::Gone, ..entry(server.0) }).collect();
+    let lost: Vec<Entry> = site
+        .named(7)
+        .into_iter()
+        .map(|server| Entry {
+            life: Lifecycle::Gone,
+            ..entry(server.0)
+        })
+        .collect();
     assert!(lost.len() < 150, "a part, not all: {}", lost.len());
     site.send(&[Event::Members(ListKind::Changes, lost)]);
     site.run(2, &[], &all_answer);
@@ -397,14 +603,30 @@
 /// Seen on days of squeezed connections: each server accepted a few connections only, idled, and most tries found none.
 #[test]
 fn tables_narrow_while_tries_fail_everywhere_though_servers_idle_and_widen_again() {
-    let mut site = Site::started(Settings { proxies: 80, ..sparse() }, 1.0, 200, 80);
+    let mut site = Site::started(
+        Settings {
+            proxies: 80,
+            ..sparse()
+        },
+        1.0,
+        200,
+        80,
+    );
     site.run(8, &healthy(200, &[]), &all_answer);
     let usual = site.named(5).len();
-    let idle = Load { queue: Some(0.0), ..Load::default() };
-    let refused: Vec<Event> = (0..200).map(|id| reporting(heard(id, 8.0, 5.0, 200.0), idle)).collect();
+    let idle = Load {
+        queue: Some(0.0),
+        ..Load::default()
+    };
+    let refused: Vec<Event> = (0..200)
+        .map(|id| reporting(heard(id, 8.0, 5.0, 200.0), idle))
+        .collect();
     site.run(6, &refused, &all_answer);
     let narrowed = site.named(5).len();
-    assert!(narrowed >= 5 && 2 * narrowed <= usual, "{narrowed} of {usual}");
+    assert!(
+        narrowed >= 5 && 2 * narrowed <= usual,
+        "{narrowed} of {usual}"
+    );
     assert!((0..80).all(|id| !site.named(id).is_empty()));
     site.run(45, &healthy(200, &[]), &all_answer);
     assert_eq!(site.named(5).len(), usual);
@@ -412,30 +634,62 @@
 
 #[test]
 fn tables_do_not_narrow_while_probes_fail_as_well() {
-    let mut site = Site::started(Settings { proxies: 80, ..sparse() }, 1.0, 200, 80);
+    let mut site = Site::started(
+        Settings {
+            proxies: 80,
+            ..sparse()
+        },
+        1.0,
+        200,
+        80,
+    );
     site.run(8, &healthy(200, &[]), &all_answer);
     let usual = site.named(5).len();
     let failing: Vec<Event> = (0..200).map(|id| heard(id, 8.0, 5.0, 200.0)).collect();
     site.run(6, &failing, &|_| true);
-    assert!(site.named(5).len() >= usual, "an overload is not for want of connections");
+    assert!(
+        site.named(5).len() >= usual,
+        "an overload is not for want of connections"
+    );
 }
 
 /// Found in an incident: after tables were dealt anew, proxies still on the old ones held a lost server's full weight
 /// when it came back cold.
 #[test]
 fn a_server_that_returns_stays_out_until_no_table_holds_its_old_weight() {
-    let mut site = Site::started(Settings { proxies: 80, ..sparse() }, 1.0, 200, 80);
+    let mut site = Site::started(
+        Settings {
+            proxies: 80,
+            ..sparse()
+        },
+        1.0,
+        200,
+        80,
+    );
     site.run(8, &healthy(200, &[]), &all_answer);
     let server = *site.named(5).first().expect("bound");
-    site.send(&[Event::Members(ListKind::Changes, vec![Entry { life: Lifecycle::Gone, ..entry(server.0) }])]);
+    site.send(&[Event::Members(
+        ListKind::Changes,
+        vec![Entry {
+            life: Lifecycle::Gone,
+            ..entry(server.0)
+        }],
+    )]);
     assert!(site.shut.contains(&server));
     let now = site.now;
     site.send(&[Event::Members(ListKind::Changes, vec![cold(server.0, now)])]);
     for _ in 0..40 {
         site.run(1, &healthy(200, &[server.0]), &all_answer);
-        let heaviest = site.tables.values().filter_map(|lines| lines.get(&server)).fold(0.0, |a, b| b.max(a));
+        let heaviest = site
+            .tables
+            .values()
+            .filter_map(|lines| lines.get(&server))
+            .fold(0.0, |a, b| b.max(a));
         let age = (site.now - now).secs();
-        assert!(site.shut.contains(&server) || age > 16.0 || heaviest < 3.0, "weight {heaviest} at {age} s");
+        assert!(
+            site.shut.contains(&server) || age > 16.0 || heaviest < 3.0,
+            "weight {heaviest} at {age} s"
+        );
     }
     assert!(!site.shut.contains(&server), "it is let in again");
 }
@@ -448,30 +702,59 @@
     site.run(20, &healthy(300, &[]), &all_answer);
     let bad = |from: u32| -> Vec<Event> {
         let failed = move |id: &u32| (from..from + 60).contains(id);
-        (0..300).map(|id| heard(id, 8.0, if failed(&id) { 8.0 } else { 0.0 }, 200.0)).collect()
+        (0..300)
+            .map(|id| heard(id, 8.0, if failed(&id) { 8.0 } else { 0.0 }, 200.0))
+            .collect()
     };
     for round in 0..4 {
         site.run(10, &bad(60 * round), &all_answer);
     }
-    let weights: BTreeMap<ServerId, f64> = site.tables.values().flatten().map(|(id, w)| (*id, *w)).collect();
-    let restored =
-        (0..60).filter(|id| weights.get(&ServerId(*id)).is_some_and(|weight| *weight > 2.0)).count();
+    let weights: BTreeMap<ServerId, f64> = site
+        .tables
+        .values()
+        .flatten()
+        .map(|(id, w)| (*id, *w))
+        .collect();
+    let restored = (0..60)
+        .filter(|id| {
+            weights
+                .get(&ServerId(*id))
+                .is_some_and(|weight| *weight > 2.0)
+        })
+        .count();
     assert!(restored >= 40, "{restored} of the first 60 are back");
 }
 
 #[test]
-fn a_report_of_idleness_earns_a_slowed_server_nothing_and_one_of_fullness_costs_a_good_one_little() {
+fn a_report_of_idleness_earns_a_slowed_server_nothing_and_one_of_fullness_costs_a_good_one_little()
+{
     let mut world = World::new(settings(), 12, 4);
     world.run(10, &healthy(12, &[]));
     world.slow_probes.insert(2);
     let mut events = healthy(12, &[2, 5]);
-    let idle = Load { queue: Some(0.0), latency_ms: Some(40.0), ..Load::default() };
-    let full = Load { queue: Some(50.0), latency_ms: Some(400.0), ..Load::default() };
+    let idle = Load {
+        queue: Some(0.0),
+        latency_ms: Some(40.0),
+        ..Load::default()
+    };
+    let full = Load {
+        queue: Some(50.0),
+        latency_ms: Some(400.0),
+        ..Load::default()
+    };
     events.push(reporting(heard(2, 8.0, 0.0, 500.0), idle));
     events.push(reporting(heard(5, 8.0, 0.0, 200.0), full));
     world.run(12, &events);
-    assert!(world.weight(2) <= 4.0, "idle by its own word: {}", world.weight(2));
-    assert!(world.weight(5) >= 3.0, "full by its own word: {}", world.weight(5));
+    assert!(
+        world.weight(2) <= 4.0,
+        "idle by its own word: {}",
+        world.weight(2)
+    );
+    assert!(
+        world.weight(5) >= 3.0,
+        "full by its own word: {}",
+        world.weight(5)
+    );
 }
 
 /// Seen on days of a slow link: a zone's servers that its own proxies reached well lost their weight for all.
@@ -483,7 +766,15 @@
             let far = slow && u32::from(from) != id % 2;
             let (failed, mean_ms) = if far { (4.0, 900.0) } else { (0.0, 200.0) };
             let (zone, server, load) = (ZoneId(from), ServerId(id), Load::default());
-            Event::Heard { zone, server, tries: 8.0, failed, mean_ms, period: ms(1000), load }
+            Event::Heard {
+                zone,
+                server,
+                tries: 8.0,
+                failed,
+                mean_ms,
+                period: ms(1000),
+                load,
+            }
         };
         (0..24).map(tally).collect()
     };
@@ -492,11 +783,23 @@
     world.run(12, &both(true));
     let share = |table: u16, zone: u32| -> f64 {
         let lines = &world.tables[&TableId(table)];
-        let of_zone = lines.iter().filter(|(id, _)| id.0 % 2 == zone).map(|(_, weight)| weight).sum::<f64>();
+        let of_zone = lines
+            .iter()
+            .filter(|(id, _)| id.0 % 2 == zone)
+            .map(|(_, weight)| weight)
+            .sum::<f64>();
         of_zone / lines.values().sum::<f64>()
     };
-    assert!(share(0, 1) < 0.2, "zone 0 sends little over the slow way: {}", share(0, 1));
-    assert!(share(1, 1) > 0.4, "zone 1 keeps to its own servers: {}", share(1, 1));
+    assert!(
+        share(0, 1) < 0.2,
+        "zone 0 sends little over the slow way: {}",
+        share(0, 1)
+    );
+    assert!(
+        share(1, 1) > 0.4,
+        "zone 1 keeps to its own servers: {}",
+        share(1, 1)
+    );
 }
 
 /// Seen on sockets: two zones were cut off from a supervisor's own. Nine tenths of the requests were refused for a jam
@@ -505,7 +808,10 @@
 fn a_zone_cut_off_is_left_alone_refuses_nobody_and_is_blamed_for_nothing_later() {
     let mut world = World::new(settings(), 24, 6);
     let met = |cut: bool| -> Vec<Event> {
-        let load = Load { queue: Some(0.0), ..Load::default() };
+        let load = Load {
+            queue: Some(0.0),
+            ..Load::default()
+        };
         let tally = |id: u32| match cut && id % 2 == 1 {
             true => heard(id, 8.0, 8.0, 0.0),
             false => reporting(heard(id, 8.0, 0.0, 200.0), load),
@@ -516,12 +822,31 @@
     world.mute.extend((0..24).filter(|id| id % 2 == 1));
     // Tries on the way have not timed out yet.
     world.run(2, &met(false));
-    let far = |world: &World| (0..24).filter(|id| id % 2 == 1).map(|id| world.weight(id)).sum::<f64>();
-    let near = |world: &World| (0..24).filter(|id| id % 2 == 0).map(|id| world.weight(id)).sum::<f64>();
-    assert!(far(&world) < 0.1 * near(&world), "{} of {}", far(&world), near(&world));
+    let far = |world: &World| {
+        (0..24)
+            .filter(|id| id % 2 == 1)
+            .map(|id| world.weight(id))
+            .sum::<f64>()
+    };
+    let near = |world: &World| {
+        (0..24)
+            .filter(|id| id % 2 == 0)
+            .map(|id| world.weight(id))
+            .sum::<f64>()
+    };
+    assert!(
+        far(&world) < 0.1 * near(&world),
+        "{} of {}",
+        far(&world),
+        near(&world)
+    );
     world.actions.clear();
     world.run(6, &met(true));
-    assert!(world.levels.values().all(|level| *level == 1.0), "{:?}", world.levels);
+    assert!(
+        world.levels.values().all(|level| *level == 1.0),
+        "{:?}",
+        world.levels
+    );
     // The way is back; its servers answer one after the other, and the last tries that failed are told late.
     for back in [1, 3, 5, 7, 9] {
         world.mute.remove(&back);
@@ -529,13 +854,27 @@
     world.run(1, &met(true));
     world.mute.clear();
     world.run(6, &met(false));
-    assert!(far(&world) > 0.8 * near(&world), "{} of {}", far(&world), near(&world));
-    let blamed = world
-        .actions
-        .iter()
-        .filter(|a| matches!(a, Action::Note(Note::State { state: State::Withdrawn, .. })));
+    assert!(
+        far(&world) > 0.8 * near(&world),
+        "{} of {}",
+        far(&world),
+        near(&world)
+    );
+    let blamed = world.actions.iter().filter(|a| {
+        matches!(
+            a,
+            Action::Note(Note::State {
+                state: State::Withdrawn,
+                ..
+            })
+        )
+    });
     assert_eq!(blamed.count(), 0);
-    assert!(world.levels.values().all(|level| *level == 1.0), "{:?}", world.levels);
+    assert!(
+        world.levels.values().all(|level| *level == 1.0),
+        "{:?}",
+        world.levels
+    );
 }
 
 #[test]
@@ -544,7 +883,13 @@
     site.run(4, &healthy(100, &[]), &all_answer);
     let twice: Vec<Entry> = (0..100).chain(0..100).map(entry).collect();
     let period = ms(0);
-    let idle = Event::Usage { proxy: ProxyId(3), class: ClassId(9), came: 4.0, failed: 0.0, period };
+    let idle = Event::Usage {
+        proxy: ProxyId(3),
+        class: ClassId(9),
+        came: 4.0,
+        failed: 0.0,
+        period,
+    };
     let nothing = Event::Heard {
         zone: ZoneId(40),
         server: ServerId(3),
@@ -554,14 +899,27 @@
         period,
         load: Load::default(),
     };
-    let unknown = Event::Receipt { proxy: ProxyId(5000), mark: 9, took: ms(1) };
-    let odd =
-        [heard(9999, 5.0, 1.0, 10.0), idle, nothing, unknown, Event::Left(ProxyId(4999)), Event::Timer(77)];
+    let unknown = Event::Receipt {
+        proxy: ProxyId(5000),
+        mark: 9,
+        took: ms(1),
+    };
+    let odd = [
+        heard(9999, 5.0, 1.0, 10.0),
+        idle,
+        nothing,
+        unknown,
+        Event::Left(ProxyId(4999)),
+        Event::Timer(77),
+    ];
     site.send(&[Event::Members(ListKind::Complete, twice)]);
     site.run(4, &odd, &all_answer);
     assert_eq!(site.binds(), 200);
     let weights = site.tables.values().flat_map(BTreeMap::values);
     assert!(
-        weights.clone().count() >= 100 && weights.clone().all(|weight| weight.is_finite() && *weight > 0.0)
+        weights.clone().count() >= 100
+            && weights
+                .clone()
+                .all(|weight| weight.is_finite() && *weight > 0.0)
     );
 }
--- a/crates/policy/tests/states.rs
+++ b/crates/policy/tests/states.rs
@@ -21,7 +21,10 @@
     world.actions.clear();
     world.run(20, &healthy(8, &[]));
     assert!((0..8).all(|id| world.weight(id) == 4.0));
-    assert!(!world.actions.iter().any(|action| matches!(action, Action::Line { .. })));
+    assert!(!world
+        .actions
+        .iter()
+        .any(|action| matches!(action, Action::Line { .. })));
 }
 
 #[test]
@@ -32,7 +35,9 @@
     events.push(heard(3, 8.0, 7.0, 200.0));
     world.run(4, &events);
     assert_eq!(world.weight(3), 0.0);
-    assert!((0..8).filter(|id| *id != 3).all(|id| world.weight(id) == 4.0));
+    assert!((0..8)
+        .filter(|id| *id != 3)
+        .all(|id| world.weight(id) == 4.0));
 }
 
 #[test]
@@ -70,12 +75,23 @@
     world.actions.clear();
     world.run(8, &healthy(8, &[3]));
     let back = world.actions.iter().find_map(|action| match action {
-        Action::Line { server: ServerId(3), weight, .. } => Some(*weight),
+        Action::Line {
+            server: ServerId(3),
+            weight,
+            ..
+        } => Some(*weight),
         _ => None,
     });
-    assert!(back.is_some_and(|weight| weight <= 0.4001), "first weight after the return: {back:?}");
+    assert!(
+        back.is_some_and(|weight| weight <= 0.4001),
+        "first weight after the return: {back:?}"
+    );
     world.run(12, &healthy(8, &[]));
-    assert!((3.3..=4.8).contains(&world.weight(3)), "within a fifth: {}", world.weight(3));
+    assert!(
+        (3.3..=4.8).contains(&world.weight(3)),
+        "within a fifth: {}",
+        world.weight(3)
+    );
 }
 
 #[test]
@@ -107,7 +123,13 @@
 }
 
 fn with_service_time(id: u32, ms: f64) -> Event {
-    reporting(heard(id, 8.0, 0.0, 200.0), Load { latency_ms: Some(ms), ..Load::default() })
+    reporting(
+        heard(id, 8.0, 0.0, 200.0),
+        Load {
+            latency_ms: Some(ms),
+            ..Load::default()
+        },
+    )
 }
 
 #[test]
@@ -118,7 +140,12 @@
     // Each second's report differs a little: one that repeats the last is no news.
     for second in 0..20 {
         let events: Vec<Event> = (0..8)
-            .map(|id| with_service_time(id, f64::from(second) * 0.01 + if id == 2 { 200.0 } else { 100.0 }))
+            .map(|id| {
+                with_service_time(
+                    id,
+                    f64::from(second) * 0.01 + if id == 2 { 200.0 } else { 100.0 },
+                )
+            })
             .collect();
         world.run(1, &events);
     }
@@ -152,10 +179,17 @@
     world.run(5, &healthy(8, &[]));
     for second in 0..8 {
         let mut events = healthy(8, &[3]);
-        let load = Load { queue: Some(20.0 + f64::from(second)), ..Load::default() };
+        let load = Load {
+            queue: Some(20.0 + f64::from(second)),
+            ..Load::default()
+        };
         events.push(reporting(heard(3, 8.0, 5.0, 900.0), load));
         world.run(1, &events);
-        assert!(world.weight(3) > 0.4, "weight {} after {second} s", world.weight(3));
+        assert!(
+            world.weight(3) > 0.4,
+            "weight {} after {second} s",
+            world.weight(3)
+        );
     }
 }
 
@@ -179,11 +213,21 @@
     world.slow_probes.insert(2);
     world.slowness = 20;
     for second in 0..6 {
-        let load = Load { queue: Some(30.0 + f64::from(second)), ..Load::default() };
-        let jammed: Vec<Event> = healthy(8, &[]).into_iter().map(|tally| reporting(tally, load)).collect();
+        let load = Load {
+            queue: Some(30.0 + f64::from(second)),
+            ..Load::default()
+        };
+        let jammed: Vec<Event> = healthy(8, &[])
+            .into_iter()
+            .map(|tally| reporting(tally, load))
+            .collect();
         world.run(1, &jammed);
     }
-    assert!(world.weight(2) > 0.5 * before, "weight {} after {before}", world.weight(2));
+    assert!(
+        world.weight(2) > 0.5 * before,
+        "weight {} after {before}",
+        world.weight(2)
+    );
 }
 
 /// Seen on sockets: machines that took three to four times their usual kept half of their weight and more for seconds,
@@ -196,5 +240,9 @@
     world.slow_probes.insert(2);
     world.slowness = 5;
     world.run(6, &healthy(8, &[]));
-    assert!(world.weight(2) < 0.4 * before, "weight {} of {before}", world.weight(2));
+    assert!(
+        world.weight(2) < 0.4 * before,
+        "weight {} of {before}",
+        world.weight(2)
+    );
 }
--- a/crates/records/benches/store.rs
+++ b/crates/records/benches/store.rs
@@ -21,8 +21,14 @@
 const DAY: u64 = 1_000_000;
 const DAY_US: i64 = 86_400_000_000;
 const MINUTE_US: i64 = 60_000_000;
-const KEEP: Retention = Retention { bytes: 1 << 40, age: Duration::from_secs(1 << 30) };
-const FREELY: Cost = Cost { time: Duration::from_secs(10), bytes: 1 << 40 };
+const KEEP: Retention = Retention {
+    bytes: 1 << 40,
+    age: Duration::from_secs(1 << 30),
+};
+const FREELY: Cost = Cost {
+    time: Duration::from_secs(10),
+    bytes: 1 << 40,
+};
 
 fn state(n: u64) -> Kind {
     Kind::StateChanged(pb::StateChanged {
@@ -37,7 +43,12 @@
 
 fn record(n: u64) -> Record {
     let at_us = (n as i64) * (DAY_US / DAY as i64);
-    Record { seq: n + 1, at_us, learned_us: at_us, kind: Some(state(n)) }
+    Record {
+        seq: n + 1,
+        at_us,
+        learned_us: at_us,
+        kind: Some(state(n)),
+    }
 }
 
 fn framed(records: impl Iterator<Item = u64>) -> Vec<u8> {
@@ -52,7 +63,9 @@
     let mut store = Store::open(directory, "n0").expect("a store");
     for batch in 0..DAY / 2000 {
         let frames = framed(batch * 2000..(batch + 1) * 2000);
-        store.append(&frames, batch * 2000 + 1, 0).expect("an append");
+        store
+            .append(&frames, batch * 2000 + 1, 0)
+            .expect("an append");
     }
     store.commit().expect("a commit");
     let shared = Shared::default();
@@ -78,7 +91,11 @@
                 std::thread::sleep(Duration::from_millis(60));
                 (0..2000).map(state).collect::<Vec<_>>()
             },
-            |kinds| kinds.into_iter().for_each(|kind| recorder.note(1, 1, black_box(kind))),
+            |kinds| {
+                kinds
+                    .into_iter()
+                    .for_each(|kind| recorder.note(1, 1, black_box(kind)))
+            },
             BatchSize::PerIteration,
         )
     });
@@ -87,7 +104,9 @@
 
 fn append(c: &mut Criterion) {
     let mut group = c.benchmark_group("append and commit 100,000 records");
-    group.sample_size(10).throughput(Throughput::Elements(100_000));
+    group
+        .sample_size(10)
+        .throughput(Throughput::Elements(100_000));
     group.bench_function("segments", |b| {
         b.iter_batched(
             || tempfile::tempdir().expect("a directory"),
@@ -107,12 +126,15 @@
         b.iter_batched(
             || tempfile::tempdir().expect("a directory"),
             |directory| {
-                let database = redb::Database::create(directory.path().join("r")).expect("a database");
+                let database =
+                    redb::Database::create(directory.path().join("r")).expect("a database");
                 let write = database.begin_write().expect("a transaction");
                 {
                     let mut table = write.open_table(TABLE).expect("a table");
                     for n in 0..100_000 {
-                        table.insert(n, record(n).encode_to_vec().as_slice()).expect("an insert");
+                        table
+                            .insert(n, record(n).encode_to_vec().as_slice())
+                            .expect("an insert");
                     }
                 }
                 write.commit().expect("a commit");
@@ -125,12 +147,20 @@
         b.iter_batched(
             || tempfile::tempdir().expect("a directory"),
             |directory| {
-                let keyspace = fjall::Config::new(directory.path()).open().expect("a keyspace");
-                let records = keyspace.open_partition("r", Default::default()).expect("a partition");
+                let keyspace = fjall::Config::new(directory.path())
+                    .open()
+                    .expect("a keyspace");
+                let records = keyspace
+                    .open_partition("r", Default::default())
+                    .expect("a partition");
                 for n in 0..100_000u64 {
-                    records.insert(n.to_be_bytes(), record(n).encode_to_vec()).expect("an insert");
+                    records
+                        .insert(n.to_be_bytes(), record(n).encode_to_vec())
+                        .expect("an insert");
                 }
-                keyspace.persist(fjall::PersistMode::SyncData).expect("a commit");
+                keyspace
+                    .persist(fjall::PersistMode::SyncData)
+                    .expect("a commit");
                 directory
             },
             BatchSize::PerIteration,
@@ -148,7 +178,12 @@
     let mut group = c.benchmark_group("recover a day of 1,000,000 records");
     group.sample_size(10);
     group.bench_function("next start of the writer", |b| {
-        b.iter(|| Store::open(directory.path(), "n0").expect("a store").recovered().expect("a look"))
+        b.iter(|| {
+            Store::open(directory.path(), "n0")
+                .expect("a store")
+                .recovered()
+                .expect("a look")
+        })
     });
     group.bench_function("every segment scanned", |b| {
         b.iter(|| {
@@ -156,7 +191,8 @@
             listed
                 .into_iter()
                 .map(|id| {
-                    let bytes = segment::bytes(&id.path(directory.path()), 0, u64::MAX).expect("its bytes");
+                    let bytes =
+                        segment::bytes(&id.path(directory.path()), 0, u64::MAX).expect("its bytes");
                     index::build(id, &bytes).records
                 })
                 .sum::<u64>()
@@ -174,7 +210,9 @@
     let wanted = timeline.read(&query).0.len();
     let mut group = c.benchmark_group("8 minutes of a day");
     group.sample_size(10);
-    group.bench_function("index", |b| b.iter(|| assert_eq!(timeline.read(&query).0.len(), wanted)));
+    group.bench_function("index", |b| {
+        b.iter(|| assert_eq!(timeline.read(&query).0.len(), wanted))
+    });
     group.bench_function("index, opened each time", |b| {
         b.iter(|| {
             let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("a timeline");
@@ -198,7 +236,9 @@
         // Keyed by time, which here is that of the event, so that a range is a window.
         let mut table = write.open_table(TABLE).expect("a table");
         for n in 0..DAY {
-            table.insert(record(n).at_us as u64, record(n).encode_to_vec().as_slice()).expect("an insert");
+            table
+                .insert(record(n).at_us as u64, record(n).encode_to_vec().as_slice())
+                .expect("an insert");
         }
     }
     write.commit().expect("a commit");
@@ -206,8 +246,11 @@
         b.iter(|| {
             let read = database.begin_read().expect("a transaction");
             let table = read.open_table(TABLE).expect("a table");
-            let range = table.range(from as u64..=(from + 8 * MINUTE_US) as u64).expect("a range");
-            let decoded = range.map(|row| Record::decode(row.expect("a row").1.value()).expect("a record"));
+            let range = table
+                .range(from as u64..=(from + 8 * MINUTE_US) as u64)
+                .expect("a range");
+            let decoded =
+                range.map(|row| Record::decode(row.expect("a row").1.value()).expect("a record"));
             assert_eq!(decoded.count(), wanted);
         })
     });
--- a/crates/records/src/clock.rs
+++ b/crates/records/src/clock.rs
@@ -43,13 +43,18 @@
 pub fn ahead(first: &Marks, second: &Marks) -> (i64, usize) {
     let pairs = first.0.iter().filter_map(|(news, times)| {
         let theirs = second.0.get(news)?;
-        (times.len() == theirs.len()).then(|| theirs.iter().zip(times).map(|(b, a)| b.saturating_sub(*a)))
+        (times.len() == theirs.len())
+            .then(|| theirs.iter().zip(times).map(|(b, a)| b.saturating_sub(*a)))
     });
     let mut differences: Vec<i64> = pairs.flatten().collect();
     let count = differences.len();
-    let Some(middle) = median(&mut differences).filter(|_| count >= PAIRS_LEAST) else { return (0, 0) };
-    let mut spread: Vec<i64> =
-        differences.iter().map(|one| one.saturating_sub(middle).saturating_abs()).collect();
+    let Some(middle) = median(&mut differences).filter(|_| count >= PAIRS_LEAST) else {
+        return (0, 0);
+    };
+    let mut spread: Vec<i64> = differences
+        .iter()
+        .map(|one| one.saturating_sub(middle).saturating_abs())
+        .collect();
     let close = median(&mut spread).is_some_and(|spread| spread <= SPREAD_MOST_US);
     if close && middle.saturating_abs() >= AHEAD_LEAST_US {
         (middle, count)
@@ -66,16 +71,34 @@
     fn marks(news: &[(&str, i64)]) -> Marks {
         let mut marks = Marks::default();
         for (server, at_us) in news {
-            let of = LifeChanged { server: server.to_string(), life: 1, ..Default::default() };
-            marks.add(&Record { learned_us: *at_us, kind: Some(Kind::LifeChanged(of)), ..Record::default() });
+            let of = LifeChanged {
+                server: server.to_string(),
+                life: 1,
+                ..Default::default()
+            };
+            marks.add(&Record {
+                learned_us: *at_us,
+                kind: Some(Kind::LifeChanged(of)),
+                ..Record::default()
+            });
         }
         marks
     }
 
     #[test]
     fn a_clock_ahead_is_told_from_shared_news() {
-        let first = marks(&[("a", 1_000_000), ("b", 5_000_000), ("c", 9_000_000), ("d", 20_000_000)]);
-        let second = marks(&[("a", 4_010_000), ("b", 7_990_000), ("c", 12_000_000), ("d", 30_000_000)]);
+        let first = marks(&[
+            ("a", 1_000_000),
+            ("b", 5_000_000),
+            ("c", 9_000_000),
+            ("d", 20_000_000),
+        ]);
+        let second = marks(&[
+            ("a", 4_010_000),
+            ("b", 7_990_000),
+            ("c", 12_000_000),
+            ("d", 30_000_000),
+        ]);
         assert_eq!(ahead(&first, &second), (3_010_000, 4));
         assert_eq!(ahead(&second, &first).0, -3_000_000);
     }
@@ -83,8 +106,24 @@
     #[test]
     fn little_or_contrary_news_shifts_nothing() {
         let first = marks(&[("a", 0), ("b", 0), ("c", 0)]);
-        assert_eq!(ahead(&first, &marks(&[("a", 3_000_000), ("b", 3_000_000)])), (0, 0));
-        assert_eq!(ahead(&first, &marks(&[("a", 0), ("b", 3_000_000), ("c", 9_000_000)])).0, 0);
-        assert_eq!(ahead(&first, &marks(&[("a", 400_000), ("b", 300_000), ("c", 500_000)])), (0, 3));
+        assert_eq!(
+            ahead(&first, &marks(&[("a", 3_000_000), ("b", 3_000_000)])),
+            (0, 0)
+        );
+        assert_eq!(
+            ahead(
+                &first,
+                &marks(&[("a", 0), ("b", 3_000_000), ("c", 9_000_000)])
+            )
+            .0,
+            0
+        );
+        assert_eq!(
+            ahead(
+                &first,
+                &marks(&[("a", 400_000), ("b", 300_000), ("c", 500_000)])
+            ),
+            (0, 3)
+        );
     }
 }
