--- a/crates/records/src/course.rs
+++ b/crates/records/src/course.rs
@@ -145,12 +145,22 @@
 impl Follower {
     /// Follows what happens in a window with these gaps.
     pub fn new(gaps: &[Gap], window: Window) -> Self {
-        let away =
-            |gap: &&Gap| matches!(gap.reason, GapReason::Crashed | GapReason::Stalled | GapReason::Stopped);
+        let away = |gap: &&Gap| {
+            matches!(
+                gap.reason,
+                GapReason::Crashed | GapReason::Stalled | GapReason::Stopped
+            )
+        };
         let mut away: Vec<Gap> = gaps.iter().filter(away).cloned().collect();
         away.sort_by_key(|gap| std::cmp::Reverse(gap.from_us));
         let (pictures, open, course) = (BTreeMap::new(), BTreeMap::new(), Course::default());
-        Follower { window, pictures, open, away, course }
+        Follower {
+            window,
+            pictures,
+            open,
+            away,
+            course,
+        }
     }
 
     /// One supervisor's view after what was followed so far.
@@ -163,7 +173,10 @@
         while let Some(gap) = self.away.pop_if(|gap| gap.from_us <= event.at_us) {
             self.gone(&gap);
         }
-        let picture = self.pictures.entry(Arc::clone(&event.supervisor)).or_default();
+        let picture = self
+            .pictures
+            .entry(Arc::clone(&event.supervisor))
+            .or_default();
         let before = picture.clone_light(event);
         picture.apply(&event.record);
         let after = picture.clone_light(event);
@@ -203,8 +216,9 @@
             return;
         }
         let course = &mut self.course;
-        let more =
-            |known: &Option<(f64, i64, Arc<str>)>, value: f64| known.as_ref().is_none_or(|k| value > k.0);
+        let more = |known: &Option<(f64, i64, Arc<str>)>, value: f64| {
+            known.as_ref().is_none_or(|k| value > k.0)
+        };
         match &event.record.kind {
             Some(Kind::Gauge(of)) => {
                 if more(&course.waiting, of.waiting) {
@@ -213,10 +227,16 @@
                 if of.refused > 0.0 && more(&course.refused, of.refused) {
                     course.refused = Some((of.refused, at, Arc::clone(by)));
                 }
-                let classes =
-                    self.pictures.get(by).map(|picture| picture.classes.clone()).unwrap_or_default();
+                let classes = self
+                    .pictures
+                    .get(by)
+                    .map(|picture| picture.classes.clone())
+                    .unwrap_or_default();
                 for (class, level) in classes.into_iter().zip(&of.levels) {
-                    let lowest = course.lowest.entry(class).or_insert((1.0, at, Arc::clone(by)));
+                    let lowest = course
+                        .lowest
+                        .entry(class)
+                        .or_insert((1.0, at, Arc::clone(by)));
                     if *level < lowest.0 {
                         *lowest = (*level, at, Arc::clone(by));
                     }
@@ -241,15 +261,28 @@
         if before == after {
             return;
         }
-        if let Some(Seen { server, zone, standing }) = after {
+        if let Some(Seen {
+            server,
+            zone,
+            standing,
+        }) = after
+        {
             self.span(event.at_us, &event.supervisor, server, zone, *standing);
         } else if let Some(Seen { server, zone, .. }) = before {
-            self.span(event.at_us, &event.supervisor, server, zone, Standing::Unknown);
+            self.span(
+                event.at_us,
+                &event.supervisor,
+                server,
+                zone,
+                Standing::Unknown,
+            );
         }
     }
 
     fn spans_of_all(&mut self, event: &Event) {
-        let Some(picture) = self.pictures.get(&event.supervisor) else { return };
+        let Some(picture) = self.pictures.get(&event.supervisor) else {
+            return;
+        };
         let seen: Vec<(String, String, Standing)> = picture
             .servers
             .iter()
@@ -263,14 +296,26 @@
     fn span(&mut self, at_us: i64, by: &Arc<str>, server: &str, zone: &str, standing: Standing) {
         let at_us = at_us.clamp(self.window.from_us, self.window.to_us);
         let key = (Arc::clone(by), server.to_string());
-        let (_, spans) = self.course.standings.entry(key).or_insert_with(|| (zone.to_string(), Vec::new()));
+        let (_, spans) = self
+            .course
+            .standings
+            .entry(key)
+            .or_insert_with(|| (zone.to_string(), Vec::new()));
         match spans.last_mut() {
             Some(last) if last.standing == standing => {}
             Some(last) => {
                 last.to_us = at_us;
-                spans.push(Span { from_us: at_us, to_us: at_us, standing });
+                spans.push(Span {
+                    from_us: at_us,
+                    to_us: at_us,
+                    standing,
+                });
             }
-            None => spans.push(Span { from_us: at_us, to_us: at_us, standing }),
+            None => spans.push(Span {
+                from_us: at_us,
+                to_us: at_us,
+                standing,
+            }),
         }
     }
 
@@ -285,7 +330,10 @@
         };
         match &event.record.kind {
             Some(Kind::StateChanged(of)) => {
-                set(of.state() != State::Full, Trouble::Server(of.server.clone()));
+                set(
+                    of.state() != State::Full,
+                    Trouble::Server(of.server.clone()),
+                );
                 if of.state() == State::Withdrawn {
                     if let Some(incident) = self.course.incidents.last_mut() {
                         incident.withdrawn.insert(of.server.clone());
@@ -307,7 +355,11 @@
             }
             Some(Kind::Discovery(of)) => set(!of.tells, Trouble::Discovery),
             Some(Kind::Fleet(of)) => {
-                for server in of.servers.iter().filter(|server| server.state() == State::Full) {
+                for server in of
+                    .servers
+                    .iter()
+                    .filter(|server| server.state() == State::Full)
+                {
                     self.end(at, &by, &Trouble::Server(server.name.clone()));
                 }
             }
@@ -329,11 +381,10 @@
         if self.open.contains_key(&(Arc::clone(&by), trouble.clone())) {
             return;
         }
-        let lasting = self
-            .course
-            .incidents
-            .last_mut()
-            .filter(|last| last.over_us.is_none_or(|over| at_us.saturating_sub(over) < APART_US));
+        let lasting = self.course.incidents.last_mut().filter(|last| {
+            last.over_us
+                .is_none_or(|over| at_us.saturating_sub(over) < APART_US)
+        });
         let first = format!("{by}: {words}");
         match lasting {
             Some(last) => {
@@ -354,7 +405,12 @@
     }
 
     fn end(&mut self, at_us: i64, by: &Arc<str>, trouble: &Trouble) {
-        if self.open.remove(&(Arc::clone(by), trouble.clone())).is_none() || !self.open.is_empty() {
+        if self
+            .open
+            .remove(&(Arc::clone(by), trouble.clone()))
+            .is_none()
+            || !self.open.is_empty()
+        {
             return;
         }
         if let Some(last) = self.course.incidents.last_mut() {
@@ -407,7 +463,11 @@
     fn clone_light(&self, event: &Event) -> Option<Seen> {
         let name = event.record.kind.as_ref().and_then(crate::kind::server)?;
         let server = self.servers.get(name)?;
-        Some(Seen { server: name.to_string(), zone: server.zone.clone(), standing: standing(server) })
+        Some(Seen {
+            server: name.to_string(),
+            zone: server.zone.clone(),
+            standing: standing(server),
+        })
     }
 }
 
@@ -421,8 +481,21 @@
     fn event(by: &str, second: i64, kind: Kind) -> Event {
         let at_us = second * SECOND;
         let number = crate::kind::number(&kind);
-        let record = Record { seq: 1, at_us, learned_us: at_us, kind: Some(kind) };
-        Event { supervisor: by.into(), incarnation: 1, record, number, newer: None, at_us, ahead_us: 0 }
+        let record = Record {
+            seq: 1,
+            at_us,
+            learned_us: at_us,
+            kind: Some(kind),
+        };
+        Event {
+            supervisor: by.into(),
+            incarnation: 1,
+            record,
+            number,
+            newer: None,
+            at_us,
+            ahead_us: 0,
+        }
     }
 
     fn state(server: &str, state: State) -> Kind {
@@ -433,7 +506,10 @@
         })
     }
 
-    const WINDOW: Window = Window { from_us: 0, to_us: 300 * SECOND };
+    const WINDOW: Window = Window {
+        from_us: 0,
+        to_us: 300 * SECOND,
+    };
 
     #[test]
     fn an_incident_has_a_begin_a_first_and_an_end() {
@@ -447,9 +523,18 @@
             event("n0", 200, state("s-3", State::Reduced)),
         ];
         let course = tell(&events, &[], WINDOW);
-        let [first, second] = &course.incidents[..] else { panic!("{:?}", course.incidents) };
-        assert_eq!((first.from_us, first.over_us), (10 * SECOND, Some(28 * SECOND)));
-        assert!(first.first.starts_with("n0: s-1 reduced"), "{}", first.first);
+        let [first, second] = &course.incidents[..] else {
+            panic!("{:?}", course.incidents)
+        };
+        assert_eq!(
+            (first.from_us, first.over_us),
+            (10 * SECOND, Some(28 * SECOND))
+        );
+        assert!(
+            first.first.starts_with("n0: s-1 reduced"),
+            "{}",
+            first.first
+        );
         assert_eq!(first.withdrawn, BTreeSet::from(["s-1".to_string()]));
         assert_eq!((second.from_us, second.over_us), (200 * SECOND, None));
         let (_, spans) = &course.standings[&("n0".into(), "s-1".to_string())];
@@ -471,9 +556,14 @@
             detail: String::new(),
         };
         let started = Kind::Started(pb::Started::default());
-        let events = [event("n0", 10, state("s-1", State::Reduced)), event("n0", 18, started)];
+        let events = [
+            event("n0", 10, state("s-1", State::Reduced)),
+            event("n0", 18, started),
+        ];
         let course = tell(&events, &[gap], WINDOW);
-        let [only] = &course.incidents[..] else { panic!("{:?}", course.incidents) };
+        let [only] = &course.incidents[..] else {
+            panic!("{:?}", course.incidents)
+        };
         assert_eq!((only.over_us, only.troubles.len()), (Some(18 * SECOND), 2));
         let (_, spans) = &course.standings[&("n0".into(), "s-1".to_string())];
         assert_eq!(
@@ -484,9 +574,17 @@
 
     #[test]
     fn figures_tell_how_far_it_went() {
-        let started = pb::Started { classes: vec!["lookup".into(), "order".into()], ..Default::default() };
+        let started = pb::Started {
+            classes: vec!["lookup".into(), "order".into()],
+            ..Default::default()
+        };
         let gauge = |waiting, refused, level| {
-            Kind::Gauge(pb::Gauge { waiting, refused, levels: vec![1.0, level], ..Default::default() })
+            Kind::Gauge(pb::Gauge {
+                waiting,
+                refused,
+                levels: vec![1.0, level],
+                ..Default::default()
+            })
         };
         let events = [
             event("n0", 1, Kind::Started(started)),
@@ -497,6 +595,9 @@
         let course = tell(&events, &[], WINDOW);
         assert_eq!(course.waiting, Some((50.0, 3 * SECOND, "n0".into())));
         assert_eq!(course.refused.map(|refused| refused.0), Some(0.4));
-        assert_eq!((course.lowest["order"].0, course.lowest["lookup"].0), (0.3, 1.0));
+        assert_eq!(
+            (course.lowest["order"].0, course.lowest["lookup"].0),
+            (0.3, 1.0)
+        );
     }
 }
--- a/crates/records/src/frame.rs
+++ b/crates/records/src/frame.rs
@@ -64,13 +64,25 @@
 
 fn look(bytes: &[u8], at: usize) -> Look<'_> {
     let broken = Look::Broken { checked: 0 };
-    let Some(head) = bytes.get(at..at + HEAD).filter(|head| head.starts_with(&MARK)) else { return broken };
-    let word = |from: usize| head.get(from..from + 4).and_then(|word| <[u8; 4]>::try_from(word).ok());
-    let (Some(length), Some(sum)) = (word(4), word(8)) else { return broken };
+    let Some(head) = bytes
+        .get(at..at + HEAD)
+        .filter(|head| head.starts_with(&MARK))
+    else {
+        return broken;
+    };
+    let word = |from: usize| {
+        head.get(from..from + 4)
+            .and_then(|word| <[u8; 4]>::try_from(word).ok())
+    };
+    let (Some(length), Some(sum)) = (word(4), word(8)) else {
+        return broken;
+    };
     let count = u32::from_le_bytes(length) as usize;
     let content = bytes.get(at + HEAD..(at + HEAD).saturating_add(count));
     match content.filter(|_| count <= CONTENT_MOST) {
-        Some(content) if checksum(length, content) == u32::from_le_bytes(sum) => Look::Whole(content),
+        Some(content) if checksum(length, content) == u32::from_le_bytes(sum) => {
+            Look::Whole(content)
+        }
         Some(_) => Look::Broken { checked: count },
         None => broken,
     }
@@ -119,7 +131,11 @@
         let found = self.found();
         self.at = found.unwrap_or(self.bytes.len());
         let bytes = self.at - at;
-        Some(if found.is_some() { Piece::Damaged { at, bytes } } else { Piece::Torn { at, bytes } })
+        Some(if found.is_some() {
+            Piece::Damaged { at, bytes }
+        } else {
+            Piece::Torn { at, bytes }
+        })
     }
 }
 
@@ -140,8 +156,13 @@
 
     fn whole(bytes: &[u8]) -> Vec<Vec<u8>> {
         let pieces = Pieces::new(bytes, 0);
-        let content =
-            |piece| if let Piece::Whole { content, .. } = piece { Some(content.to_vec()) } else { None };
+        let content = |piece| {
+            if let Piece::Whole { content, .. } = piece {
+                Some(content.to_vec())
+            } else {
+                None
+            }
+        };
         pieces.filter_map(content).collect()
     }
 
--- a/crates/records/src/index.rs
+++ b/crates/records/src/index.rs
@@ -47,7 +47,11 @@
 impl Query {
     /// Records between two times.
     pub fn between(from_us: i64, to_us: i64) -> Self {
-        Query { from_us: Some(from_us), to_us: Some(to_us), ..Query::default() }
+        Query {
+            from_us: Some(from_us),
+            to_us: Some(to_us),
+            ..Query::default()
+        }
     }
 
     /// Whether a span of time may hold wanted records.
@@ -57,8 +61,15 @@
 
     /// Whether a block may hold wanted records.
     pub fn may_hold(&self, block: &Block) -> bool {
-        let bit = |number: &u32| 1u64.checked_shl(number.wrapping_sub(kind::FIRST)).unwrap_or(0);
-        let kinds = self.kinds.is_empty() || self.kinds.iter().any(|number| block.kinds & bit(number) != 0);
+        let bit = |number: &u32| {
+            1u64.checked_shl(number.wrapping_sub(kind::FIRST))
+                .unwrap_or(0)
+        };
+        let kinds = self.kinds.is_empty()
+            || self
+                .kinds
+                .iter()
+                .any(|number| block.kinds & bit(number) != 0);
         let servers = self.server.as_ref().map_or(0, |server| bits(server));
         kinds && filter(block) & servers == servers && self.spans(block.min_at_us, block.max_at_us)
     }
@@ -87,19 +98,31 @@
     fn new(from_us: i64) -> Option<Self> {
         let waiting = Histogram::new_with_max(WAITING_MOST, WAITING_DIGITS).ok()?;
         let (counts, refused, streams, withdrawn) = (BTreeMap::new(), (0.0, 0.0, 0), None, 0);
-        Some(Sums { from_us, counts, waiting, refused, streams, withdrawn, levels: Vec::new() })
+        Some(Sums {
+            from_us,
+            counts,
+            waiting,
+            refused,
+            streams,
+            withdrawn,
+            levels: Vec::new(),
+        })
     }
 
     fn add(&mut self, number: u32, record: &Record) {
         *self.counts.entry(number).or_default() += 1;
-        let Some(Kind::Gauge(gauge)) = &record.kind else { return };
-        self.waiting.saturating_record(gauge.waiting.max(0.0) as u64);
+        let Some(Kind::Gauge(gauge)) = &record.kind else {
+            return;
+        };
+        self.waiting
+            .saturating_record(gauge.waiting.max(0.0) as u64);
         let (sum, most, count) = self.refused;
         self.refused = (sum + gauge.refused, most.max(gauge.refused), count + 1);
         let (least, most) = self.streams.unwrap_or((gauge.streams, gauge.streams));
         self.streams = Some((least.min(gauge.streams), most.max(gauge.streams)));
         self.withdrawn = self.withdrawn.max(gauge.withdrawn);
-        self.levels.resize(self.levels.len().max(gauge.levels.len()), 1.0);
+        self.levels
+            .resize(self.levels.len().max(gauge.levels.len()), 1.0);
         for (known, level) in self.levels.iter_mut().zip(&gauge.levels) {
             *known = known.min(*level);
         }
@@ -136,8 +159,18 @@
 impl Builder {
     /// Begins the index of a segment that is so long.
     pub fn new(id: SegmentId, length: u64) -> Self {
-        let index = Index { length, incarnation: id.incarnation, number: id.number, ..Index::default() };
-        Builder { index, block: None, sums: None, damaged: false }
+        let index = Index {
+            length,
+            incarnation: id.incarnation,
+            number: id.number,
+            ..Index::default()
+        };
+        Builder {
+            index,
+            block: None,
+            sums: None,
+            damaged: false,
+        }
     }
 
     /// Takes in the next item.
@@ -170,9 +203,17 @@
             return;
         }
         let (from_us, to_us) = (self.index.last_us, record.learned_us);
-        let missing = record.seq.saturating_sub(self.index.last_seq).saturating_sub(1);
-        let hole =
-            |reason: &str| Hole { from_us, to_us, missing, reason: reason.into(), detail: String::new() };
+        let missing = record
+            .seq
+            .saturating_sub(self.index.last_seq)
+            .saturating_sub(1);
+        let hole = |reason: &str| Hole {
+            from_us,
+            to_us,
+            missing,
+            reason: reason.into(),
+            detail: String::new(),
+        };
         if missing > 0 || std::mem::take(&mut self.damaged) {
             self.index.holes.push(hole("damaged"));
         } else if to_us.saturating_sub(from_us) > STALLED_US {
@@ -203,7 +244,11 @@
     }
 
     fn block(&mut self, at: u64, bytes: u64, number: u32, record: &Record) {
-        if self.block.as_ref().is_some_and(|block| block.records >= BLOCK_RECORDS) {
+        if self
+            .block
+            .as_ref()
+            .is_some_and(|block| block.records >= BLOCK_RECORDS)
+        {
             self.index.blocks.extend(self.block.take());
         }
         let fresh = || Block {
@@ -219,7 +264,9 @@
         block.last_seq = record.seq;
         block.min_at_us = block.min_at_us.min(record.at_us);
         block.max_at_us = block.max_at_us.max(record.at_us);
-        block.kinds |= 1u64.checked_shl(number.wrapping_sub(kind::FIRST)).unwrap_or(0);
+        block.kinds |= 1u64
+            .checked_shl(number.wrapping_sub(kind::FIRST))
+            .unwrap_or(0);
         let servers = filter(block) | record.kind.as_ref().and_then(kind::server).map_or(0, bits);
         (block.servers_low, block.servers_high) = (servers as u64, (servers >> 64) as u64);
     }
@@ -227,8 +274,14 @@
     /// Ten seconds are told by when records were learned, which never goes back.
     fn roll(&mut self, number: u32, record: &Record) {
         let from_us = record.learned_us.div_euclid(ROLLUP_US) * ROLLUP_US;
-        if self.sums.as_ref().is_some_and(|sums| sums.from_us != from_us) {
-            self.index.rollups.extend(self.sums.take().map(Sums::rollup));
+        if self
+            .sums
+            .as_ref()
+            .is_some_and(|sums| sums.from_us != from_us)
+        {
+            self.index
+                .rollups
+                .extend(self.sums.take().map(Sums::rollup));
         }
         if self.sums.is_none() {
             self.sums = Sums::new(from_us);
@@ -241,7 +294,9 @@
     /// The index.
     pub fn finish(mut self) -> Index {
         self.index.blocks.extend(self.block.take());
-        self.index.rollups.extend(self.sums.take().map(Sums::rollup));
+        self.index
+            .rollups
+            .extend(self.sums.take().map(Sums::rollup));
         self.index
     }
 }
@@ -260,7 +315,9 @@
 
     fn block(servers: &[&str], kinds: &[u32]) -> Block {
         let servers = servers.iter().fold(0, |all, server| all | bits(server));
-        let kinds = kinds.iter().fold(0, |all, number| all | 1u64 << (number - kind::FIRST));
+        let kinds = kinds
+            .iter()
+            .fold(0, |all, number| all | 1u64 << (number - kind::FIRST));
         Block {
             kinds,
             servers_low: servers as u64,
@@ -280,12 +337,19 @@
             kinds: kinds.to_vec(),
             server: server.map(str::to_string),
         };
-        assert!(query(20, 30, &[], None).may_hold(&block) && query(0, 10, &[], None).may_hold(&block));
-        assert!(!query(21, 30, &[], None).may_hold(&block) && !query(0, 9, &[], None).may_hold(&block));
+        assert!(
+            query(20, 30, &[], None).may_hold(&block) && query(0, 10, &[], None).may_hold(&block)
+        );
+        assert!(
+            !query(21, 30, &[], None).may_hold(&block) && !query(0, 9, &[], None).may_hold(&block)
+        );
         assert!(query(0, 30, &[20], Some("s-2")).may_hold(&block));
         assert!(!query(0, 30, &[21], Some("s-2")).may_hold(&block));
         assert!(!query(0, 30, &[20], Some("s-77")).may_hold(&block));
-        assert!(!query(0, 30, &[9_999], None).may_hold(&block), "a kind beyond the set is in no block");
+        assert!(
+            !query(0, 30, &[9_999], None).may_hold(&block),
+            "a kind beyond the set is in no block"
+        );
     }
 
     #[test]
@@ -300,16 +364,43 @@
                 ..pb::Gauge::default()
             };
             let at_us = second as i64 * 1_000_000;
-            let record = Record { seq: seq as u64, at_us, learned_us: at_us, kind: Some(Kind::Gauge(gauge)) };
-            let read = kind::Read { number: 43, record, newer: None };
-            builder.add(&Item::Record { at: 0, bytes: 1, read });
+            let record = Record {
+                seq: seq as u64,
+                at_us,
+                learned_us: at_us,
+                kind: Some(Kind::Gauge(gauge)),
+            };
+            let read = kind::Read {
+                number: 43,
+                record,
+                newer: None,
+            };
+            builder.add(&Item::Record {
+                at: 0,
+                bytes: 1,
+                read,
+            });
         }
         let index = builder.finish();
         let middle = &index.rollups[1];
-        assert_eq!((index.rollups.len(), middle.from_us, middle.counts[&43]), (3, 10_000_000, 10));
-        assert_eq!((middle.refused_most, middle.refused_mean, middle.levels[1]), (0.5, 0.05, 0.4));
-        assert!((middle.waiting_p50 - 140.0).abs() < 10.0 && (middle.waiting_most - 190.0).abs() < 2.0);
-        assert_eq!((index.rollups[2].streams_least, index.rollups[2].streams_most), (7, 7));
+        assert_eq!(
+            (index.rollups.len(), middle.from_us, middle.counts[&43]),
+            (3, 10_000_000, 10)
+        );
+        assert_eq!(
+            (middle.refused_most, middle.refused_mean, middle.levels[1]),
+            (0.5, 0.05, 0.4)
+        );
+        assert!(
+            (middle.waiting_p50 - 140.0).abs() < 10.0 && (middle.waiting_most - 190.0).abs() < 2.0
+        );
+        assert_eq!(
+            (
+                index.rollups[2].streams_least,
+                index.rollups[2].streams_most
+            ),
+            (7, 7)
+        );
         assert!(index.holes.is_empty());
     }
 }
--- a/crates/records/src/jobs.rs
+++ b/crates/records/src/jobs.rs
@@ -49,8 +49,16 @@
 pub fn all(directory: &Path, retention: Retention, shared: &Shared) -> Vec<Box<dyn Job + Send>> {
     let directory = directory.to_path_buf();
     vec![
-        Box::new(Trim { directory: directory.clone(), retention, shared: shared.clone() }),
-        Box::new(Seal { directory, shared: shared.clone(), under_way: None }),
+        Box::new(Trim {
+            directory: directory.clone(),
+            retention,
+            shared: shared.clone(),
+        }),
+        Box::new(Seal {
+            directory,
+            shared: shared.clone(),
+            under_way: None,
+        }),
     ]
 }
 
@@ -106,7 +114,10 @@
         Priority::Urgent
     }
     fn bound(&self) -> Cost {
-        Cost { time: Duration::from_millis(20), bytes: 0 }
+        Cost {
+            time: Duration::from_millis(20),
+            bytes: 0,
+        }
     }
 }
 
@@ -135,7 +146,12 @@
     fn begin(&self) -> Option<UnderWay> {
         let id = self.wanted()?;
         let length = std::fs::metadata(id.path(&self.directory)).ok()?.len();
-        Some(UnderWay { id, length, read: 0, builder: Builder::new(id, length) })
+        Some(UnderWay {
+            id,
+            length,
+            read: 0,
+            builder: Builder::new(id, length),
+        })
     }
 
     /// Reads on, as far as whole frames go.
@@ -168,7 +184,9 @@
         let Some(mut job) = self.under_way.take().or_else(|| self.begin()) else {
             return (0, Left::After(LOOK_EVERY));
         };
-        let Ok(bytes) = self.read(&mut job) else { return (0, Left::After(LOOK_EVERY)) };
+        let Ok(bytes) = self.read(&mut job) else {
+            return (0, Left::After(LOOK_EVERY));
+        };
         if job.read < job.length {
             self.under_way = Some(job);
             return (bytes, Left::More);
@@ -179,13 +197,20 @@
         let path = job.id.index_path(&self.directory);
         let draft = path.with_extension("tmp");
         let written = std::fs::write(&draft, &out).and_then(|()| std::fs::rename(&draft, &path));
-        let left = if written.is_ok() { Left::More } else { Left::After(LOOK_EVERY) };
+        let left = if written.is_ok() {
+            Left::More
+        } else {
+            Left::After(LOOK_EVERY)
+        };
         (bytes + out.len() as u64, left)
     }
     fn priority(&self) -> Priority {
         Priority::Normal
     }
     fn bound(&self) -> Cost {
-        Cost { time: Duration::from_millis(100), bytes: 2 * STEP_BYTES }
+        Cost {
+            time: Duration::from_millis(100),
+            bytes: 2 * STEP_BYTES,
+        }
     }
 }
--- a/crates/records/src/kind.rs
+++ b/crates/records/src/kind.rs
@@ -74,12 +74,18 @@
 
 /// The name of a kind by its number.
 pub fn name(number: u32) -> &'static str {
-    KINDS.iter().find(|(known, _)| *known == number).map_or("unknown", |(_, name)| name)
+    KINDS
+        .iter()
+        .find(|(known, _)| *known == number)
+        .map_or("unknown", |(_, name)| name)
 }
 
 /// The number of a kind by its name.
 pub fn by_name(name: &str) -> Option<u32> {
-    KINDS.iter().find(|(_, known)| *known == name).map(|(number, _)| *number)
+    KINDS
+        .iter()
+        .find(|(_, known)| *known == name)
+        .map(|(number, _)| *number)
 }
 
 /// The server that a record is about, where it is about one.
@@ -134,9 +140,16 @@
 /// Reads a record; what is newer than this version is kept as bytes. Nothing if it is no record.
 pub fn read(content: &[u8]) -> Option<Read> {
     let record = Record::decode(content).ok()?;
-    let number = record.kind.as_ref().map_or_else(|| unknown(content), number);
+    let number = record
+        .kind
+        .as_ref()
+        .map_or_else(|| unknown(content), number);
     let newer = (record.encoded_len() != content.len()).then(|| content.to_vec());
-    Some(Read { record, number, newer })
+    Some(Read {
+        record,
+        number,
+        newer,
+    })
 }
 
 /// The first field's number beyond those that every record has.
@@ -170,14 +183,31 @@
     /// Danger: a day's records of a newer version, read by an older one, are silently fewer.
     #[test]
     fn what_is_newer_is_kept_and_shown_as_unknown() {
-        let mut bytes = Record { seq: 7, at_us: 5, learned_us: 6, kind: None }.encode_to_vec();
+        let mut bytes = Record {
+            seq: 7,
+            at_us: 5,
+            learned_us: 6,
+            kind: None,
+        }
+        .encode_to_vec();
         prost::encoding::encode_key(60, prost::encoding::WireType::LengthDelimited, &mut bytes);
         bytes.extend_from_slice(&[3, 1, 2, 3]);
         let newer = read(&bytes).expect("a record");
-        assert_eq!((newer.record.seq, newer.number, newer.newer.as_deref()), (7, 60, Some(&bytes[..])));
-
-        let gauge = Kind::Gauge(pb::Gauge { waiting: 3.0, ..Default::default() });
-        let known = Record { seq: 8, kind: Some(gauge), ..Default::default() }.encode_to_vec();
+        assert_eq!(
+            (newer.record.seq, newer.number, newer.newer.as_deref()),
+            (7, 60, Some(&bytes[..]))
+        );
+
+        let gauge = Kind::Gauge(pb::Gauge {
+            waiting: 3.0,
+            ..Default::default()
+        });
+        let known = Record {
+            seq: 8,
+            kind: Some(gauge),
+            ..Default::default()
+        }
+        .encode_to_vec();
         assert_eq!(read(&known).expect("a record").newer, None);
         assert!(read(&[0xff; 9]).is_none());
     }
--- a/crates/records/src/observe.rs
+++ b/crates/records/src/observe.rs
@@ -26,7 +26,9 @@
         }
         let share = failed / tries;
         let way = (server.to_string(), zone.to_string());
-        let failing = if share >= FAILS.0 && !self.failing.contains(&way) && self.failing.len() < FAILING_MOST
+        let failing = if share >= FAILS.0
+            && !self.failing.contains(&way)
+            && self.failing.len() < FAILING_MOST
         {
             self.failing.insert(way);
             true
@@ -35,7 +37,13 @@
         } else {
             return None;
         };
-        Some(Failing { server: server.to_string(), zone: zone.to_string(), failing, tries, failed })
+        Some(Failing {
+            server: server.to_string(),
+            zone: zone.to_string(),
+            failing,
+            tries,
+            failed,
+        })
     }
 
     /// The server is gone, whatever it was.
@@ -51,7 +59,11 @@
     #[test]
     fn only_the_begin_and_the_end_of_failing_are_news() {
         let mut observer = Observer::default();
-        let mut tell = |tries, failed| observer.heard("a", "s-1", tries, failed).map(|of| of.failing);
+        let mut tell = |tries, failed| {
+            observer
+                .heard("a", "s-1", tries, failed)
+                .map(|of| of.failing)
+        };
         assert_eq!(tell(3.0, 3.0), None, "too few to say");
         assert_eq!(tell(10.0, 4.0), None);
         assert_eq!(tell(10.0, 5.0), Some(true));
--- a/crates/records/src/recorder.rs
+++ b/crates/records/src/recorder.rs
@@ -47,13 +47,30 @@
 
 impl Missing {
     fn add(&mut self, at_us: i64) {
-        let (from, to) = if self.count == 0 { (at_us, at_us) } else { (self.from_us, self.to_us) };
-        *self = Missing { count: self.count + 1, from_us: from.min(at_us), to_us: to.max(at_us) };
+        let (from, to) = if self.count == 0 {
+            (at_us, at_us)
+        } else {
+            (self.from_us, self.to_us)
+        };
+        *self = Missing {
+            count: self.count + 1,
+            from_us: from.min(at_us),
+            to_us: to.max(at_us),
+        };
     }
 
     fn record(self, reason: &str) -> Kind {
-        let Missing { count, from_us, to_us } = self;
-        Kind::Lost(Lost { count, from_us, to_us, reason: reason.to_string() })
+        let Missing {
+            count,
+            from_us,
+            to_us,
+        } = self;
+        Kind::Lost(Lost {
+            count,
+            from_us,
+            to_us,
+            reason: reason.to_string(),
+        })
     }
 }
 
@@ -68,14 +85,22 @@
     pub fn note(&self, at_us: i64, learned_us: i64, kind: Kind) {
         let mut missing = self.missing.borrow_mut();
         if missing.count > 0 {
-            let lost = Item { at_us: missing.from_us, learned_us, kind: missing.record("queue") };
+            let lost = Item {
+                at_us: missing.from_us,
+                learned_us,
+                kind: missing.record("queue"),
+            };
             if self.queue.push(lost).is_err() {
                 missing.add(at_us);
                 return;
             }
             *missing = Missing::default();
         }
-        let item = Item { at_us: at_us.min(learned_us), learned_us, kind };
+        let item = Item {
+            at_us: at_us.min(learned_us),
+            learned_us,
+            kind,
+        };
         if self.queue.push(item).is_err() {
             missing.add(at_us);
         }
@@ -109,21 +134,39 @@
     now_us: impl Fn() -> i64 + Send + 'static,
 ) -> std::io::Result<(Recorder, Recording)> {
     let queue = Arc::new(ArrayQueue::new(QUEUE_MOST));
-    let (stop, written) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+    let (stop, written) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicU64::new(0)),
+    );
     let shared = Shared::default();
     let keeper = {
         let (stop, options, shared) = (stop.clone(), options.clone(), shared.clone());
         let jobs = jobs::all(&options.directory, options.retention, &shared);
         let work = move || background::run(jobs, options.budget, || stop.load(Ordering::Acquire));
-        std::thread::Builder::new().name("records-keeper".into()).spawn(work)?
+        std::thread::Builder::new()
+            .name("records-keeper".into())
+            .spawn(work)?
     };
     let writer = {
         let (stop, queue, written) = (stop.clone(), queue.clone(), written.clone());
         let work = move || Writer::new(options, shared, written).run(&queue, &stop, now_us);
-        std::thread::Builder::new().name("records-writer".into()).spawn(work)?
+        std::thread::Builder::new()
+            .name("records-writer".into())
+            .spawn(work)?
     };
-    let recorder = Recorder { queue, missing: RefCell::default() };
-    Ok((recorder, Recording { stop, written, writer: Some(writer), keeper: Some(keeper) }))
+    let recorder = Recorder {
+        queue,
+        missing: RefCell::default(),
+    };
+    Ok((
+        recorder,
+        Recording {
+            stop,
+            written,
+            writer: Some(writer),
+            keeper: Some(keeper),
+        },
+    ))
 }
 
 impl Recording {
@@ -142,7 +185,8 @@
         self.stop.store(true, Ordering::Release);
         let begun = Instant::now();
         let handles = [self.writer.take(), self.keeper.take()];
-        let ended = |handle: &Option<JoinHandle<()>>| handle.as_ref().is_none_or(JoinHandle::is_finished);
+        let ended =
+            |handle: &Option<JoinHandle<()>>| handle.as_ref().is_none_or(JoinHandle::is_finished);
         while !handles.iter().all(ended) && begun.elapsed() < within {
             std::thread::sleep(Duration::from_millis(2));
         }
@@ -208,7 +252,10 @@
 
     /// Whether a disk that took nothing is left alone for now; the last try of all is made in any case.
     fn waits(&self) -> bool {
-        !self.closing && self.tried.is_some_and(|tried| tried.elapsed() < AGAIN_EVERY)
+        !self.closing
+            && self
+                .tried
+                .is_some_and(|tried| tried.elapsed() < AGAIN_EVERY)
     }
 
     /// Opens the directory, at once and then now and then; tells what the start before has left.
@@ -226,7 +273,11 @@
                 if let Some(found) = found {
                     tell(&found);
                     self.write(
-                        vec![Item { at_us: now_us, learned_us: now_us, kind: Kind::Recovered(found) }],
+                        vec![Item {
+                            at_us: now_us,
+                            learned_us: now_us,
+                            kind: Kind::Recovered(found),
+                        }],
                         now_us,
                     );
                 }
@@ -256,8 +307,9 @@
     }
 
     fn write(&mut self, items: Vec<Item>, now_us: i64) {
-        let failed =
-            |missing: &mut Missing, items: &[Item]| items.iter().for_each(|item| missing.add(item.at_us));
+        let failed = |missing: &mut Missing, items: &[Item]| {
+            items.iter().for_each(|item| missing.add(item.at_us))
+        };
         if self.store.is_none() || (self.failing && self.waits()) {
             failed(&mut self.missing, &items);
             return;
@@ -274,7 +326,12 @@
             self.content.clear();
             let (at_us, learned_us) = (item.at_us, item.learned_us);
             // Without a clone of the kind: the fields of every record, then the kind.
-            let head = Record { seq: seq + 1, at_us, learned_us, kind: None };
+            let head = Record {
+                seq: seq + 1,
+                at_us,
+                learned_us,
+                kind: None,
+            };
             if head.encode(&mut self.content).is_ok() {
                 item.kind.encode(&mut self.content);
                 seq += u64::from(frame::put(&mut self.frames, &self.content));
--- a/crates/records/src/replay.rs
+++ b/crates/records/src/replay.rs
@@ -141,7 +141,12 @@
                 let zone = of.zone.clone();
                 self.servers.insert(
                     of.server.clone(),
-                    Server { zone, warmth: 0.0, since_us: record.at_us, ..Server::default() },
+                    Server {
+                        zone,
+                        warmth: 0.0,
+                        since_us: record.at_us,
+                        ..Server::default()
+                    },
                 );
             }
             Kind::Withdrawn(of) => {
@@ -201,9 +206,15 @@
             let known = before.get(&of.name);
             let (state, life) = (of.state(), of.life());
             let same = known.filter(|known| (known.state, known.life) == (state, life));
-            let since_us = same.map_or(if known.is_some() { at_us } else { 0 }, |known| known.since_us);
+            let since_us = same.map_or(if known.is_some() { at_us } else { 0 }, |known| {
+                known.since_us
+            });
             let failing = known.is_some_and(|known| known.failing);
-            let server = Server { failing, since_us, ..Server::from(of) };
+            let server = Server {
+                failing,
+                since_us,
+                ..Server::from(of)
+            };
             self.servers.insert(of.name.clone(), server);
         }
     }
@@ -214,7 +225,12 @@
     use super::*;
 
     fn record(at_us: i64, kind: Kind) -> Record {
-        Record { seq: 1, at_us, learned_us: at_us, kind: Some(kind) }
+        Record {
+            seq: 1,
+            at_us,
+            learned_us: at_us,
+            kind: Some(kind),
+        }
     }
 
     fn state(server: &str, state: State) -> Kind {
@@ -237,10 +253,20 @@
             zone: "a".into(),
             ..Default::default()
         });
-        picture.apply(&record(5, Kind::Fleet(pb::Fleet { servers: all.into(), ..pb::Fleet::default() })));
+        picture.apply(&record(
+            5,
+            Kind::Fleet(pb::Fleet {
+                servers: all.into(),
+                ..pb::Fleet::default()
+            }),
+        ));
         let (one, two) = (&picture.servers["s-1"], &picture.servers["s-2"]);
         assert_eq!((one.state, one.since_us, two.since_us), (State::Full, 5, 0));
-        let gone = pb::LifeChanged { server: "s-1".into(), life: Life::Gone.into(), ..Default::default() };
+        let gone = pb::LifeChanged {
+            server: "s-1".into(),
+            life: Life::Gone.into(),
+            ..Default::default()
+        };
         picture.apply(&record(6, Kind::LifeChanged(gone)));
         assert_eq!(picture.servers.len(), 1);
     }
@@ -250,11 +276,17 @@
     fn a_moment_long_after_the_start_knows_the_classes() {
         let mut picture = Picture::default();
         let classes = vec!["x".to_string(), "y".to_string()];
-        let fleet = pb::Fleet { classes: classes.clone(), ..pb::Fleet::default() };
+        let fleet = pb::Fleet {
+            classes: classes.clone(),
+            ..pb::Fleet::default()
+        };
         picture.apply(&record(30_000_000, Kind::Fleet(fleet)));
         assert_eq!(picture.classes, classes);
         picture.apply(&record(50_000_000, Kind::Fleet(pb::Fleet::default())));
-        assert_eq!(picture.classes, classes, "a record of an earlier version takes nothing away");
+        assert_eq!(
+            picture.classes, classes,
+            "a record of an earlier version takes nothing away"
+        );
     }
 
     /// Danger: a start that knows nothing yet would show what the one before held.
@@ -266,8 +298,18 @@
         assert!(picture.stopped);
         picture.apply(&record(
             3,
-            Kind::Started(pb::Started { classes: vec!["x".into()], ..Default::default() }),
+            Kind::Started(pb::Started {
+                classes: vec!["x".into()],
+                ..Default::default()
+            }),
         ));
-        assert_eq!((picture.servers.len(), picture.stopped, picture.classes.len()), (0, false, 1));
+        assert_eq!(
+            (
+                picture.servers.len(),
+                picture.stopped,
+                picture.classes.len()
+            ),
+            (0, false, 1)
+        );
     }
 }
--- a/crates/records/src/segment.rs
+++ b/crates/records/src/segment.rs
@@ -30,7 +30,10 @@
 impl SegmentId {
     /// The segment's file.
     pub fn path(self, directory: &Path) -> PathBuf {
-        directory.join(format!("{:08}-{:06}.{ENDING}", self.incarnation, self.number))
+        directory.join(format!(
+            "{:08}-{:06}.{ENDING}",
+            self.incarnation, self.number
+        ))
     }
 
     /// The file of its index.
@@ -40,9 +43,15 @@
 
     fn of(name: &str) -> Option<Self> {
         let (incarnation, number) = name.strip_suffix(&format!(".{ENDING}"))?.split_once('-')?;
-        let digits =
-            |text: &str| text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok())?;
-        Some(SegmentId { incarnation: digits(incarnation)?, number: digits(number)? })
+        let digits = |text: &str| {
+            text.bytes()
+                .all(|byte| byte.is_ascii_digit())
+                .then(|| text.parse().ok())?
+        };
+        Some(SegmentId {
+            incarnation: digits(incarnation)?,
+            number: digits(number)?,
+        })
     }
 }
 
@@ -110,7 +119,9 @@
 /// Reads the index beside a segment; nothing if there is none, it is damaged, or the segment has another length.
 pub fn stored_index(directory: &Path, id: SegmentId) -> Option<Index> {
     let bytes = std::fs::read(id.index_path(directory)).ok()?;
-    let Some(Piece::Whole { content, .. }) = Pieces::new(&bytes, 0).next() else { return None };
+    let Some(Piece::Whole { content, .. }) = Pieces::new(&bytes, 0).next() else {
+        return None;
+    };
     let index = Index::decode(content).ok()?;
     let length = std::fs::metadata(id.path(directory)).ok()?.len();
     (index.length == length && index.incarnation == id.incarnation && index.number == id.number)
@@ -123,12 +134,25 @@
 
     #[test]
     fn names_tell_the_order_and_nothing_else_is_a_segment() {
-        let id = SegmentId { incarnation: 12, number: 3 };
+        let id = SegmentId {
+            incarnation: 12,
+            number: 3,
+        };
         let path = id.path(Path::new("/x"));
         assert_eq!(path, Path::new("/x/00000012-000003.seg"));
         assert_eq!(SegmentId::of("00000012-000003.seg"), Some(id));
-        assert_eq!(SegmentId::of("123456789-000003.seg").map(|id| id.incarnation), Some(123_456_789));
-        for other in ["lock", "a-b.seg", "1.seg", "00000012-000003.idx", "+1-2.seg", "-.seg"] {
+        assert_eq!(
+            SegmentId::of("123456789-000003.seg").map(|id| id.incarnation),
+            Some(123_456_789)
+        );
+        for other in [
+            "lock",
+            "a-b.seg",
+            "1.seg",
+            "00000012-000003.idx",
+            "+1-2.seg",
+            "-.seg",
+        ] {
             assert_eq!(SegmentId::of(other), None, "{other}");
         }
     }
--- a/crates/records/src/store.rs
+++ b/crates/records/src/store.rs
@@ -54,7 +54,12 @@
 fn lock(directory: &Path) -> Result<File, Fault> {
     std::fs::create_dir_all(directory).map_err(at(directory))?;
     let path = directory.join(LOCK);
-    let file = OpenOptions::new().create(true).truncate(false).write(true).open(&path).map_err(at(&path))?;
+    let file = OpenOptions::new()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(&path)
+        .map_err(at(&path))?;
     match file.try_lock() {
         Ok(()) => Ok(file),
         Err(TryLockError::WouldBlock) => Err(Fault::InUse(directory.to_path_buf())),
@@ -71,7 +76,10 @@
         Ok(Store {
             directory: directory.to_path_buf(),
             supervisor: supervisor.to_string(),
-            id: SegmentId { incarnation, number: 0 },
+            id: SegmentId {
+                incarnation,
+                number: 0,
+            },
             active: None,
             _lock: lock,
         })
@@ -85,7 +93,10 @@
     /// What the start before has left, if there was one: a look at its last segment.
     pub fn recovered(&self) -> Result<Option<Recovered>, Fault> {
         let known = segment::list(&self.directory).map_err(at(&self.directory))?;
-        let Some(last) = known.into_iter().rfind(|id| id.incarnation < self.id.incarnation) else {
+        let Some(last) = known
+            .into_iter()
+            .rfind(|id| id.incarnation < self.id.incarnation)
+        else {
             return Ok(None);
         };
         let path = last.path(&self.directory);
@@ -104,7 +115,10 @@
     /// Appends frames. On a fault the segment is left as it is, whatever part of them it holds, and the next append
     /// begins another.
     pub fn append(&mut self, frames: &[u8], first_seq: u64, now_us: i64) -> Result<(), Fault> {
-        let full = self.active.as_ref().is_some_and(|active| active.length >= SEAL_BYTES);
+        let full = self
+            .active
+            .as_ref()
+            .is_some_and(|active| active.length >= SEAL_BYTES);
         if full {
             self.commit()?;
             self.active = None;
@@ -124,7 +138,11 @@
         let id = self.id;
         let path = id.path(&self.directory);
         self.id.number += 1;
-        let mut file = OpenOptions::new().create_new(true).write(true).open(&path).map_err(at(&path))?;
+        let mut file = OpenOptions::new()
+            .create_new(true)
+            .write(true)
+            .open(&path)
+            .map_err(at(&path))?;
         let header = SegmentHeader {
             version: VERSION,
             supervisor: self.supervisor.clone(),
@@ -136,7 +154,12 @@
         let mut head = Vec::new();
         frame::put(&mut head, &header.encode_to_vec());
         file.write_all(&head).map_err(at(&path))?;
-        Ok(Active { file, path, length: head.len() as u64, dirty: true })
+        Ok(Active {
+            file,
+            path,
+            length: head.len() as u64,
+            dirty: true,
+        })
     }
 
     /// Whether something was appended since the last commit.
@@ -146,7 +169,9 @@
 
     /// Returns once all that was appended would survive a loss of power.
     pub fn commit(&mut self) -> Result<(), Fault> {
-        let Some(mut active) = self.active.take() else { return Ok(()) };
+        let Some(mut active) = self.active.take() else {
+            return Ok(());
+        };
         if active.dirty {
             active.file.sync_data().map_err(at(&active.path))?;
             active.dirty = false;
@@ -158,7 +183,10 @@
     /// The segment being written, if there is one: background jobs leave it alone.
     pub fn writing(&self) -> Option<SegmentId> {
         self.active.as_ref()?;
-        Some(SegmentId { number: self.id.number.saturating_sub(1), ..self.id })
+        Some(SegmentId {
+            number: self.id.number.saturating_sub(1),
+            ..self.id
+        })
     }
 }
 
@@ -170,20 +198,38 @@
 
     pub(crate) fn framed(records: &[Record]) -> Vec<u8> {
         let mut out = Vec::new();
-        records.iter().for_each(|record| assert!(frame::put(&mut out, &record.encode_to_vec())));
+        records
+            .iter()
+            .for_each(|record| assert!(frame::put(&mut out, &record.encode_to_vec())));
         out
     }
 
     fn records(count: u64) -> Vec<Record> {
-        let kind = |seq| Kind::Gauge(Gauge { waiting: seq as f64, ..Gauge::default() });
+        let kind = |seq| {
+            Kind::Gauge(Gauge {
+                waiting: seq as f64,
+                ..Gauge::default()
+            })
+        };
         (1..=count)
-            .map(|seq| Record { seq, at_us: seq as i64, learned_us: seq as i64, kind: Some(kind(seq)) })
+            .map(|seq| Record {
+                seq,
+                at_us: seq as i64,
+                learned_us: seq as i64,
+                kind: Some(kind(seq)),
+            })
             .collect()
     }
 
     fn read(directory: &Path, id: SegmentId) -> Vec<Record> {
         let bytes = segment::bytes(&id.path(directory), 0, u64::MAX).expect("a segment");
-        let record = |(_, item)| if let Item::Record { read, .. } = item { Some(read.record) } else { None };
+        let record = |(_, item)| {
+            if let Item::Record { read, .. } = item {
+                Some(read.record)
+            } else {
+                None
+            }
+        };
         segment::items(&bytes, 0).filter_map(record).collect()
     }
 
@@ -191,10 +237,20 @@
     fn the_second_in_one_directory_is_refused_until_the_first_is_gone() {
         let directory = tempfile::tempdir().expect("a directory");
         let first = Store::open(directory.path(), "n0").expect("a store");
-        let refused = Store::open(directory.path(), "n0").expect_err("it is in use").to_string();
-        assert!(refused.contains("in use by another supervisor") && !refused.contains('\n'), "{refused}");
+        let refused = Store::open(directory.path(), "n0")
+            .expect_err("it is in use")
+            .to_string();
+        assert!(
+            refused.contains("in use by another supervisor") && !refused.contains('\n'),
+            "{refused}"
+        );
         drop(first);
-        assert_eq!(Store::open(directory.path(), "n0").expect("a stale file is no lock").incarnation(), 1);
+        assert_eq!(
+            Store::open(directory.path(), "n0")
+                .expect("a stale file is no lock")
+                .incarnation(),
+            1
+        );
     }
 
     /// Danger: a crash at a bad moment costs records that were safe, or the next start. All places are tried.
@@ -209,14 +265,23 @@
         drop(store);
         let path = id.path(directory.path());
         let whole = std::fs::read(&path).expect("its bytes");
-        let ends: Vec<usize> = (0..=all.len()).map(|n| whole.len() - framed(&all[n..]).len()).collect();
+        let ends: Vec<usize> = (0..=all.len())
+            .map(|n| whole.len() - framed(&all[n..]).len())
+            .collect();
         for cut in 0..=whole.len() {
             std::fs::write(&path, &whole[..cut]).expect("a cut file");
-            let kept = ends.iter().filter(|end| **end <= cut).count().saturating_sub(1);
+            let kept = ends
+                .iter()
+                .filter(|end| **end <= cut)
+                .count()
+                .saturating_sub(1);
             assert_eq!(read(directory.path(), id), all[..kept], "cut at {cut}");
             let mut next = Store::open(directory.path(), "n0").expect("the next start");
             let found = next.recovered().expect("a look").expect("a start before");
-            assert_eq!((found.incarnation, found.records, found.stopped), (1, kept as u64, false));
+            assert_eq!(
+                (found.incarnation, found.records, found.stopped),
+                (1, kept as u64, false)
+            );
             let torn = cut - ends.iter().rfind(|end| **end <= cut).copied().unwrap_or(0);
             assert_eq!(found.torn_bytes, torn as u64, "cut at {cut}");
             next.append(&framed(&records(1)), 1, 0).expect("an append");
@@ -231,11 +296,20 @@
         let directory = tempfile::tempdir().expect("a directory");
         let mut store = Store::open(directory.path(), "n0").expect("a store");
         let mut all = records(3);
-        all.push(Record { seq: 4, kind: Some(Kind::Stopped(Stopped::default())), ..Record::default() });
+        all.push(Record {
+            seq: 4,
+            kind: Some(Kind::Stopped(Stopped::default())),
+            ..Record::default()
+        });
         store.append(&framed(&all), 1, 0).expect("an append");
         drop(store);
         let next = Store::open(directory.path(), "n0").expect("a store");
-        assert!(next.recovered().expect("a look").expect("a start before").stopped);
+        assert!(
+            next.recovered()
+                .expect("a look")
+                .expect("a start before")
+                .stopped
+        );
     }
 
     #[test]
--- a/crates/records/src/text.rs
+++ b/crates/records/src/text.rs
@@ -57,14 +57,21 @@
 /// A record's kind in one line, without its time.
 pub fn line(kind: &Kind) -> String {
     match kind {
-        Kind::Started(of) => format!("started, version {}, listening at {}", of.version, of.listen),
+        Kind::Started(of) => format!(
+            "started, version {}, listening at {}",
+            of.version, of.listen
+        ),
         Kind::Stopped(of) => format!("stopped: {}", of.reason),
         Kind::ClockStepped(of) => {
             format!("the system's clock stepped by {}", signed(of.by_us))
         }
         Kind::Lost(of) => {
             let length = length(of.to_us.saturating_sub(of.from_us));
-            format!("{} records lost over {length}: {}", of.count, lost(&of.reason))
+            format!(
+                "{} records lost over {length}: {}",
+                of.count,
+                lost(&of.reason)
+            )
         }
         Kind::Recovered(of) => recovered(of),
         Kind::StateChanged(of) => format!(
@@ -79,15 +86,25 @@
         Kind::LifeChanged(of) => format!("{} {}", of.server, life(of.life())),
         Kind::ServerStarted(of) => format!("{} started", of.server),
         Kind::Withdrawn(of) if of.out => {
-            format!("{} shut out of all tables, {} streams told", of.server, of.streams)
+            format!(
+                "{} shut out of all tables, {} streams told",
+                of.server, of.streams
+            )
         }
         Kind::Withdrawn(of) => format!("{} let in again, {} streams told", of.server, of.streams),
         Kind::ColdHeld(of) if of.held => {
-            format!("cold servers held out of tables: {:.1} tries an answer", of.tries)
+            format!(
+                "cold servers held out of tables: {:.1} tries an answer",
+                of.tries
+            )
         }
         Kind::ColdHeld(of) => format!("cold servers let in again: {:.1} tries an answer", of.tries),
         Kind::ZoneCut(of) if of.cut => {
-            format!("zone {} cut off from here: {:.0} % answer no probe", of.zone, 100.0 * of.mute)
+            format!(
+                "zone {} cut off from here: {:.0} % answer no probe",
+                of.zone,
+                100.0 * of.mute
+            )
         }
         Kind::ZoneCut(of) => format!("zone {} answers again", of.zone),
         Kind::Saturation(of) => format!(
@@ -103,30 +120,56 @@
             of.strain
         ),
         Kind::AdviceVoid(of) if of.void => {
-            format!("advice on table {} is void: it would leave too little", of.table)
+            format!(
+                "advice on table {} is void: it would leave too little",
+                of.table
+            )
         }
         Kind::AdviceVoid(of) => format!("advice on table {} holds again", of.table),
         Kind::ServiceLevel(of) => service_level(of),
         Kind::PluginLoaded(of) if !of.refused.is_empty() => {
             format!("plug-in {} refused: {}", of.name, of.refused)
         }
-        Kind::PluginLoaded(of) => format!("plug-in {} version {} loaded, {}", of.name, of.version, of.digest),
+        Kind::PluginLoaded(of) => format!(
+            "plug-in {} version {} loaded, {}",
+            of.name, of.version, of.digest
+        ),
         Kind::PluginSaid(of) => format!("plug-in {} {}: {}", of.name, of.what, of.text),
         Kind::Parts(of) if of.narrowed => {
-            format!("fleet dealt into {} parts, narrowed: tries fail everywhere", of.parts)
+            format!(
+                "fleet dealt into {} parts, narrowed: tries fail everywhere",
+                of.parts
+            )
         }
         Kind::Parts(of) => format!("fleet dealt into {} parts", of.parts),
         Kind::Failing(of) if of.failing => {
-            format!("{} fails {:.0} of {:.0} tries from {}", of.server, of.failed, of.tries, of.zone)
+            format!(
+                "{} fails {:.0} of {:.0} tries from {}",
+                of.server, of.failed, of.tries, of.zone
+            )
         }
         Kind::Failing(of) => format!("{} answers tries from {} again", of.server, of.zone),
         Kind::StreamJoined(of) => {
-            let held = if of.new { "holds no table" } else { "brings a table" };
-            format!("proxy {}@{} joined with {:.1} requests/s, {held}", of.proxy, of.zone, of.rate)
+            let held = if of.new {
+                "holds no table"
+            } else {
+                "brings a table"
+            };
+            format!(
+                "proxy {}@{} joined with {:.1} requests/s, {held}",
+                of.proxy, of.zone, of.rate
+            )
         }
         Kind::StreamLeft(of) => {
-            let lasted = length(i64::try_from(of.lasted_ms).unwrap_or(i64::MAX).saturating_mul(1000));
-            format!("proxy {}@{} left after {lasted}: {}", of.proxy, of.zone, of.reason)
+            let lasted = length(
+                i64::try_from(of.lasted_ms)
+                    .unwrap_or(i64::MAX)
+                    .saturating_mul(1000),
+            );
+            format!(
+                "proxy {}@{} left after {lasted}: {}",
+                of.proxy, of.zone, of.reason
+            )
         }
         Kind::Published(of) => format!(
             "{} lines, {} bindings, {} withdrawals to {} streams",
@@ -147,7 +190,9 @@
 
 /// Text from a name that a peer gave, without what moves a terminal's cursor.
 pub fn printable(text: &str) -> String {
-    text.chars().map(|c| if c.is_control() { '\u{fffd}' } else { c }).collect()
+    text.chars()
+        .map(|c| if c.is_control() { '\u{fffd}' } else { c })
+        .collect()
 }
 
 /// A figure as short as it can be without loss below a hundredth.
@@ -167,17 +212,25 @@
 /// A signal with its age, where that says something.
 pub fn signal(of: &pb::Signal) -> String {
     let value = of.value.map_or_else(|| "unknown".to_string(), figure);
-    let age = i64::try_from(of.age_ms).unwrap_or(i64::MAX).saturating_mul(1000);
-    let old = if of.age_ms >= 1000 { format!(" {} ago", length(age)) } else { String::new() };
+    let age = i64::try_from(of.age_ms)
+        .unwrap_or(i64::MAX)
+        .saturating_mul(1000);
+    let old = if of.age_ms >= 1000 {
+        format!(" {} ago", length(age))
+    } else {
+        String::new()
+    };
     format!("{} {value}{old}", of.name)
 }
 
 fn service_level(of: &pb::ServiceLevel) -> String {
     let signals: Vec<String> = of.signals.iter().map(signal).collect();
     let mut text = format!("service level {} after {}, {}", of.to, of.from, of.reason);
-    for (lead, more) in
-        [(": ", of.condition.clone()), ("; ", signals.join(", ")), ("; tell ", of.tell.join(", "))]
-    {
+    for (lead, more) in [
+        (": ", of.condition.clone()),
+        ("; ", signals.join(", ")),
+        ("; tell ", of.tell.join(", ")),
+    ] {
         if !more.is_empty() {
             text += &format!("{lead}{more}");
         }
@@ -186,8 +239,15 @@
 }
 
 fn recovered(of: &pb::Recovered) -> String {
-    let end = if of.stopped { "ended as asked" } else { "ended without a last word" };
-    let mut text = format!("start {} {end}, {} records kept", of.incarnation, of.records);
+    let end = if of.stopped {
+        "ended as asked"
+    } else {
+        "ended without a last word"
+    };
+    let mut text = format!(
+        "start {} {end}, {} records kept",
+        of.incarnation, of.records
+    );
     if of.torn_bytes > 0 {
         text += &format!(", {} bytes of a torn tail dropped", of.torn_bytes);
     }
@@ -199,7 +259,11 @@
 
 /// A point in time, RFC 3339 with milliseconds, UTC.
 pub fn time(us: i64) -> String {
-    let at = Timestamp::from_microsecond(us).unwrap_or(if us < 0 { Timestamp::MIN } else { Timestamp::MAX });
+    let at = Timestamp::from_microsecond(us).unwrap_or(if us < 0 {
+        Timestamp::MIN
+    } else {
+        Timestamp::MAX
+    });
     at.strftime("%Y-%m-%dT%H:%M:%S%.3fZ").to_string()
 }
 
@@ -254,8 +318,15 @@
             .ok_or_else(no);
     }
     let day = time(last_us).get(..10).unwrap_or_default().to_string();
-    let seconds = if text.matches(':').count() == 1 { ":00" } else { "" };
-    format!("{day}T{text}{seconds}Z").parse::<Timestamp>().map(|at| at.as_microsecond()).map_err(|_| no())
+    let seconds = if text.matches(':').count() == 1 {
+        ":00"
+    } else {
+        ""
+    };
+    format!("{day}T{text}{seconds}Z")
+        .parse::<Timestamp>()
+        .map(|at| at.as_microsecond())
+        .map_err(|_| no())
 }
 
 #[cfg(test)]
@@ -266,20 +337,46 @@
     fn times_read_as_people_write_them() {
         let last = parse_time("2026-12-01T10:00:00Z", 0).expect("a time");
         assert_eq!(time(last), "2026-12-01T10:00:00.000Z");
-        assert_eq!(clock(parse_time("09:12", last).expect("a time")), "09:12:00.000");
-        assert_eq!(clock(parse_time("09:12:30.5", last).expect("a time")), "09:12:30.500");
-        assert_eq!(clock(parse_time("10m", last).expect("a time")), "09:50:00.000");
+        assert_eq!(
+            clock(parse_time("09:12", last).expect("a time")),
+            "09:12:00.000"
+        );
+        assert_eq!(
+            clock(parse_time("09:12:30.5", last).expect("a time")),
+            "09:12:30.500"
+        );
+        assert_eq!(
+            clock(parse_time("10m", last).expect("a time")),
+            "09:50:00.000"
+        );
         for wrong in ["", "9", "25:00", "xm", "-5m", "09:12:30:1"] {
             let said = parse_time(wrong, last).expect_err(wrong).to_string();
-            assert!(said.contains("is no time") && !said.contains('\n'), "{said}");
+            assert!(
+                said.contains("is no time") && !said.contains('\n'),
+                "{said}"
+            );
         }
     }
 
     #[test]
     fn lengths_read_as_people_say_them() {
-        let said: Vec<String> =
-            [0, 250_000, 1_500_000, 61_000_000, 7_260_000_000, -1_000_000].map(length).into();
-        assert_eq!(said, ["0 ms", "250 ms", "1.5 s", "1 min 1 s", "2 h 1 min", "-1.0 s"]);
-        assert_eq!((time(i64::MAX).len() > 20, time(i64::MIN).is_empty()), (true, false));
+        let said: Vec<String> = [0, 250_000, 1_500_000, 61_000_000, 7_260_000_000, -1_000_000]
+            .map(length)
+            .into();
+        assert_eq!(
+            said,
+            [
+                "0 ms",
+                "250 ms",
+                "1.5 s",
+                "1 min 1 s",
+                "2 h 1 min",
+                "-1.0 s"
+            ]
+        );
+        assert_eq!(
+            (time(i64::MAX).len() > 20, time(i64::MIN).is_empty()),
+            (true, false)
+        );
     }
 }
--- a/crates/records/src/timeline.rs
+++ b/crates/records/src/timeline.rs
@@ -40,7 +40,10 @@
             Some(kind) => crate::text::line(kind),
             None => {
                 let bytes = self.newer.as_ref().map_or(0, Vec::len);
-                format!("unknown kind {} of a newer version, {bytes} bytes", self.number)
+                format!(
+                    "unknown kind {} of a newer version, {bytes} bytes",
+                    self.number
+                )
             }
         }
     }
@@ -175,8 +178,13 @@
     if !segment::list(given).map_err(io)?.is_empty() {
         return Ok(vec![given.to_path_buf()]);
     }
-    let below = std::fs::read_dir(given).map_err(io)?.filter_map(|entry| Some(entry.ok()?.path()));
-    let mut below: Vec<PathBuf> = below.filter(|path| path.is_dir()).take(DIRECTORIES_MOST).collect();
+    let below = std::fs::read_dir(given)
+        .map_err(io)?
+        .filter_map(|entry| Some(entry.ok()?.path()));
+    let mut below: Vec<PathBuf> = below
+        .filter(|path| path.is_dir())
+        .take(DIRECTORIES_MOST)
+        .collect();
     below.retain(|path| segment::list(path).is_ok_and(|segments| !segments.is_empty()));
     below.sort();
     if below.is_empty() {
@@ -195,22 +203,37 @@
 
 impl Supervisor {
     fn open(directory: &Path) -> Result<Self, Fault> {
-        let listed = segment::list(directory).map_err(|fault| Fault::Io(directory.to_path_buf(), fault))?;
-        let segments: Vec<_> =
-            listed.into_iter().filter_map(|id| Some((id, indexed(directory, id)?))).collect();
-        let named =
-            segments.iter().rev().map(|(_, index)| index.supervisor.as_str()).find(|name| !name.is_empty());
-        let folder = directory.file_name().map(|name| name.to_string_lossy().into_owned());
+        let listed =
+            segment::list(directory).map_err(|fault| Fault::Io(directory.to_path_buf(), fault))?;
+        let segments: Vec<_> = listed
+            .into_iter()
+            .filter_map(|id| Some((id, indexed(directory, id)?)))
+            .collect();
+        let named = segments
+            .iter()
+            .rev()
+            .map(|(_, index)| index.supervisor.as_str())
+            .find(|name| !name.is_empty());
+        let folder = directory
+            .file_name()
+            .map(|name| name.to_string_lossy().into_owned());
         let name = named.map(str::to_string).or(folder).unwrap_or_default();
         let directory = directory.to_path_buf();
-        Ok(Supervisor { name: name.into(), directory, segments, ahead_us: 0, ahead_by: 0 })
+        Ok(Supervisor {
+            name: name.into(),
+            directory,
+            segments,
+            ahead_us: 0,
+            ahead_by: 0,
+        })
     }
 
     /// Looks again for what was written since; only segments that grew are read.
     pub fn refresh(&mut self) -> Result<(), Fault> {
         let fault = |fault| Fault::Io(self.directory.clone(), fault);
         let listed = segment::list(&self.directory).map_err(fault)?;
-        let mut known: BTreeMap<SegmentId, Index> = std::mem::take(&mut self.segments).into_iter().collect();
+        let mut known: BTreeMap<SegmentId, Index> =
+            std::mem::take(&mut self.segments).into_iter().collect();
         for id in listed {
             let length = std::fs::metadata(id.path(&self.directory)).map_or(0, |of| of.len());
             let kept = known.remove(&id).filter(|index| index.length == length);
@@ -227,12 +250,18 @@
         let mut gaps = Vec::new();
         for (id, index) in &self.segments {
             let path = id.path(&self.directory);
-            let mut wanted = index.blocks.iter().filter(|block| query.may_hold(block)).peekable();
+            let mut wanted = index
+                .blocks
+                .iter()
+                .filter(|block| query.may_hold(block))
+                .peekable();
             while let Some(first) = wanted.next() {
-                let (from, mut end, mut records) = (first.offset, first.offset + first.bytes, first.records);
+                let (from, mut end, mut records) =
+                    (first.offset, first.offset + first.bytes, first.records);
                 let (mut min_us, mut max_us) = (first.min_at_us, first.max_at_us);
                 // Neighbours are read at once.
-                while let Some(next) = wanted.next_if(|next| next.offset == end && end - from < READ_AT_ONCE)
+                while let Some(next) =
+                    wanted.next_if(|next| next.offset == end && end - from < READ_AT_ONCE)
                 {
                     end = next.offset + next.bytes;
                     records += next.records;
@@ -241,9 +270,15 @@
                 let bytes = segment::bytes(&path, from, end - from).unwrap_or_default();
                 let mut seen = 0;
                 for (_, item) in segment::items(&bytes, from) {
-                    let Item::Record { read, .. } = item else { continue };
+                    let Item::Record { read, .. } = item else {
+                        continue;
+                    };
                     seen += 1;
-                    let Read { record, number, newer } = read;
+                    let Read {
+                        record,
+                        number,
+                        newer,
+                    } = read;
                     if query.holds(&record, number) {
                         let at_us = record.at_us;
                         let supervisor = Arc::clone(&self.name);
@@ -260,9 +295,17 @@
                 }
                 if seen < records {
                     let (reason, missing) = (GapReason::Damaged, u64::from(records - seen));
-                    let detail = "damaged since it was indexed, or trimmed while it was read".to_string();
+                    let detail =
+                        "damaged since it was indexed, or trimmed while it was read".to_string();
                     let supervisor = Arc::clone(&self.name);
-                    gaps.push(Gap { supervisor, from_us: min_us, to_us: max_us, reason, missing, detail });
+                    gaps.push(Gap {
+                        supervisor,
+                        from_us: min_us,
+                        to_us: max_us,
+                        reason,
+                        missing,
+                        detail,
+                    });
                 }
             }
         }
@@ -285,33 +328,67 @@
         for (id, index) in self.segments.iter().map(|(id, index)| (*id, index)) {
             for hole in &index.holes {
                 let reason = GapReason::of(&hole.reason);
-                gaps.push(gap(hole.from_us, hole.to_us, reason, hole.missing, hole.detail.clone()));
+                gaps.push(gap(
+                    hole.from_us,
+                    hole.to_us,
+                    reason,
+                    hole.missing,
+                    hole.detail.clone(),
+                ));
             }
             if index.records == 0 {
                 continue;
             }
             match before {
                 None if id.incarnation > 1 || id.number > 0 || index.first_seq > 1 => {
-                    gaps.push(gap(i64::MIN, index.first_us, GapReason::Trimmed, 0, String::new()));
+                    gaps.push(gap(
+                        i64::MIN,
+                        index.first_us,
+                        GapReason::Trimmed,
+                        0,
+                        String::new(),
+                    ));
                 }
                 None => {}
                 Some((last, known)) if last.incarnation == id.incarnation => {
-                    let missing = index.first_seq.saturating_sub(known.last_seq).saturating_sub(1);
+                    let missing = index
+                        .first_seq
+                        .saturating_sub(known.last_seq)
+                        .saturating_sub(1);
                     if missing > 0 {
-                        let found =
-                            gap(known.last_us, index.first_us, GapReason::Damaged, missing, torn(known));
+                        let found = gap(
+                            known.last_us,
+                            index.first_us,
+                            GapReason::Damaged,
+                            missing,
+                            torn(known),
+                        );
                         gaps.push(found);
                     } else if index.first_us - known.last_us > index::STALLED_US {
-                        gaps.push(gap(known.last_us, index.first_us, GapReason::Stalled, 0, String::new()));
+                        gaps.push(gap(
+                            known.last_us,
+                            index.first_us,
+                            GapReason::Stalled,
+                            0,
+                            String::new(),
+                        ));
                     }
                 }
                 Some((last, known)) => {
                     let between = id.incarnation - last.incarnation - 1;
-                    let reason = if known.stopped { GapReason::Stopped } else { GapReason::Crashed };
+                    let reason = if known.stopped {
+                        GapReason::Stopped
+                    } else {
+                        GapReason::Crashed
+                    };
                     let mut detail = torn(known);
                     if between > 0 {
                         let starts = format!("{between} starts in between left nothing");
-                        detail = if detail.is_empty() { starts } else { format!("{detail}, {starts}") };
+                        detail = if detail.is_empty() {
+                            starts
+                        } else {
+                            format!("{detail}, {starts}")
+                        };
                     }
                     gaps.push(gap(known.last_us, index.first_us, reason, 0, detail));
                 }
@@ -321,15 +398,29 @@
         if let Some((_, last)) = before.filter(|(_, last)| !last.stopped) {
             gaps.push(gap(last.last_us, i64::MAX, GapReason::Open, 0, torn(last)));
         } else if let Some((_, last)) = before {
-            gaps.push(gap(last.last_us, i64::MAX, GapReason::Stopped, 0, String::new()));
+            gaps.push(gap(
+                last.last_us,
+                i64::MAX,
+                GapReason::Stopped,
+                0,
+                String::new(),
+            ));
         }
         gaps
     }
 
     /// The first and the last time at which something was learned.
     pub fn span(&self) -> Option<Window> {
-        let held = || self.segments.iter().map(|(_, index)| index).filter(|index| index.records > 0);
-        Some(Window { from_us: held().map(|i| i.first_us).min()?, to_us: held().map(|i| i.last_us).max()? })
+        let held = || {
+            self.segments
+                .iter()
+                .map(|(_, index)| index)
+                .filter(|index| index.records > 0)
+        };
+        Some(Window {
+            from_us: held().map(|i| i.first_us).min()?,
+            to_us: held().map(|i| i.last_us).max()?,
+        })
     }
 }
 
@@ -372,7 +463,10 @@
         if self.supervisors.len() < 2 {
             return;
         }
-        let shared = Query { kinds: clock::SHARED.to_vec(), ..Query::default() };
+        let shared = Query {
+            kinds: clock::SHARED.to_vec(),
+            ..Query::default()
+        };
         let marks: Vec<clock::Marks> = self
             .supervisors
             .iter()
@@ -393,10 +487,16 @@
         let spans = || {
             self.supervisors.iter().filter_map(|s| {
                 let span = s.span()?;
-                Some(Window { from_us: span.from_us - s.ahead_us, to_us: span.to_us - s.ahead_us })
+                Some(Window {
+                    from_us: span.from_us - s.ahead_us,
+                    to_us: span.to_us - s.ahead_us,
+                })
             })
         };
-        Some(Window { from_us: spans().map(|s| s.from_us).min()?, to_us: spans().map(|s| s.to_us).max()? })
+        Some(Window {
+            from_us: spans().map(|s| s.from_us).min()?,
+            to_us: spans().map(|s| s.to_us).max()?,
+        })
     }
 
     /// Wanted records of all supervisors in true order: by when they happened on the common clock, then as written. With
@@ -407,7 +507,11 @@
             let ahead = supervisor.ahead_us;
             let shifted = |us: Option<i64>| us.map(|us| us.saturating_add(ahead));
             let (from_us, to_us) = (shifted(query.from_us), shifted(query.to_us));
-            let its = Query { from_us, to_us, ..query.clone() };
+            let its = Query {
+                from_us,
+                to_us,
+                ..query.clone()
+            };
             found.extend(supervisor.each(&its, |mut event| {
                 event.ahead_us = ahead;
                 if event.number != clock::SERVER_STARTED {
@@ -417,8 +521,10 @@
             }));
         }
         in_order(&mut events);
-        let window =
-            Window { from_us: query.from_us.unwrap_or(i64::MIN), to_us: query.to_us.unwrap_or(i64::MAX) };
+        let window = Window {
+            from_us: query.from_us.unwrap_or(i64::MIN),
+            to_us: query.to_us.unwrap_or(i64::MAX),
+        };
         let mut gaps = self.gaps(window);
         gaps.extend(found);
         gaps.sort_by_key(|gap| (gap.from_us, gap.to_us));
@@ -430,8 +536,13 @@
         let mut gaps = Vec::new();
         for supervisor in &self.supervisors {
             let ahead = supervisor.ahead_us;
-            let common =
-                |us: i64| if us == i64::MIN || us == i64::MAX { us } else { us.saturating_sub(ahead) };
+            let common = |us: i64| {
+                if us == i64::MIN || us == i64::MAX {
+                    us
+                } else {
+                    us.saturating_sub(ahead)
+                }
+            };
             for gap in supervisor.gaps() {
                 let (from_us, to_us) = (common(gap.from_us), common(gap.to_us));
                 if to_us < window.from_us || from_us > window.to_us {
@@ -443,7 +554,11 @@
                 if trailing && to_us - from_us <= index::STALLED_US && gap.to_us == i64::MAX {
                     continue;
                 }
-                gaps.push(Gap { from_us, to_us, ..gap });
+                gaps.push(Gap {
+                    from_us,
+                    to_us,
+                    ..gap
+                });
             }
         }
         gaps.sort_by_key(|gap| (gap.from_us, gap.to_us));
@@ -454,11 +569,17 @@
     pub fn rollups(&self, window: Window) -> Vec<(Arc<str>, Vec<Rollup>)> {
         let of = |supervisor: &Supervisor| {
             let ahead = supervisor.ahead_us;
-            let shift =
-                |rollup: &Rollup| Rollup { from_us: rollup.from_us.saturating_sub(ahead), ..rollup.clone() };
-            let all = supervisor.segments.iter().flat_map(|(_, index)| index.rollups.iter().map(shift));
-            let within =
-                |r: &Rollup| r.from_us + index::ROLLUP_US >= window.from_us && r.from_us <= window.to_us;
+            let shift = |rollup: &Rollup| Rollup {
+                from_us: rollup.from_us.saturating_sub(ahead),
+                ..rollup.clone()
+            };
+            let all = supervisor
+                .segments
+                .iter()
+                .flat_map(|(_, index)| index.rollups.iter().map(shift));
+            let within = |r: &Rollup| {
+                r.from_us + index::ROLLUP_US >= window.from_us && r.from_us <= window.to_us
+            };
             (Arc::clone(&supervisor.name), all.filter(within).collect())
         };
         self.supervisors.iter().map(of).collect()
@@ -467,9 +588,14 @@
     /// How many records of each kind lie in the blocks that reach into a window, at most.
     pub fn records_within(&self, window: Window) -> u64 {
         let query = Query::between(window.from_us, window.to_us);
-        let blocks =
-            self.supervisors.iter().flat_map(|s| s.segments.iter().flat_map(|(_, index)| &index.blocks));
-        blocks.filter(|block| query.may_hold(block)).map(|block| u64::from(block.records)).sum()
+        let blocks = self
+            .supervisors
+            .iter()
+            .flat_map(|s| s.segments.iter().flat_map(|(_, index)| &index.blocks));
+        blocks
+            .filter(|block| query.may_hold(block))
+            .map(|block| u64::from(block.records))
+            .sum()
     }
 }
 
@@ -497,7 +623,10 @@
 impl Verdict {
     /// Whether nothing is wrong; a torn tail is what a crash leaves.
     pub fn sound(&self) -> bool {
-        self.damaged_bytes == 0 && self.missing == 0 && self.headless == 0 && self.wrong_indexes == 0
+        self.damaged_bytes == 0
+            && self.missing == 0
+            && self.headless == 0
+            && self.wrong_indexes == 0
     }
 }
 
@@ -518,7 +647,9 @@
                     verdict.records += 1;
                     verdict.newer += u64::from(read.newer.is_some());
                     let seq = read.record.seq;
-                    let before = last.filter(|(start, _)| *start == id.incarnation).map(|(_, seq)| seq);
+                    let before = last
+                        .filter(|(start, _)| *start == id.incarnation)
+                        .map(|(_, seq)| seq);
                     verdict.missing +=
                         before.map_or(0, |before| seq.saturating_sub(before).saturating_sub(1));
                     last = Some((id.incarnation, seq));
@@ -539,7 +670,9 @@
 pub fn in_order(events: &mut [Event]) {
     events.sort_by(|a, b| {
         let key = |e: &Event| (e.at_us, e.learned_us(), e.incarnation, e.record.seq);
-        key(a).cmp(&key(b)).then_with(|| a.supervisor.cmp(&b.supervisor))
+        key(a)
+            .cmp(&key(b))
+            .then_with(|| a.supervisor.cmp(&b.supervisor))
     });
 }
 
--- a/crates/records/tests/damage.rs
+++ b/crates/records/tests/damage.rs
@@ -18,35 +18,64 @@
 use prost::Message;
 
 const SECOND: i64 = 1_000_000;
-const KEEP: Retention = Retention { bytes: 1 << 40, age: Duration::from_secs(1 << 30) };
-const FREELY: Cost = Cost { time: Duration::from_secs(10), bytes: 1 << 40 };
+const KEEP: Retention = Retention {
+    bytes: 1 << 40,
+    age: Duration::from_secs(1 << 30),
+};
+const FREELY: Cost = Cost {
+    time: Duration::from_secs(10),
+    bytes: 1 << 40,
+};
 
 fn gauge(waiting: f64) -> Kind {
-    Kind::Gauge(pb::Gauge { waiting, streams: 4, levels: vec![1.0], ..pb::Gauge::default() })
+    Kind::Gauge(pb::Gauge {
+        waiting,
+        streams: 4,
+        levels: vec![1.0],
+        ..pb::Gauge::default()
+    })
 }
 
 fn state(server: &str, state: pb::State) -> Kind {
     let (server, zone) = (server.to_string(), "a".to_string());
-    Kind::StateChanged(pb::StateChanged { server, zone, state: state.into(), ..pb::StateChanged::default() })
+    Kind::StateChanged(pb::StateChanged {
+        server,
+        zone,
+        state: state.into(),
+        ..pb::StateChanged::default()
+    })
 }
 
 /// Records of one start: a figure each second from a time on, with these others in between.
 fn start(from_s: i64, seconds: i64, others: &[(i64, Kind)]) -> Vec<Record> {
-    let started = pb::Started { classes: vec!["lookup".into()], ..pb::Started::default() };
+    let started = pb::Started {
+        classes: vec!["lookup".into()],
+        ..pb::Started::default()
+    };
     let mut kinds = vec![(from_s * SECOND, Kind::Started(started))];
     for second in 0..seconds {
         kinds.push(((from_s + second) * SECOND, gauge(second as f64)));
-        let here =
-            others.iter().filter(|(at, _)| (from_s + second..from_s + second + 1).contains(&(at / SECOND)));
+        let here = others
+            .iter()
+            .filter(|(at, _)| (from_s + second..from_s + second + 1).contains(&(at / SECOND)));
         kinds.extend(here.map(|(at, kind)| (*at, kind.clone())));
     }
     let numbered = kinds.into_iter().zip(1..);
-    numbered.map(|((at_us, kind), seq)| Record { seq, at_us, learned_us: at_us, kind: Some(kind) }).collect()
+    numbered
+        .map(|((at_us, kind), seq)| Record {
+            seq,
+            at_us,
+            learned_us: at_us,
+            kind: Some(kind),
+        })
+        .collect()
 }
 
 fn framed(records: &[Record]) -> Vec<u8> {
     let mut out = Vec::new();
-    records.iter().for_each(|record| assert!(frame::put(&mut out, &record.encode_to_vec())));
+    records
+        .iter()
+        .for_each(|record| assert!(frame::put(&mut out, &record.encode_to_vec())));
     out
 }
 
@@ -58,7 +87,9 @@
 }
 
 fn read(directory: &Path) -> (Vec<Event>, Vec<Gap>) {
-    Timeline::open(&[directory.to_path_buf()]).expect("a timeline").read(&Query::default())
+    Timeline::open(&[directory.to_path_buf()])
+        .expect("a timeline")
+        .read(&Query::default())
 }
 
 fn reasons(gaps: &[Gap]) -> Vec<GapReason> {
@@ -78,34 +109,74 @@
     let directory = tempfile::tempdir().expect("a directory");
     write(directory.path(), "n0", &start(100, 10, &[]));
     let mut second = start(120, 10, &[]);
-    let stopped = Kind::Stopped(pb::Stopped { reason: "SIGTERM".into() });
-    second.push(Record { seq: 12, at_us: 130 * SECOND, learned_us: 130 * SECOND, kind: Some(stopped) });
+    let stopped = Kind::Stopped(pb::Stopped {
+        reason: "SIGTERM".into(),
+    });
+    second.push(Record {
+        seq: 12,
+        at_us: 130 * SECOND,
+        learned_us: 130 * SECOND,
+        kind: Some(stopped),
+    });
     write(directory.path(), "n0", &second);
     write(directory.path(), "n0", &start(135, 5, &[]));
     let (events, gaps) = read(directory.path());
     assert_eq!(events.len(), 11 + 12 + 6);
-    assert_eq!(reasons(&gaps), [GapReason::Crashed, GapReason::Stopped, GapReason::Open]);
-    assert_eq!((gaps[0].from_us, gaps[0].to_us), (109 * SECOND, 120 * SECOND));
-    assert_eq!((gaps[1].from_us, gaps[1].to_us), (130 * SECOND, 135 * SECOND));
+    assert_eq!(
+        reasons(&gaps),
+        [GapReason::Crashed, GapReason::Stopped, GapReason::Open]
+    );
+    assert_eq!(
+        (gaps[0].from_us, gaps[0].to_us),
+        (109 * SECOND, 120 * SECOND)
+    );
+    assert_eq!(
+        (gaps[1].from_us, gaps[1].to_us),
+        (130 * SECOND, 135 * SECOND)
+    );
 }
 
 #[test]
 fn a_supervisor_that_stood_still_and_records_that_were_lost_leave_marks() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut records = start(0, 5, &[]);
-    let lost = pb::Lost { count: 7, from_us: 20 * SECOND, to_us: 21 * SECOND, reason: "queue".into() };
+    let lost = pb::Lost {
+        count: 7,
+        from_us: 20 * SECOND,
+        to_us: 21 * SECOND,
+        reason: "queue".into(),
+    };
     for (at, kind) in [
         (20, gauge(0.0)),
         (21, Kind::Lost(lost)),
-        (22, Kind::ClockStepped(pb::ClockStepped { by_us: -3 * SECOND })),
+        (
+            22,
+            Kind::ClockStepped(pb::ClockStepped { by_us: -3 * SECOND }),
+        ),
     ] {
         let seq = records.len() as u64 + 1;
-        records.push(Record { seq, at_us: at * SECOND, learned_us: at * SECOND, kind: Some(kind) });
+        records.push(Record {
+            seq,
+            at_us: at * SECOND,
+            learned_us: at * SECOND,
+            kind: Some(kind),
+        });
     }
     write(directory.path(), "n0", &records);
     let gaps = read(directory.path()).1;
-    assert_eq!(reasons(&gaps), [GapReason::Stalled, GapReason::Lost, GapReason::ClockStep, GapReason::Open]);
-    assert_eq!((gaps[0].from_us, gaps[0].to_us, gaps[1].missing), (4 * SECOND, 20 * SECOND, 7));
+    assert_eq!(
+        reasons(&gaps),
+        [
+            GapReason::Stalled,
+            GapReason::Lost,
+            GapReason::ClockStep,
+            GapReason::Open
+        ]
+    );
+    assert_eq!(
+        (gaps[0].from_us, gaps[0].to_us, gaps[1].missing),
+        (4 * SECOND, 20 * SECOND, 7)
+    );
     assert!(gaps[2].line().contains("-3.0 s"), "{}", gaps[2].line());
 }
 
@@ -118,7 +189,9 @@
     }
     let (shared, small) = (Shared::default(), Retention { bytes: 1, ..KEEP });
     shared.set_writing(Some(last));
-    jobs::all(directory.path(), small, &shared).iter_mut().for_each(|job| assert!(job.step().0 < 1 << 20));
+    jobs::all(directory.path(), small, &shared)
+        .iter_mut()
+        .for_each(|job| assert!(job.step().0 < 1 << 20));
     assert_eq!(segment::list(directory.path()).expect("a list"), [last]);
     let gaps = read(directory.path()).1;
     assert_eq!(reasons(&gaps), [GapReason::Trimmed, GapReason::Open]);
@@ -132,15 +205,22 @@
     let mut store = Store::open(directory.path(), "n0").expect("a store");
     let padding = vec![0; chutegrade_records::store::SEAL_BYTES as usize];
     for chunk in all.chunks(15) {
-        store.append(&framed(chunk), chunk[0].seq, 0).expect("an append");
-        store.append(&padding, 0, 0).expect("padding that seals the segment");
+        store
+            .append(&framed(chunk), chunk[0].seq, 0)
+            .expect("an append");
+        store
+            .append(&padding, 0, 0)
+            .expect("padding that seals the segment");
     }
     let ids = segment::list(directory.path()).expect("a list");
     assert_eq!(ids.len(), 3);
     fs::remove_file(ids[1].path(directory.path())).expect("its end");
     let (events, gaps) = read(directory.path());
-    let missing: Vec<u64> =
-        gaps.iter().filter(|g| g.reason == GapReason::Damaged).map(|g| g.missing).collect();
+    let missing: Vec<u64> = gaps
+        .iter()
+        .filter(|g| g.reason == GapReason::Damaged)
+        .map(|g| g.missing)
+        .collect();
     assert_eq!((events.len(), missing), (all.len() - 15, vec![15]));
 }
 
@@ -148,8 +228,14 @@
 #[test]
 fn the_index_finds_what_a_scan_finds() {
     let directory = tempfile::tempdir().expect("a directory");
-    let others: Vec<(i64, Kind)> =
-        (0..3000).map(|n| (n * SECOND, state(&format!("s-{}", n % 40), pb::State::Reduced))).collect();
+    let others: Vec<(i64, Kind)> = (0..3000)
+        .map(|n| {
+            (
+                n * SECOND,
+                state(&format!("s-{}", n % 40), pb::State::Reduced),
+            )
+        })
+        .collect();
     let mut records = start(0, 3000, &others);
     for record in records.iter_mut().skip(100).step_by(7) {
         record.at_us -= 5 * SECOND;
@@ -157,23 +243,48 @@
     let first = write(directory.path(), "n0", &records);
     let queries = [
         Query::between(1000 * SECOND, 1480 * SECOND),
-        Query { kinds: vec![20], ..Query::between(5 * SECOND, 900 * SECOND) },
-        Query { server: Some("s-7".into()), ..Query::default() },
-        Query { server: Some("nobody".into()), ..Query::default() },
+        Query {
+            kinds: vec![20],
+            ..Query::between(5 * SECOND, 900 * SECOND)
+        },
+        Query {
+            server: Some("s-7".into()),
+            ..Query::default()
+        },
+        Query {
+            server: Some("nobody".into()),
+            ..Query::default()
+        },
     ];
     let find = |query: &Query| {
-        let (events, _) = Timeline::open(&[directory.path().to_path_buf()]).expect("a timeline").read(query);
-        events.into_iter().map(|event| event.record).collect::<Vec<_>>()
+        let (events, _) = Timeline::open(&[directory.path().to_path_buf()])
+            .expect("a timeline")
+            .read(query);
+        events
+            .into_iter()
+            .map(|event| event.record)
+            .collect::<Vec<_>>()
     };
     let before: Vec<_> = queries.iter().map(find).collect();
     let writing = write(directory.path(), "n0", &start(9000, 1, &[]));
     seal(directory.path(), writing);
-    assert!(segment::stored_index(directory.path(), first).is_some(), "it was indexed");
+    assert!(
+        segment::stored_index(directory.path(), first).is_some(),
+        "it was indexed"
+    );
     for (query, before) in queries.iter().zip(&before) {
-        let found: Vec<_> = find(query).into_iter().filter(|record| record.at_us < 9000 * SECOND).collect();
+        let found: Vec<_> = find(query)
+            .into_iter()
+            .filter(|record| record.at_us < 9000 * SECOND)
+            .collect();
         let mut scanned: Vec<Record> = records
             .iter()
-            .filter(|r| query.holds(r, r.kind.as_ref().map_or(0, chutegrade_records::kind::number)))
+            .filter(|r| {
+                query.holds(
+                    r,
+                    r.kind.as_ref().map_or(0, chutegrade_records::kind::number),
+                )
+            })
             .cloned()
             .collect();
         scanned.sort_by_key(|record| (record.at_us, record.learned_us, record.seq));
@@ -196,9 +307,16 @@
     fs::write(&path, &bytes).expect("the damage");
     let (events, gaps) = read(directory.path());
     assert_eq!(events.len(), 600 + 1 + 2 - 1);
-    assert!(gaps.iter().any(|gap| gap.reason == GapReason::Damaged && gap.missing == 1), "{gaps:?}");
+    assert!(
+        gaps.iter()
+            .any(|gap| gap.reason == GapReason::Damaged && gap.missing == 1),
+        "{gaps:?}"
+    );
     let verdict = verify(directory.path()).expect("a verdict");
-    assert!(!verdict.sound() && verdict.missing == 1 && verdict.wrong_indexes == 1, "{verdict:?}");
+    assert!(
+        !verdict.sound() && verdict.missing == 1 && verdict.wrong_indexes == 1,
+        "{verdict:?}"
+    );
     // A damaged index is none.
     let index = id.index_path(directory.path());
     let mut bytes = fs::read(&index).expect("its bytes");
@@ -212,37 +330,73 @@
     let directory = tempfile::tempdir().expect("a directory");
     let life = |server: &str| {
         let (server, zone) = (server.to_string(), "a".to_string());
-        Kind::LifeChanged(pb::LifeChanged { server, zone, life: pb::Life::Draining.into() })
+        Kind::LifeChanged(pb::LifeChanged {
+            server,
+            zone,
+            life: pb::Life::Draining.into(),
+        })
     };
-    let news: Vec<(i64, Kind)> = (0..5).map(|n| ((10 + 7 * n) * SECOND, life(&format!("s-{n}")))).collect();
-    let late: Vec<(i64, Kind)> =
-        news.iter().map(|(at, kind)| (at + 3 * SECOND + 20_000, kind.clone())).collect();
+    let news: Vec<(i64, Kind)> = (0..5)
+        .map(|n| ((10 + 7 * n) * SECOND, life(&format!("s-{n}"))))
+        .collect();
+    let late: Vec<(i64, Kind)> = news
+        .iter()
+        .map(|(at, kind)| (at + 3 * SECOND + 20_000, kind.clone()))
+        .collect();
     write(&directory.path().join("n0"), "n0", &start(0, 60, &news));
     write(&directory.path().join("n1"), "n1", &start(3, 60, &late));
     let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("a timeline");
     assert_eq!(
-        (timeline.supervisors[1].ahead_us, timeline.supervisors[1].ahead_by),
+        (
+            timeline.supervisors[1].ahead_us,
+            timeline.supervisors[1].ahead_by
+        ),
         (3 * SECOND + 20_000, 5)
     );
-    let (events, _) = timeline.read(&Query { kinds: vec![21], ..Query::default() });
+    let (events, _) = timeline.read(&Query {
+        kinds: vec![21],
+        ..Query::default()
+    });
     let order: Vec<&str> = events
         .iter()
-        .filter_map(|e| e.record.kind.as_ref().and_then(chutegrade_records::kind::server))
+        .filter_map(|e| {
+            e.record
+                .kind
+                .as_ref()
+                .and_then(chutegrade_records::kind::server)
+        })
         .collect();
-    assert_eq!(order, ["s-0", "s-0", "s-1", "s-1", "s-2", "s-2", "s-3", "s-3", "s-4", "s-4"]);
+    assert_eq!(
+        order,
+        ["s-0", "s-0", "s-1", "s-1", "s-2", "s-2", "s-3", "s-3", "s-4", "s-4"]
+    );
     assert!(events.windows(2).all(|pair| pair[0].at_us <= pair[1].at_us));
-    let late: Vec<i64> = events.iter().map(|event| event.learned_us() - event.at_us).collect();
-    assert!(late.iter().all(|late| *late == 0), "what was learned at once is not told as late: {late:?}");
+    let late: Vec<i64> = events
+        .iter()
+        .map(|event| event.learned_us() - event.at_us)
+        .collect();
+    assert!(
+        late.iter().all(|late| *late == 0),
+        "what was learned at once is not told as late: {late:?}"
+    );
 }
 
 fn options(directory: &Path) -> Options {
-    Options { directory: directory.to_path_buf(), supervisor: "n0".into(), retention: KEEP, budget: FREELY }
+    Options {
+        directory: directory.to_path_buf(),
+        supervisor: "n0".into(),
+        retention: KEEP,
+        budget: FREELY,
+    }
 }
 
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < Duration::from_secs(60), "never came: {what}");
+        assert!(
+            begun.elapsed() < Duration::from_secs(60),
+            "never came: {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -256,7 +410,10 @@
     let (events, gaps) = read(directory.path());
     let times: Vec<i64> = events.iter().map(|event| event.record.at_us).collect();
     assert_eq!(times, (0..5000).collect::<Vec<_>>());
-    assert!(events.iter().zip(1..).all(|(event, seq)| event.record.seq == seq));
+    assert!(events
+        .iter()
+        .zip(1..)
+        .all(|(event, seq)| event.record.seq == seq));
     assert_eq!(reasons(&gaps), [GapReason::Open]);
 }
 
@@ -272,9 +429,19 @@
     recorder.note(sent, sent, gauge(1.0));
     assert!(recording.close());
     let (events, gaps) = read(directory.path());
-    let kept = events.iter().filter(|event| matches!(event.record.kind, Some(Kind::Gauge(_)))).count() as u64;
-    let lost: u64 = gaps.iter().filter(|gap| gap.reason == GapReason::Lost).map(|gap| gap.missing).sum();
-    assert!(lost > 0 && kept + lost == sent as u64 + 1, "kept {kept} lost {lost}");
+    let kept = events
+        .iter()
+        .filter(|event| matches!(event.record.kind, Some(Kind::Gauge(_))))
+        .count() as u64;
+    let lost: u64 = gaps
+        .iter()
+        .filter(|gap| gap.reason == GapReason::Lost)
+        .map(|gap| gap.missing)
+        .sum();
+    assert!(
+        lost > 0 && kept + lost == sent as u64 + 1,
+        "kept {kept} lost {lost}"
+    );
 }
 
 /// A disk that takes nothing, here a file where the directory should be, stops recording and nothing else; what was lost
@@ -294,8 +461,14 @@
     });
     assert!(recording.close());
     let (_, gaps) = read(&place);
-    let lost = gaps.iter().find(|gap| gap.reason == GapReason::Lost).expect("a mark");
-    assert!(lost.missing >= 40 && lost.from_us == SECOND && lost.detail == "disk", "{lost:?}");
+    let lost = gaps
+        .iter()
+        .find(|gap| gap.reason == GapReason::Lost)
+        .expect("a mark");
+    assert!(
+        lost.missing >= 40 && lost.from_us == SECOND && lost.detail == "disk",
+        "{lost:?}"
+    );
 }
 
 #[test]
@@ -361,7 +534,10 @@
         write(&directory.path().join(&name), &name, &start(100, 1, &[]));
     }
     let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("records");
-    let names: std::collections::BTreeSet<&str> =
-        timeline.supervisors.iter().map(|supervisor| &*supervisor.name).collect();
+    let names: std::collections::BTreeSet<&str> = timeline
+        .supervisors
+        .iter()
+        .map(|supervisor| &*supervisor.name)
+        .collect();
     assert_eq!((timeline.supervisors.len(), names.len()), (1024, 1024));
 }
--- a/crates/report/benches/day.rs
+++ b/crates/report/benches/day.rs
@@ -32,7 +32,11 @@
             zone: "a".into(),
             ..pb::StreamJoined::default()
         }),
-        _ => Kind::Level(pb::Level { class: "lookup".into(), level: 0.5, ..pb::Level::default() }),
+        _ => Kind::Level(pb::Level {
+            class: "lookup".into(),
+            level: 0.5,
+            ..pb::Level::default()
+        }),
     }
 }
 
@@ -42,7 +46,12 @@
         let mut frames = Vec::new();
         for n in batch * 2000..(batch + 1) * 2000 {
             let at_us = n * (DAY_US / DAY);
-            let record = Record { seq: n as u64 + 1, at_us, learned_us: at_us, kind: Some(kind(n)) };
+            let record = Record {
+                seq: n as u64 + 1,
+                at_us,
+                learned_us: at_us,
+                kind: Some(kind(n)),
+            };
             frame::put(&mut frames, &record.encode_to_vec());
         }
         store.append(&frames, 1, 0).expect("an append");
@@ -55,7 +64,10 @@
     let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("records");
     let span = timeline.span().expect("records");
     let page = report(&timeline, span, Limits::default());
-    println!("page of a day with {DAY} records: {} KiB", page.len() / 1024);
+    println!(
+        "page of a day with {DAY} records: {} KiB",
+        page.len() / 1024
+    );
     let mut group = c.benchmark_group("report");
     group.sample_size(10);
     group.bench_function("page of a day of 1,000,000 records", |b| {
--- a/crates/report/src/chart.rs
+++ b/crates/report/src/chart.rs
@@ -19,8 +19,9 @@
 /// Marks of the axis at most.
 const TICKS_MOST: i64 = 9;
 /// Distances between marks, in seconds.
-const STEPS: [i64; 17] =
-    [1, 2, 5, 10, 15, 30, 60, 120, 300, 600, 900, 1800, 3600, 7200, 10_800, 21_600, 86_400];
+const STEPS: [i64; 17] = [
+    1, 2, 5, 10, 15, 30, 60, 120, 300, 600, 900, 1800, 3600, 7200, 10_800, 21_600, 86_400,
+];
 /// The name of full service.
 const FULL: &str = "full";
 /// Width of a letter, for names that must fit.
@@ -42,7 +43,8 @@
 
     fn x(self, at_us: i64) -> f64 {
         let Window { from_us, to_us } = self.window;
-        let share = (at_us.clamp(from_us, to_us) - from_us) as f64 / (to_us - from_us).max(1) as f64;
+        let share =
+            (at_us.clamp(from_us, to_us) - from_us) as f64 / (to_us - from_us).max(1) as f64;
         LABELS + share * (WIDTH - LABELS)
     }
 
@@ -50,8 +52,10 @@
     fn ticks(self) -> Vec<i64> {
         let Window { from_us, to_us } = self.window;
         let seconds = (to_us - from_us) / 1_000_000;
-        let step =
-            STEPS.into_iter().find(|step| seconds / step <= TICKS_MOST).unwrap_or(seconds / TICKS_MOST + 1);
+        let step = STEPS
+            .into_iter()
+            .find(|step| seconds / step <= TICKS_MOST)
+            .unwrap_or(seconds / TICKS_MOST + 1);
         let step = step.saturating_mul(1_000_000);
         let first = from_us.div_euclid(step) * step;
         let all = (0..=TICKS_MOST + 2).map(|n| first.saturating_add(n.saturating_mul(step)));
@@ -166,7 +170,11 @@
         return 1.0;
     }
     let power = 10f64.powf(value.log10().floor());
-    [1.0, 2.0, 5.0, 10.0].map(|step| step * power).into_iter().find(|step| *step >= value).unwrap_or(value)
+    [1.0, 2.0, 5.0, 10.0]
+        .map(|step| step * power)
+        .into_iter()
+        .find(|step| *step >= value)
+        .unwrap_or(value)
 }
 
 /// Figures over time, each supervisor's gaps hatched in a strip of its own at the foot.
@@ -178,7 +186,9 @@
     most: Option<f64>,
     gaps: &[Gap],
 ) -> Markup {
-    let values = lines.iter().flat_map(|line| line.runs.iter().flatten().map(|point| point.1));
+    let values = lines
+        .iter()
+        .flat_map(|line| line.runs.iter().flatten().map(|point| point.1));
     let most = most.unwrap_or_else(|| round_up(values.fold(0.0, f64::max)));
     let strip = 7.0;
     let bottom = TITLE + HEIGHT;
@@ -226,17 +236,35 @@
 
     #[test]
     fn marks_are_few_and_round_whatever_the_window() {
-        for length in [0, 1_000, 3_000_000, 8 * MINUTE, 26 * 60 * MINUTE, 400 * 24 * 60 * MINUTE] {
-            let ticks = Axis::new(Window { from_us: 7 * MINUTE + 1, to_us: 7 * MINUTE + 1 + length }).ticks();
+        for length in [
+            0,
+            1_000,
+            3_000_000,
+            8 * MINUTE,
+            26 * 60 * MINUTE,
+            400 * 24 * 60 * MINUTE,
+        ] {
+            let ticks = Axis::new(Window {
+                from_us: 7 * MINUTE + 1,
+                to_us: 7 * MINUTE + 1 + length,
+            })
+            .ticks();
             assert!(ticks.len() as i64 <= TICKS_MOST + 2, "{length}: {ticks:?}");
             assert!(ticks.iter().all(|tick| tick % 1_000_000 == 0));
         }
-        let eight = Axis::new(Window { from_us: 0, to_us: 8 * MINUTE }).ticks();
+        let eight = Axis::new(Window {
+            from_us: 0,
+            to_us: 8 * MINUTE,
+        })
+        .ticks();
         assert_eq!(eight, (0..=8).map(|n| n * MINUTE).collect::<Vec<_>>());
     }
 
     #[test]
     fn scales_are_round_and_hold_all() {
-        assert_eq!([0.0, 0.3, 1.0, 7.0, 1234.0].map(round_up), [1.0, 0.5, 1.0, 10.0, 2000.0]);
+        assert_eq!(
+            [0.0, 0.3, 1.0, 7.0, 1234.0].map(round_up),
+            [1.0, 0.5, 1.0, 10.0, 2000.0]
+        );
     }
 }
--- a/crates/report/src/gather.rs
+++ b/crates/report/src/gather.rs
@@ -31,7 +31,11 @@
 impl Default for Limits {
     /// A page of some 3 MiB at most, which browsers open in a second.
     fn default() -> Self {
-        Limits { troubles: 5000, others: 5000, servers: 80 }
+        Limits {
+            troubles: 5000,
+            others: 5000,
+            servers: 80,
+        }
     }
 }
 
@@ -62,7 +66,8 @@
         self.streams = gauge.streams;
         self.service.clone_from(&gauge.service_level);
         self.out = self.out.max(gauge.reduced + gauge.withdrawn);
-        self.levels.resize(self.levels.len().max(gauge.levels.len()), 1.0);
+        self.levels
+            .resize(self.levels.len().max(gauge.levels.len()), 1.0);
         for (known, level) in self.levels.iter_mut().zip(&gauge.levels) {
             *known = known.min(*level);
         }
@@ -84,7 +89,10 @@
 impl Columns {
     fn new(window: Window) -> Self {
         let length = window.to_us.saturating_sub(window.from_us).max(1);
-        Columns { width_us: (length / COLUMNS_MOST).max(COLUMN_LEAST_US), of: BTreeMap::new() }
+        Columns {
+            width_us: (length / COLUMNS_MOST).max(COLUMN_LEAST_US),
+            of: BTreeMap::new(),
+        }
     }
 
     /// A figure of one supervisor as points in time; where nothing is known for too long, the line breaks.
@@ -121,7 +129,9 @@
     pub fn served(&self, supervisor: &str, window: Window) -> Vec<Served> {
         let mut served: Vec<Served> = Vec::new();
         for (number, column) in self.of.get(supervisor).into_iter().flatten() {
-            let Some(level) = &column.service else { continue };
+            let Some(level) = &column.service else {
+                continue;
+            };
             let from_us = window.from_us + number * self.width_us;
             let to_us = (from_us + self.width_us).min(window.to_us);
             match served.last_mut() {
@@ -132,9 +142,17 @@
                     if from_us - last.to_us <= STALLED_US {
                         last.to_us = from_us;
                     }
-                    served.push(Served { from_us, to_us, level: level.clone() });
+                    served.push(Served {
+                        from_us,
+                        to_us,
+                        level: level.clone(),
+                    });
                 }
-                None => served.push(Served { from_us, to_us, level: level.clone() }),
+                None => served.push(Served {
+                    from_us,
+                    to_us,
+                    level: level.clone(),
+                }),
             }
         }
         served
@@ -196,15 +214,26 @@
         records: 0,
     };
     // Starts tell names that hold for long after.
-    let started = Query { kinds: vec![10], to_us: Some(window.to_us), ..Query::default() };
-    timeline.read(&started).0.iter().for_each(|event| gatherer.started(event));
+    let started = Query {
+        kinds: vec![10],
+        to_us: Some(window.to_us),
+        ..Query::default()
+    };
+    timeline
+        .read(&started)
+        .0
+        .iter()
+        .for_each(|event| gatherer.started(event));
     let mut found = Vec::new();
     let mut from_us = window.from_us.saturating_sub(LOOK_BACK_US);
     while from_us <= window.to_us {
         let to_us = from_us.saturating_add(SLICE_US - 1).min(window.to_us);
         let (events, gaps) = timeline.read(&Query::between(from_us, to_us));
         // What only reading shows: damage since the index was made.
-        found.extend(gaps.into_iter().filter(|gap| gap.detail.starts_with("damaged since")));
+        found.extend(
+            gaps.into_iter()
+                .filter(|gap| gap.detail.starts_with("damaged since")),
+        );
         events.into_iter().for_each(|event| gatherer.take(event));
         from_us = to_us.saturating_add(1);
     }
@@ -214,7 +243,8 @@
 impl Gatherer {
     fn started(&mut self, event: &Event) {
         if let Some(Kind::Started(of)) = &event.record.kind {
-            self.versions.insert(Arc::clone(&event.supervisor), of.version.clone());
+            self.versions
+                .insert(Arc::clone(&event.supervisor), of.version.clone());
             self.classes.clone_from(&of.classes);
         }
     }
@@ -227,7 +257,11 @@
         self.records += 1;
         if let Some(Kind::Gauge(gauge)) = &event.record.kind {
             let number = (event.at_us - self.window.from_us) / self.columns.width_us;
-            let of = self.columns.of.entry(Arc::clone(&event.supervisor)).or_default();
+            let of = self
+                .columns
+                .of
+                .entry(Arc::clone(&event.supervisor))
+                .or_default();
             of.entry(number).or_default().add(gauge);
         }
         if !is_event(&event) {
@@ -253,8 +287,9 @@
         gaps.extend(found);
         gaps.sort_by_key(|gap| (gap.from_us, gap.to_us));
         gaps.dedup();
-        let clock =
-            |s: &chutegrade_records::timeline::Supervisor| (Arc::clone(&s.name), s.ahead_us, s.ahead_by);
+        let clock = |s: &chutegrade_records::timeline::Supervisor| {
+            (Arc::clone(&s.name), s.ahead_us, s.ahead_by)
+        };
         Findings {
             window: self.window,
             supervisors: timeline.supervisors.iter().map(clock).collect(),
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -18,7 +18,10 @@
 /// The whole page.
 pub fn page(found: &Findings) -> Markup {
     let Window { from_us, to_us } = found.window;
-    let day = text::time(from_us).get(..10).unwrap_or_default().to_string();
+    let day = text::time(from_us)
+        .get(..10)
+        .unwrap_or_default()
+        .to_string();
     let title = format!("{day} {} to {}", short(from_us), short(to_us));
     html! {
         (DOCTYPE)
@@ -69,7 +72,12 @@
 /// Names in a sentence.
 fn names<'a>(all: impl IntoIterator<Item = &'a str>) -> String {
     let all: Vec<&str> = all.into_iter().collect();
-    let shown = all.iter().take(NAMES_MOST).copied().collect::<Vec<_>>().join(", ");
+    let shown = all
+        .iter()
+        .take(NAMES_MOST)
+        .copied()
+        .collect::<Vec<_>>()
+        .join(", ");
     match all.len().saturating_sub(NAMES_MOST) {
         0 => shown,
         more => format!("{shown} and {more} more"),
@@ -114,7 +122,11 @@
 }
 
 fn one(number: usize, incident: &Incident, window: Window) -> Markup {
-    let kinds: BTreeSet<String> = incident.troubles.iter().map(|(_, trouble)| trouble.line()).collect();
+    let kinds: BTreeSet<String> = incident
+        .troubles
+        .iter()
+        .map(|(_, trouble)| trouble.line())
+        .collect();
     html! {
         p {
             @if incident.from_us < window.from_us { "Trouble had begun before, at " } @else { "Trouble began at " }
@@ -133,9 +145,14 @@
 }
 
 fn extremes(course: &Course) -> Markup {
-    let lowered = course.lowest.iter().filter(|(_, (level, _, _))| *level < 1.0);
+    let lowered = course
+        .lowest
+        .iter()
+        .filter(|(_, (level, _, _))| *level < 1.0);
     let lowered: Vec<String> = lowered
-        .map(|(class, (level, at, by))| format!("{class} to {} at {} ({by})", percent(*level), short(*at)))
+        .map(|(class, (level, at, by))| {
+            format!("{class} to {} at {} ({by})", percent(*level), short(*at))
+        })
         .collect();
     html! {
         @if let Some((refused, at, by)) = &course.refused {
@@ -149,7 +166,11 @@
 }
 
 /// Lines of one figure, a line a supervisor.
-fn by_supervisor(found: &Findings, label: &str, figure: impl Fn(&Column) -> f64 + Copy) -> Vec<Line> {
+fn by_supervisor(
+    found: &Findings,
+    label: &str,
+    figure: impl Fn(&Column) -> f64 + Copy,
+) -> Vec<Line> {
     let line = |(name, _, _): &(std::sync::Arc<str>, i64, usize)| Line {
         label: label.to_string(),
         supervisor: name.to_string(),
@@ -160,14 +181,25 @@
 
 fn charts(found: &Findings) -> Markup {
     let axis = Axis::new(found.window);
-    let names: Vec<&str> = found.supervisors.iter().map(|(name, _, _)| &**name).collect();
+    let names: Vec<&str> = found
+        .supervisors
+        .iter()
+        .map(|(name, _, _)| &**name)
+        .collect();
     let mut rows = Vec::new();
     let mut full = 0;
     for ((supervisor, server), (_, spans)) in &found.course.standings {
-        if spans.iter().all(|span| matches!(span.standing, Standing::Full | Standing::Unknown)) {
+        if spans
+            .iter()
+            .all(|span| matches!(span.standing, Standing::Full | Standing::Unknown))
+        {
             full += 1;
         } else {
-            rows.push(Row { label: server, supervisor, spans });
+            rows.push(Row {
+                label: server,
+                supervisor,
+                spans,
+            });
         }
     }
     rows.sort_by(|a, b| (a.label, a.supervisor).cmp(&(b.label, b.supervisor)));
@@ -178,13 +210,18 @@
         .iter()
         .enumerate()
         .flat_map(|(at, class)| {
-            by_supervisor(found, class, move |c| c.levels.get(at).copied().unwrap_or(1.0))
+            by_supervisor(found, class, move |c| {
+                c.levels.get(at).copied().unwrap_or(1.0)
+            })
         })
         .collect();
-    let bands: Vec<(&str, Vec<crate::gather::Served>)> =
-        names.iter().map(|name| (*name, found.columns.served(name, found.window))).collect();
-    let draw =
-        |title: &str, lines: &[Line], most| chart::lines(axis, title, lines, &names, most, &found.gaps);
+    let bands: Vec<(&str, Vec<crate::gather::Served>)> = names
+        .iter()
+        .map(|name| (*name, found.columns.served(name, found.window)))
+        .collect();
+    let draw = |title: &str, lines: &[Line], most| {
+        chart::lines(axis, title, lines, &names, most, &found.gaps)
+    };
     html! {
         section {
             h2 { "Servers" }
@@ -302,7 +339,10 @@
 
 fn footer(found: &Findings) -> Markup {
     let Window { from_us, to_us } = found.window;
-    let versions = found.versions.iter().map(|(name, version)| format!("{name} {version}"));
+    let versions = found
+        .versions
+        .iter()
+        .map(|(name, version)| format!("{name} {version}"));
     html! {
         p {
             (found.records) " records of " (found.supervisors.len()) " supervisors ("
--- a/crates/report/tests/page.rs
+++ b/crates/report/tests/page.rs
@@ -13,7 +13,12 @@
 fn write(directory: &Path, name: &str, kinds: Vec<(i64, i64, Kind)>) {
     let mut frames = Vec::new();
     for ((at_us, learned_us, kind), seq) in kinds.into_iter().zip(1..) {
-        let record = Record { seq, at_us, learned_us, kind: Some(kind) };
+        let record = Record {
+            seq,
+            at_us,
+            learned_us,
+            kind: Some(kind),
+        };
         assert!(frame::put(&mut frames, &record.encode_to_vec()));
     }
     let mut store = Store::open(directory, name).expect("a store");
@@ -22,7 +27,12 @@
 
 fn state(server: &str, state: pb::State) -> Kind {
     let (server, zone) = (server.to_string(), "a".to_string());
-    Kind::StateChanged(pb::StateChanged { server, zone, state: state.into(), ..pb::StateChanged::default() })
+    Kind::StateChanged(pb::StateChanged {
+        server,
+        zone,
+        state: state.into(),
+        ..pb::StateChanged::default()
+    })
 }
 
 fn gauge(refused: f64) -> Kind {
@@ -44,8 +54,16 @@
 }
 
 fn seconds(from: i64, to: i64) -> Vec<(i64, i64, Kind)> {
-    let kind = |second: i64| if (20..30).contains(&second) { gauge(0.6) } else { gauge(0.0) };
-    (from..to).map(|second| (second * SECOND, second * SECOND, kind(second))).collect()
+    let kind = |second: i64| {
+        if (20..30).contains(&second) {
+            gauge(0.6)
+        } else {
+            gauge(0.0)
+        }
+    };
+    (from..to)
+        .map(|second| (second * SECOND, second * SECOND, kind(second)))
+        .collect()
 }
 
 fn open(directory: &Path) -> Timeline {
@@ -54,9 +72,13 @@
 
 /// The texts of all events of the page, in the order in which they stand.
 fn rows(page: &str) -> Vec<&str> {
-    let events = page.split("class=\"events\"").nth(1).expect("the list of events");
+    let events = page
+        .split("class=\"events\"")
+        .nth(1)
+        .expect("the list of events");
     let rows = events.split("</tr>").filter(|row| row.contains("<td>"));
-    rows.filter_map(|row| row.rsplit("<td>").next()?.split("</td>").next()).collect()
+    rows.filter_map(|row| row.rsplit("<td>").next()?.split("</td>").next())
+        .collect()
 }
 
 #[test]
@@ -74,23 +96,37 @@
         (28 * SECOND, 28 * SECOND, state("s-2", pb::State::Full)),
     ];
     write(&directory.path().join("n1"), "n1", other);
-    let window = Window { from_us: 0, to_us: 90 * SECOND };
+    let window = Window {
+        from_us: 0,
+        to_us: 90 * SECOND,
+    };
     let page = report(&open(directory.path()), window, Limits::default());
     let rows = rows(&page);
-    let order: Vec<&str> = rows.iter().map(|row| row.split(',').next().unwrap_or_default()).collect();
+    let order: Vec<&str> = rows
+        .iter()
+        .map(|row| row.split(',').next().unwrap_or_default())
+        .collect();
     let crash = "crash for 20.0 s";
     assert!(order.contains(&crash), "{order:?}");
     let place = |text: &str| {
-        rows.iter().position(|row| row.starts_with(text)).unwrap_or_else(|| panic!("{text}: {rows:?}"))
+        rows.iter()
+            .position(|row| row.starts_with(text))
+            .unwrap_or_else(|| panic!("{text}: {rows:?}"))
     };
-    assert!(place("s-1 withdrawn") < place("s-2 reduced") && place("s-2 full") < place(crash), "{rows:?}");
+    assert!(
+        place("s-1 withdrawn") < place("s-2 reduced") && place("s-2 full") < place(crash),
+        "{rows:?}"
+    );
     assert!(page.contains("+15.0 s"), "when it was learned");
     assert!(
         page.contains("Shut out for a time: <b>s-1</b>") && page.contains("<b>60 %</b>"),
         "the sentences"
     );
     assert!(page.contains("Trouble began at <b>00:00:25.000</b>"));
-    assert!(page.matches("class=\"hatch\"").count() >= 6, "in every chart");
+    assert!(
+        page.matches("class=\"hatch\"").count() >= 6,
+        "in every chart"
+    );
     assert!(page.contains("--from 1970-01-01T00:00:00.000Z --to 1970-01-01T00:01:30.000Z"));
 }
 
@@ -105,12 +141,24 @@
         (
             2 * SECOND,
             2 * SECOND,
-            Kind::StreamLeft(pb::StreamLeft { reason: evil.into(), ..Default::default() }),
+            Kind::StreamLeft(pb::StreamLeft {
+                reason: evil.into(),
+                ..Default::default()
+            }),
         ),
     ];
     write(directory.path(), "<b>n0</b>", kinds);
-    let page = report(&open(directory.path()), Window { from_us: 0, to_us: 3 * SECOND }, Limits::default());
-    assert!(!page.contains("<script") && !page.contains("<b>n0") && page.contains("&lt;script&gt;"));
+    let page = report(
+        &open(directory.path()),
+        Window {
+            from_us: 0,
+            to_us: 3 * SECOND,
+        },
+        Limits::default(),
+    );
+    assert!(
+        !page.contains("<script") && !page.contains("<b>n0") && page.contains("&lt;script&gt;")
+    );
     for outside in ["http:", "https:", "src=", "@import", "url(\"", "<link"] {
         assert!(!page.contains(outside), "{outside}");
     }
@@ -120,23 +168,50 @@
 #[test]
 fn a_long_day_is_cut_and_says_so() {
     let directory = tempfile::tempdir().expect("a directory");
-    let joined =
-        |proxy| Kind::StreamJoined(pb::StreamJoined { proxy, zone: "a".into(), ..Default::default() });
-    let kinds = (0..30_000u32).map(|n| (i64::from(n) * SECOND, i64::from(n) * SECOND, joined(n))).collect();
+    let joined = |proxy| {
+        Kind::StreamJoined(pb::StreamJoined {
+            proxy,
+            zone: "a".into(),
+            ..Default::default()
+        })
+    };
+    let kinds = (0..30_000u32)
+        .map(|n| (i64::from(n) * SECOND, i64::from(n) * SECOND, joined(n)))
+        .collect();
     write(directory.path(), "n0", kinds);
-    let window = Window { from_us: 0, to_us: 30_000 * SECOND };
-    let limits = Limits { others: 100, ..Limits::default() };
+    let window = Window {
+        from_us: 0,
+        to_us: 30_000 * SECOND,
+    };
+    let limits = Limits {
+        others: 100,
+        ..Limits::default()
+    };
     let found = gather(&open(directory.path()), window, limits);
-    assert_eq!((found.events.len(), found.left_out["joined"], found.records), (100, 29_900, 30_000));
+    assert_eq!(
+        (found.events.len(), found.left_out["joined"], found.records),
+        (100, 29_900, 30_000)
+    );
     let page = report(&open(directory.path()), window, limits);
-    assert!(page.contains("29900 joined") && page.len() < 200_000, "{}", page.len());
+    assert!(
+        page.contains("29900 joined") && page.len() < 200_000,
+        "{}",
+        page.len()
+    );
 }
 
 #[test]
 fn a_quiet_time_is_said_to_be_quiet() {
     let directory = tempfile::tempdir().expect("a directory");
     write(directory.path(), "n0", seconds(0, 15));
-    let page = report(&open(directory.path()), Window { from_us: 0, to_us: 14 * SECOND }, Limits::default());
+    let page = report(
+        &open(directory.path()),
+        Window {
+            from_us: 0,
+            to_us: 14 * SECOND,
+        },
+        Limits::default(),
+    );
     assert!(page.contains("No trouble was recorded") && page.contains("The records have no gap."));
 }
 
@@ -144,7 +219,13 @@
 #[test]
 fn levels_of_service_are_a_band_with_names() {
     let directory = tempfile::tempdir().expect("a directory");
-    let level = |second: i64| if (20..50).contains(&second) { "fewer reads" } else { "full" };
+    let level = |second: i64| {
+        if (20..50).contains(&second) {
+            "fewer reads"
+        } else {
+            "full"
+        }
+    };
     let mut kinds = vec![(0, 0, started())];
     for second in 0..80 {
         let at = second * SECOND;
@@ -155,7 +236,11 @@
                 number: u32::from(level(second) != "full"),
                 reason: "entered".into(),
                 condition: "SATURATION above 0.6 for 2 s".into(),
-                signals: vec![pb::Signal { name: "SATURATION".into(), value: Some(0.71), age_ms: 1500 }],
+                signals: vec![pb::Signal {
+                    name: "SATURATION".into(),
+                    value: Some(0.71),
+                    age_ms: 1500,
+                }],
                 tell: vec!["desk <b>".into()],
             };
             kinds.push((at, at, Kind::ServiceLevel(of)));
@@ -164,19 +249,36 @@
         kinds.push((
             at,
             at,
-            Kind::Gauge(pb::Gauge { service_level, levels: vec![1.0], ..pb::Gauge::default() }),
+            Kind::Gauge(pb::Gauge {
+                service_level,
+                levels: vec![1.0],
+                ..pb::Gauge::default()
+            }),
         ));
     }
     write(&directory.path().join("n0"), "n0", kinds);
-    let window = Window { from_us: 0, to_us: 80 * SECOND };
+    let window = Window {
+        from_us: 0,
+        to_us: 80 * SECOND,
+    };
     let page = report(&open(directory.path()), window, Limits::default());
-    assert!(page.contains("Levels of service") && page.contains(">fewer reads</text>"), "no band");
+    assert!(
+        page.contains("Levels of service") && page.contains(">fewer reads</text>"),
+        "no band"
+    );
     let rows = rows(&page);
-    let told =
-        rows.iter().find(|row| row.contains("service level fewer reads after full")).expect("the change");
+    let told = rows
+        .iter()
+        .find(|row| row.contains("service level fewer reads after full"))
+        .expect("the change");
     assert!(
-        told.contains("SATURATION above 0.6 for 2 s; SATURATION 0.71 1.5 s ago; tell desk &lt;b&gt;"),
+        told.contains(
+            "SATURATION above 0.6 for 2 s; SATURATION 0.71 1.5 s ago; tell desk &lt;b&gt;"
+        ),
         "{told}"
     );
-    assert!(page.contains("service reduced to fewer reads"), "the summary");
+    assert!(
+        page.contains("service reduced to fewer reads"),
+        "the summary"
+    );
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -35,8 +35,15 @@
 /// Reads the names from the settings' JSON object; what is no text reads as an empty name.
 pub fn names(json: &Value) -> Names {
     let list = |key: &str, name: fn(&Value) -> &Value| -> Vec<String> {
-        let items = json.get(key).and_then(Value::as_array).map(Vec::as_slice).unwrap_or(&[]);
-        items.iter().map(|item| name(item).as_str().unwrap_or("").to_string()).collect()
+        let items = json
+            .get(key)
+            .and_then(Value::as_array)
+            .map(Vec::as_slice)
+            .unwrap_or(&[]);
+        items
+            .iter()
+            .map(|item| name(item).as_str().unwrap_or("").to_string())
+            .collect()
     };
     Names {
         zones: list("zones", |item| item),
@@ -56,15 +63,25 @@
 }
 
 fn time_ms(json: &Value, path: &str) -> Option<f64> {
-    json.pointer(path).and_then(Value::as_f64).filter(|ms| *ms > 0.0)
+    json.pointer(path)
+        .and_then(Value::as_f64)
+        .filter(|ms| *ms > 0.0)
 }
 
 /// Reads a load report: `name:value` or `name=value` pairs set apart by commas. Names that are not known and
 /// figures that are none are skipped.
 pub fn load(text: &str) -> Load {
     let mut load = Load::default();
-    for (name, value) in text.split(',').filter_map(|pair| pair.split_once([':', '='])) {
-        let Some(value) = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0) else {
+    for (name, value) in text
+        .split(',')
+        .filter_map(|pair| pair.split_once([':', '=']))
+    {
+        let Some(value) = value
+            .trim()
+            .parse::<f64>()
+            .ok()
+            .filter(|v| v.is_finite() && *v >= 0.0)
+        else {
             continue;
         };
         match name.trim() {
@@ -93,17 +110,28 @@
     }
     let at = |path: &str| json.pointer(path);
     let num = |path: &str| at(path).and_then(Value::as_f64).unwrap_or(0.0);
-    let limit = |path: &str| Some(num(path)).filter(|limit| *limit > 0.0).unwrap_or(NO_LIMIT);
+    let limit = |path: &str| {
+        Some(num(path))
+            .filter(|limit| *limit > 0.0)
+            .unwrap_or(NO_LIMIT)
+    };
     let ms = |path: &str| Micros::from_ms(num(path));
     let flag = |path: &str| at(path).and_then(Value::as_bool).unwrap_or(false);
     let word = |path: &str| at(path).and_then(Value::as_str).unwrap_or("");
     let home_only = |class: usize| flag(&format!("/familyInfo/homeOnly/{class}"));
-    let classes = at("/classes").and_then(Value::as_array).map(Vec::as_slice).unwrap_or(&[]);
+    let classes = at("/classes")
+        .and_then(Value::as_array)
+        .map(Vec::as_slice)
+        .unwrap_or(&[]);
     Ok(Settings {
         instances: num("/peersTotal") as usize,
         zones: at("/zones").and_then(Value::as_array).map_or(0, Vec::len),
         zone: ZoneId(num("/locality") as u16),
-        classes: classes.iter().enumerate().map(|(k, class)| class_of(class, home_only(k))).collect(),
+        classes: classes
+            .iter()
+            .enumerate()
+            .map(|(k, class)| class_of(class, home_only(k)))
+            .collect(),
         proxies: num("/familyInfo/proxies") as usize,
         slices: num("/familyInfo/shards") as usize,
         sole_owner: flag("/familyInfo/soleOwner"),
@@ -170,8 +198,17 @@
         json!({"name": name, "aimMs": ms(of.aim), "hardLimitMs": ms(of.deadline), "worth": of.worth, "effect": effect,
                "dedupScope": scope, "windowMs": window})
     };
-    let classes: Vec<Value> = settings.classes.iter().zip(&names.classes).map(class).collect();
-    let home_only: Vec<bool> = settings.classes.iter().map(|class| class.home_only).collect();
+    let classes: Vec<Value> = settings
+        .classes
+        .iter()
+        .zip(&names.classes)
+        .map(class)
+        .collect();
+    let home_only: Vec<bool> = settings
+        .classes
+        .iter()
+        .map(|class| class.home_only)
+        .collect();
     let pick = match settings.pick {
         Pick::Random => "random",
         Pick::Rotate => "rotate",
@@ -218,7 +255,14 @@
 /// What the settings contradict or leave open, for a list of so many servers: a sentence each. The decisions go on all the
 /// same and keep the rules as far as they can be kept.
 pub fn doubts(settings: &Settings, servers: usize) -> Vec<String> {
-    let Settings { backlog, lines_per_s, message_head, proxies, messages_most, .. } = settings;
+    let Settings {
+        backlog,
+        lines_per_s,
+        message_head,
+        proxies,
+        messages_most,
+        ..
+    } = settings;
     // A whole table by the protocol: head, mark and `replace`, a level for each class, each server and whether it is shut out.
     let table = message_head + 2.0 + settings.classes.len() as f64 + 2.0 * servers as f64;
     let drain = *proxies as f64 * (message_head + 2.0);
@@ -230,7 +274,10 @@
         (*proxies == 0, "familyInfo.proxies is 0: no proxy is let in".to_string()),
         (*messages_most == 1, "familyInfo.messagesMost is 1: a drain may have to wait for a whole window".to_string()),
     ];
-    said.into_iter().filter(|(so, _)| *so).map(|(_, sentence)| sentence).collect()
+    said.into_iter()
+        .filter(|(so, _)| *so)
+        .map(|(_, sentence)| sentence)
+        .collect()
 }
 
 fn class_of(json: &Value, home_only: bool) -> Class {
@@ -280,16 +327,38 @@
         let settings = from_json(&json).expect("settings");
         assert_eq!(Ok(settings.clone()), from_text(TEXT));
         assert_eq!(
-            (settings.instances, settings.zones, settings.zone, settings.proxies),
+            (
+                settings.instances,
+                settings.zones,
+                settings.zone,
+                settings.proxies
+            ),
             (2, 2, ZoneId(1), 9)
         );
-        assert_eq!((settings.pick, settings.levels), (Pick::LeastOfTwo, LevelKind::PerSecond));
-        assert_eq!((settings.listed, settings.reports), (Listed::Rough, ReportSource::Answers));
+        assert_eq!(
+            (settings.pick, settings.levels),
+            (Pick::LeastOfTwo, LevelKind::PerSecond)
+        );
+        assert_eq!(
+            (settings.listed, settings.reports),
+            (Listed::Rough, ReportSource::Answers)
+        );
         assert_eq!(settings.drain_grace, Micros(2_000_000));
         assert!(settings.list_on_request && settings.probes);
-        assert_eq!(settings.classes[1].effect, Effect::Keyed(Scope::Zone, Micros(500_000)));
-        assert_eq!((settings.classes[0].home_only, settings.classes[1].home_only), (false, true));
-        let text = |names: &[&str]| names.iter().map(|name| name.to_string()).collect::<Vec<_>>();
+        assert_eq!(
+            settings.classes[1].effect,
+            Effect::Keyed(Scope::Zone, Micros(500_000))
+        );
+        assert_eq!(
+            (settings.classes[0].home_only, settings.classes[1].home_only),
+            (false, true)
+        );
+        let text = |names: &[&str]| {
+            names
+                .iter()
+                .map(|name| name.to_string())
+                .collect::<Vec<_>>()
+        };
         let expected = Names {
             zones: text(&["a", "b"]),
             classes: text(&["lookup", "order"]),
@@ -312,7 +381,10 @@
     #[test]
     fn what_is_absent_reads_as_nothing() {
         let none = from_text("{}").expect("settings");
-        assert_eq!((none.classes.len(), none.probes, none.backlog), (0, false, NO_LIMIT));
+        assert_eq!(
+            (none.classes.len(), none.probes, none.backlog),
+            (0, false, NO_LIMIT)
+        );
         assert_eq!(names(&Value::Null), Names::default());
         assert_eq!(tick_ms(&serde_json::json!({"tickMs": -3})), 0.0);
         assert!(from_text("[]").is_err() && from_text("").is_err());
@@ -324,10 +396,13 @@
             serde_json::json!({"classes": [{"name": "read"}], "familyInfo": {"backlog": backlog, "linesPerS": 900,
                 "fixedCost": 3, "proxies": proxies}})
         };
-        let said = |json: &Value, servers| doubts(&from_json(json).expect("settings"), servers).join("; ");
+        let said =
+            |json: &Value, servers| doubts(&from_json(json).expect("settings"), servers).join("; ");
         assert_eq!(said(&of(9000.0, 400), 40), "");
         assert!(said(&of(0.0, 4), 40).contains("names no limit"));
-        assert!(said(&of(80.0, 4), 40).contains("less than the 86 lines of one table of 40 servers"));
+        assert!(
+            said(&of(80.0, 4), 40).contains("less than the 86 lines of one table of 40 servers")
+        );
         assert!(said(&of(1000.0, 400), 40)
             .contains("less than the 2000 lines that shut one server out at 400 proxies"));
         assert!(said(&of(9000.0, 0), 40).contains("no proxy is let in"));
@@ -335,9 +410,16 @@
 
     #[test]
     fn both_forms_of_a_load_report_are_read() {
-        let expected = Load { inflight: Some(7.0), util: Some(0.61), ..Load::default() };
+        let expected = Load {
+            inflight: Some(7.0),
+            util: Some(0.61),
+            ..Load::default()
+        };
         assert_eq!(load("inflight:7,util:0.61"), expected);
         assert_eq!(load("inflight=7, util=0.61"), expected);
-        assert_eq!(load("queue:-1,util:NaN,latency_ms,strange:4"), Load::default());
+        assert_eq!(
+            load("queue:-1,util:NaN,latency_ms,strange:4"),
+            Load::default()
+        );
     }
 }
--- a/crates/standins/src/bin/demo.rs
+++ b/crates/standins/src/bin/demo.rs
@@ -48,7 +48,11 @@
     let until = tokio::time::Instant::now() + Duration::from_secs(seconds);
     while tokio::time::Instant::now() + FRAME_EVERY <= until {
         sleep(FRAME_EVERY).await;
-        command().arg("--once").stdin(Stdio::null()).status().await?;
+        command()
+            .arg("--once")
+            .stdin(Stdio::null())
+            .status()
+            .await?;
     }
     tokio::time::sleep_until(until).await;
     Ok(())
@@ -56,15 +60,20 @@
 
 async fn show(arguments: &Arguments) -> Result<(), String> {
     if !arguments.program.exists() {
-        return Err(format!("{} is not there: build it with `make build`", arguments.program.display()));
+        return Err(format!(
+            "{} is not there: build it with `make build`",
+            arguments.program.display()
+        ));
     }
     let out = &arguments.out;
     if out.join("operator.txtpb").exists() {
         std::fs::remove_dir_all(out).map_err(|fault| format!("{}: {fault}", out.display()))?;
     }
     let signals = |kind| signal(kind).map_err(|fault| format!("no signals: {fault}"));
-    let (mut interrupt, mut terminate) =
-        (signals(SignalKind::interrupt())?, signals(SignalKind::terminate())?);
+    let (mut interrupt, mut terminate) = (
+        signals(SignalKind::interrupt())?,
+        signals(SignalKind::terminate())?,
+    );
     println!("starting 10 servers, 8 front ends and 2 supervisors on loopback");
     let mut stage = Stage::set_with(&arguments.program, out, 11, LEVELS).await;
     let records = stage.records();
@@ -90,8 +99,15 @@
     let page = out.join("report.html");
     let mut report = Command::new(&arguments.program);
     report.arg("report").arg(&records).arg("--out").arg(&page);
-    let told = report.status().await.map_err(|fault| format!("the report: {fault}"))?;
-    println!("records in {}, report in {}", records.display(), page.display());
+    let told = report
+        .status()
+        .await
+        .map_err(|fault| format!("the report: {fault}"))?;
+    println!(
+        "records in {}, report in {}",
+        records.display(),
+        page.display()
+    );
     if told.success() {
         ended
     } else {
--- a/crates/standins/src/bin/incident.rs
+++ b/crates/standins/src/bin/incident.rs
@@ -26,8 +26,15 @@
 /// An earlier run's directory is replaced; any other is left alone.
 fn empty(out: &Path) -> Result<(), String> {
     let ours = out.join("operator.txtpb").exists();
-    if !ours && out.read_dir().is_ok_and(|mut entries| entries.next().is_some()) {
-        return Err(format!("{} holds something else: give an empty directory", out.display()));
+    if !ours
+        && out
+            .read_dir()
+            .is_ok_and(|mut entries| entries.next().is_some())
+    {
+        return Err(format!(
+            "{} holds something else: give an empty directory",
+            out.display()
+        ));
     }
     if ours {
         std::fs::remove_dir_all(out).map_err(|fault| format!("{}: {fault}", out.display()))?;
@@ -37,7 +44,10 @@
 
 async fn play(arguments: Arguments) -> Result<(), String> {
     if !arguments.program.exists() {
-        return Err(format!("{} is not there: build it with `make build`", arguments.program.display()));
+        return Err(format!(
+            "{} is not there: build it with `make build`",
+            arguments.program.display()
+        ));
     }
     empty(&arguments.out)?;
     let mut stage = Stage::set(&arguments.program, &arguments.out, arguments.seed).await;
@@ -48,12 +58,22 @@
     let (events, gaps) = timeline.read(&Query::default());
     let faults = truth::compare(&stage.diary.deeds(), &events, &gaps, &SUPERVISORS);
     faults.iter().for_each(|fault| println!("{fault}"));
-    println!("{} events and {} gaps recorded, {} deeds", events.len(), gaps.len(), stage.diary.deeds().len());
-    println!("ended with codes {codes:?}; requests that ran twice: {}", stage.fleet.ran_twice());
+    println!(
+        "{} events and {} gaps recorded, {} deeds",
+        events.len(),
+        gaps.len(),
+        stage.diary.deeds().len()
+    );
+    println!(
+        "ended with codes {codes:?}; requests that ran twice: {}",
+        stage.fleet.ran_twice()
+    );
     println!("records in {}", stage.records().display());
     match faults.len() {
         0 => Ok(()),
-        count => Err(format!("{count} differences between records and ground truth")),
+        count => Err(format!(
+            "{count} differences between records and ground truth"
+        )),
     }
 }
 
--- a/crates/standins/src/bin/truth.rs
+++ b/crates/standins/src/bin/truth.rs
@@ -22,7 +22,10 @@
 
 async fn play(arguments: Arguments) -> Result<(), String> {
     if !arguments.program.exists() {
-        return Err(format!("{} is not there: build it with `make build`", arguments.program.display()));
+        return Err(format!(
+            "{} is not there: build it with `make build`",
+            arguments.program.display()
+        ));
     }
     let (mut rows, mut held, mut whole) = (0, 0, 0);
     let all = days();
@@ -52,7 +55,10 @@
             whole += usize::from(good == compared.len());
         }
     }
-    println!("{held} of {rows} figures lie within their bars; on {whole} of {} days all do", all.len());
+    println!(
+        "{held} of {rows} figures lie within their bars; on {whole} of {} days all do",
+        all.len()
+    );
     Ok(())
 }
 
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -38,12 +38,19 @@
     /// Starts with an empty list.
     pub async fn start() -> Self {
         let (listener, address) = listen().await;
-        let told = Arc::new(Mutex::new(Told { index: 1, ..Told::default() }));
+        let told = Arc::new(Mutex::new(Told {
+            index: 1,
+            ..Told::default()
+        }));
         let discovery = Discovery { address, told };
         let asked = discovery.clone();
         serve(listener, Arc::default(), move |request| {
             let discovery = asked.clone();
-            async move { discovery.answer(request.uri().query().unwrap_or_default()).await }
+            async move {
+                discovery
+                    .answer(request.uri().query().unwrap_or_default())
+                    .await
+            }
         });
         let beating = discovery.clone();
         tokio::spawn(async move {
@@ -82,7 +89,11 @@
                 let line = format!("{line}\r\n");
                 let (first, rest) = line.split_at(line.len() / 2);
                 for piece in [first, rest] {
-                    if body.send_data(Bytes::from(piece.to_string())).await.is_err() {
+                    if body
+                        .send_data(Bytes::from(piece.to_string()))
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                 }
@@ -125,7 +136,8 @@
     pub fn say(&self, line: &str) {
         let mut told = self.told();
         if !told.mute {
-            told.watches.retain(|watch| watch.send(line.to_string()).is_ok());
+            told.watches
+                .retain(|watch| watch.send(line.to_string()).is_ok());
         }
     }
 
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -100,7 +100,10 @@
 
 impl Ways {
     fn are_cut(&self, from: &str, to: &str) -> bool {
-        from != to && held(&self.cut).iter().any(|zone| zone == from || zone == to)
+        from != to
+            && held(&self.cut)
+                .iter()
+                .any(|zone| zone == from || zone == to)
     }
 }
 
@@ -147,11 +150,21 @@
 
     /// Its load report, as probes bring it.
     fn report(&self) -> String {
-        format!("TEXT queue={}, latency_ms={:.1}", self.waiting.load(Ordering::Relaxed), *held(&self.work_ms))
+        format!(
+            "TEXT queue={}, latency_ms={:.1}",
+            self.waiting.load(Ordering::Relaxed),
+            *held(&self.work_ms)
+        )
     }
 
     /// Handles a request from a zone.
-    async fn handle(&self, from: &str, request: (u64, &str), length: Duration, ways: &Ways) -> Outcome {
+    async fn handle(
+        &self,
+        from: &str,
+        request: (u64, &str),
+        length: Duration,
+        ways: &Ways,
+    ) -> Outcome {
         if ways.are_cut(from, self.zone) {
             sleep(CUT_AFTER).await;
             return Outcome::Failed;
@@ -283,7 +296,10 @@
     }
 
     fn ended(&self, answer: Answer) {
-        if let Some(kept) = held(&self.answers).as_mut().filter(|kept| kept.len() < ANSWERS_MOST) {
+        if let Some(kept) = held(&self.answers)
+            .as_mut()
+            .filter(|kept| kept.len() < ANSWERS_MOST)
+        {
             kept.push(answer);
         }
     }
@@ -291,19 +307,27 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        held(&self.tasks).iter().for_each(tokio::task::JoinHandle::abort);
+        held(&self.tasks)
+            .iter()
+            .for_each(tokio::task::JoinHandle::abort);
     }
 }
 
 impl Fleet {
     /// A fleet of so many servers a zone and so many front ends in all, each with so many requests a second.
     pub async fn start(servers: usize, fronts: u32, rate: f64, seed: u64) -> Arc<Self> {
-        let ways = Arc::new(Ways { cut: Mutex::default(), demand: Mutex::new(1.0), late: Mutex::default() });
+        let ways = Arc::new(Ways {
+            cut: Mutex::default(),
+            demand: Mutex::new(1.0),
+            late: Mutex::default(),
+        });
         let fleet = Arc::new(Fleet {
             discovery: Discovery::start().await,
             addresses: Addresses::default(),
             workers: Mutex::default(),
-            fronts: (0..fronts).map(|id| Arc::new(FrontEnd::new(id, rate))).collect(),
+            fronts: (0..fronts)
+                .map(|id| Arc::new(FrontEnd::new(id, rate)))
+                .collect(),
             ways,
             tallies: Tallies::default(),
             tasks: Mutex::default(),
@@ -327,9 +351,18 @@
         for (at, front) in self.fronts.iter().enumerate() {
             let first = at % supervisors;
             let served = self.served.clone();
-            tasks.push(tokio::spawn(streams(Arc::clone(front), self.addresses.clone(), first, served)));
+            tasks.push(tokio::spawn(streams(
+                Arc::clone(front),
+                self.addresses.clone(),
+                first,
+                served,
+            )));
             let rng = StdRng::seed_from_u64(self.seed ^ (u64::from(front.id) << 32));
-            tasks.push(tokio::spawn(requests(Arc::downgrade(self), Arc::clone(front), rng)));
+            tasks.push(tokio::spawn(requests(
+                Arc::downgrade(self),
+                Arc::clone(front),
+                rng,
+            )));
         }
         for zone in ZONES {
             for supervisor in 0..supervisors {
@@ -352,7 +385,11 @@
     }
 
     fn worker(&self, name: &str) -> Arc<Worker> {
-        Arc::clone(held(&self.workers).get(name).unwrap_or_else(|| panic!("no server {name}")))
+        Arc::clone(
+            held(&self.workers)
+                .get(name)
+                .unwrap_or_else(|| panic!("no server {name}")),
+        )
     }
 
     /// What of the rules was broken so far, as front ends and servers saw it: in words, none if nothing was. Nobody to pick
@@ -361,12 +398,25 @@
         let count = |of: &AtomicU64| of.load(Ordering::Relaxed);
         let served = &self.served;
         let found = [
-            (count(&served.unserved).saturating_sub(unserved_most), "requests found nobody to pick"),
-            (count(&served.after_drain), "tries went to a server that had drained"),
-            (count(&served.bad_orders), "orders are not allowed by the protocol"),
+            (
+                count(&served.unserved).saturating_sub(unserved_most),
+                "requests found nobody to pick",
+            ),
+            (
+                count(&served.after_drain),
+                "tries went to a server that had drained",
+            ),
+            (
+                count(&served.bad_orders),
+                "orders are not allowed by the protocol",
+            ),
             (self.ran_twice() as u64, "requests ran twice that must not"),
         ];
-        found.iter().filter(|(count, _)| *count > 0).map(|(count, what)| format!("{count} {what}")).collect()
+        found
+            .iter()
+            .filter(|(count, _)| *count > 0)
+            .map(|(count, what)| format!("{count} {what}"))
+            .collect()
     }
 
     /// Requests of the class that must not run twice that did.
@@ -384,14 +434,16 @@
     pub fn drain(&self, name: &str) {
         let worker = self.worker(name);
         *held(&worker.drained) = Some(Instant::now());
-        self.discovery.set_in(worker.zone, name, worker.address, "draining", 0);
+        self.discovery
+            .set_in(worker.zone, name, worker.address, "draining", 0);
     }
 
     /// The list drops a server, which ends.
     pub fn remove(&self, name: &str) {
         let worker = self.worker(name);
         worker.gone.store(true, Ordering::Relaxed);
-        self.discovery.set_in(worker.zone, name, worker.address, "removed", 0);
+        self.discovery
+            .set_in(worker.zone, name, worker.address, "removed", 0);
     }
 
     /// A server that was removed starts anew and is listed again.
@@ -399,7 +451,8 @@
         let worker = self.worker(name);
         worker.gone.store(false, Ordering::Relaxed);
         *held(&worker.drained) = None;
-        self.discovery.set_in(worker.zone, name, worker.address, "up", now_us() / 1000);
+        self.discovery
+            .set_in(worker.zone, name, worker.address, "up", now_us() / 1000);
     }
 
     /// A server fails all that it gets, or nothing any more.
@@ -438,8 +491,13 @@
 
     /// Servers that each front end may pick for a class.
     pub fn picks(&self, class: &str) -> Vec<Vec<String>> {
-        let of =
-            |front: &Arc<FrontEnd>| held(&front.tables).picks(class).into_iter().map(String::from).collect();
+        let of = |front: &Arc<FrontEnd>| {
+            held(&front.tables)
+                .picks(class)
+                .into_iter()
+                .map(String::from)
+                .collect()
+        };
         self.fronts.iter().map(of).collect()
     }
 
@@ -449,7 +507,10 @@
             let tables = held(&front.tables);
             CLASSES.iter().all(|class| !tables.picks(class).is_empty())
         };
-        crate::wait::until("a table at every front end", || self.fronts.iter().all(holds)).await;
+        crate::wait::until("a table at every front end", || {
+            self.fronts.iter().all(holds)
+        })
+        .await;
     }
 }
 
@@ -491,7 +552,10 @@
     stream.set_nodelay(true)?;
     let (read, mut write) = stream.into_split();
     let new = u8::from(held(&front.tables).rows.is_empty());
-    let hello = format!("hello id={} site={} rps={:.1} new={new}\r\n", front.id, front.zone, front.rate);
+    let hello = format!(
+        "hello id={} site={} rps={:.1} new={new}\r\n",
+        front.id, front.zone, front.rate
+    );
     write.write_all(hello.as_bytes()).await?;
     let (marks, wanted) = mpsc::unbounded_channel();
     let reading = async {
@@ -554,15 +618,29 @@
 }
 
 async fn one_request(fleet: &Fleet, front: &FrontEnd, mut rng: StdRng) {
-    let class = if rng.random_bool(0.7) { CLASSES[0] } else { CLASSES[1] };
+    let class = if rng.random_bool(0.7) {
+        CLASSES[0]
+    } else {
+        CLASSES[1]
+    };
     let number = (u64::from(front.id) << 40) | front.requests.fetch_add(1, Ordering::Relaxed);
     fleet.served.came.fetch_add(1, Ordering::Relaxed);
     let came = Instant::now();
     let at = usize::from(class == CLASSES[1]);
-    let ended = |refused, ms| fleet.served.ended(Answer { came, class: at, refused, ms });
+    let ended = |refused, ms| {
+        fleet.served.ended(Answer {
+            came,
+            class: at,
+            refused,
+            ms,
+        })
+    };
     let (admitted, retry) = {
         let tables = held(&front.tables);
-        (rng.random_bool(tables.level(class).clamp(0.0, 1.0)), tables.retries.get(class).cloned())
+        (
+            rng.random_bool(tables.level(class).clamp(0.0, 1.0)),
+            tables.retries.get(class).cloned(),
+        )
     };
     held(&front.usage).entry(class).or_default().came += 1;
     if !admitted {
@@ -573,7 +651,8 @@
     let tries = async {
         let first = one_try(fleet, front, (number, class), &mut rng).await;
         match (first, retry.as_deref()) {
-            (Some(Outcome::Unrun), Some("1" | "2" | "3")) | (Some(Outcome::Failed), Some("2" | "3")) => {
+            (Some(Outcome::Unrun), Some("1" | "2" | "3"))
+            | (Some(Outcome::Failed), Some("2" | "3")) => {
                 one_try(fleet, front, (number, class), &mut rng).await
             }
             (first, _) => first,
@@ -591,7 +670,12 @@
 }
 
 /// One try at a server picked by weight; nothing if there is none to pick.
-async fn one_try(fleet: &Fleet, front: &FrontEnd, request: (u64, &str), rng: &mut StdRng) -> Option<Outcome> {
+async fn one_try(
+    fleet: &Fleet,
+    front: &FrontEnd,
+    request: (u64, &str),
+    rng: &mut StdRng,
+) -> Option<Outcome> {
     let name = {
         let tables = held(&front.tables);
         let (names, weights): (Vec<&str>, Vec<f64>) = tables.weights(request.1).unzip();
@@ -608,9 +692,17 @@
     let mean = *held(&worker.work_ms);
     let length = Duration::from_secs_f64(mean * rng.random_range(0.5..1.5) / 1000.0);
     // A try that the client gives up is told too, as one that failed.
-    let tally = Told { fleet, through, zone: front.zone, name: &worker.name, outcome: Outcome::Failed };
+    let tally = Told {
+        fleet,
+        through,
+        zone: front.zone,
+        name: &worker.name,
+        outcome: Outcome::Failed,
+    };
     let mut tally = tally;
-    tally.outcome = worker.handle(front.zone, request, length, &fleet.ways).await;
+    tally.outcome = worker
+        .handle(front.zone, request, length, &fleet.ways)
+        .await;
     Some(tally.outcome)
 }
 
@@ -626,7 +718,9 @@
 impl Drop for Told<'_> {
     fn drop(&mut self) {
         let mut tallies = held(&self.fleet.tallies);
-        let tally = tallies.entry((self.through, self.zone, self.name.to_string())).or_default();
+        let tally = tallies
+            .entry((self.through, self.zone, self.name.to_string()))
+            .or_default();
         tally.tries += 1;
         match self.outcome {
             Outcome::Done(ms) => tally.sum_ms += ms,
@@ -659,7 +753,9 @@
     ways: &Ways,
 ) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
-    stream.write_all(format!("agent site={zone}\r\n").as_bytes()).await?;
+    stream
+        .write_all(format!("agent site={zone}\r\n").as_bytes())
+        .await?;
     let (mut read, mut write) = stream.split();
     let (send, mut due) = mpsc::unbounded_channel::<(Instant, String)>();
     let gathers = async {
@@ -668,9 +764,12 @@
             report.tick().await;
             let own: Vec<(String, Tally)> = {
                 let mut tallies = held(tallies);
-                let mine = |key: &(usize, &'static str, String)| key.0 == supervisor && key.1 == zone;
+                let mine =
+                    |key: &(usize, &'static str, String)| key.0 == supervisor && key.1 == zone;
                 let keys: Vec<_> = tallies.keys().filter(|key| mine(key)).cloned().collect();
-                keys.into_iter().filter_map(|key| Some((key.2.clone(), tallies.remove(&key)?))).collect()
+                keys.into_iter()
+                    .filter_map(|key| Some((key.2.clone(), tallies.remove(&key)?)))
+                    .collect()
             };
             let line = |(server, of): (String, Tally)| {
                 let mean = of.sum_ms / (of.tries - of.failed).max(1) as f64;
@@ -678,7 +777,10 @@
                 format!("outcomes site={zone} target={server} count={tries} fail={failed} mean={mean:.1} over={over}.0\r\n")
             };
             let late = held(&ways.late).get(zone).copied().unwrap_or_default();
-            if send.send((Instant::now() + late, own.into_iter().map(line).collect())).is_err() {
+            if send
+                .send((Instant::now() + late, own.into_iter().map(line).collect()))
+                .is_err()
+            {
                 return;
             }
         }
@@ -701,5 +803,8 @@
 /// Ends once the other side has closed the connection.
 async fn wait_closed(read: &mut tokio::net::tcp::ReadHalf<'_>) {
     let mut rest = [0; 256];
-    while tokio::io::AsyncReadExt::read(read, &mut rest).await.is_ok_and(|count| count > 0) {}
+    while tokio::io::AsyncReadExt::read(read, &mut rest)
+        .await
+        .is_ok_and(|count| count > 0)
+    {}
 }
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -37,7 +37,11 @@
                 async move { Ok::<_, Infallible>(answering.await) }
             });
             let connection = hyper::server::conn::http1::Builder::new();
-            tokio::spawn(async move { connection.serve_connection(TokioIo::new(stream), service).await });
+            tokio::spawn(async move {
+                connection
+                    .serve_connection(TokioIo::new(stream), service)
+                    .await
+            });
         }
     });
 }
--- a/crates/standins/src/peer.rs
+++ b/crates/standins/src/peer.rs
@@ -19,21 +19,29 @@
 impl Peer {
     /// Connects.
     pub async fn connect(address: SocketAddr) -> Self {
-        let stream = soon("a connection", TcpStream::connect(address)).await.expect("a connection");
+        let stream = soon("a connection", TcpStream::connect(address))
+            .await
+            .expect("a connection");
         Peer::over(stream)
     }
 
     /// The other side of a connection that stands.
     pub fn over(stream: TcpStream) -> Self {
         stream.set_nodelay(true).expect("an option");
-        Peer { stream: BufReader::new(stream) }
+        Peer {
+            stream: BufReader::new(stream),
+        }
     }
 
     /// Connects with as little room for what it does not read as the system allows.
     pub async fn connect_narrow(address: SocketAddr) -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(1).expect("an option");
-        Peer::over(soon("a connection", socket.connect(address)).await.expect("a connection"))
+        Peer::over(
+            soon("a connection", socket.connect(address))
+                .await
+                .expect("a connection"),
+        )
     }
 
     /// Writes a line, in two pieces.
@@ -46,7 +54,9 @@
 
     /// Writes bytes; a connection that the other side has ended takes none.
     pub async fn raw(&mut self, bytes: &[u8]) -> bool {
-        soon("room to write", self.stream.get_mut().write_all(bytes)).await.is_ok()
+        soon("room to write", self.stream.get_mut().write_all(bytes))
+            .await
+            .is_ok()
     }
 
     /// The next line, without its end; none once the connection has ended.
@@ -67,18 +77,23 @@
 
     /// Answers a request whole.
     pub async fn answer(&mut self, status: u16, body: &str) {
-        let head = format!("HTTP/1.1 {status} As\r\ncontent-length: {}\r\n\r\n", body.len());
+        let head = format!(
+            "HTTP/1.1 {status} As\r\ncontent-length: {}\r\n\r\n",
+            body.len()
+        );
         self.raw(format!("{head}{body}").as_bytes()).await;
     }
 
     /// Begins the answer to a watch.
     pub async fn begin(&mut self) {
-        self.raw(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await;
+        self.raw(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
+            .await;
     }
 
     /// Says a piece of a watch.
     pub async fn piece(&mut self, text: &str) {
-        self.raw(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await;
+        self.raw(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+            .await;
     }
 
     /// Says a line of a watch.
@@ -89,7 +104,11 @@
     /// All that came and is still unread, until the connection ends.
     pub async fn rest(&mut self) -> String {
         let mut rest = Vec::new();
-        let _ = soon("the end of the connection", self.stream.read_to_end(&mut rest)).await;
+        let _ = soon(
+            "the end of the connection",
+            self.stream.read_to_end(&mut rest),
+        )
+        .await;
         String::from_utf8_lossy(&rest).into_owned()
     }
 
@@ -131,21 +150,32 @@
     /// Joins a supervisor.
     pub async fn join(supervisor: &Supervisor, id: u32, new: bool) -> Self {
         let mut peer = Peer::connect(supervisor.address).await;
-        peer.send(&format!("hello id={id} site=a rps=20.0 new={}", u8::from(new))).await;
-        Proxy { id, peer, tables: Tables::default() }
+        peer.send(&format!(
+            "hello id={id} site=a rps=20.0 new={}",
+            u8::from(new)
+        ))
+        .await;
+        Proxy {
+            id,
+            peer,
+            tables: Tables::default(),
+        }
     }
 
     /// The same proxy on a new stream, with all that it holds.
     pub async fn join_again(&mut self, supervisor: &Supervisor) {
         self.peer = Peer::connect(supervisor.address).await;
-        self.peer.send(&format!("hello id={} site=a rps=20.0 new=0", self.id)).await;
+        self.peer
+            .send(&format!("hello id={} site=a rps=20.0 new=0", self.id))
+            .await;
     }
 
     /// Applies messages until something holds.
     pub async fn applies(&mut self, what: &str, holds: impl Fn(&Proxy) -> bool) {
         while !holds(self) {
-            let line =
-                soon(what, self.peer.line()).await.unwrap_or_else(|| panic!("the stream ended: {what}"));
+            let line = soon(what, self.peer.line())
+                .await
+                .unwrap_or_else(|| panic!("the stream ended: {what}"));
             self.follow(&line).await;
         }
     }
@@ -160,14 +190,23 @@
 
     /// Applies a message and answers its mark.
     async fn follow(&mut self, line: &str) {
-        if let Some(mark) = self.tables.apply(line).expect("an order that the protocol allows") {
-            self.peer.send(&format!("ack id={} seq={mark} ms=12.5", self.id)).await;
+        if let Some(mark) = self
+            .tables
+            .apply(line)
+            .expect("an order that the protocol allows")
+        {
+            self.peer
+                .send(&format!("ack id={} seq={mark} ms=12.5", self.id))
+                .await;
         }
     }
 
     /// Reports usage.
     pub async fn demand(&mut self) {
-        let line = format!("demand id={} lane=lookup count=4 fail=0 over=200.0", self.id);
+        let line = format!(
+            "demand id={} lane=lookup count=4 fail=0 over=200.0",
+            self.id
+        );
         self.peer.send(&line).await;
     }
 }
--- a/crates/standins/src/predict.rs
+++ b/crates/standins/src/predict.rs
@@ -70,9 +70,24 @@
         day("half slow", 4, 40.0, &[(6, 14, Slow(4, 4.0))]),
         day("burst", 4, 45.0, &[(6, 11, Burst(1.8))]),
         day("overload", 3, 40.0, &[(6, 11, Burst(3.0))]),
-        day("streams and a failure", 5, 40.0, &[(6, 7, Streams), (6, 14, Fail(2))]),
-        day("killed, two slow", 5, 40.0, &[(5, 9, Kill), (6, 14, Slow(2, 6.0))]),
-        day("burst on slow ones", 5, 40.0, &[(5, 14, Slow(2, 4.0)), (8, 12, Burst(1.7))]),
+        day(
+            "streams and a failure",
+            5,
+            40.0,
+            &[(6, 7, Streams), (6, 14, Fail(2))],
+        ),
+        day(
+            "killed, two slow",
+            5,
+            40.0,
+            &[(5, 9, Kill), (6, 14, Slow(2, 6.0))],
+        ),
+        day(
+            "burst on slow ones",
+            5,
+            40.0,
+            &[(5, 14, Slow(2, 4.0)), (8, 12, Burst(1.7))],
+        ),
         day("four fail, busy", 5, 55.0, &[(6, 14, Fail(4))]),
     ]
 }
@@ -85,14 +100,22 @@
             let times = format!("at_s: {from} length_s: {}", to - from);
             match of {
                 Happens::Fail(count) => {
-                    format!("trouble {{ sort: FAIL_FAST {times} part: {} size: 1 }}", part(*count))
+                    format!(
+                        "trouble {{ sort: FAIL_FAST {times} part: {} size: 1 }}",
+                        part(*count)
+                    )
                 }
                 Happens::Slow(count, size) => {
-                    format!("trouble {{ sort: SLOW {times} part: {} size: {size} }}", part(*count))
+                    format!(
+                        "trouble {{ sort: SLOW {times} part: {} size: {size} }}",
+                        part(*count)
+                    )
                 }
                 Happens::Burst(size) => format!("trouble {{ sort: BURST {times} size: {size} }}"),
                 Happens::Streams => format!("trouble {{ sort: STREAMS {times} part: 1 }}"),
-                Happens::Kill => format!("trouble {{ sort: SUPERVISORS_DIE {times} part: 0.5 zone: 'b' }}"),
+                Happens::Kill => {
+                    format!("trouble {{ sort: SUPERVISORS_DIE {times} part: 0.5 zone: 'b' }}")
+                }
             }
         };
         let troubles: Vec<String> = self.happens.iter().map(trouble).collect();
@@ -113,8 +136,13 @@
             f64::from(FRONTS) * self.rate,
             troubles.join("\n")
         );
-        scenario::read(&text)
-            .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
+        scenario::read(&text).map_err(|faults| {
+            faults
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+                .join("; ")
+        })
     }
 }
 
@@ -131,18 +159,31 @@
         ("p90 ms", Some(outcome.figure("p90_ms"))),
         ("p99 ms", Some(outcome.figure("p99_ms"))),
         ("shut out s", shut),
-        ("restored s", (!outcome.restored_s.is_empty()).then(|| outcome.figure("restored_s"))),
+        (
+            "restored s",
+            (!outcome.restored_s.is_empty()).then(|| outcome.figure("restored_s")),
+        ),
     ]
 }
 
 /// Plays a day on loopback with the program.
 pub async fn real(day: &Day, program: &Path, directory: &Path, seed: u64) -> Figures {
-    let mut stage = Stage::sized(program, directory, (day.servers, FRONTS, day.rate), seed, "").await;
+    let mut stage = Stage::sized(
+        program,
+        directory,
+        (day.servers, FRONTS, day.rate),
+        seed,
+        "",
+    )
+    .await;
     let fleet = std::sync::Arc::clone(&stage.fleet);
     let begun = Instant::now();
     fleet.served().keep();
-    let mut deeds: Vec<(u64, bool, Happens)> =
-        day.happens.iter().flat_map(|(from, to, of)| [(*from, true, *of), (*to, false, *of)]).collect();
+    let mut deeds: Vec<(u64, bool, Happens)> = day
+        .happens
+        .iter()
+        .flat_map(|(from, to, of)| [(*from, true, *of), (*to, false, *of)])
+        .collect();
     deeds.sort_by_key(|(at, ..)| *at);
     // Struck servers are spread over both zones.
     let name = |number: usize| format!("s-{}{}", ["a", "b"][number % 2], number / 2 + 1);
@@ -151,7 +192,9 @@
     let (mut healing, mut restored): (Vec<(String, Instant)>, Vec<f64>) = (Vec::new(), Vec::new());
     let mut next = deeds.into_iter().peekable();
     while begun.elapsed() < Duration::from_secs(SECONDS) {
-        while let Some((_, on, of)) = next.next_if(|(at, ..)| begun.elapsed() >= Duration::from_secs(*at)) {
+        while let Some((_, on, of)) =
+            next.next_if(|(at, ..)| begun.elapsed() >= Duration::from_secs(*at))
+        {
             match of {
                 Happens::Fail(count) => {
                     for server in (0..count).map(name) {
@@ -168,7 +211,9 @@
                     }
                 }
                 Happens::Slow(count, size) => {
-                    (0..count).map(name).for_each(|server| fleet.slow(&server, if on { size } else { 1.0 }));
+                    (0..count)
+                        .map(name)
+                        .for_each(|server| fleet.slow(&server, if on { size } else { 1.0 }));
                 }
                 Happens::Burst(size) => fleet.demand(if on { size } else { 1.0 }),
                 Happens::Streams if on => (0..FRONTS).for_each(|front| fleet.break_stream(front)),
@@ -177,7 +222,10 @@
                 Happens::Kill => stage.again(1).await,
             }
         }
-        let picks: Vec<Vec<String>> = CLASSES.iter().flat_map(|class| fleet.picks(class)).collect();
+        let picks: Vec<Vec<String>> = CLASSES
+            .iter()
+            .flat_map(|class| fleet.picks(class))
+            .collect();
         watched.retain(|(server, since)| {
             let picked = picks.iter().any(|names| names.contains(server));
             if !picked {
@@ -196,17 +244,30 @@
     }
     sleep(Duration::from_millis(2200)).await;
     stage.end().await;
-    let kept = fleet.served().answers.lock().expect("no panic while held").take().unwrap_or_default();
-    let answers: Vec<_> = kept.iter().filter(|of| of.came < begun + Duration::from_secs(SECONDS)).collect();
+    let kept = fleet
+        .served()
+        .answers
+        .lock()
+        .expect("no panic while held")
+        .take()
+        .unwrap_or_default();
+    let answers: Vec<_> = kept
+        .iter()
+        .filter(|of| of.came < begun + Duration::from_secs(SECONDS))
+        .collect();
     let service = |class: usize| {
         let own: Vec<_> = answers.iter().filter(|of| of.class == class).collect();
-        let good = own.iter().filter(|of| of.ms.is_some_and(|ms| ms <= AIM_MS)).count();
+        let good = own
+            .iter()
+            .filter(|of| of.ms.is_some_and(|ms| ms <= AIM_MS))
+            .count();
         good as f64 / own.len().max(1) as f64
     };
     let mut times: Vec<f64> = answers.iter().filter_map(|of| of.ms).collect();
     times.sort_unstable_by(f64::total_cmp);
     let quantile = |share: f64| times.get((share * times.len() as f64) as usize).copied();
-    let refused = answers.iter().filter(|of| of.refused).count() as f64 / answers.len().max(1) as f64;
+    let refused =
+        answers.iter().filter(|of| of.refused).count() as f64 / answers.len().max(1) as f64;
     let shut = (!shut_out.is_empty()).then(|| shut_out.iter().sum::<f64>() / shut_out.len() as f64);
     vec![
         ("service lookup", Some(service(0))),
@@ -216,7 +277,10 @@
         ("p90 ms", quantile(0.9)),
         ("p99 ms", quantile(0.99)),
         ("shut out s", shut),
-        ("restored s", (!restored.is_empty()).then(|| restored.iter().sum::<f64>() / restored.len() as f64)),
+        (
+            "restored s",
+            (!restored.is_empty()).then(|| restored.iter().sum::<f64>() / restored.len() as f64),
+        ),
     ]
 }
 
@@ -243,7 +307,9 @@
 /// What the model says of a day.
 pub fn said(day: &Day) -> Result<Vec<Figures>, String> {
     let scenario = day.scenario()?;
-    Ok((0..RUNS).map(|seed| of_model(&run(&scenario, Control::Module, seed))).collect())
+    Ok((0..RUNS)
+        .map(|seed| of_model(&run(&scenario, Control::Module, seed)))
+        .collect())
 }
 
 /// The bars of a day beside what came. A figure that came up on one side only is a row that does not hold.
@@ -253,8 +319,17 @@
         match (figures.len() * 2 > said.len(), came) {
             (false, None) => None,
             (true, Some(came)) => Some(bar(name, &figures, *came)),
-            (true, None) => Some(Row { half: 0.0, came: f64::NAN, ..bar(name, &figures, 0.0) }),
-            (false, Some(came)) => Some(Row { name, said: f64::NAN, half: 0.0, came: *came }),
+            (true, None) => Some(Row {
+                half: 0.0,
+                came: f64::NAN,
+                ..bar(name, &figures, 0.0)
+            }),
+            (false, Some(came)) => Some(Row {
+                name,
+                said: f64::NAN,
+                half: 0.0,
+                came: *came,
+            }),
         }
     };
     came.iter().enumerate().filter_map(row).collect()
@@ -270,7 +345,12 @@
         name if name.ends_with(" s") => 0.3,
         _ => GRAIN.0,
     };
-    Row { name, said: of.mean, half: single + grain, came }
+    Row {
+        name,
+        said: of.mean,
+        half: single + grain,
+        came,
+    }
 }
 
 #[cfg(test)]
@@ -279,12 +359,17 @@
 
     #[test]
     fn a_bar_is_for_one_more_run() {
-        let runs: Vec<Figures> =
-            [0.90, 0.92, 0.94].iter().map(|share| vec![("refused", Some(*share))]).collect();
+        let runs: Vec<Figures> = [0.90, 0.92, 0.94]
+            .iter()
+            .map(|share| vec![("refused", Some(*share))])
+            .collect();
         let rows = |came| compare(&runs, &vec![("refused", came)]);
         let half = rows(Some(0.92))[0].half;
         // t of 2 degrees is 4.303; the standard deviation 0.02; one more run: root of 1 + 1/3.
-        assert!((half - (4.303 * 0.02 * (4.0f64 / 3.0).sqrt() + 0.003)).abs() < 1e-3, "{half}");
+        assert!(
+            (half - (4.303 * 0.02 * (4.0f64 / 3.0).sqrt() + 0.003)).abs() < 1e-3,
+            "{half}"
+        );
         assert!(rows(Some(0.95))[0].holds() && !rows(Some(0.70))[0].holds());
         assert!(!rows(None)[0].holds(), "what the model says must come up");
     }
@@ -292,7 +377,9 @@
     #[test]
     fn every_day_can_be_modelled() {
         for day in days() {
-            let scenario = day.scenario().unwrap_or_else(|fault| panic!("{}: {fault}", day.name));
+            let scenario = day
+                .scenario()
+                .unwrap_or_else(|fault| panic!("{}: {fault}", day.name));
             let outcome = run(&scenario, Control::Module, 1);
             assert!(
                 outcome.broken.is_empty() && outcome.figure("came") > 3000.0,
--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/program.rs
@@ -68,26 +68,41 @@
     /// The program in a file; what it is told goes into a directory.
     pub fn new(path: impl AsRef<Path>, scratch: impl AsRef<Path>) -> Self {
         let (path, scratch) = (path.as_ref().to_path_buf(), scratch.as_ref().to_path_buf());
-        Program { path, scratch, operator: None, temporary: None }
+        Program {
+            path,
+            scratch,
+            operator: None,
+            temporary: None,
+        }
     }
 
     /// The same with an operators' file.
     #[must_use]
     pub fn with_operator(&self, file: impl AsRef<Path>) -> Self {
-        Program { operator: Some(file.as_ref().to_path_buf()), ..self.clone() }
+        Program {
+            operator: Some(file.as_ref().to_path_buf()),
+            ..self.clone()
+        }
     }
 
     /// The same with a directory of its own for what it writes, which is also where it starts.
     #[must_use]
     pub fn with_scratch(&self, directory: impl AsRef<Path>) -> Self {
-        Program { temporary: Some(directory.as_ref().to_path_buf()), ..self.clone() }
+        Program {
+            temporary: Some(directory.as_ref().to_path_buf()),
+            ..self.clone()
+        }
     }
 
     /// Starts the program and holds it while it reads its configuration, whose file is a pipe from then on.
     pub async fn start_held(&self) -> Held {
         let (mut command, path) = self.command(&Value::Null);
         std::fs::remove_file(&path).expect("its file");
-        let made = Command::new("mkfifo").arg(&path).status().await.expect("mkfifo");
+        let made = Command::new("mkfifo")
+            .arg(&path)
+            .status()
+            .await
+            .expect("mkfifo");
         assert!(made.success());
         let child = command.spawn().expect("the program");
         let pipe = opened(&path).await;
@@ -103,9 +118,18 @@
     /// The command with its environment, and where its configuration is.
     fn prepared(&self, config: &Value, mut command: Command) -> (Command, String) {
         let number = CONFIGS.fetch_add(1, Ordering::SeqCst);
-        let path = format!("{}/supervisor-{}-{number}.json", self.scratch.display(), std::process::id());
+        let path = format!(
+            "{}/supervisor-{}-{number}.json",
+            self.scratch.display(),
+            std::process::id()
+        );
         std::fs::write(&path, config.to_string()).expect("a configuration file");
-        for variable in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "CHUTEGRADE_OPERATOR"] {
+        for variable in [
+            "LB_NAME",
+            "LB_LISTEN",
+            "LB_DISCOVERY",
+            "CHUTEGRADE_OPERATOR",
+        ] {
             command.env_remove(variable);
         }
         if let Some(operator) = &self.operator {
@@ -114,26 +138,45 @@
         if let Some(directory) = &self.temporary {
             command.env("TMPDIR", directory).current_dir(directory);
         }
-        command.env("LB_CONFIG", &path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .env("LB_CONFIG", &path)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         command.kill_on_drop(true);
         (command, path)
     }
 
     /// Starts it with a configuration that it can't run with; its exit code and what it said.
     pub async fn fails_to_start(&self, config: &Value) -> (Option<i32>, String) {
-        let output =
-            soon("the end of the program", self.command(config).0.output()).await.expect("the program");
-        (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
+        let output = soon("the end of the program", self.command(config).0.output())
+            .await
+            .expect("the program");
+        (
+            output.status.code(),
+            String::from_utf8_lossy(&output.stderr).into_owned(),
+        )
     }
 
     /// Runs one of its other commands; its exit code, and what it wrote to either side.
     pub async fn tool(&self, arguments: &[&str]) -> (Option<i32>, String, String) {
         let mut command = Command::new(&self.path);
-        command.args(arguments).stdin(Stdio::null()).kill_on_drop(true);
-        command.env_remove("LB_CONFIG").env_remove("CHUTEGRADE_OPERATOR");
-        let output = soon("the end of the tool", command.output()).await.expect("the program");
+        command
+            .args(arguments)
+            .stdin(Stdio::null())
+            .kill_on_drop(true);
+        command
+            .env_remove("LB_CONFIG")
+            .env_remove("CHUTEGRADE_OPERATOR");
+        let output = soon("the end of the tool", command.output())
+            .await
+            .expect("the program");
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        (output.status.code(), text(&output.stdout), text(&output.stderr))
+        (
+            output.status.code(),
+            text(&output.stdout),
+            text(&output.stderr),
+        )
     }
 
     /// Starts the program and waits until it serves.
@@ -144,14 +187,19 @@
     /// Starts the program where the system gives it no more than so many descriptors.
     pub async fn start_within(&self, config: &Value, descriptors: usize) -> Supervisor {
         let mut shell = Command::new("/bin/sh");
-        shell.args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\"")]).arg(&self.path);
+        shell
+            .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\"")])
+            .arg(&self.path);
         Supervisor::started(self.prepared(config, shell)).await
     }
 
     /// Starts the program with the address of discovery in its environment too, as the operators do.
     pub async fn start_with_env(&self, config: &Value) -> Supervisor {
         let (mut command, path) = self.command(config);
-        command.env("LB_DISCOVERY", config["discovery"].as_str().expect("an address"));
+        command.env(
+            "LB_DISCOVERY",
+            config["discovery"].as_str().expect("an address"),
+        );
         Supervisor::started((command, path)).await
     }
 }
@@ -160,13 +208,20 @@
 async fn opened(path: &str) -> File {
     let path = path.to_string();
     let opening = tokio::task::spawn_blocking(move || OpenOptions::new().write(true).open(path));
-    soon("a reader of the pipe", opening).await.expect("no panic").expect("a pipe")
+    soon("a reader of the pipe", opening)
+        .await
+        .expect("no panic")
+        .expect("a pipe")
 }
 
 async fn kill(child: &Child, signals: &[&str]) {
     let id = child.id().expect("it runs").to_string();
     for signal in signals {
-        let sent = Command::new("kill").args([signal, id.as_str()]).status().await.expect("kill");
+        let sent = Command::new("kill")
+            .args([signal, id.as_str()])
+            .status()
+            .await
+            .expect("kill");
         assert!(sent.success());
     }
 }
@@ -179,19 +234,31 @@
 
     /// Gives it its configuration, and waits until it serves.
     pub async fn go_on(self, config: &Value) -> Supervisor {
-        let Held { child, path, mut pipe } = self;
-        pipe.write_all(config.to_string().as_bytes()).expect("a reader");
+        let Held {
+            child,
+            path,
+            mut pipe,
+        } = self;
+        pipe.write_all(config.to_string().as_bytes())
+            .expect("a reader");
         drop(pipe);
         Supervisor::watched(child, path).await
     }
 
     /// Gives it its configuration, and waits until it ends; its exit code and what it said.
     pub async fn ends(self, config: &Value) -> (Option<i32>, String) {
-        let Held { child, mut pipe, .. } = self;
+        let Held {
+            child, mut pipe, ..
+        } = self;
         let _ = pipe.write_all(config.to_string().as_bytes());
         drop(pipe);
-        let output = soon("the end of the program", child.wait_with_output()).await.expect("its output");
-        (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
+        let output = soon("the end of the program", child.wait_with_output())
+            .await
+            .expect("its output");
+        (
+            output.status.code(),
+            String::from_utf8_lossy(&output.stderr).into_owned(),
+        )
     }
 }
 
@@ -212,22 +279,37 @@
         let listens = |log: &Mutex<Vec<String>>| {
             let log = log.lock().expect("no panic while held");
             let line = log.iter().find(|line| line.contains(" started "))?;
-            line.split("listen=").nth(1)?.split(' ').next()?.parse::<SocketAddr>().ok()
+            line.split("listen=")
+                .nth(1)?
+                .split(' ')
+                .next()?
+                .parse::<SocketAddr>()
+                .ok()
         };
         until("the start", || listens(&log).is_some()).await;
         let address = listens(&log).expect("checked above");
-        Supervisor { child, address, log, path }
+        Supervisor {
+            child,
+            address,
+            log,
+            path,
+        }
     }
 
     /// Lines that hold all of these words.
     pub fn logged(&self, words: &[&str]) -> usize {
         let log = self.log.lock().expect("no panic while held");
-        log.iter().filter(|line| words.iter().all(|word| line.contains(word))).count()
+        log.iter()
+            .filter(|line| words.iter().all(|word| line.contains(word)))
+            .count()
     }
 
     /// Waits for so many such lines.
     pub async fn logs(&self, times: usize, words: &[&str]) {
-        until(&format!("{times} log lines with {words:?}"), || self.logged(words) >= times).await;
+        until(&format!("{times} log lines with {words:?}"), || {
+            self.logged(words) >= times
+        })
+        .await;
         assert_eq!(self.logged(words), times, "log lines with {words:?}");
     }
 
@@ -239,7 +321,11 @@
     pub async fn freeze(&self) {
         self.signal("-STOP").await;
         let stat = format!("/proc/{}/stat", self.child.id().expect("it runs"));
-        let stopped = || std::fs::read_to_string(&stat).expect("its state").contains(") T ");
+        let stopped = || {
+            std::fs::read_to_string(&stat)
+                .expect("its state")
+                .contains(") T ")
+        };
         until("the process to stand still", stopped).await;
     }
 
@@ -252,12 +338,16 @@
     /// Gives the next reload its configuration, where that is read out of a pipe.
     pub async fn feed(&self, config: &Value) {
         let mut pipe = opened(&self.path).await;
-        pipe.write_all(config.to_string().as_bytes()).expect("a reader");
+        pipe.write_all(config.to_string().as_bytes())
+            .expect("a reader");
     }
 
     /// Waits for its end; its exit code.
     pub async fn ends(&mut self) -> Option<i32> {
-        soon("its end", self.child.wait()).await.expect("its status").code()
+        soon("its end", self.child.wait())
+            .await
+            .expect("its status")
+            .code()
     }
 
     /// Replaces its configuration file and sends SIGHUP.
--- a/crates/standins/src/script.rs
+++ b/crates/standins/src/script.rs
@@ -83,7 +83,10 @@
         std::fs::create_dir_all(&records).expect("a directory");
         let operator = directory.join("operator.txtpb");
         let absolute = std::fs::canonicalize(&records).expect("the directory just made");
-        let text = format!("records {{ directory: {:?} }}\n{more}\n", absolute.display().to_string());
+        let text = format!(
+            "records {{ directory: {:?} }}\n{more}\n",
+            absolute.display().to_string()
+        );
         std::fs::write(&operator, text).expect("an operators' file");
         let fleet = Fleet::start(size.0, size.1, size.2, seed).await;
         let mut stage = Stage {
@@ -114,16 +117,25 @@
     }
 
     async fn begin(&mut self, at: usize) {
-        self.diary.note(Deed::Begun { supervisor: SUPERVISORS[at].to_string() });
-        let supervisor = self.program.start(&told(&self.fleet, SUPERVISORS[at], self.probes)).await;
+        self.diary.note(Deed::Begun {
+            supervisor: SUPERVISORS[at].to_string(),
+        });
+        let supervisor = self
+            .program
+            .start(&told(&self.fleet, SUPERVISORS[at], self.probes))
+            .await;
         self.fleet.addresses.set(at, Some(supervisor.address));
         self.supervisors[at] = Some(supervisor);
     }
 
     /// Kills a supervisor; `again` starts it anew.
     pub async fn kill(&mut self, at: usize) {
-        let Some(supervisor) = self.supervisors[at].take() else { return };
-        self.diary.note(Deed::Killed { supervisor: SUPERVISORS[at].to_string() });
+        let Some(supervisor) = self.supervisors[at].take() else {
+            return;
+        };
+        self.diary.note(Deed::Killed {
+            supervisor: SUPERVISORS[at].to_string(),
+        });
         self.fleet.addresses.set(at, None);
         supervisor.kill().await;
     }
@@ -158,7 +170,9 @@
         let mut codes = Vec::new();
         for (at, supervisor) in self.supervisors.iter_mut().enumerate() {
             if let Some(mut supervisor) = supervisor.take() {
-                self.diary.note(Deed::Ended { supervisor: SUPERVISORS[at].to_string() });
+                self.diary.note(Deed::Ended {
+                    supervisor: SUPERVISORS[at].to_string(),
+                });
                 self.fleet.addresses.set(at, None);
                 codes.push(supervisor.terminate().await);
             }
@@ -171,28 +185,50 @@
         let seconds = |n| sleep(Duration::from_secs(n));
         let (drained, failing, cut) = ("s-a1", "s-b2", "b");
         seconds(6).await;
-        self.diary.note(Deed::Drains { server: drained.into() });
+        self.diary.note(Deed::Drains {
+            server: drained.into(),
+        });
         self.fleet.drain(drained);
         seconds(3).await;
-        self.diary.note(Deed::Removed { server: drained.into() });
+        self.diary.note(Deed::Removed {
+            server: drained.into(),
+        });
         self.fleet.remove(drained);
         seconds(2).await;
-        self.diary.note(Deed::Fails { server: failing.into(), on: true });
+        self.diary.note(Deed::Fails {
+            server: failing.into(),
+            on: true,
+        });
         self.fleet.fail(failing, true);
         seconds(7).await;
-        self.diary.note(Deed::Fails { server: failing.into(), on: false });
+        self.diary.note(Deed::Fails {
+            server: failing.into(),
+            on: false,
+        });
         self.fleet.fail(failing, false);
         seconds(3).await;
-        self.diary.note(Deed::Late { zone: "a".into(), ms: 3000 });
+        self.diary.note(Deed::Late {
+            zone: "a".into(),
+            ms: 3000,
+        });
         self.fleet.late("a", Duration::from_secs(3));
         seconds(1).await;
-        self.diary.note(Deed::Cut { zone: cut.into(), on: true });
+        self.diary.note(Deed::Cut {
+            zone: cut.into(),
+            on: true,
+        });
         self.fleet.cut(cut, true);
         seconds(7).await;
-        self.diary.note(Deed::Cut { zone: cut.into(), on: false });
+        self.diary.note(Deed::Cut {
+            zone: cut.into(),
+            on: false,
+        });
         self.fleet.cut(cut, false);
         seconds(6).await;
-        self.diary.note(Deed::Late { zone: "a".into(), ms: 0 });
+        self.diary.note(Deed::Late {
+            zone: "a".into(),
+            ms: 0,
+        });
         self.fleet.late("a", Duration::ZERO);
         for proxy in [2, 4, 6] {
             self.diary.note(Deed::Broken { proxy });
@@ -203,7 +239,9 @@
         seconds(6).await;
         self.begin(1).await;
         seconds(5).await;
-        self.diary.note(Deed::Started { server: drained.into() });
+        self.diary.note(Deed::Started {
+            server: drained.into(),
+        });
         self.fleet.restart(drained);
         seconds(6).await;
         self.diary.note(Deed::Mute { on: true });
@@ -219,7 +257,9 @@
         self.fleet.demand(1.0);
         seconds(8).await;
         let codes = self.end().await;
-        self.diary.save(&self.directory.join("truth.jsonl")).expect("the ground truth");
+        self.diary
+            .save(&self.directory.join("truth.jsonl"))
+            .expect("the ground truth");
         codes
     }
 
@@ -229,10 +269,16 @@
         let seconds = |n| sleep(Duration::from_secs(n));
         for server in servers.iter().cycle() {
             seconds(5).await;
-            self.diary.note(Deed::Fails { server: server.to_string(), on: true });
+            self.diary.note(Deed::Fails {
+                server: server.to_string(),
+                on: true,
+            });
             self.fleet.fail(server, true);
             seconds(6).await;
-            self.diary.note(Deed::Fails { server: server.to_string(), on: false });
+            self.diary.note(Deed::Fails {
+                server: server.to_string(),
+                on: false,
+            });
             self.fleet.fail(server, false);
             seconds(6).await;
             self.diary.note(Deed::Demand { factor: 5.0 });
@@ -241,13 +287,19 @@
             self.diary.note(Deed::Demand { factor: 1.0 });
             self.fleet.demand(1.0);
             seconds(8).await;
-            self.diary.note(Deed::Drains { server: server.to_string() });
+            self.diary.note(Deed::Drains {
+                server: server.to_string(),
+            });
             self.fleet.drain(server);
             seconds(4).await;
-            self.diary.note(Deed::Removed { server: server.to_string() });
+            self.diary.note(Deed::Removed {
+                server: server.to_string(),
+            });
             self.fleet.remove(server);
             seconds(2).await;
-            self.diary.note(Deed::Started { server: server.to_string() });
+            self.diary.note(Deed::Started {
+                server: server.to_string(),
+            });
             self.fleet.restart(server);
             seconds(6).await;
         }
--- a/crates/standins/src/scripted.rs
+++ b/crates/standins/src/scripted.rs
@@ -26,7 +26,9 @@
 
     /// The next connection.
     pub async fn accept(&self) -> Peer {
-        let (stream, _) = soon("a connection", self.listener.accept()).await.expect("a connection");
+        let (stream, _) = soon("a connection", self.listener.accept())
+            .await
+            .expect("a connection");
         Peer::over(stream)
     }
 
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -53,7 +53,12 @@
                 }
             }
         });
-        Server { name, address, connections, probes }
+        Server {
+            name,
+            address,
+            connections,
+            probes,
+        }
     }
 
     /// How many probes it was asked.
--- a/crates/standins/src/tables.rs
+++ b/crates/standins/src/tables.rs
@@ -58,7 +58,11 @@
                 self.retries.remove(class);
                 self.levels.remove(class);
             }
-            for row in words.get("rows").into_iter().flat_map(|rows| rows.split(',')) {
+            for row in words
+                .get("rows")
+                .into_iter()
+                .flat_map(|rows| rows.split(','))
+            {
                 let (name, weight) = row.split_once(':').ok_or_else(|| wrong("no row"))?;
                 let weight: f64 = weight.parse().map_err(|_| wrong("no weight"))?;
                 if !(weight.is_finite() && weight >= 0.0) {
@@ -77,8 +81,13 @@
                 _ => return Err(wrong("a level without its way of trying again")),
             }
         }
-        let names =
-            |word: &str| words.get(word).into_iter().flat_map(|names| names.split(',')).map(String::from);
+        let names = |word: &str| {
+            words
+                .get(word)
+                .into_iter()
+                .flat_map(|names| names.split(','))
+                .map(String::from)
+        };
         self.dropped.extend(names("drop"));
         names("undrop").for_each(|name| {
             self.dropped.remove(&name);
@@ -97,13 +106,34 @@
         let mut tables = Tables::default();
         let first = tables.apply("push replace=1 rows=s-1:1.5,s-2:0.2 gate=0.9 again=1 part=1");
         assert_eq!((first, tables.messages), (Ok(None), 0));
-        assert_eq!(tables.apply("push drop=s-2 stamp=905"), Ok(Some("905".to_string())));
-        assert_eq!((tables.picks("order"), tables.level("order"), tables.messages), (vec!["s-1"], 0.9, 1));
-        assert_eq!(tables.apply("push for=order rows=s-1:0 undrop=s-2"), Ok(None));
-        assert_eq!((tables.picks("order"), tables.picks("lookup")), (vec!["s-2"], vec!["s-1", "s-2"]));
-        for wrong in
-            ["pull", "push for=x", "push rows=s-1", "push rows=s-1:-1", "push gate=0.5", "push rows=s-1:NaN"]
-        {
+        assert_eq!(
+            tables.apply("push drop=s-2 stamp=905"),
+            Ok(Some("905".to_string()))
+        );
+        assert_eq!(
+            (
+                tables.picks("order"),
+                tables.level("order"),
+                tables.messages
+            ),
+            (vec!["s-1"], 0.9, 1)
+        );
+        assert_eq!(
+            tables.apply("push for=order rows=s-1:0 undrop=s-2"),
+            Ok(None)
+        );
+        assert_eq!(
+            (tables.picks("order"), tables.picks("lookup")),
+            (vec!["s-2"], vec!["s-1", "s-2"])
+        );
+        for wrong in [
+            "pull",
+            "push for=x",
+            "push rows=s-1",
+            "push rows=s-1:-1",
+            "push gate=0.5",
+            "push rows=s-1:NaN",
+        ] {
             assert!(tables.apply(wrong).is_err(), "{wrong}");
         }
     }
