--- a/crates/supervisor/tests/serving.rs
+++ b/crates/supervisor/tests/serving.rs
@@ -14,19 +14,35 @@
     let mut supervisor = program().start(&config(&discovery, None, 1024)).await;
     assert!(supervisor.alive().await);
     let mut proxy = joined(&supervisor, 3).await;
-    assert_eq!(proxy.retries.get("order").map(String::as_str), Some("1"), "once, after proof");
+    assert_eq!(
+        proxy.retries.get("order").map(String::as_str),
+        Some("1"),
+        "once, after proof"
+    );
     proxy.demand().await;
     let mut collector = Peer::connect(supervisor.address).await;
     collector.send("agent site=a").await;
-    collector.send("outcomes site=a target=s-1 count=9 fail=0 mean=12.0 over=200.0 util=queue:0").await;
-    collector.send("demand id=3 lane=order count=2 fail=0 over=200.0").await;
+    collector
+        .send("outcomes site=a target=s-1 count=9 fail=0 mean=12.0 over=200.0 util=queue:0")
+        .await;
+    collector
+        .send("demand id=3 lane=order count=2 fail=0 over=200.0")
+        .await;
     collector.send("probe").await;
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
     // Probes go on over one kept connection each.
-    until("several probes of each", || servers.iter().all(|server| server.probed() >= 3)).await;
-    assert!(servers.iter().all(|server| server.connections.load(Ordering::SeqCst) == 1));
+    until("several probes of each", || {
+        servers.iter().all(|server| server.probed() >= 3)
+    })
+    .await;
+    assert!(servers
+        .iter()
+        .all(|server| server.connections.load(Ordering::SeqCst) == 1));
     assert!(supervisor.runs());
-    assert_eq!(supervisor.logged(&["peer=\"proxy\"", "connection ended"]), 0);
+    assert_eq!(
+        supervisor.logged(&["peer=\"proxy\"", "connection ended"]),
+        0
+    );
 }
 
 #[tokio::test]
@@ -41,12 +57,17 @@
     }
     discovery.set("s-2", servers[1].address, "draining");
     for proxy in &mut proxies {
-        proxy.applies("the drain", |proxy| proxy.picks("lookup") == ["s-1", "s-3"]).await;
+        proxy
+            .applies("the drain", |proxy| proxy.picks("lookup") == ["s-1", "s-3"])
+            .await;
         assert!(!proxy.picks("order").contains(&"s-2"));
     }
     // One that joins now, with the old table, must not go there either.
     let mut late = Proxy::join(&supervisor, 5, false).await;
-    late.applies("a table without it", |proxy| proxy.picks("order") == ["s-1", "s-3"]).await;
+    late.applies("a table without it", |proxy| {
+        proxy.picks("order") == ["s-1", "s-3"]
+    })
+    .await;
 }
 
 /// Danger: withdrawals stay with a proxy across streams; one brought from another supervisor would stay for good.
@@ -68,23 +89,41 @@
     discovery.hang_up();
     until("a second watch", || discovery.opened() == 2).await;
     discovery.set(news[0], servers[0].address, "draining");
-    proxy.applies("news on the second watch", |proxy| proxy.picks("lookup") == ["s-2", "s-3"]).await;
+    proxy
+        .applies("news on the second watch", |proxy| {
+            proxy.picks("lookup") == ["s-2", "s-3"]
+        })
+        .await;
 
     discovery.say("{\"index\":9,\"snapshot\":true,\"endpoints\":[");
     until("a third watch", || discovery.opened() == 3).await;
-    supervisor.logs(1, &["discovery told what can't be read"]).await;
+    supervisor
+        .logs(1, &["discovery told what can't be read"])
+        .await;
     discovery.set(news[1], servers[1].address, "draining");
-    proxy.applies("news on the third watch", |proxy| proxy.picks("lookup") == ["s-3"]).await;
+    proxy
+        .applies("news on the third watch", |proxy| {
+            proxy.picks("lookup") == ["s-3"]
+        })
+        .await;
 
     discovery.mute(true);
     until("a fourth watch", || discovery.opened() == 4).await;
     discovery.mute(false);
     discovery.set(news[0], servers[0].address, "up");
     discovery.set(news[1], servers[1].address, "up");
-    until("the loss in the log", || supervisor.logged(&["discovery does not tell", "reason=silent"]) > 0)
+    until("the loss in the log", || {
+        supervisor.logged(&["discovery does not tell", "reason=silent"]) > 0
+    })
+    .await;
+    assert_eq!(
+        proxy.picks("lookup"),
+        ["s-3"],
+        "the last list held all the while"
+    );
+    proxy
+        .applies("the return", |proxy| proxy.picks("lookup").len() > 1)
         .await;
-    assert_eq!(proxy.picks("lookup"), ["s-3"], "the last list held all the while");
-    proxy.applies("the return", |proxy| proxy.picks("lookup").len() > 1).await;
 }
 
 /// Where the list comes on request, the decisions subscribe, hear of the loss, and subscribe anew.
@@ -99,7 +138,11 @@
     discovery.hang_up();
     until("a second watch", || discovery.opened() == 2).await;
     discovery.set("s-2", servers[1].address, "draining");
-    proxy.applies("news on the second watch", |proxy| proxy.picks("lookup") == ["s-1", "s-3"]).await;
+    proxy
+        .applies("news on the second watch", |proxy| {
+            proxy.picks("lookup") == ["s-1", "s-3"]
+        })
+        .await;
 }
 
 /// Danger: SIGHUP ends a program that has no handler, and the environment names the old address for good.
@@ -116,7 +159,11 @@
     supervisor.reload(&told.to_string()).await;
     until("a watch at the new address", || second.opened() == 1).await;
     second.set("s-2", servers[1].address, "draining");
-    proxy.applies("news from there", |proxy| proxy.picks("lookup") == ["s-1", "s-3"]).await;
+    proxy
+        .applies("news from there", |proxy| {
+            proxy.picks("lookup") == ["s-1", "s-3"]
+        })
+        .await;
 
     // While the agent says nothing, and more signals than one at a time: the last file holds.
     second.mute(true);
@@ -127,21 +174,41 @@
         supervisor.reload(&told.to_string()).await;
     }
     supervisor.thaw(&["-HUP"]).await;
-    supervisor.logs(1, &["reloaded", &third.address.to_string()]).await;
-    assert_eq!(supervisor.logged(&["reloaded", &discovery.address.to_string()]), 0);
+    supervisor
+        .logs(1, &["reloaded", &third.address.to_string()])
+        .await;
+    assert_eq!(
+        supervisor.logged(&["reloaded", &discovery.address.to_string()]),
+        0
+    );
     until("a watch at the third address", || third.opened() == 1).await;
     third.set("s-1", servers[0].address, "draining");
-    proxy.applies("news from the third", |proxy| proxy.picks("order") == ["s-3"]).await;
+    proxy
+        .applies("news from the third", |proxy| {
+            proxy.picks("order") == ["s-3"]
+        })
+        .await;
 
     // What can't be read or changed while it runs leaves all as it is.
-    supervisor.reload("{\"discovery\": \"127.0.0.1:9\", \"settings\"").await;
-    supervisor.logs(1, &["the new configuration is not taken"]).await;
+    supervisor
+        .reload("{\"discovery\": \"127.0.0.1:9\", \"settings\"")
+        .await;
+    supervisor
+        .logs(1, &["the new configuration is not taken"])
+        .await;
     told["limits"]["sockets"] = json!(64);
     supervisor.reload(&told.to_string()).await;
     supervisor.logs(1, &["reloaded", "limits"]).await;
     third.set("s-1", servers[0].address, "up");
-    proxy.applies("news as before", |proxy| proxy.picks("order") == ["s-1", "s-3"]).await;
-    assert_eq!(supervisor.logged(&["peer=\"proxy\"", "connection ended"]), 0);
+    proxy
+        .applies("news as before", |proxy| {
+            proxy.picks("order") == ["s-1", "s-3"]
+        })
+        .await;
+    assert_eq!(
+        supervisor.logged(&["peer=\"proxy\"", "connection ended"]),
+        0
+    );
     assert_eq!(supervisor.terminate().await, Some(0));
 }
 
@@ -154,7 +221,9 @@
     let supervisor = program().start(&told).await;
     let mut proxy = joined(&supervisor, 0).await;
     discovery.set("s-2", servers[1].address, "draining");
-    proxy.applies("the drain", |proxy| proxy.picks("lookup") == ["s-1", "s-3"]).await;
+    proxy
+        .applies("the drain", |proxy| proxy.picks("lookup") == ["s-1", "s-3"])
+        .await;
 
     told["discovery"] = json!(behind.address.to_string());
     supervisor.reload(&told.to_string()).await;
@@ -163,28 +232,40 @@
     // It catches up: the first that is news here is told after what is old.
     behind.set("s-2", servers[1].address, "draining");
     behind.set("s-3", servers[2].address, "draining");
-    proxy.applies("the news", |proxy| proxy.picks("lookup") == ["s-1"]).await;
+    proxy
+        .applies("the news", |proxy| proxy.picks("lookup") == ["s-1"])
+        .await;
     assert_eq!(supervisor.logged(&["s-2 in service"]), 0);
     // Where the numbers start anew for good, what is told holds in the end.
     behind.count_from(1);
     behind.set("s-2", servers[1].address, "up");
-    proxy.applies("the return", |proxy| proxy.picks("lookup").contains(&"s-2")).await;
+    proxy
+        .applies("the return", |proxy| proxy.picks("lookup").contains(&"s-2"))
+        .await;
 }
 
 #[tokio::test]
 async fn a_restart_serves_from_the_known_list_while_discovery_is_down() {
     let (discovery, _servers) = fleet().await;
     let known = discovery.list();
-    let first = program().start(&config(&discovery, Some(known.clone()), 1024)).await;
+    let first = program()
+        .start(&config(&discovery, Some(known.clone()), 1024))
+        .await;
     let mut proxy = joined(&first, 0).await;
     discovery.mute(true);
     first.kill().await;
     proxy.peer.ended().await;
-    let again = program().start(&config(&discovery, Some(known), 1024)).await;
+    let again = program()
+        .start(&config(&discovery, Some(known), 1024))
+        .await;
     assert!(again.alive().await);
     let before = proxy.messages;
     proxy.join_again(&again).await;
-    proxy.applies("a table from the new process", |proxy| proxy.messages > before).await;
+    proxy
+        .applies("a table from the new process", |proxy| {
+            proxy.messages > before
+        })
+        .await;
     assert!(has_all(&proxy));
 }
 
@@ -197,9 +278,17 @@
     let reports = "demand id=0 lane=lookup count=4 fail=0 over=200.0\r\n".repeat(40_000);
     assert!(deaf.peer.raw(reports.as_bytes()).await);
     discovery.set("s-1", servers[0].address, "draining");
-    other.applies("the drain", |proxy| !proxy.picks("lookup").contains(&"s-1")).await;
-    deaf.applies("the drain, late", |proxy| proxy.picks("lookup") == ["s-2", "s-3"]).await;
-    assert_eq!(supervisor.logged(&["peer=\"proxy\"", "connection ended"]), 0);
+    other
+        .applies("the drain", |proxy| !proxy.picks("lookup").contains(&"s-1"))
+        .await;
+    deaf.applies("the drain, late", |proxy| {
+        proxy.picks("lookup") == ["s-2", "s-3"]
+    })
+    .await;
+    assert_eq!(
+        supervisor.logged(&["peer=\"proxy\"", "connection ended"]),
+        0
+    );
 }
 
 #[tokio::test]
@@ -211,19 +300,25 @@
     supervisor.logs(1, &["reason=replaced", "2@a"]).await;
     newer.applies("a whole table", has_all).await;
     discovery.set("s-3", servers[2].address, "draining");
-    newer.applies("the drain", |proxy| proxy.picks("order") == ["s-1", "s-2"]).await;
+    newer
+        .applies("the drain", |proxy| proxy.picks("order") == ["s-1", "s-2"])
+        .await;
 }
 
 #[tokio::test]
 async fn strangers_never_take_the_places_of_peers() {
     let (discovery, _servers) = fleet().await;
     // Of 48 descriptors, 16 are its own, 8 the proxies', 8 the collectors'; half of the rest is for strangers.
-    let supervisor = program().start(&config(&discovery, Some(discovery.list()), 48)).await;
+    let supervisor = program()
+        .start(&config(&discovery, Some(discovery.list()), 48))
+        .await;
     let mut strangers = Vec::new();
     for _ in 0..40 {
         strangers.push(Peer::connect(supervisor.address).await);
     }
-    supervisor.logs(32, &["peer=\"stranger\"", "reason=crowded"]).await;
+    supervisor
+        .logs(32, &["peer=\"stranger\"", "reason=crowded"])
+        .await;
     for stranger in strangers.iter_mut().take(32) {
         stranger.ended().await;
     }
@@ -241,7 +336,10 @@
     for _ in 0..40 {
         strangers.push(Peer::connect(supervisor.address).await);
     }
-    until("the lack in the log", || supervisor.logged(&["no connection can be accepted now"]) > 0).await;
+    until("the lack in the log", || {
+        supervisor.logged(&["no connection can be accepted now"]) > 0
+    })
+    .await;
     drop(strangers);
     assert!(supervisor.alive().await);
     joined(&supervisor, 0).await;
@@ -257,18 +355,45 @@
     let spoilt: [(&[&[u8]], &str, &str); 10] = [
         (&[b"GET / HTTP/1.1\r\n"], "stranger", "unreadable"),
         (&[b"\xff\xfe\r\n"], "stranger", "unreadable"),
-        (&[b"outcomes site=a target=s-1 count=1 over=1\r\n"], "stranger", "unreadable"),
+        (
+            &[b"outcomes site=a target=s-1 count=1 over=1\r\n"],
+            "stranger",
+            "unreadable",
+        ),
         (&[long.as_bytes()], "stranger", "too-long"),
-        (&[b"hello id=99 site=a rps=1 new=1\r\n"], "stranger", "unknown"),
-        (&[b"hello id=1 site=nowhere rps=1 new=1\r\n"], "stranger", "unknown"),
-        (&[b"hello id=1 site=a rps=NaN new=1\r\n"], "stranger", "unreadable"),
-        (&[b"hello id=4 site=a rps=1 new=1\r\n", b"{}\r\n"], "proxy", "unreadable"),
         (
-            &[b"agent site=a\r\n", b"outcomes site=a tar\xffget=s-1 count=1 over=1\r\n"],
+            &[b"hello id=99 site=a rps=1 new=1\r\n"],
+            "stranger",
+            "unknown",
+        ),
+        (
+            &[b"hello id=1 site=nowhere rps=1 new=1\r\n"],
+            "stranger",
+            "unknown",
+        ),
+        (
+            &[b"hello id=1 site=a rps=NaN new=1\r\n"],
+            "stranger",
+            "unreadable",
+        ),
+        (
+            &[b"hello id=4 site=a rps=1 new=1\r\n", b"{}\r\n"],
+            "proxy",
+            "unreadable",
+        ),
+        (
+            &[
+                b"agent site=a\r\n",
+                b"outcomes site=a tar\xffget=s-1 count=1 over=1\r\n",
+            ],
+            "collector",
+            "unreadable",
+        ),
+        (
+            &[b"agent site=a\r\n", row.as_bytes()],
             "collector",
             "unreadable",
         ),
-        (&[b"agent site=a\r\n", row.as_bytes()], "collector", "unreadable"),
     ];
     let mut seen = std::collections::BTreeMap::<(&str, &str), usize>::new();
     for (pieces, peer, reason) in spoilt {
@@ -279,7 +404,12 @@
         spoiler.ended().await;
         let times = seen.entry((peer, reason)).or_default();
         *times += 1;
-        supervisor.logs(*times, &[&format!("peer=\"{peer}\""), &format!("reason={reason}")]).await;
+        supervisor
+            .logs(
+                *times,
+                &[&format!("peer=\"{peer}\""), &format!("reason={reason}")],
+            )
+            .await;
     }
     // Half a line, then the end.
     let mut cut = Peer::connect(supervisor.address).await;
@@ -289,9 +419,15 @@
     // What is merely not known is dropped, and the connection goes on.
     let mut collector = Peer::connect(supervisor.address).await;
     collector.send("agent site=a").await;
-    collector.send("outcomes site=a target=s-none count=1 fail=0 mean=1 over=1").await;
-    collector.send("outcomes site=moon target=s-1 count=1 fail=0 mean=1 over=1").await;
-    collector.send("demand id=7 lane=none count=1 fail=0 over=1").await;
+    collector
+        .send("outcomes site=a target=s-none count=1 fail=0 mean=1 over=1")
+        .await;
+    collector
+        .send("outcomes site=moon target=s-1 count=1 fail=0 mean=1 over=1")
+        .await;
+    collector
+        .send("demand id=7 lane=none count=1 fail=0 over=1")
+        .await;
     collector.send("weather sun=1").await;
     collector.send("probe").await;
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
@@ -333,7 +469,11 @@
     collector.send("probe").await;
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
     discovery.set("s-1", servers[0].address, "draining");
-    proxy.applies("the drain on the same stream", |proxy| proxy.picks("order") == ["s-2", "s-3"]).await;
+    proxy
+        .applies("the drain on the same stream", |proxy| {
+            proxy.picks("order") == ["s-2", "s-3"]
+        })
+        .await;
     assert_eq!(supervisor.logged(&["connection ended"]), 0);
 }
 
@@ -349,7 +489,9 @@
         collectors.push(collector);
     }
     collectors[0].ended().await;
-    supervisor.logs(1, &["peer=\"collector\"", "reason=crowded"]).await;
+    supervisor
+        .logs(1, &["peer=\"collector\"", "reason=crowded"])
+        .await;
     collectors[4].send("probe").await;
     assert_eq!(collectors[4].line().await.as_deref(), Some("alive"));
 }
@@ -372,10 +514,15 @@
     }
     assert_eq!(answer.as_deref(), Some("error reason=unnamed"));
     for stranger in [&mut half, &mut silent, &mut holds] {
-        assert_eq!(stranger.line().await.as_deref(), Some("error reason=unnamed"));
+        assert_eq!(
+            stranger.line().await.as_deref(),
+            Some("error reason=unnamed")
+        );
         stranger.ended().await;
     }
-    supervisor.logs(4, &["peer=\"stranger\"", "reason=unnamed"]).await;
+    supervisor
+        .logs(4, &["peer=\"stranger\"", "reason=unnamed"])
+        .await;
     assert!(supervisor.alive().await);
 }
 
@@ -386,7 +533,10 @@
     let more = "x".repeat(900);
     for (line, code) in [
         ("GET /api/targets HTTP/1.1", "unreadable"),
-        ("demand id=1 lane=lookup count=1 fail=0 over=200.0", "unreadable"),
+        (
+            "demand id=1 lane=lookup count=1 fail=0 over=200.0",
+            "unreadable",
+        ),
         ("push drop=s-1", "unreadable"),
         ("agent site=nowhere", "unknown"),
         ("hello id=99544 site=a rps=1 new=1", "unknown"),
@@ -407,7 +557,11 @@
 #[tokio::test]
 async fn a_client_that_sends_without_end_is_let_go() {
     let (_discovery, _servers, supervisor) = serving().await;
-    for piece in [vec![b'x'; 4096], b"probe\r\n".repeat(512), b"agent site=nowhere\r\n".repeat(200)] {
+    for piece in [
+        vec![b'x'; 4096],
+        b"probe\r\n".repeat(512),
+        b"agent site=nowhere\r\n".repeat(200),
+    ] {
         let mut endless = Peer::connect(supervisor.address).await;
         while endless.raw(&piece).await {}
     }
@@ -421,7 +575,9 @@
     let mut proxy = joined(&supervisor, 0).await;
     proxy.demand().await;
     proxy.peer.ended().await;
-    supervisor.logs(1, &["peer=\"proxy\"", "0@a", "reason=silent", "no usage"]).await;
+    supervisor
+        .logs(1, &["peer=\"proxy\"", "0@a", "reason=silent", "no usage"])
+        .await;
     assert!(supervisor.alive().await);
 }
 
@@ -455,32 +611,61 @@
     let mut quiet = Peer::connect(supervisor.address).await;
     quiet.send("hello id=1 site=a rps=0.1 new=0").await;
     let table = quiet.line().await.expect("a table");
-    assert!(table.contains("replace=1") && table.contains("stamp="), "{table}");
+    assert!(
+        table.contains("replace=1") && table.contains("stamp="),
+        "{table}"
+    );
     tokio::time::sleep(std::time::Duration::from_secs(9)).await;
     quiet.send("probe").await;
-    assert_eq!(quiet.line().await.as_deref(), Some("alive"), "its stream goes on");
+    assert_eq!(
+        quiet.line().await.as_deref(),
+        Some("alive"),
+        "its stream goes on"
+    );
     quiet.ended().await;
-    supervisor.logs(1, &["peer=\"proxy\"", "1@a", "reason=silent", "no answer to a mark"]).await;
+    supervisor
+        .logs(
+            1,
+            &[
+                "peer=\"proxy\"",
+                "1@a",
+                "reason=silent",
+                "no answer to a mark",
+            ],
+        )
+        .await;
 }
 
 #[tokio::test]
 async fn servers_that_answer_badly_stop_nothing() {
     let discovery = Discovery::start().await;
     let mut servers = Vec::new();
-    for (name, manner) in
-        [("s-1", Manner::Well), ("s-2", Manner::Busy), ("s-3", Manner::Huge), ("s-4", Manner::Hangs)]
-    {
+    for (name, manner) in [
+        ("s-1", Manner::Well),
+        ("s-2", Manner::Busy),
+        ("s-3", Manner::Huge),
+        ("s-4", Manner::Hangs),
+    ] {
         servers.push(Server::start(name, manner).await);
         discovery.set(name, servers[servers.len() - 1].address, "up");
     }
     let nobody = Server::start("s-5", Manner::Well).await.address;
     let closed = std::net::SocketAddr::new(nobody.ip(), 1);
     discovery.set("s-5", closed, "up");
-    let mut supervisor = program().start(&config(&discovery, Some(discovery.list()), 1024)).await;
+    let mut supervisor = program()
+        .start(&config(&discovery, Some(discovery.list()), 1024))
+        .await;
     let mut proxy = Proxy::join(&supervisor, 0, true).await;
-    proxy.applies("some table", |proxy| !proxy.picks("lookup").is_empty()).await;
-    until("further probes of each", || servers.iter().all(|server| server.probed() >= 3)).await;
-    supervisor.logs(1, &["server takes no connection", "reason=refused"]).await;
+    proxy
+        .applies("some table", |proxy| !proxy.picks("lookup").is_empty())
+        .await;
+    until("further probes of each", || {
+        servers.iter().all(|server| server.probed() >= 3)
+    })
+    .await;
+    supervisor
+        .logs(1, &["server takes no connection", "reason=refused"])
+        .await;
     assert!(supervisor.runs() && supervisor.alive().await);
 }
 
@@ -494,8 +679,12 @@
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
     assert_eq!(supervisor.terminate().await, Some(0));
     proxy.peer.ended().await;
-    supervisor.logs(1, &["peer=\"proxy\"", "reason=stopping"]).await;
-    supervisor.logs(1, &["peer=\"collector\"", "reason=stopping"]).await;
+    supervisor
+        .logs(1, &["peer=\"proxy\"", "reason=stopping"])
+        .await;
+    supervisor
+        .logs(1, &["peer=\"collector\"", "reason=stopping"])
+        .await;
 }
 
 #[tokio::test]
--- a/crates/textproto/src/lib.rs
+++ b/crates/textproto/src/lib.rs
@@ -36,7 +36,10 @@
 impl Wrong {
     /// A fault without a place.
     pub fn anywhere(text: impl fmt::Display) -> Self {
-        Wrong { place: None, text: sentence(&text.to_string()) }
+        Wrong {
+            place: None,
+            text: sentence(&text.to_string()),
+        }
     }
 }
 
@@ -49,12 +52,19 @@
 
 /// Reads a text as a message of a schema.
 pub fn parse<M: Message + Default>(schema: &[u8], message: &str, text: &str) -> Result<M, Wrong> {
-    let parsed = DynamicMessage::parse_text_format(describe(schema, message)?, text).map_err(|wrong| {
-        let offset = wrong.labels().and_then(|mut labels| labels.next()).map(|label| label.offset());
-        // What ends too early has no offset: it is at the end.
-        let place = Some(place(text, offset.unwrap_or(text.len())));
-        Wrong { place, text: sentence(&wrong.to_string()) }
-    })?;
+    let parsed =
+        DynamicMessage::parse_text_format(describe(schema, message)?, text).map_err(|wrong| {
+            let offset = wrong
+                .labels()
+                .and_then(|mut labels| labels.next())
+                .map(|label| label.offset());
+            // What ends too early has no offset: it is at the end.
+            let place = Some(place(text, offset.unwrap_or(text.len())));
+            Wrong {
+                place,
+                text: sentence(&wrong.to_string()),
+            }
+        })?;
     parsed.transcode_to().map_err(Wrong::anywhere)
 }
 
@@ -69,7 +79,11 @@
 fn place(text: &str, offset: usize) -> Place {
     let before = text.get(..offset.min(text.len())).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
-    let column = before.rsplit('\n').next().map_or(0, |last| last.chars().count()) + 1;
+    let column = before
+        .rsplit('\n')
+        .next()
+        .map_or(0, |last| last.chars().count())
+        + 1;
     Place { line, column }
 }
 
@@ -111,7 +125,9 @@
     let word = |c: char| c.is_alphanumeric() || c == '_';
     let own = |(at, _): &(usize, &str)| {
         let before = code.get(..*at).and_then(|text| text.chars().next_back());
-        let after = code.get(at + field.len()..).and_then(|text| text.chars().next());
+        let after = code
+            .get(at + field.len()..)
+            .and_then(|text| text.chars().next());
         !before.is_some_and(word) && !after.is_some_and(word)
     };
     code.match_indices(field).find(own).map(|(at, _)| at)
@@ -129,7 +145,11 @@
     }
     let begin = *begins.get(number)?;
     let own = code.get(begin..begins.get(number + 1).copied().unwrap_or(code.len()))?;
-    let at = if field == part { 0 } else { offset(own, field).unwrap_or(0) };
+    let at = if field == part {
+        0
+    } else {
+        offset(own, field).unwrap_or(0)
+    };
     Some(place(text, begin + at))
 }
 
@@ -144,7 +164,14 @@
         assert_eq!(at(find(text, "keep")), Some((1, 25)));
         assert_eq!(at(find_within(text, "a", 0, "keep")), Some((1, 25)));
         assert_eq!(at(find_within(text, "a", 1, "name")), Some((2, 5)));
-        assert_eq!(at(find_within(text, "a", 1, "shed")), Some((2, 1)), "the part's begin");
-        assert_eq!((find_within(text, "a", 2, "name"), find(text, "kee")), (None, None));
+        assert_eq!(
+            at(find_within(text, "a", 1, "shed")),
+            Some((2, 1)),
+            "the part's begin"
+        );
+        assert_eq!(
+            (find_within(text, "a", 2, "name"), find(text, "kee")),
+            (None, None)
+        );
     }
 }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -80,7 +80,9 @@
         if let Some(known) = self.1.get(name) {
             return Some(*known);
         }
-        let number = u16::try_from(self.0.len()).ok().filter(|number| usize::from(*number) < NAMES_MOST)?;
+        let number = u16::try_from(self.0.len())
+            .ok()
+            .filter(|number| usize::from(*number) < NAMES_MOST)?;
         self.0.push(name.to_string());
         self.1.insert(name.to_string(), number);
         Some(number)
@@ -88,23 +90,34 @@
 }
 
 fn number(text: &str, most: f64) -> Option<f64> {
-    text.trim().parse::<f64>().ok().filter(|value| (0.0..=most).contains(value))
+    text.trim()
+        .parse::<f64>()
+        .ok()
+        .filter(|value| (0.0..=most).contains(value))
 }
 
 /// Reads a file; every line is read before a fault is told.
 pub fn read(from: impl Read) -> Result<Traffic, Fault> {
-    let mut lines = csv::ReaderBuilder::new().flexible(true).comment(Some(b'#')).from_reader(from);
+    let mut lines = csv::ReaderBuilder::new()
+        .flexible(true)
+        .comment(Some(b'#'))
+        .from_reader(from);
     let head = lines.headers()?.clone();
     let column = |name: &str| head.iter().position(|known| known.trim() == name);
-    let unknown =
-        head.iter().any(|name| !["at_ms", "class", "zone", "key", "work_ms"].contains(&name.trim()));
+    let unknown = head
+        .iter()
+        .any(|name| !["at_ms", "class", "zone", "key", "work_ms"].contains(&name.trim()));
     let (Some(at), Some(class), false) = (column("at_ms"), column("class"), unknown) else {
         return Err(Fault::Head(head.iter().collect::<Vec<_>>().join(",")));
     };
     let (zone, key, work) = (column("zone"), column("key"), column("work_ms"));
-    let (mut classes, mut zones, mut keys) =
-        (Names::default(), Names::default(), HashMap::<String, u32>::new());
-    let (mut traffic, mut faults, mut wrong, mut last) = (Traffic::default(), Vec::new(), 0, 0.0f64);
+    let (mut classes, mut zones, mut keys) = (
+        Names::default(),
+        Names::default(),
+        HashMap::<String, u32>::new(),
+    );
+    let (mut traffic, mut faults, mut wrong, mut last) =
+        (Traffic::default(), Vec::new(), 0, 0.0f64);
     let mut times: Vec<f64> = Vec::new();
     let mut line = csv::StringRecord::new();
     while lines.read_record(&mut line)? {
@@ -113,7 +126,10 @@
         }
         let place = line.position().map_or(0, csv::Position::line);
         let field = |column: Option<usize>| {
-            column.and_then(|at| line.get(at)).map(str::trim).filter(|text| !text.is_empty())
+            column
+                .and_then(|at| line.get(at))
+                .map(str::trim)
+                .filter(|text| !text.is_empty())
         };
         let mut fault = |said: String| {
             wrong += 1;
@@ -135,15 +151,24 @@
             continue;
         };
         let Some(class) = field(Some(class)).filter(|_| !long) else {
-            fault(if long { "a name is too long".to_string() } else { "no class".to_string() });
+            fault(if long {
+                "a name is too long".to_string()
+            } else {
+                "no class".to_string()
+            });
             continue;
         };
         let work_ms = field(work).map(|text| number(text, WORK_MOST));
         if work_ms == Some(None) {
-            fault(format!("{:?} is no work in milliseconds", field(work).unwrap_or_default()));
+            fault(format!(
+                "{:?} is no work in milliseconds",
+                field(work).unwrap_or_default()
+            ));
             continue;
         }
-        let class = classes.of(class).ok_or(Fault::TooMany(NAMES_MOST, "classes"))?;
+        let class = classes
+            .of(class)
+            .ok_or(Fault::TooMany(NAMES_MOST, "classes"))?;
         let zone = match field(zone) {
             Some(name) => Some(zones.of(name).ok_or(Fault::TooMany(NAMES_MOST, "zones"))?),
             None => None,
@@ -153,7 +178,13 @@
         traffic.out_of_order += u64::from(at_ms < last);
         last = last.max(at_ms);
         times.push(at_ms);
-        traffic.arrivals.push(Arrival { at_us: 0, class, zone, key, work_ms: work_ms.flatten() });
+        traffic.arrivals.push(Arrival {
+            at_us: 0,
+            class,
+            zone,
+            key,
+            work_ms: work_ms.flatten(),
+        });
     }
     if wrong > 0 {
         return Err(Fault::Lines(faults.join("; "), wrong));
@@ -174,11 +205,14 @@
     let mut lines = csv::Writer::from_writer(to);
     lines.write_record(["at_ms", "class", "zone", "key", "work_ms"])?;
     for of in &traffic.arrivals {
-        let name = |names: &[String], at: u16| names.get(usize::from(at)).cloned().unwrap_or_default();
+        let name =
+            |names: &[String], at: u16| names.get(usize::from(at)).cloned().unwrap_or_default();
         lines.write_record([
             format!("{}.{:03}", of.at_us / 1000, of.at_us % 1000),
             name(&traffic.classes, of.class),
-            of.zone.map(|zone| name(&traffic.zones, zone)).unwrap_or_default(),
+            of.zone
+                .map(|zone| name(&traffic.zones, zone))
+                .unwrap_or_default(),
             of.key.map(|key| format!("k{key}")).unwrap_or_default(),
             of.work_ms.map(|work| work.to_string()).unwrap_or_default(),
         ])?;
@@ -219,28 +253,53 @@
         let traffic = read(TEXT.as_bytes()).expect("traffic");
         let times: Vec<u64> = traffic.arrivals.iter().map(|of| of.at_us).collect();
         assert_eq!(times, [0, 99_500, 5_099_500, 19_099_500]);
-        assert_eq!((traffic.out_of_order, traffic.keys, traffic.length_us()), (1, 1, 19_099_500));
-        assert_eq!((traffic.repeats(10_000_000), traffic.repeats(20_000_000)), (1, 2));
-        assert_eq!((traffic.classes.join(" "), traffic.zones.join(" ")), ("file read".into(), "a b".into()));
+        assert_eq!(
+            (traffic.out_of_order, traffic.keys, traffic.length_us()),
+            (1, 1, 19_099_500)
+        );
+        assert_eq!(
+            (traffic.repeats(10_000_000), traffic.repeats(20_000_000)),
+            (1, 2)
+        );
+        assert_eq!(
+            (traffic.classes.join(" "), traffic.zones.join(" ")),
+            ("file read".into(), "a b".into())
+        );
         let mut bytes = Vec::new();
         write(&traffic, &mut bytes).expect("written");
         let again = read(bytes.as_slice()).expect("its own text");
         assert_eq!(again.repeats(10_000_000), 1);
-        assert_eq!(again.arrivals.iter().map(|of| of.at_us).collect::<Vec<_>>(), times);
+        assert_eq!(
+            again.arrivals.iter().map(|of| of.at_us).collect::<Vec<_>>(),
+            times
+        );
     }
 
     #[test]
     fn wrong_lines_are_told_with_their_numbers() {
-        let fault =
-            read("at_ms,class\n1,x\nsoon,x\n2,\n-3,x\nnan,x\n".as_bytes()).expect_err("faults").to_string();
-        assert!(fault.starts_with("4 lines are wrong: line 3: \"soon\" is no time"), "{fault}");
-        assert!(fault.contains("line 4: no class") && fault.contains("line 6"), "{fault}");
-        assert!(read("when,class\n".as_bytes()).expect_err("a head").to_string().contains("must name at_ms"));
+        let fault = read("at_ms,class\n1,x\nsoon,x\n2,\n-3,x\nnan,x\n".as_bytes())
+            .expect_err("faults")
+            .to_string();
+        assert!(
+            fault.starts_with("4 lines are wrong: line 3: \"soon\" is no time"),
+            "{fault}"
+        );
+        assert!(
+            fault.contains("line 4: no class") && fault.contains("line 6"),
+            "{fault}"
+        );
+        assert!(read("when,class\n".as_bytes())
+            .expect_err("a head")
+            .to_string()
+            .contains("must name at_ms"));
         assert!(read("at_ms,class,work_ms\n1,x,much\n".as_bytes())
             .expect_err("work")
             .to_string()
             .contains("no work"));
-        assert!(read("at_ms,class\n".as_bytes()).expect("nothing came").arrivals.is_empty());
+        assert!(read("at_ms,class\n".as_bytes())
+            .expect("nothing came")
+            .arrivals
+            .is_empty());
     }
 
     proptest! {
