--- /dev/null
+++ b/crates/records/src/course/tests.rs
@@ -0,0 +1,128 @@
+
+use super::*;
+use crate::pb::{self, Record};
+
+const SECOND: i64 = 1_000_000;
+
+fn event(by: &str, second: i64, kind: Kind) -> Event {
+    let at_us = second * SECOND;
+    let number = crate::kind::number(&kind);
+    let record = Record {
+        seq: 1,
+        at_us,
+        learned_us: at_us,
+        kind: Some(kind),
+    };
+    Event {
+        supervisor: by.into(),
+        incarnation: 1,
+        record,
+        number,
+        newer: None,
+        at_us,
+        ahead_us: 0,
+    }
+}
+
+fn state(server: &str, state: State) -> Kind {
+    Kind::StateChanged(pb::StateChanged {
+        server: server.into(),
+        state: state.into(),
+        ..Default::default()
+    })
+}
+
+const WINDOW: Window = Window {
+    from_us: 0,
+    to_us: 300 * SECOND,
+};
+
+#[test]
+fn an_incident_has_a_begin_a_first_and_an_end() {
+    let events = [
+        event("n0", 10, state("s-1", State::Reduced)),
+        event("n1", 11, state("s-1", State::Withdrawn)),
+        event("n0", 15, state("s-1", State::Full)),
+        event("n1", 20, state("s-1", State::Full)),
+        event("n0", 25, state("s-2", State::Reduced)),
+        event("n0", 28, state("s-2", State::Full)),
+        event("n0", 200, state("s-3", State::Reduced)),
+    ];
+    let course = tell(&events, &[], WINDOW);
+    let [first, second] = &course.incidents[..] else {
+        panic!("{:?}", course.incidents)
+    };
+    assert_eq!(
+        (first.from_us, first.over_us),
+        (10 * SECOND, Some(28 * SECOND))
+    );
+    assert!(
+        first.first.starts_with("n0: s-1 reduced"),
+        "{}",
+        first.first
+    );
+    assert_eq!(first.withdrawn, BTreeSet::from(["s-1".to_string()]));
+    assert_eq!((second.from_us, second.over_us), (200 * SECOND, None));
+    let (_, spans) = &course.standings[&("n0".into(), "s-1".to_string())];
+    assert_eq!(
+        spans.iter().map(|span| span.standing).collect::<Vec<_>>(),
+        [Standing::Reduced, Standing::Full]
+    );
+}
+
+/// Danger: what a supervisor held against a server before it died would last for good.
+#[test]
+fn a_supervisors_death_ends_what_it_held_and_is_trouble_itself() {
+    let gap = Gap {
+        supervisor: "n0".into(),
+        from_us: 12 * SECOND,
+        to_us: 18 * SECOND,
+        reason: GapReason::Crashed,
+        missing: 0,
+        detail: String::new(),
+    };
+    let started = Kind::Started(pb::Started::default());
+    let events = [
+        event("n0", 10, state("s-1", State::Reduced)),
+        event("n0", 18, started),
+    ];
+    let course = tell(&events, &[gap], WINDOW);
+    let [only] = &course.incidents[..] else {
+        panic!("{:?}", course.incidents)
+    };
+    assert_eq!((only.over_us, only.troubles.len()), (Some(18 * SECOND), 2));
+    let (_, spans) = &course.standings[&("n0".into(), "s-1".to_string())];
+    assert_eq!(
+        spans.iter().map(|span| span.standing).collect::<Vec<_>>(),
+        [Standing::Reduced, Standing::Unknown]
+    );
+}
+
+#[test]
+fn figures_tell_how_far_it_went() {
+    let started = pb::Started {
+        classes: vec!["lookup".into(), "order".into()],
+        ..Default::default()
+    };
+    let gauge = |waiting, refused, level| {
+        Kind::Gauge(pb::Gauge {
+            waiting,
+            refused,
+            levels: vec![1.0, level],
+            ..Default::default()
+        })
+    };
+    let events = [
+        event("n0", 1, Kind::Started(started)),
+        event("n0", 2, gauge(5.0, 0.0, 1.0)),
+        event("n0", 3, gauge(50.0, 0.4, 0.3)),
+        event("n0", 4, gauge(7.0, 0.1, 0.9)),
+    ];
+    let course = tell(&events, &[], WINDOW);
+    assert_eq!(course.waiting, Some((50.0, 3 * SECOND, "n0".into())));
+    assert_eq!(course.refused.map(|refused| refused.0), Some(0.4));
+    assert_eq!(
+        (course.lowest["order"].0, course.lowest["lookup"].0),
+        (0.3, 1.0)
+    );
+}
--- /dev/null
+++ b/crates/records/src/replay/tests.rs
@@ -0,0 +1,91 @@
+
+use super::*;
+
+fn record(at_us: i64, kind: Kind) -> Record {
+    Record {
+        seq: 1,
+        at_us,
+        learned_us: at_us,
+        kind: Some(kind),
+    }
+}
+
+fn state(server: &str, state: State) -> Kind {
+    let zone = "a".to_string();
+    Kind::StateChanged(pb::StateChanged {
+        server: server.into(),
+        zone,
+        state: state.into(),
+        ..Default::default()
+    })
+}
+
+#[test]
+fn the_picture_follows_events_and_is_put_right_by_a_record_of_all() {
+    let mut picture = Picture::default();
+    picture.apply(&record(1, state("s-1", State::Withdrawn)));
+    assert_eq!(picture.servers["s-1"].state, State::Withdrawn);
+    let all = ["s-1", "s-2"].map(|name| pb::Server {
+        name: name.into(),
+        zone: "a".into(),
+        ..Default::default()
+    });
+    picture.apply(&record(
+        5,
+        Kind::Fleet(pb::Fleet {
+            servers: all.into(),
+            ..pb::Fleet::default()
+        }),
+    ));
+    let (one, two) = (&picture.servers["s-1"], &picture.servers["s-2"]);
+    assert_eq!((one.state, one.since_us, two.since_us), (State::Full, 5, 0));
+    let gone = pb::LifeChanged {
+        server: "s-1".into(),
+        life: Life::Gone.into(),
+        ..Default::default()
+    };
+    picture.apply(&record(6, Kind::LifeChanged(gone)));
+    assert_eq!(picture.servers.len(), 1);
+}
+
+/// Danger: a moment long after the start, read without it, would know no class, and rules asked of it say nothing.
+#[test]
+fn a_moment_long_after_the_start_knows_the_classes() {
+    let mut picture = Picture::default();
+    let classes = vec!["x".to_string(), "y".to_string()];
+    let fleet = pb::Fleet {
+        classes: classes.clone(),
+        ..pb::Fleet::default()
+    };
+    picture.apply(&record(30_000_000, Kind::Fleet(fleet)));
+    assert_eq!(picture.classes, classes);
+    picture.apply(&record(50_000_000, Kind::Fleet(pb::Fleet::default())));
+    assert_eq!(
+        picture.classes, classes,
+        "a record of an earlier version takes nothing away"
+    );
+}
+
+/// Danger: a start that knows nothing yet would show what the one before held.
+#[test]
+fn a_start_begins_with_nothing() {
+    let mut picture = Picture::default();
+    picture.apply(&record(1, state("s-1", State::Reduced)));
+    picture.apply(&record(2, Kind::Stopped(pb::Stopped::default())));
+    assert!(picture.stopped);
+    picture.apply(&record(
+        3,
+        Kind::Started(pb::Started {
+            classes: vec!["x".into()],
+            ..Default::default()
+        }),
+    ));
+    assert_eq!(
+        (
+            picture.servers.len(),
+            picture.stopped,
+            picture.classes.len()
+        ),
+        (0, false, 1)
+    );
+}
--- /dev/null
+++ b/crates/records/src/store/tests.rs
@@ -0,0 +1,134 @@
+
+use super::*;
+use crate::pb::{record::Kind, Gauge, Record, Stopped};
+use crate::segment::Item;
+
+pub(crate) fn framed(records: &[Record]) -> Vec<u8> {
+    let mut out = Vec::new();
+    records
+        .iter()
+        .for_each(|record| assert!(frame::put(&mut out, &record.encode_to_vec())));
+    out
+}
+
+fn records(count: u64) -> Vec<Record> {
+    let kind = |seq| {
+        Kind::Gauge(Gauge {
+            waiting: seq as f64,
+            ..Gauge::default()
+        })
+    };
+    (1..=count)
+        .map(|seq| Record {
+            seq,
+            at_us: seq as i64,
+            learned_us: seq as i64,
+            kind: Some(kind(seq)),
+        })
+        .collect()
+}
+
+fn read(directory: &Path, id: SegmentId) -> Vec<Record> {
+    let bytes = segment::bytes(&id.path(directory), 0, u64::MAX).expect("a segment");
+    let record = |(_, item)| {
+        if let Item::Record { read, .. } = item {
+            Some(read.record)
+        } else {
+            None
+        }
+    };
+    segment::items(&bytes, 0).filter_map(record).collect()
+}
+
+#[test]
+fn the_second_in_one_directory_is_refused_until_the_first_is_gone() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let first = Store::open(directory.path(), "n0").expect("a store");
+    let refused = Store::open(directory.path(), "n0")
+        .expect_err("it is in use")
+        .to_string();
+    assert!(
+        refused.contains("in use by another supervisor") && !refused.contains('\n'),
+        "{refused}"
+    );
+    drop(first);
+    assert_eq!(
+        Store::open(directory.path(), "n0")
+            .expect("a stale file is no lock")
+            .incarnation(),
+        1
+    );
+}
+
+/// Danger: a crash at a bad moment costs records that were safe, or the next start. All places are tried.
+#[test]
+fn a_crash_at_any_byte_keeps_all_before_it_and_the_next_start_goes_on() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let all = records(12);
+    let mut store = Store::open(directory.path(), "n0").expect("a store");
+    store.append(&framed(&all), 1, 0).expect("an append");
+    store.commit().expect("a commit");
+    let id = store.writing().expect("a segment");
+    drop(store);
+    let path = id.path(directory.path());
+    let whole = std::fs::read(&path).expect("its bytes");
+    let ends: Vec<usize> = (0..=all.len())
+        .map(|n| whole.len() - framed(&all[n..]).len())
+        .collect();
+    for cut in 0..=whole.len() {
+        std::fs::write(&path, &whole[..cut]).expect("a cut file");
+        let kept = ends
+            .iter()
+            .filter(|end| **end <= cut)
+            .count()
+            .saturating_sub(1);
+        assert_eq!(read(directory.path(), id), all[..kept], "cut at {cut}");
+        let mut next = Store::open(directory.path(), "n0").expect("the next start");
+        let found = next.recovered().expect("a look").expect("a start before");
+        assert_eq!(
+            (found.incarnation, found.records, found.stopped),
+            (1, kept as u64, false)
+        );
+        let torn = cut - ends.iter().rfind(|end| **end <= cut).copied().unwrap_or(0);
+        assert_eq!(found.torn_bytes, torn as u64, "cut at {cut}");
+        next.append(&framed(&records(1)), 1, 0).expect("an append");
+        let its = next.writing().expect("a segment");
+        assert_eq!((its.incarnation, read(directory.path(), its).len()), (2, 1));
+        std::fs::remove_file(its.path(directory.path())).expect("its end");
+    }
+}
+
+#[test]
+fn a_start_that_ended_as_asked_is_known() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let mut store = Store::open(directory.path(), "n0").expect("a store");
+    let mut all = records(3);
+    all.push(Record {
+        seq: 4,
+        kind: Some(Kind::Stopped(Stopped::default())),
+        ..Record::default()
+    });
+    store.append(&framed(&all), 1, 0).expect("an append");
+    drop(store);
+    let next = Store::open(directory.path(), "n0").expect("a store");
+    assert!(
+        next.recovered()
+            .expect("a look")
+            .expect("a start before")
+            .stopped
+    );
+}
+
+#[test]
+fn a_long_segment_is_sealed_and_another_begun() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let mut store = Store::open(directory.path(), "n0").expect("a store");
+    let large = vec![0; SEAL_BYTES as usize];
+    store.append(&large, 1, 0).expect("an append");
+    assert_eq!(store.writing().map(|id| id.number), Some(0));
+    store.append(&framed(&records(1)), 1, 0).expect("an append");
+    assert_eq!(store.writing().map(|id| id.number), Some(1));
+    assert!(store.dirty());
+    store.commit().expect("a commit");
+    assert!(!store.dirty());
+}
--- /dev/null
+++ b/crates/records/src/text/tests.rs
@@ -0,0 +1,49 @@
+
+use super::*;
+
+#[test]
+fn times_read_as_people_write_them() {
+    let last = parse_time("2026-12-01T10:00:00Z", 0).expect("a time");
+    assert_eq!(time(last), "2026-12-01T10:00:00.000Z");
+    assert_eq!(
+        clock(parse_time("09:12", last).expect("a time")),
+        "09:12:00.000"
+    );
+    assert_eq!(
+        clock(parse_time("09:12:30.5", last).expect("a time")),
+        "09:12:30.500"
+    );
+    assert_eq!(
+        clock(parse_time("10m", last).expect("a time")),
+        "09:50:00.000"
+    );
+    for wrong in ["", "9", "25:00", "xm", "-5m", "09:12:30:1"] {
+        let said = parse_time(wrong, last).expect_err(wrong).to_string();
+        assert!(
+            said.contains("is no time") && !said.contains('\n'),
+            "{said}"
+        );
+    }
+}
+
+#[test]
+fn lengths_read_as_people_say_them() {
+    let said: Vec<String> = [0, 250_000, 1_500_000, 61_000_000, 7_260_000_000, -1_000_000]
+        .map(length)
+        .into();
+    assert_eq!(
+        said,
+        [
+            "0 ms",
+            "250 ms",
+            "1.5 s",
+            "1 min 1 s",
+            "2 h 1 min",
+            "-1.0 s"
+        ]
+    );
+    assert_eq!(
+        (time(i64::MAX).len() > 20, time(i64::MIN).is_empty()),
+        (true, false)
+    );
+}
