--- a/crates/adapter/src/codec.rs
+++ b/crates/adapter/src/codec.rs
@@ -3,31 +3,31 @@
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
-use chutegrade_policy::interface::*;
+use chutegrade_policy::*;
 
 /// The table number that stands for all joined proxies in a level.
 pub(crate) const ALL_TABLES: u16 = 65535;
 /// Words for how a list is to be read.
-pub(crate) const LIST_KINDS: [(&str, ListKind); 4] = [
-    ("incr", ListKind::Changes),
-    ("total", ListKind::Complete),
-    ("warm_copy", ListKind::WarmCopy),
-    ("lost", ListKind::Lost),
+pub(crate) const LIST_KINDS: [(&str, EndpointUpdateKind); 4] = [
+    ("incr", EndpointUpdateKind::Delta),
+    ("total", EndpointUpdateKind::Snapshot),
+    ("warm_copy", EndpointUpdateKind::CachedSnapshot),
+    ("lost", EndpointUpdateKind::Unavailable),
 ];
 /// Words for how a probe ends; any other says nothing of the server.
-pub(crate) const ENDS: [(&str, ProbeEnd); 6] = [
-    ("done", ProbeEnd::Done),
-    ("err", ProbeEnd::Error),
-    ("busy", ProbeEnd::Busy),
-    ("etimedout", ProbeEnd::TimedOut),
-    ("econnrefused", ProbeEnd::Unreachable),
-    ("econnreset", ProbeEnd::Unreachable),
+pub(crate) const ENDS: [(&str, HealthCheckOutcome); 6] = [
+    ("done", HealthCheckOutcome::Passed),
+    ("err", HealthCheckOutcome::Error),
+    ("busy", HealthCheckOutcome::Rejected),
+    ("etimedout", HealthCheckOutcome::TimedOut),
+    ("econnrefused", HealthCheckOutcome::Unreachable),
+    ("econnreset", HealthCheckOutcome::Unreachable),
 ];
 /// Words for a server's life.
 pub(crate) const LIVES: [(&str, Lifecycle); 3] = [
     ("in_service", Lifecycle::InService),
     ("terminating", Lifecycle::Draining),
-    ("terminated", Lifecycle::Gone),
+    ("terminated", Lifecycle::Removed),
 ];
 
 /// Why a line could not be read, or an action not be written.
@@ -61,9 +61,9 @@
     /// The instance was killed.
     Teardown,
     /// A list of so many rows follows.
-    List(ListKind, usize),
+    List(EndpointUpdateKind, usize),
     /// A row of a list.
-    Row(Entry),
+    Row(Endpoint),
     /// An event as the decisions know it.
     Event(Event),
     /// A message this version does not know.
@@ -133,7 +133,7 @@
             .map(|(_, value)| *value)
             .ok_or_else(|| self.bad(key, text))
     }
-    fn load(&self) -> Load {
+    fn load(&self) -> LoadReport {
         chutegrade_settings::load(self.find("healthInfo").unwrap_or(""))
     }
     pub(crate) fn server(&self) -> Result<ServerId, Fault> {
@@ -177,59 +177,61 @@
             return Ok(Message::List(p.word("how", &LIST_KINDS)?, rows));
         }
         "row" => return entry(&p).map(Message::Row),
-        "usage" => Event::Usage {
+        "usage" => Event::ProxyDemand {
             proxy: p.proxy()?,
             class: ClassId(p.parse("profile")?),
-            came: p.count("total")?,
+            arrivals: p.count("total")?,
             failed: p.count("bad")?,
             period: p.time("periodLenMs")?,
         },
-        "key_load" => Event::SliceUsage {
+        "key_load" => Event::SliceDemand {
             table: p.table()?,
             class: ClassId(p.parse("profile")?),
-            came: p.count("total")?,
+            arrivals: p.count("total")?,
             failed: p.count("bad")?,
             period: p.time("periodLenMs")?,
         },
-        "receipt" => Event::Receipt {
+        "receipt" => Event::Acknowledged {
             proxy: p.proxy()?,
-            mark: p.parse("gen")?,
-            took: p.time("costTimeMs")?,
+            sequence: p.parse("gen")?,
+            elapsed: p.time("costTimeMs")?,
         },
         "health" => {
-            let end = p.word("ending", &ENDS).unwrap_or(ProbeEnd::Other);
-            Event::Probed {
+            let end = p
+                .word("ending", &ENDS)
+                .unwrap_or(HealthCheckOutcome::Inconclusive);
+            Event::HealthChecked {
                 server: p.server()?,
-                end,
-                took: p.time("costTimeMs")?,
+                outcome: end,
+                elapsed: p.time("costTimeMs")?,
                 load: p.load(),
             }
         }
-        "tenure" => Event::Tenure {
+        "tenure" => Event::SliceOwnership {
             table: p.table()?,
-            given: p.flag("active")?,
+            granted: p.flag("active")?,
         },
-        "held" => Event::Held {
+        "held" => Event::PublishedWeight {
             table: p.table()?,
             server: p.server()?,
             weight: p.count("weight")?,
         },
-        "tally" => Event::Heard {
+        "tally" => Event::ServerOutcomes {
             zone: p.zone()?,
             server: p.server()?,
-            tries: p.count("total")?,
+            attempts: p.count("total")?,
             failed: p.count("bad")?,
-            mean_ms: p.count("costTimeMs")?,
+            mean_latency_ms: p.count("costTimeMs")?,
             period: p.time("periodLenMs")?,
             load: p.load(),
         },
-        "lost_stream" => Event::Left(p.proxy()?),
+        "lost_stream" => Event::ProxyLeft(p.proxy()?),
         // Here a bound proxy obeys one instance's withdrawals only: it brings none that cost a line.
-        "joined" => Event::Joined {
+        "joined" => Event::ProxyJoined {
             proxy: p.proxy()?,
             zone: p.zone()?,
-            rate: p.count("weight")?,
-            brought: false,
+            request_rate: p.count("weight")?,
+            has_previous_table: false,
         },
         "whisper" => {
             let text = p.text("contents")?;
@@ -238,7 +240,7 @@
             } else {
                 STANDARD.decode(text)
             };
-            Event::Peer {
+            Event::PeerMessage {
                 from: p.parse("from")?,
                 data: data.map_err(|_| p.bad("contents", text))?,
             }
@@ -249,7 +251,7 @@
     Ok(Message::Event(event))
 }
 
-fn entry(p: &Parts) -> Result<Entry, Fault> {
+fn entry(p: &Parts) -> Result<Endpoint, Fault> {
     let optional = |key: &'static str| {
         if p.find(key).is_some() {
             p.count(key)
@@ -258,18 +260,18 @@
         }
     };
     let started = optional("upSinceMs")?;
-    Ok(Entry {
+    Ok(Endpoint {
         server: p.server()?,
         zone: ZoneId(optional("locality")? as u16),
-        kind: optional("familyType")? as u32,
+        machine_kind: optional("familyType")? as u32,
         cell: optional("cluster")? as u32,
-        life: p.word("lifecycle", &LIVES)?,
+        lifecycle: p.word("lifecycle", &LIVES)?,
         weight: if p.find("weight").is_some() {
             p.count("weight")?
         } else {
             1.0
         },
-        started: (started > 0.0).then(|| Micros::from_ms(started)),
+        started_at: (started > 0.0).then(|| Micros::from_ms(started)),
     })
 }
 
@@ -285,7 +287,7 @@
 pub fn write(action: &Action) -> Result<String, Fault> {
     let bit = u8::from;
     Ok(match action {
-        Action::Line {
+        Action::SetWeight {
             table,
             server,
             weight,
@@ -297,8 +299,8 @@
                 amount(*weight)?
             )
         }
-        Action::Clear(table) => format!("wipe\tmapId={}", table.0),
-        Action::Bind {
+        Action::ClearTable(table) => format!("wipe\tmapId={}", table.0),
+        Action::AssignTable {
             proxy,
             table,
             classes,
@@ -308,10 +310,13 @@
                 proxy.0, table.0, classes.0
             )
         }
-        Action::Withdraw { server, out } => {
+        Action::SetSuspended {
+            server,
+            suspended: out,
+        } => {
             format!("suspend\tserver={}\tactive={}", server.0, bit(*out))
         }
-        Action::Admit {
+        Action::SetAdmission {
             table,
             classes,
             level,
@@ -323,19 +328,22 @@
             table.map_or(ALL_TABLES, |t| t.0),
             *retry as u8
         ),
-        Action::Mark { mark, everyone } => {
+        Action::RequestAcknowledgement {
+            sequence: mark,
+            all_proxies: everyone,
+        } => {
             format!("ask_receipt\tgen={mark}\tactive={}", bit(*everyone))
         }
-        Action::Probe(server) => format!("ping\tserver={}", server.0),
-        Action::Subscribe(on) => format!("subscribe\tactive={}", bit(*on)),
-        Action::FetchList => "list_all".to_string(),
-        Action::Timer { id, after } => {
+        Action::HealthCheck(server) => format!("ping\tserver={}", server.0),
+        Action::SubscribeEndpoints(on) => format!("subscribe\tactive={}", bit(*on)),
+        Action::FetchEndpoints => "list_all".to_string(),
+        Action::SetTimer { id, delay: after } => {
             format!(
                 "arm\thandle={id}\tfromNowMs={}",
                 after.0.max(0) as f64 / 1000.0
             )
         }
-        Action::Tell { peer, data } => {
+        Action::SendToPeer { peer, data } => {
             let to = peer.map_or("all".to_string(), |p| p.to_string());
             let contents = if data.is_empty() {
                 "-".to_string()
@@ -344,11 +352,11 @@
             };
             format!("notify\trecipient={to}\tcontents={contents}")
         }
-        Action::Forget(_) | Action::Reconcile(_) => {
+        Action::ForgetServer(_) | Action::Reconcile(_) => {
             return Err(Fault::Action(format!("nothing is said of {action:?}")))
         }
-        Action::Note(note) => {
-            let told = chutegrade_engine::told(
+        Action::Emit(note) => {
+            let told = chutegrade_engine::decision_record(
                 note,
                 |server| server.0.to_string(),
                 |zone| zone.0.to_string(),
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use chutegrade_policy::interface::{Action, Entry, Event, ListKind, Micros};
-use chutegrade_policy::policy::Policy;
+use chutegrade_policy::Policy;
+use chutegrade_policy::{Action, Endpoint, EndpointUpdateKind, Event, Micros};
 
 use crate::codec::{self, Fault, Message};
 use crate::limits::Service;
@@ -16,9 +16,9 @@
 
 struct OpenList {
     instance: u32,
-    kind: ListKind,
+    kind: EndpointUpdateKind,
     missing: usize,
-    entries: Vec<Entry>,
+    entries: Vec<Endpoint>,
 }
 
 /// All instances of this process, fed line by line.
@@ -119,11 +119,11 @@
     fn close_list(&mut self) {
         if let Some(list) = self.list.take() {
             let kind = if list.missing > 0 {
-                ListKind::Changes
+                EndpointUpdateKind::Delta
             } else {
                 list.kind
             };
-            self.push(Some(list.instance), Event::Members(kind, list.entries));
+            self.push(Some(list.instance), Event::EndpointList(kind, list.entries));
         }
     }
 
@@ -138,14 +138,14 @@
                 .as_mut()
                 .and_then(|service| service.turn(self.now, &instance.events, &instance.policy));
             instance.events.extend(said);
-            let actions = instance.policy.handle(self.now, &instance.events);
+            let actions = instance.policy.handle_events(self.now, &instance.events);
             instance.events.clear();
             if !actions.is_empty() {
                 reply.push_str(&format!("source\tsupervisor={id}\n"));
             }
             // The wire keeps every server known, and its proxies bring no withdrawals: nothing is said of either.
             let unsaid =
-                |action: &Action| matches!(action, Action::Forget(_) | Action::Reconcile(_));
+                |action: &Action| matches!(action, Action::ForgetServer(_) | Action::Reconcile(_));
             for action in actions.into_iter().filter(|action| !unsaid(action)) {
                 match codec::write(&action) {
                     Ok(line) => {
--- a/crates/adapter/src/limits.rs
+++ b/crates/adapter/src/limits.rs
@@ -1,19 +1,19 @@
 //! Limits on service on the simulator's wire: what is seen in its events, and what is decided as one more event. Classes have
 //! no names there; they are numbered, `c0` being the first.
 
-use chutegrade_engine::Measure;
+use chutegrade_engine::TrafficSample;
 use chutegrade_levels::{seen, way, STANDS, TURN_EVERY};
-use chutegrade_limits::govern::{Demand, Orders, Outcome};
-use chutegrade_limits::{pb, Class, Fault, Governor, Plan};
-use chutegrade_policy::interface::{ClassId, Event, Limits, Micros, Settings};
-use chutegrade_policy::policy::Policy;
+use chutegrade_limits::manager::{Decision, Demand, Outcome};
+use chutegrade_limits::{pb, Class, ConfigError, OverloadConfig, OverloadManager};
+use chutegrade_policy::Policy;
+use chutegrade_policy::{ClassId, Event, Limits, Micros, Settings};
 
 /// Limits of one instance.
 pub struct Service {
-    governor: Governor,
+    governor: OverloadManager,
     period: Micros,
     due: Option<Micros>,
-    measure: Measure,
+    measure: TrafficSample,
 }
 
 fn classes(settings: &Settings) -> Vec<Class> {
@@ -23,14 +23,14 @@
 
 impl Service {
     /// Limits as the operators wrote them, for these settings.
-    pub fn new(written: &pb::Limits, settings: &Settings) -> Result<Self, Vec<Fault>> {
+    pub fn new(written: &pb::Limits, settings: &Settings) -> Result<Self, Vec<ConfigError>> {
         let classes = classes(settings);
-        let plan = Plan::read(written, Some(&classes))?;
+        let plan = OverloadConfig::read(written, Some(&classes))?;
         Ok(Service {
-            governor: Governor::new(plan, classes, settings.proxies),
+            governor: OverloadManager::new(plan, classes, settings.proxies),
             period: settings.report_period.max(TURN_EVERY),
             due: None,
-            measure: Measure::default(),
+            measure: TrafficSample::default(),
         })
     }
 
@@ -41,24 +41,24 @@
             return None;
         }
         self.due = Some(now + TURN_EVERY);
-        let kept = Measure {
-            heard: self.measure.heard,
-            ..Measure::default()
+        let kept = TrafficSample {
+            last_report_at: self.measure.last_report_at,
+            ..TrafficSample::default()
         };
         let measure = std::mem::replace(&mut self.measure, kept);
-        let inputs = seen(now, self.period, measure, policy.figures());
+        let inputs = seen(now, self.period, measure, policy.fleet_status());
         Some(Event::Limits(limits(
-            &self.governor.turn(&inputs).orders,
+            &self.governor.evaluate(&inputs).decision,
             now,
         )))
     }
 
     fn take(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::Usage {
+            Event::ProxyDemand {
                 proxy,
                 class,
-                came,
+                arrivals: came,
                 failed,
                 ..
             } => {
@@ -66,48 +66,48 @@
                 self.measure.demand.push(Demand {
                     proxy: proxy.0,
                     class,
-                    came: *came,
+                    arrivals: *came,
                     failed: *failed,
                 });
             }
-            Event::Heard {
-                tries,
+            Event::ServerOutcomes {
+                attempts: tries,
                 failed,
-                mean_ms,
+                mean_latency_ms: mean_ms,
                 load,
                 ..
             } => {
                 let (tries, failed, mean_ms) = (*tries, *failed, *mean_ms);
                 self.measure.outcomes.push(Outcome {
-                    tries,
+                    attempts: tries,
                     failed,
-                    mean_ms,
-                    queue: load.queue,
+                    mean_latency_ms: mean_ms,
+                    queued: load.queued,
                 });
             }
-            Event::Probed { .. } => {}
+            Event::HealthChecked { .. } => {}
             _ => return,
         }
-        self.measure.heard = Some(now);
+        self.measure.last_report_at = Some(now);
     }
 }
 
-fn limits(orders: &Orders, now: Micros) -> Limits {
+fn limits(orders: &Decision, now: Micros) -> Limits {
     let class = |at: usize| ClassId(u8::try_from(at).unwrap_or(u8::MAX));
     Limits {
-        refuse: orders.refuse,
-        heavy: orders.heavy,
-        keep: orders
-            .keep
+        min_shed_share: orders.min_shed_share,
+        shed_by_weight_class: orders.shed_by_weight_class,
+        admitted: orders
+            .admitted
             .iter()
             .map(|(at, keep)| (class(*at), *keep))
             .collect(),
-        again: orders
-            .again
+        retries: orders
+            .retries
             .iter()
             .enumerate()
             .map(|(at, again)| (class(at), way(*again)))
             .collect(),
-        until: now + STANDS,
+        expires_at: now + STANDS,
     }
 }
--- a/crates/adapter/src/other.rs
+++ b/crates/adapter/src/other.rs
@@ -5,8 +5,8 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-use chutegrade_engine::Decides;
-use chutegrade_policy::interface::*;
+use chutegrade_engine::DecisionPolicy;
+use chutegrade_policy::*;
 use chutegrade_settings::{to_json, Names};
 
 use crate::codec::{self, Parts, ALL_TABLES, ENDS, LIST_KINDS, LIVES};
@@ -59,11 +59,11 @@
         .map_or(otherwise, |(word, _)| *word)
 }
 
-fn load(of: &Load) -> String {
+fn load(of: &LoadReport) -> String {
     let pairs = [
-        ("inflight", of.inflight),
-        ("queue", of.queue),
-        ("util", of.util),
+        ("inflight", of.in_flight),
+        ("queue", of.queued),
+        ("util", of.utilization),
         ("latency_ms", of.latency_ms),
     ];
     let told: Vec<String> = pairs
@@ -77,52 +77,52 @@
     }
 }
 
-fn entry(of: &Entry) -> String {
-    let life = word(&LIVES, of.life, "");
+fn entry(of: &Endpoint) -> String {
+    let life = word(&LIVES, of.lifecycle, "");
     let started = of
-        .started
+        .started_at
         .map(|at| format!("\tupSinceMs={}", ms(at)))
         .unwrap_or_default();
-    let (server, zone, kind, cell) = (of.server.0, of.zone.0, of.kind, of.cell);
+    let (server, zone, kind, cell) = (of.server.0, of.zone.0, of.machine_kind, of.cell);
     format!("row\tserver={server}\tlocality={zone}\tfamilyType={kind}\tcluster={cell}\tlifecycle={life}\tweight={}{started}\n", of.weight)
 }
 
 /// An event as lines; nothing for what the wire has no words for.
 fn lines(event: &Event, list: u64) -> String {
     match event {
-        Event::Members(kind, entries) => {
+        Event::EndpointList(kind, entries) => {
             let how = word(&LIST_KINDS, *kind, "");
             let rows: String = entries.iter().map(entry).collect();
             format!("discovery\tgen={list}\thow={how}\trows={}\n{rows}", entries.len())
         }
-        Event::Joined { proxy, zone, rate, brought } => {
+        Event::ProxyJoined { proxy, zone, request_rate: rate, has_previous_table: brought } => {
             let new = u8::from(!brought);
             format!("joined\tclientLb={}\tlocality={}\tweight={rate}\tactive={new}\n", proxy.0, zone.0)
         }
-        Event::Left(proxy) | Event::Ended(proxy) => format!("lost_stream\tclientLb={}\n", proxy.0),
-        Event::Heard { zone, server, tries, failed, mean_ms, period, load: of } => format!(
+        Event::ProxyLeft(proxy) | Event::StreamClosed(proxy) => format!("lost_stream\tclientLb={}\n", proxy.0),
+        Event::ServerOutcomes { zone, server, attempts: tries, failed, mean_latency_ms: mean_ms, period, load: of } => format!(
             "tally\tlocality={}\tserver={}\ttotal={tries}\tbad={failed}\tcostTimeMs={mean_ms}\tperiodLenMs={}{}\n",
             zone.0,
             server.0,
             ms(*period),
             load(of)
         ),
-        Event::Usage { proxy, class, came, failed, period } => format!(
+        Event::ProxyDemand { proxy, class, arrivals: came, failed, period } => format!(
             "usage\tclientLb={}\tprofile={}\ttotal={came}\tbad={failed}\tperiodLenMs={}\n",
             proxy.0,
             class.0,
             ms(*period)
         ),
-        Event::Receipt { proxy, mark, took } => {
+        Event::Acknowledged { proxy, sequence: mark, elapsed: took } => {
             format!("receipt\tclientLb={}\tgen={mark}\tcostTimeMs={}\n", proxy.0, ms(*took))
         }
-        Event::Probed { server, end, took, load: of } => {
+        Event::HealthChecked { server, outcome: end, elapsed: took, load: of } => {
             let ending = word(&ENDS, *end, "skipped");
             format!("health\tserver={}\tending={ending}\tcostTimeMs={}{}\n", server.0, ms(*took), load(of))
         }
         Event::Timer(id) => format!("ring\thandle={id}\n"),
         // Slices, messages between instances, advice and limits do not come up on the model's wire.
-        Event::SliceUsage { .. } | Event::Tenure { .. } | Event::Held { .. } | Event::Peer { .. } => String::new(),
+        Event::SliceDemand { .. } | Event::SliceOwnership { .. } | Event::PublishedWeight { .. } | Event::PeerMessage { .. } => String::new(),
         Event::Advice(_) | Event::Limits(_) => String::new(),
     }
 }
@@ -132,44 +132,44 @@
     let p = Parts::of(line);
     let classes = || p.parse("classBits").map(ClassSet);
     Ok(Some(match p.tag() {
-        "endpoint" => Action::Line {
+        "endpoint" => Action::SetWeight {
             table: p.table()?,
             server: p.server()?,
             weight: p.count("weight")?,
         },
-        "wipe" => Action::Clear(p.table()?),
-        "point" => Action::Bind {
+        "wipe" => Action::ClearTable(p.table()?),
+        "point" => Action::AssignTable {
             proxy: p.proxy()?,
             table: p.table()?,
             classes: classes()?,
         },
-        "suspend" => Action::Withdraw {
+        "suspend" => Action::SetSuspended {
             server: p.server()?,
-            out: p.flag("active")?,
+            suspended: p.flag("active")?,
         },
-        "allow" => Action::Admit {
+        "allow" => Action::SetAdmission {
             table: Some(p.table()?).filter(|of| of.0 != ALL_TABLES),
             classes: classes()?,
             level: p.count("allowance")?,
             retry: match p.parse::<u8>("secondTry")? {
-                1 => Retry::Unrun,
+                1 => Retry::IfNotExecuted,
                 2 => Retry::Once,
                 3 => Retry::Twice,
                 _ => Retry::Never,
             },
         },
-        "ask_receipt" => Action::Mark {
-            mark: p.parse("gen")?,
-            everyone: p.flag("active")?,
+        "ask_receipt" => Action::RequestAcknowledgement {
+            sequence: p.parse("gen")?,
+            all_proxies: p.flag("active")?,
         },
-        "ping" => Action::Probe(p.server()?),
-        "subscribe" => Action::Subscribe(p.flag("active")?),
-        "list_all" => Action::FetchList,
+        "ping" => Action::HealthCheck(p.server()?),
+        "subscribe" => Action::SubscribeEndpoints(p.flag("active")?),
+        "list_all" => Action::FetchEndpoints,
         "arm" => {
             let after = Micros((p.count("fromNowMs")? * 1000.0).round() as i64);
-            Action::Timer {
+            Action::SetTimer {
                 id: p.parse("handle")?,
-                after,
+                delay: after,
             }
         }
         "source" | "write_log" | "notify" => return Ok(None),
@@ -190,7 +190,7 @@
     names: &Names,
     seed: u64,
     faults: &Faults,
-) -> Box<dyn Decides> {
+) -> Box<dyn DecisionPolicy> {
     match Other::start(command, settings, names, seed, Arc::clone(faults)) {
         Ok(other) => Box::new(other),
         Err(fault) => {
@@ -274,8 +274,8 @@
     }
 }
 
-impl Decides for Other {
-    fn handle(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
+impl DecisionPolicy for Other {
+    fn handle_events(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         self.ask(now, events).unwrap_or_else(|fault| {
             keep(&self.faults, &fault);
             Vec::new()
@@ -286,8 +286,8 @@
 /// Where a process does not start there is nothing to ask.
 struct Nothing;
 
-impl Decides for Nothing {
-    fn handle(&mut self, _: Micros, _: &[Event]) -> Vec<Action> {
+impl DecisionPolicy for Nothing {
+    fn handle_events(&mut self, _: Micros, _: &[Event]) -> Vec<Action> {
         Vec::new()
     }
 }
--- a/crates/adapter/src/other/tests.rs
+++ b/crates/adapter/src/other/tests.rs
@@ -1,45 +1,44 @@
-
 use super::*;
 
 /// Danger: what goes over the wire is not what was decided.
 #[test]
 fn actions_that_are_written_read_the_same() {
     let all = [
-        Action::Line {
+        Action::SetWeight {
             table: TableId(7),
             server: ServerId(40),
             weight: 0.123_456_789,
         },
-        Action::Clear(TableId(3)),
-        Action::Bind {
+        Action::ClearTable(TableId(3)),
+        Action::AssignTable {
             proxy: ProxyId(9),
             table: TableId(1),
             classes: ClassSet(5),
         },
-        Action::Withdraw {
+        Action::SetSuspended {
             server: ServerId(1),
-            out: true,
+            suspended: true,
         },
-        Action::Admit {
+        Action::SetAdmission {
             table: None,
             classes: ClassSet(0),
             level: 0.75,
-            retry: Retry::Unrun,
+            retry: Retry::IfNotExecuted,
         },
-        Action::Admit {
+        Action::SetAdmission {
             table: Some(TableId(2)),
             classes: ClassSet(2),
             level: 1.0,
             retry: Retry::Twice,
         },
-        Action::Mark {
-            mark: 65_000,
-            everyone: false,
+        Action::RequestAcknowledgement {
+            sequence: 65_000,
+            all_proxies: false,
         },
-        Action::Probe(ServerId(3)),
-        Action::Timer {
+        Action::HealthCheck(ServerId(3)),
+        Action::SetTimer {
             id: 4,
-            after: Micros(1_000_001),
+            delay: Micros(1_000_001),
         },
     ];
     for of in all {
@@ -51,38 +50,38 @@
 
 #[test]
 fn events_that_are_written_read_the_same() {
-    let load = Load {
-        queue: Some(3.5),
+    let load = LoadReport {
+        queued: Some(3.5),
         latency_ms: Some(1.25),
-        ..Load::default()
+        ..LoadReport::default()
     };
     let all = [
-        Event::Left(ProxyId(3)),
-        Event::Heard {
+        Event::ProxyLeft(ProxyId(3)),
+        Event::ServerOutcomes {
             zone: ZoneId(1),
             server: ServerId(2),
-            tries: 7.0,
+            attempts: 7.0,
             failed: 1.0,
-            mean_ms: 12.345,
+            mean_latency_ms: 12.345,
             period: Micros(1_000_001),
             load,
         },
-        Event::Usage {
+        Event::ProxyDemand {
             proxy: ProxyId(1),
             class: ClassId(2),
-            came: 4.0,
+            arrivals: 4.0,
             failed: 0.0,
             period: Micros(999_999),
         },
-        Event::Receipt {
+        Event::Acknowledged {
             proxy: ProxyId(5),
-            mark: 77,
-            took: Micros(123_457),
+            sequence: 77,
+            elapsed: Micros(123_457),
         },
-        Event::Probed {
+        Event::HealthChecked {
             server: ServerId(8),
-            end: ProbeEnd::TimedOut,
-            took: Micros(300_000),
+            outcome: HealthCheckOutcome::TimedOut,
+            elapsed: Micros(300_000),
             load,
         },
         Event::Timer(6),
--- a/crates/adapter/tests/codec.rs
+++ b/crates/adapter/tests/codec.rs
@@ -1,7 +1,7 @@
 //! The wire's forms, in numbers of the project's own.
 
 use chutegrade_adapter::codec::{parse, write, Fault, Message};
-use chutegrade_policy::interface::*;
+use chutegrade_policy::*;
 
 fn event(line: &str) -> Event {
     match parse(line) {
@@ -27,69 +27,72 @@
     let tally =
         "tally\tserver=901\tlocality=2\tbad=3\ttotal=17\tperiodLenMs=900.0\tnovel=x\tcostTimeMs=61.5\t\
                  healthInfo=queue:4,mood:9,util:0.5";
-    let load = Load {
-        queue: Some(4.0),
-        util: Some(0.5),
-        ..Load::default()
+    let load = LoadReport {
+        queued: Some(4.0),
+        utilization: Some(0.5),
+        ..LoadReport::default()
     };
     assert_eq!(
         event(tally),
-        Event::Heard {
+        Event::ServerOutcomes {
             zone: ZoneId(2),
             server: ServerId(901),
-            tries: 17.0,
+            attempts: 17.0,
             failed: 3.0,
-            mean_ms: 61.5,
+            mean_latency_ms: 61.5,
             period: Micros(900_000),
             load
         }
     );
     assert_eq!(
         event("health\tcostTimeMs=2.25\tserver=901\tending=econnreset"),
-        Event::Probed {
+        Event::HealthChecked {
             server: ServerId(901),
-            end: ProbeEnd::Unreachable,
-            took: Micros(2250),
-            load: Load::default()
+            outcome: HealthCheckOutcome::Unreachable,
+            elapsed: Micros(2250),
+            load: LoadReport::default()
         }
     );
     assert_eq!(
         event("joined\tclientLb=12\tlocality=1\tweight=3.5\tactive=1"),
-        Event::Joined {
+        Event::ProxyJoined {
             proxy: ProxyId(12),
             zone: ZoneId(1),
-            rate: 3.5,
-            brought: false
+            request_rate: 3.5,
+            has_previous_table: false
         }
     );
-    assert_eq!(event("lost_stream\tclientLb=12"), Event::Left(ProxyId(12)));
+    assert_eq!(
+        event("lost_stream\tclientLb=12"),
+        Event::ProxyLeft(ProxyId(12))
+    );
     assert_eq!(event("ring\thandle=31"), Event::Timer(31));
     assert_eq!(
         event("tenure\tactive=0\tmapId=5"),
-        Event::Tenure {
+        Event::SliceOwnership {
             table: TableId(5),
-            given: false
+            granted: false
         }
     );
     assert_eq!(
         event("whisper\tfrom=1\tcontents=AQI="),
-        Event::Peer {
+        Event::PeerMessage {
             from: 1,
             data: vec![1, 2]
         }
     );
     assert_eq!(
         event("whisper\tfrom=1\tcontents=-"),
-        Event::Peer {
+        Event::PeerMessage {
             from: 1,
             data: vec![]
         }
     );
     let took = Micros(88_000);
-    let receipt = Event::Receipt {
+    let receipt = Event::Acknowledged {
         proxy: ProxyId(3),
-        mark: 9,
-        took,
+        sequence: 9,
+        elapsed: took,
     };
     assert_eq!(event("receipt\tclientLb=3\tgen=9\tcostTimeMs=88"), receipt);
 }
@@ -98,21 +101,21 @@
 fn list_rows_are_read() {
     assert_eq!(
         parse("discovery\tgen=3\thow=total\trows=2"),
-        Ok(Message::List(ListKind::Complete, 2))
+        Ok(Message::List(EndpointUpdateKind::Snapshot, 2))
     );
     assert_eq!(
         parse("discovery\tgen=3\thow=lost"),
-        Ok(Message::List(ListKind::Lost, 0))
+        Ok(Message::List(EndpointUpdateKind::Unavailable, 0))
     );
     let row = "row\tserver=44\tlocality=1\tfamilyType=2\tcluster=6\tlifecycle=terminating\tweight=2.5\tupSinceMs=70.5";
-    let entry = Entry {
+    let entry = Endpoint {
         server: ServerId(44),
         zone: ZoneId(1),
-        kind: 2,
+        machine_kind: 2,
         cell: 6,
-        life: Lifecycle::Draining,
+        lifecycle: Lifecycle::Draining,
         weight: 2.5,
-        started: Some(Micros(70_500)),
+        started_at: Some(Micros(70_500)),
     };
     assert_eq!(parse(row), Ok(Message::Row(entry)));
 }
@@ -129,19 +132,25 @@
     };
     assert_eq!(settings.classes.len(), 1);
     assert_eq!(
-        settings.classes[0].effect,
-        Effect::Keyed(Scope::Zone, Micros(6_000_000))
+        settings.classes[0].idempotency,
+        Idempotency::Keyed(DeduplicationScope::Zone, Micros(6_000_000))
     );
-    assert!(settings.classes[0].home_only && settings.probes);
+    assert!(settings.classes[0].zone_local && settings.health_checks_allowed);
     assert_eq!(
         (settings.zones, settings.zone, settings.instances),
         (2, ZoneId(1), 3)
     );
     assert_eq!(
-        (settings.levels, settings.listed),
-        (LevelKind::PerSecond, Listed::Nominal)
+        (settings.admission_unit, settings.listed_weight),
+        (
+            AdmissionUnit::RequestsPerSecond,
+            ListedWeight::RegisteredCapacity
+        )
+    );
+    assert_eq!(
+        (settings.channel_lines_per_second, settings.max_messages),
+        (500.0, 0)
     );
-    assert_eq!((settings.lines_per_s, settings.messages_most), (500.0, 0));
 }
 
 #[test]
@@ -170,16 +179,16 @@
     let classes = ClassSet::default().with(0).with(2);
     let cases = [
         (
-            Action::Line {
+            Action::SetWeight {
                 table,
                 server: ServerId(8),
                 weight: 1.25,
             },
             "endpoint\tmapId=3\tserver=8\tweight=1.25",
         ),
-        (Action::Clear(table), "wipe\tmapId=3"),
+        (Action::ClearTable(table), "wipe\tmapId=3"),
         (
-            Action::Bind {
+            Action::AssignTable {
                 proxy: ProxyId(6),
                 table,
                 classes,
@@ -187,50 +196,50 @@
             "point\tclientLb=6\tmapId=3\tclassBits=5",
         ),
         (
-            Action::Withdraw {
+            Action::SetSuspended {
                 server: ServerId(8),
-                out: true,
+                suspended: true,
             },
             "suspend\tserver=8\tactive=1",
         ),
         (
-            Action::Admit {
+            Action::SetAdmission {
                 table: None,
                 classes,
                 level: 0.5,
-                retry: Retry::Unrun,
+                retry: Retry::IfNotExecuted,
             },
             "allow\tallowance=0.5\tclassBits=5\tmapId=65535\tsecondTry=1",
         ),
         (
-            Action::Mark {
-                mark: 4,
-                everyone: false,
+            Action::RequestAcknowledgement {
+                sequence: 4,
+                all_proxies: false,
             },
             "ask_receipt\tgen=4\tactive=0",
         ),
-        (Action::Probe(ServerId(8)), "ping\tserver=8"),
-        (Action::Subscribe(true), "subscribe\tactive=1"),
-        (Action::FetchList, "list_all"),
+        (Action::HealthCheck(ServerId(8)), "ping\tserver=8"),
+        (Action::SubscribeEndpoints(true), "subscribe\tactive=1"),
+        (Action::FetchEndpoints, "list_all"),
         (
-            Action::Timer {
+            Action::SetTimer {
                 id: 1,
-                after: Micros(1500),
+                delay: Micros(1500),
             },
             "arm\thandle=1\tfromNowMs=1.5",
         ),
         (
-            Action::Tell {
+            Action::SendToPeer {
                 peer: None,
                 data: vec![1, 2],
             },
             "notify\trecipient=all\tcontents=AQI=",
         ),
         (
-            Action::Note(Note::Cut {
+            Action::Emit(DecisionEvent::ZonePartition {
                 zone: ZoneId(2),
-                cut: false,
-                mute: 0.0,
+                partitioned: false,
+                unanswered_share: 0.0,
             }),
             "write_log\twhat=zone 2 answers again",
         ),
@@ -239,7 +248,7 @@
         assert_eq!(write(&action).as_deref(), Ok(line));
     }
     for weight in [f64::NAN, f64::INFINITY, -0.5] {
-        assert!(write(&Action::Line {
+        assert!(write(&Action::SetWeight {
             table,
             server: ServerId(8),
             weight
--- a/crates/adapter/tests/other.rs
+++ b/crates/adapter/tests/other.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use chutegrade_adapter::other::{decides, Faults};
-use chutegrade_engine::{Decides, Settings};
+use chutegrade_engine::{DecisionPolicy, Settings};
 use chutegrade_model::{play, scenario, Setup};
 use chutegrade_settings::Names;
 
@@ -14,7 +14,7 @@
 
 fn by(command: &str, faults: &Faults) -> Setup {
     let (command, faults, name) = (command.to_string(), Arc::clone(faults), command.to_string());
-    let make = move |settings: &Settings, seed: u64| -> Box<dyn Decides> {
+    let make = move |settings: &Settings, seed: u64| -> Box<dyn DecisionPolicy> {
         let names = Names {
             zones: vec!["a".into(), "b".into()],
             classes: vec!["read".into(), "order".into()],
--- a/crates/advice/benches/tick.rs
+++ b/crates/advice/benches/tick.rs
@@ -6,7 +6,7 @@
 
 use chutegrade_advice::Rules;
 use chutegrade_engine::{Engine, Micros, Report, StreamId};
-use chutegrade_policy::interface::*;
+use chutegrade_policy::*;
 
 const SERVERS: usize = 320;
 const PROXIES: u32 = 500;
@@ -26,57 +26,60 @@
 
 fn engine() -> Engine {
     let class = |effect| Class {
-        aim: Micros::from_ms(600.0),
+        latency_objective: Micros::from_ms(600.0),
         deadline: Micros::from_ms(2000.0),
-        worth: 2.0,
-        effect,
-        home_only: false,
+        priority_weight: 2.0,
+        idempotency: effect,
+        zone_local: false,
     };
     let settings = Settings {
         instances: 1,
         zones: 2,
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            class(Effect::Safe),
+            class(Idempotency::Idempotent),
+            class(Idempotency::NotIdempotent),
+            class(Idempotency::Idempotent),
         ],
         proxies: PROXIES as usize,
-        usual_retry: Retry::Unrun,
-        first_wait: 1.0,
-        proxy_ejects_after: 3,
-        reports: ReportSource::Answers,
+        default_retry: Retry::IfNotExecuted,
+        attempt_timeout_factor: 1.0,
+        proxy_ejection_threshold: 3,
+        report_source: ReportSource::ResponsesAndHealthChecks,
         report_period: Micros::from_ms(1000.0),
-        backlog: 14_000.0,
-        lines_per_s: 9_500.0,
-        message_head: 3.0,
-        unserved_most: Micros::from_ms(5000.0),
+        channel_backlog: 14_000.0,
+        channel_lines_per_second: 9_500.0,
+        message_overhead: 3.0,
+        max_unserved: Micros::from_ms(5000.0),
         drain_grace: Micros::from_ms(3000.0),
-        cold_from: 0.2,
-        cold_for: Micros::from_ms(10_000.0),
-        fall_multiple: 3.0,
-        fall_window: Micros::from_ms(3000.0),
+        slow_start_share: 0.2,
+        slow_start_period: Micros::from_ms(10_000.0),
+        overload_multiple: 3.0,
+        overload_window: Micros::from_ms(3000.0),
         ..Settings::default()
     };
     let names = |names: &[&str]| names.iter().map(ToString::to_string).collect::<Vec<_>>();
     let classes = names(&["status-read", "refund-order", "petition-file"]);
     let mut engine = Engine::new(settings, 1, names(&["a", "b"]), classes, names(&["m"]));
-    let listed = (0..SERVERS).map(|n| chutegrade_engine::Listed {
+    let listed = (0..SERVERS).map(|n| chutegrade_engine::NamedEndpoint {
         name: format!("s-{n:08x}"),
         zone: ["a", "b"][n % 2].to_string(),
         weight: 1.0,
-        ..chutegrade_engine::Listed::default()
+        ..chutegrade_engine::NamedEndpoint::default()
     });
     engine
-        .report(Report::List(ListKind::Complete, listed.collect()))
+        .report(Report::EndpointList(
+            EndpointUpdateKind::Snapshot,
+            listed.collect(),
+        ))
         .expect("a list");
     for proxy in 0..PROXIES {
         let zone = ["a", "b"][proxy as usize % 2].to_string();
-        let joined = Report::Joined {
+        let joined = Report::StreamOpened {
             stream: StreamId(proxy.into()),
             proxy,
             zone,
-            rate: 5.0,
-            new: true,
+            request_rate: 5.0,
+            has_no_table: true,
         };
         engine.report(joined).expect("a proxy");
     }
@@ -92,17 +95,17 @@
                 format!("s-{n:08x}"),
                 110.0 + (n % 17) as f64,
             );
-            let load = Load {
-                queue: Some(1.0),
-                ..Load::default()
+            let load = LoadReport {
+                queued: Some(1.0),
+                ..LoadReport::default()
             };
             let period = Micros(1_000_000);
-            let heard = Report::Outcomes {
+            let heard = Report::ServerOutcomes {
                 zone,
                 server,
-                tries,
+                attempts: tries,
                 failed: 0.0,
-                mean_ms,
+                mean_latency_ms: mean_ms,
                 period,
                 load,
             };
@@ -128,22 +131,22 @@
         rules.turn(now, &mut engine);
         engine.tick(now);
         let took = begun.elapsed();
-        for stream in engine.pick_streams() {
-            let Some(order) = engine.pick_order(stream) else {
+        for stream in engine.take_streams_with_orders() {
+            let Some(order) = engine.take_order(stream) else {
                 continue;
             };
             lines += 1;
-            if let Some(mark) = order.stamp {
+            if let Some(mark) = order.acknowledge {
                 engine
-                    .report(Report::Ack {
+                    .report(Report::Acknowledged {
                         stream,
-                        mark,
-                        took: Micros(200_000),
+                        sequence: mark,
+                        elapsed: Micros(200_000),
                     })
                     .expect("a stream");
             }
         }
-        while engine.pick_note(now).is_some() {}
+        while engine.take_log_event(now).is_some() {}
         if tick >= SECONDS * TICKS {
             (sum, longest) = (sum + took, longest.max(took));
         }
--- a/crates/advice/src/lib.rs
+++ b/crates/advice/src/lib.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use chutegrade_engine::{Advised, Engine, Micros, Report};
+use chutegrade_engine::{Engine, Micros, PluginAdvice, Report};
 use chutegrade_plugins::host::{Refused, Taken, Word};
 use chutegrade_plugins::inputs::{Class, Fleet, Inputs, Server};
 use chutegrade_plugins::{Advice, Host};
@@ -38,9 +38,9 @@
         let (advice, words) = if self.host.rests() {
             self.host.pass();
             (
-                Advised {
-                    until: now,
-                    ..Advised::default()
+                PluginAdvice {
+                    expires_at: now,
+                    ..PluginAdvice::default()
                 },
                 Vec::new(),
             )
@@ -51,9 +51,9 @@
         };
         // Advice replaces the one before: nothing said in the place of nothing is no news.
         let says = advice
-            != Advised {
-                until: advice.until,
-                ..Advised::default()
+            != PluginAdvice {
+                expires_at: advice.expires_at,
+                ..PluginAdvice::default()
             };
         if says || self.standing {
             // The queue of reports drops outcomes and demand alone; advice is always taken.
@@ -66,19 +66,23 @@
 
 /// What plug-ins see of the engine.
 pub fn seen(engine: &Engine) -> Inputs {
-    let (gauge, fleet, (zones, _)) = (engine.gauge(), engine.fleet(), engine.vocabulary());
+    let (gauge, fleet, (zones, _)) = (
+        engine.fleet_metrics(),
+        engine.server_snapshot(),
+        engine.zone_and_class_names(),
+    );
     let levels = gauge.levels.iter().copied().chain(std::iter::repeat(1.0));
-    let class = |(of, level): (&chutegrade_engine::ClassView, f64)| Class {
+    let class = |(of, level): (&chutegrade_engine::ClassInfo, f64)| Class {
         name: of.name.as_str().into(),
-        effect: of.effect.into(),
-        worth: of.class.worth,
+        effect: of.idempotency.into(),
+        worth: of.class.priority_weight,
         level,
     };
     Inputs {
         servers: fleet.servers.iter().map(standing).collect(),
         classes: engine.classes().iter().zip(levels).map(class).collect(),
         zones: zones.iter().map(|zone| zone.as_str().into()).collect(),
-        fleet: fleet_in(&gauge, engine.figures().demand),
+        fleet: fleet_in(&gauge, engine.fleet_status().request_rate),
     }
 }
 
@@ -132,7 +136,7 @@
 }
 
 /// Advice by names.
-pub fn advised(advice: &Advice, inputs: &Inputs, now: Micros) -> Advised {
+pub fn advised(advice: &Advice, inputs: &Inputs, now: Micros) -> PluginAdvice {
     let server = |at: u32| {
         inputs
             .servers
@@ -150,20 +154,20 @@
         Some((server(*of)?, zone(*to)?, class_at.and_then(class), *factor))
     };
     let until = |seconds: f64| now + Micros::from_ms(seconds * 1000.0);
-    Advised {
+    PluginAdvice {
         factors: advice.factors.iter().filter_map(factor).collect(),
         caps: advice
             .caps
             .iter()
             .filter_map(|(of, cap)| Some((class(*of)?, *cap)))
             .collect(),
-        never: advice.never.iter().filter_map(|of| class(*of)).collect(),
+        no_retry: advice.never.iter().filter_map(|of| class(*of)).collect(),
         excluded: advice
             .excluded
             .iter()
             .filter_map(|(of, (_, seconds))| Some((server(*of)?, until(*seconds))))
             .collect(),
-        apart: advice.steered.iter().filter_map(|of| class(*of)).collect(),
-        until: now + STANDS,
+        separate_tables: advice.steered.iter().filter_map(|of| class(*of)).collect(),
+        expires_at: now + STANDS,
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -2,14 +2,14 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use chutegrade_limits::govern::{Demand, Outcome};
-use chutegrade_policy::interface::*;
-use chutegrade_policy::policy::Policy;
+use chutegrade_limits::manager::{Demand, Outcome};
+use chutegrade_policy::Policy;
+use chutegrade_policy::*;
 use chutegrade_records::{pb, Kind};
 
-use crate::measure::{Measure, Measuring};
-use crate::names::{Listed, Names};
-use crate::notes::{self, Noted, Notes};
+use crate::measure::{Measuring, TrafficSample};
+use crate::names::{NamedEndpoint, Names};
+use crate::notes::{self, LogEvent, Notes};
 use crate::order::Order;
 use crate::streams::Streams;
 use crate::tables::Tables;
@@ -19,9 +19,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
     /// News of the list of servers.
-    List(ListKind, Vec<Listed>),
+    EndpointList(EndpointUpdateKind, Vec<NamedEndpoint>),
     /// A proxy named itself on a new stream; an older stream of the same proxy has thereby ended.
-    Joined {
+    StreamOpened {
         /** The stream. */
         stream: StreamId,
         /** The proxy's number. */
@@ -29,139 +29,139 @@
         /** Its zone. */
         zone: String,
         /** Its usual traffic in requests per second. */
-        rate: f64,
+        request_rate: f64,
         /** It holds no table that was ordered. */
-        new: bool,
+        has_no_table: bool,
     },
     /// A stream ended.
-    Left(StreamId),
+    StreamLost(StreamId),
     /// This supervisor ended a stream, though its peer may live.
-    Ended(StreamId),
+    StreamClosed(StreamId),
     /// What the proxies of a zone met at a server.
-    Outcomes {
+    ServerOutcomes {
         /** Zone of the proxies. */
         zone: String,
         /** The server. */
         server: String,
         /** Tries that ended. */
-        tries: f64,
+        attempts: f64,
         /** Those without a good answer. */
         failed: f64,
         /** Mean time of the good ones, in milliseconds. */
-        mean_ms: f64,
+        mean_latency_ms: f64,
         /** Time over which it was counted. */
         period: Micros,
         /** Newest load report. */
-        load: Load,
+        load: LoadReport,
     },
     /// Requests of a class that came to a proxy.
-    Demand {
+    ProxyDemand {
         /** The proxy's number. */
         proxy: u32,
         /** The class. */
         class: String,
         /** Requests that came. */
-        came: f64,
+        arrivals: f64,
         /** Admitted ones without an answer. */
         failed: f64,
         /** Time over which it was counted. */
         period: Micros,
     },
     /// A proxy has applied everything up to this mark.
-    Ack {
+    Acknowledged {
         /** The stream that brought it. */
         stream: StreamId,
         /** The mark. */
-        mark: u16,
+        sequence: u16,
         /** Order to effect. */
-        took: Micros,
+        elapsed: Micros,
     },
     /// What plug-ins advise, in the place of what they advised before.
-    Advice(Advised),
+    Advice(PluginAdvice),
     /// What limits on service decide, in the place of what they decided before.
-    Limits(Limited),
+    Limits(OverloadLimits),
     /// The result of a probe.
-    Probed {
+    HealthChecked {
         /** The probe. */
-        probe: Probe,
+        check: HealthCheck,
         /** How it ended. */
-        end: ProbeEnd,
+        outcome: HealthCheckOutcome,
         /** Time since it was sent. */
-        took: Micros,
+        elapsed: Micros,
         /** Load report, if one came with it. */
-        load: Load,
+        load: LoadReport,
     },
 }
 
 /// What plug-ins advise, by names; a name that is not known any more is passed over.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Advised {
+pub struct PluginAdvice {
     /// Share of its weight that a server keeps for the proxies of a zone, for a class that is steered apart or for all.
     pub factors: Vec<(String, String, Option<String>, f64)>,
     /// The most of a class that is let in, as a share.
     pub caps: Vec<(String, f64)>,
     /// Classes that are not to be tried again.
-    pub never: Vec<String>,
+    pub no_retry: Vec<String>,
     /// Servers to leave out, and until when.
     pub excluded: Vec<(String, Micros)>,
     /// Classes that are steered apart.
-    pub apart: Vec<String>,
+    pub separate_tables: Vec<String>,
     /// When all of it ends, unless it is said again.
-    pub until: Micros,
+    pub expires_at: Micros,
 }
 
 /// What limits on service decide, by names; a name that is not known is passed over.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Limited {
+pub struct OverloadLimits {
     /// The least share of requests to refuse, beside what saturation tells.
-    pub refuse: Option<f64>,
+    pub min_shed_share: Option<f64>,
     /// The same for usual proxies and for heavy ones, where these have tables of their own.
-    pub heavy: Option<(f64, f64)>,
+    pub shed_by_weight_class: Option<(f64, f64)>,
     /// The most of a class that is let in, as a share.
-    pub keep: Vec<(String, f64)>,
+    pub admitted: Vec<(String, f64)>,
     /// How a class may be tried again.
-    pub again: Vec<(String, Retry)>,
+    pub retries: Vec<(String, Retry)>,
     /// When all of it ends, unless it is said again.
-    pub until: Micros,
+    pub expires_at: Micros,
 }
 
 /// A class as the settings describe it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClassView {
+pub struct ClassInfo {
     /// Its name.
     pub name: String,
     /// `safe`, `keyed` or `unsafe`: what a second run would do.
-    pub effect: &'static str,
+    pub idempotency: &'static str,
     /// All that they say of it.
     pub class: Class,
 }
 
 /// A report names what this supervisor does not know; it was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unknown {
+pub enum ReportError {
     /// A server that was never listed.
     #[error("unknown server {0}")]
-    Server(String),
+    UnknownServer(String),
     /// A zone outside the settings.
     #[error("unknown site {0}")]
-    Zone(String),
+    UnknownZone(String),
     /// A class outside the settings.
     #[error("unknown lane {0}")]
-    Class(String),
+    UnknownClass(String),
     /// A proxy outside the settings, or one that is not joined.
     #[error("unknown proxy {0}")]
-    Proxy(u32),
+    UnknownProxy(u32),
     /// A stream whose place a newer one has taken.
     #[error("stream replaced")]
-    Stream,
+    StreamReplaced,
     /// Nothing unknown: too many reports wait for the next tick.
     #[error("too many reports wait")]
-    Full,
+    QueueFull,
 }
 
 /// A probe that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Probe {
+pub struct HealthCheck {
     server: ServerId,
     /// Where the server listens.
     pub address: String,
@@ -170,7 +170,7 @@
 
 /// What the decisions want of the list of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ListWish {
+pub struct DiscoverySubscription {
     /// Changes are wanted from now on.
     pub watch: bool,
     /// The complete list is wanted once.
@@ -178,43 +178,43 @@
 }
 
 /// What decides behind the engine: the module of this build, or another build's, for comparison on the fleet model.
-pub trait Decides {
+pub trait DecisionPolicy {
     /// Takes one batch in, and orders.
-    fn handle(&mut self, now: Micros, events: &[Event]) -> Vec<Action>;
-    /// The fleet in figures; nothing where it can't be told.
-    fn figures(&self) -> Figures {
-        Figures::default()
+    fn handle_events(&mut self, now: Micros, events: &[Event]) -> Vec<Action>;
+    /// The fleet in fleet_status; nothing where it can't be told.
+    fn fleet_status(&self) -> FleetStatus {
+        FleetStatus::default()
     }
     /// Joined proxies.
-    fn joined(&self) -> usize {
+    fn proxy_count(&self) -> usize {
         0
     }
     /// All servers as they stand.
-    fn standings(&self) -> Vec<(ServerId, Standing)> {
+    fn server_statuses(&self) -> Vec<(ServerId, ServerStatus)> {
         Vec::new()
     }
 }
 
-impl Decides for Policy {
-    fn handle(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
-        Policy::handle(self, now, events)
+impl DecisionPolicy for Policy {
+    fn handle_events(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
+        Policy::handle_events(self, now, events)
     }
-    fn figures(&self) -> Figures {
-        Policy::figures(self)
+    fn fleet_status(&self) -> FleetStatus {
+        Policy::fleet_status(self)
     }
-    fn joined(&self) -> usize {
-        Policy::joined(self)
+    fn proxy_count(&self) -> usize {
+        Policy::proxy_count(self)
     }
-    fn standings(&self) -> Vec<(ServerId, Standing)> {
-        Policy::standings(self).collect()
+    fn server_statuses(&self) -> Vec<(ServerId, ServerStatus)> {
+        Policy::server_statuses(self).collect()
     }
 }
 
 /// The decisions and all that is needed to carry them out.
 pub struct Engine {
-    policy: Box<dyn Decides>,
+    policy: Box<dyn DecisionPolicy>,
     names: Names,
-    classes: Vec<ClassView>,
+    classes: Vec<ClassInfo>,
     proxies: usize,
     zones: usize,
     tables: Tables,
@@ -224,7 +224,7 @@
     probes: VecDeque<ServerId>,
     /// Servers that the decisions have forgotten, until nothing that waits names them.
     going: BTreeSet<ServerId>,
-    list: ListWish,
+    list: DiscoverySubscription,
     notes: Notes,
     measuring: Measuring,
     begun: bool,
@@ -244,26 +244,26 @@
         kinds: Vec<String>,
     ) -> Self {
         let policy = Policy::new(settings.clone(), seed);
-        Engine::with(Box::new(policy), &settings, zones, classes, kinds)
+        Engine::with_policy(Box::new(policy), &settings, zones, classes, kinds)
     }
 
     /// The same with another build's decisions, which know the same settings.
-    pub fn with(
-        policy: Box<dyn Decides>,
+    pub fn with_policy(
+        policy: Box<dyn DecisionPolicy>,
         settings: &Settings,
         zones: Vec<String>,
         classes: Vec<String>,
         kinds: Vec<String>,
     ) -> Self {
         let view = |(class, name): (&Class, &String)| {
-            let effect = match class.effect {
-                Effect::Safe => "safe",
-                Effect::Keyed(..) => "keyed",
-                Effect::Unsafe => "unsafe",
+            let effect = match class.idempotency {
+                Idempotency::Idempotent => "safe",
+                Idempotency::Keyed(..) => "keyed",
+                Idempotency::NotIdempotent => "unsafe",
             };
-            ClassView {
+            ClassInfo {
                 name: name.clone(),
-                effect,
+                idempotency: effect,
                 class: *class,
             }
         };
@@ -273,8 +273,8 @@
             proxies: settings.proxies,
             zones: settings.zones,
             tables: Tables::new(settings.classes.len()),
-            list: ListWish {
-                watch: !settings.list_on_request,
+            list: DiscoverySubscription {
+                watch: !settings.endpoints_on_request,
                 fetch: false,
             },
             policy,
@@ -290,131 +290,150 @@
     }
 
     /// Takes in what a peer told, for the next tick. A report that names what is not known is dropped.
-    pub fn report(&mut self, report: Report) -> Result<(), Unknown> {
-        let spare = matches!(report, Report::Outcomes { .. } | Report::Demand { .. });
+    pub fn report(&mut self, report: Report) -> Result<(), ReportError> {
+        let spare = matches!(
+            report,
+            Report::ServerOutcomes { .. } | Report::ProxyDemand { .. }
+        );
         if spare && self.events.len() >= REPORTS_MOST {
-            return Err(Unknown::Full);
+            return Err(ReportError::QueueFull);
         }
         let event = match report {
-            Report::List(kind, listed) => {
+            Report::EndpointList(kind, listed) => {
                 // A subscription that was lost is none: the decisions ask for it anew.
-                self.list.watch &= kind != ListKind::Lost;
-                Event::Members(
+                self.list.watch &= kind != EndpointUpdateKind::Unavailable;
+                Event::EndpointList(
                     kind,
                     listed.iter().map(|listed| self.listed(listed)).collect(),
                 )
             }
-            Report::Joined {
+            Report::StreamOpened {
                 stream,
                 proxy,
                 zone,
-                rate,
-                new,
+                request_rate: rate,
+                has_no_table: new,
             } => {
                 let (zone, id) = (self.zone(&zone)?, self.proxy(proxy)?);
                 if self.streams.of(id).is_some() {
-                    self.events.push(Event::Left(id));
+                    self.events.push(Event::ProxyLeft(id));
                 }
                 self.streams.join(id, stream, !new);
-                Event::Joined {
+                Event::ProxyJoined {
                     proxy: id,
                     zone,
-                    rate,
-                    brought: !new,
+                    request_rate: rate,
+                    has_previous_table: !new,
                 }
             }
-            Report::Left(stream) => Event::Left(self.streams.leave(stream).ok_or(Unknown::Stream)?),
-            Report::Ended(stream) => {
-                Event::Ended(self.streams.leave(stream).ok_or(Unknown::Stream)?)
-            }
-            Report::Outcomes {
+            Report::StreamLost(stream) => Event::ProxyLeft(
+                self.streams
+                    .leave(stream)
+                    .ok_or(ReportError::StreamReplaced)?,
+            ),
+            Report::StreamClosed(stream) => Event::StreamClosed(
+                self.streams
+                    .leave(stream)
+                    .ok_or(ReportError::StreamReplaced)?,
+            ),
+            Report::ServerOutcomes {
                 zone,
                 server,
-                tries,
+                attempts: tries,
                 failed,
-                mean_ms,
+                mean_latency_ms: mean_ms,
                 period,
                 load,
             } => {
                 let id = self.names.server(&server);
                 let (at, id) = (
                     self.zone(&zone)?,
-                    id.ok_or_else(|| Unknown::Server(server.clone()))?,
+                    id.ok_or_else(|| ReportError::UnknownServer(server.clone()))?,
                 );
                 self.notes.heard((&zone, &server), tries, failed, period);
                 self.measuring.heard();
                 self.measuring.met(Outcome {
-                    tries,
+                    attempts: tries,
                     failed,
-                    mean_ms,
-                    queue: load.queue,
+                    mean_latency_ms: mean_ms,
+                    queued: load.queued,
                 });
                 let (zone, server) = (at, id);
-                Event::Heard {
+                Event::ServerOutcomes {
                     zone,
                     server,
-                    tries,
+                    attempts: tries,
                     failed,
-                    mean_ms,
+                    mean_latency_ms: mean_ms,
                     period,
                     load,
                 }
             }
-            Report::Demand {
+            Report::ProxyDemand {
                 proxy,
                 class,
-                came,
+                arrivals: came,
                 failed,
                 period,
             } => {
-                let class = self.names.class(&class).ok_or(Unknown::Class(class))?;
+                let class = self
+                    .names
+                    .class(&class)
+                    .ok_or(ReportError::UnknownClass(class))?;
                 let id = ProxyId(proxy);
                 if self.streams.of(id).is_none() {
-                    return Err(Unknown::Proxy(proxy));
+                    return Err(ReportError::UnknownProxy(proxy));
                 }
                 self.measuring.heard();
                 self.measuring.came(Demand {
                     proxy,
                     class: class.0.into(),
-                    came,
+                    arrivals: came,
                     failed,
                 });
-                Event::Usage {
+                Event::ProxyDemand {
                     proxy: id,
                     class,
-                    came,
+                    arrivals: came,
                     failed,
                     period,
                 }
             }
-            Report::Ack { stream, mark, took } => Event::Receipt {
-                proxy: self.streams.proxy(stream).ok_or(Unknown::Stream)?,
-                mark,
-                took,
+            Report::Acknowledged {
+                stream,
+                sequence: mark,
+                elapsed: took,
+            } => Event::Acknowledged {
+                proxy: self
+                    .streams
+                    .proxy(stream)
+                    .ok_or(ReportError::StreamReplaced)?,
+                sequence: mark,
+                elapsed: took,
             },
             Report::Advice(advised) => Event::Advice(self.advice(&advised)),
             Report::Limits(limited) => Event::Limits(self.limits(&limited)),
-            Report::Probed {
-                probe,
-                end,
-                took,
+            Report::HealthChecked {
+                check: probe,
+                outcome: end,
+                elapsed: took,
                 load,
             } => {
                 self.measuring.heard();
                 let server = probe.server;
                 if self.is_current(&probe) {
-                    Event::Probed {
+                    Event::HealthChecked {
                         server,
-                        end,
-                        took,
+                        outcome: end,
+                        elapsed: took,
                         load,
                     }
                 } else {
-                    Event::Probed {
+                    Event::HealthChecked {
                         server,
-                        end: ProbeEnd::Other,
-                        took,
-                        load: Load::default(),
+                        outcome: HealthCheckOutcome::Inconclusive,
+                        elapsed: took,
+                        load: LoadReport::default(),
                     }
                 }
             }
@@ -425,12 +444,12 @@
 
     /// Whether the process that was probed is the one that the list names now. Danger: the end of the former one, or of
     /// whatever else answers at its address, would be held against one that has just started.
-    fn is_current(&self, probe: &Probe) -> bool {
+    fn is_current(&self, probe: &HealthCheck) -> bool {
         let address = self.names.address(probe.server);
         address == Some(probe.address.as_str()) && self.names.started(probe.server) == probe.started
     }
 
-    fn listed(&mut self, listed: &Listed) -> Entry {
+    fn listed(&mut self, listed: &NamedEndpoint) -> Endpoint {
         let (entry, returned) = self.names.listed(listed);
         self.notes.listed(entry.server, listed);
         if self.going.remove(&entry.server) || returned {
@@ -439,7 +458,7 @@
         entry
     }
 
-    fn advice(&self, advised: &Advised) -> Advice {
+    fn advice(&self, advised: &PluginAdvice) -> Advice {
         let server = |name: &str| self.names.server(name);
         let class = |name: &str| self.names.class(name);
         let set = |names: &[String]| {
@@ -460,77 +479,77 @@
                 .iter()
                 .filter_map(|(name, cap)| Some((class(name)?, *cap)))
                 .collect(),
-            never: set(&advised.never),
+            no_retry: set(&advised.no_retry),
             excluded: advised
                 .excluded
                 .iter()
                 .filter_map(|(name, until)| Some((server(name)?, *until)))
                 .collect(),
-            apart: set(&advised.apart),
-            until: advised.until,
+            separate_tables: set(&advised.separate_tables),
+            expires_at: advised.expires_at,
         }
     }
 
-    fn limits(&self, limited: &Limited) -> Limits {
+    fn limits(&self, limited: &OverloadLimits) -> Limits {
         let class = |name: &str| self.names.class(name);
         Limits {
-            refuse: limited.refuse,
-            heavy: limited.heavy,
-            keep: limited
-                .keep
+            min_shed_share: limited.min_shed_share,
+            shed_by_weight_class: limited.shed_by_weight_class,
+            admitted: limited
+                .admitted
                 .iter()
                 .filter_map(|(name, keep)| Some((class(name)?, *keep)))
                 .collect(),
-            again: limited
-                .again
+            retries: limited
+                .retries
                 .iter()
                 .filter_map(|(name, again)| Some((class(name)?, *again)))
                 .collect(),
-            until: limited.until,
+            expires_at: limited.expires_at,
         }
     }
 
     /// From now on what is reported is kept for whoever limits service by it.
-    pub fn measure(&mut self) {
+    pub fn enable_traffic_sampling(&mut self) {
         self.measuring.begin();
     }
 
     /// What was reported since this was last asked for.
-    pub fn pick_measure(&mut self) -> Measure {
+    pub fn take_traffic_sample(&mut self) -> TrafficSample {
         self.measuring.take()
     }
 
     /// The fleet in figures, after the last tick.
-    pub fn figures(&self) -> Figures {
-        self.policy.figures()
+    pub fn fleet_status(&self) -> FleetStatus {
+        self.policy.fleet_status()
     }
 
     /// The classes as the settings describe them.
-    pub fn classes(&self) -> &[ClassView] {
+    pub fn classes(&self) -> &[ClassInfo] {
         &self.classes
     }
 
-    fn zone(&self, name: &str) -> Result<ZoneId, Unknown> {
+    fn zone(&self, name: &str) -> Result<ZoneId, ReportError> {
         let known = self
             .names
             .zone(name)
             .filter(|zone| usize::from(zone.0) < self.zones);
-        known.ok_or_else(|| Unknown::Zone(name.to_string()))
+        known.ok_or_else(|| ReportError::UnknownZone(name.to_string()))
     }
 
-    fn proxy(&self, number: u32) -> Result<ProxyId, Unknown> {
+    fn proxy(&self, number: u32) -> Result<ProxyId, ReportError> {
         let known = Some(ProxyId(number)).filter(|_| (number as usize) < self.proxies);
-        known.ok_or(Unknown::Proxy(number))
+        known.ok_or(ReportError::UnknownProxy(number))
     }
 
     /// Whether the settings hold this zone and, if one is given, this proxy.
-    pub fn knows(&self, zone: &str, proxy: Option<u32>) -> Result<(), Unknown> {
+    pub fn validate_peer(&self, zone: &str, proxy: Option<u32>) -> Result<(), ReportError> {
         self.zone(zone)?;
         proxy.map_or(Ok(()), |proxy| self.proxy(proxy).map(|_| ()))
     }
 
     /// How many proxies, and how many zones, the settings hold.
-    pub fn size(&self) -> (usize, usize) {
+    pub fn deployment_size(&self) -> (usize, usize) {
         (self.proxies, self.zones)
     }
 
@@ -551,7 +570,7 @@
             self.notes.learn(now);
             self.measuring.learn(now);
             let events = std::mem::take(&mut self.events);
-            let actions = self.policy.handle(now, &events);
+            let actions = self.policy.handle_events(now, &events);
             self.carry_out(now, actions);
         }
         self.timers.first().map(|(at, _)| *at)
@@ -561,7 +580,7 @@
         let (mut mark, mut sent) = (None, pb::Published::default());
         for action in actions {
             match &action {
-                Action::Line {
+                Action::SetWeight {
                     table,
                     server,
                     weight,
@@ -569,22 +588,25 @@
                     sent.lines += 1;
                     self.tables.line(*table, *server, *weight);
                 }
-                Action::Clear(table) => self.tables.clear(*table),
-                Action::Withdraw { server, out } => {
+                Action::ClearTable(table) => self.tables.clear(*table),
+                Action::SetSuspended {
+                    server,
+                    suspended: out,
+                } => {
                     // A server that is new is let back for the case that it was known before.
                     if !self.tables.withdraw(*server, *out) && !*out {
                         continue;
                     }
                     sent.withdrawals += 1;
                 }
-                Action::Admit {
+                Action::SetAdmission {
                     table,
                     classes,
                     level,
                     retry,
                 } => {
                     let strain = if self.notes.recording {
-                        self.policy.figures().strain
+                        self.policy.fleet_status().saturation
                     } else {
                         0.0
                     };
@@ -593,34 +615,38 @@
                         self.note_level((now, strain), *table, class, *level, *retry);
                     }
                 }
-                Action::Bind { .. } => sent.binds += 1,
-                Action::Mark {
-                    mark: number,
-                    everyone,
+                Action::AssignTable { .. } => sent.binds += 1,
+                Action::RequestAcknowledgement {
+                    sequence: number,
+                    all_proxies: everyone,
                 } => mark = Some((*number, *everyone)),
-                Action::Probe(server) => self.probes.push_back(*server),
-                Action::Subscribe(on) => self.list.watch = *on,
-                Action::FetchList => self.list.fetch = true,
-                Action::Timer { id, after } => {
+                Action::HealthCheck(server) => self.probes.push_back(*server),
+                Action::SubscribeEndpoints(on) => self.list.watch = *on,
+                Action::FetchEndpoints => self.list.fetch = true,
+                Action::SetTimer { id, delay: after } => {
                     self.timers.insert((now + (*after).max(Micros(1)), *id));
                 }
-                Action::Note(note) => {
-                    let kind = notes::told(
+                Action::Emit(note) => {
+                    let kind = notes::decision_record(
                         note,
                         |id| self.server_name(id),
                         |zone| self.names.zone_name(zone),
                     );
                     self.notes.add(now, now, kind, true);
                 }
-                Action::Forget(server) => {
+                Action::ForgetServer(server) => {
                     self.going.insert(*server);
                 }
                 Action::Reconcile(_) => sent.withdrawals += 1,
                 // The protocol has no way between instances, and the decisions do not ask for one.
-                Action::Tell { .. } => {}
+                Action::SendToPeer { .. } => {}
             }
             let reached = self.streams.apply(&action, &self.tables);
-            if let Action::Withdraw { server, out } = action {
+            if let Action::SetSuspended {
+                server,
+                suspended: out,
+            } = action
+            {
                 let (server, streams) = (self.server_name(server), reached);
                 self.notes.add(
                     now,
@@ -697,35 +723,40 @@
     }
 
     /// From now on notes for the records are made too.
-    pub fn record(&mut self) {
+    pub fn enable_recording(&mut self) {
         self.notes.recording = true;
     }
 
     /// The next thing that happened. What is for the log alone, or for both, is made in any case.
-    pub fn pick_note(&mut self, now: Micros) -> Option<Noted> {
+    pub fn take_log_event(&mut self, now: Micros) -> Option<LogEvent> {
         self.notes.pick(now)
     }
 
     /// The fleet in figures, as it stands after the last tick.
-    pub fn gauge(&self) -> pb::Gauge {
+    pub fn fleet_metrics(&self) -> pb::Gauge {
         notes::gauge(
-            self.policy.figures(),
-            self.policy.joined(),
-            self.policy.standings().into_iter().map(|of| of.1),
+            self.policy.fleet_status(),
+            self.policy.proxy_count(),
+            self.policy.server_statuses().into_iter().map(|of| of.1),
         )
     }
 
     /// All servers, as they stand after the last tick.
-    pub fn fleet(&self) -> pb::Fleet {
-        let named = |(id, of): (ServerId, Standing)| {
+    pub fn server_snapshot(&self) -> pb::Fleet {
+        let named = |(id, of): (ServerId, ServerStatus)| {
             notes::server(
                 self.server_name(id),
-                self.names.zone_name(of.entry.zone),
+                self.names.zone_name(of.endpoint.zone),
                 &of,
             )
         };
         pb::Fleet {
-            servers: self.policy.standings().into_iter().map(named).collect(),
+            servers: self
+                .policy
+                .server_statuses()
+                .into_iter()
+                .map(named)
+                .collect(),
             classes: self
                 .classes
                 .iter()
@@ -735,7 +766,7 @@
     }
 
     /// The names of zones and classes.
-    pub fn vocabulary(&self) -> (Vec<String>, Vec<String>) {
+    pub fn zone_and_class_names(&self) -> (Vec<String>, Vec<String>) {
         let classes = (0..self.tables.classes()).filter_map(|class| self.names.class_name(class));
         (
             self.names.zones().to_vec(),
@@ -744,21 +775,21 @@
     }
 
     /// Streams that have had an order waiting since this was last asked.
-    pub fn pick_streams(&mut self) -> BTreeSet<StreamId> {
+    pub fn take_streams_with_orders(&mut self) -> BTreeSet<StreamId> {
         self.streams.take_reached()
     }
 
     /// The next message of a stream: all that was ordered for it and not picked yet.
-    pub fn pick_order(&mut self, stream: StreamId) -> Option<Order> {
+    pub fn take_order(&mut self, stream: StreamId) -> Option<Order> {
         let draft = self.streams.take_draft(stream)?;
         Some(draft.into_order(self.tables.classes(), &self.names))
     }
 
     /// The next probe that is due.
-    pub fn pick_probe(&mut self) -> Option<Probe> {
+    pub fn take_health_check(&mut self) -> Option<HealthCheck> {
         let server = self.probes.pop_front()?;
         let address = self.names.address(server).unwrap_or_default().to_string();
-        Some(Probe {
+        Some(HealthCheck {
             server,
             address,
             started: self.names.started(server),
@@ -766,7 +797,7 @@
     }
 
     /// What is wanted of the list of servers now; a wish to fetch it is given once.
-    pub fn pick_list(&mut self) -> ListWish {
+    pub fn take_subscription(&mut self) -> DiscoverySubscription {
         let wish = self.list;
         self.list.fetch = false;
         wish
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -12,27 +12,27 @@
 
 fn settings(classes: usize) -> Settings {
     let class = Class {
-        aim: Micros(600_000),
+        latency_objective: Micros(600_000),
         deadline: Micros(2_000_000),
-        worth: 1.0,
-        effect: Effect::Safe,
-        home_only: false,
+        priority_weight: 1.0,
+        idempotency: Idempotency::Idempotent,
+        zone_local: false,
     };
     Settings {
         instances: 2,
         zones: 2,
         classes: vec![class; classes],
         proxies: 4,
-        levels: LevelKind::Fraction,
-        probes: true,
-        backlog: 5000.0,
-        lines_per_s: 4000.0,
-        message_head: 3.0,
-        way_most: Micros(600_000),
+        admission_unit: AdmissionUnit::Share,
+        health_checks_allowed: true,
+        channel_backlog: 5000.0,
+        channel_lines_per_second: 4000.0,
+        message_overhead: 3.0,
+        max_delivery_delay: Micros(600_000),
         report_period: Micros(1_000_000),
-        cold_for: Micros(10_000_000),
-        cold_from: 0.3,
-        fall_multiple: 3.0,
+        slow_start_period: Micros(10_000_000),
+        slow_start_share: 0.3,
+        overload_multiple: 3.0,
         ..Settings::default()
     }
 }
@@ -48,32 +48,32 @@
     )
 }
 
-fn listed(server: u32) -> Listed {
-    Listed {
+fn listed(server: u32) -> NamedEndpoint {
+    NamedEndpoint {
         name: format!("s{server}"),
         address: format!("127.0.0.1:{}", 1000 + server),
         zone: format!("z{}", server % 2),
-        kind: "k0".into(),
+        machine_kind: "k0".into(),
         weight: 4.0,
-        ..Listed::default()
+        ..NamedEndpoint::default()
     }
 }
 
 fn joined(stream: u64, proxy: u32, new: bool) -> Report {
-    Report::Joined {
+    Report::StreamOpened {
         stream: StreamId(stream),
         proxy,
         zone: "z0".into(),
-        rate: 10.0,
-        new,
+        request_rate: 10.0,
+        has_no_table: new,
     }
 }
 
 fn serving() -> Engine {
     let mut engine = engine(CLASSES);
     assert_eq!(
-        engine.report(Report::List(
-            ListKind::WarmCopy,
+        engine.report(Report::EndpointList(
+            EndpointUpdateKind::CachedSnapshot,
             (0..4).map(listed).collect()
         )),
         Ok(())
@@ -87,62 +87,79 @@
     let mut engine = serving();
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     engine.tick(Micros(10_000));
-    assert_eq!(engine.pick_streams(), BTreeSet::from([StreamId(1)]));
-    let order = engine.pick_order(StreamId(1)).expect("an order");
+    assert_eq!(
+        engine.take_streams_with_orders(),
+        BTreeSet::from([StreamId(1)])
+    );
+    let order = engine.take_order(StreamId(1)).expect("an order");
     let whole = order
-        .parts
+        .updates
         .iter()
         .find(|part| part.replace)
         .expect("a whole table");
     assert!(whole.classes.is_empty(), "one table serves all classes");
-    assert_eq!(whole.rows.len(), 4);
-    assert!(whole.rows.iter().all(|(_, weight)| *weight > 0.0));
-    assert!(order.stamp.is_some());
+    assert_eq!(whole.weights.len(), 4);
+    assert!(whole.weights.iter().all(|(_, weight)| *weight > 0.0));
+    assert!(order.acknowledge.is_some());
     assert!(
-        order.drop.is_empty() && order.undrop.is_empty(),
+        order.suspended.is_empty() && order.resumed.is_empty(),
         "a new proxy holds nobody's withdrawals"
     );
-    assert_eq!(engine.pick_order(StreamId(1)), None);
+    assert_eq!(engine.take_order(StreamId(1)), None);
 }
 
 #[test]
 fn a_proxy_that_brings_tables_gets_back_what_is_not_shut_out_here() {
     let mut engine = serving();
     let names = |list: &[Rc<str>]| list.iter().map(|name| name.to_string()).collect::<Vec<_>>();
-    let shut = |out| Action::Withdraw {
+    let shut = |out| Action::SetSuspended {
         server: ServerId(3),
-        out,
+        suspended: out,
     };
     engine.carry_out(Micros(0), vec![shut(true), shut(false)]);
     assert_eq!(engine.report(joined(1, 0, false)), Ok(()));
     engine.tick(Micros(10_000));
-    let order = engine.pick_order(StreamId(1)).expect("an order");
+    let order = engine.take_order(StreamId(1)).expect("an order");
     assert_eq!(
-        names(&order.undrop),
+        names(&order.resumed),
         ["s3"],
         "of the others nobody here knows that they ever left"
     );
-    let (stream, mark, took) = (StreamId(1), order.stamp.expect("a mark"), Micros(1000));
-    assert_eq!(engine.report(Report::Ack { stream, mark, took }), Ok(()));
+    let (stream, mark, took) = (
+        StreamId(1),
+        order.acknowledge.expect("a mark"),
+        Micros(1000),
+    );
+    assert_eq!(
+        engine.report(Report::Acknowledged {
+            stream,
+            sequence: mark,
+            elapsed: took
+        }),
+        Ok(())
+    );
     engine.tick(engine.timers.first().expect("the module's own timer").0);
-    let order = engine.pick_order(StreamId(1)).expect("an order");
+    let order = engine.take_order(StreamId(1)).expect("an order");
     assert_eq!(
-        names(&order.undrop),
+        names(&order.resumed),
         ["s0", "s1", "s2"],
         "the rest once the channel has room"
     );
-    let drains = Listed {
-        life: Lifecycle::Draining,
+    let drains = NamedEndpoint {
+        lifecycle: Lifecycle::Draining,
         ..listed(2)
     };
     assert_eq!(
-        engine.report(Report::List(ListKind::Changes, vec![drains])),
+        engine.report(Report::EndpointList(
+            EndpointUpdateKind::Delta,
+            vec![drains]
+        )),
         Ok(())
     );
     engine.tick(Micros(900_000));
-    let order = engine.pick_order(StreamId(1)).expect("an order");
-    assert_eq!(names(&order.drop), ["s2"]);
-    assert!(order.undrop.is_empty());
+    let order = engine.take_order(StreamId(1)).expect("an order");
+    assert_eq!(names(&order.suspended), ["s2"]);
+    assert!(order.resumed.is_empty());
 }
 
 #[test]
@@ -150,31 +167,31 @@
     let mut engine = serving();
     let next = engine.tick(Micros(1)).expect("the module's own timer");
     assert!(next > Micros(1));
-    assert_eq!(engine.pick_probe(), None, "nobody is joined");
+    assert_eq!(engine.take_health_check(), None, "nobody is joined");
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     engine.tick(Micros(10_000));
-    let probe = engine.pick_probe().expect("a probe");
+    let probe = engine.take_health_check().expect("a probe");
     assert_eq!(probe.address, "127.0.0.1:1000");
-    let result = Report::Probed {
-        probe,
-        end: ProbeEnd::Done,
-        took: Micros(3000),
-        load: Load::default(),
+    let result = Report::HealthChecked {
+        check: probe,
+        outcome: HealthCheckOutcome::Passed,
+        elapsed: Micros(3000),
+        load: LoadReport::default(),
     };
     assert_eq!(engine.report(result), Ok(()));
     assert!(!engine.events.is_empty());
-    let moved = Listed {
+    let moved = NamedEndpoint {
         address: "127.0.0.1:9".into(),
         ..listed(1)
     };
     assert_eq!(
-        engine.report(Report::List(ListKind::Changes, vec![moved])),
+        engine.report(Report::EndpointList(EndpointUpdateKind::Delta, vec![moved])),
         Ok(())
     );
     engine.tick(next);
     assert!(engine.events.is_empty());
     assert!(engine.tick(next) > Some(next));
-    let probes = std::iter::from_fn(|| engine.pick_probe());
+    let probes = std::iter::from_fn(|| engine.take_health_check());
     assert!(probes
         .map(|probe| probe.address)
         .any(|address| address == "127.0.0.1:9"));
@@ -184,45 +201,51 @@
 fn the_decisions_begin_without_a_list_too() {
     let mut engine = engine(CLASSES);
     assert!(engine.tick(Micros(0)).is_some());
-    assert!(engine.pick_list().watch);
+    assert!(engine.take_subscription().watch);
 }
 
 #[test]
 fn what_is_not_known_is_dropped() {
     let mut engine = serving();
-    let outcomes = |zone: &str, server: &str| Report::Outcomes {
+    let outcomes = |zone: &str, server: &str| Report::ServerOutcomes {
         zone: zone.into(),
         server: server.into(),
-        tries: 1.0,
+        attempts: 1.0,
         failed: 0.0,
-        mean_ms: 1.0,
+        mean_latency_ms: 1.0,
         period: Micros(1),
-        load: Load::default(),
+        load: LoadReport::default(),
     };
-    let demand = |proxy, class: &str| Report::Demand {
+    let demand = |proxy, class: &str| Report::ProxyDemand {
         proxy,
         class: class.into(),
-        came: 1.0,
+        arrivals: 1.0,
         failed: 0.0,
         period: Micros(1_000_000),
     };
     assert_eq!(
         engine.report(outcomes("z0", "nobody")),
-        Err(Unknown::Server("nobody".into()))
+        Err(ReportError::UnknownServer("nobody".into()))
     );
     assert_eq!(
         engine.report(outcomes("z9", "s0")),
-        Err(Unknown::Zone("z9".into()))
+        Err(ReportError::UnknownZone("z9".into()))
+    );
+    assert_eq!(
+        engine.report(joined(1, 4, true)),
+        Err(ReportError::UnknownProxy(4))
+    );
+    assert_eq!(
+        engine.report(demand(0, "c0")),
+        Err(ReportError::UnknownProxy(0))
     );
-    assert_eq!(engine.report(joined(1, 4, true)), Err(Unknown::Proxy(4)));
-    assert_eq!(engine.report(demand(0, "c0")), Err(Unknown::Proxy(0)));
     assert_eq!(
         engine.report(demand(0, "c7")),
-        Err(Unknown::Class("c7".into()))
+        Err(ReportError::UnknownClass("c7".into()))
     );
     assert_eq!(
-        engine.report(Report::Left(StreamId(5))),
-        Err(Unknown::Stream)
+        engine.report(Report::StreamLost(StreamId(5))),
+        Err(ReportError::StreamReplaced)
     );
     assert!(engine.events.is_empty());
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
@@ -234,10 +257,10 @@
 fn a_flood_of_reports_is_bounded_and_keeps_out_nothing_else() {
     let mut engine = serving();
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
-    let demand = Report::Demand {
+    let demand = Report::ProxyDemand {
         proxy: 0,
         class: "c0".into(),
-        came: 1.0,
+        arrivals: 1.0,
         failed: 0.0,
         period: Micros(1_000_000),
     };
@@ -245,10 +268,10 @@
         .filter(|_| engine.report(demand.clone()).is_ok())
         .count();
     assert!(taken < REPORTS_MOST);
-    assert_eq!(engine.report(demand.clone()), Err(Unknown::Full));
+    assert_eq!(engine.report(demand.clone()), Err(ReportError::QueueFull));
     assert_eq!(engine.report(joined(2, 1, true)), Ok(()));
     engine.tick(Micros(10_000));
-    assert!(engine.pick_order(StreamId(2)).is_some());
+    assert!(engine.take_order(StreamId(2)).is_some());
     assert_eq!(engine.report(demand), Ok(()));
 }
 
@@ -257,7 +280,7 @@
 fn a_lost_subscription_is_asked_for_anew() {
     let mut engine = Engine::new(
         Settings {
-            list_on_request: true,
+            endpoints_on_request: true,
             ..settings(1)
         },
         7,
@@ -265,38 +288,47 @@
         vec!["c0".into()],
         vec![],
     );
-    assert!(!engine.pick_list().watch);
+    assert!(!engine.take_subscription().watch);
     let mut next = engine.tick(Micros(0)).expect("a timer");
-    assert!(engine.pick_list().watch);
-    assert_eq!(engine.report(Report::List(ListKind::Lost, vec![])), Ok(()));
+    assert!(engine.take_subscription().watch);
+    assert_eq!(
+        engine.report(Report::EndpointList(
+            EndpointUpdateKind::Unavailable,
+            vec![]
+        )),
+        Ok(())
+    );
     engine.tick(Micros(10));
-    assert!(!engine.pick_list().watch);
+    assert!(!engine.take_subscription().watch);
     for _ in 0..6 {
         next = engine.tick(next).expect("a timer");
     }
-    assert!(engine.pick_list().watch);
+    assert!(engine.take_subscription().watch);
 }
 
 /// A zone that only the list names is no zone of proxies, though servers may stand there.
 #[test]
 fn a_zone_of_the_list_alone_brings_no_reports() {
     let mut engine = serving();
-    let far = Listed {
+    let far = NamedEndpoint {
         zone: "moon".into(),
         ..listed(9)
     };
     assert_eq!(
-        engine.report(Report::List(ListKind::Changes, vec![far])),
+        engine.report(Report::EndpointList(EndpointUpdateKind::Delta, vec![far])),
         Ok(())
     );
-    let hello = Report::Joined {
+    let hello = Report::StreamOpened {
         stream: StreamId(1),
         proxy: 0,
         zone: "moon".into(),
-        rate: 1.0,
-        new: true,
+        request_rate: 1.0,
+        has_no_table: true,
     };
-    assert_eq!(engine.report(hello), Err(Unknown::Zone("moon".into())));
+    assert_eq!(
+        engine.report(hello),
+        Err(ReportError::UnknownZone("moon".into()))
+    );
 }
 
 #[test]
@@ -306,21 +338,21 @@
     engine.tick(Micros(10_000));
     assert_eq!(engine.report(joined(2, 0, false)), Ok(()));
     engine.tick(Micros(20_000));
-    let ack = Report::Ack {
+    let ack = Report::Acknowledged {
         stream: StreamId(1),
-        mark: 1,
-        took: Micros(1),
+        sequence: 1,
+        elapsed: Micros(1),
     };
-    assert_eq!(engine.report(ack), Err(Unknown::Stream));
+    assert_eq!(engine.report(ack), Err(ReportError::StreamReplaced));
     assert_eq!(
-        engine.report(Report::Left(StreamId(1))),
-        Err(Unknown::Stream)
+        engine.report(Report::StreamLost(StreamId(1))),
+        Err(ReportError::StreamReplaced)
     );
-    assert_eq!(engine.pick_order(StreamId(1)), None);
+    assert_eq!(engine.take_order(StreamId(1)), None);
     assert!(engine
-        .pick_order(StreamId(2))
+        .take_order(StreamId(2))
         .expect("bound anew")
-        .parts
+        .updates
         .iter()
         .any(|part| part.replace));
 }
@@ -328,33 +360,33 @@
 #[test]
 fn notes_name_servers_and_only_those_for_the_log_are_made_while_nobody_records() {
     let mut engine = serving();
-    let state = Note::State {
+    let state = DecisionEvent::HealthChanged {
         server: ServerId(2),
         zone: ZoneId(0),
-        state: State::Withdrawn,
+        state: HealthState::Withdrawn,
         score: 0.1,
         errors: 0.0,
         latency: 1.0,
-        cause: Cause::Errors,
+        cause: HealthChangeCause::Errors,
     };
-    let line = Action::Line {
+    let line = Action::SetWeight {
         table: TableId(0),
         server: ServerId(1),
         weight: 1.0,
     };
-    while engine.pick_note(Micros(0)).is_some() {}
-    engine.carry_out(Micros(7), vec![Action::Note(state.clone()), line.clone()]);
-    let noted = engine.pick_note(Micros(8)).expect("a note");
-    assert_eq!((noted.at, noted.logged), (Micros(7), true));
+    while engine.take_log_event(Micros(0)).is_some() {}
+    engine.carry_out(Micros(7), vec![Action::Emit(state.clone()), line.clone()]);
+    let noted = engine.take_log_event(Micros(8)).expect("a note");
+    assert_eq!((noted.occurred_at, noted.logged), (Micros(7), true));
     let text = chutegrade_records::text::line(&noted.kind);
     assert_eq!(
         text,
         "s2 withdrawn, score 0.10: errors 0.00 latency 1.00, tries fail"
     );
-    assert_eq!(engine.pick_note(Micros(8)), None);
-    engine.record();
+    assert_eq!(engine.take_log_event(Micros(8)), None);
+    engine.enable_recording();
     engine.carry_out(Micros(9), vec![line]);
-    let noted = engine.pick_note(Micros(9)).expect("a note");
+    let noted = engine.take_log_event(Micros(9)).expect("a note");
     assert!(matches!(noted.kind, Kind::Published(of) if of.lines == 1) && !noted.logged);
 }
 
@@ -362,10 +394,10 @@
 #[test]
 fn notes_that_wait_are_bounded_and_what_went_is_counted() {
     let mut engine = serving();
-    while engine.pick_note(Micros(0)).is_some() {}
+    while engine.take_log_event(Micros(0)).is_some() {}
     let parts = |n| {
-        Action::Note(Note::Parts {
-            parts: n,
+        Action::Emit(DecisionEvent::Resharded {
+            shards: n,
             narrowed: false,
         })
     };
@@ -373,13 +405,13 @@
         Micros(5),
         (0..crate::notes::NOTES_MOST + 10).map(parts).collect(),
     );
-    let lost = engine.pick_note(Micros(6)).expect("a note");
+    let lost = engine.take_log_event(Micros(6)).expect("a note");
     assert!(
         matches!(&lost.kind, Kind::Lost(of) if of.count == 10),
         "{lost:?}"
     );
     assert_eq!(
-        std::iter::from_fn(|| engine.pick_note(Micros(6))).count(),
+        std::iter::from_fn(|| engine.take_log_event(Micros(6))).count(),
         crate::notes::NOTES_MOST
     );
 }
@@ -388,33 +420,33 @@
 #[test]
 fn what_is_learned_late_keeps_its_time() {
     let mut engine = serving();
-    engine.record();
-    let again = Listed {
-        started: Some(Micros(40_000_000)),
+    engine.enable_recording();
+    let again = NamedEndpoint {
+        started_at: Some(Micros(40_000_000)),
         ..listed(1)
     };
     assert_eq!(
-        engine.report(Report::List(ListKind::Changes, vec![again])),
+        engine.report(Report::EndpointList(EndpointUpdateKind::Delta, vec![again])),
         Ok(())
     );
-    let outcomes = Report::Outcomes {
+    let outcomes = Report::ServerOutcomes {
         zone: "z1".into(),
         server: "s1".into(),
-        tries: 10.0,
+        attempts: 10.0,
         failed: 9.0,
-        mean_ms: 1.0,
+        mean_latency_ms: 1.0,
         period: Micros(2_000_000),
-        load: Load::default(),
+        load: LoadReport::default(),
     };
     assert_eq!(engine.report(outcomes), Ok(()));
     let now = Micros(50_000_000);
     engine.tick(now);
-    let noted: Vec<Noted> = std::iter::from_fn(|| engine.pick_note(now)).collect();
+    let noted: Vec<LogEvent> = std::iter::from_fn(|| engine.take_log_event(now)).collect();
     let at = |wanted: fn(&Kind) -> bool| {
         noted
             .iter()
             .find(|noted| wanted(&noted.kind))
-            .map(|n| (n.at, n.learned))
+            .map(|n| (n.occurred_at, n.observed_at))
     };
     assert_eq!(
         at(|kind| matches!(kind, Kind::ServerStarted(_))),
@@ -424,12 +456,12 @@
         at(|kind| matches!(kind, Kind::Failing(_))),
         Some((Micros(48_000_000), now))
     );
-    let fleet = engine.fleet();
+    let fleet = engine.server_snapshot();
     assert!(fleet
         .servers
         .iter()
         .any(|server| server.name == "s1" && server.zone == "z1"));
-    let gauge = engine.gauge();
+    let gauge = engine.fleet_metrics();
     let counted = gauge.full + gauge.reduced + gauge.withdrawn + gauge.cold + gauge.leaving;
     assert_eq!(counted as usize, fleet.servers.len());
 }
@@ -438,8 +470,8 @@
 fn an_order_never_has_more_parts_than_the_protocol_allows() {
     let mut engine = engine(32);
     assert_eq!(
-        engine.report(Report::List(
-            ListKind::WarmCopy,
+        engine.report(Report::EndpointList(
+            EndpointUpdateKind::CachedSnapshot,
             (0..40).map(listed).collect()
         )),
         Ok(())
@@ -448,28 +480,28 @@
     let mut actions = Vec::new();
     for k in 0..32u16 {
         let (table, classes) = (TableId(k), ClassSet::default().with(usize::from(k)));
-        actions.push(Action::Line {
+        actions.push(Action::SetWeight {
             table,
             server: ServerId(u32::from(k)),
             weight: 1.0,
         });
         let level = f64::from(k + 1) / 40.0;
-        actions.push(Action::Admit {
+        actions.push(Action::SetAdmission {
             table: Some(table),
             classes,
             level,
             retry: Retry::Never,
         });
-        actions.push(Action::Bind {
+        actions.push(Action::AssignTable {
             proxy: ProxyId(0),
             table,
             classes,
         });
     }
     engine.carry_out(Micros(0), actions);
-    let order = engine.pick_order(StreamId(1)).expect("an order");
-    assert!(order.parts.len() <= 64);
-    assert_eq!(order.parts.iter().filter(|part| part.replace).count(), 32);
+    let order = engine.take_order(StreamId(1)).expect("an order");
+    assert!(order.updates.len() <= 64);
+    assert_eq!(order.updates.iter().filter(|part| part.replace).count(), 32);
 }
 
 /// A line taken out of a whole table that could not be written yet costs nothing.
@@ -478,12 +510,12 @@
     let mut engine = serving();
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     let (table, server) = (TableId(900), ServerId(1));
-    let line = |server, weight| Action::Line {
+    let line = |server, weight| Action::SetWeight {
         table,
         server,
         weight,
     };
-    let bind = Action::Bind {
+    let bind = Action::AssignTable {
         proxy: ProxyId(0),
         table,
         classes: ClassSet::default(),
@@ -493,9 +525,9 @@
         vec![line(server, 1.0), line(ServerId(2), 1.0), bind],
     );
     engine.carry_out(Micros(0), vec![line(server, 0.0)]);
-    let order = engine.pick_order(StreamId(1)).expect("an order");
-    let rows: Vec<_> = order.parts[0]
-        .rows
+    let order = engine.take_order(StreamId(1)).expect("an order");
+    let rows: Vec<_> = order.updates[0]
+        .weights
         .iter()
         .map(|(name, weight)| (name.to_string(), *weight))
         .collect();
@@ -513,7 +545,7 @@
 
 impl Holder {
     fn apply(&mut self, order: &Order, classes: usize) {
-        for part in &order.parts {
+        for part in &order.updates {
             let all: Vec<usize> = (0..classes).collect();
             let named = part
                 .classes
@@ -531,21 +563,21 @@
                     rows.clear();
                     self.levels.remove(class);
                 }
-                for (server, weight) in &part.rows {
+                for (server, weight) in &part.weights {
                     rows.insert(server.to_string(), *weight);
                 }
                 rows.retain(|_, weight| *weight > 0.0);
-                if let Some(level) = part.gate {
+                if let Some(level) = part.admission {
                     self.levels.insert(*class, level);
                 }
             }
         }
         self.dropped
-            .extend(order.drop.iter().map(|name| name.to_string()));
-        for name in &order.undrop {
+            .extend(order.suspended.iter().map(|name| name.to_string()));
+        for name in &order.resumed {
             self.dropped.remove(&**name);
         }
-        self.stamp = order.stamp.or(self.stamp);
+        self.stamp = order.acknowledge.or(self.stamp);
     }
 
     fn picks(&self, class: usize) -> BTreeMap<String, f64> {
@@ -577,7 +609,7 @@
             (0..CLASSES).filter(move |class| classes == ClassSet::default() || classes.has(*class))
         };
         match action {
-            Action::Line {
+            Action::SetWeight {
                 table,
                 server,
                 weight,
@@ -586,11 +618,14 @@
                 lines.insert(format!("s{}", server.0), *weight);
                 lines.retain(|_, weight| *weight > 0.0);
             }
-            Action::Clear(table) => {
+            Action::ClearTable(table) => {
                 self.lines.remove(table);
                 self.own.retain(|(of, _), _| of != table);
             }
-            Action::Withdraw { server, out } => {
+            Action::SetSuspended {
+                server,
+                suspended: out,
+            } => {
                 let name = format!("s{}", server.0);
                 self.unseen.values_mut().for_each(|shut| {
                     shut.remove(&name);
@@ -610,7 +645,7 @@
                     self.withdrawn.remove(&name);
                 }
             }
-            Action::Admit {
+            Action::SetAdmission {
                 table,
                 classes,
                 level,
@@ -623,7 +658,7 @@
                     };
                 }
             }
-            Action::Bind {
+            Action::AssignTable {
                 proxy,
                 table,
                 classes,
@@ -665,17 +700,17 @@
     let server = || (0..6u32).prop_map(ServerId);
     let classes = || (0..8u32).prop_map(ClassSet);
     let level = || prop_oneof![Just(0.0), Just(0.5), Just(1.0)];
-    let retry = || prop_oneof![Just(Retry::Never), Just(Retry::Unrun)];
+    let retry = || prop_oneof![Just(Retry::Never), Just(Retry::IfNotExecuted)];
     prop_oneof![
         6 => (table(), server(), prop_oneof![Just(0.0), Just(1.0), Just(2.5)])
-            .prop_map(|(table, server, weight)| Action::Line { table, server, weight }),
-        1 => table().prop_map(Action::Clear),
+            .prop_map(|(table, server, weight)| Action::SetWeight { table, server, weight }),
+        1 => table().prop_map(Action::ClearTable),
         4 => ((0..3u32).prop_map(ProxyId), table(), classes())
-            .prop_map(|(proxy, table, classes)| Action::Bind { proxy, table, classes }),
-        3 => (server(), any::<bool>()).prop_map(|(server, out)| Action::Withdraw { server, out }),
+            .prop_map(|(proxy, table, classes)| Action::AssignTable { proxy, table, classes }),
+        3 => (server(), any::<bool>()).prop_map(|(server, out)| Action::SetSuspended { server, suspended: out }),
         2 => (0..3u32).prop_map(|proxy| Action::Reconcile(ProxyId(proxy))),
         2 => (proptest::option::of(table()), classes(), level(), retry())
-            .prop_map(|(table, classes, level, retry)| Action::Admit { table, classes, level, retry }),
+            .prop_map(|(table, classes, level, retry)| Action::SetAdmission { table, classes, level, retry }),
     ]
 }
 
@@ -697,7 +732,7 @@
     #[test]
     fn orders_leave_a_proxy_with_what_the_actions_say(steps in proptest::collection::vec(step(), 1..40)) {
         let mut engine = engine(CLASSES);
-        prop_assert_eq!(engine.report(Report::List(ListKind::WarmCopy, (0..6).map(listed).collect())), Ok(()));
+        prop_assert_eq!(engine.report(Report::EndpointList(EndpointUpdateKind::CachedSnapshot, (0..6).map(listed).collect())), Ok(()));
         let (mut truth, mut joined_now) = (Truth::default(), BTreeMap::<u32, u64>::new());
         let mut holders: BTreeMap<u32, Holder> = BTreeMap::new();
         let (mut streams, mut mark) = (0u64, 0u16);
@@ -708,7 +743,7 @@
             match step {
                 Step::Turn(mut actions) => {
                     mark += 1;
-                    actions.push(Action::Mark { mark, everyone: true });
+                    actions.push(Action::RequestAcknowledgement { sequence: mark, all_proxies: true });
                     for action in &actions {
                         truth.apply(action, &joined_now);
                         if let Action::Reconcile(proxy) = action {
@@ -737,7 +772,7 @@
                 }
                 Step::Leave(proxy) => {
                     if let Some(stream) = joined_now.remove(&proxy) {
-                        prop_assert_eq!(engine.report(Report::Left(StreamId(stream))), Ok(()));
+                        prop_assert_eq!(engine.report(Report::StreamLost(StreamId(stream))), Ok(()));
                         truth.bound.retain(|(of, _), _| *of != proxy);
                         owed.remove(&proxy);
                     }
@@ -745,11 +780,11 @@
                 Step::Write(proxy) => {
                     let Some(stream) = joined_now.get(&proxy) else { continue };
                     let holder = holders.entry(proxy).or_default();
-                    if let Some(order) = engine.pick_order(StreamId(*stream)) {
-                        prop_assert!(order.parts.len() <= 64);
+                    if let Some(order) = engine.take_order(StreamId(*stream)) {
+                        prop_assert!(order.updates.len() <= 64);
                         holder.apply(&order, CLASSES);
                     }
-                    prop_assert_eq!(engine.pick_order(StreamId(*stream)), None);
+                    prop_assert_eq!(engine.take_order(StreamId(*stream)), None);
                     if let Some(mark) = owed.get(&proxy) {
                         prop_assert_eq!(holder.stamp, Some(*mark));
                     }
@@ -777,23 +812,30 @@
     let mut engine = serving();
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     let mut now = Micros(10_000);
-    let mut turn = |engine: &mut Engine, events: Vec<Listed>, seconds: i64| {
+    let mut turn = |engine: &mut Engine, events: Vec<NamedEndpoint>, seconds: i64| {
         assert_eq!(
-            engine.report(Report::List(ListKind::Changes, events)),
+            engine.report(Report::EndpointList(EndpointUpdateKind::Delta, events)),
             Ok(())
         );
         let mut told = (BTreeSet::new(), BTreeSet::new());
         for _ in 0..2 * seconds {
             now = now + Micros(500_000);
             engine.tick(now);
-            if let Some(order) = engine.pick_order(StreamId(1)) {
+            if let Some(order) = engine.take_order(StreamId(1)) {
                 told.0
-                    .extend(order.drop.iter().map(|name| name.to_string()));
+                    .extend(order.suspended.iter().map(|name| name.to_string()));
                 told.1
-                    .extend(order.undrop.iter().map(|name| name.to_string()));
+                    .extend(order.resumed.iter().map(|name| name.to_string()));
                 let (stream, took) = (StreamId(1), Micros(1000));
-                let mark = order.stamp.expect("a mark");
-                assert_eq!(engine.report(Report::Ack { stream, mark, took }), Ok(()));
+                let mark = order.acknowledge.expect("a mark");
+                assert_eq!(
+                    engine.report(Report::Acknowledged {
+                        stream,
+                        sequence: mark,
+                        elapsed: took
+                    }),
+                    Ok(())
+                );
             }
         }
         told
@@ -805,7 +847,12 @@
         ids.extend(
             (4 * round..4 + 4 * round).filter_map(|of| engine.names.server(&format!("s{of}"))),
         );
-        let life = |life| move |of| Listed { life, ..listed(of) };
+        let life = |life| {
+            move |of| NamedEndpoint {
+                lifecycle: life,
+                ..listed(of)
+            }
+        };
         turn(
             &mut engine,
             (4 * round..4 + 4 * round)
@@ -816,7 +863,7 @@
         turn(
             &mut engine,
             (4 * round..4 + 4 * round)
-                .map(life(Lifecycle::Gone))
+                .map(life(Lifecycle::Removed))
                 .collect(),
             90,
         );
@@ -826,7 +873,11 @@
         .filter(|of| engine.names.server(&format!("s{of}")).is_some())
         .count();
     assert_eq!(
-        (known, engine.policy.standings().len(), engine.going.len()),
+        (
+            known,
+            engine.policy.server_statuses().len(),
+            engine.going.len()
+        ),
         (4, 4, 0)
     );
     assert!(
@@ -847,28 +898,28 @@
     let mut engine = serving();
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     engine.tick(Micros(10_000));
-    assert!(engine.pick_order(StreamId(1)).is_some());
-    let out = Action::Withdraw {
+    assert!(engine.take_order(StreamId(1)).is_some());
+    let out = Action::SetSuspended {
         server: ServerId(2),
-        out: true,
+        suspended: true,
     };
-    engine.carry_out(Micros(20_000), vec![out, Action::Forget(ServerId(2))]);
-    let order = engine.pick_order(StreamId(1)).expect("an order");
+    engine.carry_out(Micros(20_000), vec![out, Action::ForgetServer(ServerId(2))]);
+    let order = engine.take_order(StreamId(1)).expect("an order");
     assert_eq!(
         order
-            .drop
+            .suspended
             .iter()
             .map(|name| name.to_string())
             .collect::<Vec<_>>(),
         ["s2"]
     );
-    let removed = |table| Action::Line {
+    let removed = |table| Action::SetWeight {
         table: TableId(table),
         server: ServerId(2),
         weight: 0.0,
     };
     engine.carry_out(Micros(30_000), vec![removed(0), removed(1)]);
-    assert!(engine.pick_order(StreamId(1)).is_some());
+    assert!(engine.take_order(StreamId(1)).is_some());
     engine.carry_out(Micros(40_000), vec![]);
     assert_eq!(engine.names.server("s2"), None);
 }
@@ -881,8 +932,8 @@
     let settings = Settings {
         instances: MANY as usize,
         proxies: MANY as usize,
-        backlog: 60_000.0,
-        lines_per_s: 9_000.0,
+        channel_backlog: 60_000.0,
+        channel_lines_per_second: 9_000.0,
         drain_grace: Micros(2_000_000),
         ..settings(CLASSES)
     };
@@ -895,8 +946,8 @@
         names("k", 2),
     );
     assert_eq!(
-        engine.report(Report::List(
-            ListKind::WarmCopy,
+        engine.report(Report::EndpointList(
+            EndpointUpdateKind::CachedSnapshot,
             (0..MANY).map(listed).collect()
         )),
         Ok(())
@@ -910,20 +961,31 @@
     for _ in 0..100 {
         now = now + Micros(100_000);
         engine.tick(now);
-        for stream in engine.pick_streams() {
-            let order = engine.pick_order(stream).expect("an order");
+        for stream in engine.take_streams_with_orders() {
+            let order = engine.take_order(stream).expect("an order");
             holders.entry(stream).or_default().apply(&order, CLASSES);
-            let (mark, took) = (order.stamp.expect("a mark"), Micros(100_000));
-            assert_eq!(engine.report(Report::Ack { stream, mark, took }), Ok(()));
+            let (mark, took) = (order.acknowledge.expect("a mark"), Micros(100_000));
+            assert_eq!(
+                engine.report(Report::Acknowledged {
+                    stream,
+                    sequence: mark,
+                    elapsed: took
+                }),
+                Ok(())
+            );
         }
-        while let Some(probe) = engine.pick_probe() {
+        while let Some(probe) = engine.take_health_check() {
             probes += 1;
-            let (end, took, load) = (ProbeEnd::Done, Micros(5000), Load::default());
+            let (end, took, load) = (
+                HealthCheckOutcome::Passed,
+                Micros(5000),
+                LoadReport::default(),
+            );
             assert_eq!(
-                engine.report(Report::Probed {
-                    probe,
-                    end,
-                    took,
+                engine.report(Report::HealthChecked {
+                    check: probe,
+                    outcome: end,
+                    elapsed: took,
                     load
                 }),
                 Ok(())
@@ -943,26 +1005,32 @@
         probes >= 8 * MANY,
         "each server is probed every second: {probes}"
     );
-    assert_eq!(engine.fleet().servers.len(), MANY as usize);
+    assert_eq!(engine.server_snapshot().servers.len(), MANY as usize);
     assert_eq!(
         engine.report(joined(MANY.into(), MANY, true)),
-        Err(Unknown::Proxy(MANY))
+        Err(ReportError::UnknownProxy(MANY))
     );
 }
 
 /// What the decisions hear of probes, of all servers that the list names.
 #[derive(Default)]
-struct Hears(Rc<std::cell::RefCell<Vec<(ServerId, ProbeEnd)>>>);
+struct Hears(Rc<std::cell::RefCell<Vec<(ServerId, HealthCheckOutcome)>>>);
 
-impl Decides for Hears {
-    fn handle(&mut self, _: Micros, events: &[Event]) -> Vec<Action> {
+impl DecisionPolicy for Hears {
+    fn handle_events(&mut self, _: Micros, events: &[Event]) -> Vec<Action> {
         let mut probes = Vec::new();
         for event in events {
             match event {
-                Event::Members(_, entries) => {
-                    probes.extend(entries.iter().map(|entry| Action::Probe(entry.server)))
-                }
-                Event::Probed { server, end, .. } => self.0.borrow_mut().push((*server, *end)),
+                Event::EndpointList(_, entries) => probes.extend(
+                    entries
+                        .iter()
+                        .map(|entry| Action::HealthCheck(entry.server)),
+                ),
+                Event::HealthChecked {
+                    server,
+                    outcome: end,
+                    ..
+                } => self.0.borrow_mut().push((*server, *end)),
                 _ => {}
             }
         }
@@ -976,28 +1044,35 @@
 fn a_probe_of_a_former_process_says_nothing_of_the_next() {
     let hears = Hears::default();
     let heard = Rc::clone(&hears.0);
-    let mut engine = Engine::with(
+    let mut engine = Engine::with_policy(
         Box::new(hears),
         &settings(CLASSES),
         vec!["z0".into()],
         vec![],
         vec![],
     );
-    let tell = |engine: &mut Engine, server: Listed| {
+    let tell = |engine: &mut Engine, server: NamedEndpoint| {
         assert_eq!(
-            engine.report(Report::List(ListKind::Changes, vec![server])),
+            engine.report(Report::EndpointList(
+                EndpointUpdateKind::Delta,
+                vec![server]
+            )),
             Ok(())
         );
         engine.tick(Micros(0));
-        engine.pick_probe().expect("a probe")
+        engine.take_health_check().expect("a probe")
     };
-    let ends = |engine: &mut Engine, probe: Probe| {
-        let (end, took, load) = (ProbeEnd::Unreachable, Micros(1000), Load::default());
+    let ends = |engine: &mut Engine, probe: HealthCheck| {
+        let (end, took, load) = (
+            HealthCheckOutcome::Unreachable,
+            Micros(1000),
+            LoadReport::default(),
+        );
         assert_eq!(
-            engine.report(Report::Probed {
-                probe,
-                end,
-                took,
+            engine.report(Report::HealthChecked {
+                check: probe,
+                outcome: end,
+                elapsed: took,
                 load
             }),
             Ok(())
@@ -1009,33 +1084,33 @@
     let again = tell(&mut engine, listed(0));
     assert_eq!(
         ends(&mut engine, first),
-        ProbeEnd::Unreachable,
+        HealthCheckOutcome::Unreachable,
         "told again, but the same"
     );
     let moved = tell(
         &mut engine,
-        Listed {
+        NamedEndpoint {
             address: "127.0.0.1:9".into(),
             ..listed(0)
         },
     );
     assert_eq!(
         ends(&mut engine, again),
-        ProbeEnd::Other,
+        HealthCheckOutcome::Inconclusive,
         "it listens elsewhere"
     );
-    let anew = Listed {
+    let anew = NamedEndpoint {
         address: "127.0.0.1:9".into(),
-        started: Some(Micros(5)),
+        started_at: Some(Micros(5)),
         ..listed(0)
     };
     let anew = tell(&mut engine, anew);
     assert_eq!(
         ends(&mut engine, moved),
-        ProbeEnd::Other,
+        HealthCheckOutcome::Inconclusive,
         "it has started anew at the same address"
     );
-    assert_eq!(ends(&mut engine, anew), ProbeEnd::Unreachable);
+    assert_eq!(ends(&mut engine, anew), HealthCheckOutcome::Unreachable);
 }
 
 /// One customer's fleet for a while: what comes by the second, and all orders in words.
@@ -1058,13 +1133,16 @@
         let (class, zone) = (classes[0].clone(), zones[0].clone());
         let mut engine = Engine::new(of, 7, zones, classes, names("k", 2));
         let list = (0..6)
-            .map(|of| Listed {
+            .map(|of| NamedEndpoint {
                 zone: zone.clone(),
                 ..listed(of)
             })
             .collect();
         assert_eq!(
-            engine.report(Report::List(ListKind::WarmCopy, list)),
+            engine.report(Report::EndpointList(
+                EndpointUpdateKind::CachedSnapshot,
+                list
+            )),
             Ok(())
         );
         Shop {
@@ -1081,20 +1159,20 @@
         for proxy in 0..2 {
             let stream = StreamId(u64::from(10 * second + proxy));
             if second % 9 == proxy {
-                let joined = Report::Joined {
+                let joined = Report::StreamOpened {
                     stream,
                     proxy,
                     zone: zone.clone(),
-                    rate: 10.0,
-                    new: second < 9,
+                    request_rate: 10.0,
+                    has_no_table: second < 9,
                 };
                 assert_eq!(self.engine.report(joined), Ok(()));
             }
             let (class, came, failed) = (class.clone(), 30.0, 0.0);
-            let demand = Report::Demand {
+            let demand = Report::ProxyDemand {
                 proxy,
                 class,
-                came,
+                arrivals: came,
                 failed,
                 period: Micros(1_000_000),
             };
@@ -1107,17 +1185,17 @@
                 10.0,
                 f64::from(second * server % 7),
             );
-            let load = Load {
-                queue: Some(f64::from(second % 5)),
-                ..Load::default()
+            let load = LoadReport {
+                queued: Some(f64::from(second % 5)),
+                ..LoadReport::default()
             };
             let (mean_ms, period) = (50.0, Micros(1_000_000));
-            let heard = Report::Outcomes {
+            let heard = Report::ServerOutcomes {
                 zone,
                 server,
-                tries,
+                attempts: tries,
                 failed,
-                mean_ms,
+                mean_latency_ms: mean_ms,
                 period,
                 load,
             };
@@ -1126,25 +1204,29 @@
         for _ in 0..4 {
             self.now = self.now + Micros(250_000);
             self.engine.tick(self.now);
-            for stream in self.engine.pick_streams() {
-                let order = self.engine.pick_order(stream).expect("an order");
+            for stream in self.engine.take_streams_with_orders() {
+                let order = self.engine.take_order(stream).expect("an order");
                 self.said.push(format!("{stream:?} {order:?}"));
-                if let Some(mark) = order.stamp {
-                    let _ = self.engine.report(Report::Ack {
+                if let Some(mark) = order.acknowledge {
+                    let _ = self.engine.report(Report::Acknowledged {
                         stream,
-                        mark,
-                        took: Micros(1000),
+                        sequence: mark,
+                        elapsed: Micros(1000),
                     });
                 }
             }
-            while let Some(probe) = self.engine.pick_probe() {
+            while let Some(probe) = self.engine.take_health_check() {
                 self.said.push(format!("{probe:?}"));
-                let (end, took, load) = (ProbeEnd::Done, Micros(3000), Load::default());
+                let (end, took, load) = (
+                    HealthCheckOutcome::Passed,
+                    Micros(3000),
+                    LoadReport::default(),
+                );
                 assert_eq!(
-                    self.engine.report(Report::Probed {
-                        probe,
-                        end,
-                        took,
+                    self.engine.report(Report::HealthChecked {
+                        check: probe,
+                        outcome: end,
+                        elapsed: took,
                         load
                     }),
                     Ok(())
@@ -1160,16 +1242,16 @@
     let one = || Shop::new("a", settings(CLASSES));
     let other = || {
         let unsafe_class = Class {
-            effect: Effect::Unsafe,
-            home_only: true,
+            idempotency: Idempotency::NotIdempotent,
+            zone_local: true,
             ..settings(1).classes[0]
         };
         let settings = Settings {
             classes: vec![unsafe_class; 2],
             zones: 1,
-            levels: LevelKind::PerSecond,
-            message_head: 9.0,
-            cold_for: Micros(3_000_000),
+            admission_unit: AdmissionUnit::RequestsPerSecond,
+            message_overhead: 9.0,
+            slow_start_period: Micros(3_000_000),
             ..settings(2)
         };
         Shop::new("b", settings)
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -11,15 +11,19 @@
 mod streams;
 mod tables;
 
-pub use engine::{Advised, ClassView, Decides, Engine, Limited, ListWish, Probe, Report, Unknown};
-pub use measure::Measure;
-pub use names::Listed;
-pub use notes::{told, Noted};
-pub use order::{Order, Part};
+pub use engine::{
+    ClassInfo, DecisionPolicy, DiscoverySubscription, Engine, HealthCheck, OverloadLimits,
+    PluginAdvice, Report, ReportError,
+};
+pub use measure::TrafficSample;
+pub use names::NamedEndpoint;
+pub use notes::{decision_record, LogEvent};
+pub use order::{Order, TableUpdate};
 
 /// The types that reports share with the decision module.
-pub use chutegrade_policy::interface::{
-    Class, Figures, Lifecycle, ListKind, Load, Micros, ProbeEnd, ReportSource, Retry, Settings,
+pub use chutegrade_policy::{
+    Class, EndpointUpdateKind, FleetStatus, HealthCheckOutcome, Lifecycle, LoadReport, Micros,
+    ReportSource, Retry, Settings,
 };
 
 /// A stream of a proxy, numbered by whoever accepts it; a number is never used twice.
--- a/crates/engine/src/measure.rs
+++ b/crates/engine/src/measure.rs
@@ -1,16 +1,16 @@
 //! What is reported, kept for whoever limits service by it: all of a turn. Kept only once it is asked for, and bounded.
 
-use chutegrade_limits::govern::{Demand, Outcome};
-use chutegrade_policy::interface::Micros;
+use chutegrade_limits::manager::{Demand, Outcome};
+use chutegrade_policy::Micros;
 
 /// Reports of each sort that are kept for a turn at most: a few seconds of the largest deployments.
 const KEPT_MOST: usize = 50_000;
 
 /// What was reported since this was last asked for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Measure {
+pub struct TrafficSample {
     /// When the newest report or answered probe was learned of by a tick.
-    pub heard: Option<Micros>,
+    pub last_report_at: Option<Micros>,
     /// What came.
     pub demand: Vec<Demand>,
     /// What was met.
@@ -22,7 +22,7 @@
 pub(crate) struct Measuring {
     on: bool,
     fresh: bool,
-    kept: Measure,
+    kept: TrafficSample,
 }
 
 impl Measuring {
@@ -53,18 +53,18 @@
     /// A tick learns of what was heard.
     pub fn learn(&mut self, now: Micros) {
         if std::mem::take(&mut self.fresh) {
-            self.kept.heard = Some(now);
+            self.kept.last_report_at = Some(now);
         }
     }
 
     /// All that was kept; when something was last heard stays known.
-    pub fn take(&mut self) -> Measure {
-        let heard = self.kept.heard;
+    pub fn take(&mut self) -> TrafficSample {
+        let heard = self.kept.last_report_at;
         std::mem::replace(
             &mut self.kept,
-            Measure {
-                heard,
-                ..Measure::default()
+            TrafficSample {
+                last_report_at: heard,
+                ..TrafficSample::default()
             },
         )
     }
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -6,11 +6,11 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-use chutegrade_policy::interface::{ClassId, Entry, Lifecycle, Micros, ServerId, ZoneId};
+use chutegrade_policy::{ClassId, Endpoint, Lifecycle, Micros, ServerId, ZoneId};
 
 /// One entry of the list of servers, by names.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Listed {
+pub struct NamedEndpoint {
     /// The server.
     pub name: String,
     /// Where it listens; the newest one listed holds.
@@ -18,15 +18,15 @@
     /// Its zone.
     pub zone: String,
     /// Its machine kind.
-    pub kind: String,
+    pub machine_kind: String,
     /// Its cell.
     pub cell: u32,
     /// Its life.
-    pub life: Lifecycle,
+    pub lifecycle: Lifecycle,
     /// Its listed weight.
     pub weight: f64,
     /// Its latest start, if that is not long ago.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 struct Known {
@@ -125,23 +125,23 @@
 
     /// The entry as the decisions know it; a zone or kind that the settings do not name gets a further number. And whether
     /// its name had been forgotten: proxies may know it still, as one that is shut out.
-    pub fn listed(&mut self, listed: &Listed) -> (Entry, bool) {
+    pub fn listed(&mut self, listed: &NamedEndpoint) -> (Endpoint, bool) {
         let known = self.server(&listed.name).map(|server| (server, false));
         let (server, returned) = known.unwrap_or_else(|| self.intern(&listed.name));
         if let Some(known) = self.servers.get_mut(&server) {
-            known.started = listed.started;
+            known.started = listed.started_at;
             if !listed.address.is_empty() {
                 known.address.clone_from(&listed.address);
             }
         }
-        let entry = Entry {
+        let entry = Endpoint {
             server,
             zone: ZoneId(position(&mut self.zones, &listed.zone) as u16),
-            kind: position(&mut self.kinds, &listed.kind) as u32,
+            machine_kind: position(&mut self.kinds, &listed.machine_kind) as u32,
             cell: listed.cell,
-            life: listed.life,
+            lifecycle: listed.lifecycle,
             weight: listed.weight,
-            started: listed.started,
+            started_at: listed.started_at,
         };
         (entry, returned)
     }
--- a/crates/engine/src/notes.rs
+++ b/crates/engine/src/notes.rs
@@ -3,24 +3,25 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use chutegrade_policy::interface::{
-    Cause, Figures, Lifecycle, Micros, Note, Retry, ServerId, Standing, State, ZoneId,
+use chutegrade_policy::{
+    DecisionEvent, FleetStatus, HealthChangeCause, HealthState, Lifecycle, Micros, Retry, ServerId,
+    ServerStatus, ZoneId,
 };
 use chutegrade_records::observe::Observer;
 use chutegrade_records::{pb, Kind};
 
-use crate::names::Listed;
+use crate::names::NamedEndpoint;
 
 /// Notes that wait to be picked; beyond it the oldest go and are counted.
 pub(crate) const NOTES_MOST: usize = 16_384;
 
 /// Something that happened, for the records.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Noted {
+pub struct LogEvent {
     /// When it happened.
-    pub at: Micros,
+    pub occurred_at: Micros,
     /// When that was learned.
-    pub learned: Micros,
+    pub observed_at: Micros,
     /// What it was.
     pub kind: Kind,
     /// It is a line of the log too.
@@ -38,7 +39,7 @@
 /// Notes that wait.
 #[derive(Default)]
 pub(crate) struct Notes {
-    waiting: VecDeque<Noted>,
+    waiting: VecDeque<LogEvent>,
     lost: Option<(u64, Micros, Micros)>,
     /// News that the next tick learns of: what it is, and when it began.
     fresh: Vec<(Begun, Kind)>,
@@ -55,13 +56,15 @@
         }
         if self.waiting.len() >= NOTES_MOST {
             if let Some(oldest) = self.waiting.pop_front() {
-                let (count, from, _) = self.lost.unwrap_or((0, oldest.at, oldest.at));
-                self.lost = Some((count + 1, from, oldest.at));
+                let (count, from, _) =
+                    self.lost
+                        .unwrap_or((0, oldest.occurred_at, oldest.occurred_at));
+                self.lost = Some((count + 1, from, oldest.occurred_at));
             }
         }
-        self.waiting.push_back(Noted {
-            at,
-            learned,
+        self.waiting.push_back(LogEvent {
+            occurred_at: at,
+            observed_at: learned,
             kind,
             logged,
         });
@@ -77,13 +80,13 @@
     }
 
     /// The list tells of a server, and perhaps of its start.
-    pub fn listed(&mut self, id: ServerId, listed: &Listed) {
-        if !self.recording || listed.life == Lifecycle::Gone {
+    pub fn listed(&mut self, id: ServerId, listed: &NamedEndpoint) {
+        if !self.recording || listed.lifecycle == Lifecycle::Removed {
             self.started.remove(&id);
             self.observer.forget(&listed.name);
             return;
         }
-        let Some(at) = listed.started else { return };
+        let Some(at) = listed.started_at else { return };
         if self.started.insert(id, at).is_none_or(|known| known < at) {
             let of = pb::ServerStarted {
                 server: listed.name.clone(),
@@ -111,7 +114,7 @@
     }
 
     /// The next note; first of all how many were lost.
-    pub fn pick(&mut self, now: Micros) -> Option<Noted> {
+    pub fn pick(&mut self, now: Micros) -> Option<LogEvent> {
         if let Some((count, from, to)) = self.lost.take() {
             let lost = pb::Lost {
                 count,
@@ -119,9 +122,9 @@
                 to_us: to.0,
                 reason: "queue".to_string(),
             };
-            return Some(Noted {
-                at: from,
-                learned: now,
+            return Some(LogEvent {
+                occurred_at: from,
+                observed_at: now,
                 kind: Kind::Lost(lost),
                 logged: false,
             });
@@ -130,11 +133,11 @@
     }
 }
 
-fn state(state: State) -> pb::State {
+fn state(state: HealthState) -> pb::State {
     match state {
-        State::Full => pb::State::Full,
-        State::Reduced => pb::State::Reduced,
-        State::Withdrawn => pb::State::Withdrawn,
+        HealthState::Full => pb::State::Full,
+        HealthState::Reduced => pb::State::Reduced,
+        HealthState::Withdrawn => pb::State::Withdrawn,
     }
 }
 
@@ -142,18 +145,18 @@
     match life {
         Lifecycle::InService => pb::Life::InService,
         Lifecycle::Draining => pb::Life::Draining,
-        Lifecycle::Gone => pb::Life::Gone,
+        Lifecycle::Removed => pb::Life::Gone,
     }
 }
 
-fn cause(cause: Cause) -> pb::Cause {
+fn cause(cause: HealthChangeCause) -> pb::Cause {
     match cause {
-        Cause::Score => pb::Cause::Score,
-        Cause::Errors => pb::Cause::Errors,
-        Cause::Latency => pb::Cause::Latency,
-        Cause::Probes => pb::Cause::Probes,
-        Cause::TriedAgain => pb::Cause::TriedAgain,
-        Cause::GoodTicks => pb::Cause::GoodTicks,
+        HealthChangeCause::Score => pb::Cause::Score,
+        HealthChangeCause::Errors => pb::Cause::Errors,
+        HealthChangeCause::Latency => pb::Cause::Latency,
+        HealthChangeCause::HealthChecks => pb::Cause::Probes,
+        HealthChangeCause::EjectionElapsed => pb::Cause::TriedAgain,
+        HealthChangeCause::SustainedRecovery => pb::Cause::GoodTicks,
     }
 }
 
@@ -163,13 +166,13 @@
 }
 
 /// What the decisions told, by the names of servers and zones.
-pub fn told(
-    note: &Note,
+pub fn decision_record(
+    note: &DecisionEvent,
     server_name: impl Fn(ServerId) -> String,
     zone_name: impl Fn(ZoneId) -> String,
 ) -> Kind {
     match *note {
-        Note::State {
+        DecisionEvent::HealthChanged {
             server,
             zone,
             state: now,
@@ -190,10 +193,10 @@
                 cause,
             })
         }
-        Note::Life {
+        DecisionEvent::LifecycleChanged {
             server,
             zone,
-            life: now,
+            lifecycle: now,
         } => {
             let (server, zone) = (server_name(server), zone_name(zone));
             Kind::LifeChanged(pb::LifeChanged {
@@ -202,18 +205,25 @@
                 life: life(now).into(),
             })
         }
-        Note::Cold { held, tries } => Kind::ColdHeld(pb::ColdHeld { held, tries }),
-        Note::Cut { zone, cut, mute } => Kind::ZoneCut(pb::ZoneCut {
+        DecisionEvent::WarmingWithheld {
+            withheld: held,
+            attempts_per_answer: tries,
+        } => Kind::ColdHeld(pb::ColdHeld { held, tries }),
+        DecisionEvent::ZonePartition {
+            zone,
+            partitioned: cut,
+            unanswered_share: mute,
+        } => Kind::ZoneCut(pb::ZoneCut {
             zone: zone_name(zone),
             cut,
             mute,
         }),
-        Note::Saturation {
-            refused,
-            strain,
-            queues,
-            probes,
-            mute,
+        DecisionEvent::Saturation {
+            shed_share: refused,
+            saturation: strain,
+            queue_term: queues,
+            latency_term: probes,
+            unanswered_term: mute,
         } => Kind::Saturation(pb::Saturation {
             refused,
             strain,
@@ -221,11 +231,17 @@
             probes,
             mute,
         }),
-        Note::Void { table, void } => Kind::AdviceVoid(pb::AdviceVoid {
+        DecisionEvent::AdviceOverruled {
+            table,
+            overruled: void,
+        } => Kind::AdviceVoid(pb::AdviceVoid {
             table: u32::from(table.0),
             void,
         }),
-        Note::Parts { parts, narrowed } => Kind::Parts(pb::Parts {
+        DecisionEvent::Resharded {
+            shards: parts,
+            narrowed,
+        } => Kind::Parts(pb::Parts {
             parts: u32::try_from(parts).unwrap_or(u32::MAX),
             narrowed,
         }),
@@ -233,10 +249,10 @@
 }
 
 /// A server as it stands, for the record of all.
-pub(crate) fn server(name: String, zone: String, of: &Standing) -> pb::Server {
+pub(crate) fn server(name: String, zone: String, of: &ServerStatus) -> pb::Server {
     let (errors, latency) = of.terms;
-    let (state, life) = (state(of.state).into(), life(of.entry.life).into());
-    let (score, weight, warmth, shut) = (of.score, of.weight, of.warmth, of.shut);
+    let (state, life) = (state(of.state).into(), life(of.endpoint.lifecycle).into());
+    let (score, weight, warmth, shut) = (of.score, of.weight, of.warm_up_share, of.suspended);
     pb::Server {
         name,
         zone,
@@ -253,15 +269,15 @@
 
 /// The figures of one moment.
 pub(crate) fn gauge(
-    figures: Figures,
+    figures: FleetStatus,
     streams: usize,
-    standings: impl Iterator<Item = Standing>,
+    standings: impl Iterator<Item = ServerStatus>,
 ) -> pb::Gauge {
-    let Figures {
-        waiting,
-        refused,
-        strain,
-        levels,
+    let FleetStatus {
+        queued_lines: waiting,
+        shed_share: refused,
+        saturation: strain,
+        admitted_shares: levels,
         ..
     } = figures;
     let streams = u32::try_from(streams).unwrap_or(u32::MAX);
@@ -274,11 +290,11 @@
         ..pb::Gauge::default()
     };
     for of in standings {
-        let count = match (of.entry.life, of.state) {
-            (Lifecycle::InService, State::Withdrawn) => &mut gauge.withdrawn,
-            (Lifecycle::InService, _) if of.warmth < 1.0 => &mut gauge.cold,
-            (Lifecycle::InService, State::Reduced) => &mut gauge.reduced,
-            (Lifecycle::InService, State::Full) => &mut gauge.full,
+        let count = match (of.endpoint.lifecycle, of.state) {
+            (Lifecycle::InService, HealthState::Withdrawn) => &mut gauge.withdrawn,
+            (Lifecycle::InService, _) if of.warm_up_share < 1.0 => &mut gauge.cold,
+            (Lifecycle::InService, HealthState::Reduced) => &mut gauge.reduced,
+            (Lifecycle::InService, HealthState::Full) => &mut gauge.full,
             _ => &mut gauge.leaving,
         };
         *count += 1;
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use chutegrade_policy::interface::{Retry, ServerId};
+use chutegrade_policy::{Retry, ServerId};
 
 use crate::names::Names;
 
@@ -13,28 +13,28 @@
 
 /// One part of an order: what it changes for some classes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Part {
+pub struct TableUpdate {
     /// The classes; none: all of them.
     pub classes: Vec<Rc<str>>,
     /// The lines form the whole table, and levels are forgotten.
     pub replace: bool,
     /// Servers and weights; weight 0 takes a line out.
-    pub rows: Vec<(Rc<str>, f64)>,
+    pub weights: Vec<(Rc<str>, f64)>,
     /// The level and the way of trying again.
-    pub gate: Option<(f64, Retry)>,
+    pub admission: Option<(f64, Retry)>,
 }
 
 /// One message to one proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Order {
     /// Tables and levels, in the order in which they apply.
-    pub parts: Vec<Part>,
+    pub updates: Vec<TableUpdate>,
     /// Servers to shut out.
-    pub drop: Vec<Rc<str>>,
+    pub suspended: Vec<Rc<str>>,
     /// Servers to let back.
-    pub undrop: Vec<Rc<str>>,
+    pub resumed: Vec<Rc<str>>,
     /// A mark to be answered.
-    pub stamp: Option<u16>,
+    pub acknowledge: Option<u16>,
 }
 
 /// What waits for one class of one stream.
@@ -143,23 +143,23 @@
                 .collect()
         };
         let row = |(server, weight): (&ServerId, &f64)| Some((names.name(*server)?, *weight));
-        let mut parts: Vec<Part> = Vec::new();
+        let mut parts: Vec<TableUpdate> = Vec::new();
         for (classes, (replace, rows)) in tables {
             let at = gates.iter().position(|(gated, _)| *gated == classes);
             let gate = at.map(|at| gates.remove(at).1);
             let rows = rows.iter().filter_map(row).collect();
-            parts.push(Part {
+            parts.push(TableUpdate {
                 classes: named(classes),
                 replace,
-                rows,
-                gate,
+                weights: rows,
+                admission: gate,
             });
         }
         for (classes, level) in gates {
-            parts.push(Part {
+            parts.push(TableUpdate {
                 classes: named(classes),
-                gate: Some(level),
-                ..Part::default()
+                admission: Some(level),
+                ..TableUpdate::default()
             });
         }
         let list = |out: bool| {
@@ -169,10 +169,10 @@
                 .collect()
         };
         Order {
-            parts,
-            drop: list(true),
-            undrop: list(false),
-            stamp: self.stamp,
+            updates: parts,
+            suspended: list(true),
+            resumed: list(false),
+            acknowledge: self.stamp,
         }
     }
 }
--- a/crates/engine/src/streams.rs
+++ b/crates/engine/src/streams.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use chutegrade_policy::interface::{Action, ProxyId, ServerId, TableId};
+use chutegrade_policy::{Action, ProxyId, ServerId, TableId};
 
 use crate::order::Draft;
 use crate::tables::Tables;
@@ -180,15 +180,15 @@
     /// Carries one action to the streams it concerns; the tables hold it already. Tells how many a withdrawal concerns.
     pub fn apply(&mut self, action: &Action, all: &Tables) -> u32 {
         match action {
-            Action::Line {
+            Action::SetWeight {
                 table,
                 server,
                 weight,
             } => {
                 self.users(*table, |joined| joined.line(*table, *server, *weight, all));
             }
-            Action::Clear(table) => self.users(*table, |joined| joined.clear(*table, all)),
-            Action::Bind {
+            Action::ClearTable(table) => self.users(*table, |joined| joined.clear(*table, all)),
+            Action::AssignTable {
                 proxy,
                 table,
                 classes,
@@ -201,8 +201,11 @@
                     self.touched.insert(*proxy);
                 }
             }
-            Action::Withdraw { server, out } => return self.withdraw(*server, *out, all),
-            Action::Admit { table, classes, .. } => {
+            Action::SetSuspended {
+                server,
+                suspended: out,
+            } => return self.withdraw(*server, *out, all),
+            Action::SetAdmission { table, classes, .. } => {
                 for class in all.positions(*classes) {
                     match table {
                         Some(of) => self.users(*of, |joined| joined.level(*table, class, all)),
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chutegrade_policy::interface::{ClassSet, Retry, ServerId, TableId};
+use chutegrade_policy::{ClassSet, Retry, ServerId, TableId};
 
 use crate::order::Level;
 
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use chutegrade_adapter::other::{decides, Faults};
-use chutegrade_engine::{Decides, Settings};
+use chutegrade_engine::{DecisionPolicy, Settings};
 
 use chutegrade_model::scenario::{changed, digest, parse, pb as model, Scenario};
 use chutegrade_model::{Control, Other, Setup, IDEAL_LATE_MS};
@@ -341,7 +341,7 @@
     let bytes = std::fs::read(program).map_err(|fault| format!("{program:?}: {fault}"))?;
     let name = format!("{command} {}", blake3::hash(&bytes).to_hex());
     let (command, faults) = (command.to_string(), Arc::clone(faults));
-    let make = move |settings: &Settings, seed: u64| -> Box<dyn Decides> {
+    let make = move |settings: &Settings, seed: u64| -> Box<dyn DecisionPolicy> {
         let numbered =
             |prefix: &str, count: usize| (0..count).map(|n| format!("{prefix}{n}")).collect();
         let names = Names {
--- a/crates/lab/src/experiment/tests.rs
+++ b/crates/lab/src/experiment/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 const CASE: &str = "case { name: 'c' scenario { kind { servers: 3 } class { name: 'x' } } }";
--- a/crates/lab/src/stats/tests.rs
+++ b/crates/lab/src/stats/tests.rs
@@ -1,4 +1,3 @@
-
 use rand_chacha::rand_core::RngCore as _;
 
 use super::*;
--- a/crates/lab/src/store/tests.rs
+++ b/crates/lab/src/store/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 fn result(seed: u64) -> Result {
--- a/crates/levels/src/lib.rs
+++ b/crates/levels/src/lib.rs
@@ -1,12 +1,16 @@
 //! Between limits and decisions: what limits see of an engine, what they decide as a report that names classes, and their
 //! changes as records. No I/O, no clock, no decision: what becomes of limits the module says.
 
-use chutegrade_engine::{Engine, Figures, Limited, Measure, Micros, Report, Retry};
-use chutegrade_limits::govern::{Inputs, Orders};
-use chutegrade_limits::repeats::Again;
-use chutegrade_limits::signals::{Shown, SIGNALS};
-use chutegrade_limits::{pb as limits, Change, Class, Effect, Governor, Plan};
-use chutegrade_policy::interface as policy;
+use chutegrade_engine::{
+    Engine, FleetStatus, Micros, OverloadLimits, Report, Retry, TrafficSample,
+};
+use chutegrade_limits::manager::{Decision, Inputs};
+use chutegrade_limits::retry_budget::RetryAllowance;
+use chutegrade_limits::signals::{SignalReading, SIGNALS};
+use chutegrade_limits::{
+    pb as limits, Class, Idempotency, LevelTransition, OverloadConfig, OverloadManager,
+};
+use chutegrade_policy as policy;
 use chutegrade_records::{pb, Kind};
 
 /// Time between two turns: reports come no oftener.
@@ -16,27 +20,29 @@
 
 /// A class of the settings, as limits need it.
 pub fn class(name: String, of: &policy::Class) -> Class {
-    let effect = match of.effect {
-        policy::Effect::Safe => Effect::Safe,
-        policy::Effect::Keyed(policy::Scope::All, window) => Effect::Keyed(window.secs()),
-        policy::Effect::Keyed(..) => Effect::Keyed(0.0),
-        policy::Effect::Unsafe => Effect::Unsafe,
+    let effect = match of.idempotency {
+        policy::Idempotency::Idempotent => Idempotency::Idempotent,
+        policy::Idempotency::Keyed(policy::DeduplicationScope::All, window) => {
+            Idempotency::Keyed(window.secs())
+        }
+        policy::Idempotency::Keyed(..) => Idempotency::Keyed(0.0),
+        policy::Idempotency::NotIdempotent => Idempotency::NotIdempotent,
     };
     Class {
         name,
-        worth: of.worth,
-        aim_s: of.aim.secs(),
-        deadline_s: of.deadline.secs(),
-        effect,
+        priority_weight: of.priority_weight,
+        latency_objective_seconds: of.latency_objective.secs(),
+        deadline_seconds: of.deadline.secs(),
+        idempotency: effect,
     }
 }
 
 /// A way of trying again, as the decisions have it.
-pub fn way(again: Again) -> Retry {
+pub fn way(again: RetryAllowance) -> Retry {
     match again {
-        Again::Never => Retry::Never,
-        Again::Unrun => Retry::Unrun,
-        Again::Once => Retry::Once,
+        RetryAllowance::Never => Retry::Never,
+        RetryAllowance::IfNotExecuted => Retry::IfNotExecuted,
+        RetryAllowance::Once => Retry::Once,
     }
 }
 
@@ -51,7 +57,7 @@
 
 /// Levels, limits and budgets of one supervisor: asked once a second, what they decide handed to the decisions.
 pub struct Service {
-    governor: Governor,
+    governor: OverloadManager,
     due: Micros,
     period: Micros,
     standing: bool,
@@ -59,9 +65,9 @@
 
 impl Service {
     /// One under a plan; the engine measures from now on. `period` is the time over which reports count.
-    pub fn new(plan: Plan, engine: &mut Engine, period: Micros) -> Self {
-        engine.measure();
-        let governor = Governor::new(plan, classes(engine), engine.size().0);
+    pub fn new(plan: OverloadConfig, engine: &mut Engine, period: Micros) -> Self {
+        engine.enable_traffic_sampling();
+        let governor = OverloadManager::new(plan, classes(engine), engine.deployment_size().0);
         Service {
             governor,
             due: Micros(i64::MIN),
@@ -71,12 +77,12 @@
     }
 
     /// What decides.
-    pub fn governor(&self) -> &Governor {
+    pub fn governor(&self) -> &OverloadManager {
         &self.governor
     }
 
     /// Takes another plan, as records of what changed by it.
-    pub fn replace(&mut self, now: Micros, plan: Plan) -> Option<Kind> {
+    pub fn replace(&mut self, now: Micros, plan: OverloadConfig) -> Option<Kind> {
         self.governor
             .replace(now.0, plan)
             .map(|change| changed(&change))
@@ -89,7 +95,7 @@
             Err(why) => {
                 let (from, to) = (
                     saved.level.clone(),
-                    chutegrade_limits::ladder::FULL.to_string(),
+                    chutegrade_limits::service_levels::FULL_SERVICE.to_string(),
                 );
                 let reason = "not restored".to_string();
                 Some(Kind::ServiceLevel(pb::ServiceLevel {
@@ -104,36 +110,36 @@
     }
 
     /// Looks at the engine if it is time, reports what follows, and gives back the change of level, if there was one.
-    pub fn turn(&mut self, now: Micros, engine: &mut Engine) -> Option<Change> {
+    pub fn turn(&mut self, now: Micros, engine: &mut Engine) -> Option<LevelTransition> {
         if now < self.due {
             return None;
         }
         self.due = now + TURN_EVERY;
-        let turn = self.governor.turn(&seen(
+        let turn = self.governor.evaluate(&seen(
             now,
             self.period,
-            engine.pick_measure(),
-            engine.figures(),
+            engine.take_traffic_sample(),
+            engine.fleet_status(),
         ));
-        let says = turn.orders != Orders::default();
+        let says = turn.decision != Decision::default();
         if says || self.standing {
             // The queue of reports drops outcomes and demand alone; limits are always taken.
-            let _ = engine.report(Report::Limits(limited(&turn.orders, engine, now)));
+            let _ = engine.report(Report::Limits(limited(&turn.decision, engine, now)));
         }
         self.standing = says;
-        turn.change
+        turn.transition
     }
 
     /// Adds to the figures of one moment what limits know.
     pub fn gauge(&self, gauge: &mut pb::Gauge, now: Micros) {
-        let board = self.governor.board();
+        let board = self.governor.signals();
         let shown = SIGNALS.into_iter().map(|signal| board.shown(signal, now.0));
         gauge.signals = shown
             .filter(|shown| shown.value.is_some())
             .map(|shown| signal(&shown))
             .collect();
         gauge.limit = Some(self.governor.limit().0);
-        if let Some(steps) = self.governor.steps() {
+        if let Some(steps) = self.governor.transitions() {
             gauge.service_level = Some(steps.name().to_string());
             gauge.level_since_us = steps.since().max(0);
         }
@@ -141,38 +147,43 @@
 }
 
 /// What limits see in a turn: what was reported since the last one, and how the fleet stands.
-pub fn seen(now: Micros, period: Micros, measure: Measure, figures: Figures) -> Inputs {
+pub fn seen(now: Micros, period: Micros, measure: TrafficSample, figures: FleetStatus) -> Inputs {
     Inputs {
         now: now.0,
-        heard: measure.heard.map(|heard| heard.0),
+        last_report_at: measure.last_report_at.map(|heard| heard.0),
         period: period.0,
-        strain: figures.strain,
-        levels: figures.levels,
-        warm: figures.warm,
-        cut: figures.cut,
+        saturation: figures.saturation,
+        admitted_shares: figures.admitted_shares,
+        warm_weight: figures.warm_weight,
+        partitioned_share: figures.partitioned_share,
         demand: measure.demand,
         outcomes: measure.outcomes,
     }
 }
 
 /// What limits decide, by names.
-pub fn limited(orders: &Orders, engine: &Engine, now: Micros) -> Limited {
+pub fn limited(orders: &Decision, engine: &Engine, now: Micros) -> OverloadLimits {
     let class = |at: usize| engine.classes().get(at).map(|class| class.name.clone());
-    let again = |(at, again): (usize, &Again)| Some((class(at)?, way(*again)));
-    Limited {
-        refuse: orders.refuse,
-        heavy: orders.heavy,
-        keep: orders
-            .keep
+    let again = |(at, again): (usize, &RetryAllowance)| Some((class(at)?, way(*again)));
+    OverloadLimits {
+        min_shed_share: orders.min_shed_share,
+        shed_by_weight_class: orders.shed_by_weight_class,
+        admitted: orders
+            .admitted
             .iter()
             .filter_map(|(at, keep)| Some((class(*at)?, *keep)))
             .collect(),
-        again: orders.again.iter().enumerate().filter_map(again).collect(),
-        until: now + STANDS,
+        retries: orders
+            .retries
+            .iter()
+            .enumerate()
+            .filter_map(again)
+            .collect(),
+        expires_at: now + STANDS,
     }
 }
 
-fn signal(of: &Shown) -> pb::Signal {
+fn signal(of: &SignalReading) -> pb::Signal {
     let age_ms = u64::try_from(of.age / 1000).unwrap_or(0);
     pb::Signal {
         name: of.signal.name().to_string(),
@@ -182,7 +193,7 @@
 }
 
 /// A change of level as a record.
-pub fn changed(change: &Change) -> Kind {
+pub fn changed(change: &LevelTransition) -> Kind {
     Kind::ServiceLevel(pb::ServiceLevel {
         from: change.from.clone(),
         to: change.to.clone(),
--- a/crates/limits/benches/limits.rs
+++ b/crates/limits/benches/limits.rs
@@ -4,9 +4,9 @@
 use std::collections::HashMap;
 use std::hint::black_box;
 
-use chutegrade_limits::govern::{Demand, Inputs, Outcome};
-use chutegrade_limits::heavy::{Heavy, COUNTS};
-use chutegrade_limits::{pb, Class, Effect, Governor, Plan};
+use chutegrade_limits::heavy_hitters::{Heavy, COUNTS};
+use chutegrade_limits::manager::{Demand, Inputs, Outcome};
+use chutegrade_limits::{pb, Class, Idempotency, OverloadConfig, OverloadManager};
 use criterion::{criterion_group, criterion_main, Criterion};
 use rand::SeedableRng;
 use rand_distr::{Distribution, Zipf};
@@ -42,15 +42,15 @@
 fn turn(criterion: &mut Criterion) {
     let class = |name: &str, worth, effect| Class {
         name: name.into(),
-        worth,
-        aim_s: 1.0,
-        deadline_s: 3.0,
-        effect,
+        priority_weight: worth,
+        latency_objective_seconds: 1.0,
+        deadline_seconds: 3.0,
+        idempotency: effect,
     };
     let classes = vec![
-        class("read", 1.0, Effect::Safe),
-        class("file", 5.0, Effect::Keyed(10.0)),
-        class("order", 3.0, Effect::Unsafe),
+        class("read", 1.0, Idempotency::Idempotent),
+        class("file", 5.0, Idempotency::Keyed(10.0)),
+        class("order", 3.0, Idempotency::NotIdempotent),
     ];
     let of = pb::Limits {
         ladder: Some(pb::Ladder {
@@ -61,34 +61,34 @@
         repeats: Some(pb::Repeats::default()),
         fairness: Some(pb::Fairness::default()),
     };
-    let plan = Plan::read(&of, Some(&classes)).expect("a plan");
+    let plan = OverloadConfig::read(&of, Some(&classes)).expect("a plan");
     let mut group = criterion.benchmark_group("a turn");
     for (name, proxies, servers) in [
         ("160 front ends, 32 servers", 160u32, 32),
         ("10,000 front ends, 3,000 servers", 10_000, 3000),
     ] {
-        let mut governor = Governor::new(plan.clone(), classes.clone(), proxies as usize);
+        let mut governor = OverloadManager::new(plan.clone(), classes.clone(), proxies as usize);
         let mut inputs = Inputs {
             period: 1_000_000,
-            levels: vec![1.0; 3],
-            warm: 100.0,
-            strain: 0.4,
+            admitted_shares: vec![1.0; 3],
+            warm_weight: 100.0,
+            saturation: 0.4,
             demand: (0..proxies)
                 .flat_map(|proxy| {
                     (0..3).map(move |class| Demand {
                         proxy,
                         class,
-                        came: 3.0,
+                        arrivals: 3.0,
                         failed: 0.1,
                     })
                 })
                 .collect(),
             outcomes: (0..servers)
                 .map(|_| Outcome {
-                    tries: 9.0,
+                    attempts: 9.0,
                     failed: 0.2,
-                    mean_ms: 300.0,
-                    queue: Some(1.0),
+                    mean_latency_ms: 300.0,
+                    queued: Some(1.0),
                 })
                 .collect(),
             ..Inputs::default()
@@ -96,8 +96,8 @@
         group.bench_function(name, |bench| {
             bench.iter(|| {
                 inputs.now += 1_000_000;
-                inputs.heard = Some(inputs.now);
-                black_box(governor.turn(&inputs))
+                inputs.last_report_at = Some(inputs.now);
+                black_box(governor.evaluate(&inputs))
             });
         });
     }
--- a/crates/limits/src/comings/tests.rs
+++ b/crates/limits/src/arrival_rates/tests.rs
@@ -1,4 +1,3 @@
-
 use rand::{Rng, SeedableRng};
 
 use super::*;
--- a/crates/limits/src/limiter/tests.rs
+++ b/crates/limits/src/concurrency_limiter/tests.rs
@@ -1,4 +1,3 @@
-
 use std::collections::VecDeque;
 
 use proptest::prelude::*;
--- a/crates/limits/src/condition.rs
+++ b/crates/limits/src/condition.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use crate::pb;
-use crate::signals::{Board, Sample, Signal};
+use crate::signals::{Observation, Signal, SignalWindow};
 
 /// What is known of a condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
     }
 
     /// What is known of it.
-    pub fn known(&self, board: &Board, now: i64, most_age: i64) -> Known {
+    pub fn known(&self, board: &SignalWindow, now: i64, most_age: i64) -> Known {
         if board.newest(self.signal, now, most_age).is_none() {
             return Known::Unknown;
         }
@@ -63,7 +63,7 @@
 
     /// How far it is from being met: what its signal shows, by how much that misses the bound, and how much longer it must
     /// hold, in microseconds.
-    pub fn distance(&self, board: &Board, now: i64, most_age: i64) -> Distance {
+    pub fn distance(&self, board: &SignalWindow, now: i64, most_age: i64) -> Distance {
         let newest = board.newest(self.signal, now, most_age);
         let value = newest.map(|sample| sample.value);
         let short = value.map(|value| {
@@ -90,7 +90,7 @@
     /// The test.
     pub test: Test,
     /// What its signal shows; nothing where it is missing.
-    pub newest: Option<Sample>,
+    pub newest: Option<Observation>,
     /// By how much that misses the bound.
     pub short: Option<f64>,
     /// How much longer it must hold, in microseconds.
@@ -127,7 +127,7 @@
     /// What is known of it, tests that `leave_out` names aside. Nothing is known of one without any test left.
     pub fn known(
         &self,
-        board: &Board,
+        board: &SignalWindow,
         now: i64,
         most_age: i64,
         leave_out: impl Fn(Signal) -> bool,
--- a/crates/limits/src/condition/tests.rs
+++ b/crates/limits/src/condition/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 const AGE: i64 = 5_000_000;
@@ -12,12 +11,12 @@
     }
 }
 
-fn board(of: &[(Signal, i64, f64)]) -> Board {
-    let mut board = Board::default();
+fn board(of: &[(Signal, i64, f64)]) -> SignalWindow {
+    let mut board = SignalWindow::default();
     for (signal, at, value) in of {
         board.learn(
             *signal,
-            Sample {
+            Observation {
                 at: at * 1_000_000,
                 value: *value,
                 sure: 1.0,
--- a/crates/limits/src/usual.rs
+++ b/crates/limits/src/default_levels.rs
@@ -1,9 +1,9 @@
 //! The ladder that holds where the operators ask for the usual one: derived from the classes' worth for their time.
 
 use crate::condition::{Condition, Test};
-use crate::ladder::{Level, KEEP_LEAST};
+use crate::service_levels::{ServiceLevel, KEEP_LEAST};
 use crate::signals::Signal;
-use crate::{cheapest_first, Class};
+use crate::{lowest_priority_first, Class};
 
 /// Saturation at which the first and the last level are entered. The module itself refuses from 0.2 on and nine tenths at 1:
 /// names begin where that is felt, and end before all is refused alike.
@@ -21,8 +21,8 @@
 
 /// The levels: each class but the dearest is halved, then held to the least, the cheapest first; the dearest is halved last
 /// of all, as what comes may be nothing else.
-pub fn levels(classes: &[Class]) -> Vec<Level> {
-    let order = cheapest_first(classes);
+pub fn levels(classes: &[Class]) -> Vec<ServiceLevel> {
+    let order = lowest_priority_first(classes);
     let mut steps: Vec<(String, Vec<(String, f64)>)> = Vec::new();
     let mut kept: Vec<(String, f64)> = Vec::new();
     for (place, class) in order.iter().enumerate() {
@@ -54,7 +54,7 @@
             bound,
             hold,
         };
-        Level {
+        ServiceLevel {
             name,
             keep,
             enter: Condition {
--- a/crates/limits/src/usual/tests.rs
+++ b/crates/limits/src/default_levels/tests.rs
@@ -1,15 +1,14 @@
-
 use super::*;
-use crate::ladder::Ladder;
-use crate::{pb, Effect};
+use crate::service_levels::ServiceLevels;
+use crate::{pb, Idempotency};
 
 fn class(name: &str, worth: f64, aim_s: f64) -> Class {
     Class {
         name: name.into(),
-        worth,
-        aim_s,
-        deadline_s: 3.0,
-        effect: Effect::Safe,
+        priority_weight: worth,
+        latency_objective_seconds: aim_s,
+        deadline_seconds: 3.0,
+        idempotency: Idempotency::Idempotent,
     }
 }
 
@@ -24,7 +23,7 @@
             .map(|n| class(&format!("c{n}"), 1.0 + f64::from((n * 5) % 7), 0.5))
             .collect();
         let ladder =
-            Ladder::read(&of, Some(&classes)).unwrap_or_else(|faults| panic!("{faults:?}"));
+            ServiceLevels::read(&of, Some(&classes)).unwrap_or_else(|faults| panic!("{faults:?}"));
         assert_eq!(ladder.levels.len(), 2 * count as usize - 1);
     }
 }
--- a/crates/limits/src/heavy/tests.rs
+++ b/crates/limits/src/heavy_hitters/tests.rs
@@ -1,4 +1,3 @@
-
 use std::collections::HashMap;
 
 use proptest::prelude::*;
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -2,16 +2,16 @@
 //! measurement, budgets for repeated attempts, and the front ends that bring most of it. No I/O, no clock, no randomness:
 //! what comes out follows from what went in. Nothing here orders anything; it reaches tables through the decision module.
 
-pub mod comings;
+pub mod arrival_rates;
+pub mod concurrency_limiter;
 pub mod condition;
-pub mod govern;
-pub mod heavy;
-pub mod ladder;
-pub mod limiter;
-pub mod repeats;
+pub mod default_levels;
+pub mod heavy_hitters;
+pub mod manager;
+pub mod retry_budget;
+pub mod service_levels;
 pub mod signals;
-pub mod steps;
-pub mod usual;
+pub mod transitions;
 
 /// The types of the schema, as generated.
 #[allow(missing_docs, clippy::all)]
@@ -22,10 +22,10 @@
 /// The encoded schema, for readers of messages that hold limits.
 pub const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/limits.bin"));
 
-pub use govern::{Governor, Inputs, Plan, Turn};
-pub use ladder::{Fault, Ladder, Level};
-pub use signals::{Board, Sample, Signal};
-pub use steps::{Change, Reason, Steps};
+pub use manager::{Evaluation, Inputs, OverloadConfig, OverloadManager};
+pub use service_levels::{ConfigError, ServiceLevel, ServiceLevels};
+pub use signals::{Observation, Signal, SignalWindow};
+pub use transitions::{LevelTransition, LevelTransitions, TransitionReason};
 
 /// A class of requests, as limits need it.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,35 +33,35 @@
     /// Its name.
     pub name: String,
     /// What an answer in time is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Answers within this time earn it, in seconds; what stands for the work of a request.
-    pub aim_s: f64,
+    pub latency_objective_seconds: f64,
     /// The client gives up after this time, in seconds.
-    pub deadline_s: f64,
+    pub deadline_seconds: f64,
     /// What a second run would do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 impl Class {
     /// Worth for its time: what goes first when something must.
     pub fn value(&self) -> f64 {
-        self.worth / self.aim_s.max(1e-3)
+        self.priority_weight / self.latency_objective_seconds.max(1e-3)
     }
 }
 
 /// What a second run of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing more than the first.
-    Safe,
+    Idempotent,
     /// Dropped as a repeat by all servers for this long after the first try was sent, in seconds; elsewhere not at all.
     Keyed(f64),
     /// The effect would happen twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The order of classes in which service is reduced: the least worth for its time first.
-pub fn cheapest_first(classes: &[Class]) -> Vec<usize> {
+pub fn lowest_priority_first(classes: &[Class]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..classes.len()).collect();
     order.sort_by(|a, b| {
         classes[*a]
--- a/crates/limits/src/govern.rs
+++ b/crates/limits/src/manager.rs
@@ -1,15 +1,15 @@
 //! All of it together: what reports tell becomes signals; signals move the ladder and the limit; what follows for each class
 //! is given to whoever hands it to the decision module. It stands for a short time only and must be said again.
 
-use crate::comings::{Came, Comings};
-use crate::heavy::{Heavy, COUNTS};
-use crate::ladder::{Fault, Ladder};
-use crate::limiter::{Limiter, Seen, LET_IN_LEAST, TARGET};
+use crate::arrival_rates::{Came, Comings};
+use crate::concurrency_limiter::{Limiter, Seen, LET_IN_LEAST, TARGET};
+use crate::heavy_hitters::{Heavy, COUNTS};
 use crate::pb::{self, adaptive::Rule};
-use crate::repeats::{Again, Repeats, Tried, RATIO};
-use crate::signals::{Board, Sample, Signal};
-use crate::steps::{Change, Steps};
-use crate::{cheapest_first, Class};
+use crate::retry_budget::{RetryAllowance, RetryBudget, Tried, RATIO};
+use crate::service_levels::{ConfigError, ServiceLevels};
+use crate::signals::{Observation, Signal, SignalWindow};
+use crate::transitions::{LevelTransition, LevelTransitions};
+use crate::{lowest_priority_first, Class};
 
 /// Smoothing of what comes and is answered, a report: reports are lumpy, and half of what is new must count at once.
 const NEWEST: f64 = 0.5;
@@ -28,26 +28,29 @@
 
 /// What the operators switched on, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct OverloadConfig {
     /// The ladder, if there is one.
-    pub ladder: Option<Ladder>,
+    pub ladder: Option<ServiceLevels>,
     /// The rule of the limit and its target, if there is one.
-    pub adaptive: Option<(Rule, f64)>,
+    pub concurrency_limit: Option<(Rule, f64)>,
     /// Repeats for each answer, and whether ways of trying again may be widened, if they are budgeted.
-    pub repeats: Option<(f64, bool)>,
+    pub retry_budget: Option<(f64, bool)>,
     /// From how many times the mean a front end is heavy, if that counts.
     pub fairness: Option<f64>,
 }
 
-impl Plan {
+impl OverloadConfig {
     /// Reads and checks what the operators wrote; all faults at once. Without classes, what depends on them is not checked.
-    pub fn read(of: &pb::Limits, classes: Option<&[Class]>) -> Result<Plan, Vec<Fault>> {
+    pub fn read(
+        of: &pb::Limits,
+        classes: Option<&[Class]>,
+    ) -> Result<OverloadConfig, Vec<ConfigError>> {
         let mut faults = Vec::new();
         let mut within = |field, given: Option<f64>, usual: f64, (least, most): (f64, f64)| {
             let value = given.unwrap_or(usual);
             if !(least..=most).contains(&value) {
                 let said = format!("{field} is {value}: give a figure from {least} to {most}");
-                faults.push(Fault {
+                faults.push(ConfigError {
                     level: None,
                     field,
                     said,
@@ -76,7 +79,7 @@
         let ladder = match of
             .ladder
             .as_ref()
-            .map(|ladder| Ladder::read(ladder, classes))
+            .map(|ladder| ServiceLevels::read(ladder, classes))
         {
             Some(Err(wrong)) => {
                 faults.extend(wrong);
@@ -86,10 +89,10 @@
             None => None,
         };
         if faults.is_empty() {
-            Ok(Plan {
+            Ok(OverloadConfig {
                 ladder,
-                adaptive,
-                repeats,
+                concurrency_limit: adaptive,
+                retry_budget: repeats,
                 fairness,
             })
         } else {
@@ -106,7 +109,7 @@
     /// The class.
     pub class: usize,
     /// Requests that came.
-    pub came: f64,
+    pub arrivals: f64,
     /// Admitted ones without an answer.
     pub failed: f64,
 }
@@ -115,13 +118,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Outcome {
     /// Tries that ended.
-    pub tries: f64,
+    pub attempts: f64,
     /// Those without a good answer.
     pub failed: f64,
     /// Mean time of the good ones, in milliseconds.
-    pub mean_ms: f64,
+    pub mean_latency_ms: f64,
     /// Requests that wait there, if told.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
 }
 
 /// What is seen in a turn.
@@ -130,17 +133,17 @@
     /// The time, in microseconds.
     pub now: i64,
     /// When the newest report or probe came in.
-    pub heard: Option<i64>,
+    pub last_report_at: Option<i64>,
     /// Time over which reports count, in microseconds.
     pub period: i64,
     /// Saturation, as the decisions have it.
-    pub strain: f64,
+    pub saturation: f64,
     /// Share let in by class, as ordered.
-    pub levels: Vec<f64>,
+    pub admitted_shares: Vec<f64>,
     /// What warm servers weigh.
-    pub warm: f64,
+    pub warm_weight: f64,
     /// Share of the zones that are cut off.
-    pub cut: f64,
+    pub partitioned_share: f64,
     /// Reports since the last turn.
     pub demand: Vec<Demand>,
     /// Reports since the last turn.
@@ -149,24 +152,24 @@
 
 /// What follows, until it is said anew.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Orders {
+pub struct Decision {
     /// The least share of requests to refuse, beside what saturation tells.
-    pub refuse: Option<f64>,
+    pub min_shed_share: Option<f64>,
     /// The same for front ends that are not heavy, and for those that are, where they can be told apart.
-    pub heavy: Option<(f64, f64)>,
+    pub shed_by_weight_class: Option<(f64, f64)>,
     /// The most of a class that is let in, by class.
-    pub keep: Vec<(usize, f64)>,
+    pub admitted: Vec<(usize, f64)>,
     /// How classes may be tried again, by class; nothing said: as ever.
-    pub again: Vec<Again>,
+    pub retries: Vec<RetryAllowance>,
 }
 
 /// What came of a turn.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Turn {
+pub struct Evaluation {
     /// What follows.
-    pub orders: Orders,
+    pub decision: Decision,
     /// The level changed.
-    pub change: Option<Change>,
+    pub transition: Option<LevelTransition>,
 }
 
 /// Rates by class, smoothed.
@@ -184,33 +187,33 @@
 
 /// Levels, limits and budgets of one supervisor.
 #[derive(Clone, Debug)]
-pub struct Governor {
+pub struct OverloadManager {
     classes: Vec<Class>,
     order: Vec<usize>,
-    plan: Plan,
-    board: Board,
-    steps: Option<Steps>,
+    plan: OverloadConfig,
+    board: SignalWindow,
+    steps: Option<LevelTransitions>,
     limiter: Limiter,
-    repeats: Option<Repeats>,
+    repeats: Option<RetryBudget>,
     comings: Comings,
     heavy: Heavy,
     proxies: usize,
     rates: Rates,
 }
 
-impl Governor {
+impl OverloadManager {
     /// One that has seen nothing yet. `proxies` is how many front ends there are in all.
-    pub fn new(plan: Plan, classes: Vec<Class>, proxies: usize) -> Self {
-        let (rule, target) = plan.adaptive.unwrap_or((Rule::Capacity, TARGET));
+    pub fn new(plan: OverloadConfig, classes: Vec<Class>, proxies: usize) -> Self {
+        let (rule, target) = plan.concurrency_limit.unwrap_or((Rule::Capacity, TARGET));
         let count = classes.len();
-        Governor {
-            order: cheapest_first(&classes),
-            board: Board::default(),
-            steps: plan.ladder.clone().map(Steps::new),
+        OverloadManager {
+            order: lowest_priority_first(&classes),
+            board: SignalWindow::default(),
+            steps: plan.ladder.clone().map(LevelTransitions::new),
             limiter: Limiter::new(rule, target),
             repeats: plan
-                .repeats
-                .map(|(ratio, widens)| Repeats::new(ratio, widens, &classes)),
+                .retry_budget
+                .map(|(ratio, widens)| RetryBudget::new(ratio, widens, &classes)),
             comings: Comings::default(),
             heavy: Heavy::new(COUNTS),
             proxies: proxies.max(1),
@@ -226,30 +229,30 @@
     }
 
     /// The ladder at work.
-    pub fn steps(&self) -> Option<&Steps> {
+    pub fn transitions(&self) -> Option<&LevelTransitions> {
         self.steps.as_ref()
     }
 
     /// All signals.
-    pub fn board(&self) -> &Board {
+    pub fn signals(&self) -> &SignalWindow {
         &self.board
     }
 
     /// Puts another plan in the place of this one; what is learned stays, and the level as far as the new ladder has it.
-    pub fn replace(&mut self, now: i64, plan: Plan) -> Option<Change> {
-        let (rule, target) = plan.adaptive.unwrap_or((Rule::Capacity, TARGET));
-        if plan.adaptive != self.plan.adaptive {
+    pub fn replace(&mut self, now: i64, plan: OverloadConfig) -> Option<LevelTransition> {
+        let (rule, target) = plan.concurrency_limit.unwrap_or((Rule::Capacity, TARGET));
+        if plan.concurrency_limit != self.plan.concurrency_limit {
             self.limiter = Limiter::new(rule, target);
         }
-        if plan.repeats != self.plan.repeats {
+        if plan.retry_budget != self.plan.retry_budget {
             self.repeats = plan
-                .repeats
-                .map(|(ratio, widens)| Repeats::new(ratio, widens, &self.classes));
+                .retry_budget
+                .map(|(ratio, widens)| RetryBudget::new(ratio, widens, &self.classes));
         }
         let change = match (&mut self.steps, plan.ladder.clone()) {
             (Some(steps), Some(ladder)) => steps.replace(now, ladder, &self.board),
             (steps, ladder) => {
-                let empty = Ladder {
+                let empty = ServiceLevels {
                     levels: Vec::new(),
                     without_signals: 0,
                     most_age: 0,
@@ -258,7 +261,7 @@
                 let change = steps
                     .as_mut()
                     .and_then(|steps| steps.replace(now, empty, &self.board));
-                *steps = ladder.map(Steps::new);
+                *steps = ladder.map(LevelTransitions::new);
                 change
             }
         };
@@ -267,7 +270,11 @@
     }
 
     /// Takes up the level from before a restart; or a sentence on why it is left.
-    pub fn restore(&mut self, now: i64, saved: &pb::Saved) -> Result<Option<Change>, String> {
+    pub fn restore(
+        &mut self,
+        now: i64,
+        saved: &pb::Saved,
+    ) -> Result<Option<LevelTransition>, String> {
         match &mut self.steps {
             Some(steps) => steps.restore(now, saved, &self.board),
             None => Err("there is no ladder any more".to_string()),
@@ -286,22 +293,22 @@
     }
 
     /// One turn: takes in what is seen, and says what follows.
-    pub fn turn(&mut self, of: &Inputs) -> Turn {
+    pub fn evaluate(&mut self, of: &Inputs) -> Evaluation {
         self.learn(of);
         let change = self
             .steps
             .as_mut()
             .and_then(|steps| steps.step(of.now, &self.board));
-        Turn {
-            orders: self.orders(),
-            change,
+        Evaluation {
+            decision: self.orders(),
+            transition: change,
         }
     }
 
     fn learn(&mut self, of: &Inputs) {
-        if let Some(heard) = of.heard {
-            self.tell(Signal::Saturation, heard, of.strain, 1.0);
-            self.tell(Signal::Cut, heard, of.cut, 1.0);
+        if let Some(heard) = of.last_report_at {
+            self.tell(Signal::Saturation, heard, of.saturation, 1.0);
+            self.tell(Signal::Cut, heard, of.partitioned_share, 1.0);
         }
         self.tell_queue(of);
         if of.demand.is_empty() && of.outcomes.is_empty() {
@@ -349,9 +356,9 @@
             offered,
             let_in,
             good,
-            strain: of.strain,
+            strain: of.saturation,
             took_ms: rates.took_ms,
-            warm: of.warm,
+            warm: of.warm_weight,
         };
         self.limiter.step(&seen);
         let again = self.comings.share();
@@ -359,7 +366,7 @@
         let late = 1.0 - in_time;
         let room = self
             .limiter
-            .capacity(of.warm)
+            .capacity(of.warm_weight)
             .filter(|_| offered > 0.0)
             .map(|can| can / (offered * (1.0 - again)));
         if let Some(repeats) = &mut self.repeats {
@@ -369,7 +376,7 @@
                 good: rates.good * seconds,
                 let_in: rates.let_in.iter().map(|rate| rate * seconds).collect(),
                 failed: rates.failed.iter().map(|rate| rate * seconds).collect(),
-                strain: of.strain,
+                strain: of.saturation,
                 room,
             };
             repeats.learn(&tried);
@@ -386,7 +393,7 @@
         requests
             .iter()
             .zip(&self.classes)
-            .map(|(requests, class)| requests * class.aim_s)
+            .map(|(requests, class)| requests * class.latency_objective_seconds)
             .sum()
     }
 
@@ -397,19 +404,22 @@
         let (mut came, mut failed) = (vec![0.0; count], vec![0.0; count]);
         self.heavy.fade(FADE.powf(seconds));
         for demand in of.demand.iter().filter(|demand| demand.class < count) {
-            if !(demand.came.is_finite() && demand.failed.is_finite()) || demand.came < 0.0 {
+            if !(demand.arrivals.is_finite() && demand.failed.is_finite()) || demand.arrivals < 0.0
+            {
                 continue;
             }
-            came[demand.class] += demand.came;
-            failed[demand.class] += demand.failed.clamp(0.0, demand.came);
-            self.heavy
-                .add(demand.proxy, demand.came * self.classes[demand.class].aim_s);
+            came[demand.class] += demand.arrivals;
+            failed[demand.class] += demand.failed.clamp(0.0, demand.arrivals);
+            self.heavy.add(
+                demand.proxy,
+                demand.arrivals * self.classes[demand.class].latency_objective_seconds,
+            );
         }
         if !of.demand.is_empty() {
             for class in 0..count {
                 smooth(&mut self.rates.came[class], came[class] / seconds);
                 smooth(&mut self.rates.failed[class], failed[class] / seconds);
-                let level = of.levels.get(class).copied().unwrap_or(1.0);
+                let level = of.admitted_shares.get(class).copied().unwrap_or(1.0);
                 smooth(&mut self.rates.let_in[class], level * came[class] / seconds);
             }
         }
@@ -418,18 +428,18 @@
         let aim_ms = if all > 0.0 { 1000.0 * aims / all } else { 0.0 };
         let (mut tries, mut good, mut in_time, mut took) = (0.0, 0.0, 0.0, 0.0);
         let sane = |of: &&Outcome| {
-            [of.tries, of.failed, of.mean_ms]
+            [of.attempts, of.failed, of.mean_latency_ms]
                 .iter()
                 .all(|f| f.is_finite() && *f >= 0.0)
         };
         for outcome in of.outcomes.iter().filter(sane) {
-            let well = (outcome.tries - outcome.failed).max(0.0);
-            tries += outcome.tries;
+            let well = (outcome.attempts - outcome.failed).max(0.0);
+            tries += outcome.attempts;
             good += well;
-            took += well * outcome.mean_ms;
+            took += well * outcome.mean_latency_ms;
             // Of answers with this mean, those within the aim: all at half of it, none at one and a half times it.
             let late = if aim_ms > 0.0 {
-                (outcome.mean_ms / aim_ms - 0.5).clamp(0.0, 1.0)
+                (outcome.mean_latency_ms / aim_ms - 0.5).clamp(0.0, 1.0)
             } else {
                 0.0
             };
@@ -447,14 +457,14 @@
     }
 
     fn tell(&mut self, signal: Signal, at: i64, value: f64, sure: f64) {
-        self.board.learn(signal, Sample { at, value, sure });
+        self.board.learn(signal, Observation { at, value, sure });
     }
 
     fn tell_queue(&mut self, of: &Inputs) {
         let queues = of
             .outcomes
             .iter()
-            .filter_map(|outcome| outcome.queue)
+            .filter_map(|outcome| outcome.queued)
             .filter(|queue| queue.is_finite());
         let (sum, count) =
             queues.fold((0.0, 0.0), |(sum, count), queue| (sum + queue, count + 1.0));
@@ -468,8 +478,8 @@
         }
     }
 
-    fn orders(&self) -> Orders {
-        let kept = |steps: &Steps| {
+    fn orders(&self) -> Decision {
+        let kept = |steps: &LevelTransitions| {
             let keeps = self
                 .classes
                 .iter()
@@ -477,14 +487,14 @@
                 .enumerate();
             keeps.filter(|(_, keep)| *keep < 1.0).collect()
         };
-        let refuse = self.plan.adaptive.map(|_| self.refuse());
-        Orders {
-            refuse,
-            heavy: refuse
+        let refuse = self.plan.concurrency_limit.map(|_| self.refuse());
+        Decision {
+            min_shed_share: refuse,
+            shed_by_weight_class: refuse
                 .zip(self.plan.fairness)
                 .and_then(|(refuse, times)| self.fair(refuse, times)),
-            keep: self.steps.as_ref().map(kept).unwrap_or_default(),
-            again: self
+            admitted: self.steps.as_ref().map(kept).unwrap_or_default(),
+            retries: self
                 .repeats
                 .as_ref()
                 .map(|repeats| {
@@ -502,7 +512,7 @@
         let all: f64 = came.iter().sum();
         let (mut over, mut refused) = (self.work(came) * (1.0 - self.limiter.share()), 0.0);
         for class in &self.order {
-            let aim = self.classes[*class].aim_s.max(1e-3);
+            let aim = self.classes[*class].latency_objective_seconds.max(1e-3);
             let gone = (over / aim).min(came[*class] * (1.0 - LET_IN_LEAST));
             over -= gone * aim;
             refused += gone;
--- a/crates/limits/src/repeats.rs
+++ b/crates/limits/src/retry_budget.rs
@@ -1,7 +1,7 @@
 //! How far tries may be repeated. Repeats cost capacity that others need: each class has a budget, in repeats for each answer.
 //! Nothing here widens what a request's effect allows; and the decision module looks at the effect once more.
 
-use crate::{cheapest_first, Class, Effect};
+use crate::{lowest_priority_first, Class, Idempotency};
 
 /// Repeats for each answer where nothing is said.
 pub const RATIO: f64 = 0.1;
@@ -22,12 +22,12 @@
 
 /// A way of trying again, as the module orders them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Again {
+pub enum RetryAllowance {
     /// Never.
     Never,
     /// Once, after proof that the first try did not run.
     #[default]
-    Unrun,
+    IfNotExecuted,
     /// Once, after any failure.
     Once,
 }
@@ -52,21 +52,23 @@
 }
 
 /// The most that a class's effect allows, whatever the budget: a second run must change nothing.
-pub fn allowed(class: &Class) -> Again {
-    match class.effect {
-        Effect::Safe => Again::Once,
-        Effect::Keyed(window) if window >= class.deadline_s + CLOCKS => Again::Once,
-        Effect::Keyed(_) | Effect::Unsafe => Again::Unrun,
+pub fn allowed(class: &Class) -> RetryAllowance {
+    match class.idempotency {
+        Idempotency::Idempotent => RetryAllowance::Once,
+        Idempotency::Keyed(window) if window >= class.deadline_seconds + CLOCKS => {
+            RetryAllowance::Once
+        }
+        Idempotency::Keyed(_) | Idempotency::NotIdempotent => RetryAllowance::IfNotExecuted,
     }
 }
 
 /// Budgets at work.
 #[derive(Clone, Debug)]
-pub struct Repeats {
+pub struct RetryBudget {
     ratio: f64,
     widens: bool,
     order: Vec<usize>,
-    most: Vec<Again>,
+    most: Vec<RetryAllowance>,
     tries: f64,
     let_in: f64,
     good: f64,
@@ -77,13 +79,13 @@
     roomy: u32,
 }
 
-impl Repeats {
+impl RetryBudget {
     /// Budgets of some classes, all of them unspent.
     pub fn new(ratio: f64, widens: bool, classes: &[Class]) -> Self {
-        Repeats {
+        RetryBudget {
             ratio,
             widens,
-            order: cheapest_first(classes),
+            order: lowest_priority_first(classes),
             most: classes.iter().map(allowed).collect(),
             tries: 0.0,
             let_in: 0.0,
@@ -132,18 +134,27 @@
     }
 
     /// How a class may be tried again.
-    pub fn of(&self, class: usize) -> Again {
+    pub fn of(&self, class: usize) -> RetryAllowance {
         let place = self.order.iter().position(|known| *known == class);
         if place.is_some_and(|place| place < self.narrowed) {
-            return Again::Never;
+            return RetryAllowance::Never;
         }
         let helps = self.failing.get(class).is_some_and(|(failed, all)| {
             let share = failed / (all + PRIOR);
             (HELPS.0..HELPS.1).contains(&share)
         });
         let wide = self.widens && self.roomy >= FOR && helps && self.spent() < 0.5 * self.ratio;
-        let way = if wide { Again::Once } else { Again::Unrun };
-        way.min(self.most.get(class).copied().unwrap_or(Again::Unrun))
+        let way = if wide {
+            RetryAllowance::Once
+        } else {
+            RetryAllowance::IfNotExecuted
+        };
+        way.min(
+            self.most
+                .get(class)
+                .copied()
+                .unwrap_or(RetryAllowance::IfNotExecuted),
+        )
     }
 }
 
--- a/crates/limits/src/ladder.rs
+++ b/crates/limits/src/service_levels.rs
@@ -5,7 +5,7 @@
 
 use crate::condition::{Condition, Test};
 use crate::signals::Signal;
-use crate::{cheapest_first, pb, usual, Class};
+use crate::{default_levels, lowest_priority_first, pb, Class};
 
 /// Levels at most: what a person tells apart at a glance.
 pub const LEVELS_MOST: usize = 12;
@@ -24,7 +24,7 @@
 
 /// One level of reduced service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Level {
+pub struct ServiceLevel {
     /// Its name.
     pub name: String,
     /// What is kept, by class name; the others whole.
@@ -39,7 +39,7 @@
     pub tell: Vec<String>,
 }
 
-impl Level {
+impl ServiceLevel {
     /// What is kept of a class.
     pub fn keeps(&self, class: &str) -> f64 {
         self.keep
@@ -51,9 +51,9 @@
 
 /// All levels, the mildest first, and how missing and doubtful signals are taken. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ladder {
+pub struct ServiceLevels {
     /// The levels.
-    pub levels: Vec<Level>,
+    pub levels: Vec<ServiceLevel>,
     /// How long a level stands without signals before a step towards full service.
     pub without_signals: i64,
     /// Beyond this age a signal is missing.
@@ -63,12 +63,12 @@
 }
 
 /// The name of full service.
-pub const FULL: &str = "full";
+pub const FULL_SERVICE: &str = "full";
 
 /// One thing that is wrong with a ladder.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{said}")]
-pub struct Fault {
+pub struct ConfigError {
     /// The level, counted from 0, if it is one's.
     pub level: Option<usize>,
     /// The field.
@@ -77,7 +77,7 @@
     pub said: String,
 }
 
-impl Fault {
+impl ConfigError {
     /// Where the fault stands in the text that the ladder was read from.
     pub fn place(&self, text: &str) -> Option<Place> {
         match self.level {
@@ -89,18 +89,21 @@
     }
 }
 
-impl Ladder {
+impl ServiceLevels {
     /// The name of a level by its number; 0 is full service.
     pub fn name(&self, number: usize) -> &str {
         match number.checked_sub(1) {
-            None => FULL,
-            Some(at) => self.levels.get(at).map_or(FULL, |level| &level.name),
+            None => FULL_SERVICE,
+            Some(at) => self
+                .levels
+                .get(at)
+                .map_or(FULL_SERVICE, |level| &level.name),
         }
     }
 
     /// The number of a level by its name; 0 is full service.
     pub fn number(&self, name: &str) -> Option<usize> {
-        if name == FULL {
+        if name == FULL_SERVICE {
             return Some(0);
         }
         self.levels
@@ -110,9 +113,13 @@
     }
 
     /// Reads and checks one; all faults at once. Without classes nothing is said of what depends on them.
-    pub fn read(of: &pb::Ladder, classes: Option<&[Class]>) -> Result<Ladder, Vec<Fault>> {
+    pub fn read(
+        of: &pb::Ladder,
+        classes: Option<&[Class]>,
+    ) -> Result<ServiceLevels, Vec<ConfigError>> {
         let mut faults = Vec::new();
-        let mut fault = |level, field, said: String| faults.push(Fault { level, field, said });
+        let mut fault =
+            |level, field, said: String| faults.push(ConfigError { level, field, said });
         let mut seconds = |field, given: Option<f64>, usual: f64| {
             let value = given.unwrap_or(usual);
             if !(0.0..=SECONDS_MOST).contains(&value) {
@@ -124,7 +131,7 @@
             }
             (value * 1e6) as i64
         };
-        let mut ladder = Ladder {
+        let mut ladder = ServiceLevels {
             levels: Vec::new(),
             without_signals: seconds("without_signals_s", of.without_signals_s, WITHOUT_SIGNALS_S),
             most_age: seconds("signal_most_age_s", of.signal_most_age_s, MOST_AGE_S),
@@ -138,7 +145,7 @@
                     "the usual ladder has its own levels: give either".to_string(),
                 );
             }
-            ladder.levels = usual::levels(classes.unwrap_or_default());
+            ladder.levels = default_levels::levels(classes.unwrap_or_default());
         } else if of.level.is_empty() {
             fault(
                 None,
@@ -173,10 +180,10 @@
     }
 
     /// What is wrong with levels that are each right by themselves.
-    pub fn faults(&self, classes: Option<&[Class]>) -> Vec<Fault> {
+    pub fn faults(&self, classes: Option<&[Class]>) -> Vec<ConfigError> {
         let mut faults = Vec::new();
         let mut fault = |level, field, said: String| {
-            faults.push(Fault {
+            faults.push(ConfigError {
                 level: Some(level),
                 field,
                 said,
@@ -184,7 +191,8 @@
         };
         for (at, level) in self.levels.iter().enumerate() {
             let name = &level.name;
-            if self.levels.iter().take(at).any(|other| other.name == *name) || name == FULL {
+            if self.levels.iter().take(at).any(|other| other.name == *name) || name == FULL_SERVICE
+            {
                 fault(
                     at,
                     "name",
@@ -234,7 +242,7 @@
     number: usize,
     classes: Option<&[Class]>,
     fault: &mut impl FnMut(&'static str, String),
-) -> Option<Level> {
+) -> Option<ServiceLevel> {
     let name = if of.name.is_empty() {
         format!("level-{}", number + 1)
     } else {
@@ -297,7 +305,7 @@
         .map(|shed| (shed.class.clone(), shed.keep))
         .collect();
     let (tell, least_stay) = (of.tell.clone(), (stay * 1e6) as i64);
-    Some(Level {
+    Some(ServiceLevel {
         name,
         keep,
         enter: enter?,
@@ -369,8 +377,8 @@
 }
 
 /// A class that loses more than a cheaper one does.
-fn dear_first<'a>(level: &Level, classes: &'a [Class]) -> Option<(&'a str, &'a str)> {
-    let order: Vec<&Class> = cheapest_first(classes)
+fn dear_first<'a>(level: &ServiceLevel, classes: &'a [Class]) -> Option<(&'a str, &'a str)> {
+    let order: Vec<&Class> = lowest_priority_first(classes)
         .into_iter()
         .map(|at| &classes[at])
         .collect();
@@ -386,7 +394,7 @@
 }
 
 /// Signals that any condition of a ladder uses.
-pub fn used(ladder: &Ladder) -> Vec<Signal> {
+pub fn used(ladder: &ServiceLevels) -> Vec<Signal> {
     let mut used: Vec<Signal> = Vec::new();
     for level in &ladder.levels {
         used.extend(
--- a/crates/limits/src/ladder/tests.rs
+++ b/crates/limits/src/service_levels/tests.rs
@@ -1,26 +1,25 @@
-
 use super::*;
-use crate::{Effect, SCHEMA};
+use crate::{Idempotency, SCHEMA};
 
 fn classes() -> Vec<Class> {
     let class = |name: &str, worth, aim_s, effect| Class {
         name: name.into(),
-        worth,
-        aim_s,
-        deadline_s: 3.0 * aim_s,
-        effect,
+        priority_weight: worth,
+        latency_objective_seconds: aim_s,
+        deadline_seconds: 3.0 * aim_s,
+        idempotency: effect,
     };
     vec![
-        class("status-read", 2.0, 0.6, Effect::Safe),
-        class("petition-file", 8.0, 1.5, Effect::Keyed(10.0)),
-        class("refund-order", 3.0, 0.75, Effect::Unsafe),
+        class("status-read", 2.0, 0.6, Idempotency::Idempotent),
+        class("petition-file", 8.0, 1.5, Idempotency::Keyed(10.0)),
+        class("refund-order", 3.0, 0.75, Idempotency::NotIdempotent),
     ]
 }
 
-fn parse(text: &str) -> Result<Ladder, Vec<Fault>> {
+fn parse(text: &str) -> Result<ServiceLevels, Vec<ConfigError>> {
     let of: pb::Ladder =
         chutegrade_textproto::parse(SCHEMA, "chutegrade.limits.v1.Ladder", text).expect(text);
-    Ladder::read(&of, Some(&classes()))
+    ServiceLevels::read(&of, Some(&classes()))
 }
 
 const MILD: &str = "level { name: 'calm reads' shed { class: 'status-read' keep: 0.5 }\n\
--- a/crates/limits/src/signals.rs
+++ b/crates/limits/src/signals.rs
@@ -88,7 +88,7 @@
 
 /// One value of a signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sample {
+pub struct Observation {
     /// The time of which it tells, in microseconds.
     pub at: i64,
     /// The value.
@@ -99,7 +99,7 @@
 
 /// What a signal shows at a moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shown {
+pub struct SignalReading {
     /// The signal.
     pub signal: Signal,
     /// Its newest value, whatever its age; nothing if it never told.
@@ -113,19 +113,19 @@
 
 /// The samples of all signals, by their own times.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
-    samples: [Vec<Sample>; SIGNALS.len()],
+pub struct SignalWindow {
+    samples: [Vec<Observation>; SIGNALS.len()],
 }
 
-impl Board {
+impl SignalWindow {
     /// Takes a sample in. One that tells of a time that is known already, as one that comes twice, changes nothing; one
     /// that comes late takes its place in time. What is no number, or rests on too little, is passed over.
-    pub fn learn(&mut self, signal: Signal, sample: Sample) -> bool {
+    pub fn learn(&mut self, signal: Signal, sample: Observation) -> bool {
         if !sample.value.is_finite() || sample.sure.is_nan() || sample.sure < SURE_LEAST {
             return false;
         }
         let (least, most) = signal.range();
-        let sample = Sample {
+        let sample = Observation {
             value: sample.value.clamp(least, most),
             ..sample
         };
@@ -150,20 +150,20 @@
     }
 
     /// All samples of a signal, the oldest first.
-    pub fn of(&self, signal: Signal) -> &[Sample] {
+    pub fn of(&self, signal: Signal) -> &[Observation] {
         &self.samples[signal as usize]
     }
 
     /// The newest sample, if it is no older than so long, in microseconds.
-    pub fn newest(&self, signal: Signal, now: i64, most_age: i64) -> Option<Sample> {
+    pub fn newest(&self, signal: Signal, now: i64, most_age: i64) -> Option<Observation> {
         let newest = self.of(signal).last().copied()?;
         (now.saturating_sub(newest.at) <= most_age).then_some(newest)
     }
 
     /// What a signal shows, whatever the age of its newest value.
-    pub fn shown(&self, signal: Signal, now: i64) -> Shown {
+    pub fn shown(&self, signal: Signal, now: i64) -> SignalReading {
         let newest = self.of(signal).last();
-        Shown {
+        SignalReading {
             signal,
             value: newest.map(|of| of.value),
             age: newest.map_or(0, |of| now.saturating_sub(of.at)),
--- a/crates/limits/src/signals/tests.rs
+++ b/crates/limits/src/signals/tests.rs
@@ -1,10 +1,9 @@
-
 use proptest::prelude::*;
 
 use super::*;
 
-fn sample(at: i64, value: f64) -> Sample {
-    Sample {
+fn sample(at: i64, value: f64) -> Observation {
+    Observation {
         at,
         value,
         sure: 1.0,
@@ -13,7 +12,7 @@
 
 #[test]
 fn what_comes_late_together_or_twice_is_read_by_its_own_times() {
-    let mut board = Board::default();
+    let mut board = SignalWindow::default();
     for at in [3, 1, 2, 2, 3] {
         board.learn(Signal::Late, sample(at, 0.5));
     }
@@ -24,7 +23,7 @@
     assert!(!board.learn(Signal::Late, sample(9, f64::NAN)));
     assert!(!board.learn(
         Signal::Late,
-        Sample {
+        Observation {
             at: 9,
             value: 1.0,
             sure: 0.1
@@ -34,7 +33,7 @@
 
 #[test]
 fn a_hole_ends_what_was_before_it() {
-    let mut board = Board::default();
+    let mut board = SignalWindow::default();
     for at in [0, 1, 20, 21] {
         board.learn(Signal::Queue, sample(at, 3.0));
     }
@@ -48,7 +47,7 @@
 
 #[test]
 fn values_stay_in_their_range_and_names_are_read_back() {
-    let mut board = Board::default();
+    let mut board = SignalWindow::default();
     board.learn(Signal::Saturation, sample(1, 7.0));
     assert_eq!(board.of(Signal::Saturation)[0].value, 1.0);
     for signal in SIGNALS {
@@ -63,7 +62,7 @@
     /// Danger: a flood of samples, or old ones, uses memory without bound or hides the newest.
     #[test]
     fn any_order_leaves_the_newest_in_order(times in prop::collection::vec(0..400i64, 1..600)) {
-        let mut board = Board::default();
+        let mut board = SignalWindow::default();
         for at in &times {
             board.learn(Signal::Room, sample(*at, 1.0));
         }
