--- a/crates/limits/src/steps.rs
+++ b/crates/limits/src/transitions.rs
@@ -3,9 +3,9 @@
 //! of each change what it saw.
 
 use crate::condition::{Distance, Known};
-use crate::ladder::{used, Ladder};
 use crate::pb;
-use crate::signals::{Board, Shown, Signal};
+use crate::service_levels::{used, ServiceLevels};
+use crate::signals::{Signal, SignalReading, SignalWindow};
 
 /// Time that a change takes to show in the signals, in microseconds: orders, their effect, a report and its way. Until then
 /// the signals tell of the level before, and nothing goes further up.
@@ -19,7 +19,7 @@
 
 /// Why a level changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum TransitionReason {
     /// The condition for entering it held.
     Entered,
     /// The condition for leaving the one before held.
@@ -34,23 +34,23 @@
     Restored,
 }
 
-impl Reason {
+impl TransitionReason {
     /// In a word, as records have it.
     pub fn word(self) -> &'static str {
         match self {
-            Reason::Entered => "entered",
-            Reason::Left => "left",
-            Reason::NoSignals => "no signals",
-            Reason::Doubted => "list doubted",
-            Reason::Replaced => "ladder replaced",
-            Reason::Restored => "restored",
+            TransitionReason::Entered => "entered",
+            TransitionReason::Left => "left",
+            TransitionReason::NoSignals => "no signals",
+            TransitionReason::Doubted => "list doubted",
+            TransitionReason::Replaced => "ladder replaced",
+            TransitionReason::Restored => "restored",
         }
     }
 }
 
 /// A change of level.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct LevelTransition {
     /// The name of the level before.
     pub from: String,
     /// The name of the level now.
@@ -58,18 +58,18 @@
     /// Its number; 0 is full service.
     pub number: usize,
     /// Why.
-    pub reason: Reason,
+    pub reason: TransitionReason,
     /// The condition that held, or what else decided.
     pub condition: String,
     /// All signals that the ladder uses.
-    pub shown: Vec<Shown>,
+    pub shown: Vec<SignalReading>,
     /// Who is told.
     pub tell: Vec<String>,
 }
 
 /// One level's condition, and how far its tests are from being met.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct ConditionStatus {
     /// The level that would be in force.
     pub to: String,
     /// Going up.
@@ -86,8 +86,8 @@
 
 /// A ladder at work.
 #[derive(Clone, Debug)]
-pub struct Steps {
-    ladder: Ladder,
+pub struct LevelTransitions {
+    ladder: ServiceLevels,
     level: usize,
     since: i64,
     /// Since when the signals for leaving are missing.
@@ -100,11 +100,11 @@
     believed: i64,
 }
 
-impl Steps {
+impl LevelTransitions {
     /// Full service, under a ladder.
-    pub fn new(ladder: Ladder) -> Self {
+    pub fn new(ladder: ServiceLevels) -> Self {
         let left = vec![(None, 1); ladder.levels.len() + 1];
-        Steps {
+        LevelTransitions {
             ladder,
             level: 0,
             since: i64::MIN / 2,
@@ -116,7 +116,7 @@
     }
 
     /// The ladder.
-    pub fn ladder(&self) -> &Ladder {
+    pub fn ladder(&self) -> &ServiceLevels {
         &self.ladder
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Looks at the signals, and changes the level if it is time.
-    pub fn step(&mut self, now: i64, board: &Board) -> Option<Change> {
+    pub fn step(&mut self, now: i64, board: &SignalWindow) -> Option<LevelTransition> {
         let age = self.ladder.most_age;
         let holds = |number: &usize| {
             let level = self.ladder.levels.get(number - 1);
@@ -155,7 +155,7 @@
             .find(holds);
         if let Some(number) = up.filter(|_| now.saturating_sub(self.since) >= SHOWS) {
             let condition = self.ladder.levels[number - 1].enter.to_string();
-            return Some(self.go(now, number, Reason::Entered, condition, board));
+            return Some(self.go(now, number, TransitionReason::Entered, condition, board));
         }
         let level = self.ladder.levels.get(self.level.checked_sub(1)?)?;
         let leave = level.leave.known(board, now, age, |_| false);
@@ -167,12 +167,12 @@
             since.is_some_and(|since| now.saturating_sub(since) >= most)
         };
         let (condition, reason) = if leave == Known::Yes && stayed {
-            (level.leave.to_string(), Reason::Left)
+            (level.leave.to_string(), TransitionReason::Left)
         } else if long(self.missing, self.ladder.without_signals) && stayed {
             let seconds = self.ladder.without_signals as f64 / 1e6;
             (
                 format!("nothing known of {} for {seconds} s", level.leave),
-                Reason::NoSignals,
+                TransitionReason::NoSignals,
             )
         } else if long(
             self.good,
@@ -182,7 +182,7 @@
             self.believed = (self.believed * BACKOFF.0).min(BACKOFF.1 * BACKOFF.1);
             (
                 format!("all that is measured in {}", level.leave),
-                Reason::Doubted,
+                TransitionReason::Doubted,
             )
         } else {
             return None;
@@ -204,10 +204,10 @@
         &mut self,
         now: i64,
         number: usize,
-        reason: Reason,
+        reason: TransitionReason,
         condition: String,
-        board: &Board,
-    ) -> Change {
+        board: &SignalWindow,
+    ) -> LevelTransition {
         let from = self.name().to_string();
         if number < self.level {
             if let Some(left) = self.left.get_mut(self.level) {
@@ -227,7 +227,7 @@
                 };
             }
         }
-        if number == 0 && reason == Reason::Left {
+        if number == 0 && reason == TransitionReason::Left {
             self.believed = 1;
         }
         (self.level, self.since, self.missing, self.good) = (number, now, None, None);
@@ -238,7 +238,7 @@
             .checked_sub(1)
             .and_then(|at| self.ladder.levels.get(at));
         let tell = entered.map(|level| level.tell.clone()).unwrap_or_default();
-        Change {
+        LevelTransition {
             from,
             to: self.name().to_string(),
             number,
@@ -251,7 +251,12 @@
 
     /// Puts another ladder in the place of this one. A level that it has too, by name, stays in force with its time; else the
     /// mildest of its levels that sheds no less takes over, or the last; its own condition lets it go.
-    pub fn replace(&mut self, now: i64, ladder: Ladder, board: &Board) -> Option<Change> {
+    pub fn replace(
+        &mut self,
+        now: i64,
+        ladder: ServiceLevels,
+        board: &SignalWindow,
+    ) -> Option<LevelTransition> {
         let from = self.name().to_string();
         let kept: Vec<(String, f64)> = self
             .level
@@ -287,7 +292,7 @@
         let mut change = self.go(
             now,
             number,
-            Reason::Replaced,
+            TransitionReason::Replaced,
             format!("{from:?} is not in the new ladder"),
             board,
         );
@@ -318,8 +323,8 @@
         &mut self,
         now: i64,
         saved: &pb::Saved,
-        board: &Board,
-    ) -> Result<Option<Change>, String> {
+        board: &SignalWindow,
+    ) -> Result<Option<LevelTransition>, String> {
         let age = now.saturating_sub(saved.at_us);
         if saved.level == self.ladder.name(0) {
             return Ok(None);
@@ -336,7 +341,7 @@
             .number(&saved.level)
             .ok_or_else(|| format!("no level {:?} in this ladder", saved.level))?;
         let condition = format!("in force {:.1} s ago", age as f64 / 1e6);
-        let change = self.go(now, number, Reason::Restored, condition, board);
+        let change = self.go(now, number, TransitionReason::Restored, condition, board);
         self.since = saved
             .since_us
             .clamp(now.saturating_sub(SHOWS).min(saved.at_us), now);
@@ -344,10 +349,10 @@
     }
 
     /// Which conditions would change the level, and how far each is from being met.
-    pub fn explain(&self, now: i64, board: &Board) -> Vec<Row> {
+    pub fn explain(&self, now: i64, board: &SignalWindow) -> Vec<ConditionStatus> {
         let age = self.ladder.most_age;
         let stay = (self.stays() - now.saturating_sub(self.since)).max(0);
-        let row = |to: usize, up: bool, condition: &crate::condition::Condition| Row {
+        let row = |to: usize, up: bool, condition: &crate::condition::Condition| ConditionStatus {
             to: self.ladder.name(to).to_string(),
             up,
             condition: condition.to_string(),
@@ -359,7 +364,7 @@
             stay: if up { 0 } else { stay },
         };
         let higher = self.ladder.levels.iter().enumerate().skip(self.level);
-        let mut rows: Vec<Row> = higher
+        let mut rows: Vec<ConditionStatus> = higher
             .map(|(at, level)| row(at + 1, true, &level.enter))
             .collect();
         if let Some(level) = self
--- a/crates/limits/tests/ladder.rs
+++ b/crates/limits/tests/ladder.rs
@@ -3,8 +3,11 @@
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
-use chutegrade_limits::steps::{Reason, RESTORE_WITHIN};
-use chutegrade_limits::{pb, Board, Change, Class, Effect, Ladder, Sample, Signal, Steps, SCHEMA};
+use chutegrade_limits::transitions::{TransitionReason, RESTORE_WITHIN};
+use chutegrade_limits::{
+    pb, Class, Idempotency, LevelTransition, LevelTransitions, Observation, ServiceLevels, Signal,
+    SignalWindow, SCHEMA,
+};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 
@@ -13,25 +16,25 @@
 fn classes() -> Vec<Class> {
     let class = |name: &str, worth, effect| Class {
         name: name.into(),
-        worth,
-        aim_s: 1.0,
-        deadline_s: 3.0,
-        effect,
+        priority_weight: worth,
+        latency_objective_seconds: 1.0,
+        deadline_seconds: 3.0,
+        idempotency: effect,
     };
     vec![
-        class("status-read", 1.0, Effect::Safe),
-        class("petition-file", 5.0, Effect::Keyed(10.0)),
+        class("status-read", 1.0, Idempotency::Idempotent),
+        class("petition-file", 5.0, Idempotency::Keyed(10.0)),
     ]
 }
 
-fn read(text: &str) -> Ladder {
+fn read(text: &str) -> ServiceLevels {
     let of: pb::Ladder =
         chutegrade_textproto::parse(SCHEMA, "chutegrade.limits.v1.Ladder", text).expect(text);
-    Ladder::read(&of, Some(&classes())).unwrap_or_else(|faults| panic!("{faults:?}"))
+    ServiceLevels::read(&of, Some(&classes())).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
 /// One boundary: half of the reads go at saturation 0.6, and come back below 0.3 with room to spare.
-fn one() -> Ladder {
+fn one() -> ServiceLevels {
     read(
         "level { name: 'fewer reads' shed { class: 'status-read' keep: 0.5 }\n\
          enter { all { signal: SATURATION above: 0.6 for_s: 2 } }\n\
@@ -40,7 +43,7 @@
 }
 
 /// Three levels over saturation alone.
-fn three() -> Ladder {
+fn three() -> ServiceLevels {
     let level = |n: usize, keep: f64, enter: f64| {
         format!(
             "level {{ name: 'l{n}' shed {{ class: 'status-read' keep: {keep} }}\n\
@@ -55,17 +58,17 @@
 /// A ladder fed with signals by the second.
 #[derive(Clone)]
 struct Played {
-    steps: Steps,
-    board: Board,
+    steps: LevelTransitions,
+    board: SignalWindow,
     now: i64,
-    changes: Vec<(i64, Change)>,
+    changes: Vec<(i64, LevelTransition)>,
 }
 
 impl Played {
-    fn new(ladder: Ladder) -> Self {
+    fn new(ladder: ServiceLevels) -> Self {
         Played {
-            steps: Steps::new(ladder),
-            board: Board::default(),
+            steps: LevelTransitions::new(ladder),
+            board: SignalWindow::default(),
             now: 1000 * S,
             changes: Vec::new(),
         }
@@ -74,7 +77,7 @@
     fn tell(&mut self, signal: Signal, at: i64, value: f64) {
         self.board.learn(
             signal,
-            Sample {
+            Observation {
                 at,
                 value,
                 sure: 1.0,
@@ -99,7 +102,7 @@
             assert_eq!(change.to, self.steps.name());
             assert!(!change.condition.is_empty(), "a change without its cause");
             assert!(
-                change.reason == Reason::NoSignals
+                change.reason == TransitionReason::NoSignals
                     || change.shown.iter().any(|shown| shown.value.is_some())
             );
             self.changes.push((self.now, change));
@@ -230,13 +233,16 @@
     played.many(5, 0.1, 1.5);
     assert_eq!(
         (played.steps.level(), played.changes[1].1.reason),
-        (0, Reason::Left)
+        (0, TransitionReason::Left)
     );
     // The roster never tells of the recovery: after a minute in which all that is measured is good it is doubted.
     played.many(20, 0.9, 0.5);
     played.many(70, 0.1, 0.8);
     let last = &played.changes.last().expect("a change").1;
-    assert_eq!((played.steps.level(), last.reason), (0, Reason::Doubted));
+    assert_eq!(
+        (played.steps.level(), last.reason),
+        (0, TransitionReason::Doubted)
+    );
     // It was right after all: it is believed for longer the next time, and longer still.
     let mut stays = Vec::new();
     for _ in 0..3 {
@@ -267,7 +273,7 @@
     assert_eq!(times, [21, 37, 53], "{times:?}");
     assert!(played.changes[1..]
         .iter()
-        .all(|(_, change)| change.reason == Reason::NoSignals));
+        .all(|(_, change)| change.reason == TransitionReason::NoSignals));
 }
 
 /// A supervisor that stood still: what it finds afterwards is old, and no level is entered on it.
@@ -295,14 +301,14 @@
     played.many(10, 0.9, 0.5);
     let (saved, at) = (played.steps.saved(played.now), played.now);
     let again = |later: i64, saved: &pb::Saved| {
-        let mut steps = Steps::new(one());
-        let told = steps.restore(at + later, saved, &Board::default());
+        let mut steps = LevelTransitions::new(one());
+        let told = steps.restore(at + later, saved, &SignalWindow::default());
         (steps.level(), told)
     };
     let (level, told) = again(10 * S, &saved);
     assert_eq!(
         (level, told.expect("in time").expect("a change").reason),
-        (1, Reason::Restored)
+        (1, TransitionReason::Restored)
     );
     let (level, told) = again(RESTORE_WITHIN + S, &saved);
     assert!(level == 0 && told.expect_err("too old").contains("at most 60 s"));
@@ -369,7 +375,7 @@
         .expect("a change");
     assert_eq!(
         (change.from.as_str(), change.to.as_str(), change.reason),
-        ("l2", "hard", Reason::Replaced)
+        ("l2", "hard", TransitionReason::Replaced)
     );
     played.many(60, 0.05, 1.0);
     assert_eq!(played.steps.level(), 0);
@@ -499,7 +505,7 @@
     fn any_signals_leave_no_trap(
         of in prop::collection::vec((prop::option::of(0.0..1.2f64), prop::option::of(-1.0..5.0f64), 0..8i64), 0..200),
     ) {
-        let ladder = Ladder::read(&pb::Ladder { usual: Some(true), ..Default::default() }, Some(&classes())).expect("usual");
+        let ladder = ServiceLevels::read(&pb::Ladder { usual: Some(true), ..Default::default() }, Some(&classes())).expect("usual");
         let mut played = Played::new(ladder);
         for (saturation, room, late) in of {
             played.now += S;
--- a/crates/model/src/chance/tests.rs
+++ b/crates/model/src/chance/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 /// Danger: a change in what one source is asked for changes what another gives.
--- a/crates/model/src/front.rs
+++ b/crates/model/src/front.rs
@@ -147,7 +147,7 @@
         class_of: impl Fn(&str) -> Option<usize>,
         server_of: impl Fn(&str) -> Option<u32>,
     ) {
-        for part in &order.parts {
+        for part in &order.updates {
             let classes: Vec<usize> = if part.classes.is_empty() {
                 (0..self.tables.len()).collect()
             } else {
@@ -157,7 +157,7 @@
                     .collect()
             };
             let rows = || {
-                part.rows
+                part.weights
                     .iter()
                     .filter_map(|(name, weight)| Some((server_of(name)?, *weight)))
             };
@@ -170,10 +170,10 @@
                     self.levels[*class] = None;
                 }
                 self.bound = true;
-            } else if !part.rows.is_empty() {
+            } else if !part.weights.is_empty() {
                 self.change(&classes, rows);
             }
-            if let Some(gate) = part.gate {
+            if let Some(gate) = part.admission {
                 classes
                     .iter()
                     .for_each(|class| self.levels[*class] = Some(gate));
@@ -185,7 +185,7 @@
                 .filter_map(|name| server_of(name))
                 .collect::<Vec<u32>>()
         };
-        let (out, back) = (named(&order.drop), named(&order.undrop));
+        let (out, back) = (named(&order.suspended), named(&order.resumed));
         if !out.is_empty() || !back.is_empty() {
             self.withdrawn.extend(out);
             for server in &back {
--- a/crates/model/src/front/tests.rs
+++ b/crates/model/src/front/tests.rs
@@ -1,5 +1,4 @@
-
-use chutegrade_engine::Part;
+use chutegrade_engine::TableUpdate;
 
 use super::*;
 use crate::chance::Source;
@@ -13,9 +12,9 @@
     )
 }
 
-fn order(part: Part) -> Order {
+fn order(part: TableUpdate) -> Order {
     Order {
-        parts: vec![part],
+        updates: vec![part],
         ..Order::default()
     }
 }
@@ -58,10 +57,10 @@
     let rows = vec![(Rc::from("s3"), 2.0), (Rc::from("s1"), 0.0)];
     carry(
         &mut front,
-        &order(Part {
+        &order(TableUpdate {
             classes: vec!["c1".into()],
-            rows,
-            ..Part::default()
+            weights: rows,
+            ..TableUpdate::default()
         }),
     );
     assert_eq!(
@@ -71,7 +70,7 @@
     carry(
         &mut front,
         &Order {
-            drop: vec!["s2".into()],
+            suspended: vec!["s2".into()],
             ..Order::default()
         },
     );
@@ -79,7 +78,7 @@
     carry(
         &mut front,
         &Order {
-            drop: vec!["s3".into()],
+            suspended: vec!["s3".into()],
             ..Order::default()
         },
     );
@@ -89,7 +88,7 @@
     carry(
         &mut front,
         &Order {
-            undrop: vec!["s3".into()],
+            resumed: vec!["s3".into()],
             ..Order::default()
         },
     );
@@ -97,18 +96,18 @@
     let gate = Some((0.5, Retry::Once));
     carry(
         &mut front,
-        &order(Part {
-            gate,
-            ..Part::default()
+        &order(TableUpdate {
+            admission: gate,
+            ..TableUpdate::default()
         }),
     );
     assert_eq!((front.gate(0), front.gate(1)), (gate, gate));
     carry(
         &mut front,
-        &order(Part {
+        &order(TableUpdate {
             replace: true,
-            rows: vec![("s9".into(), 1.0)],
-            ..Part::default()
+            weights: vec![("s9".into(), 1.0)],
+            ..TableUpdate::default()
         }),
     );
     assert_eq!(
--- a/crates/model/src/measure.rs
+++ b/crates/model/src/measure.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use chutegrade_limits::Change;
+use chutegrade_limits::LevelTransition;
 use hdrhistogram::Histogram;
 
 use crate::rules::Broken;
@@ -62,7 +62,7 @@
     /// Which supervisor.
     pub supervisor: usize,
     /// What changed, and why.
-    pub change: Change,
+    pub change: LevelTransition,
 }
 
 /// What a run gives.
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use chutegrade_policy::interface::Effect;
+use chutegrade_policy::Idempotency;
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -73,13 +73,13 @@
 }
 
 /// Whether a front end may send a request again: `ran` tells when a try that may have run was first sent, if there was one.
-pub fn may_repeat(effect: Effect, ran: Option<u64>, now: u64) -> bool {
+pub fn may_repeat(effect: Idempotency, ran: Option<u64>, now: u64) -> bool {
     match (effect, ran) {
-        (Effect::Safe, _) | (_, None) => true,
-        (Effect::Keyed(_, window), Some(sent)) => {
+        (Idempotency::Idempotent, _) | (_, None) => true,
+        (Idempotency::Keyed(_, window), Some(sent)) => {
             now.saturating_sub(sent) <= window.0.max(0) as u64
         }
-        (Effect::Unsafe, Some(_)) => false,
+        (Idempotency::NotIdempotent, Some(_)) => false,
     }
 }
 
--- a/crates/model/src/rules/tests.rs
+++ b/crates/model/src/rules/tests.rs
@@ -1,13 +1,15 @@
-
-use chutegrade_policy::interface::{Micros, Scope};
+use chutegrade_policy::{DeduplicationScope, Micros};
 
 use super::*;
 
 #[test]
 fn repeats_are_judged_by_effect_and_window() {
-    let keyed = Effect::Keyed(Scope::All, Micros(1000));
-    assert!(may_repeat(Effect::Safe, Some(0), 9999) && may_repeat(Effect::Unsafe, None, 0));
-    assert!(!may_repeat(Effect::Unsafe, Some(0), 0));
+    let keyed = Idempotency::Keyed(DeduplicationScope::All, Micros(1000));
+    assert!(
+        may_repeat(Idempotency::Idempotent, Some(0), 9999)
+            && may_repeat(Idempotency::NotIdempotent, None, 0)
+    );
+    assert!(!may_repeat(Idempotency::NotIdempotent, Some(0), 0));
     assert!(may_repeat(keyed, Some(500), 1500) && !may_repeat(keyed, Some(500), 1501));
 }
 
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios: read from protobuf text format after `proto/model.proto`, checked whole, and turned into plain data in which
 //! every figure is given. Where the figures that hold for what is not said come from is told in docs/model.md.
 
-use chutegrade_policy::interface::{self as policy, Micros};
+use chutegrade_policy::{self as policy, Micros};
 use chutegrade_textproto::{find, Wrong};
 use prost::Message as _;
 
@@ -62,7 +62,7 @@
     pub deadline_us: u64,
     pub worth: f64,
     pub late_worth: f64,
-    pub effect: policy::Effect,
+    pub effect: policy::Idempotency,
     pub home_only: bool,
 }
 
@@ -331,9 +331,11 @@
         worth: c.figure("worth", of.worth, 1.0, 0.0, 1e6),
         late_worth: c.share("late_worth", of.late_worth, 0.1),
         effect: match of.effect() {
-            pb::Effect::Keyed => policy::Effect::Keyed(policy::Scope::All, window),
-            pb::Effect::Unsafe => policy::Effect::Unsafe,
-            pb::Effect::Safe | pb::Effect::Unspecified => policy::Effect::Safe,
+            pb::Effect::Keyed => {
+                policy::Idempotency::Keyed(policy::DeduplicationScope::All, window)
+            }
+            pb::Effect::Unsafe => policy::Idempotency::NotIdempotent,
+            pb::Effect::Safe | pb::Effect::Unspecified => policy::Idempotency::Idempotent,
         },
         home_only: of.home_only.unwrap_or(false),
     }
@@ -515,7 +517,7 @@
                 pb::Retry::Never => policy::Retry::Never,
                 pb::Retry::Once => policy::Retry::Once,
                 pb::Retry::Twice => policy::Retry::Twice,
-                pb::Retry::Unrun | pb::Retry::Unspecified => policy::Retry::Unrun,
+                pb::Retry::Unrun | pb::Retry::Unspecified => policy::Retry::IfNotExecuted,
             },
             admits: front.admits.unwrap_or(true),
             notice_us: c.us("notice_ms", front.notice_ms, 1000.0, MS),
@@ -599,11 +601,11 @@
     pub fn settings(&self, zone: usize) -> policy::Settings {
         let micros = |us: u64| Micros(i64::try_from(us).unwrap_or(i64::MAX));
         let class = |class: &Class| policy::Class {
-            aim: micros(class.aim_us),
+            latency_objective: micros(class.aim_us),
             deadline: micros(class.deadline_us),
-            worth: class.worth,
-            effect: class.effect,
-            home_only: class.home_only,
+            priority_weight: class.worth,
+            idempotency: class.effect,
+            zone_local: class.home_only,
         };
         let coldest = self
             .kinds
@@ -622,42 +624,42 @@
             zone: policy::ZoneId(zone as u16),
             classes: self.classes.iter().map(class).collect(),
             proxies: self.front_ends,
-            levels: if self.admits {
-                policy::LevelKind::Fraction
+            admission_unit: if self.admits {
+                policy::AdmissionUnit::Share
             } else {
-                policy::LevelKind::Silent
+                policy::AdmissionUnit::Unsupported
             },
-            usual_retry: self.usual_retry,
-            first_wait: self.first_wait,
-            pick: match self.pick {
-                Pick::Rotate => policy::Pick::Rotate,
-                Pick::LeastOfTwo => policy::Pick::LeastOfTwo,
-                Pick::Random | Pick::Unspecified => policy::Pick::Random,
+            default_retry: self.usual_retry,
+            attempt_timeout_factor: self.first_wait,
+            pick_policy: match self.pick {
+                Pick::Rotate => policy::PickPolicy::WeightedRoundRobin,
+                Pick::LeastOfTwo => policy::PickPolicy::PowerOfTwoChoices,
+                Pick::Random | Pick::Unspecified => policy::PickPolicy::Random,
             },
-            proxy_ejects_after: self.avoids_after,
-            listed: policy::Listed::Rough,
-            reports: match (self.load_reports, self.load_with_answers) {
+            proxy_ejection_threshold: self.avoids_after,
+            listed_weight: policy::ListedWeight::ApproximateSize,
+            report_source: match (self.load_reports, self.load_with_answers) {
                 (false, _) => policy::ReportSource::None,
-                (true, true) => policy::ReportSource::Answers,
-                (true, false) => policy::ReportSource::Probes,
+                (true, true) => policy::ReportSource::ResponsesAndHealthChecks,
+                (true, false) => policy::ReportSource::HealthChecks,
             },
             report_period: micros(self.period_us),
-            probes: self.probes,
-            probe_price: 0.02,
-            cross_price: 0.01,
-            backlog: self.backlog,
-            lines_per_s: self.lines_per_s,
-            message_head: self.head,
-            way_most: micros(self.way_most_us as u64),
-            idle_close: micros(self.idle_close_us),
-            messages_most: self.messages_most,
-            messages_window: Micros(10_000_000),
-            unserved_most: micros(self.unserved_us),
+            health_checks_allowed: self.probes,
+            health_check_cost: 0.02,
+            zone_crossing_cost: 0.01,
+            channel_backlog: self.backlog,
+            channel_lines_per_second: self.lines_per_s,
+            message_overhead: self.head,
+            max_delivery_delay: micros(self.way_most_us as u64),
+            idle_timeout: micros(self.idle_close_us),
+            max_messages: self.messages_most,
+            message_window: Micros(10_000_000),
+            max_unserved: micros(self.unserved_us),
             drain_grace: micros(self.drain_grace_us),
-            cold_from: coldest,
-            cold_for: micros(longest),
-            fall_multiple: self.fall_multiple,
-            fall_window: micros(self.fall_us),
+            slow_start_share: coldest,
+            slow_start_period: micros(longest),
+            overload_multiple: self.fall_multiple,
+            overload_window: micros(self.fall_us),
             ..policy::Settings::default()
         }
     }
--- a/crates/model/src/scenario/tests.rs
+++ b/crates/model/src/scenario/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 const SMALL: &str =
--- a/crates/model/src/server/tests.rs
+++ b/crates/model/src/server/tests.rs
@@ -1,4 +1,3 @@
-
 use slotmap::SlotMap;
 
 use super::*;
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -4,9 +4,10 @@
 use std::rc::Rc;
 
 use chutegrade_engine::{
-    Engine, Lifecycle, ListKind, Load, Micros, Order, Probe, ProbeEnd, Report, Retry, StreamId,
+    EndpointUpdateKind, Engine, HealthCheck, HealthCheckOutcome, Lifecycle, LoadReport, Micros,
+    Order, Report, Retry, StreamId,
 };
-use chutegrade_policy::interface::Effect;
+use chutegrade_policy::Idempotency;
 use chutegrade_traffic::Traffic;
 use rustc_hash::FxHashMap;
 use slotmap::{new_key_type, SlotMap};
@@ -65,7 +66,7 @@
     epoch: u32,
     server: u32,
     sent_us: u64,
-    probe: Probe,
+    probe: HealthCheck,
 }
 
 /// A message on its way to a front end.
@@ -141,7 +142,7 @@
         took: u64,
     },
     ProbeReach(Box<Probing>),
-    ProbeEnd(Box<(Probing, ProbeEnd, Load, bool)>),
+    ProbeEnd(Box<(Probing, HealthCheckOutcome, LoadReport, bool)>),
     News {
         supervisor: u32,
         server: u32,
@@ -408,7 +409,7 @@
         let mut engine = Box::new(match &self.setup.other {
             Some(other) => {
                 let decides = (other.make)(&settings, seed);
-                Engine::with(decides, &settings, zones, classes, kinds)
+                Engine::with_policy(decides, &settings, zones, classes, kinds)
             }
             None => Engine::new(settings, seed, zones, classes, kinds),
         });
@@ -440,7 +441,7 @@
             let mind = self.mind(at, 0);
             self.supervisors
                 .push(Supervisor::new(at % zones, mind, self.servers.len()));
-            self.supervisor_begins(at, ListKind::Complete);
+            self.supervisor_begins(at, EndpointUpdateKind::Snapshot);
         }
         if self.setup.control != Control::Nobody {
             for at in 0..self.fronts.len() {
@@ -512,10 +513,10 @@
                 took,
             } => {
                 let took = Micros(took as i64);
-                let report = Report::Ack {
+                let report = Report::Acknowledged {
                     stream: StreamId(stream),
-                    mark,
-                    took,
+                    sequence: mark,
+                    elapsed: took,
                 };
                 self.report(supervisor as usize, epoch, report);
             }
@@ -844,7 +845,7 @@
         }
         let (_, retry) = self.gate(at as usize, class);
         let most = match retry {
-            Retry::Never | Retry::Unrun => 0,
+            Retry::Never | Retry::IfNotExecuted => 0,
             Retry::Once => 1,
             Retry::Twice => 2,
         };
@@ -1049,7 +1050,7 @@
         let (_, retry) = self.gate(front, class);
         let again = match retry {
             Retry::Never => false,
-            Retry::Unrun => unrun && tries <= 1,
+            Retry::IfNotExecuted => unrun && tries <= 1,
             Retry::Once => tries <= 1,
             Retry::Twice => tries <= 2,
         };
@@ -1224,9 +1225,9 @@
         request.effects += 1;
         let first = *request.ran_us.get_or_insert(sent_us);
         let twice = match of.effect {
-            Effect::Safe => false,
-            Effect::Unsafe => request.effects > 1,
-            Effect::Keyed(..) => {
+            Idempotency::Idempotent => false,
+            Idempotency::NotIdempotent => request.effects > 1,
+            Idempotency::Keyed(..) => {
                 request.effects > 1 && !may_repeat(of.effect, Some(first), sent_us)
             }
         };
@@ -1288,7 +1289,7 @@
         if !silent {
             self.forget_connections(at);
         }
-        self.tell(at, Lifecycle::Gone, !gone);
+        self.tell(at, Lifecycle::Removed, !gone);
     }
 
     /// A server starts anew, cold; one that fell over does not.
@@ -1359,14 +1360,19 @@
             return;
         }
         let entry = supervisor.entry(self.scenario, server, &self.servers[server]);
-        self.listed(at, ListKind::Changes, vec![entry]);
+        self.listed(at, EndpointUpdateKind::Delta, vec![entry]);
     }
 
-    fn listed(&mut self, at: usize, kind: ListKind, entries: Vec<chutegrade_engine::Listed>) {
+    fn listed(
+        &mut self,
+        at: usize,
+        kind: EndpointUpdateKind,
+        entries: Vec<chutegrade_engine::NamedEndpoint>,
+    ) {
         match &mut self.supervisors[at].mind {
             Mind::Engine(engine, ..) => {
                 // A list names nothing that could be unknown.
-                let _ = engine.report(Report::List(kind, entries));
+                let _ = engine.report(Report::EndpointList(kind, entries));
             }
             Mind::Plain(dirty) => *dirty = true,
         }
@@ -1375,7 +1381,7 @@
 
     // Supervisors.
 
-    fn supervisor_begins(&mut self, at: usize, kind: ListKind) {
+    fn supervisor_begins(&mut self, at: usize, kind: EndpointUpdateKind) {
         let list = self.supervisors[at].list(self.scenario, &self.servers);
         self.listed(at, kind, list);
         let (supervisor, epoch) = (at as u32, self.supervisors[at].epoch);
@@ -1409,7 +1415,7 @@
         let of = &mut self.supervisors[at];
         (of.up, of.mind, of.still_until, of.tick) = (true, mind, 0, None);
         (of.free_us, of.taking) = (self.now as f64, false);
-        self.supervisor_begins(at, ListKind::WarmCopy);
+        self.supervisor_begins(at, EndpointUpdateKind::CachedSnapshot);
         let late = self
             .chances
             .discovery
@@ -1433,13 +1439,13 @@
             let life = match of.life {
                 Life::Up => Lifecycle::InService,
                 Life::Draining => Lifecycle::Draining,
-                Life::Down | Life::Gone => Lifecycle::Gone,
+                Life::Down | Life::Gone => Lifecycle::Removed,
             };
             let (started, seq) = (of.started_us, self.news[server]);
             self.supervisors[at].learn(self.now, server, life, started, seq);
         }
         let list = self.supervisors[at].list(self.scenario, &self.servers);
-        self.listed(at, ListKind::Complete, list);
+        self.listed(at, EndpointUpdateKind::Snapshot, list);
     }
 
     fn is(&self, at: usize, epoch: u32) -> bool {
@@ -1507,11 +1513,12 @@
                     });
                 }
                 let next = engine.tick(Micros(now as i64));
-                let probes: Vec<Probe> = std::iter::from_fn(|| engine.pick_probe()).collect();
-                let streams = engine.pick_streams();
-                let order = |stream: StreamId| Some((stream.0, engine.pick_order(stream)?));
+                let probes: Vec<HealthCheck> =
+                    std::iter::from_fn(|| engine.take_health_check()).collect();
+                let streams = engine.take_streams_with_orders();
+                let order = |stream: StreamId| Some((stream.0, engine.take_order(stream)?));
                 let orders: Vec<(u64, Order)> = streams.into_iter().filter_map(order).collect();
-                while engine.pick_note(Micros(now as i64)).is_some() {}
+                while engine.take_log_event(Micros(now as i64)).is_some() {}
                 if let Some(next) = next {
                     self.wake(at, next.0.max(0) as u64);
                 }
@@ -1665,7 +1672,7 @@
         );
         of.last_sent_us = sent_us;
         of.still_until = self.now + (lines(&order) * self.scenario.apply_us) as u64;
-        if let Some(mark) = order.stamp {
+        if let Some(mark) = order.acknowledge {
             let zones = (of.zone, self.supervisors[supervisor as usize].zone);
             let took = of.still_until - sent_us;
             let until = of.still_until;
@@ -1738,12 +1745,12 @@
         let rate = self.scenario.rate / self.fronts.len() as f64;
         let zone_name = self.scenario.zones[zone].clone();
         let epoch_of = self.supervisors[supervisor].epoch;
-        let joined = Report::Joined {
+        let joined = Report::StreamOpened {
             stream: StreamId(stream),
             proxy: at as u32,
             zone: zone_name,
-            rate,
-            new,
+            request_rate: rate,
+            has_no_table: new,
         };
         if let Mind::Plain(dirty) = &mut self.supervisors[supervisor].mind {
             *dirty = true;
@@ -1795,7 +1802,7 @@
         self.supervisors[supervisor].streams.remove(&stream);
         let epoch = self.supervisors[supervisor].epoch;
         self.unjoin(at);
-        self.report(supervisor, epoch, Report::Left(StreamId(stream)));
+        self.report(supervisor, epoch, Report::StreamLost(StreamId(stream)));
     }
 
     pub(crate) fn front_dies(&mut self, at: usize) {
@@ -1862,10 +1869,10 @@
                 let of = std::mem::take(of);
                 if of.came > 0.0 {
                     let (class, proxy) = (class.name.clone(), *front);
-                    reports.push(Report::Demand {
+                    reports.push(Report::ProxyDemand {
                         proxy,
                         class,
-                        came: of.came,
+                        arrivals: of.came,
                         failed: of.failed,
                         period,
                     });
@@ -1928,7 +1935,7 @@
 
     // Probes.
 
-    fn probe(&mut self, at: usize, probe: Probe) {
+    fn probe(&mut self, at: usize, probe: HealthCheck) {
         let Some(server) = probe
             .address
             .parse::<u32>()
@@ -1960,7 +1967,12 @@
 
     fn probe_times_out(&mut self, probing: Probing) {
         let ends = probing.sent_us + self.scenario.probe_timeout_us;
-        let ended = (probing, ProbeEnd::TimedOut, Load::default(), false);
+        let ended = (
+            probing,
+            HealthCheckOutcome::TimedOut,
+            LoadReport::default(),
+            false,
+        );
         self.push(ends, Event::ProbeEnd(Box::new(ended)));
     }
 
@@ -1978,19 +1990,24 @@
         let of = &self.servers[at];
         let most = self.scenario.probes_per_core * self.scenario.kinds[of.kind].cores;
         let end = match of.life {
-            Life::Down | Life::Gone => Some(ProbeEnd::Unreachable),
-            Life::Draining => Some(ProbeEnd::Busy),
-            Life::Up if f64::from(of.probes) >= most => Some(ProbeEnd::Busy),
+            Life::Down | Life::Gone => Some(HealthCheckOutcome::Unreachable),
+            Life::Draining => Some(HealthCheckOutcome::Rejected),
+            Life::Up if f64::from(of.probes) >= most => Some(HealthCheckOutcome::Rejected),
             Life::Up => None,
         };
         if let Some(end) = end {
-            let ended = (probing, end, Load::default(), false);
+            let ended = (probing, end, LoadReport::default(), false);
             self.push(self.now + way, Event::ProbeEnd(Box::new(ended)));
             return;
         }
         let deep = self.scenario.probes_deep;
         if deep && of.effects.fails > 0.0 && self.chances.errors.share() < of.effects.fails {
-            let ended = (probing, ProbeEnd::Error, Load::default(), false);
+            let ended = (
+                probing,
+                HealthCheckOutcome::Error,
+                LoadReport::default(),
+                false,
+            );
             self.push(self.now + ERROR_US + way, Event::ProbeEnd(Box::new(ended)));
             return;
         }
@@ -2007,20 +2024,23 @@
         };
         let (queue, service) = (of.queue() as f64, of.service_ms());
         let load = if self.scenario.load_reports {
-            Load {
-                queue: Some(queue),
+            LoadReport {
+                queued: Some(queue),
                 latency_ms: Some(service),
-                ..Load::default()
+                ..LoadReport::default()
             }
         } else {
-            Load::default()
+            LoadReport::default()
         };
         self.servers[at].probes += 1;
-        let ended = (probing, ProbeEnd::Done, load, true);
+        let ended = (probing, HealthCheckOutcome::Passed, load, true);
         self.push(self.now + took + way, Event::ProbeEnd(Box::new(ended)));
     }
 
-    fn probe_end(&mut self, (probing, end, load, answered): (Probing, ProbeEnd, Load, bool)) {
+    fn probe_end(
+        &mut self,
+        (probing, end, load, answered): (Probing, HealthCheckOutcome, LoadReport, bool),
+    ) {
         if answered {
             let of = &mut self.servers[probing.server as usize];
             of.probes = of.probes.saturating_sub(1);
@@ -2035,10 +2055,10 @@
         self.report(
             supervisor as usize,
             epoch,
-            Report::Probed {
-                probe,
-                end,
-                took,
+            Report::HealthChecked {
+                check: probe,
+                outcome: end,
+                elapsed: took,
                 load,
             },
         );
--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -6,11 +6,14 @@
 use std::sync::Arc;
 
 use chutegrade_advice::Rules;
-use chutegrade_engine::{Decides, Engine, Lifecycle, Listed, Load, Micros, Order, Part, Report};
+use chutegrade_engine::{
+    DecisionPolicy, Engine, Lifecycle, LoadReport, Micros, NamedEndpoint, Order, Report,
+    TableUpdate,
+};
 
 use chutegrade_levels::Service;
-use chutegrade_limits::{pb as limits, Class, Plan};
-use chutegrade_policy::interface::Settings;
+use chutegrade_limits::{pb as limits, Class, OverloadConfig};
+use chutegrade_policy::Settings;
 use chutegrade_traffic::Traffic;
 
 use crate::scenario::Scenario;
@@ -34,7 +37,7 @@
 }
 
 /// What makes another build's decisions, from settings and a seed.
-pub type Make = dyn Fn(&Settings, u64) -> Box<dyn Decides> + Send + Sync;
+pub type Make = dyn Fn(&Settings, u64) -> Box<dyn DecisionPolicy> + Send + Sync;
 
 /// Another build's decisions in the module's place.
 #[derive(Clone)]
@@ -85,7 +88,7 @@
     /// Whether limits, and classes and zones of the traffic, fit a scenario; a sentence if not.
     pub fn fits(&self, scenario: &Scenario) -> Result<(), String> {
         if let Some(of) = &self.limits {
-            Plan::read(of, Some(&classes(scenario))).map_err(|faults| {
+            OverloadConfig::read(of, Some(&classes(scenario))).map_err(|faults| {
                 let said: Vec<String> = faults.iter().map(ToString::to_string).collect();
                 format!("limits: {}", said.join("; "))
             })?;
@@ -127,7 +130,7 @@
 
     /// Levels, limits and budgets of one supervisor, if they are wanted and fit.
     pub fn service(&self, scenario: &Scenario, engine: &mut Engine) -> Option<Box<Service>> {
-        let plan = Plan::read(self.limits.as_ref()?, Some(&classes(scenario))).ok()?;
+        let plan = OverloadConfig::read(self.limits.as_ref()?, Some(&classes(scenario))).ok()?;
         Some(Box::new(Service::new(
             plan,
             engine,
@@ -318,24 +321,24 @@
     }
 
     /// An entry of the list as it knows it.
-    pub fn entry(&self, scenario: &Scenario, server: usize, of: &Server) -> Listed {
+    pub fn entry(&self, scenario: &Scenario, server: usize, of: &Server) -> NamedEndpoint {
         let seen = self.of(server as u32);
-        Listed {
+        NamedEndpoint {
             name: of.name.to_string(),
             address: server.to_string(),
             zone: scenario.zones[of.zone].clone(),
-            kind: scenario.kinds[of.kind].name.clone(),
+            machine_kind: scenario.kinds[of.kind].name.clone(),
             cell: 0,
-            life: seen.life,
+            lifecycle: seen.life,
             weight: of.listed,
-            started: seen.started_us.map(|us| Micros(us as i64)),
+            started_at: seen.started_us.map(|us| Micros(us as i64)),
         }
     }
 
     /// The whole list as it knows it.
-    pub fn list(&self, scenario: &Scenario, servers: &[Server]) -> Vec<Listed> {
+    pub fn list(&self, scenario: &Scenario, servers: &[Server]) -> Vec<NamedEndpoint> {
         let known = self.seen.iter().zip(servers).enumerate();
-        let listed = known.filter(|(_, (seen, _))| seen.listed && seen.life != Lifecycle::Gone);
+        let listed = known.filter(|(_, (seen, _))| seen.listed && seen.life != Lifecycle::Removed);
         listed
             .map(|(at, (_, server))| self.entry(scenario, at, server))
             .collect()
@@ -360,17 +363,17 @@
             let load = of
                 .load
                 .filter(|_| scenario.load_reports && scenario.load_with_answers)
-                .map_or(Load::default(), |(queue, latency_ms)| Load {
-                    queue: Some(queue),
+                .map_or(LoadReport::default(), |(queue, latency_ms)| LoadReport {
+                    queued: Some(queue),
                     latency_ms: Some(latency_ms),
-                    ..Load::default()
+                    ..LoadReport::default()
                 });
-            Report::Outcomes {
+            Report::ServerOutcomes {
                 zone: scenario.zones[zone].clone(),
                 server: servers[server as usize].name.to_string(),
-                tries: of.tries,
+                attempts: of.tries,
                 failed: of.failed,
-                mean_ms,
+                mean_latency_ms: mean_ms,
                 period,
                 load,
             }
@@ -401,11 +404,11 @@
             .filter(|class| class.home_only == home);
         of.map(|class| Rc::from(class.name.as_str())).collect()
     };
-    let part = |home: bool| Part {
+    let part = |home: bool| TableUpdate {
         classes: classes(home),
         replace: true,
-        rows: rows(home),
-        gate: None,
+        weights: rows(home),
+        admission: None,
     };
     let parts = [false, true]
         .map(part)
@@ -413,16 +416,17 @@
         .filter(|part| !part.classes.is_empty())
         .collect();
     Order {
-        parts,
+        updates: parts,
         ..Order::default()
     }
 }
 
 /// Lines that an order costs, its head not counted.
 pub fn lines(order: &Order) -> f64 {
-    let part = |part: &Part| {
-        part.rows.len() + usize::from(part.replace) + usize::from(part.gate.is_some())
+    let part = |part: &TableUpdate| {
+        part.weights.len() + usize::from(part.replace) + usize::from(part.admission.is_some())
     };
-    let lines: usize = order.parts.iter().map(part).sum();
-    (lines + order.drop.len() + order.undrop.len() + usize::from(order.stamp.is_some())) as f64
+    let lines: usize = order.updates.iter().map(part).sum();
+    (lines + order.suspended.len() + order.resumed.len() + usize::from(order.acknowledge.is_some()))
+        as f64
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use chutegrade_limits::{Class, Plan};
+use chutegrade_limits::{Class, OverloadConfig};
 use chutegrade_textproto::find;
 pub use chutegrade_textproto::Place;
 
@@ -113,9 +113,9 @@
 
     /// What they amount to for these classes; all faults at once. Without classes, only what does not depend on them is
     /// checked.
-    pub fn plan(&self, classes: Option<&[Class]>) -> Result<Plan, Vec<Fault>> {
-        Plan::read(&self.written, classes).map_err(|faults| {
-            let fault = |of: &chutegrade_limits::Fault| Fault {
+    pub fn plan(&self, classes: Option<&[Class]>) -> Result<OverloadConfig, Vec<Fault>> {
+        OverloadConfig::read(&self.written, classes).map_err(|faults| {
+            let fault = |of: &chutegrade_limits::ConfigError| Fault {
                 path: self.path.clone(),
                 place: of.place(&self.text),
                 text: of.said.clone(),
--- a/crates/policy/benches/tick.rs
+++ b/crates/policy/benches/tick.rs
@@ -2,8 +2,8 @@
 //! What the decisions cost at size: a tick of a fleet that stands, and the joining of all its proxies, one batch each two
 //! milliseconds, as while the streams of lost supervisors come over.
 
-use chutegrade_policy::interface::*;
-use chutegrade_policy::policy::Policy;
+use chutegrade_policy::Policy;
+use chutegrade_policy::*;
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 
 const ZONES: u16 = 3;
@@ -12,59 +12,59 @@
 
 fn settings(proxies: u32) -> Settings {
     let class = |effect| Class {
-        aim: Micros(600_000),
+        latency_objective: Micros(600_000),
         deadline: Micros(2_000_000),
-        worth: 2.0,
-        effect,
-        home_only: false,
+        priority_weight: 2.0,
+        idempotency: effect,
+        zone_local: false,
     };
     Settings {
         instances: 5,
         zones: ZONES.into(),
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            class(Effect::Safe),
+            class(Idempotency::Idempotent),
+            class(Idempotency::NotIdempotent),
+            class(Idempotency::Idempotent),
         ],
         proxies: proxies as usize,
-        levels: LevelKind::Fraction,
-        probes: true,
-        backlog: 60_000.0,
-        lines_per_s: 9_000.0,
-        message_head: 3.0,
-        way_most: Micros(500_000),
+        admission_unit: AdmissionUnit::Share,
+        health_checks_allowed: true,
+        channel_backlog: 60_000.0,
+        channel_lines_per_second: 9_000.0,
+        message_overhead: 3.0,
+        max_delivery_delay: Micros(500_000),
         report_period: Micros(1_000_000),
         drain_grace: Micros(2_000_000),
-        cold_from: 0.3,
-        cold_for: Micros(10_000_000),
-        fall_multiple: 3.0,
+        slow_start_share: 0.3,
+        slow_start_period: Micros(10_000_000),
+        overload_multiple: 3.0,
         ..Settings::default()
     }
 }
 
 fn joins(from: u32, to: u32) -> Vec<Event> {
-    let joined = |id: u32| Event::Joined {
+    let joined = |id: u32| Event::ProxyJoined {
         proxy: ProxyId(id),
         zone: ZoneId((id % u32::from(ZONES)) as u16),
-        rate: 2.0 + f64::from(id % 5),
-        brought: true,
+        request_rate: 2.0 + f64::from(id % 5),
+        has_previous_table: true,
     };
     (from..to).map(joined).collect()
 }
 
 /// An instance that knows its list.
 fn begun(servers: u32, proxies: u32) -> Policy {
-    let entry = |id: u32| Entry {
+    let entry = |id: u32| Endpoint {
         server: ServerId(id),
         zone: ZoneId((id % u32::from(ZONES)) as u16),
         weight: 4.0,
-        ..Entry::default()
+        ..Endpoint::default()
     };
     let mut policy = Policy::new(settings(proxies), 7);
-    policy.handle(
+    policy.handle_events(
         Micros(0),
-        &[Event::Members(
-            ListKind::WarmCopy,
+        &[Event::EndpointList(
+            EndpointUpdateKind::CachedSnapshot,
             (0..servers).map(entry).collect(),
         )],
     );
@@ -75,18 +75,18 @@
 fn join(policy: &mut Policy, proxies: u32) {
     for batch in 0..proxies / AT_ONCE {
         let now = Micros(1_000_000 + 2000 * i64::from(batch));
-        let actions = policy.handle(now, &joins(batch * AT_ONCE, (batch + 1) * AT_ONCE));
+        let actions = policy.handle_events(now, &joins(batch * AT_ONCE, (batch + 1) * AT_ONCE));
         answer(policy, now, &actions);
     }
 }
 
 fn answer(policy: &mut Policy, now: Micros, actions: &[Action]) {
     let mark = actions.iter().find_map(|action| match action {
-        Action::Mark { mark, .. } => Some(*mark),
+        Action::RequestAcknowledgement { sequence: mark, .. } => Some(*mark),
         _ => None,
     });
     let bound = actions.iter().filter_map(|action| match action {
-        Action::Bind { proxy, .. } => Some(*proxy),
+        Action::AssignTable { proxy, .. } => Some(*proxy),
         _ => None,
     });
     let took = Micros(1000);
@@ -94,9 +94,13 @@
         .into_iter()
         .flat_map(|mark| bound.clone().map(move |proxy| (proxy, mark)));
     let receipts: Vec<_> = receipts
-        .map(|(proxy, mark)| Event::Receipt { proxy, mark, took })
+        .map(|(proxy, mark)| Event::Acknowledged {
+            proxy,
+            sequence: mark,
+            elapsed: took,
+        })
         .collect();
-    policy.handle(now, &receipts);
+    policy.handle_events(now, &receipts);
 }
 
 fn tick(c: &mut Criterion) {
@@ -106,16 +110,16 @@
         let mut policy = begun(servers, proxies);
         join(&mut policy, proxies);
         let mut now = Micros(60_000_000);
-        let heard = |id: u32| Event::Heard {
+        let heard = |id: u32| Event::ServerOutcomes {
             zone: ZoneId(0),
             server: ServerId(id),
-            tries: 8.0,
+            attempts: 8.0,
             failed: 0.0,
-            mean_ms: 120.0 + f64::from(id % 7),
+            mean_latency_ms: 120.0 + f64::from(id % 7),
             period: Micros(1_000_000),
-            load: Load {
-                queue: Some(0.5),
-                ..Load::default()
+            load: LoadReport {
+                queued: Some(0.5),
+                ..LoadReport::default()
             },
         };
         let mut events: Vec<Event> = (0..servers).map(heard).collect();
@@ -124,7 +128,7 @@
         group.bench_function(BenchmarkId::new("stands", &size), |b| {
             b.iter(|| {
                 now = now + Micros(500_000);
-                policy.handle(now, &events)
+                policy.handle_events(now, &events)
             });
         });
         group.bench_function(BenchmarkId::new("all join", &size), |b| {
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -65,29 +65,29 @@
 
 /// What a second run of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing more than the first.
-    Safe,
+    Idempotent,
     /// Dropped as a repeat by the servers of the scope, for this long after the first try was sent.
-    Keyed(Scope, Micros),
+    Keyed(DeduplicationScope, Micros),
     /// The effect would happen twice.
-    Unsafe,
+    NotIdempotent,
 }
 
-impl Effect {
+impl Idempotency {
     /// Whether a second run, anywhere and within so long after the first, changes nothing.
-    pub fn harmless(self, within: Micros) -> bool {
+    pub fn is_idempotent_within(self, within: Micros) -> bool {
         match self {
-            Effect::Safe => true,
-            Effect::Keyed(Scope::All, window) => window >= within,
-            Effect::Keyed(..) | Effect::Unsafe => false,
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed(DeduplicationScope::All, window) => window >= within,
+            Idempotency::Keyed(..) | Idempotency::NotIdempotent => false,
         }
     }
 }
 
 /// The servers among which a repeat is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// All servers.
     All,
     /// Those of one zone.
@@ -103,7 +103,7 @@
     #[default]
     Never,
     /// Once, after proof that the first try did not run.
-    Unrun,
+    IfNotExecuted,
     /// Once, after any failure.
     Once,
     /// Twice, after any failure.
@@ -112,49 +112,49 @@
 
 /// How a level of admission is understood.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LevelKind {
+pub enum AdmissionUnit {
     /// The admitted share of what comes.
-    Fraction,
+    Share,
     /// Requests per second at each proxy.
-    PerSecond,
+    RequestsPerSecond,
     /// Levels are ignored; only retry orders are followed.
     #[default]
-    Silent,
+    Unsupported,
 }
 
 /// How a proxy chooses among the lines of a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Pick {
+pub enum PickPolicy {
     /// At random, by weight.
     #[default]
     Random,
     /// Evenly in turn, by weight.
-    Rotate,
+    WeightedRoundRobin,
     /// Of two drawn by weight, the one with fewer of the proxy's own requests.
-    LeastOfTwo,
+    PowerOfTwoChoices,
 }
 
 /// What a listed weight tells of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedWeight {
     /// Nothing.
     #[default]
-    Silent,
+    Unspecified,
     /// Its registered capacity.
-    Nominal,
+    RegisteredCapacity,
     /// Its approximate size, whatever the speed of its parts.
-    Rough,
+    ApproximateSize,
     /// Its size divided by its recent load.
-    Live,
+    SizeOverLoad,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportSource {
     /// With tallies and probe results.
-    Answers,
+    ResponsesAndHealthChecks,
     /// With probe results only.
-    Probes,
+    HealthChecks,
     /// There are none.
     #[default]
     None,
@@ -164,15 +164,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// Answers within this time earn the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The client gives up after this time, all tries counted.
     pub deadline: Micros,
     /// What an answer in time is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// What a second run would do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Served only by servers in the proxy's own zone.
-    pub home_only: bool,
+    pub zone_local: bool,
 }
 
 /// What a limit counts as that the settings do not name, or name as nothing.
@@ -194,65 +194,65 @@
     /// Number of slices; without slices tables are the instance's own.
     pub slices: usize,
     /// A slice has a single owner.
-    pub sole_owner: bool,
+    pub exclusive_ownership: bool,
     /// How long a proxy that lost its stream goes on sending writes to the owner it knows.
     pub lease: Micros,
     /// The longest time a write stays in hand at a server.
-    pub settle: Micros,
+    pub write_settle_time: Micros,
     /// The list of servers comes only when asked for.
-    pub list_on_request: bool,
+    pub endpoints_on_request: bool,
     /// How often a list on request must be asked for by an instance without a subscription.
-    pub ask_every: Micros,
+    pub poll_interval: Micros,
     /// How levels are understood.
-    pub levels: LevelKind,
+    pub admission_unit: AdmissionUnit,
     /// The retry order in force where none was given.
-    pub usual_retry: Retry,
+    pub default_retry: Retry,
     /// A try that may be followed waits this multiple of the aim.
-    pub first_wait: f64,
+    pub attempt_timeout_factor: f64,
     /// How proxies choose among lines.
-    pub pick: Pick,
+    pub pick_policy: PickPolicy,
     /// A proxy avoids a server after this many failures of its own in a row; 0: never.
-    pub proxy_ejects_after: u32,
+    pub proxy_ejection_threshold: u32,
     /// What listed weights tell.
-    pub listed: Listed,
+    pub listed_weight: ListedWeight,
     /// Where load reports come from.
-    pub reports: ReportSource,
+    pub report_source: ReportSource,
     /// Interval at which reports are gathered.
     pub report_period: Micros,
     /// Probes are allowed.
-    pub probes: bool,
+    pub health_checks_allowed: bool,
     /// Points of service each probe for each request costs.
-    pub probe_price: f64,
+    pub health_check_cost: f64,
     /// Points of service each zone crossing for each request costs.
-    pub cross_price: f64,
+    pub zone_crossing_cost: f64,
     /// Lines allowed to wait in the channel, headers included.
-    pub backlog: f64,
+    pub channel_backlog: f64,
     /// Lines a second the channel sends usually.
-    pub lines_per_s: f64,
+    pub channel_lines_per_second: f64,
     /// Lines each message costs beside its own.
-    pub message_head: f64,
+    pub message_overhead: f64,
     /// The longest way of a message from the channel to the proxy.
-    pub way_most: Micros,
+    pub max_delivery_delay: Micros,
     /// After this long without a request a proxy closes a connection.
-    pub idle_close: Micros,
+    pub idle_timeout: Micros,
     /// Messages that may be written to one proxy within the window; 0: any number.
-    pub messages_most: usize,
+    pub max_messages: usize,
     /// The window for that count.
-    pub messages_window: Micros,
+    pub message_window: Micros,
     /// The longest time a proxy may be without a server to pick.
-    pub unserved_most: Micros,
+    pub max_unserved: Micros,
     /// The time within which sending to a draining server must end.
     pub drain_grace: Micros,
     /// A server dropped from the list without having drained may stay in tables.
-    pub drain_binds_alone: bool,
+    pub explicit_drain_only: bool,
     /// The least share of its capacity a server starts with.
-    pub cold_from: f64,
+    pub slow_start_share: f64,
     /// The time after which a started server is warm.
-    pub cold_for: Micros,
+    pub slow_start_period: Micros,
     /// A cold server falls over at more than this multiple of what it can do.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// The time over which that multiple is counted.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
 }
 
 /// What the list says of a server's life.
@@ -264,147 +264,147 @@
     /// Completing its work; nothing new may be sent.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of the list of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its machine kind, an index without meaning.
-    pub kind: u32,
+    pub machine_kind: u32,
     /// Its cell.
     pub cell: u32,
     /// Its life.
-    pub life: Lifecycle,
+    pub lifecycle: Lifecycle,
     /// Its listed weight.
     pub weight: f64,
     /// Its latest start, if that is not long ago.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// How a delivery of the list is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointUpdateKind {
     /// Changed entries only.
-    Changes,
+    Delta,
     /// The complete list.
-    Complete,
+    Snapshot,
     /// The complete list as last held, possibly stale.
-    WarmCopy,
+    CachedSnapshot,
     /// A call or the subscription failed; the list stays as it was.
-    Lost,
+    Unavailable,
 }
 
 /// A load report; what a deployment does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests being handled.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests waiting.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Share of the cores in use.
-    pub util: Option<f64>,
+    pub utilization: Option<f64>,
     /// Recent service time, without waiting, in milliseconds.
     pub latency_ms: Option<f64>,
     /// Requests served per second.
-    pub qps: Option<f64>,
+    pub requests_per_second: Option<f64>,
     /// Errors per second.
-    pub eps: Option<f64>,
+    pub errors_per_second: Option<f64>,
 }
 
 /// How a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeEnd {
+pub enum HealthCheckOutcome {
     /// Answered.
-    Done,
+    Passed,
     /// Answered with an error.
     Error,
     /// Turned away: the server drains or answers too many probes.
-    Busy,
+    Rejected,
     /// No answer in time.
     TimedOut,
     /// The connection was refused or broke.
     Unreachable,
     /// An ending that says nothing of the server.
-    Other,
+    Inconclusive,
 }
 
 /// What an instance can learn.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of servers.
-    Members(ListKind, Vec<Entry>),
+    EndpointList(EndpointUpdateKind, Vec<Endpoint>),
     /// A proxy's stream to this instance stands; `rate` is its usual traffic in requests per second.
-    Joined {
+    ProxyJoined {
         /** The proxy. */
         proxy: ProxyId,
         /** Its zone. */
         zone: ZoneId,
         /** Its traffic. */
-        rate: f64,
+        request_rate: f64,
         /** It may hold another instance's withdrawals, which its first table puts right at a line a server. */
-        brought: bool,
+        has_previous_table: bool,
     },
     /// A proxy's stream broke; it goes on with what it holds. What waited for it is lost.
-    Left(ProxyId),
+    ProxyLeft(ProxyId),
     /// This instance ended a proxy's stream, though the proxy may live: what waited for it may wait in the channel still.
-    Ended(ProxyId),
+    StreamClosed(ProxyId),
     /// What the joined proxies of a zone met at a server.
-    Heard {
+    ServerOutcomes {
         /** Zone of the proxies. */
         zone: ZoneId,
         /** The server. */
         server: ServerId,
         /** Tries that ended. */
-        tries: f64,
+        attempts: f64,
         /** Those without a good answer. */
         failed: f64,
         /** Mean time of the good ones, in milliseconds; 0 if none. */
-        mean_ms: f64,
+        mean_latency_ms: f64,
         /** Time over which it was counted. */
         period: Micros,
         /** Newest load report. */
-        load: Load,
+        load: LoadReport,
     },
     /// Requests of a class that came to a proxy.
-    Usage {
+    ProxyDemand {
         /** The proxy. */
         proxy: ProxyId,
         /** The class. */
         class: ClassId,
         /** Requests that came. */
-        came: f64,
+        arrivals: f64,
         /** Admitted ones without an answer. */
         failed: f64,
         /** Time over which it was counted. */
         period: Micros,
     },
     /// Requests of a class that came for a slice.
-    SliceUsage {
+    SliceDemand {
         /** The slice. */
         table: TableId,
         /** The class. */
         class: ClassId,
         /** Requests that came. */
-        came: f64,
+        arrivals: f64,
         /** Admitted ones without an answer. */
         failed: f64,
         /** Time over which it was counted. */
         period: Micros,
     },
     /// A slice was put in this instance's charge, or taken from it.
-    Tenure {
+    SliceOwnership {
         /** The slice. */
         table: TableId,
         /** Given or taken. */
-        given: bool,
+        granted: bool,
     },
     /// One line of a slice's table, as stored.
-    Held {
+    PublishedWeight {
         /** The slice. */
         table: TableId,
         /** The server. */
@@ -413,27 +413,27 @@
         weight: f64,
     },
     /// A proxy has applied the message that carried this mark.
-    Receipt {
+    Acknowledged {
         /** The proxy. */
         proxy: ProxyId,
         /** The mark. */
-        mark: u16,
+        sequence: u16,
         /** Order to effect. */
-        took: Micros,
+        elapsed: Micros,
     },
     /// The result of a probe.
-    Probed {
+    HealthChecked {
         /** The server. */
         server: ServerId,
         /** How it ended. */
-        end: ProbeEnd,
+        outcome: HealthCheckOutcome,
         /** Time since it was sent. */
-        took: Micros,
+        elapsed: Micros,
         /** Load report, if one came with it. */
-        load: Load,
+        load: LoadReport,
     },
     /// A message of another instance.
-    Peer {
+    PeerMessage {
         /** The sender. */
         from: u32,
         /** The payload. */
@@ -456,42 +456,42 @@
     /// The most of a class that is let in, as a share.
     pub caps: Vec<(ClassId, f64)>,
     /// Classes that are not to be tried again.
-    pub never: ClassSet,
+    pub no_retry: ClassSet,
     /// Servers to leave out, and until when.
     pub excluded: Vec<(ServerId, Micros)>,
     /// Classes that are steered apart from the others, in tables of their own.
-    pub apart: ClassSet,
+    pub separate_tables: ClassSet,
     /// When all but that ends, unless it is said again.
-    pub until: Micros,
+    pub expires_at: Micros,
 }
 
 /// What limits on service decide. What is not named is as it would be without them; it ends by itself.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
     /// The least share of requests to refuse, beside what saturation tells.
-    pub refuse: Option<f64>,
+    pub min_shed_share: Option<f64>,
     /// The same for usual proxies and for those that bring more than a part can bear, where these have tables of their own.
-    pub heavy: Option<(f64, f64)>,
+    pub shed_by_weight_class: Option<(f64, f64)>,
     /// The most of a class that is let in, as a share.
-    pub keep: Vec<(ClassId, f64)>,
+    pub admitted: Vec<(ClassId, f64)>,
     /// How a class may be tried again.
-    pub again: Vec<(ClassId, Retry)>,
+    pub retries: Vec<(ClassId, Retry)>,
     /// When all of it ends, unless it is said again.
-    pub until: Micros,
+    pub expires_at: Micros,
 }
 
 impl Limits {
     /// The most of a class that is let in: what is no number says nothing.
-    pub fn keeps(&self, class: usize) -> f64 {
+    pub fn admitted_share(&self, class: usize) -> f64 {
         let own = self
-            .keep
+            .admitted
             .iter()
             .filter(|(of, keep)| usize::from(of.0) == class && !keep.is_nan());
         own.fold(1.0, |least, (_, keep)| least.min(*keep))
     }
     /// How a class may be tried again, if anything is said of it: the narrowest.
     pub fn again(&self, class: usize) -> Option<Retry> {
-        self.again
+        self.retries
             .iter()
             .filter(|(of, _)| usize::from(of.0) == class)
             .map(|(_, again)| *again)
@@ -503,7 +503,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sets a line of a table; weight 0 removes it.
-    Line {
+    SetWeight {
         /** The table. */
         table: TableId,
         /** The server. */
@@ -512,9 +512,9 @@
         weight: f64,
     },
     /// Removes all lines and levels of a table.
-    Clear(TableId),
+    ClearTable(TableId),
     /// Puts a joined proxy on a table for some classes.
-    Bind {
+    AssignTable {
         /** The proxy. */
         proxy: ProxyId,
         /** The table. */
@@ -524,14 +524,14 @@
     },
     /// Shuts a server out of all tables of joined proxies, or lets it in again. A proxy that has none of this instance's
     /// tables yet may learn of it with the first.
-    Withdraw {
+    SetSuspended {
         /** The server. */
         server: ServerId,
         /** Out or in. */
-        out: bool,
+        suspended: bool,
     },
     /// Sets the level and retry order of classes in a table, or for all joined proxies without one.
-    Admit {
+    SetAdmission {
         /** The table; none: all joined proxies. */
         table: Option<TableId>,
         /** The classes. */
@@ -542,27 +542,27 @@
         retry: Retry,
     },
     /// Asks each proxy reached by this turn's orders for a receipt.
-    Mark {
+    RequestAcknowledgement {
         /** The number to echo. */
-        mark: u16,
+        sequence: u16,
         /** Reach all joined proxies. */
-        everyone: bool,
+        all_proxies: bool,
     },
     /// Probes a server.
-    Probe(ServerId),
+    HealthCheck(ServerId),
     /// Asks for changes of the list from now on, or no more.
-    Subscribe(bool),
+    SubscribeEndpoints(bool),
     /// Asks for the complete list once.
-    FetchList,
+    FetchEndpoints,
     /// Asks for a timer.
-    Timer {
+    SetTimer {
         /** The number to return. */
         id: u32,
         /** Time from now. */
-        after: Micros,
+        delay: Micros,
     },
     /// Sends a message to another instance, or to all.
-    Tell {
+    SendToPeer {
         /** The receiver; none: all. */
         peer: Option<u32>,
         /** The payload. */
@@ -572,14 +572,14 @@
     /// withdrawals. With its first table it is told of those alone that were seen to leave here.
     Reconcile(ProxyId),
     /// A server is long gone and no table names it: nothing need be kept of it. It may be listed again, as a new one.
-    Forget(ServerId),
+    ForgetServer(ServerId),
     /// Something to tell; nothing follows from it.
-    Note(Note),
+    Emit(DecisionEvent),
 }
 
 /// The three states of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum HealthState {
     /// It has the weight that its size and speed give it.
     #[default]
     Full,
@@ -591,7 +591,7 @@
 
 /// What a change of state comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum HealthChangeCause {
     /// The score, both terms alike.
     Score,
     /// Mostly tries that failed.
@@ -599,24 +599,24 @@
     /// Mostly times that grew.
     Latency,
     /// Mostly probes that failed.
-    Probes,
+    HealthChecks,
     /// The time out is over: it is tried again.
-    TriedAgain,
+    EjectionElapsed,
     /// Enough good ticks in a row.
-    GoodTicks,
+    SustainedRecovery,
 }
 
 /// What the decisions tell of themselves.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum DecisionEvent {
     /// A server's state changed.
-    State {
+    HealthChanged {
         /** The server. */
         server: ServerId,
         /** Its zone. */
         zone: ZoneId,
         /** The state it is in now. */
-        state: State,
+        state: HealthState,
         /** Its smoothed score. */
         score: f64,
         /** The error term, 1 being free. */
@@ -624,57 +624,57 @@
         /** The latency term. */
         latency: f64,
         /** What it comes from. */
-        cause: Cause,
+        cause: HealthChangeCause,
     },
     /// The list tells of another life of a server.
-    Life {
+    LifecycleChanged {
         /** The server. */
         server: ServerId,
         /** Its zone. */
         zone: ZoneId,
         /** Its life. */
-        life: Lifecycle,
+        lifecycle: Lifecycle,
     },
     /// Cold servers are held out of tables, or let in again.
-    Cold {
+    WarmingWithheld {
         /** Held out. */
-        held: bool,
+        withheld: bool,
         /** Tries that an answer takes. */
-        tries: f64,
+        attempts_per_answer: f64,
     },
     /// A zone answers no probes while another does, or answers again.
-    Cut {
+    ZonePartition {
         /** The zone. */
         zone: ZoneId,
         /** It is cut off. */
-        cut: bool,
+        partitioned: bool,
         /** Share of its servers that answer no probe. */
-        mute: f64,
+        unanswered_share: f64,
     },
     /// The share of requests refused moved by a tenth.
     Saturation {
         /** The share refused. */
-        refused: f64,
+        shed_share: f64,
         /** The smoothed saturation. */
-        strain: f64,
+        saturation: f64,
         /** Its term by the queues that servers report. */
-        queues: f64,
+        queue_term: f64,
         /** By the time that probes take. */
-        probes: f64,
+        latency_term: f64,
         /** By the probes that fail. */
-        mute: f64,
+        unanswered_term: f64,
     },
     /// Advice on a table's servers is void, or holds again: it would leave the table too little.
-    Void {
+    AdviceOverruled {
         /** The table. */
         table: TableId,
         /** It is void. */
-        void: bool,
+        overruled: bool,
     },
     /// The fleet was dealt into parts anew.
-    Parts {
+    Resharded {
         /** How many. */
-        parts: usize,
+        shards: usize,
         /** More than usual, since tries fail everywhere. */
         narrowed: bool,
     },
@@ -682,11 +682,11 @@
 
 /// A server as the decisions see it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct ServerStatus {
     /** What the list says of it. */
-    pub entry: Entry,
+    pub endpoint: Endpoint,
     /** Its state. */
-    pub state: State,
+    pub state: HealthState,
     /** Its smoothed score. */
     pub score: f64,
     /** The error and the latency term of the last tick, 1 being free. */
@@ -694,28 +694,28 @@
     /** Its weight before what tables make of it. */
     pub weight: f64,
     /** Share of its capacity that it is sure to have. */
-    pub warmth: f64,
+    pub warm_up_share: f64,
     /** It is shut out of all tables. */
-    pub shut: bool,
+    pub suspended: bool,
 }
 
 /// The fleet in figures.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct FleetStatus {
     /** Lines waiting in the channel. */
-    pub waiting: f64,
+    pub queued_lines: f64,
     /** How long they take, at the channel's present pace. */
-    pub wait: Micros,
+    pub queue_delay: Micros,
     /** Share of requests refused. */
-    pub refused: f64,
+    pub shed_share: f64,
     /** The smoothed saturation. */
-    pub strain: f64,
+    pub saturation: f64,
     /** Requests a second that come to all joined proxies. */
-    pub demand: f64,
+    pub request_rate: f64,
     /** What warm servers weigh, by what is left of them. */
-    pub warm: f64,
+    pub warm_weight: f64,
     /** Share of the zones that are cut off. */
-    pub cut: f64,
+    pub partitioned_share: f64,
     /** The lowest level of each class in any table; a rate counts as the share it admits of the highest. */
-    pub levels: Vec<f64>,
+    pub admitted_shares: Vec<f64>,
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -122,7 +122,7 @@
 const TICK_TIMER: u32 = 1;
 
 impl Server {
-    fn new(entry: Entry, warm: bool) -> Self {
+    fn new(entry: Endpoint, warm: bool) -> Self {
         let mut server = Server {
             entry,
             return_after: RESTORE_TICKS,
@@ -130,9 +130,9 @@
             ..Server::default()
         };
         let (state, score) = if warm {
-            (State::Full, 1.0)
+            (HealthState::Full, 1.0)
         } else {
-            (State::Reduced, NEW_SCORE)
+            (HealthState::Reduced, NEW_SCORE)
         };
         server.enter(state, score, score);
         server
@@ -150,21 +150,21 @@
         self.speed.fade(elapsed, SPEED_HALF_LIFE);
     }
 
-    fn report(&mut self, load: &Load) {
-        let by_use = load.util.map(|util| full(util, BUSY_UTIL));
-        if let Some(busy) = load.queue.map(|queue| full(queue, BUSY_QUEUE)).or(by_use) {
+    fn report(&mut self, load: &LoadReport) {
+        let by_use = load.utilization.map(|util| full(util, BUSY_UTIL));
+        if let Some(busy) = load.queued.map(|queue| full(queue, BUSY_QUEUE)).or(by_use) {
             self.busy.add(busy, 1.0);
         }
         // A repeated report is no news of a speed; what a server shows while none waits tells more.
         let news = std::mem::replace(&mut self.last_load, *load) != *load;
         if let Some(ms) = load.latency_ms.filter(|ms| news && *ms > 0.0) {
-            let weight = 1.0 / (1.0 + load.queue.unwrap_or(0.0));
+            let weight = 1.0 / (1.0 + load.queued.unwrap_or(0.0));
             self.speed.service.add(ms * weight, weight);
         }
     }
 
-    fn probed(&mut self, end: ProbeEnd, took: Micros, way: f64) {
-        if end == ProbeEnd::Done {
+    fn probed(&mut self, end: HealthCheckOutcome, took: Micros, way: f64) {
+        if end == HealthCheckOutcome::Passed {
             let speed = 1.0 / (took.secs() - way).max(took.secs() / 4.0).max(1e-6);
             self.speed
                 .probes
@@ -189,8 +189,12 @@
         let probing = &mut self.probing;
         let asked = probing.asked.take();
         match end {
-            ProbeEnd::Done | ProbeEnd::Busy | ProbeEnd::Other => {}
-            ProbeEnd::Error | ProbeEnd::TimedOut | ProbeEnd::Unreachable => {
+            HealthCheckOutcome::Passed
+            | HealthCheckOutcome::Rejected
+            | HealthCheckOutcome::Inconclusive => {}
+            HealthCheckOutcome::Error
+            | HealthCheckOutcome::TimedOut
+            | HealthCheckOutcome::Unreachable => {
                 probing.failing += 1;
                 probing.next = asked.map_or(probing.next, |asked| asked + TICK);
                 probing.failed += PROBE_TRIES * f64::from(probing.failing);
@@ -237,7 +241,7 @@
     /// An instance that knows its settings and nothing else.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let channel = Channel {
-            pace: settings.lines_per_s,
+            pace: settings.channel_lines_per_second,
             ..Channel::default()
         };
         let came = vec![Fading::default(); settings.classes.len()];
@@ -255,20 +259,20 @@
     }
 
     /// Takes in what happened by `now` and returns the orders to give.
-    pub fn handle(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
+    pub fn handle_events(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         let mut out = Vec::new();
         if !std::mem::replace(&mut self.started, true) {
             self.ticked = now;
             out.extend(
                 self.settings
-                    .list_on_request
-                    .then_some(Action::Subscribe(true)),
+                    .endpoints_on_request
+                    .then_some(Action::SubscribeEndpoints(true)),
             );
             // Instances that tick in step would act in step on the same reports.
             let first = Micros(TICK.0 / 2 + (self.seed % (TICK.0 as u64 / 2)) as i64);
-            out.push(Action::Timer {
+            out.push(Action::SetTimer {
                 id: TICK_TIMER,
-                after: first,
+                delay: first,
             });
         }
         for event in events {
@@ -276,9 +280,9 @@
         }
         let ticks = events.contains(&Event::Timer(TICK_TIMER));
         if ticks {
-            out.push(Action::Timer {
+            out.push(Action::SetTimer {
                 id: TICK_TIMER,
-                after: TICK,
+                delay: TICK,
             });
             self.tick(now, &mut out);
         }
@@ -286,12 +290,16 @@
         let news = |e: &Event| {
             matches!(
                 e,
-                Event::Members(..) | Event::Joined { .. } | Event::Tenure { .. }
+                Event::EndpointList(..) | Event::ProxyJoined { .. } | Event::SliceOwnership { .. }
             )
         };
-        let frees =
-            |e: &Event| matches!(e, Event::Receipt { .. } | Event::Left(_) | Event::Ended(_));
-        let freed = |e: &Event| self.settings.sole_owner && frees(e);
+        let frees = |e: &Event| {
+            matches!(
+                e,
+                Event::Acknowledged { .. } | Event::ProxyLeft(_) | Event::StreamClosed(_)
+            )
+        };
+        let freed = |e: &Event| self.settings.exclusive_ownership && frees(e);
         if ticks || events.iter().any(|event| news(event) || freed(event)) {
             self.probe(now, &mut out);
             self.publish(now, &mut out);
@@ -303,13 +311,15 @@
 
     fn take(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::Members(ListKind::Lost, _) => self.subscribe_at = Some(now + UPDATE_EVERY),
-            Event::Members(kind, entries) => self.members(now, *kind, entries),
-            Event::Joined {
+            Event::EndpointList(EndpointUpdateKind::Unavailable, _) => {
+                self.subscribe_at = Some(now + UPDATE_EVERY)
+            }
+            Event::EndpointList(kind, entries) => self.members(now, *kind, entries),
+            Event::ProxyJoined {
                 proxy,
                 zone,
-                rate,
-                brought,
+                request_rate: rate,
+                has_previous_table: brought,
             } => {
                 let came = Fading {
                     sum: *rate,
@@ -323,9 +333,9 @@
                 };
                 self.proxies.insert(*proxy, joined);
             }
-            Event::Left(proxy) | Event::Ended(proxy) => {
+            Event::ProxyLeft(proxy) | Event::StreamClosed(proxy) => {
                 self.proxies.remove(proxy);
-                if *event == Event::Left(*proxy) {
+                if *event == Event::ProxyLeft(*proxy) {
                     self.channel.lost(*proxy);
                 }
                 let waiting = self.slices.values_mut().flatten();
@@ -334,12 +344,12 @@
                     handover.not_before = handover.not_before.max(now + self.settings.lease);
                 }
             }
-            Event::Heard {
+            Event::ServerOutcomes {
                 zone,
                 server,
-                tries,
+                attempts: tries,
                 failed,
-                mean_ms,
+                mean_latency_ms: mean_ms,
                 load,
                 ..
             } => {
@@ -352,10 +362,10 @@
                     server.report(load);
                 }
             }
-            Event::Probed {
+            Event::HealthChecked {
                 server,
-                end,
-                took,
+                outcome: end,
+                elapsed: took,
                 load,
             } => {
                 if let Some(server) = self.servers.get_mut(server) {
@@ -368,9 +378,18 @@
                     server.report(load);
                 }
             }
-            Event::Usage { class, came, .. } | Event::SliceUsage { class, came, .. } => {
+            Event::ProxyDemand {
+                class,
+                arrivals: came,
+                ..
+            }
+            | Event::SliceDemand {
+                class,
+                arrivals: came,
+                ..
+            } => {
                 let classes = self.admission.came.len() as f64;
-                if let Event::Usage { proxy, period, .. } = event {
+                if let Event::ProxyDemand { proxy, period, .. } = event {
                     self.proxies
                         .entry(*proxy)
                         .and_modify(|p| p.came.add(*came, period.secs() / classes));
@@ -381,7 +400,11 @@
                     .into_iter()
                     .for_each(|c| c.add(*came, 1.0));
             }
-            Event::Receipt { proxy, mark, took } => {
+            Event::Acknowledged {
+                proxy,
+                sequence: mark,
+                elapsed: took,
+            } => {
                 self.channel.confirmed(now, *proxy, *mark, *took);
                 for handover in self
                     .slices
@@ -392,12 +415,15 @@
                     handover.waits_for.remove(proxy);
                 }
             }
-            Event::Tenure { table, given } => {
+            Event::SliceOwnership {
+                table,
+                granted: given,
+            } => {
                 self.tables.insert(*table, Table::default());
                 self.slices.remove(table);
                 self.slices.extend(given.then_some((*table, None)));
             }
-            Event::Held {
+            Event::PublishedWeight {
                 table,
                 server,
                 weight,
@@ -410,7 +436,7 @@
             }
             Event::Advice(advice) => self.take_advice(now, advice),
             Event::Limits(limits) => self.limits = limits.clone(),
-            Event::Peer { .. } | Event::Timer(_) => {}
+            Event::PeerMessage { .. } | Event::Timer(_) => {}
         }
     }
 
@@ -425,38 +451,38 @@
             return;
         }
         self.advised = Advised {
-            until: advice.until.min(now + ADVICE.1),
+            until: advice.expires_at.min(now + ADVICE.1),
             ..Advised::of(advice, now)
         };
-        self.apart = advice.apart;
+        self.apart = advice.separate_tables;
         if self.admission.strain >= REFUSE.0 {
             self.advised.factors.clear();
             self.advised.excluded.clear();
         }
     }
 
-    fn members(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) {
+    fn members(&mut self, now: Micros, kind: EndpointUpdateKind, entries: &[Endpoint]) {
         let first = self.servers.is_empty();
-        if kind != ListKind::Changes {
+        if kind != EndpointUpdateKind::Delta {
             let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
             for (_, server) in self
                 .servers
                 .iter_mut()
                 .filter(|(id, _)| !listed.contains(*id))
             {
-                server.entry.life = Lifecycle::Gone;
+                server.entry.lifecycle = Lifecycle::Removed;
             }
         }
         // Dealt in turn by zone and kind: each part of the fleet gets its share of both.
-        let mut ordered: Vec<&Entry> = entries.iter().collect();
-        ordered.sort_by_key(|entry| (entry.zone, entry.kind, entry.server));
+        let mut ordered: Vec<&Endpoint> = entries.iter().collect();
+        ordered.sort_by_key(|entry| (entry.zone, entry.machine_kind, entry.server));
         for entry in ordered {
             let cold = entry
-                .started
-                .is_some_and(|started| now - started < self.settings.cold_for);
+                .started_at
+                .is_some_and(|started| now - started < self.settings.slow_start_period);
             match self.servers.get_mut(&entry.server) {
                 // A process that started anew is another server in all that matters: cold, with no past.
-                Some(known) if entry.started > known.entry.started => {
+                Some(known) if entry.started_at > known.entry.started_at => {
                     let (shut, ordinal, told) = (known.shut, known.ordinal, known.told);
                     *known = Server {
                         shut,
@@ -468,7 +494,7 @@
                 Some(known) => known.entry = *entry,
                 None => {
                     // One that was forgotten may be shut out by name, or is listed only now that it leaves.
-                    let shut = !first && entry.life == Lifecycle::InService;
+                    let shut = !first && entry.lifecycle == Lifecycle::InService;
                     let new = Server {
                         shut,
                         ordinal: self.listed,
@@ -493,13 +519,13 @@
             };
         }
         // Danger: limits whose maker stands still would refuse for good.
-        if self.limits.until <= now || self.limits.until > now + ADVICE.1 {
+        if self.limits.expires_at <= now || self.limits.expires_at > now + ADVICE.1 {
             self.limits = Limits::default();
         }
         out.extend(
             self.subscribe_at
                 .take_if(|at| *at <= now)
-                .map(|_| Action::Subscribe(true)),
+                .map(|_| Action::SubscribeEndpoints(true)),
         );
         self.link_latency = link_latency(self.open().map(|(_, server)| server), self.settings.zone);
         self.pace(elapsed);
@@ -520,10 +546,10 @@
         let shut: BTreeSet<ZoneId> = cut.keys().copied().collect();
         for &zone in shut.symmetric_difference(&self.cut) {
             let mute = cut.get(&zone).copied().unwrap_or(0.0);
-            out.push(Action::Note(Note::Cut {
+            out.push(Action::Emit(DecisionEvent::ZonePartition {
                 zone,
-                cut: shut.contains(&zone),
-                mute,
+                partitioned: shut.contains(&zone),
+                unanswered_share: mute,
             }));
         }
         self.cut = shut;
@@ -571,7 +597,7 @@
             if server.state != before {
                 let (state, score, cause) =
                     (server.state, server.score, view::cause(server, before));
-                let note = Note::State {
+                let note = DecisionEvent::HealthChanged {
                     server: *id,
                     zone,
                     state,
@@ -580,7 +606,7 @@
                     latency,
                     cause,
                 };
-                out.push(Action::Note(note));
+                out.push(Action::Emit(note));
             }
             server.fade(elapsed);
         }
@@ -657,7 +683,7 @@
 
     /// Danger: while nobody has work for the servers, what probes take passes for a usual speed that is none.
     fn probe(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let wanted = self.settings.probes && !self.proxies.is_empty();
+        let wanted = self.settings.health_checks_allowed && !self.proxies.is_empty();
         for (id, server) in self
             .servers
             .iter_mut()
@@ -670,7 +696,7 @@
                 && probing.next <= now
             {
                 (probing.asked, probing.next) = (Some(now), now + PROBE_EVERY.0);
-                out.push(Action::Probe(*id));
+                out.push(Action::HealthCheck(*id));
             }
         }
     }
@@ -688,8 +714,14 @@
                 .map(|speed| (speed, PROBE_WORTH))
                 .or_else(served)
         };
-        let nominal = self.settings.listed == Listed::Nominal;
-        let group = |server: &Server| if nominal { server.entry.kind } else { 0 };
+        let nominal = self.settings.listed_weight == ListedWeight::RegisteredCapacity;
+        let group = |server: &Server| {
+            if nominal {
+                server.entry.machine_kind
+            } else {
+                0
+            }
+        };
         let mut speeds = Lines::new();
         for of in self
             .open()
@@ -717,11 +749,11 @@
                 .unwrap_or(1.0)
                 .clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
             let share = match server.state {
-                State::Full => 1.0,
-                State::Reduced => (server.score / RESTORE_ABOVE)
+                HealthState::Full => 1.0,
+                HealthState::Reduced => (server.score / RESTORE_ABOVE)
                     .min(1.0 / server.slower)
                     .clamp(LEAST_SHARE, 1.0),
-                State::Withdrawn => 0.0,
+                HealthState::Withdrawn => 0.0,
             };
             server.weight = server.size() * speed * share.min(server.ceiling).min(server.warmth);
         }
@@ -853,7 +885,7 @@
             .flat_map(|(_, s)| s.heard.values().map(|e| (e.failed.weight, e.cost.weight)));
         let (tries, good) = seen.fold((0.0, 0.0), |sum, seen| (sum.0 + seen.0, sum.1 + seen.1));
         let beyond = ((tries + PRIOR_TRIES) / (good + PRIOR_TRIES)).max(1.0);
-        let out = self.settings.proxy_ejects_after > 0
+        let out = self.settings.proxy_ejection_threshold > 0
             && (beyond > COLD_OUT.0 || self.admission.strain > COLD_OUT.1 || tries <= 0.0);
         (COLD_DEMAND * beyond, out)
     }
@@ -886,11 +918,11 @@
         let warm = sum(lines);
         // Cold servers alone: nobody is sent to them until they can surely bear the work of all ever known.
         let bear: f64 = lines.keys().map(|id| of(id).0 * of(id).1).sum();
-        if warm <= 0.0 && bear * self.settings.fall_multiple < COLD_ALONE * known {
+        if warm <= 0.0 && bear * self.settings.overload_multiple < COLD_ALONE * known {
             lines.values_mut().for_each(|weight| *weight = 0.0);
         }
         let part =
-            |id: &ServerId| self.settings.fall_multiple / demand * of(id).0 * of(id).1 / listed;
+            |id: &ServerId| self.settings.overload_multiple / demand * of(id).0 * of(id).1 / listed;
         let cold = |id: &ServerId| warm > 0.0 && of(id).0 < 1.0;
         let whole = warm
             / (1.0
@@ -921,7 +953,7 @@
             .settings
             .classes
             .iter()
-            .map(|class| class.aim.secs() * 1000.0)
+            .map(|class| class.latency_objective.secs() * 1000.0)
             .sum();
         let aim = (aims / self.settings.classes.len().max(1) as f64).max(1.0);
         let failing =
@@ -930,7 +962,7 @@
         // Danger: the own trouble of some, which have less weight for it, would pass for a common jam.
         let well = |s: &Server| {
             s.loaded()
-                .filter(|_| s.state == State::Full && s.speed.service.sum > 0.0)
+                .filter(|_| s.state == HealthState::Full && s.speed.service.sum > 0.0)
         };
         let shared = full(self.median_over_work(well).unwrap_or(1.0), BUSY_STRETCH);
         let failing = quantile(zones.values().map(failing), 0.5).unwrap_or(0.0);
@@ -944,17 +976,19 @@
         let refused = REFUSE.1 * clamp01((admission.strain - REFUSE.0) / (1.0 - REFUSE.0));
         let refused = self
             .limits
-            .refuse
+            .min_shed_share
             .map_or(refused, |limit| limit.max(refused).min(REFUSE.1));
         let step = |refused: f64| (10.0 * refused).round();
-        if step(refused) != step(admission.refused) && self.settings.levels != LevelKind::Silent {
+        if step(refused) != step(admission.refused)
+            && self.settings.admission_unit != AdmissionUnit::Unsupported
+        {
             let strain = admission.strain;
-            out.push(Action::Note(Note::Saturation {
-                refused,
-                strain,
-                queues: busy.unwrap_or(0.0),
-                probes: shared,
-                mute,
+            out.push(Action::Emit(DecisionEvent::Saturation {
+                shed_share: refused,
+                saturation: strain,
+                queue_term: busy.unwrap_or(0.0),
+                latency_term: shared,
+                unanswered_term: mute,
             }));
         }
         admission.refused = refused;
@@ -969,7 +1003,7 @@
     /// Each class's level: the least worth for its time goes first; rates follow the busiest proxy's demand.
     fn class_levels(&self, refused: f64) -> Vec<(f64, Retry)> {
         let classes = &self.settings.classes;
-        let rates = self.settings.levels == LevelKind::PerSecond;
+        let rates = self.settings.admission_unit == AdmissionUnit::RequestsPerSecond;
         let mut levels = vec![if rates { ADMIT.1 } else { 1.0 }; classes.len()];
         let came = self.admission.came.iter().map(|came| came.sum + 1.0);
         let all: f64 = came.clone().sum();
@@ -980,15 +1014,15 @@
             .fold(0.0, f64::max);
         let mut order: Vec<(usize, f64)> = came.enumerate().collect();
         let value = |k: usize| {
-            classes
-                .get(k)
-                .map_or(0.0, |class| class.worth / class.aim.secs().max(0.001))
+            classes.get(k).map_or(0.0, |class| {
+                class.priority_weight / class.latency_objective.secs().max(0.001)
+            })
         };
         order.sort_by(|a, b| value(a.0).total_cmp(&value(b.0)));
         let mut refuse = refused * all;
         for (k, came) in order
             .into_iter()
-            .filter(|_| self.settings.levels != LevelKind::Silent)
+            .filter(|_| self.settings.admission_unit != AdmissionUnit::Unsupported)
         {
             let refused = refuse.min(came * (1.0 - ADMIT.0));
             refuse -= refused;
@@ -999,7 +1033,7 @@
                 .get(&k)
                 .copied()
                 .unwrap_or(1.0)
-                .min(self.limits.keeps(k));
+                .min(self.limits.admitted_share(k));
             let share = share.min(cap.max(ADMIT.0));
             if let Some(level) = levels.get_mut(k).filter(|_| share < 1.0) {
                 *level = if rates {
@@ -1019,34 +1053,47 @@
     /// No effect twice: a second try only after proof that the first did not run; or, where it surely changes
     /// nothing (keys hold twice as long as clients wait: clocks are off), if limits ask and there is room.
     fn again(&self, class: usize) -> Retry {
-        let safe = |of: &Class| of.effect.harmless(of.deadline + of.deadline);
+        let safe = |of: &Class| {
+            of.idempotency
+                .is_idempotent_within(of.deadline + of.deadline)
+        };
         let safe =
             self.settings.classes.get(class).is_some_and(safe) && self.admission.strain < REFUSE.0;
-        let most = if safe { Retry::Once } else { Retry::Unrun };
+        let most = if safe {
+            Retry::Once
+        } else {
+            Retry::IfNotExecuted
+        };
         let most = if self.advised.never.has(class) {
             Retry::Never
         } else {
             most
         };
-        self.limits.again(class).unwrap_or(Retry::Unrun).min(most)
+        self.limits
+            .again(class)
+            .unwrap_or(Retry::IfNotExecuted)
+            .min(most)
     }
 
     // ---- Rule guards and pacing ----
 
     fn publish(&mut self, now: Micros, out: &mut Vec<Action>) {
         // Short queue: what is not confirmed waits, however slow the channel; after long silence none does.
-        let (way, least) = (self.settings.way_most, PACE.0 * self.settings.lines_per_s);
+        let (way, least) = (
+            self.settings.max_delivery_delay,
+            PACE.0 * self.settings.channel_lines_per_second,
+        );
         let largest = Micros::from_ms(1000.0 * self.channel.largest() / least);
         self.channel
             .forget(now - way - way - CHANNEL_SILENT - largest);
-        let past = now - self.settings.messages_window;
+        let past = now - self.settings.message_window;
         self.proxies
             .values_mut()
             .for_each(|proxy| proxy.written.retain(|at| *at >= past));
         let mut orders = Orders::new(
             now,
             self.channel.waiting(),
-            self.settings.message_head + 1.0,
+            self.settings.message_overhead + 1.0,
         );
         self.shut_the_leaving(now, &mut orders);
         self.forget_the_gone(now, &mut orders);
@@ -1060,9 +1107,9 @@
         }
         if !orders.lines.is_empty() {
             let mark = self.channel.next_mark();
-            orders.actions.push(Action::Mark {
-                mark,
-                everyone: false,
+            orders.actions.push(Action::RequestAcknowledgement {
+                sequence: mark,
+                all_proxies: false,
             });
             for id in orders.lines.keys() {
                 self.proxies
@@ -1077,8 +1124,8 @@
     /// How fast the channel sends now: confirmations tell while the quickest come late, else it has room.
     fn pace(&mut self, elapsed: f64) {
         let gone = std::mem::take(&mut self.channel.gone) / elapsed.max(1e-3);
-        let (stated, pace) = (self.settings.lines_per_s, self.channel.pace);
-        let late = self.settings.way_most + TICK;
+        let (stated, pace) = (self.settings.channel_lines_per_second, self.channel.pace);
+        let late = self.settings.max_delivery_delay + TICK;
         let seen = |took| {
             if took > late {
                 smooth(pace, gone)
@@ -1099,14 +1146,14 @@
     fn fits(&self, orders: &Orders, to: &[ProxyId], lines: f64, kind: Fill) -> bool {
         let urgent = kind.0 > LEVELS.0;
         let pace = if urgent {
-            self.settings.lines_per_s
+            self.settings.channel_lines_per_second
         } else {
             self.channel.pace
         };
         let grace = self.settings.drain_grace.secs().max(1e-3);
-        let ahead = pace * (self.settings.way_most.secs() + kind.2 * grace);
+        let ahead = pace * (self.settings.max_delivery_delay.secs() + kind.2 * grace);
         let waits = orders.waiting + orders.cost(to, lines);
-        let room = waits <= kind.0 * self.settings.backlog && orders.waiting <= ahead;
+        let room = waits <= kind.0 * self.settings.channel_backlog && orders.waiting <= ahead;
         let room =
             (room || (urgent && orders.waiting <= 0.0)) && self.messages_used(to.iter()) <= kind.1;
         to.is_empty() || room
@@ -1121,7 +1168,7 @@
             return;
         }
         let by_zone =
-            leans(&self.settings) || self.settings.classes.iter().any(|class| class.home_only);
+            leans(&self.settings) || self.settings.classes.iter().any(|class| class.zone_local);
         let sets = if by_zone {
             self.settings.zones.max(1) as f64
         } else {
@@ -1131,7 +1178,7 @@
         if self.usual_parts == 0 {
             let rate = self.proxies.values().map(Proxy::rate).sum::<f64>() / joined;
             let rows = (self.rows_in_grace() / (sets + f64::from(by_zone))).max(NARROW_TO.1);
-            let kept = (rate * self.settings.idle_close.secs() / REUSE).max(PART_LEAST);
+            let kept = (rate * self.settings.idle_timeout.secs() / REUSE).max(PART_LEAST);
             // Whole rows where the grace is what binds: half a row more at all proxies would be late.
             let least = (servers / rows.floor()).ceil().max(1.0);
             self.usual_parts = (servers / kept).round().max(least) as usize;
@@ -1152,9 +1199,10 @@
                 .map_or(0, |scheme| (scheme.table.0 + 1) % (u16::MAX / 2));
             self.schemes = lay_out_tables(&self.settings, parts, first, self.apart);
             self.parts = parts;
-            orders
-                .actions
-                .push(Action::Note(Note::Parts { parts, narrowed }));
+            orders.actions.push(Action::Emit(DecisionEvent::Resharded {
+                shards: parts,
+                narrowed,
+            }));
             self.proxies
                 .values_mut()
                 .for_each(|proxy| proxy.bound = false);
@@ -1165,10 +1213,10 @@
     /// gone stays in old tables while new ones wait, and drains, which go first, hold up the last ones.
     fn rows_in_grace(&self) -> f64 {
         let settings = &self.settings;
-        let time = (settings.drain_grace - settings.way_most).secs();
-        let lines = settings.lines_per_s * time / settings.proxies.max(1) as f64;
-        let first_table = settings.message_head + TABLE_LINES + settings.classes.len() as f64;
-        let drain = settings.message_head + DRAIN_LINES;
+        let time = (settings.drain_grace - settings.max_delivery_delay).secs();
+        let lines = settings.channel_lines_per_second * time / settings.proxies.max(1) as f64;
+        let first_table = settings.message_overhead + TABLE_LINES + settings.classes.len() as f64;
+        let drain = settings.message_overhead + DRAIN_LINES;
         // A grace shorter than the way itself can't be met by any table: none is narrowed for it.
         if time > 0.0 {
             lines - first_table - drain
@@ -1185,26 +1233,28 @@
             let unused = self.tables.keys().filter(|table| !kept(table));
             orders
                 .actions
-                .extend(unused.map(|table| Action::Clear(*table)));
+                .extend(unused.map(|table| Action::ClearTable(*table)));
             self.tables.retain(|table, _| kept(table));
         }
         for server in self.servers.values_mut() {
-            let Entry {
+            let Endpoint {
                 server: id,
                 zone,
-                life,
+                lifecycle: life,
                 ..
             } = server.entry;
             if std::mem::replace(&mut server.told, life) != life {
                 server.since = now;
-                orders.actions.push(Action::Note(Note::Life {
-                    server: id,
-                    zone,
-                    life,
-                }));
+                orders
+                    .actions
+                    .push(Action::Emit(DecisionEvent::LifecycleChanged {
+                        server: id,
+                        zone,
+                        lifecycle: life,
+                    }));
             }
         }
-        let leaves = |server: &Server| server.entry.life != Lifecycle::InService;
+        let leaves = |server: &Server| server.entry.lifecycle != Lifecycle::InService;
         let turned = self
             .servers
             .iter()
@@ -1232,14 +1282,21 @@
                 self.servers
                     .entry(id)
                     .and_modify(|server| server.shut = out);
-                orders.give(Action::Withdraw { server: id, out }, &holders, 1.0);
+                orders.give(
+                    Action::SetSuspended {
+                        server: id,
+                        suspended: out,
+                    },
+                    &holders,
+                    1.0,
+                );
             }
         }
     }
 
     /// What is known of one that is long gone goes, once no table names it.
     fn forget_the_gone(&mut self, now: Micros, orders: &mut Orders) {
-        let long = |s: &Server| s.shut && s.told == Lifecycle::Gone && now - s.since >= FORGET;
+        let long = |s: &Server| s.shut && s.told == Lifecycle::Removed && now - s.since >= FORGET;
         let named = |id: &ServerId| {
             self.tables
                 .values()
@@ -1251,7 +1308,7 @@
             .filter(|(id, server)| long(server) && !named(id));
         for id in gone.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.servers.remove(&id);
-            orders.actions.push(Action::Forget(id));
+            orders.actions.push(Action::ForgetServer(id));
         }
     }
 
@@ -1260,13 +1317,19 @@
         let (demand, out) = self.cold_demand();
         // Those who bring more than a part can bear are refused first, where limits say so.
         let all = [self.admission.refused; 2].into();
-        let refused = self.limits.heavy.filter(|_| self.parts > 1).unwrap_or(all);
+        let refused = self
+            .limits
+            .shed_by_weight_class
+            .filter(|_| self.parts > 1)
+            .unwrap_or(all);
         let levels = (self.class_levels(refused.0), self.class_levels(refused.1));
         if std::mem::replace(&mut self.cold_out, out) != out {
-            orders.actions.push(Action::Note(Note::Cold {
-                held: out,
-                tries: demand / COLD_DEMAND,
-            }));
+            orders
+                .actions
+                .push(Action::Emit(DecisionEvent::WarmingWithheld {
+                    withheld: out,
+                    attempts_per_answer: demand / COLD_DEMAND,
+                }));
         }
         let comes = shares(
             self.proxies
@@ -1300,10 +1363,12 @@
             self.changes(scheme, &target, rate, &mut changes);
             let known = self.tables.entry(scheme.table).or_default();
             if std::mem::replace(&mut known.void, void) != void {
-                orders.actions.push(Action::Note(Note::Void {
-                    table: scheme.table,
-                    void,
-                }));
+                orders
+                    .actions
+                    .push(Action::Emit(DecisionEvent::AdviceOverruled {
+                        table: scheme.table,
+                        overruled: void,
+                    }));
             }
             let levels = if scheme.part == self.parts {
                 &levels.1
@@ -1326,7 +1391,7 @@
                         .levels
                         .insert(k, (level, retry));
                     let (table, classes) = (Some(scheme.table), ClassSet::default().with(k));
-                    let order = Action::Admit {
+                    let order = Action::SetAdmission {
                         table,
                         classes,
                         level,
@@ -1339,7 +1404,7 @@
         }
         changes.sort_by(|a, b| b.guard.cmp(&a.guard).then(b.size.total_cmp(&a.size)));
         // Messages have heads: all proxies' may take no more than a part of the channel.
-        let heads = self.proxies.len() as f64 * (self.settings.message_head + 1.0);
+        let heads = self.proxies.len() as f64 * (self.settings.message_overhead + 1.0);
         let every = UPDATE_EVERY
             .secs()
             .max(heads / HEADS_SHARE / self.channel.pace);
@@ -1373,7 +1438,7 @@
             known.lines.insert(server, weight);
             known.lines.retain(|_, weight| *weight > 0.0);
             orders.give(
-                Action::Line {
+                Action::SetWeight {
                     table,
                     server,
                     weight,
@@ -1523,7 +1588,7 @@
             own.1 -= if bound { rate } else { 0.0 };
             room.entry((zone, part)).or_default().1 += rate;
             orders.add(id, cost);
-            let bind = |s: &Scheme| Action::Bind {
+            let bind = |s: &Scheme| Action::AssignTable {
                 proxy: id,
                 table: s.table,
                 classes: s.classes,
@@ -1558,11 +1623,11 @@
             if ending.is_empty() && !table.lines.is_empty() {
                 continue;
             }
-            if self.settings.sole_owner {
+            if self.settings.exclusive_ownership {
                 // No effect twice: nobody owns the slice until no proxy can write to the former owner.
                 let not_before = now + self.settings.lease;
                 let handover = slice.get_or_insert_with(|| {
-                    orders.give(Action::Clear(id), &every, 1.0);
+                    orders.give(Action::ClearTable(id), &every, 1.0);
                     Handover {
                         waits_for: every.iter().copied().collect(),
                         mark,
@@ -1571,7 +1636,7 @@
                 });
                 table.lines.clear();
                 if !handover.waits_for.is_empty()
-                    || now < handover.not_before + self.settings.settle
+                    || now < handover.not_before + self.settings.write_settle_time
                 {
                     continue;
                 }
@@ -1579,7 +1644,7 @@
             }
             table.lines.insert(next, 1.0);
             orders.give(
-                Action::Line {
+                Action::SetWeight {
                     table: id,
                     server: next,
                     weight: 1.0,
@@ -1587,10 +1652,13 @@
                 &every,
                 1.0,
             );
-            for server in ending.into_iter().filter(|_| !self.settings.sole_owner) {
+            for server in ending
+                .into_iter()
+                .filter(|_| !self.settings.exclusive_ownership)
+            {
                 table.lines.remove(&server);
                 orders.give(
-                    Action::Line {
+                    Action::SetWeight {
                         table: id,
                         server,
                         weight: 0.0,
@@ -1605,7 +1673,7 @@
 
 /// Zone tables: where crossing zones has a price and no other instance's proxies are unseen.
 fn leans(settings: &Settings) -> bool {
-    settings.cross_price > 0.0 && settings.instances == 1
+    settings.zone_crossing_cost > 0.0 && settings.instances == 1
 }
 
 /// What proxies met at a server: the share of failed tries beyond the usual, less its standard error, and the
@@ -1648,7 +1716,7 @@
         0
     };
     if server.fresh_good >= 1.0 && error > RESTORE_ABOVE {
-        let top = if server.state == State::Full {
+        let top = if server.state == HealthState::Full {
             1.0
         } else {
             NEW_SCORE
@@ -1657,27 +1725,27 @@
         server.fresh_good = 0.0; // Kept until it counts: a small weight brings less than one answer a tick.
     }
     match server.state {
-        State::Withdrawn => {
+        HealthState::Withdrawn => {
             server.out_ticks += 1;
             if server.out_ticks >= server.return_after && server.probing.failing == 0 {
                 server.return_after =
                     (server.return_after * RETURN_BACKOFF.0).min(RETURN_BACKOFF.1);
                 server.heard.clear();
                 server.probing.failed = 0.0;
-                server.enter(State::Reduced, REDUCE_BELOW, LEAST_SHARE);
+                server.enter(HealthState::Reduced, REDUCE_BELOW, LEAST_SHARE);
             }
         }
         _ if server.below >= WITHDRAW_BELOW.1 => {
-            server.enter(State::Withdrawn, server.score, LEAST_SHARE)
+            server.enter(HealthState::Withdrawn, server.score, LEAST_SHARE)
         }
-        State::Full if server.score < REDUCE_BELOW => {
-            server.enter(State::Reduced, server.score, server.ceiling)
+        HealthState::Full if server.score < REDUCE_BELOW => {
+            server.enter(HealthState::Reduced, server.score, server.ceiling)
         }
-        State::Reduced if server.above >= RESTORE_TICKS => {
+        HealthState::Reduced if server.above >= RESTORE_TICKS => {
             server.return_after = RESTORE_TICKS;
-            server.enter(State::Full, server.score, server.ceiling);
+            server.enter(HealthState::Full, server.score, server.ceiling);
         }
-        State::Full | State::Reduced => {}
+        HealthState::Full | HealthState::Reduced => {}
     }
 }
 
--- a/crates/policy/src/policy/queries.rs
+++ b/crates/policy/src/policy/queries.rs
@@ -96,7 +96,7 @@
         let written = proxies
             .filter_map(|id| Some(self.proxies.get(id)?.written.len() + 1))
             .max();
-        let most = Some(self.settings.messages_most).filter(|most| *most > 0);
+        let most = Some(self.settings.max_messages).filter(|most| *most > 0);
         most.map_or(0.0, |most| written.unwrap_or(1) as f64 / most as f64)
     }
 }
--- a/crates/policy/src/policy/view.rs
+++ b/crates/policy/src/policy/view.rs
@@ -7,33 +7,33 @@
 
 impl Policy {
     /// All servers of the list, as they stand.
-    pub fn standings(&self) -> impl Iterator<Item = (ServerId, Standing)> + '_ {
+    pub fn server_statuses(&self) -> impl Iterator<Item = (ServerId, ServerStatus)> + '_ {
         let listed = self
             .servers
             .iter()
-            .filter(|(_, server)| server.entry.life != Lifecycle::Gone);
+            .filter(|(_, server)| server.entry.lifecycle != Lifecycle::Removed);
         listed.map(|(id, server)| {
             let (entry, state, score, terms) =
                 (server.entry, server.state, server.score, server.terms);
             let (weight, warmth, shut) = (server.weight, server.warmth, server.shut);
             (
                 *id,
-                Standing {
-                    entry,
+                ServerStatus {
+                    endpoint: entry,
                     state,
                     score,
                     terms,
                     weight,
-                    warmth,
-                    shut,
+                    warm_up_share: warmth,
+                    suspended: shut,
                 },
             )
         })
     }
 
     /// The fleet in figures.
-    pub fn figures(&self) -> Figures {
-        let highest = if self.settings.levels == LevelKind::PerSecond {
+    pub fn fleet_status(&self) -> FleetStatus {
+        let highest = if self.settings.admission_unit == AdmissionUnit::RequestsPerSecond {
             ADMIT.1
         } else {
             1.0
@@ -55,39 +55,39 @@
                 .filter_map(|table| table.levels.get(&class));
             standing.map(|(level, _)| share(*level)).fold(1.0, f64::min)
         });
-        Figures {
-            waiting: self.channel.waiting(),
-            wait: Micros::from_ms(
+        FleetStatus {
+            queued_lines: self.channel.waiting(),
+            queue_delay: Micros::from_ms(
                 1000.0 * self.channel.waiting() / self.channel.pace.max(f64::MIN_POSITIVE),
             ),
-            refused: self.admission.refused,
-            strain: self.admission.strain,
-            warm: self
+            shed_share: self.admission.refused,
+            saturation: self.admission.strain,
+            warm_weight: self
                 .open()
                 .filter(|(_, server)| server.warmth >= 1.0)
                 .map(|(_, server)| server.weight)
                 .sum(),
-            cut: self.cut.len() as f64 / self.settings.zones.max(1) as f64,
-            demand: self.proxies.values().map(|proxy| proxy.rate()).sum(),
-            levels: levels.collect(),
+            partitioned_share: self.cut.len() as f64 / self.settings.zones.max(1) as f64,
+            request_rate: self.proxies.values().map(|proxy| proxy.rate()).sum(),
+            admitted_shares: levels.collect(),
         }
     }
 
     /// Who is joined, and where.
-    pub fn joined(&self) -> usize {
+    pub fn proxy_count(&self) -> usize {
         self.proxies.len()
     }
 }
 
 /// What a change from this state comes from.
-pub(super) fn cause(server: &Server, before: State) -> Cause {
+pub(super) fn cause(server: &Server, before: HealthState) -> HealthChangeCause {
     let (errors, latency) = server.terms;
     match (before, server.state) {
-        (State::Withdrawn, _) => Cause::TriedAgain,
-        (_, State::Full) => Cause::GoodTicks,
-        _ if latency < errors => Cause::Latency,
-        _ if server.probing.failing > 0 => Cause::Probes,
-        _ if errors < latency => Cause::Errors,
-        _ => Cause::Score,
+        (HealthState::Withdrawn, _) => HealthChangeCause::EjectionElapsed,
+        (_, HealthState::Full) => HealthChangeCause::SustainedRecovery,
+        _ if latency < errors => HealthChangeCause::Latency,
+        _ if server.probing.failing > 0 => HealthChangeCause::HealthChecks,
+        _ if errors < latency => HealthChangeCause::Errors,
+        _ => HealthChangeCause::Score,
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -72,7 +72,7 @@
 /// A server of the list, what is known of it, and its score and state with their dwell counts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Server {
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// The place in which it was first listed: servers are spread over the parts by it.
     pub ordinal: usize,
     pub weight: f64,
@@ -82,11 +82,11 @@
     pub speed: Speed,
     pub probes_now: Fading,
     pub busy: Fading,
-    pub last_load: Load,
+    pub last_load: LoadReport,
     pub quickest: f64,
     pub slower: f64,
     pub probing: Probing,
-    pub state: State,
+    pub state: HealthState,
     pub score: f64,
     pub terms: (f64, f64),
     pub below: u32,
@@ -101,12 +101,12 @@
 }
 
 impl Server {
-    pub fn enter(&mut self, state: State, score: f64, ceiling: f64) {
+    pub fn enter(&mut self, state: HealthState, score: f64, ceiling: f64) {
         (self.state, self.score, self.ceiling) = (state, score, ceiling);
         (self.below, self.above, self.out_ticks) = (0, 0, 0);
     }
     pub fn open(&self) -> bool {
-        self.entry.life == Lifecycle::InService && !self.shut
+        self.entry.lifecycle == Lifecycle::InService && !self.shut
     }
     /// Whether it left at any time while it was listed here: proxies may hold it as shut out.
     pub fn left(&self) -> bool {
@@ -124,10 +124,10 @@
     pub fn warmth(&self, now: Micros, settings: &Settings) -> f64 {
         let age = self
             .entry
-            .started
+            .started_at
             .map_or(f64::MAX, |started| (now - started).secs().max(0.0));
-        let warmed = clamp01(age / settings.cold_for.secs().max(1e-6));
-        (settings.cold_from + (1.0 - settings.cold_from) * warmed).clamp(0.01, 1.0)
+        let warmed = clamp01(age / settings.slow_start_period.secs().max(1e-6));
+        (settings.slow_start_share + (1.0 - settings.slow_start_share) * warmed).clamp(0.01, 1.0)
     }
     /// The listed weight, never quite nothing.
     pub fn size(&self) -> f64 {
@@ -193,9 +193,9 @@
         Advised {
             factors,
             caps,
-            never: advice.never,
+            never: advice.no_retry,
             excluded,
-            until: advice.until,
+            until: advice.expires_at,
             taken: Some(now),
         }
     }
@@ -425,11 +425,11 @@
 ) -> f64 {
     let home = |s: &Server| s.entry.zone == zone;
     let timed = open.filter(|s| s.quickest > 0.0);
-    let kinds: BTreeSet<u32> = timed.clone().map(|s| s.entry.kind).collect();
+    let kinds: BTreeSet<u32> = timed.clone().map(|s| s.entry.machine_kind).collect();
     let times = |kind| {
         timed
             .clone()
-            .filter(move |s| home(s) && s.entry.kind == kind)
+            .filter(move |s| home(s) && s.entry.machine_kind == kind)
             .map(|s| s.quickest)
     };
     let near: BTreeMap<_, _> = kinds
@@ -437,7 +437,8 @@
         .map(|kind| (kind, quantile(times(kind), 0.5)))
         .collect();
     let longer = timed.clone().filter(|s| !home(s));
-    let longer = longer.filter_map(|far| Some(far.quickest - (*near.get(&far.entry.kind)?)?));
+    let longer =
+        longer.filter_map(|far| Some(far.quickest - (*near.get(&far.entry.machine_kind)?)?));
     quantile(longer, 0.5).unwrap_or(0.0).max(0.0)
 }
 
@@ -486,7 +487,7 @@
             .classes
             .iter()
             .enumerate()
-            .filter(|(_, class)| class.home_only == home_only);
+            .filter(|(_, class)| class.zone_local == home_only);
         let (own, together): (Vec<usize>, Vec<usize>) =
             classes.map(|(k, _)| k).partition(|k| apart.has(*k));
         groups.push((
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,13 +1,13 @@
 //! Levels follow the fleet's saturation; nothing is refused while headroom remains.
 
 mod common;
-use chutegrade_policy::interface::*;
+use chutegrade_policy::*;
 use common::*;
 
 fn two_classes() -> Settings {
     let mut settings = settings();
-    settings.classes[0].worth = 1.0;
-    settings.classes[1].worth = 9.0;
+    settings.classes[0].priority_weight = 1.0;
+    settings.classes[1].priority_weight = 9.0;
     settings
 }
 
@@ -15,27 +15,27 @@
 fn queued(servers: u32, queue: f64) -> Vec<Event> {
     let mut events: Vec<Event> = (0..servers)
         .map(|id| {
-            let load = Load {
-                queue: Some(queue),
+            let load = LoadReport {
+                queued: Some(queue),
                 latency_ms: Some(100.0),
-                ..Load::default()
+                ..LoadReport::default()
             };
             let (zone, server, period) = (ZoneId(0), ServerId(id), ms(1000));
-            Event::Heard {
+            Event::ServerOutcomes {
                 zone,
                 server,
-                tries: 8.0,
+                attempts: 8.0,
                 failed: 0.0,
-                mean_ms: 300.0,
+                mean_latency_ms: 300.0,
                 period,
                 load,
             }
         })
         .collect();
-    events.extend((0..2).map(|class| Event::Usage {
+    events.extend((0..2).map(|class| Event::ProxyDemand {
         proxy: ProxyId(0),
         class: ClassId(class),
-        came: 50.0,
+        arrivals: 50.0,
         failed: 0.0,
         period: ms(1000),
     }));
@@ -72,17 +72,17 @@
 fn one_saturated_server_is_no_reason_to_refuse() {
     let mut world = World::new(two_classes(), 8, 4);
     let mut events = queued(8, 0.0);
-    let load = Load {
-        queue: Some(40.0),
-        ..Load::default()
+    let load = LoadReport {
+        queued: Some(40.0),
+        ..LoadReport::default()
     };
     let (zone, server, period) = (ZoneId(0), ServerId(3), ms(1000));
-    events.push(Event::Heard {
+    events.push(Event::ServerOutcomes {
         zone,
         server,
-        tries: 8.0,
+        attempts: 8.0,
         failed: 0.0,
-        mean_ms: 300.0,
+        mean_latency_ms: 300.0,
         period,
         load,
     });
@@ -93,14 +93,14 @@
 #[test]
 fn where_levels_are_ignored_none_is_lowered() {
     let mut silent = two_classes();
-    silent.levels = LevelKind::Silent;
+    silent.admission_unit = AdmissionUnit::Unsupported;
     let mut world = World::new(silent, 8, 4);
     world.run(10, &queued(8, 30.0));
     assert_eq!((world.levels[&0], world.levels[&1]), (1.0, 1.0));
     assert!(!world
         .actions
         .iter()
-        .any(|a| matches!(a, Action::Note(Note::Saturation { .. }))));
+        .any(|a| matches!(a, Action::Emit(DecisionEvent::Saturation { .. }))));
 }
 
 #[test]
@@ -117,7 +117,7 @@
 #[test]
 fn where_levels_are_rates_all_is_let_in_until_the_fleet_is_saturated() {
     let mut rates = two_classes();
-    rates.levels = LevelKind::PerSecond;
+    rates.admission_unit = AdmissionUnit::RequestsPerSecond;
     let mut world = World::new(rates, 8, 4);
     world.run(5, &queued(8, 0.0));
     assert!(
@@ -167,7 +167,7 @@
         ordered += world
             .actions
             .iter()
-            .filter(|a| matches!(a, Action::Admit { .. }))
+            .filter(|a| matches!(a, Action::SetAdmission { .. }))
             .count();
     }
     assert!(ordered > 20, "levels moved {ordered} times");
@@ -200,10 +200,10 @@
 
 /// A second of servers that report no queue and the time of their answers.
 fn unqueued(ids: std::ops::Range<u32>) -> Vec<Event> {
-    let load = |id: u32| Load {
-        queue: Some(0.0),
+    let load = |id: u32| LoadReport {
+        queued: Some(0.0),
         latency_ms: Some(f64::from(id)),
-        ..Load::default()
+        ..LoadReport::default()
     };
     ids.map(|id| reporting(heard(id, 8.0, 0.0, 200.0), load(id)))
         .collect()
@@ -216,7 +216,10 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(6, &unqueued(0..8));
     let list = |gone: u32, until: u32| {
-        Event::Members(ListKind::Complete, (gone..until).map(entry).collect())
+        Event::EndpointList(
+            EndpointUpdateKind::Snapshot,
+            (gone..until).map(entry).collect(),
+        )
     };
     world.send(&[list(0, 20)]);
     world.run(6, &unqueued(0..8));
@@ -254,7 +257,7 @@
 fn mostly_replaced() -> World {
     let mut world = World::new(
         Settings {
-            proxy_ejects_after: 3,
+            proxy_ejection_threshold: 3,
             ..two_classes()
         },
         20,
@@ -262,17 +265,17 @@
     );
     world.run(8, &unqueued(0..20));
     let started = Some(world.now);
-    let mut changes: Vec<Entry> = (0..12)
-        .map(|id| Entry {
-            life: Lifecycle::Gone,
+    let mut changes: Vec<Endpoint> = (0..12)
+        .map(|id| Endpoint {
+            lifecycle: Lifecycle::Removed,
             ..entry(id)
         })
         .collect();
-    changes.extend((20..32).map(|id| Entry {
-        started,
+    changes.extend((20..32).map(|id| Endpoint {
+        started_at: started,
         ..entry(id)
     }));
-    world.send(&[Event::Members(ListKind::Changes, changes)]);
+    world.send(&[Event::EndpointList(EndpointUpdateKind::Delta, changes)]);
     world
 }
 
@@ -281,10 +284,10 @@
 #[test]
 fn cold_servers_that_idle_do_not_hide_the_queues_of_those_that_work() {
     let mut world = mostly_replaced();
-    let full = Load {
-        queue: Some(20.0),
+    let full = LoadReport {
+        queued: Some(20.0),
         latency_ms: Some(100.0),
-        ..Load::default()
+        ..LoadReport::default()
     };
     let tallies: Vec<Event> = (12..20)
         .map(|id| reporting(heard(id, 8.0, 2.0, 900.0), full))
--- a/crates/policy/tests/advice.rs
+++ b/crates/policy/tests/advice.rs
@@ -3,13 +3,13 @@
 mod common;
 use std::collections::BTreeSet;
 
-use chutegrade_policy::interface::*;
+use chutegrade_policy::*;
 use common::*;
 use proptest::prelude::*;
 
 fn long() -> Advice {
     Advice {
-        until: ms(i64::from(u32::MAX)),
+        expires_at: ms(i64::from(u32::MAX)),
         ..Advice::default()
     }
 }
@@ -75,7 +75,7 @@
     let apart = ClassSet::default().with(1);
     let advice = Advice {
         factors: factors(&[(2, Some(1), 0.0)]),
-        apart,
+        separate_tables: apart,
         ..long()
     };
     advised(&mut world, 8, &advice, &healthy(8, &[]));
@@ -103,7 +103,10 @@
             weight(1)
         );
     }
-    assert!(world.retries.values().all(|retry| *retry == Retry::Unrun));
+    assert!(world
+        .retries
+        .values()
+        .all(|retry| *retry == Retry::IfNotExecuted));
 }
 
 #[test]
@@ -113,7 +116,7 @@
     let caps = vec![(ClassId(0), 0.4), (ClassId(1), 0.0)];
     let advice = Advice {
         caps,
-        never: ClassSet::default().with(1),
+        no_retry: ClassSet::default().with(1),
         ..long()
     };
     advised(&mut world, 7, &advice, &healthy(8, &[]));
@@ -124,12 +127,12 @@
     );
     assert_eq!(
         (world.retries[&0], world.retries[&1]),
-        (Retry::Unrun, Retry::Never)
+        (Retry::IfNotExecuted, Retry::Never)
     );
     world.run(20, &healthy(8, &[]));
     assert_eq!(
         (world.levels[&0], world.levels[&1], world.retries[&1]),
-        (1.0, 1.0, Retry::Unrun)
+        (1.0, 1.0, Retry::IfNotExecuted)
     );
 }
 
@@ -153,10 +156,15 @@
             (0..8).all(|id| world.weight(id) == 4.0),
             "{vetoed} of 8 vetoed"
         );
-        let void = world
-            .actions
-            .iter()
-            .any(|a| matches!(a, Action::Note(Note::Void { void: true, .. })));
+        let void = world.actions.iter().any(|a| {
+            matches!(
+                a,
+                Action::Emit(DecisionEvent::AdviceOverruled {
+                    overruled: true,
+                    ..
+                })
+            )
+        });
         assert!(void, "{vetoed} of 8 vetoed");
     }
 }
@@ -183,7 +191,7 @@
         world
             .actions
             .iter()
-            .filter(|a| matches!(a, Action::Line { .. }))
+            .filter(|a| matches!(a, Action::SetWeight { .. }))
             .count()
     };
     let (still, swinging) = (lines(false), lines(true));
@@ -197,9 +205,9 @@
 #[test]
 fn a_saturated_fleet_is_not_made_smaller() {
     let mut world = World::new(settings(), 8, 4);
-    let full = Load {
-        queue: Some(30.0),
-        ..Load::default()
+    let full = LoadReport {
+        queued: Some(30.0),
+        ..LoadReport::default()
     };
     let busy: Vec<Event> = healthy(8, &[])
         .into_iter()
@@ -221,10 +229,10 @@
         for round in 0..40 {
             let mut events = healthy(8, &[round % 9]);
             if round % 7 == 0 {
-                events.push(Event::Members(
-                    ListKind::Changes,
-                    vec![Entry {
-                        started: Some(world.now),
+                events.push(Event::EndpointList(
+                    EndpointUpdateKind::Delta,
+                    vec![Endpoint {
+                        started_at: Some(world.now),
                         ..entry(round % 8)
                     }],
                 ));
@@ -260,13 +268,13 @@
                 .into_iter()
                 .map(|(class, cap)| (ClassId(class), cap))
                 .collect(),
-            never: ClassSet(never),
+            no_retry: ClassSet(never),
             excluded: excluded
                 .into_iter()
                 .map(|(id, until)| (ServerId(id), ms(1_000_000 + 1000 * until)))
                 .collect(),
-            apart: ClassSet(apart),
-            until: ms(1_000_000 + 1000 * until),
+            separate_tables: ClassSet(apart),
+            expires_at: ms(1_000_000 + 1000 * until),
         },
     )
 }
@@ -275,16 +283,19 @@
     let life = prop_oneof![
         Just(Lifecycle::InService),
         Just(Lifecycle::Draining),
-        Just(Lifecycle::Gone)
+        Just(Lifecycle::Removed)
+    ];
+    let end = prop_oneof![
+        Just(HealthCheckOutcome::Passed),
+        Just(HealthCheckOutcome::TimedOut)
     ];
-    let end = prop_oneof![Just(ProbeEnd::Done), Just(ProbeEnd::TimedOut)];
     prop_oneof![
         3 => (0..8u32, 0.0..20.0f64, 0.0..1.0f64).prop_map(|(id, tries, bad)| heard(id, tries, tries * bad, 200.0)),
         1 => (0..6u32).prop_map(joined),
-        1 => (0..6u32).prop_map(|id| Event::Left(ProxyId(id))),
+        1 => (0..6u32).prop_map(|id| Event::ProxyLeft(ProxyId(id))),
         1 => (0..8u32, life, proptest::bool::ANY).prop_map(|(id, life, fresh)| {
             let started = fresh.then_some(ms(1_003_000));
-            Event::Members(ListKind::Changes, vec![Entry { life, started, ..entry(id) }])
+            Event::EndpointList(EndpointUpdateKind::Delta, vec![Endpoint { lifecycle: life, started_at: started, ..entry(id) }])
         }),
         1 => (0..8u32, end).prop_map(|(id, end)| probed(ServerId(id), end)),
         2 => advice_strategy().prop_map(Event::Advice),
@@ -306,7 +317,7 @@
             world.send(&events);
             world.run(1, &[]);
             let age = world.now - ms(1_003_000);
-            let is_cold = |id: &u32| listed.cold.contains(id) && age < settings.cold_for + ms(500);
+            let is_cold = |id: &u32| listed.cold.contains(id) && age < settings.slow_start_period + ms(500);
             let warm: Vec<u32> = listed.open.iter().copied().filter(|id| !is_cold(id)).collect();
             // The tables in use: for each class of each proxy, the one that it was bound to last.
             let last = |bound: &Vec<(TableId, ClassSet)>, class| bound.iter().rev().find(|(_, of)| of.has(class)).map(|b| b.0);
@@ -332,11 +343,11 @@
                     }
                 }
             }
-            prop_assert!(world.retries.values().all(|retry| *retry <= Retry::Unrun));
+            prop_assert!(world.retries.values().all(|retry| *retry <= Retry::IfNotExecuted));
             prop_assert!(world.levels.values().all(|level| (0.05..=1.0).contains(level)), "{:?}", world.levels);
             for (proxy, written) in &world.messages {
-                let recent = written.iter().filter(|at| world.now - **at <= settings.messages_window).count();
-                prop_assert!(recent <= settings.messages_most, "{recent} messages to {proxy:?} in the window");
+                let recent = written.iter().filter(|at| world.now - **at <= settings.message_window).count();
+                prop_assert!(recent <= settings.max_messages, "{recent} messages to {proxy:?} in the window");
             }
         }
     }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -3,20 +3,20 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chutegrade_policy::interface::*;
-use chutegrade_policy::policy::Policy;
+use chutegrade_policy::Policy;
+use chutegrade_policy::*;
 
 pub fn ms(ms: i64) -> Micros {
     Micros(ms * 1000)
 }
 
-pub fn class(effect: Effect, home_only: bool) -> Class {
+pub fn class(effect: Idempotency, home_only: bool) -> Class {
     Class {
-        aim: ms(800),
+        latency_objective: ms(800),
         deadline: ms(2400),
-        worth: 2.0,
-        effect,
-        home_only,
+        priority_weight: 2.0,
+        idempotency: effect,
+        zone_local: home_only,
     }
 }
 
@@ -25,93 +25,96 @@
         instances: 2,
         zones: 2,
         zone: ZoneId(0),
-        classes: vec![class(Effect::Safe, false), class(Effect::Unsafe, false)],
+        classes: vec![
+            class(Idempotency::Idempotent, false),
+            class(Idempotency::NotIdempotent, false),
+        ],
         proxies: 6,
         slices: 0,
-        sole_owner: false,
+        exclusive_ownership: false,
         lease: ms(3000),
-        settle: ms(50),
-        list_on_request: false,
-        ask_every: ms(9000),
-        levels: LevelKind::Fraction,
-        usual_retry: Retry::Unrun,
-        first_wait: 0.9,
-        pick: Pick::Random,
-        proxy_ejects_after: 0,
-        listed: Listed::Rough,
-        reports: ReportSource::Answers,
+        write_settle_time: ms(50),
+        endpoints_on_request: false,
+        poll_interval: ms(9000),
+        admission_unit: AdmissionUnit::Share,
+        default_retry: Retry::IfNotExecuted,
+        attempt_timeout_factor: 0.9,
+        pick_policy: PickPolicy::Random,
+        proxy_ejection_threshold: 0,
+        listed_weight: ListedWeight::ApproximateSize,
+        report_source: ReportSource::ResponsesAndHealthChecks,
         report_period: ms(1000),
-        probes: true,
-        probe_price: 0.01,
-        cross_price: 0.01,
-        backlog: 5000.0,
-        lines_per_s: 4000.0,
-        message_head: 5.0,
-        way_most: ms(700),
-        idle_close: ms(12_000),
-        messages_most: 25,
-        messages_window: ms(10_000),
-        unserved_most: ms(5000),
+        health_checks_allowed: true,
+        health_check_cost: 0.01,
+        zone_crossing_cost: 0.01,
+        channel_backlog: 5000.0,
+        channel_lines_per_second: 4000.0,
+        message_overhead: 5.0,
+        max_delivery_delay: ms(700),
+        idle_timeout: ms(12_000),
+        max_messages: 25,
+        message_window: ms(10_000),
+        max_unserved: ms(5000),
         drain_grace: ms(2500),
-        drain_binds_alone: false,
-        cold_from: 0.2,
-        cold_for: ms(16_000),
-        fall_multiple: 3.0,
-        fall_window: ms(3000),
+        explicit_drain_only: false,
+        slow_start_share: 0.2,
+        slow_start_period: ms(16_000),
+        overload_multiple: 3.0,
+        overload_window: ms(3000),
     }
 }
 
-pub fn entry(id: u32) -> Entry {
-    Entry {
+pub fn entry(id: u32) -> Endpoint {
+    Endpoint {
         server: ServerId(id),
         zone: ZoneId((id % 2) as u16),
-        kind: 0,
+        machine_kind: 0,
         cell: 0,
-        life: Lifecycle::InService,
+        lifecycle: Lifecycle::InService,
         weight: 4.0,
-        started: None,
+        started_at: None,
     }
 }
 
 pub fn joined(id: u32) -> Event {
-    Event::Joined {
+    Event::ProxyJoined {
         proxy: ProxyId(id),
         zone: ZoneId((id % 2) as u16),
-        rate: 10.0,
-        brought: false,
+        request_rate: 10.0,
+        has_previous_table: false,
     }
 }
 
 pub fn heard(server: u32, tries: f64, failed: f64, mean_ms: f64) -> Event {
-    let load = Load::default();
-    Event::Heard {
+    let load = LoadReport::default();
+    Event::ServerOutcomes {
         zone: ZoneId(0),
         server: ServerId(server),
-        tries,
+        attempts: tries,
         failed,
-        mean_ms,
+        mean_latency_ms: mean_ms,
         period: ms(1000),
         load,
     }
 }
 
 /// The same tally with a load report.
-pub fn reporting(tally: Event, report: Load) -> Event {
+pub fn reporting(tally: Event, report: LoadReport) -> Event {
     match tally {
-        Event::Heard {
+        Event::ServerOutcomes {
             zone,
             server,
-            tries,
+            attempts: tries,
             failed,
-            mean_ms,
+            mean_latency_ms: mean_ms,
             period,
             ..
-        } => Event::Heard {
+        } => Event::ServerOutcomes {
             zone,
             server,
-            tries,
+            attempts: tries,
             failed,
-            mean_ms,
+            mean_latency_ms: mean_ms,
             period,
             load: report,
         },
@@ -119,16 +122,16 @@
     }
 }
 
-pub fn probed(server: ServerId, end: ProbeEnd) -> Event {
+pub fn probed(server: ServerId, end: HealthCheckOutcome) -> Event {
     probed_in(server, end, ms(5))
 }
 
-pub fn probed_in(server: ServerId, end: ProbeEnd, took: Micros) -> Event {
-    Event::Probed {
+pub fn probed_in(server: ServerId, end: HealthCheckOutcome, took: Micros) -> Event {
+    Event::HealthChecked {
         server,
-        end,
-        took,
-        load: Load::default(),
+        outcome: end,
+        elapsed: took,
+        load: LoadReport::default(),
     }
 }
 
@@ -177,8 +180,8 @@
             confirms: true,
             unconfirmed: Vec::new(),
         };
-        let mut events = vec![Event::Members(
-            ListKind::WarmCopy,
+        let mut events = vec![Event::EndpointList(
+            EndpointUpdateKind::CachedSnapshot,
             (0..servers).map(entry).collect(),
         )];
         events.extend((0..proxies).map(joined));
@@ -188,11 +191,11 @@
 
     pub fn send(&mut self, events: &[Event]) -> Vec<Action> {
         for event in events {
-            if let Event::Joined { proxy, .. } | Event::Left(proxy) = event {
+            if let Event::ProxyJoined { proxy, .. } | Event::ProxyLeft(proxy) = event {
                 self.messages.remove(proxy);
             }
         }
-        let actions = self.policy.handle(self.now, events);
+        let actions = self.policy.handle_events(self.now, events);
         let mut reached = BTreeSet::new();
         for action in &actions {
             self.reaches(action, &mut reached);
@@ -215,17 +218,17 @@
             bound.map(|(proxy, _)| *proxy).collect::<Vec<ProxyId>>()
         };
         match action {
-            Action::Line { table, .. }
-            | Action::Clear(table)
-            | Action::Admit {
+            Action::SetWeight { table, .. }
+            | Action::ClearTable(table)
+            | Action::SetAdmission {
                 table: Some(table), ..
             } => {
                 reached.extend(on(table));
             }
-            Action::Bind { proxy, .. } => {
+            Action::AssignTable { proxy, .. } => {
                 reached.insert(*proxy);
             }
-            Action::Withdraw { server, .. } => {
+            Action::SetSuspended { server, .. } => {
                 let names = |table: &TableId| {
                     self.tables
                         .get(table)
@@ -239,7 +242,7 @@
 
     fn apply(&mut self, action: &Action) {
         match action {
-            Action::Line {
+            Action::SetWeight {
                 table,
                 server,
                 weight,
@@ -249,13 +252,13 @@
                     .or_default()
                     .insert(*server, *weight);
             }
-            Action::Line { table, server, .. } => {
+            Action::SetWeight { table, server, .. } => {
                 self.tables.entry(*table).or_default().remove(server);
             }
-            Action::Clear(table) => {
+            Action::ClearTable(table) => {
                 self.tables.remove(table);
             }
-            Action::Bind {
+            Action::AssignTable {
                 proxy,
                 table,
                 classes,
@@ -265,13 +268,16 @@
                     .or_default()
                     .push((*table, *classes));
             }
-            Action::Withdraw { server, out: true } => {
+            Action::SetSuspended {
+                server,
+                suspended: true,
+            } => {
                 self.shut.insert(*server);
             }
-            Action::Withdraw { server, .. } => {
+            Action::SetSuspended { server, .. } => {
                 self.shut.remove(server);
             }
-            Action::Admit {
+            Action::SetAdmission {
                 classes,
                 retry,
                 level,
@@ -282,11 +288,11 @@
                     self.levels.insert(class, *level);
                 }
             }
-            Action::Timer { id, after } => {
+            Action::SetTimer { id, delay: after } => {
                 self.timers.entry(self.now + *after).or_default().push(*id)
             }
-            Action::Mark { mark, .. } => self.unconfirmed.push(*mark),
-            Action::Probe(server) => self.probes.push(*server),
+            Action::RequestAcknowledgement { sequence: mark, .. } => self.unconfirmed.push(*mark),
+            Action::HealthCheck(server) => self.probes.push(*server),
             _ => {}
         }
     }
@@ -307,18 +313,18 @@
                     .into_iter()
                     .filter(|_| self.confirms)
                 {
-                    let receipt = |proxy: &ProxyId| Event::Receipt {
+                    let receipt = |proxy: &ProxyId| Event::Acknowledged {
                         proxy: *proxy,
-                        mark,
-                        took: ms(200),
+                        sequence: mark,
+                        elapsed: ms(200),
                     };
                     events.extend(self.bound.keys().map(receipt));
                 }
                 for server in std::mem::take(&mut self.probes) {
                     let end = if self.mute.contains(&server.0) {
-                        ProbeEnd::TimedOut
+                        HealthCheckOutcome::TimedOut
                     } else {
-                        ProbeEnd::Done
+                        HealthCheckOutcome::Passed
                     };
                     let slowness = if self.slow_probes.contains(&server.0) {
                         self.slowness
@@ -372,7 +378,7 @@
     pub fn take(&mut self, events: &[Event], world: &mut World) {
         for event in events {
             match event {
-                Event::Members(_, entries) => {
+                Event::EndpointList(_, entries) => {
                     for entry in entries {
                         let id = entry.server.0;
                         let set = |set: &mut BTreeSet<u32>, holds: bool| {
@@ -382,11 +388,11 @@
                                 set.remove(&id)
                             }
                         };
-                        set(&mut self.open, entry.life == Lifecycle::InService);
-                        set(&mut self.cold, entry.started.is_some());
+                        set(&mut self.open, entry.lifecycle == Lifecycle::InService);
+                        set(&mut self.cold, entry.started_at.is_some());
                     }
                 }
-                Event::Joined { proxy, .. } | Event::Left(proxy) => {
+                Event::ProxyJoined { proxy, .. } | Event::ProxyLeft(proxy) => {
                     world.bound.remove(proxy);
                 }
                 _ => {}
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -4,11 +4,11 @@
 use common::*;
 use proptest::prelude::*;
 
-use chutegrade_policy::interface::*;
+use chutegrade_policy::*;
 
 fn standing(world: &World, limits: Limits) -> Event {
     Event::Limits(Limits {
-        until: world.now + ms(4000),
+        expires_at: world.now + ms(4000),
         ..limits
     })
 }
@@ -24,13 +24,13 @@
 
 fn keyed(window: i64) -> Settings {
     let keyed = Class {
-        effect: Effect::Keyed(Scope::All, ms(window)),
-        ..class(Effect::Safe, false)
+        idempotency: Idempotency::Keyed(DeduplicationScope::All, ms(window)),
+        ..class(Idempotency::Idempotent, false)
     };
     Settings {
         classes: vec![
-            class(Effect::Safe, false),
-            class(Effect::Unsafe, false),
+            class(Idempotency::Idempotent, false),
+            class(Idempotency::NotIdempotent, false),
             keyed,
         ],
         ..settings()
@@ -46,7 +46,7 @@
         &mut world,
         5,
         &Limits {
-            keep,
+            admitted: keep,
             ..Limits::default()
         },
         &healthy(8, &[]),
@@ -62,9 +62,9 @@
 
 #[test]
 fn a_limit_adds_to_what_saturation_tells_and_lifts_no_level() {
-    let full = Load {
-        queue: Some(30.0),
-        ..Load::default()
+    let full = LoadReport {
+        queued: Some(30.0),
+        ..LoadReport::default()
     };
     let busy: Vec<Event> = healthy(8, &[])
         .into_iter()
@@ -76,7 +76,7 @@
             &mut world,
             10,
             &Limits {
-                refuse,
+                min_shed_share: refuse,
                 ..Limits::default()
             },
             events,
@@ -105,8 +105,8 @@
     world.run(3, &healthy(8, &[]));
     let keep = vec![(ClassId(0), 0.5)];
     let forever = Event::Limits(Limits {
-        keep,
-        until: Micros(i64::MAX),
+        admitted: keep,
+        expires_at: Micros(i64::MAX),
         ..Limits::default()
     });
     let mut events = healthy(8, &[]);
@@ -125,7 +125,7 @@
             &mut world,
             6,
             &Limits {
-                again,
+                retries: again,
                 ..Limits::default()
             },
             also,
@@ -136,27 +136,27 @@
     // The client waits 2.4 s: a key must hold twice as long.
     assert_eq!(
         once(keyed(10_000), &calm),
-        (Retry::Once, Retry::Unrun, Retry::Once)
+        (Retry::Once, Retry::IfNotExecuted, Retry::Once)
     );
     assert_eq!(
         once(keyed(4000), &calm),
-        (Retry::Once, Retry::Unrun, Retry::Unrun)
+        (Retry::Once, Retry::IfNotExecuted, Retry::IfNotExecuted)
     );
     let zone = Class {
-        effect: Effect::Keyed(Scope::Zone, ms(60_000)),
-        ..class(Effect::Safe, false)
+        idempotency: Idempotency::Keyed(DeduplicationScope::Zone, ms(60_000)),
+        ..class(Idempotency::Idempotent, false)
     };
     let mut own = keyed(10_000);
     own.classes[2] = zone;
     assert_eq!(
         once(own, &calm).2,
-        Retry::Unrun,
+        Retry::IfNotExecuted,
         "another zone does not know the key"
     );
     // Nothing widens in a fleet that is short of room.
-    let full = Load {
-        queue: Some(30.0),
-        ..Load::default()
+    let full = LoadReport {
+        queued: Some(30.0),
+        ..LoadReport::default()
     };
     let busy: Vec<Event> = calm
         .into_iter()
@@ -164,7 +164,11 @@
         .collect();
     assert_eq!(
         once(keyed(10_000), &busy),
-        (Retry::Unrun, Retry::Unrun, Retry::Unrun)
+        (
+            Retry::IfNotExecuted,
+            Retry::IfNotExecuted,
+            Retry::IfNotExecuted
+        )
     );
 }
 
@@ -174,18 +178,18 @@
     world.run(3, &healthy(8, &[]));
     let again = vec![(ClassId(0), Retry::Never), (ClassId(2), Retry::Once)];
     let limits = Limits {
-        again,
+        retries: again,
         ..Limits::default()
     };
     limited(&mut world, 4, &limits, &healthy(8, &[]));
     assert_eq!(
         (world.retries[&0], world.retries[&1], world.retries[&2]),
-        (Retry::Never, Retry::Unrun, Retry::Once)
+        (Retry::Never, Retry::IfNotExecuted, Retry::Once)
     );
     let never = ClassSet::default().with(2);
     let advice = Event::Advice(Advice {
-        never,
-        until: world.now + ms(14_000),
+        no_retry: never,
+        expires_at: world.now + ms(14_000),
         ..Advice::default()
     });
     let mut events = healthy(8, &[]);
@@ -199,14 +203,14 @@
 fn heavy_proxies_with_tables_of_their_own_are_refused_first() {
     let sparse = Settings {
         proxies: 40,
-        idle_close: ms(2000),
+        idle_timeout: ms(2000),
         ..settings()
     };
     let mut world = World::new(sparse, 64, 40);
-    let usage = |proxy: u32| Event::Usage {
+    let usage = |proxy: u32| Event::ProxyDemand {
         proxy: ProxyId(proxy),
         class: ClassId(0),
-        came: if proxy == 3 { 900.0 } else { 5.0 },
+        arrivals: if proxy == 3 { 900.0 } else { 5.0 },
         failed: 0.0,
         period: ms(1000),
     };
@@ -214,8 +218,8 @@
     events.extend((0..40).map(usage));
     world.run(12, &events);
     let limits = Limits {
-        refuse: Some(0.4),
-        heavy: Some((0.0, 0.8)),
+        min_shed_share: Some(0.4),
+        shed_by_weight_class: Some((0.0, 0.8)),
         ..Limits::default()
     };
     limited(&mut world, 6, &limits, &events);
@@ -228,7 +232,7 @@
             .find(|(_, classes)| classes.has(0))
             .map(|of| of.0);
         let own = world.actions.iter().rev().find_map(|action| match action {
-            Action::Admit {
+            Action::SetAdmission {
                 table: of,
                 classes,
                 level,
@@ -273,7 +277,7 @@
     };
     let retry = prop_oneof![
         Just(Retry::Never),
-        Just(Retry::Unrun),
+        Just(Retry::IfNotExecuted),
         Just(Retry::Once),
         Just(Retry::Twice)
     ];
@@ -282,17 +286,17 @@
     let refuse = prop::option::of(figure());
     let heavy = prop::option::of((figure(), figure()));
     (refuse, heavy, keep, again, 0..100i64).prop_map(|(refuse, heavy, keep, again, until)| Limits {
-        refuse,
-        heavy,
-        keep: keep
+        min_shed_share: refuse,
+        shed_by_weight_class: heavy,
+        admitted: keep
             .into_iter()
             .map(|(class, keep)| (ClassId(class), keep))
             .collect(),
-        again: again
+        retries: again
             .into_iter()
             .map(|(class, again)| (ClassId(class), again))
             .collect(),
-        until: ms(1_000_000 + 1000 * until),
+        expires_at: ms(1_000_000 + 1000 * until),
     })
 }
 
@@ -300,9 +304,9 @@
     let life = prop_oneof![Just(Lifecycle::InService), Just(Lifecycle::Draining)];
     prop_oneof![
         3 => (0..8u32, 0.0..20.0f64, 0.0..1.0f64, prop::option::of(0.0..40.0f64)).prop_map(|(id, tries, bad, queue)| {
-            reporting(heard(id, tries, tries * bad, 200.0), Load { queue, ..Load::default() })
+            reporting(heard(id, tries, tries * bad, 200.0), LoadReport { queued: queue, ..LoadReport::default() })
         }),
-        1 => (0..8u32, life).prop_map(|(id, life)| Event::Members(ListKind::Changes, vec![Entry { life, ..entry(id) }])),
+        1 => (0..8u32, life).prop_map(|(id, life)| Event::EndpointList(EndpointUpdateKind::Delta, vec![Endpoint { lifecycle: life, ..entry(id) }])),
         3 => limits_strategy().prop_map(Event::Limits),
     ]
 }
@@ -319,8 +323,8 @@
         for events in rounds {
             world.send(&events);
             world.run(1, &[]);
-            prop_assert!(world.retries.get(&1).is_none_or(|retry| *retry <= Retry::Unrun), "could run twice");
-            prop_assert!(world.retries.get(&2).is_none_or(|retry| *retry <= Retry::Unrun), "its key is gone too soon");
+            prop_assert!(world.retries.get(&1).is_none_or(|retry| *retry <= Retry::IfNotExecuted), "could run twice");
+            prop_assert!(world.retries.get(&2).is_none_or(|retry| *retry <= Retry::IfNotExecuted), "its key is gone too soon");
             prop_assert!(world.retries.values().all(|retry| *retry <= Retry::Once));
             prop_assert!(world.levels.values().all(|level| (0.05..=1.0).contains(level)), "{:?}", world.levels);
             let leaves = |id: u32| world.shut.contains(&ServerId(id));
@@ -332,8 +336,8 @@
                 prop_assert!(!open || some, "nobody to pick");
             }
             for written in world.messages.values() {
-                let recent = written.iter().filter(|at| world.now - **at <= settings.messages_window).count();
-                prop_assert!(recent <= settings.messages_most);
+                let recent = written.iter().filter(|at| world.now - **at <= settings.message_window).count();
+                prop_assert!(recent <= settings.max_messages);
             }
         }
     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -3,8 +3,8 @@
 mod common;
 use std::collections::BTreeSet;
 
-use chutegrade_policy::interface::*;
-use chutegrade_policy::policy::Policy;
+use chutegrade_policy::Policy;
+use chutegrade_policy::*;
 use common::*;
 use proptest::prelude::*;
 
@@ -15,11 +15,11 @@
     let first_bind = world
         .actions
         .iter()
-        .position(|a| matches!(a, Action::Bind { .. }));
+        .position(|a| matches!(a, Action::AssignTable { .. }));
     let last_line = world
         .actions
         .iter()
-        .rposition(|a| matches!(a, Action::Line { .. }));
+        .rposition(|a| matches!(a, Action::SetWeight { .. }));
     assert!(
         last_line < first_bind,
         "lines in a table that nobody uses cost nothing"
@@ -46,7 +46,9 @@
 #[test]
 fn home_only_classes_get_their_zone_s_servers_alone() {
     let mut with_home = settings();
-    with_home.classes.push(class(Effect::Unsafe, true));
+    with_home
+        .classes
+        .push(class(Idempotency::NotIdempotent, true));
     let world = World::new(with_home, 6, 2);
     for proxy in 0..2u32 {
         let bound = &world.bound[&ProxyId(proxy)];
@@ -66,8 +68,8 @@
 fn an_empty_change_and_a_lost_list_withdraw_nothing() {
     let mut world = World::new(settings(), 6, 3);
     world.send(&[
-        Event::Members(ListKind::Changes, vec![]),
-        Event::Members(ListKind::Lost, vec![]),
+        Event::EndpointList(EndpointUpdateKind::Delta, vec![]),
+        Event::EndpointList(EndpointUpdateKind::Unavailable, vec![]),
     ]);
     assert!((0..6).all(|id| world.weight(id) == 4.0));
 }
@@ -76,18 +78,30 @@
 fn retry_orders_follow_the_effect() {
     let mut many = settings();
     many.classes = vec![
-        class(Effect::Safe, false),
-        class(Effect::Unsafe, false),
-        class(Effect::Keyed(Scope::All, ms(10_000)), false),
-        class(Effect::Keyed(Scope::Zone, ms(10_000)), false),
-        class(Effect::Keyed(Scope::Cell, ms(10_000)), false),
-        class(Effect::Keyed(Scope::All, ms(100)), false),
-        class(Effect::Unsafe, true),
+        class(Idempotency::Idempotent, false),
+        class(Idempotency::NotIdempotent, false),
+        class(
+            Idempotency::Keyed(DeduplicationScope::All, ms(10_000)),
+            false,
+        ),
+        class(
+            Idempotency::Keyed(DeduplicationScope::Zone, ms(10_000)),
+            false,
+        ),
+        class(
+            Idempotency::Keyed(DeduplicationScope::Cell, ms(10_000)),
+            false,
+        ),
+        class(Idempotency::Keyed(DeduplicationScope::All, ms(100)), false),
+        class(Idempotency::NotIdempotent, true),
     ];
     let mut world = World::new(many, 6, 3);
     world.run(5, &healthy(6, &[]));
     for class in [1, 3, 4, 5, 6] {
-        assert!(world.retries[&class] <= Retry::Unrun, "class {class}");
+        assert!(
+            world.retries[&class] <= Retry::IfNotExecuted,
+            "class {class}"
+        );
     }
     assert_eq!(world.retries.len(), 7);
 }
@@ -96,47 +110,55 @@
 fn a_draining_or_removed_server_is_shut_out_at_once() {
     let mut world = World::new(settings(), 6, 3);
     world.run(3, &healthy(6, &[]));
-    let draining = Entry {
-        life: Lifecycle::Draining,
+    let draining = Endpoint {
+        lifecycle: Lifecycle::Draining,
         ..entry(2)
     };
-    let actions = world.send(&[Event::Members(ListKind::Changes, vec![draining])]);
-    assert!(actions.contains(&Action::Withdraw {
+    let actions = world.send(&[Event::EndpointList(
+        EndpointUpdateKind::Delta,
+        vec![draining],
+    )]);
+    assert!(actions.contains(&Action::SetSuspended {
         server: ServerId(2),
-        out: true
+        suspended: true
     }));
-    let complete: Vec<Entry> = (0..6)
+    let complete: Vec<Endpoint> = (0..6)
         .filter(|id| *id != 2 && *id != 4)
         .map(entry)
         .collect();
-    let actions = world.send(&[Event::Members(ListKind::Complete, complete)]);
-    assert!(actions.contains(&Action::Withdraw {
+    let actions = world.send(&[Event::EndpointList(EndpointUpdateKind::Snapshot, complete)]);
+    assert!(actions.contains(&Action::SetSuspended {
         server: ServerId(4),
-        out: true
+        suspended: true
     }));
     world.run(5, &healthy(6, &[2, 4]));
     assert!(world.weight(2) == 0.0 && world.weight(4) == 0.0);
-    let back = Entry {
-        started: Some(world.now),
+    let back = Endpoint {
+        started_at: Some(world.now),
         ..entry(2)
     };
-    world.send(&[Event::Members(ListKind::Changes, vec![back])]);
+    world.send(&[Event::EndpointList(EndpointUpdateKind::Delta, vec![back])]);
     assert!(!world.shut.contains(&ServerId(2)));
 }
 
 #[test]
 fn a_draining_server_in_the_warm_copy_is_shut_out_from_the_first_message() {
     let mut policy = Policy::new(settings(), 1);
-    let mut list: Vec<Entry> = (0..4).map(entry).collect();
-    list[1].life = Lifecycle::Draining;
-    let actions = policy.handle(
+    let mut list: Vec<Endpoint> = (0..4).map(entry).collect();
+    list[1].lifecycle = Lifecycle::Draining;
+    let actions = policy.handle_events(
         ms(5),
-        &[Event::Members(ListKind::WarmCopy, list), joined(0)],
+        &[
+            Event::EndpointList(EndpointUpdateKind::CachedSnapshot, list),
+            joined(0),
+        ],
     );
-    assert!(!actions
+    assert!(!actions.iter().any(
+        |a| matches!(a, Action::SetWeight { server: ServerId(1), weight, .. } if *weight > 0.0)
+    ));
+    assert!(actions
         .iter()
-        .any(|a| matches!(a, Action::Line { server: ServerId(1), weight, .. } if *weight > 0.0)));
-    assert!(actions.iter().any(|a| matches!(a, Action::Bind { .. })));
+        .any(|a| matches!(a, Action::AssignTable { .. })));
 }
 
 #[test]
@@ -144,10 +166,10 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(5, &healthy(8, &[]));
     let started = world.now;
-    world.send(&[Event::Members(
-        ListKind::Changes,
-        vec![Entry {
-            started: Some(started),
+    world.send(&[Event::EndpointList(
+        EndpointUpdateKind::Delta,
+        vec![Endpoint {
+            started_at: Some(started),
             ..entry(3)
         }],
     )]);
@@ -170,51 +192,55 @@
 #[test]
 fn a_sole_owner_is_replaced_only_after_no_proxy_can_write_to_it() {
     let mut sliced = settings();
-    (sliced.slices, sliced.sole_owner) = (4, true);
+    (sliced.slices, sliced.exclusive_ownership) = (4, true);
     let mut world = World::new(sliced, 4, 3);
     world.send(&[
-        Event::Tenure {
+        Event::SliceOwnership {
             table: TableId(2),
-            given: true,
+            granted: true,
         },
-        Event::Held {
+        Event::PublishedWeight {
             table: TableId(2),
             server: ServerId(1),
             weight: 1.0,
         },
     ]);
-    let gone = Entry {
-        life: Lifecycle::Gone,
+    let gone = Endpoint {
+        lifecycle: Lifecycle::Removed,
         ..entry(1)
     };
-    let actions = world.send(&[Event::Members(ListKind::Changes, vec![gone])]);
-    assert!(actions.contains(&Action::Clear(TableId(2))));
+    let actions = world.send(&[Event::EndpointList(EndpointUpdateKind::Delta, vec![gone])]);
+    assert!(actions.contains(&Action::ClearTable(TableId(2))));
     let mark = actions.iter().find_map(|a| {
-        if let Action::Mark { mark, .. } = a {
+        if let Action::RequestAcknowledgement { sequence: mark, .. } = a {
             Some(*mark)
         } else {
             None
         }
     });
     let mark = mark.expect("the clearing is marked");
-    let line = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Line { .. }));
+    let line = |actions: &[Action]| {
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::SetWeight { .. }))
+    };
     world.actions.clear();
     world.run(5, &[]);
     assert!(!line(&world.actions), "not before the proxies answered");
     let took = ms(200);
     world.send(&[
-        Event::Receipt {
+        Event::Acknowledged {
             proxy: ProxyId(0),
-            mark,
-            took,
+            sequence: mark,
+            elapsed: took,
         },
-        Event::Receipt {
+        Event::Acknowledged {
             proxy: ProxyId(1),
-            mark,
-            took,
+            sequence: mark,
+            elapsed: took,
         },
     ]);
-    world.send(&[Event::Left(ProxyId(2))]);
+    world.send(&[Event::ProxyLeft(ProxyId(2))]);
     world.run(2, &[]);
     assert!(
         !line(&world.actions),
@@ -225,23 +251,23 @@
     assert!(!world
         .actions
         .iter()
-        .any(|a| matches!(a, Action::Bind { .. })));
+        .any(|a| matches!(a, Action::AssignTable { .. })));
 }
 
 #[test]
 fn a_list_on_request_is_subscribed_to_and_again_after_a_failure() {
     let mut asked = settings();
-    asked.list_on_request = true;
+    asked.endpoints_on_request = true;
     let mut world = World::new(asked, 4, 2);
-    assert!(world.actions.contains(&Action::Subscribe(true)));
+    assert!(world.actions.contains(&Action::SubscribeEndpoints(true)));
     world.actions.clear();
-    world.send(&[Event::Members(ListKind::Lost, vec![])]);
+    world.send(&[Event::EndpointList(EndpointUpdateKind::Unavailable, vec![])]);
     world.run(3, &[]);
     assert_eq!(
         world
             .actions
             .iter()
-            .filter(|a| **a == Action::Subscribe(true))
+            .filter(|a| **a == Action::SubscribeEndpoints(true))
             .count(),
         1
     );
@@ -250,10 +276,13 @@
 #[test]
 fn no_probe_where_probes_are_forbidden() {
     let mut quiet = settings();
-    quiet.probes = false;
+    quiet.health_checks_allowed = false;
     let mut world = World::new(quiet, 4, 2);
     world.run(10, &healthy(4, &[]));
-    assert!(!world.actions.iter().any(|a| matches!(a, Action::Probe(_))));
+    assert!(!world
+        .actions
+        .iter()
+        .any(|a| matches!(a, Action::HealthCheck(_))));
 }
 
 /// Random runs of each rule test.
@@ -264,21 +293,21 @@
     let life = prop_oneof![
         Just(Lifecycle::InService),
         Just(Lifecycle::Draining),
-        Just(Lifecycle::Gone)
+        Just(Lifecycle::Removed)
     ];
     let end = prop_oneof![
-        Just(ProbeEnd::Done),
-        Just(ProbeEnd::TimedOut),
-        Just(ProbeEnd::Unreachable)
+        Just(HealthCheckOutcome::Passed),
+        Just(HealthCheckOutcome::TimedOut),
+        Just(HealthCheckOutcome::Unreachable)
     ];
     prop_oneof![
         4 => (0..8u32, 0.0..20.0f64, 0.0..1.0f64, 1.0..3000.0f64)
             .prop_map(|(id, tries, bad, mean)| heard(id, tries, tries * bad, mean)),
         1 => (0..6u32).prop_map(joined),
-        1 => (0..6u32).prop_map(|id| Event::Left(ProxyId(id))),
+        1 => (0..6u32).prop_map(|id| Event::ProxyLeft(ProxyId(id))),
         1 => (0..8u32, life, proptest::bool::ANY).prop_map(|(id, life, fresh)| {
             let started = fresh.then_some(ms(1_003_000));
-            Event::Members(ListKind::Changes, vec![Entry { life, started, ..entry(id) }])
+            Event::EndpointList(EndpointUpdateKind::Delta, vec![Endpoint { lifecycle: life, started_at: started, ..entry(id) }])
         }),
         2 => (0..8u32, end).prop_map(|(id, end)| probed(ServerId(id), end)),
     ]
@@ -302,17 +331,17 @@
             }
             // What has just become warm is named by the next tick.
             let age = world.now - ms(1_003_000) - ms(500);
-            let warm = listed.open.iter().any(|id| !listed.cold.contains(id) || age > settings.cold_for);
+            let warm = listed.open.iter().any(|id| !listed.cold.contains(id) || age > settings.slow_start_period);
             prop_assert!(!warm || table.iter().any(|server| world.weight(*server) > 0.0), "nobody to pick");
-            prop_assert!(world.retries[&1] <= Retry::Unrun);
+            prop_assert!(world.retries[&1] <= Retry::IfNotExecuted);
             for weight in world.tables.values().flat_map(|table| table.values()) {
                 prop_assert!(weight.is_finite() && *weight > 0.0);
             }
             world.run(1, &[]);
             // To each proxy alone, counted from its joining.
             for (proxy, written) in &world.messages {
-                let recent = written.iter().filter(|at| world.now - **at <= settings.messages_window).count();
-                prop_assert!(recent <= settings.messages_most, "{recent} messages to {proxy:?} in the window");
+                let recent = written.iter().filter(|at| world.now - **at <= settings.message_window).count();
+                prop_assert!(recent <= settings.max_messages, "{recent} messages to {proxy:?} in the window");
             }
         }
     }
@@ -336,7 +365,7 @@
 #[test]
 fn a_cold_server_stays_out_while_most_tries_fail_and_proxies_avoid_servers_themselves() {
     let mut avoiding = settings();
-    avoiding.proxy_ejects_after = 3;
+    avoiding.proxy_ejection_threshold = 3;
     let mut world = World::new(avoiding, 8, 4);
     world.run(3, &healthy(8, &[3]));
     let failing: Vec<Event> = (0..8)
@@ -345,10 +374,10 @@
         .collect();
     world.run(6, &failing);
     let started = Some(world.now);
-    world.send(&[Event::Members(
-        ListKind::Changes,
-        vec![Entry {
-            started,
+    world.send(&[Event::EndpointList(
+        EndpointUpdateKind::Delta,
+        vec![Endpoint {
+            started_at: started,
             ..entry(3)
         }],
     )]);
@@ -365,18 +394,18 @@
     let mut world = World::new(settings(), 4, 2);
     let mut asked = 0;
     for round in 0..200 {
-        let refused = Event::Probed {
+        let refused = Event::HealthChecked {
             server: ServerId(1),
-            end: ProbeEnd::Unreachable,
-            took: Micros(200),
-            load: Load::default(),
+            outcome: HealthCheckOutcome::Unreachable,
+            elapsed: Micros(200),
+            load: LoadReport::default(),
         };
         let tick = (round % 50 == 0).then_some(Event::Timer(1));
         let events: Vec<Event> = std::iter::once(refused).chain(tick).collect();
         let actions = world.send(&events);
         asked += actions
             .iter()
-            .filter(|a| **a == Action::Probe(ServerId(1)))
+            .filter(|a| **a == Action::HealthCheck(ServerId(1)))
             .count();
         world.now = world.now + ms(10);
     }
@@ -390,16 +419,16 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let started = Some(world.now);
-    let gone = (3..8).map(|id| Entry {
-        life: Lifecycle::Gone,
+    let gone = (3..8).map(|id| Endpoint {
+        lifecycle: Lifecycle::Removed,
         ..entry(id)
     });
-    let cold = (0..3).map(|id| Entry {
-        started,
+    let cold = (0..3).map(|id| Endpoint {
+        started_at: started,
         ..entry(id)
     });
-    world.send(&[Event::Members(
-        ListKind::Changes,
+    world.send(&[Event::EndpointList(
+        EndpointUpdateKind::Delta,
         gone.chain(cold).collect(),
     )]);
     for second in 0..15 {
@@ -422,19 +451,19 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let started = world.now;
-    let cold = (0..2).map(|id| Entry {
-        started: Some(started),
+    let cold = (0..2).map(|id| Endpoint {
+        started_at: Some(started),
         ..entry(id)
     });
-    let gone = (2..8).map(|id| Entry {
-        life: Lifecycle::Gone,
+    let gone = (2..8).map(|id| Endpoint {
+        lifecycle: Lifecycle::Removed,
         ..entry(id)
     });
-    world.send(&[Event::Members(
-        ListKind::Changes,
+    world.send(&[Event::EndpointList(
+        EndpointUpdateKind::Delta,
         gone.chain(cold).collect(),
     )]);
-    let warm = started + settings().cold_for;
+    let warm = started + settings().slow_start_period;
     while world.now <= warm {
         world.run(1, &[]);
     }
@@ -446,10 +475,10 @@
     let mut world = World::new(settings(), 4, 3);
     world.run(3, &healthy(4, &[]));
     let started = Some(world.now);
-    world.send(&[Event::Members(
-        ListKind::Changes,
-        vec![Entry {
-            started,
+    world.send(&[Event::EndpointList(
+        EndpointUpdateKind::Delta,
+        vec![Endpoint {
+            started_at: started,
             ..entry(3)
         }],
     )]);
@@ -474,17 +503,20 @@
     let asks = |actions: &[Action]| {
         actions
             .iter()
-            .any(|action| matches!(action, Action::Probe(_)))
+            .any(|action| matches!(action, Action::HealthCheck(_)))
     };
-    let list = Event::Members(ListKind::WarmCopy, (0..4).map(entry).collect());
-    let mut actions = policy.handle(ms(0), &[list]);
+    let list = Event::EndpointList(
+        EndpointUpdateKind::CachedSnapshot,
+        (0..4).map(entry).collect(),
+    );
+    let mut actions = policy.handle_events(ms(0), &[list]);
     for tick in 1..6 {
-        actions.extend(policy.handle(ms(500 * tick), &[Event::Timer(1)]));
+        actions.extend(policy.handle_events(ms(500 * tick), &[Event::Timer(1)]));
     }
     assert!(!asks(&actions));
-    assert!(asks(&policy.handle(ms(3100), &[joined(0)])));
-    policy.handle(ms(3200), &[Event::Left(ProxyId(0))]);
-    assert!(!asks(&policy.handle(ms(8000), &[Event::Timer(1)])));
+    assert!(asks(&policy.handle_events(ms(3100), &[joined(0)])));
+    policy.handle_events(ms(3200), &[Event::ProxyLeft(ProxyId(0))]);
+    assert!(!asks(&policy.handle_events(ms(8000), &[Event::Timer(1)])));
 }
 
 fn reconciles(action: &Action) -> Option<ProxyId> {
@@ -501,39 +533,44 @@
 #[test]
 fn what_a_proxy_brings_along_counts_when_it_is_bound() {
     let leaves = |servers: std::ops::Range<u32>, life| {
-        Event::Members(
-            ListKind::Changes,
-            servers.map(|id| Entry { life, ..entry(id) }).collect(),
+        Event::EndpointList(
+            EndpointUpdateKind::Delta,
+            servers
+                .map(|id| Endpoint {
+                    lifecycle: life,
+                    ..entry(id)
+                })
+                .collect(),
         )
     };
     let joining = |left: u32, brought: bool| {
         let settings = Settings {
             proxies: 200,
-            backlog: 2000.0,
+            channel_backlog: 2000.0,
             ..settings()
         };
         let mut policy = Policy::new(settings, 1);
-        policy.handle(
+        policy.handle_events(
             ms(0),
-            &[Event::Members(
-                ListKind::WarmCopy,
+            &[Event::EndpointList(
+                EndpointUpdateKind::CachedSnapshot,
                 (0..20).map(entry).collect(),
             )],
         );
-        policy.handle(ms(10), &[leaves(0..left, Lifecycle::Draining)]);
-        policy.handle(ms(20), &[leaves(0..left, Lifecycle::InService)]);
-        let join = |id: u32| Event::Joined {
+        policy.handle_events(ms(10), &[leaves(0..left, Lifecycle::Draining)]);
+        policy.handle_events(ms(20), &[leaves(0..left, Lifecycle::InService)]);
+        let join = |id: u32| Event::ProxyJoined {
             proxy: ProxyId(id),
             zone: ZoneId(0),
-            rate: 10.0,
-            brought,
+            request_rate: 10.0,
+            has_previous_table: brought,
         };
         let joins: Vec<Event> = (0..200).map(join).collect();
-        let actions = policy.handle(ms(100), &joins);
+        let actions = policy.handle_events(ms(100), &joins);
         (
             actions
                 .iter()
-                .filter(|action| matches!(action, Action::Bind { .. }))
+                .filter(|action| matches!(action, Action::AssignTable { .. }))
                 .count(),
             policy,
         )
@@ -553,24 +590,24 @@
 
     let mut reconciled = BTreeSet::new();
     for second in 1..60 {
-        let actions = policy.handle(ms(1000 * second), &[Event::Timer(1)]);
+        let actions = policy.handle_events(ms(1000 * second), &[Event::Timer(1)]);
         let told: Vec<ProxyId> = actions.iter().filter_map(reconciles).collect();
         // Twenty words each, and the head.
         assert!(told.len() as f64 * (20.0 + 6.0) <= 2000.0, "{}", told.len());
         reconciled.extend(told);
         let mark = actions.iter().find_map(|a| {
-            if let Action::Mark { mark, .. } = a {
+            if let Action::RequestAcknowledgement { sequence: mark, .. } = a {
                 Some(*mark)
             } else {
                 None
             }
         });
-        let receipt = |id| Event::Receipt {
+        let receipt = |id| Event::Acknowledged {
             proxy: ProxyId(id),
-            mark: mark.unwrap_or_default(),
-            took: ms(10),
+            sequence: mark.unwrap_or_default(),
+            elapsed: ms(10),
         };
-        policy.handle(
+        policy.handle_events(
             ms(1000 * second + 100),
             &(0..200).map(receipt).collect::<Vec<_>>(),
         );
