--- a/crates/adapter/src/limits.rs
+++ b/crates/adapter/src/limits.rs
@@ -2,7 +2,7 @@
 //! no names there; they are numbered, `c0` being the first.
 
 use chutegrade_engine::TrafficSample;
-use chutegrade_levels::{seen, way, STANDS, TURN_EVERY};
+use chutegrade_overload_control::{seen, way, STANDS, TURN_EVERY};
 use chutegrade_limits::manager::{Decision, Demand, Outcome};
 use chutegrade_limits::{pb, Class, ConfigError, OverloadConfig, OverloadManager};
 use chutegrade_policy::Policy;
@@ -17,7 +17,7 @@
 }
 
 fn classes(settings: &Settings) -> Vec<Class> {
-    let named = |(number, of)| chutegrade_levels::class(format!("c{number}"), of);
+    let named = |(number, of)| chutegrade_overload_control::class(format!("c{number}"), of);
     settings.classes.iter().enumerate().map(named).collect()
 }
 
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -8,7 +8,7 @@
     match (arguments.next(), arguments.next()) {
         (None, _) => Ok(None),
         (Some(word), Some(path)) if word == "--operator" => {
-            let operator = chutegrade_operator::load(path.as_ref()).map_err(|faults| {
+            let operator = chutegrade_operator_config::load(path.as_ref()).map_err(|faults| {
                 let said: Vec<String> = faults.iter().map(ToString::to_string).collect();
                 io::Error::other(said.join("; "))
             })?;
--- a/crates/standins/src/bin/demo.rs
+++ b/crates/emulators/src/bin/demo.rs
@@ -6,7 +6,7 @@
 use std::process::{ExitCode, Stdio};
 use std::time::Duration;
 
-use chutegrade_standins::script::Stage;
+use chutegrade_emulators::script::Stage;
 use clap::Parser;
 use tokio::process::Command;
 use tokio::signal::unix::{signal, SignalKind};
--- a/crates/standins/src/bin/incident.rs
+++ b/crates/emulators/src/bin/incident.rs
@@ -5,8 +5,8 @@
 
 use chutegrade_records::index::Query;
 use chutegrade_records::Timeline;
-use chutegrade_standins::script::{Stage, SUPERVISORS};
-use chutegrade_standins::truth;
+use chutegrade_emulators::script::{Stage, SUPERVISORS};
+use chutegrade_emulators::truth;
 use clap::Parser;
 
 /// Plays a scripted incident of some 75 seconds on loopback.
--- a/crates/standins/src/bin/truth.rs
+++ b/crates/emulators/src/bin/truth.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use chutegrade_standins::predict::{compare, days, real, said};
+use chutegrade_emulators::predict::{compare, days, real, said};
 use clap::Parser;
 
 /// Compares the fleet model with the program on loopback: a dozen days of 20 seconds.
--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -5,13 +5,13 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use chutegrade_advice::Rules;
+use chutegrade_plugin_advisor::Rules;
 use chutegrade_engine::{
     DecisionPolicy, Engine, Lifecycle, LoadReport, Micros, NamedEndpoint, Order, Report,
     TableUpdate,
 };
 
-use chutegrade_levels::Service;
+use chutegrade_overload_control::Service;
 use chutegrade_limits::{pb as limits, Class, OverloadConfig};
 use chutegrade_policy::Settings;
 use chutegrade_traffic::Traffic;
@@ -80,7 +80,7 @@
     let own = scenario.settings(0).classes;
     own.iter()
         .zip(&scenario.classes)
-        .map(|(class, of)| chutegrade_levels::class(of.name.clone(), class))
+        .map(|(class, of)| chutegrade_overload_control::class(of.name.clone(), class))
         .collect()
 }
 
--- a/crates/advice/benches/tick.rs
+++ b/crates/plugin-advisor/benches/tick.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use chutegrade_advice::Rules;
+use chutegrade_plugin_advisor::Rules;
 use chutegrade_engine::{Engine, Micros, Report, StreamId};
 use chutegrade_policy::*;
 
--- a/crates/records/benches/store.rs
+++ b/crates/records/benches/store.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use chutegrade_background::Cost;
+use chutegrade_scheduler::Cost;
 use chutegrade_records::index::{self, Query};
 use chutegrade_records::jobs::{self, Retention, Shared};
 use chutegrade_records::pb::{self, Record};
@@ -71,7 +71,7 @@
     let shared = Shared::default();
     shared.set_writing(store.writing());
     for mut job in jobs::all(directory, KEEP, &shared) {
-        while job.step().1 == chutegrade_background::Left::More {}
+        while job.step().1 == chutegrade_scheduler::Left::More {}
     }
 }
 
--- a/crates/records/src/jobs.rs
+++ b/crates/records/src/jobs.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime};
 
-use chutegrade_background::{Cost, Job, Left, Priority};
+use chutegrade_scheduler::{Cost, Job, Left, Priority};
 use prost::Message;
 
 use crate::frame;
--- a/crates/records/src/recorder.rs
+++ b/crates/records/src/recorder.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use chutegrade_background as background;
+use chutegrade_scheduler as background;
 use crossbeam_queue::ArrayQueue;
 use prost::Message;
 
--- a/crates/records/tests/damage.rs
+++ b/crates/records/tests/damage.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use chutegrade_background::Cost;
+use chutegrade_scheduler::Cost;
 use chutegrade_records::index::Query;
 use chutegrade_records::jobs::{self, Retention, Shared};
 use chutegrade_records::pb::{self, Record};
@@ -100,7 +100,7 @@
     let shared = Shared::default();
     shared.set_writing(Some(writing));
     for mut job in jobs::all(directory, KEEP, &shared) {
-        while job.step().1 == chutegrade_background::Left::More {}
+        while job.step().1 == chutegrade_scheduler::Left::More {}
     }
 }
 
--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -185,7 +185,7 @@
     let names = config.names;
     let engine =
         chutegrade_engine::Engine::new(config.settings, 0, names.zones, names.classes, names.kinds);
-    Ok(chutegrade_levels::classes(&engine))
+    Ok(chutegrade_overload_control::classes(&engine))
 }
 
 fn load(path: &str) -> Result<File, Fault> {
--- a/crates/supervisor/src/lab.rs
+++ b/crates/supervisor/src/lab.rs
@@ -115,7 +115,7 @@
     };
     let limits = match played.limits {
         Some(path) => {
-            let operator = chutegrade_operator::load(path).map_err(|all| each(&all))?;
+            let operator = chutegrade_operator_config::load(path).map_err(|all| each(&all))?;
             operator.limits.map(|limits| limits.written().clone())
         }
         None => None,
@@ -197,7 +197,7 @@
         )?;
     }
     for of in &outcome.changes {
-        let line = text::line(&chutegrade_levels::changed(&of.change));
+        let line = text::line(&chutegrade_overload_control::changed(&of.change));
         writeln!(
             out,
             "  {:6.1} s, supervisor {}: {line}",
--- a/crates/supervisor/src/levels.rs
+++ b/crates/supervisor/src/levels.rs
@@ -46,7 +46,7 @@
 }
 
 fn ladder(declared: &Declared) -> Result<ServiceLevels, Fault> {
-    let operator = chutegrade_operator::load(&declared.operator).map_err(|all| each(&all))?;
+    let operator = chutegrade_operator_config::load(&declared.operator).map_err(|all| each(&all))?;
     let shown = declared.operator.display();
     let limits = operator
         .limits
@@ -258,7 +258,7 @@
         )?;
         let (changes, spent) = play(ladder, &own);
         for (at, change) in &changes {
-            let line = text::line(&chutegrade_levels::changed(change));
+            let line = text::line(&chutegrade_overload_control::changed(change));
             writeln!(out, "  {} {}", text::clock(*at), printable(&line))?;
         }
         let hours = ((last.0 - first.0) as f64 / 3.6e9).max(1e-9);
--- a/crates/supervisor/src/limits.rs
+++ b/crates/supervisor/src/limits.rs
@@ -5,9 +5,9 @@
 use std::path::{Path, PathBuf};
 
 use chutegrade_engine::{Engine, Micros};
-use chutegrade_levels::{changed, classes, Service};
+use chutegrade_overload_control::{changed, classes, Service};
 use chutegrade_limits::{pb as limits, Class, OverloadConfig};
-use chutegrade_operator::Operator;
+use chutegrade_operator_config::Operator;
 use chutegrade_records::index::Query;
 use chutegrade_records::timeline::gauge;
 use chutegrade_records::{pb, text, Kind, Timeline};
@@ -26,7 +26,7 @@
 }
 
 /// All faults of the operators' file in one sentence.
-pub fn sentence(faults: &[chutegrade_operator::Fault]) -> String {
+pub fn sentence(faults: &[chutegrade_operator_config::Fault]) -> String {
     faults
         .iter()
         .map(ToString::to_string)
@@ -80,7 +80,7 @@
     /// Reads the operators' file anew; one that is wrong changes nothing.
     pub fn reload(&self, hub: &Hub) {
         let Some(path) = &self.path else { return };
-        let read = chutegrade_operator::load(path).map_err(|faults| sentence(&faults));
+        let read = chutegrade_operator_config::load(path).map_err(|faults| sentence(&faults));
         let plan = match read.and_then(|operator| plan(&operator, &self.classes)) {
             Ok(plan) => plan,
             Err(fault) => {
--- a/crates/supervisor/src/plugins.rs
+++ b/crates/supervisor/src/plugins.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 
-use chutegrade_advice::Rules;
+use chutegrade_plugin_advisor::Rules;
 use chutegrade_plugins::host::Word;
 use chutegrade_records::{pb, Kind};
 
--- a/crates/supervisor/src/recording.rs
+++ b/crates/supervisor/src/recording.rs
@@ -5,9 +5,9 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use chutegrade_background::Cost;
+use chutegrade_scheduler::Cost;
 use chutegrade_engine::{Engine, Micros};
-use chutegrade_operator::Records;
+use chutegrade_operator_config::Records;
 use chutegrade_records::jobs::Retention;
 use chutegrade_records::recorder::{self, Options};
 use chutegrade_records::{pb, Kind, Recorder, Recording};
--- a/crates/supervisor/src/serve.rs
+++ b/crates/supervisor/src/serve.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use chutegrade_engine::{Engine, Micros, Report, ReportSource};
-use chutegrade_operator::{LogFormat, Operator};
+use chutegrade_operator_config::{LogFormat, Operator};
 use chutegrade_records::{kind, pb, text, Kind};
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{signal, Signal, SignalKind};
@@ -35,7 +35,7 @@
 pub fn main(operator: Option<&Path>) -> ExitCode {
     let path = operator;
     let begun = begin();
-    let operator = path.map_or_else(|| Ok(Operator::default()), chutegrade_operator::load);
+    let operator = path.map_or_else(|| Ok(Operator::default()), chutegrade_operator_config::load);
     log(operator
         .as_ref()
         .map_or(LogFormat::Plain, |operator| operator.log));
--- a/crates/supervisor/src/tests/rules.rs
+++ b/crates/supervisor/src/tests/rules.rs
@@ -7,7 +7,7 @@
     EndpointUpdateKind, Engine, HealthCheck, HealthCheckOutcome, Lifecycle, LoadReport, Micros,
     NamedEndpoint, OverloadLimits, Report, Retry, StreamId,
 };
-use chutegrade_standins::tables::{Tables, CLASSES};
+use chutegrade_emulators::tables::{Tables, CLASSES};
 use proptest::prelude::*;
 use serde_json::json;
 
--- a/crates/supervisor/src/tools.rs
+++ b/crates/supervisor/src/tools.rs
@@ -38,7 +38,7 @@
         }
     }
     if let Some(path) = &check.operator {
-        let limits = match chutegrade_operator::load(path) {
+        let limits = match chutegrade_operator_config::load(path) {
             Ok(operator) => operator.limits,
             Err(said) => {
                 faults.extend(said.iter().map(ToString::to_string));
@@ -393,7 +393,7 @@
             .collect();
         zones.sort();
         zones.dedup();
-        let inputs = chutegrade_advice::recorded(&picture, &zones);
+        let inputs = chutegrade_plugin_advisor::recorded(&picture, &zones);
         if let Some(server) = trace.filter(|server| !picture.servers.contains_key(*server)) {
             return Err(Fault::Said(format!(
                 "no server {server:?} is known at {}",
@@ -401,7 +401,7 @@
             )));
         }
         let given = host.turn(&inputs);
-        let advised = chutegrade_advice::advised(&given.advice, &inputs, Micros(now));
+        let advised = chutegrade_plugin_advisor::advised(&given.advice, &inputs, Micros(now));
         writeln!(out, "{} {} servers", text::time(now), inputs.servers.len())?;
         for (server, zone, class, factor) in &advised.factors {
             let class = class.as_deref().unwrap_or("all classes");
--- a/crates/supervisor/tests/arrivals.rs
+++ b/crates/supervisor/tests/arrivals.rs
@@ -1,7 +1,7 @@
 //! How bytes arrive: one at a time, many messages in one piece, and on connections that end at once.
 
 mod common;
-use chutegrade_standins::{soon, Peer, Proxy};
+use chutegrade_emulators::{soon, Peer, Proxy};
 use common::*;
 
 /// Writes bytes one at a time, each in a segment of its own.
--- a/crates/supervisor/tests/common/mod.rs
+++ b/crates/supervisor/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A program, three servers and a proxy, for the tests that speak to a supervisor over sockets.
 #![allow(dead_code)]
 
-use chutegrade_standins::{config, Discovery, Manner, Program, Proxy, Server, Supervisor};
+use chutegrade_emulators::{config, Discovery, Manner, Program, Proxy, Server, Supervisor};
 
 /// The names of the three servers.
 pub const NAMES: [&str; 3] = ["s-1", "s-2", "s-3"];
--- a/crates/supervisor/tests/crossings.rs
+++ b/crates/supervisor/tests/crossings.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use chutegrade_standins::{
+use chutegrade_emulators::{
     config, delivery, entry, soon, until, Discovery, Manner, Peer, Proxy, Scripted, Server,
     Supervisor,
 };
--- a/crates/supervisor/tests/incident.rs
+++ b/crates/supervisor/tests/incident.rs
@@ -4,9 +4,9 @@
 
 use chutegrade_records::index::Query;
 use chutegrade_records::{text, Timeline, Window};
-use chutegrade_standins::script::{Stage, SUPERVISORS};
-use chutegrade_standins::truth::{compare, shift, Deed, Truth};
-use chutegrade_standins::Program;
+use chutegrade_emulators::script::{Stage, SUPERVISORS};
+use chutegrade_emulators::truth::{compare, shift, Deed, Truth};
+use chutegrade_emulators::Program;
 
 fn path(of: &Path) -> &str {
     of.to_str().expect("a plain path")
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -6,8 +6,8 @@
 
 use chutegrade_records::index::Query;
 use chutegrade_records::{pb, Kind, Timeline};
-use chutegrade_standins::script::Stage;
-use chutegrade_standins::{until, Program};
+use chutegrade_emulators::script::Stage;
+use chutegrade_emulators::{until, Program};
 use tokio::time::sleep;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_chutegrade");
@@ -191,11 +191,11 @@
     let directory = tempfile::tempdir().expect("a directory");
     let operator = directory.path().join("operator.txtpb");
     std::fs::write(&operator, "limits { ladder { usual: true } }").expect("a file");
-    let discovery = chutegrade_standins::Discovery::start().await;
+    let discovery = chutegrade_emulators::Discovery::start().await;
     let config = directory.path().join("config.json");
     std::fs::write(
         &config,
-        chutegrade_standins::program::config(&discovery, None, 64).to_string(),
+        chutegrade_emulators::program::config(&discovery, None, 64).to_string(),
     )
     .expect("a file");
     let tools = Program::new(PROGRAM, directory.path());
--- a/crates/supervisor/tests/plugins.rs
+++ b/crates/supervisor/tests/plugins.rs
@@ -9,8 +9,8 @@
 
 use chutegrade_records::index::Query;
 use chutegrade_records::{GapReason, Kind, Timeline};
-use chutegrade_standins::script::Stage;
-use chutegrade_standins::{until, Program};
+use chutegrade_emulators::script::Stage;
+use chutegrade_emulators::{until, Program};
 use tokio::time::sleep;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_chutegrade");
--- a/crates/supervisor/tests/serving.rs
+++ b/crates/supervisor/tests/serving.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering;
 
-use chutegrade_standins::{config, until, Discovery, Manner, Peer, Proxy, Server};
+use chutegrade_emulators::{config, until, Discovery, Manner, Peer, Proxy, Server};
 use serde_json::json;
 
 mod common;
