--- a/crates/adapter/src/codec.rs
+++ b/crates/adapter/src/codec.rs
@@ -41,7 +41,7 @@
     Bad(String, &'static str, String),
     /// The settings cannot be read.
     #[error("settings: {0}")]
-    Settings(#[from] chutegrade_settings::Unreadable),
+    Settings(#[from] chutegrade_settings::SettingsError),
     /// An action carries a number that the wire has no form for.
     #[error("action not sendable: {0}")]
     Action(String),
@@ -134,7 +134,7 @@
             .ok_or_else(|| self.bad(key, text))
     }
     fn load(&self) -> LoadReport {
-        chutegrade_settings::load(self.find("healthInfo").unwrap_or(""))
+        chutegrade_settings::parse_load_report(self.find("healthInfo").unwrap_or(""))
     }
     pub(crate) fn server(&self) -> Result<ServerId, Fault> {
         self.parse("server").map(ServerId)
--- a/crates/adapter/src/limits.rs
+++ b/crates/adapter/src/limits.rs
@@ -2,11 +2,13 @@
 //! no names there; they are numbered, `c0` being the first.
 
 use chutegrade_engine::TrafficSample;
-use chutegrade_overload_control::{seen, way, STANDS, TURN_EVERY};
 use chutegrade_limits::manager::{Decision, Demand, Outcome};
 use chutegrade_limits::{pb, Class, ConfigError, OverloadConfig, OverloadManager};
+use chutegrade_overload_control::{
+    manager_inputs, retry_order, DECISION_LIFETIME, EVALUATION_INTERVAL,
+};
 use chutegrade_policy::Policy;
-use chutegrade_policy::{ClassId, Event, Limits, Micros, Settings};
+use chutegrade_policy::{ClassId, ClassRetry, ClassShare, Event, Limits, Micros, Settings};
 
 /// Limits of one instance.
 pub struct Service {
@@ -17,7 +19,8 @@
 }
 
 fn classes(settings: &Settings) -> Vec<Class> {
-    let named = |(number, of)| chutegrade_overload_control::class(format!("c{number}"), of);
+    let named =
+        |(number, of)| chutegrade_overload_control::overload_class(format!("c{number}"), of);
     settings.classes.iter().enumerate().map(named).collect()
 }
 
@@ -28,7 +31,7 @@
         let plan = OverloadConfig::read(written, Some(&classes))?;
         Ok(Service {
             governor: OverloadManager::new(plan, classes, settings.proxies),
-            period: settings.report_period.max(TURN_EVERY),
+            period: settings.report_period.max(EVALUATION_INTERVAL),
             due: None,
             measure: TrafficSample::default(),
         })
@@ -40,13 +43,13 @@
         if self.due.is_some_and(|due| now < due) {
             return None;
         }
-        self.due = Some(now + TURN_EVERY);
+        self.due = Some(now + EVALUATION_INTERVAL);
         let kept = TrafficSample {
             last_report_at: self.measure.last_report_at,
             ..TrafficSample::default()
         };
         let measure = std::mem::replace(&mut self.measure, kept);
-        let inputs = seen(now, self.period, measure, policy.fleet_status());
+        let inputs = manager_inputs(now, self.period, measure, policy.fleet_status());
         Some(Event::Limits(limits(
             &self.governor.evaluate(&inputs).decision,
             now,
@@ -96,18 +99,26 @@
     let class = |at: usize| ClassId(u8::try_from(at).unwrap_or(u8::MAX));
     Limits {
         min_shed_share: orders.min_shed_share,
-        shed_by_weight_class: orders.shed_by_weight_class,
+        shed_shares: orders
+            .shed_shares
+            .map(chutegrade_overload_control::shed_shares),
         admitted: orders
             .admitted
             .iter()
-            .map(|(at, keep)| (class(*at), *keep))
+            .map(|of| ClassShare {
+                class: class(of.class),
+                share: of.share,
+            })
             .collect(),
         retries: orders
             .retries
             .iter()
             .enumerate()
-            .map(|(at, again)| (class(at), way(*again)))
+            .map(|(at, again)| ClassRetry {
+                class: class(at),
+                retry: retry_order(*again),
+            })
             .collect(),
-        expires_at: now + STANDS,
+        expires_at: now + DECISION_LIFETIME,
     }
 }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -12,7 +12,7 @@
                 let said: Vec<String> = faults.iter().map(ToString::to_string).collect();
                 io::Error::other(said.join("; "))
             })?;
-            Ok(operator.limits.map(|limits| limits.written().clone()))
+            Ok(operator.limits.map(|limits| limits.declaration().clone()))
         }
         _ => Err(io::Error::other("give nothing, or --operator FILE")),
     }
--- a/crates/adapter/src/other.rs
+++ b/crates/adapter/src/other.rs
@@ -7,7 +7,7 @@
 
 use chutegrade_engine::DecisionPolicy;
 use chutegrade_policy::*;
-use chutegrade_settings::{to_json, Names};
+use chutegrade_settings::{to_json, DeploymentNames};
 
 use crate::codec::{self, Parts, ALL_TABLES, ENDS, LIST_KINDS, LIVES};
 
@@ -187,7 +187,7 @@
 pub fn decides(
     command: &str,
     settings: &Settings,
-    names: &Names,
+    names: &DeploymentNames,
     seed: u64,
     faults: &Faults,
 ) -> Box<dyn DecisionPolicy> {
@@ -210,7 +210,7 @@
     fn start(
         command: &str,
         settings: &Settings,
-        names: &Names,
+        names: &DeploymentNames,
         seed: u64,
         faults: Faults,
     ) -> Result<Self, Fault> {
--- a/crates/adapter/tests/other.rs
+++ b/crates/adapter/tests/other.rs
@@ -5,7 +5,7 @@
 use chutegrade_adapter::other::{decides, Faults};
 use chutegrade_engine::{DecisionPolicy, Settings};
 use chutegrade_model::{play, scenario, Setup};
-use chutegrade_settings::Names;
+use chutegrade_settings::DeploymentNames;
 
 const FLEET: &str = "seconds: 14 zone: 'a' zone: 'b' kind { servers: 10 cores: 2 } front_ends { count: 6 }\n\
     class { name: 'read' share: 2 work_ms: 50 } class { name: 'order' work_ms: 80 effect: UNSAFE } load { level: 0.6 }\n\
@@ -15,7 +15,7 @@
 fn by(command: &str, faults: &Faults) -> Setup {
     let (command, faults, name) = (command.to_string(), Arc::clone(faults), command.to_string());
     let make = move |settings: &Settings, seed: u64| -> Box<dyn DecisionPolicy> {
-        let names = Names {
+        let names = DeploymentNames {
             zones: vec!["a".into(), "b".into()],
             classes: vec!["read".into(), "order".into()],
             kinds: Vec::new(),
--- a/crates/emulators/src/bin/incident.rs
+++ b/crates/emulators/src/bin/incident.rs
@@ -3,10 +3,10 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use chutegrade_records::index::Query;
-use chutegrade_records::Timeline;
 use chutegrade_emulators::script::{Stage, SUPERVISORS};
 use chutegrade_emulators::truth;
+use chutegrade_records::index::Query;
+use chutegrade_records::Timeline;
 use clap::Parser;
 
 /// Plays a scripted incident of some 75 seconds on loopback.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -93,17 +93,57 @@
     },
 }
 
+/// A factor on the weight of one server in the tables of a zone's proxies, by names.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NamedWeightFactor {
+    /// The server.
+    pub server: String,
+    /// The zone of the proxies.
+    pub zone: String,
+    /// The class with a separate table; none: all classes.
+    pub class: Option<String>,
+    /// Share of its weight that the server keeps, from 0 to 1.
+    pub factor: f64,
+}
+
+/// A server to leave out of all tables for a while, by its name.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NamedExclusion {
+    /// The server.
+    pub server: String,
+    /// When the exclusion ends.
+    pub until: Micros,
+}
+
+/// The largest share of a class that is admitted, by the class's name.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NamedClassShare {
+    /// The class.
+    pub class: String,
+    /// The share, from 0 to 1.
+    pub share: f64,
+}
+
+/// The retry order of a class, by its name.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NamedClassRetry {
+    /// The class.
+    pub class: String,
+    /// When proxies may retry its requests.
+    pub retry: Retry,
+}
+
 /// What plug-ins advise, by names; a name that is not known any more is passed over.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PluginAdvice {
     /// Share of its weight that a server keeps for the proxies of a zone, for a class that is steered apart or for all.
-    pub factors: Vec<(String, String, Option<String>, f64)>,
+    pub factors: Vec<NamedWeightFactor>,
     /// The most of a class that is let in, as a share.
-    pub caps: Vec<(String, f64)>,
+    pub caps: Vec<NamedClassShare>,
     /// Classes that are not to be tried again.
     pub no_retry: Vec<String>,
     /// Servers to leave out, and until when.
-    pub excluded: Vec<(String, Micros)>,
+    pub excluded: Vec<NamedExclusion>,
     /// Classes that are steered apart.
     pub separate_tables: Vec<String>,
     /// When all of it ends, unless it is said again.
@@ -116,11 +156,11 @@
     /// The least share of requests to refuse, beside what saturation tells.
     pub min_shed_share: Option<f64>,
     /// The same for usual proxies and for heavy ones, where these have tables of their own.
-    pub shed_by_weight_class: Option<(f64, f64)>,
+    pub shed_shares: Option<ShedShares>,
     /// The most of a class that is let in, as a share.
-    pub admitted: Vec<(String, f64)>,
+    pub admitted: Vec<NamedClassShare>,
     /// How a class may be tried again.
-    pub retries: Vec<(String, Retry)>,
+    pub retries: Vec<NamedClassRetry>,
     /// When all of it ends, unless it is said again.
     pub expires_at: Micros,
 }
@@ -465,25 +505,40 @@
             let known = names.iter().filter_map(|name| class(name));
             known.fold(ClassSet::default(), |set, class| set.with(class.0.into()))
         };
-        let factor = |(name, zone, of, factor): &(String, String, Option<String>, f64)| {
-            let of = match of {
+        let factor = |of: &NamedWeightFactor| {
+            let class = match &of.class {
                 Some(name) => Some(class(name)?),
                 None => None,
             };
-            Some((server(name)?, self.zone(zone).ok()?, of, *factor))
+            Some(WeightFactor {
+                server: server(&of.server)?,
+                zone: self.zone(&of.zone).ok()?,
+                class,
+                factor: of.factor,
+            })
         };
         Advice {
             factors: advised.factors.iter().filter_map(factor).collect(),
             caps: advised
                 .caps
                 .iter()
-                .filter_map(|(name, cap)| Some((class(name)?, *cap)))
+                .filter_map(|of| {
+                    Some(ClassShare {
+                        class: class(&of.class)?,
+                        share: of.share,
+                    })
+                })
                 .collect(),
             no_retry: set(&advised.no_retry),
             excluded: advised
                 .excluded
                 .iter()
-                .filter_map(|(name, until)| Some((server(name)?, *until)))
+                .filter_map(|of| {
+                    Some(ServerExclusion {
+                        server: server(&of.server)?,
+                        until: of.until,
+                    })
+                })
                 .collect(),
             separate_tables: set(&advised.separate_tables),
             expires_at: advised.expires_at,
@@ -494,16 +549,26 @@
         let class = |name: &str| self.names.class(name);
         Limits {
             min_shed_share: limited.min_shed_share,
-            shed_by_weight_class: limited.shed_by_weight_class,
+            shed_shares: limited.shed_shares,
             admitted: limited
                 .admitted
                 .iter()
-                .filter_map(|(name, keep)| Some((class(name)?, *keep)))
+                .filter_map(|of| {
+                    Some(ClassShare {
+                        class: class(&of.class)?,
+                        share: of.share,
+                    })
+                })
                 .collect(),
             retries: limited
                 .retries
                 .iter()
-                .filter_map(|(name, again)| Some((class(name)?, *again)))
+                .filter_map(|of| {
+                    Some(ClassRetry {
+                        class: class(&of.class)?,
+                        retry: of.retry,
+                    })
+                })
                 .collect(),
             expires_at: limited.expires_at,
         }
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -6,7 +6,6 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::order::Level;
 
 const CLASSES: usize = 3;
 
@@ -538,7 +537,7 @@
 #[derive(Clone, Default)]
 struct Holder {
     rows: BTreeMap<usize, BTreeMap<String, f64>>,
-    levels: BTreeMap<usize, Level>,
+    levels: BTreeMap<usize, AdmissionLevel>,
     dropped: BTreeSet<String>,
     stamp: Option<u16>,
 }
@@ -592,8 +591,8 @@
 #[derive(Clone, Default)]
 struct Truth {
     lines: BTreeMap<TableId, BTreeMap<String, f64>>,
-    own: BTreeMap<(TableId, usize), Level>,
-    all: BTreeMap<usize, Level>,
+    own: BTreeMap<(TableId, usize), AdmissionLevel>,
+    all: BTreeMap<usize, AdmissionLevel>,
     withdrawn: BTreeSet<String>,
     bound: BTreeMap<(u32, usize), TableId>,
     /// Servers shut out while a joined proxy that has tables of ours still used others that nobody here knows. One that has
@@ -653,8 +652,20 @@
             } => {
                 for class in each(classes) {
                     match table {
-                        Some(table) => self.own.insert((*table, class), (*level, *retry)),
-                        None => self.all.insert(class, (*level, *retry)),
+                        Some(table) => self.own.insert(
+                            (*table, class),
+                            AdmissionLevel {
+                                level: *level,
+                                retry: *retry,
+                            },
+                        ),
+                        None => self.all.insert(
+                            class,
+                            AdmissionLevel {
+                                level: *level,
+                                retry: *retry,
+                            },
+                        ),
                     };
                 }
             }
@@ -679,9 +690,12 @@
             .collect()
     }
 
-    fn level(&self, table: TableId, class: usize) -> Option<Level> {
+    fn level(&self, table: TableId, class: usize) -> Option<AdmissionLevel> {
         match (self.own.get(&(table, class)), self.all.get(&class)) {
-            (Some(own), Some(all)) => Some((own.0.min(all.0), own.1)),
+            (Some(own), Some(all)) => Some(AdmissionLevel {
+                level: own.level.min(all.level),
+                retry: own.retry,
+            }),
             (own, all) => own.or(all).copied(),
         }
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -12,8 +12,9 @@
 mod tables;
 
 pub use engine::{
-    ClassInfo, DecisionPolicy, DiscoverySubscription, Engine, HealthCheck, OverloadLimits,
-    PluginAdvice, Report, ReportError,
+    ClassInfo, DecisionPolicy, DiscoverySubscription, Engine, HealthCheck, NamedClassRetry,
+    NamedClassShare, NamedExclusion, NamedWeightFactor, OverloadLimits, PluginAdvice, Report,
+    ReportError,
 };
 pub use measure::TrafficSample;
 pub use names::NamedEndpoint;
@@ -22,8 +23,8 @@
 
 /// The types that reports share with the decision module.
 pub use chutegrade_policy::{
-    Class, EndpointUpdateKind, FleetStatus, HealthCheckOutcome, Lifecycle, LoadReport, Micros,
-    ReportSource, Retry, Settings,
+    AdmissionLevel, Class, EndpointUpdateKind, FleetStatus, HealthCheckOutcome, Lifecycle,
+    LoadReport, Micros, ReportSource, Retry, Settings, ShedShares,
 };
 
 /// A stream of a proxy, numbered by whoever accepts it; a number is never used twice.
--- a/crates/engine/src/notes.rs
+++ b/crates/engine/src/notes.rs
@@ -4,8 +4,8 @@
 use std::collections::{HashMap, VecDeque};
 
 use chutegrade_policy::{
-    DecisionEvent, FleetStatus, HealthChangeCause, HealthState, Lifecycle, Micros, Retry, ServerId,
-    ServerStatus, ZoneId,
+    DecisionEvent, FleetStatus, HealthChangeCause, HealthState, Lifecycle, Micros, Retry,
+    ScoreTerms, ServerId, ServerStatus, ZoneId,
 };
 use chutegrade_records::observe::Observer;
 use chutegrade_records::{pb, Kind};
@@ -250,7 +250,7 @@
 
 /// A server as it stands, for the record of all.
 pub(crate) fn server(name: String, zone: String, of: &ServerStatus) -> pb::Server {
-    let (errors, latency) = of.terms;
+    let ScoreTerms { errors, latency } = of.terms;
     let (state, life) = (state(of.state).into(), life(of.endpoint.lifecycle).into());
     let (score, weight, warmth, shut) = (of.score, of.weight, of.warm_up_share, of.suspended);
     pb::Server {
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -4,13 +4,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use chutegrade_policy::{Retry, ServerId};
+use chutegrade_policy::{AdmissionLevel, ServerId};
 
 use crate::names::Names;
 
-/// A level and the way of trying again.
-pub(crate) type Level = (f64, Retry);
-
 /// One part of an order: what it changes for some classes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableUpdate {
@@ -21,7 +18,7 @@
     /// Servers and weights; weight 0 takes a line out.
     pub weights: Vec<(Rc<str>, f64)>,
     /// The level and the way of trying again.
-    pub admission: Option<(f64, Retry)>,
+    pub admission: Option<AdmissionLevel>,
 }
 
 /// One message to one proxy.
@@ -42,7 +39,7 @@
 struct Pending {
     replace: bool,
     rows: BTreeMap<ServerId, f64>,
-    gate: Option<Level>,
+    gate: Option<AdmissionLevel>,
 }
 
 /// Classes for which the same waits, together.
@@ -78,7 +75,12 @@
         }
     }
 
-    pub fn replace(&mut self, class: usize, rows: &BTreeMap<ServerId, f64>, gate: Option<Level>) {
+    pub fn replace(
+        &mut self,
+        class: usize,
+        rows: &BTreeMap<ServerId, f64>,
+        gate: Option<AdmissionLevel>,
+    ) {
         self.touched = true;
         self.classes.insert(
             class,
@@ -90,7 +92,7 @@
         );
     }
 
-    pub fn gate(&mut self, class: usize, level: Level) {
+    pub fn gate(&mut self, class: usize, level: AdmissionLevel) {
         self.touched = true;
         self.classes.entry(class).or_default().gate = Some(level);
     }
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -2,22 +2,20 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chutegrade_policy::{ClassSet, Retry, ServerId, TableId};
-
-use crate::order::Level;
+use chutegrade_policy::{AdmissionLevel, ClassSet, Retry, ServerId, TableId};
 
 /// One table: servers with weights, and levels by class.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     pub lines: BTreeMap<ServerId, f64>,
-    levels: BTreeMap<usize, Level>,
+    levels: BTreeMap<usize, AdmissionLevel>,
 }
 
 /// All that holds now.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tables {
     tables: BTreeMap<TableId, Table>,
-    for_all: BTreeMap<usize, Level>,
+    for_all: BTreeMap<usize, AdmissionLevel>,
     withdrawn: BTreeSet<ServerId>,
     /// Servers that proxies may know from before, as shut out.
     returned: BTreeSet<ServerId>,
@@ -67,18 +65,21 @@
             Some(table) => &mut self.tables.entry(table).or_default().levels,
             None => &mut self.for_all,
         };
-        levels.insert(class, (level, retry));
+        levels.insert(class, AdmissionLevel { level, retry });
     }
 
     /// The level in force for a class: the lower of the table's and that for all, with the table's own way of
     /// trying again.
-    pub fn level(&self, table: Option<TableId>, class: usize) -> Option<Level> {
+    pub fn level(&self, table: Option<TableId>, class: usize) -> Option<AdmissionLevel> {
         let own = table
             .and_then(|table| self.tables.get(&table)?.levels.get(&class))
             .copied();
         let for_all = self.for_all.get(&class).copied();
         match (own, for_all) {
-            (Some((own, retry)), Some((all, _))) => Some((own.min(all), retry)),
+            (Some(own), Some(all)) => Some(AdmissionLevel {
+                level: own.level.min(all.level),
+                retry: own.retry,
+            }),
             (own, all) => own.or(all),
         }
     }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -9,7 +9,7 @@
 
 use chutegrade_model::scenario::{changed, digest, parse, pb as model, Scenario};
 use chutegrade_model::{Control, Other, Setup, IDEAL_LATE_MS};
-use chutegrade_settings::Names;
+use chutegrade_settings::DeploymentNames;
 use chutegrade_textproto::{find, Wrong};
 use chutegrade_traffic::Traffic;
 use prost::Message as _;
@@ -344,7 +344,7 @@
     let make = move |settings: &Settings, seed: u64| -> Box<dyn DecisionPolicy> {
         let numbered =
             |prefix: &str, count: usize| (0..count).map(|n| format!("{prefix}{n}")).collect();
-        let names = Names {
+        let names = DeploymentNames {
             zones: numbered("z", settings.zones),
             classes: numbered("c", settings.classes.len()),
             kinds: Vec::new(),
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -22,7 +22,7 @@
 /// The encoded schema, for readers of messages that hold limits.
 pub const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/limits.bin"));
 
-pub use manager::{Evaluation, Inputs, OverloadConfig, OverloadManager};
+pub use manager::{ClassShare, Evaluation, Inputs, OverloadConfig, OverloadManager, ShedShares};
 pub use service_levels::{ConfigError, ServiceLevel, ServiceLevels};
 pub use signals::{Observation, Signal, SignalWindow};
 pub use transitions::{LevelTransition, LevelTransitions, TransitionReason};
--- a/crates/limits/src/manager.rs
+++ b/crates/limits/src/manager.rs
@@ -150,15 +150,33 @@
     pub outcomes: Vec<Outcome>,
 }
 
+/// The shares of requests to shed where heavy proxies can be told apart.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShedShares {
+    /// At proxies that are not heavy.
+    pub ordinary: f64,
+    /// At heavy proxies.
+    pub heavy: f64,
+}
+
+/// The largest share of a class that is admitted.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ClassShare {
+    /// The class, by its position.
+    pub class: usize,
+    /// The share, from 0 to 1.
+    pub share: f64,
+}
+
 /// What follows, until it is said anew.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decision {
     /// The least share of requests to refuse, beside what saturation tells.
     pub min_shed_share: Option<f64>,
     /// The same for front ends that are not heavy, and for those that are, where they can be told apart.
-    pub shed_by_weight_class: Option<(f64, f64)>,
+    pub shed_shares: Option<ShedShares>,
     /// The most of a class that is let in, by class.
-    pub admitted: Vec<(usize, f64)>,
+    pub admitted: Vec<ClassShare>,
     /// How classes may be tried again, by class; nothing said: as ever.
     pub retries: Vec<RetryAllowance>,
 }
@@ -485,12 +503,15 @@
                 .iter()
                 .map(|class| steps.keeps(&class.name))
                 .enumerate();
-            keeps.filter(|(_, keep)| *keep < 1.0).collect()
+            keeps
+                .filter(|(_, share)| *share < 1.0)
+                .map(|(class, share)| ClassShare { class, share })
+                .collect()
         };
         let refuse = self.plan.concurrency_limit.map(|_| self.refuse());
         Decision {
             min_shed_share: refuse,
-            shed_by_weight_class: refuse
+            shed_shares: refuse
                 .zip(self.plan.fairness)
                 .and_then(|(refuse, times)| self.fair(refuse, times)),
             admitted: self.steps.as_ref().map(kept).unwrap_or_default(),
@@ -525,7 +546,7 @@
     }
 
     /// What is refused of the others and of the heavy ones: these first, down to the least.
-    fn fair(&self, refuse: f64, times: f64) -> Option<(f64, f64)> {
+    fn fair(&self, refuse: f64, times: f64) -> Option<ShedShares> {
         let least = times * self.heavy.total() / self.proxies as f64;
         let brings: f64 = self.heavy.above(least).iter().map(|(_, sum)| sum).sum();
         let part = brings / self.heavy.total().max(f64::MIN_POSITIVE);
@@ -534,7 +555,10 @@
         }
         let heavy = (refuse / part).min(HEAVY_MOST);
         let rest = ((refuse - heavy * part) / (1.0 - part)).clamp(0.0, 1.0);
-        Some((rest, heavy))
+        Some(ShedShares {
+            ordinary: rest,
+            heavy,
+        })
     }
 }
 
--- a/crates/limits/src/manager/tests.rs
+++ b/crates/limits/src/manager/tests.rs
@@ -108,7 +108,10 @@
     for now in 0..30 {
         turn = governor.evaluate(&second(now, 200.0, 300.0, strain(now), 12.0, &[1.0, 1.0]));
     }
-    let (rest, heavy) = turn.decision.shed_by_weight_class.expect("one is heavy");
+    let ShedShares {
+        ordinary: rest,
+        heavy,
+    } = turn.decision.shed_shares.expect("one is heavy");
     assert!(
         heavy > 2.0 * rest && rest < turn.decision.min_shed_share.expect("a limit"),
         "{rest} {heavy}"
@@ -121,7 +124,7 @@
     for now in 0..30 {
         turn = even.evaluate(&second(now, 200.0, 300.0, strain(now), 1.0, &[1.0, 1.0]));
     }
-    assert_eq!(turn.decision.shed_by_weight_class, None);
+    assert_eq!(turn.decision.shed_shares, None);
 }
 
 #[test]
--- a/crates/model/src/front.rs
+++ b/crates/model/src/front.rs
@@ -3,7 +3,8 @@
 
 use std::rc::Rc;
 
-use chutegrade_engine::{Order, Retry};
+use chutegrade_engine::AdmissionLevel;
+use chutegrade_engine::Order;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::chance::Chance;
@@ -98,7 +99,7 @@
     /// Times at which messages were written to it in the last ten seconds.
     pub messages: std::collections::VecDeque<u64>,
     tables: Vec<Rc<Table>>,
-    levels: Vec<Option<(f64, Retry)>>,
+    levels: Vec<Option<AdmissionLevel>>,
     withdrawn: FxHashSet<u32>,
     own: FxHashMap<u32, Own>,
     chance: Chance,
@@ -229,7 +230,7 @@
     }
 
     /// The level of a class and the way of trying again, if one was ordered.
-    pub fn gate(&self, class: usize) -> Option<(f64, Retry)> {
+    pub fn gate(&self, class: usize) -> Option<AdmissionLevel> {
         self.levels.get(class).copied().flatten()
     }
 
--- a/crates/model/src/front/tests.rs
+++ b/crates/model/src/front/tests.rs
@@ -1,4 +1,4 @@
-use chutegrade_engine::TableUpdate;
+use chutegrade_engine::{Retry, TableUpdate};
 
 use super::*;
 use crate::chance::Source;
@@ -93,7 +93,10 @@
         },
     );
     assert!(front.has_lines(1));
-    let gate = Some((0.5, Retry::Once));
+    let gate = Some(AdmissionLevel {
+        level: 0.5,
+        retry: Retry::Once,
+    });
     carry(
         &mut front,
         &order(TableUpdate {
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -3,6 +3,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
+use chutegrade_engine::AdmissionLevel;
 use chutegrade_engine::{
     EndpointUpdateKind, Engine, HealthCheck, HealthCheckOutcome, Lifecycle, LoadReport, Micros,
     Order, Report, Retry, StreamId,
@@ -697,7 +698,7 @@
             return;
         }
         front.usage[class].came += 1.0;
-        let level = front.gate(class).map_or(1.0, |(level, _)| level);
+        let level = front.gate(class).map_or(1.0, |of| of.level);
         if self.scenario.admits && level < 1.0 && front.chance() >= level {
             self.coming_fails(key, true, true);
             return;
@@ -843,7 +844,7 @@
         } else {
             self.push(reaches, Event::Reach { attempt, fresh });
         }
-        let (_, retry) = self.gate(at as usize, class);
+        let AdmissionLevel { retry, .. } = self.gate(at as usize, class);
         let most = match retry {
             Retry::Never | Retry::IfNotExecuted => 0,
             Retry::Once => 1,
@@ -856,10 +857,11 @@
     }
 
     /// The level and the way of trying again that hold for a class at a front end.
-    fn gate(&self, front: usize, class: usize) -> (f64, Retry) {
-        self.fronts[front]
-            .gate(class)
-            .unwrap_or((1.0, self.scenario.usual_retry))
+    fn gate(&self, front: usize, class: usize) -> AdmissionLevel {
+        self.fronts[front].gate(class).unwrap_or(AdmissionLevel {
+            level: 1.0,
+            retry: self.scenario.usual_retry,
+        })
     }
 
     /// Rules on what is sent: to whom drains are told, and to whom that is cold.
@@ -1047,7 +1049,7 @@
             request.tries,
             request.ran_us,
         );
-        let (_, retry) = self.gate(front, class);
+        let AdmissionLevel { retry, .. } = self.gate(front, class);
         let again = match retry {
             Retry::Never => false,
             Retry::IfNotExecuted => unrun && tries <= 1,
@@ -1500,10 +1502,10 @@
         of.ticked_us = now;
         match &mut of.mind {
             Mind::Engine(engine, rules, service) => {
-                rules.turn(Micros(now as i64), engine);
+                rules.evaluate(Micros(now as i64), engine);
                 if let Some(change) = service
                     .as_mut()
-                    .and_then(|of| of.turn(Micros(now as i64), engine))
+                    .and_then(|of| of.evaluate(Micros(now as i64), engine))
                 {
                     let at_s = (now - BEGIN_US) as f64 / 1e6;
                     self.meter.changed(LevelChange {
--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -5,14 +5,14 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use chutegrade_plugin_advisor::Rules;
 use chutegrade_engine::{
     DecisionPolicy, Engine, Lifecycle, LoadReport, Micros, NamedEndpoint, Order, Report,
     TableUpdate,
 };
+use chutegrade_plugin_advisor::PluginAdvisor;
 
-use chutegrade_overload_control::Service;
 use chutegrade_limits::{pb as limits, Class, OverloadConfig};
+use chutegrade_overload_control::OverloadController;
 use chutegrade_policy::Settings;
 use chutegrade_traffic::Traffic;
 
@@ -80,7 +80,7 @@
     let own = scenario.settings(0).classes;
     own.iter()
         .zip(&scenario.classes)
-        .map(|(class, of)| chutegrade_overload_control::class(of.name.clone(), class))
+        .map(|(class, of)| chutegrade_overload_control::overload_class(of.name.clone(), class))
         .collect()
 }
 
@@ -129,9 +129,13 @@
     }
 
     /// Levels, limits and budgets of one supervisor, if they are wanted and fit.
-    pub fn service(&self, scenario: &Scenario, engine: &mut Engine) -> Option<Box<Service>> {
+    pub fn service(
+        &self,
+        scenario: &Scenario,
+        engine: &mut Engine,
+    ) -> Option<Box<OverloadController>> {
         let plan = OverloadConfig::read(self.limits.as_ref()?, Some(&classes(scenario))).ok()?;
-        Some(Box::new(Service::new(
+        Some(Box::new(OverloadController::new(
             plan,
             engine,
             Micros(scenario.period_us as i64),
@@ -140,7 +144,7 @@
 
     /// Whether the plug-ins compile; a sentence if not.
     pub fn check(&self) -> Result<(), String> {
-        let refused = Rules::default()
+        let refused = PluginAdvisor::default()
             .load(&self.plugins)
             .err()
             .unwrap_or_default();
@@ -158,8 +162,8 @@
     }
 
     /// The rules of one supervisor, loaded.
-    pub fn rules(&self) -> Rules {
-        let mut rules = Rules::default();
+    pub fn rules(&self) -> PluginAdvisor {
+        let mut rules = PluginAdvisor::default();
         // What does not compile was told when the setup was checked; here it is no rule.
         let _ = rules.load(&self.plugins);
         rules
@@ -199,7 +203,11 @@
 /// What decides at one supervisor.
 pub enum Mind {
     /// The engine.
-    Engine(Box<Engine>, Box<Rules>, Option<Box<Service>>),
+    Engine(
+        Box<Engine>,
+        Box<PluginAdvisor>,
+        Option<Box<OverloadController>>,
+    ),
     /// A baseline; whether it has something new to order.
     Plain(bool),
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -38,36 +38,36 @@
 
 /// One thing that is wrong with the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     /// The file.
     pub path: PathBuf,
     /// Where it is, if it has a place.
-    pub place: Option<Place>,
+    pub position: Option<Place>,
     /// What is wrong, and what would be right.
-    pub text: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.path.display())?;
-        if let Some(Place { line, column }) = self.place {
+        if let Some(Place { line, column }) = self.position {
             write!(f, ":{line}:{column}")?;
         }
-        write!(f, ": {}", self.text)
+        write!(f, ": {}", self.message)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigError {}
 
 /// Where records go, and what they may cost.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Records {
+pub struct RecordingConfig {
     /// The directory in which each supervisor has its own.
     pub directory: PathBuf,
     /// Bytes that are kept of each supervisor.
-    pub keep_bytes: u64,
+    pub max_bytes: u64,
     /// How long they are kept.
-    pub keep_for: Duration,
+    pub max_age: Duration,
     /// Processor time that background work may take in any ten seconds.
     pub background_time: Duration,
     /// Bytes that it may read and write in any ten seconds.
@@ -86,39 +86,42 @@
 
 /// What the operators switched on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// Records, if wanted.
-    pub records: Option<Records>,
+    pub records: Option<RecordingConfig>,
     /// The log's form.
     pub log: LogFormat,
     /// Texts of plug-ins, in their order.
     pub plugins: Vec<PathBuf>,
     /// Reduced service, limits and budgets, as written; what depends on the classes is checked by [`Limits::plan`].
-    pub limits: Option<Limits>,
+    pub limits: Option<LimitsSection>,
 }
 
 /// Limits as written, with the text that they stand in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
+pub struct LimitsSection {
     path: PathBuf,
     text: String,
-    written: chutegrade_limits::pb::Limits,
+    declaration: chutegrade_limits::pb::Limits,
 }
 
-impl Limits {
+impl LimitsSection {
     /// As written.
-    pub fn written(&self) -> &chutegrade_limits::pb::Limits {
-        &self.written
+    pub fn declaration(&self) -> &chutegrade_limits::pb::Limits {
+        &self.declaration
     }
 
     /// What they amount to for these classes; all faults at once. Without classes, only what does not depend on them is
     /// checked.
-    pub fn plan(&self, classes: Option<&[Class]>) -> Result<OverloadConfig, Vec<Fault>> {
-        OverloadConfig::read(&self.written, classes).map_err(|faults| {
-            let fault = |of: &chutegrade_limits::ConfigError| Fault {
+    pub fn overload_config(
+        &self,
+        classes: Option<&[Class]>,
+    ) -> Result<OverloadConfig, Vec<ConfigError>> {
+        OverloadConfig::read(&self.declaration, classes).map_err(|faults| {
+            let fault = |of: &chutegrade_limits::ConfigError| ConfigError {
                 path: self.path.clone(),
-                place: of.place(&self.text),
-                text: of.said.clone(),
+                position: of.place(&self.text),
+                message: of.said.clone(),
             };
             faults.iter().map(fault).collect()
         })
@@ -126,12 +129,12 @@
 }
 
 /// Reads the file; all faults at once.
-pub fn load(path: &Path) -> Result<Operator, Vec<Fault>> {
+pub fn load(path: &Path) -> Result<OperatorConfig, Vec<ConfigError>> {
     let fault = |text: String| {
-        vec![Fault {
+        vec![ConfigError {
             path: path.to_path_buf(),
-            place: None,
-            text,
+            position: None,
+            message: text,
         }]
     };
     let length = std::fs::metadata(path)
@@ -144,23 +147,23 @@
     }
     let text =
         std::fs::read_to_string(path).map_err(|io| fault(format!("cannot be read: {io}")))?;
-    read(path, &text)
+    parse(path, &text)
 }
 
 /// Reads a text, as of a file with this name.
-pub fn read(path: &Path, text: &str) -> Result<Operator, Vec<Fault>> {
-    let fault = |place, text| Fault {
+pub fn parse(path: &Path, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
+    let fault = |place, text| ConfigError {
         path: path.to_path_buf(),
-        place,
-        text,
+        position: place,
+        message: text,
     };
     let file: pb::Operator = chutegrade_textproto::parse(SCHEMA, MESSAGE, text)
         .map_err(|wrong| vec![fault(wrong.place, wrong.text)])?;
     let mut faults = Vec::new();
-    let limits = file.limits.clone().map(|written| Limits {
+    let limits = file.limits.clone().map(|written| LimitsSection {
         path: path.into(),
         text: text.into(),
-        written,
+        declaration: written,
     });
     let operator = check(&file, &mut |field, said| {
         faults.push(fault(find(text, field), said))
@@ -168,10 +171,10 @@
     faults.extend(
         limits
             .as_ref()
-            .and_then(|limits| limits.plan(None).err())
+            .and_then(|limits| limits.overload_config(None).err())
             .unwrap_or_default(),
     );
-    let operator = Operator { limits, ..operator };
+    let operator = OperatorConfig { limits, ..operator };
     if faults.is_empty() {
         Ok(operator)
     } else {
@@ -179,7 +182,7 @@
     }
 }
 
-fn check(file: &pb::Operator, fault: &mut impl FnMut(&str, String)) -> Operator {
+fn check(file: &pb::Operator, fault: &mut impl FnMut(&str, String)) -> OperatorConfig {
     let log = match file.log.as_ref().map(pb::Log::format) {
         Some(pb::log::Format::Json) => LogFormat::Json,
         _ => LogFormat::Plain,
@@ -189,7 +192,7 @@
         .as_ref()
         .map(|plugins| check_plugins(plugins, fault))
         .unwrap_or_default();
-    Operator {
+    OperatorConfig {
         records: file
             .records
             .as_ref()
@@ -230,7 +233,10 @@
     }
 }
 
-fn check_records(records: &pb::Records, fault: &mut impl FnMut(&str, String)) -> Option<Records> {
+fn check_records(
+    records: &pb::Records,
+    fault: &mut impl FnMut(&str, String),
+) -> Option<RecordingConfig> {
     if records.directory.is_empty() {
         fault(
             "records",
@@ -280,10 +286,10 @@
             format!("{bytes} MiB in any ten seconds are less than a step takes: give {MIB_LEAST} or more"),
         );
     }
-    Some(Records {
+    Some(RecordingConfig {
         directory,
-        keep_bytes: mib.saturating_mul(1 << 20),
-        keep_for: Duration::from_secs(hours.saturating_mul(3600)),
+        max_bytes: mib.saturating_mul(1 << 20),
+        max_age: Duration::from_secs(hours.saturating_mul(3600)),
         background_time: Duration::from_millis(cpu),
         background_bytes: bytes.saturating_mul(1 << 20),
     })
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-fn parse(text: &str) -> Result<Operator, Vec<Fault>> {
-    read(Path::new("o.txtpb"), text)
+fn parse(text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
+    super::parse(Path::new("o.txtpb"), text)
 }
 
 fn says(text: &str, wanted: &[&str]) {
     let faults = parse(text).expect_err(text);
-    let said: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    let said: Vec<String> = faults.iter().map(ConfigError::to_string).collect();
     assert_eq!(said.len(), wanted.len(), "{said:?}");
     for (said, wanted) in said.iter().zip(wanted) {
         assert!(
@@ -20,14 +20,14 @@
 
 #[test]
 fn what_is_not_said_is_off() {
-    assert_eq!(parse(""), Ok(Operator::default()));
-    assert_eq!(parse("# nothing\n"), Ok(Operator::default()));
+    assert_eq!(parse(""), Ok(OperatorConfig::default()));
+    assert_eq!(parse("# nothing\n"), Ok(OperatorConfig::default()));
     let records = parse("records { directory: \"/var/lib/chutegrade\" }")
         .expect("a file")
         .records
         .expect("records");
     assert_eq!(
-        (records.keep_bytes, records.keep_for.as_secs()),
+        (records.max_bytes, records.max_age.as_secs()),
         (1 << 30, 7 * 86_400)
     );
     assert_eq!(
@@ -67,7 +67,11 @@
 fn limits_are_checked_with_their_lines() {
     says("limits {\n adaptive { target: 3 }\n ladder {\n  level { name: 'x' shed { class: 'a' keep: 0.5 } enter { all { signal: LATE above: 0.5 } } }\n }\n}", &["2:13: target is 3", "4:3: \"x\" can't be left"]);
     let right = parse("limits { ladder { usual: true } }").expect("a file");
-    assert!(right.limits.expect("limits").plan(Some(&[])).is_ok());
+    assert!(right
+        .limits
+        .expect("limits")
+        .overload_config(Some(&[]))
+        .is_ok());
 }
 
 #[test]
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -4,6 +4,7 @@
 use chutegrade_engine::{
     Engine, FleetStatus, Micros, OverloadLimits, Report, Retry, TrafficSample,
 };
+use chutegrade_engine::{NamedClassRetry, NamedClassShare};
 use chutegrade_limits::manager::{Decision, Inputs};
 use chutegrade_limits::retry_budget::RetryAllowance;
 use chutegrade_limits::signals::{SignalReading, SIGNALS};
@@ -14,12 +15,12 @@
 use chutegrade_records::{pb, Kind};
 
 /// Time between two turns: reports come no oftener.
-pub const TURN_EVERY: Micros = Micros(1_000_000);
+pub const EVALUATION_INTERVAL: Micros = Micros(1_000_000);
 /// How long what limits decide stands without being said again: a turn that is late, or two.
-pub const STANDS: Micros = Micros(4_000_000);
+pub const DECISION_LIFETIME: Micros = Micros(4_000_000);
 
 /// A class of the settings, as limits need it.
-pub fn class(name: String, of: &policy::Class) -> Class {
+pub fn overload_class(name: String, of: &policy::Class) -> Class {
     let effect = match of.idempotency {
         policy::Idempotency::Idempotent => Idempotency::Idempotent,
         policy::Idempotency::Keyed(policy::DeduplicationScope::All, window) => {
@@ -38,7 +39,7 @@
 }
 
 /// A way of trying again, as the decisions have it.
-pub fn way(again: RetryAllowance) -> Retry {
+pub fn retry_order(again: RetryAllowance) -> Retry {
     match again {
         RetryAllowance::Never => Retry::Never,
         RetryAllowance::IfNotExecuted => Retry::IfNotExecuted,
@@ -47,51 +48,52 @@
 }
 
 /// The classes of an engine, as limits need them.
-pub fn classes(engine: &Engine) -> Vec<Class> {
+pub fn overload_classes(engine: &Engine) -> Vec<Class> {
     engine
         .classes()
         .iter()
-        .map(|of| class(of.name.clone(), &of.class))
+        .map(|of| overload_class(of.name.clone(), &of.class))
         .collect()
 }
 
 /// Levels, limits and budgets of one supervisor: asked once a second, what they decide handed to the decisions.
-pub struct Service {
+pub struct OverloadController {
     governor: OverloadManager,
     due: Micros,
     period: Micros,
     standing: bool,
 }
 
-impl Service {
+impl OverloadController {
     /// One under a plan; the engine measures from now on. `period` is the time over which reports count.
     pub fn new(plan: OverloadConfig, engine: &mut Engine, period: Micros) -> Self {
         engine.enable_traffic_sampling();
-        let governor = OverloadManager::new(plan, classes(engine), engine.deployment_size().0);
-        Service {
+        let governor =
+            OverloadManager::new(plan, overload_classes(engine), engine.deployment_size().0);
+        OverloadController {
             governor,
             due: Micros(i64::MIN),
-            period: period.max(TURN_EVERY),
+            period: period.max(EVALUATION_INTERVAL),
             standing: false,
         }
     }
 
     /// What decides.
-    pub fn governor(&self) -> &OverloadManager {
+    pub fn manager(&self) -> &OverloadManager {
         &self.governor
     }
 
     /// Takes another plan, as records of what changed by it.
-    pub fn replace(&mut self, now: Micros, plan: OverloadConfig) -> Option<Kind> {
+    pub fn reconfigure(&mut self, now: Micros, plan: OverloadConfig) -> Option<Kind> {
         self.governor
             .replace(now.0, plan)
-            .map(|change| changed(&change))
+            .map(|change| transition_record(&change))
     }
 
     /// Takes up the level from before a restart: the record of it, or of why it is left.
     pub fn restore(&mut self, now: Micros, saved: &limits::Saved) -> Option<Kind> {
         match self.governor.restore(now.0, saved) {
-            Ok(change) => change.map(|change| changed(&change)),
+            Ok(change) => change.map(|change| transition_record(&change)),
             Err(why) => {
                 let (from, to) = (
                     saved.level.clone(),
@@ -110,12 +112,12 @@
     }
 
     /// Looks at the engine if it is time, reports what follows, and gives back the change of level, if there was one.
-    pub fn turn(&mut self, now: Micros, engine: &mut Engine) -> Option<LevelTransition> {
+    pub fn evaluate(&mut self, now: Micros, engine: &mut Engine) -> Option<LevelTransition> {
         if now < self.due {
             return None;
         }
-        self.due = now + TURN_EVERY;
-        let turn = self.governor.evaluate(&seen(
+        self.due = now + EVALUATION_INTERVAL;
+        let turn = self.governor.evaluate(&manager_inputs(
             now,
             self.period,
             engine.take_traffic_sample(),
@@ -124,14 +126,14 @@
         let says = turn.decision != Decision::default();
         if says || self.standing {
             // The queue of reports drops outcomes and demand alone; limits are always taken.
-            let _ = engine.report(Report::Limits(limited(&turn.decision, engine, now)));
+            let _ = engine.report(Report::Limits(limits_by_name(&turn.decision, engine, now)));
         }
         self.standing = says;
         turn.transition
     }
 
     /// Adds to the figures of one moment what limits know.
-    pub fn gauge(&self, gauge: &mut pb::Gauge, now: Micros) {
+    pub fn add_metrics(&self, gauge: &mut pb::Gauge, now: Micros) {
         let board = self.governor.signals();
         let shown = SIGNALS.into_iter().map(|signal| board.shown(signal, now.0));
         gauge.signals = shown
@@ -147,7 +149,12 @@
 }
 
 /// What limits see in a turn: what was reported since the last one, and how the fleet stands.
-pub fn seen(now: Micros, period: Micros, measure: TrafficSample, figures: FleetStatus) -> Inputs {
+pub fn manager_inputs(
+    now: Micros,
+    period: Micros,
+    measure: TrafficSample,
+    figures: FleetStatus,
+) -> Inputs {
     Inputs {
         now: now.0,
         last_report_at: measure.last_report_at.map(|heard| heard.0),
@@ -161,17 +168,35 @@
     }
 }
 
+/// Shares to shed, as the decisions have them.
+pub fn shed_shares(of: chutegrade_limits::ShedShares) -> policy::ShedShares {
+    policy::ShedShares {
+        ordinary: of.ordinary,
+        heavy: of.heavy,
+    }
+}
+
 /// What limits decide, by names.
-pub fn limited(orders: &Decision, engine: &Engine, now: Micros) -> OverloadLimits {
+pub fn limits_by_name(orders: &Decision, engine: &Engine, now: Micros) -> OverloadLimits {
     let class = |at: usize| engine.classes().get(at).map(|class| class.name.clone());
-    let again = |(at, again): (usize, &RetryAllowance)| Some((class(at)?, way(*again)));
+    let again = |(at, again): (usize, &RetryAllowance)| {
+        Some(NamedClassRetry {
+            class: class(at)?,
+            retry: retry_order(*again),
+        })
+    };
     OverloadLimits {
         min_shed_share: orders.min_shed_share,
-        shed_by_weight_class: orders.shed_by_weight_class,
+        shed_shares: orders.shed_shares.map(shed_shares),
         admitted: orders
             .admitted
             .iter()
-            .filter_map(|(at, keep)| Some((class(*at)?, *keep)))
+            .filter_map(|of| {
+                Some(NamedClassShare {
+                    class: class(of.class)?,
+                    share: of.share,
+                })
+            })
             .collect(),
         retries: orders
             .retries
@@ -179,7 +204,7 @@
             .enumerate()
             .filter_map(again)
             .collect(),
-        expires_at: now + STANDS,
+        expires_at: now + DECISION_LIFETIME,
     }
 }
 
@@ -193,7 +218,7 @@
 }
 
 /// A change of level as a record.
-pub fn changed(change: &LevelTransition) -> Kind {
+pub fn transition_record(change: &LevelTransition) -> Kind {
     Kind::ServiceLevel(pb::ServiceLevel {
         from: change.from.clone(),
         to: change.to.clone(),
--- a/crates/plugin-advisor/benches/tick.rs
+++ b/crates/plugin-advisor/benches/tick.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 
-use chutegrade_plugin_advisor::Rules;
 use chutegrade_engine::{Engine, Micros, Report, StreamId};
+use chutegrade_plugin_advisor::PluginAdvisor;
 use chutegrade_policy::*;
 
 const SERVERS: usize = 320;
@@ -116,7 +116,7 @@
 
 /// Mean and longest time of a tick's work, plug-ins and all.
 fn day(texts: &[String]) -> (Duration, Duration, u64) {
-    let (mut engine, mut rules) = (engine(), Rules::default());
+    let (mut engine, mut rules) = (engine(), PluginAdvisor::default());
     let named: Vec<(String, String)> = texts
         .iter()
         .enumerate()
@@ -128,7 +128,7 @@
         let now = Micros(1_000_000 + tick * 1_000_000 / TICKS);
         reports(&mut engine, tick % TICKS);
         let begun = Instant::now();
-        rules.turn(now, &mut engine);
+        rules.evaluate(now, &mut engine);
         engine.tick(now);
         let took = begun.elapsed();
         for stream in engine.take_streams_with_orders() {
--- a/crates/plugin-advisor/src/lib.rs
+++ b/crates/plugin-advisor/src/lib.rs
@@ -4,6 +4,7 @@
 use std::sync::Arc;
 
 use chutegrade_engine::{Engine, Micros, PluginAdvice, Report};
+use chutegrade_engine::{NamedClassShare, NamedExclusion, NamedWeightFactor};
 use chutegrade_plugins::host::{Refused, Taken, Word};
 use chutegrade_plugins::inputs::{Class, Fleet, Inputs, Server};
 use chutegrade_plugins::{Advice, Host};
@@ -11,30 +12,30 @@
 use chutegrade_records::{pb, text};
 
 /// Time between two turns: reports come no oftener.
-pub const TURN_EVERY: Micros = Micros(1_000_000);
+pub const EVALUATION_INTERVAL: Micros = Micros(1_000_000);
 /// How long advice stands without being given again.
-pub const STANDS: Micros = Micros(10_000_000);
+pub const ADVICE_LIFETIME: Micros = Micros(10_000_000);
 
 /// The plug-ins of one supervisor: asked once a second, what they advise handed to the decisions.
 #[derive(Default)]
-pub struct Rules {
+pub struct PluginAdvisor {
     host: Host,
     due: Micros,
     standing: bool,
 }
 
-impl Rules {
+impl PluginAdvisor {
     /// Takes these texts in the place of those that are loaded, whole or not at all.
     pub fn load(&mut self, texts: &[(String, String)]) -> Result<Vec<Taken>, Vec<Refused>> {
         self.host.load(texts)
     }
 
     /// Asks all plug-ins if it is time, reports their advice, and gives back what is worth a record.
-    pub fn turn(&mut self, now: Micros, engine: &mut Engine) -> Vec<(Arc<str>, Word)> {
+    pub fn evaluate(&mut self, now: Micros, engine: &mut Engine) -> Vec<(Arc<str>, Word)> {
         if now < self.due || (self.host.is_empty() && !self.standing) {
             return Vec::new();
         }
-        self.due = now + TURN_EVERY;
+        self.due = now + EVALUATION_INTERVAL;
         let (advice, words) = if self.host.rests() {
             self.host.pass();
             (
@@ -45,9 +46,9 @@
                 Vec::new(),
             )
         } else {
-            let inputs = seen(engine);
+            let inputs = inputs_from_engine(engine);
             let turn = self.host.turn(&inputs);
-            (advised(&turn.advice, &inputs, now), turn.words)
+            (advice_by_name(&turn.advice, &inputs, now), turn.words)
         };
         // Advice replaces the one before: nothing said in the place of nothing is no news.
         let says = advice
@@ -65,7 +66,7 @@
 }
 
 /// What plug-ins see of the engine.
-pub fn seen(engine: &Engine) -> Inputs {
+pub fn inputs_from_engine(engine: &Engine) -> Inputs {
     let (gauge, fleet, (zones, _)) = (
         engine.fleet_metrics(),
         engine.server_snapshot(),
@@ -116,7 +117,7 @@
 }
 
 /// What plug-ins would see of a recorded moment.
-pub fn recorded(picture: &Picture, zones: &[String]) -> Inputs {
+pub fn inputs_from_records(picture: &Picture, zones: &[String]) -> Inputs {
     let gauge = picture.gauge.clone().unwrap_or_default();
     let levels = gauge.levels.iter().copied().chain(std::iter::repeat(1.0));
     let class = |(name, level): (&String, f64)| Class {
@@ -136,7 +137,7 @@
 }
 
 /// Advice by names.
-pub fn advised(advice: &Advice, inputs: &Inputs, now: Micros) -> PluginAdvice {
+pub fn advice_by_name(advice: &Advice, inputs: &Inputs, now: Micros) -> PluginAdvice {
     let server = |at: u32| {
         inputs
             .servers
@@ -151,7 +152,12 @@
     };
     let zone = |at: u32| inputs.zones.get(at as usize).map(ToString::to_string);
     let factor = |((of, to, class_at), factor): (&(u32, u32, Option<u32>), &f64)| {
-        Some((server(*of)?, zone(*to)?, class_at.and_then(class), *factor))
+        Some(NamedWeightFactor {
+            server: server(*of)?,
+            zone: zone(*to)?,
+            class: class_at.and_then(class),
+            factor: *factor,
+        })
     };
     let until = |seconds: f64| now + Micros::from_ms(seconds * 1000.0);
     PluginAdvice {
@@ -159,15 +165,25 @@
         caps: advice
             .caps
             .iter()
-            .filter_map(|(of, cap)| Some((class(*of)?, *cap)))
+            .filter_map(|(of, cap)| {
+                Some(NamedClassShare {
+                    class: class(*of)?,
+                    share: *cap,
+                })
+            })
             .collect(),
         no_retry: advice.never.iter().filter_map(|of| class(*of)).collect(),
         excluded: advice
             .excluded
             .iter()
-            .filter_map(|(of, (_, seconds))| Some((server(*of)?, until(*seconds))))
+            .filter_map(|(of, (_, seconds))| {
+                Some(NamedExclusion {
+                    server: server(*of)?,
+                    until: until(*seconds),
+                })
+            })
             .collect(),
         separate_tables: advice.steered.iter().filter_map(|of| class(*of)).collect(),
-        expires_at: now + STANDS,
+        expires_at: now + ADVICE_LIFETIME,
     }
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/decisions/mod.rs
@@ -126,7 +126,10 @@
         let mut server = Server {
             entry,
             return_after: RESTORE_TICKS,
-            terms: (1.0, 1.0),
+            terms: ScoreTerms {
+                errors: 1.0,
+                latency: 1.0,
+            },
             ..Server::default()
         };
         let (state, score) = if warm {
@@ -593,7 +596,10 @@
             let latency = 1.0 - spare * clamp01(ratio / LATENCY_BUDGET);
             let before = server.state;
             step(server, error, latency);
-            server.terms = (error, latency);
+            server.terms = ScoreTerms {
+                errors: error,
+                latency,
+            };
             if server.state != before {
                 let (state, score, cause) =
                     (server.state, server.score, view::cause(server, before));
@@ -1316,13 +1322,20 @@
         let (mut changes, mut tables, whole) = (Vec::new(), BTreeMap::new(), Zones::new());
         let (demand, out) = self.cold_demand();
         // Those who bring more than a part can bear are refused first, where limits say so.
-        let all = [self.admission.refused; 2].into();
+        let refused = self.admission.refused;
+        let all = ShedShares {
+            ordinary: refused,
+            heavy: refused,
+        };
         let refused = self
             .limits
-            .shed_by_weight_class
+            .shed_shares
             .filter(|_| self.parts > 1)
             .unwrap_or(all);
-        let levels = (self.class_levels(refused.0), self.class_levels(refused.1));
+        let levels = (
+            self.class_levels(refused.ordinary),
+            self.class_levels(refused.heavy),
+        );
         if std::mem::replace(&mut self.cold_out, out) != out {
             orders
                 .actions
--- a/crates/policy/src/policy/view.rs
+++ b/crates/policy/src/decisions/view.rs
@@ -81,7 +81,7 @@
 
 /// What a change from this state comes from.
 pub(super) fn cause(server: &Server, before: HealthState) -> HealthChangeCause {
-    let (errors, latency) = server.terms;
+    let ScoreTerms { errors, latency } = server.terms;
     match (before, server.state) {
         (HealthState::Withdrawn, _) => HealthChangeCause::EjectionElapsed,
         (_, HealthState::Full) => HealthChangeCause::SustainedRecovery,
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -447,18 +447,85 @@
     Timer(u32),
 }
 
+/// A factor on the weight of one server in the tables of a zone's proxies.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WeightFactor {
+    /// The server.
+    pub server: ServerId,
+    /// The zone of the proxies.
+    pub zone: ZoneId,
+    /// The class with a separate table; none: all classes.
+    pub class: Option<ClassId>,
+    /// Share of its weight that the server keeps, from 0 to 1.
+    pub factor: f64,
+}
+
+/// A server to leave out of all tables for a while.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ServerExclusion {
+    /// The server.
+    pub server: ServerId,
+    /// When the exclusion ends.
+    pub until: Micros,
+}
+
+/// The largest share of a class that is admitted.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ClassShare {
+    /// The class.
+    pub class: ClassId,
+    /// The share, from 0 to 1.
+    pub share: f64,
+}
+
+/// The retry order of a class.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClassRetry {
+    /// The class.
+    pub class: ClassId,
+    /// When proxies may retry its requests.
+    pub retry: Retry,
+}
+
+/// The shares of requests to shed where heavy proxies have tables of their own.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShedShares {
+    /// At proxies whose demand one shard can serve.
+    pub ordinary: f64,
+    /// At proxies that bring more than one shard can serve.
+    pub heavy: f64,
+}
+
+/// The terms of a server's score, each from 0 to 1, where 1 is free of faults.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ScoreTerms {
+    /// By failed attempts and health checks.
+    pub errors: f64,
+    /// By response and health check times.
+    pub latency: f64,
+}
+
+/// What proxies do with the requests of a class.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AdmissionLevel {
+    /// The admitted share or rate, by [`Settings::admission_unit`].
+    pub level: f64,
+    /// When proxies retry.
+    pub retry: Retry,
+}
+
 /// What plug-ins advise. It can lower traffic or move it, and nothing else: what is not named is left as it is.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
     /// Share of its weight that a server keeps in the tables of a zone's proxies: for a class that is steered apart, or
     /// for all.
-    pub factors: Vec<(ServerId, ZoneId, Option<ClassId>, f64)>,
+    pub factors: Vec<WeightFactor>,
     /// The most of a class that is let in, as a share.
-    pub caps: Vec<(ClassId, f64)>,
+    pub caps: Vec<ClassShare>,
     /// Classes that are not to be tried again.
     pub no_retry: ClassSet,
     /// Servers to leave out, and until when.
-    pub excluded: Vec<(ServerId, Micros)>,
+    pub excluded: Vec<ServerExclusion>,
     /// Classes that are steered apart from the others, in tables of their own.
     pub separate_tables: ClassSet,
     /// When all but that ends, unless it is said again.
@@ -471,11 +538,11 @@
     /// The least share of requests to refuse, beside what saturation tells.
     pub min_shed_share: Option<f64>,
     /// The same for usual proxies and for those that bring more than a part can bear, where these have tables of their own.
-    pub shed_by_weight_class: Option<(f64, f64)>,
+    pub shed_shares: Option<ShedShares>,
     /// The most of a class that is let in, as a share.
-    pub admitted: Vec<(ClassId, f64)>,
+    pub admitted: Vec<ClassShare>,
     /// How a class may be tried again.
-    pub retries: Vec<(ClassId, Retry)>,
+    pub retries: Vec<ClassRetry>,
     /// When all of it ends, unless it is said again.
     pub expires_at: Micros,
 }
@@ -486,15 +553,15 @@
         let own = self
             .admitted
             .iter()
-            .filter(|(of, keep)| usize::from(of.0) == class && !keep.is_nan());
-        own.fold(1.0, |least, (_, keep)| least.min(*keep))
+            .filter(|of| usize::from(of.class.0) == class && !of.share.is_nan());
+        own.fold(1.0, |least, of| least.min(of.share))
     }
     /// How a class may be tried again, if anything is said of it: the narrowest.
     pub fn again(&self, class: usize) -> Option<Retry> {
         self.retries
             .iter()
-            .filter(|(of, _)| usize::from(of.0) == class)
-            .map(|(_, again)| *again)
+            .filter(|of| usize::from(of.class.0) == class)
+            .map(|of| of.retry)
             .min()
     }
 }
@@ -690,7 +757,7 @@
     /** Its smoothed score. */
     pub score: f64,
     /** The error and the latency term of the last tick, 1 being free. */
-    pub terms: (f64, f64),
+    pub terms: ScoreTerms,
     /** Its weight before what tables make of it. */
     pub weight: f64,
     /** Share of its capacity that it is sure to have. */
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,9 +3,9 @@
 //! The crate's root is the whole vocabulary: settings, events in, actions out. [`Policy`] holds every
 //! decision; what it remembers is plain data in a module of its own.
 
+mod decisions;
 mod interface;
-mod policy;
 mod state;
 
+pub use decisions::Policy;
 pub use interface::*;
-pub use policy::Policy;
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -88,7 +88,7 @@
     pub probing: Probing,
     pub state: HealthState,
     pub score: f64,
-    pub terms: (f64, f64),
+    pub terms: ScoreTerms,
     pub below: u32,
     pub above: u32,
     pub out_ticks: u32,
@@ -179,17 +179,27 @@
 impl Advised {
     pub fn of(advice: &Advice, now: Micros) -> Self {
         let mut factors = BTreeMap::<_, Lines>::new();
-        for (server, zone, class, factor) in &advice.factors {
+        for WeightFactor {
+            server,
+            zone,
+            class,
+            factor,
+        } in &advice.factors
+        {
             factors
                 .entry((*zone, *class))
                 .or_default()
                 .insert(*server, *factor);
         }
-        let caps = advice.caps.iter().filter(|(_, cap)| !cap.is_nan());
+        let caps = advice.caps.iter().filter(|cap| !cap.share.is_nan());
         let caps = caps
-            .map(|(class, cap)| (usize::from(class.0), *cap))
+            .map(|cap| (usize::from(cap.class.0), cap.share))
+            .collect();
+        let excluded = advice
+            .excluded
+            .iter()
+            .map(|of| (of.server, of.until))
             .collect();
-        let excluded = advice.excluded.iter().copied().collect();
         Advised {
             factors,
             caps,
--- a/crates/policy/tests/advice.rs
+++ b/crates/policy/tests/advice.rs
@@ -15,13 +15,18 @@
 }
 
 /// The same for all zones.
-fn factors(of: &[(u32, Option<u8>, f64)]) -> Vec<(ServerId, ZoneId, Option<ClassId>, f64)> {
+fn factors(of: &[(u32, Option<u8>, f64)]) -> Vec<WeightFactor> {
     let zones = [ZoneId(0), ZoneId(1)];
     let each = zones
         .into_iter()
         .flat_map(|zone| of.iter().map(move |of| (zone, of)));
-    each.map(|(zone, (id, class, factor))| (ServerId(*id), zone, class.map(ClassId), *factor))
-        .collect()
+    each.map(|(zone, (id, class, factor))| WeightFactor {
+        server: ServerId(*id),
+        zone,
+        class: class.map(ClassId),
+        factor: *factor,
+    })
+    .collect()
 }
 
 /// Seconds in which advice is given each second, as a host does.
@@ -56,7 +61,10 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let advice = Advice {
-        excluded: vec![(ServerId(5), world.now + ms(9000))],
+        excluded: vec![ServerExclusion {
+            server: ServerId(5),
+            until: world.now + ms(9000),
+        }],
         ..long()
     };
     advised(&mut world, 6, &advice, &healthy(8, &[]));
@@ -113,7 +121,16 @@
 fn caps_and_tries_only_narrow() {
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
-    let caps = vec![(ClassId(0), 0.4), (ClassId(1), 0.0)];
+    let caps = vec![
+        ClassShare {
+            class: ClassId(0),
+            share: 0.4,
+        },
+        ClassShare {
+            class: ClassId(1),
+            share: 0.0,
+        },
+    ];
     let advice = Advice {
         caps,
         no_retry: ClassSet::default().with(1),
@@ -262,16 +279,27 @@
         |(factors, caps, excluded, never, apart, until)| Advice {
             factors: factors
                 .into_iter()
-                .map(|(id, zone, class, of)| (ServerId(id), ZoneId(zone), class, of))
+                .map(|(id, zone, class, factor)| WeightFactor {
+                    server: ServerId(id),
+                    zone: ZoneId(zone),
+                    class,
+                    factor,
+                })
                 .collect(),
             caps: caps
                 .into_iter()
-                .map(|(class, cap)| (ClassId(class), cap))
+                .map(|(class, share)| ClassShare {
+                    class: ClassId(class),
+                    share,
+                })
                 .collect(),
             no_retry: ClassSet(never),
             excluded: excluded
                 .into_iter()
-                .map(|(id, until)| (ServerId(id), ms(1_000_000 + 1000 * until)))
+                .map(|(id, until)| ServerExclusion {
+                    server: ServerId(id),
+                    until: ms(1_000_000 + 1000 * until),
+                })
                 .collect(),
             separate_tables: ClassSet(apart),
             expires_at: ms(1_000_000 + 1000 * until),
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -41,7 +41,16 @@
 fn what_is_kept_of_a_class_is_a_most_and_ends_by_itself() {
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
-    let keep = vec![(ClassId(0), 0.5), (ClassId(1), 0.0)];
+    let keep = vec![
+        ClassShare {
+            class: ClassId(0),
+            share: 0.5,
+        },
+        ClassShare {
+            class: ClassId(1),
+            share: 0.0,
+        },
+    ];
     limited(
         &mut world,
         5,
@@ -103,7 +112,10 @@
 fn limits_without_a_near_end_do_not_stand() {
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
-    let keep = vec![(ClassId(0), 0.5)];
+    let keep = vec![ClassShare {
+        class: ClassId(0),
+        share: 0.5,
+    }];
     let forever = Event::Limits(Limits {
         admitted: keep,
         expires_at: Micros(i64::MAX),
@@ -120,7 +132,12 @@
     let once = |settings: Settings, also: &[Event]| {
         let mut world = World::new(settings, 8, 4);
         world.run(3, &healthy(8, &[]));
-        let again = (0..3).map(|class| (ClassId(class), Retry::Twice)).collect();
+        let again = (0..3)
+            .map(|class| ClassRetry {
+                class: ClassId(class),
+                retry: Retry::Twice,
+            })
+            .collect();
         limited(
             &mut world,
             6,
@@ -176,7 +193,16 @@
 fn ways_of_trying_again_are_narrowed_and_plug_ins_narrow_further() {
     let mut world = World::new(keyed(10_000), 8, 4);
     world.run(3, &healthy(8, &[]));
-    let again = vec![(ClassId(0), Retry::Never), (ClassId(2), Retry::Once)];
+    let again = vec![
+        ClassRetry {
+            class: ClassId(0),
+            retry: Retry::Never,
+        },
+        ClassRetry {
+            class: ClassId(2),
+            retry: Retry::Once,
+        },
+    ];
     let limits = Limits {
         retries: again,
         ..Limits::default()
@@ -219,7 +245,10 @@
     world.run(12, &events);
     let limits = Limits {
         min_shed_share: Some(0.4),
-        shed_by_weight_class: Some((0.0, 0.8)),
+        shed_shares: Some(ShedShares {
+            ordinary: 0.0,
+            heavy: 0.8,
+        }),
         ..Limits::default()
     };
     limited(&mut world, 6, &limits, &events);
@@ -284,17 +313,25 @@
     let keep = prop::collection::vec((0..4u8, figure()), 0..5);
     let again = prop::collection::vec((0..4u8, retry), 0..5);
     let refuse = prop::option::of(figure());
-    let heavy = prop::option::of((figure(), figure()));
+    let heavy = prop::option::of(
+        (figure(), figure()).prop_map(|(ordinary, heavy)| ShedShares { ordinary, heavy }),
+    );
     (refuse, heavy, keep, again, 0..100i64).prop_map(|(refuse, heavy, keep, again, until)| Limits {
         min_shed_share: refuse,
-        shed_by_weight_class: heavy,
+        shed_shares: heavy,
         admitted: keep
             .into_iter()
-            .map(|(class, keep)| (ClassId(class), keep))
+            .map(|(class, share)| ClassShare {
+                class: ClassId(class),
+                share,
+            })
             .collect(),
         retries: again
             .into_iter()
-            .map(|(class, again)| (ClassId(class), again))
+            .map(|(class, retry)| ClassRetry {
+                class: ClassId(class),
+                retry,
+            })
             .collect(),
         expires_at: ms(1_000_000 + 1000 * until),
     })
--- a/crates/records/benches/store.rs
+++ b/crates/records/benches/store.rs
@@ -6,7 +6,6 @@
 use std::path::Path;
 use std::time::Duration;
 
-use chutegrade_scheduler::Cost;
 use chutegrade_records::index::{self, Query};
 use chutegrade_records::jobs::{self, Retention, Shared};
 use chutegrade_records::pb::{self, Record};
@@ -15,6 +14,7 @@
 use chutegrade_records::store::Store;
 use chutegrade_records::timeline::Timeline;
 use chutegrade_records::{frame, Kind};
+use chutegrade_scheduler::Cost;
 use criterion::{criterion_group, BatchSize, Criterion, Throughput};
 use prost::Message;
 
--- a/crates/records/tests/damage.rs
+++ b/crates/records/tests/damage.rs
@@ -5,7 +5,6 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use chutegrade_scheduler::Cost;
 use chutegrade_records::index::Query;
 use chutegrade_records::jobs::{self, Retention, Shared};
 use chutegrade_records::pb::{self, Record};
@@ -14,6 +13,7 @@
 use chutegrade_records::store::Store;
 use chutegrade_records::timeline::{verify, Event, Gap, GapReason, Timeline};
 use chutegrade_records::{frame, Kind};
+use chutegrade_scheduler::Cost;
 use proptest::prelude::*;
 use prost::Message;
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,16 +6,16 @@
 
 /// Why settings could not be read.
 #[derive(Debug, thiserror::Error)]
-pub enum Unreadable {
+pub enum SettingsError {
     /// They are no JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// They are JSON, but no object.
     #[error("no object")]
-    NoObject,
+    NotAnObject,
 }
 
-impl PartialEq for Unreadable {
+impl PartialEq for SettingsError {
     fn eq(&self, other: &Self) -> bool {
         self.to_string() == other.to_string()
     }
@@ -23,7 +23,7 @@
 
 /// The names that reports and lists use, in the order of the settings' own positions.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Names {
+pub struct DeploymentNames {
     /// Of the zones.
     pub zones: Vec<String>,
     /// Of the classes of requests.
@@ -33,7 +33,7 @@
 }
 
 /// Reads the names from the settings' JSON object; what is no text reads as an empty name.
-pub fn names(json: &Value) -> Names {
+pub fn names(json: &Value) -> DeploymentNames {
     let list = |key: &str, name: fn(&Value) -> &Value| -> Vec<String> {
         let items = json
             .get(key)
@@ -45,7 +45,7 @@
             .map(|item| name(item).as_str().unwrap_or("").to_string())
             .collect()
     };
-    Names {
+    DeploymentNames {
         zones: list("zones", |item| item),
         classes: list("classes", |item| item.get("name").unwrap_or(&Value::Null)),
         kinds: list("kinds", |item| item),
@@ -70,7 +70,7 @@
 
 /// Reads a load report: `name:value` or `name=value` pairs set apart by commas. Names that are not known and
 /// figures that are none are skipped.
-pub fn load(text: &str) -> LoadReport {
+pub fn parse_load_report(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in text
         .split(',')
@@ -98,15 +98,15 @@
 }
 
 /// Reads the settings from JSON text.
-pub fn from_text(text: &str) -> Result<Settings, Unreadable> {
+pub fn from_text(text: &str) -> Result<Settings, SettingsError> {
     from_json(&serde_json::from_str(text)?)
 }
 
 /// Reads the settings from a JSON object; a key that is absent or of another type reads as nothing, no limit
 /// or not allowed.
-pub fn from_json(json: &Value) -> Result<Settings, Unreadable> {
+pub fn from_json(json: &Value) -> Result<Settings, SettingsError> {
     if !json.is_object() {
-        return Err(Unreadable::NoObject);
+        return Err(SettingsError::NotAnObject);
     }
     let at = |path: &str| json.pointer(path);
     let num = |path: &str| at(path).and_then(Value::as_f64).unwrap_or(0.0);
@@ -185,7 +185,7 @@
 }
 
 /// Writes settings as the JSON object that [`from_json`] reads, for a program of another build.
-pub fn to_json(settings: &Settings, names: &Names) -> Value {
+pub fn to_json(settings: &Settings, names: &DeploymentNames) -> Value {
     let ms = |of: Micros| of.0 as f64 / 1000.0;
     let class = |(of, name): (&Class, &String)| {
         let (effect, scope, window) = match of.idempotency {
@@ -260,7 +260,7 @@
 
 /// What the settings contradict or leave open, for a list of so many servers: a sentence each. The decisions go on all the
 /// same and keep the rules as far as they can be kept.
-pub fn doubts(settings: &Settings, servers: usize) -> Vec<String> {
+pub fn consistency_warnings(settings: &Settings, servers: usize) -> Vec<String> {
     let Settings {
         channel_backlog: backlog,
         channel_lines_per_second: lines_per_s,
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -54,7 +54,7 @@
             .map(|name| name.to_string())
             .collect::<Vec<_>>()
     };
-    let expected = Names {
+    let expected = DeploymentNames {
         zones: text(&["a", "b"]),
         classes: text(&["lookup", "order"]),
         kinds: text(&["m1", "m2"]),
@@ -84,7 +84,7 @@
         ),
         (0, false, NO_LIMIT)
     );
-    assert_eq!(names(&Value::Null), Names::default());
+    assert_eq!(names(&Value::Null), DeploymentNames::default());
     assert_eq!(tick_ms(&serde_json::json!({"tickMs": -3})), 0.0);
     assert!(from_text("[]").is_err() && from_text("").is_err());
 }
@@ -95,8 +95,9 @@
         serde_json::json!({"classes": [{"name": "read"}], "familyInfo": {"backlog": backlog, "linesPerS": 900,
                 "fixedCost": 3, "proxies": proxies}})
     };
-    let said =
-        |json: &Value, servers| doubts(&from_json(json).expect("settings"), servers).join("; ");
+    let said = |json: &Value, servers| {
+        consistency_warnings(&from_json(json).expect("settings"), servers).join("; ")
+    };
     assert_eq!(said(&of(9000.0, 400), 40), "");
     assert!(said(&of(0.0, 4), 40).contains("names no limit"));
     assert!(said(&of(80.0, 4), 40).contains("less than the 86 lines of one table of 40 servers"));
@@ -112,10 +113,10 @@
         utilization: Some(0.61),
         ..LoadReport::default()
     };
-    assert_eq!(load("inflight:7,util:0.61"), expected);
-    assert_eq!(load("inflight=7, util=0.61"), expected);
+    assert_eq!(parse_load_report("inflight:7,util:0.61"), expected);
+    assert_eq!(parse_load_report("inflight=7, util=0.61"), expected);
     assert_eq!(
-        load("queue:-1,util:NaN,latency_ms,strange:4"),
+        parse_load_report("queue:-1,util:NaN,latency_ms,strange:4"),
         LoadReport::default()
     );
 }
--- a/crates/supervisor/src/lab.rs
+++ b/crates/supervisor/src/commands/lab.rs
@@ -9,9 +9,9 @@
 use chutegrade_records::text;
 use indicatif::{ProgressBar, ProgressStyle};
 
-use crate::cli::{Decider, Lab, LabCommand, Results};
-use crate::plugins::{self, read_one};
-use crate::tools::{each, said, write_whole};
+use crate::commands::arguments::{Decider, Lab, LabCommand, Results};
+use crate::commands::tools::{each, said, write_whole};
+use crate::server::plugins::{self, read_one};
 use crate::Fault;
 
 /// `lab`.
@@ -116,7 +116,7 @@
     let limits = match played.limits {
         Some(path) => {
             let operator = chutegrade_operator_config::load(path).map_err(|all| each(&all))?;
-            operator.limits.map(|limits| limits.written().clone())
+            operator.limits.map(|limits| limits.declaration().clone())
         }
         None => None,
     };
@@ -197,7 +197,7 @@
         )?;
     }
     for of in &outcome.changes {
-        let line = text::line(&chutegrade_overload_control::changed(&of.change));
+        let line = text::line(&chutegrade_overload_control::transition_record(&of.change));
         writeln!(
             out,
             "  {:6.1} s, supervisor {}: {line}",
--- a/crates/supervisor/src/levels.rs
+++ b/crates/supervisor/src/commands/levels.rs
@@ -12,9 +12,10 @@
 use chutegrade_records::timeline::{gauge, Event};
 use chutegrade_records::{pb, Timeline, Window};
 
-use crate::cli::{Declared, Levels, LevelsCommand};
-use crate::tools::{each, moment, said, window};
-use crate::{config, Fault};
+use crate::commands::arguments::{Declared, Levels, LevelsCommand};
+use crate::commands::tools::{each, moment, said, window};
+use crate::config;
+use crate::Fault;
 
 /// Signals before a moment that are looked at, in microseconds: as long as they are kept.
 const LOOK_BACK_US: i64 = 70_000_000;
@@ -46,13 +47,14 @@
 }
 
 fn ladder(declared: &Declared) -> Result<ServiceLevels, Fault> {
-    let operator = chutegrade_operator_config::load(&declared.operator).map_err(|all| each(&all))?;
+    let operator =
+        chutegrade_operator_config::load(&declared.operator).map_err(|all| each(&all))?;
     let shown = declared.operator.display();
     let limits = operator
         .limits
         .ok_or_else(|| said(format!("{shown}: no limits are given")))?;
     let usual = limits
-        .written()
+        .declaration()
         .ladder
         .as_ref()
         .is_some_and(|ladder| ladder.usual == Some(true));
@@ -65,7 +67,9 @@
         }
         None => None,
     };
-    let plan = limits.plan(classes.as_deref()).map_err(|all| each(&all))?;
+    let plan = limits
+        .overload_config(classes.as_deref())
+        .map_err(|all| each(&all))?;
     plan.ladder
         .ok_or_else(|| said(format!("{shown}: no ladder is given")))
 }
@@ -258,7 +262,7 @@
         )?;
         let (changes, spent) = play(ladder, &own);
         for (at, change) in &changes {
-            let line = text::line(&chutegrade_overload_control::changed(change));
+            let line = text::line(&chutegrade_overload_control::transition_record(change));
             writeln!(out, "  {} {}", text::clock(*at), printable(&line))?;
         }
         let hours = ((last.0 - first.0) as f64 / 3.6e9).max(1e-9);
--- a/crates/supervisor/src/tools.rs
+++ b/crates/supervisor/src/commands/tools.rs
@@ -4,6 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use chutegrade_engine::Micros;
+use chutegrade_engine::NamedClassShare;
+use chutegrade_engine::NamedWeightFactor;
 use chutegrade_plugins::format::format;
 use chutegrade_plugins::host::{Host, Word};
 use chutegrade_plugins::{cases, compile};
@@ -14,10 +16,12 @@
 use chutegrade_records::{kind, text, Kind, Window};
 use serde_json::{json, Value};
 
-use crate::cli::{
+use crate::commands::arguments::{
     Check, Console, Form, List, Plugin, PluginCommand, Records, RecordsCommand, Report,
 };
-use crate::{config, plugins, Fault};
+use crate::config;
+use crate::server::plugins;
+use crate::Fault;
 
 /// `check`: every fault on a line of its own; an error if there is one.
 pub fn check(check: &Check, out: &mut impl Write) -> Result<(), Fault> {
@@ -51,7 +55,10 @@
             .as_ref()
             .and_then(|config| config::classes(&config.to_string_lossy()).ok());
         if let (Some(limits), Some(classes)) = (limits, classes) {
-            let said = limits.plan(Some(&classes)).err().unwrap_or_default();
+            let said = limits
+                .overload_config(Some(&classes))
+                .err()
+                .unwrap_or_default();
             faults.extend(said.iter().map(ToString::to_string));
         }
     }
@@ -393,7 +400,7 @@
             .collect();
         zones.sort();
         zones.dedup();
-        let inputs = chutegrade_plugin_advisor::recorded(&picture, &zones);
+        let inputs = chutegrade_plugin_advisor::inputs_from_records(&picture, &zones);
         if let Some(server) = trace.filter(|server| !picture.servers.contains_key(*server)) {
             return Err(Fault::Said(format!(
                 "no server {server:?} is known at {}",
@@ -401,9 +408,16 @@
             )));
         }
         let given = host.turn(&inputs);
-        let advised = chutegrade_plugin_advisor::advised(&given.advice, &inputs, Micros(now));
+        let advised =
+            chutegrade_plugin_advisor::advice_by_name(&given.advice, &inputs, Micros(now));
         writeln!(out, "{} {} servers", text::time(now), inputs.servers.len())?;
-        for (server, zone, class, factor) in &advised.factors {
+        for NamedWeightFactor {
+            server,
+            zone,
+            class,
+            factor,
+        } in &advised.factors
+        {
             let class = class.as_deref().unwrap_or("all classes");
             writeln!(
                 out,
@@ -412,7 +426,7 @@
                 100.0 * factor
             )?;
         }
-        for (class, cap) in &advised.caps {
+        for NamedClassShare { class, share: cap } in &advised.caps {
             writeln!(out, "  {class} is capped at {:.0} %", 100.0 * cap)?;
         }
         for class in &advised.no_retry {
--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 
 use chutegrade_engine::{EndpointUpdateKind, Report, Settings};
-use chutegrade_settings::Names;
+use chutegrade_settings::DeploymentNames;
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::wire::{self, Targets};
+use crate::protocol::messages::{self, Targets};
 
 /// How long a connection to a server may take where the settings do not tell, in milliseconds: far beyond any way.
 const CONNECT_MS: f64 = 1000.0;
@@ -32,7 +32,7 @@
     Json(#[from] serde_json::Error),
     /// The settings cannot be read.
     #[error("the settings cannot be read: {0}")]
-    Settings(#[from] chutegrade_settings::Unreadable),
+    Settings(#[from] chutegrade_settings::SettingsError),
     /// The settings ask for what the protocol has no words for.
     #[error("the settings ask for slices, for which the protocol has no messages")]
     Slices,
@@ -82,7 +82,7 @@
     /// The settings of the decisions.
     pub settings: Settings,
     /// The names that reports use.
-    pub names: Names,
+    pub names: DeploymentNames,
     /// The least time between two batches, in milliseconds.
     pub tick_ms: f64,
     /// How long a connection to a server may take, in milliseconds.
@@ -167,7 +167,7 @@
             Some((_, Report::EndpointList(_, entries))) => entries.len(),
             _ => 0,
         };
-        chutegrade_settings::doubts(&self.settings, servers)
+        chutegrade_settings::consistency_warnings(&self.settings, servers)
     }
 }
 
@@ -185,7 +185,7 @@
     let names = config.names;
     let engine =
         chutegrade_engine::Engine::new(config.settings, 0, names.zones, names.classes, names.kinds);
-    Ok(chutegrade_overload_control::classes(&engine))
+    Ok(chutegrade_overload_control::overload_classes(&engine))
 }
 
 fn load(path: &str) -> Result<File, Fault> {
@@ -228,7 +228,7 @@
 /// A list in the file that cannot be read is like none: discovery tells the rest. Of one that can be read in part
 /// discovery tells all that came since the first version.
 fn known(json: Value) -> Option<(u64, Report)> {
-    match wire::targets_in(json) {
+    match messages::targets_in(json) {
         Ok(Targets {
             index,
             entries,
--- a/crates/supervisor/src/main.rs
+++ b/crates/supervisor/src/main.rs
@@ -1,27 +1,13 @@
 //! chutegrade: one supervisor on sockets, and the tools that read what it recorded. See docs/architecture.md for how the
 //! parts fit.
 
-mod cli;
-mod clients;
-mod collectors;
+mod commands;
 mod config;
-mod ending;
-mod http;
-mod hub;
-mod lab;
-mod levels;
-mod limits;
-mod lines;
-mod list;
-mod listener;
-mod plugins;
-mod recording;
-mod serve;
-mod servers;
+mod peers;
+mod protocol;
+mod server;
 #[cfg(test)]
 mod tests;
-mod tools;
-mod wire;
 
 use std::io::ErrorKind;
 use std::path::PathBuf;
@@ -29,7 +15,8 @@
 
 use clap::Parser;
 
-use crate::cli::{Cli, Command};
+use crate::commands::arguments::{Cli, Command};
+use crate::commands::{lab, levels, tools};
 
 /// Why a command did not do what it should.
 #[derive(Debug, thiserror::Error)]
@@ -62,11 +49,11 @@
     // Alone it serves, without the pages of memory that reading a command line touches.
     if std::env::args_os().len() <= 1 {
         let operator = std::env::var_os("CHUTEGRADE_OPERATOR").filter(|file| !file.is_empty());
-        return serve::main(operator.map(PathBuf::from).as_deref());
+        return server::main(operator.map(PathBuf::from).as_deref());
     }
     let cli = Cli::parse();
     let done = match cli.command.unwrap_or(Command::Serve(cli.serve)) {
-        Command::Serve(serve) => return serve::main(serve.operator.as_deref()),
+        Command::Serve(serve) => return server::main(serve.operator.as_deref()),
         Command::Check(check) => tools::check(&check, &mut std::io::stdout().lock()),
         Command::Records(records) => tools::records(&records, &mut std::io::stdout().lock()),
         Command::Plugin(plugin) => tools::plugin(&plugin, &mut std::io::stdout().lock()),
--- a/crates/supervisor/src/collectors.rs
+++ b/crates/supervisor/src/peers/collector_stream.rs
@@ -9,11 +9,11 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
-use crate::ending::{End, Ending};
-use crate::hub::Hub;
-use crate::lines::{send, Lines};
-use crate::listener::Places;
-use crate::wire::{self, Fault, Message, Run};
+use crate::peers::listener::Places;
+use crate::protocol::disconnect::{End, Ending};
+use crate::protocol::lines::{send, Lines};
+use crate::protocol::messages::{self, Fault, Message, Run};
+use crate::server::hub::Hub;
 
 /// A collector that has brought nothing for so long is gone; one without news merely dials again.
 const SILENT_MOST: Duration = Duration::from_secs(30);
@@ -65,7 +65,7 @@
                 None
             }
             Message::Probe => {
-                send(write, wire::ALIVE).await?;
+                send(write, messages::ALIVE).await?;
                 None
             }
             Message::Other => None,
--- a/crates/supervisor/src/list.rs
+++ b/crates/supervisor/src/peers/discovery.rs
@@ -18,11 +18,11 @@
 use tokio::time::timeout;
 use tokio_util::io::StreamReader;
 
-use crate::ending::Ending;
-use crate::http;
-use crate::hub::Hub;
-use crate::lines::Lines;
-use crate::wire::{self, Targets};
+use crate::protocol::disconnect::Ending;
+use crate::protocol::http;
+use crate::protocol::lines::Lines;
+use crate::protocol::messages::{self, Targets};
+use crate::server::hub::Hub;
 
 /// A watch that has brought nothing for so long is replaced: an empty line comes every 2 s, and news counts as
 /// told after 6 s.
@@ -234,7 +234,7 @@
 
     /// Hands a delivery to the decisions; one that can't be read changes nothing.
     fn tell(&mut self, text: &str) -> Result<(), Ending> {
-        let targets = wire::targets(text).map_err(|fault| {
+        let targets = messages::targets(text).map_err(|fault| {
             tracing::warn!(%fault, "discovery told what can't be read");
             Ending::Unreadable
         })?;
--- a/crates/supervisor/src/servers.rs
+++ b/crates/supervisor/src/peers/health_check.rs
@@ -11,11 +11,11 @@
 use hyper::StatusCode;
 use tokio::time::{sleep, timeout};
 
-use crate::ending::Ending;
-use crate::http::{self, Sender};
-use crate::hub::{micros, Hub};
-use crate::serve::length;
-use crate::wire;
+use crate::protocol::disconnect::Ending;
+use crate::protocol::http::{self, Sender};
+use crate::protocol::messages;
+use crate::server::hub::{micros, Hub};
+use crate::server::length;
 
 /// An answer to a probe is awaited for this share of the shortest aim of any class: a server that takes longer for so little
 /// serves that class too late. And for a second at most, where aims are long or none: the next probe is due then.
@@ -179,7 +179,10 @@
                 .collect()
                 .await;
             let body = body.map_err(|fault| http::cut(fault.as_ref()))?.to_bytes();
-            Ok((status, wire::load_report(&String::from_utf8_lossy(&body))))
+            Ok((
+                status,
+                messages::load_report(&String::from_utf8_lossy(&body)),
+            ))
         };
         let answer = timeout(self.answer_most, ask)
             .await
--- a/crates/supervisor/src/servers/tests.rs
+++ b/crates/supervisor/src/peers/health_check/tests.rs
@@ -1,5 +1,5 @@
-use chutegrade_engine::{EndpointUpdateKind, Engine, NamedEndpoint, Settings, StreamId};
 use chutegrade_emulators::{Peer, Scripted};
+use chutegrade_engine::{EndpointUpdateKind, Engine, NamedEndpoint, Settings, StreamId};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
--- a/crates/supervisor/src/listener.rs
+++ b/crates/supervisor/src/peers/listener.rs
@@ -14,13 +14,13 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use crate::clients;
-use crate::collectors::{Collectors, PER_ZONE};
-use crate::ending::{End, Ending, Life};
-use crate::hub::Hub;
-use crate::lines::{send, Lines};
-use crate::servers::Servers;
-use crate::wire::{self, Hello, Message};
+use crate::peers::collector_stream::{Collectors, PER_ZONE};
+use crate::peers::health_check::Servers;
+use crate::peers::proxy_stream;
+use crate::protocol::disconnect::{End, Ending, Life};
+use crate::protocol::lines::{send, Lines};
+use crate::protocol::messages::{self, Hello, Message};
+use crate::server::hub::Hub;
 
 /// The least connections that the system holds until they are accepted: all proxies of a fleet may dial at once, and
 /// as many strangers. It is a bound for the system, which reserves nothing.
@@ -211,7 +211,7 @@
         match self {
             Named::Proxy(hello) => {
                 life.named("proxy", format!("{}@{}", hello.id, hello.site));
-                clients::serve(hub, lines, write, hello, doors.silence).await
+                proxy_stream::serve(hub, lines, write, hello, doors.silence).await
             }
             Named::Collector { site } => {
                 life.named("collector", site.clone());
@@ -230,7 +230,7 @@
 ) -> Result<Named, End> {
     loop {
         match lines.message().await? {
-            Message::Probe => send(write, wire::ALIVE).await?,
+            Message::Probe => send(write, messages::ALIVE).await?,
             Message::Hello(hello) => {
                 hub.engine()
                     .validate_peer(&hello.site, Some(hello.id))
@@ -263,7 +263,7 @@
     ) {
         return;
     }
-    let _ = write.try_write(wire::error(end.reason.code()).as_bytes());
+    let _ = write.try_write(messages::error(end.reason.code()).as_bytes());
     if end.reason == Ending::Crowded {
         return;
     }
--- a/crates/supervisor/src/clients.rs
+++ b/crates/supervisor/src/peers/proxy_stream.rs
@@ -9,10 +9,10 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
-use crate::ending::{End, Ending};
-use crate::hub::{micros, Bell, Hub};
-use crate::lines::{send, Lines};
-use crate::wire::{self, Fault, Hello, Message, Run};
+use crate::protocol::disconnect::{End, Ending};
+use crate::protocol::lines::{send, Lines};
+use crate::protocol::messages::{self, Fault, Hello, Message, Run};
+use crate::server::hub::{micros, Bell, Hub};
 
 /// Report periods after which a quiet stream is taken for gone: live ones, of proxies that stood still for 2 s too,
 /// were never quiet for over 1.7 periods, and ending one that lives takes its proxy off its newest tables. Where few requests
@@ -213,12 +213,12 @@
 ) -> Result<Infallible, End> {
     loop {
         if bell.rung().await {
-            send(write, wire::ALIVE).await?;
+            send(write, messages::ALIVE).await?;
         }
         loop {
             let order = hub.engine().take_order(stream);
             let Some(order) = order else { break };
-            let text = wire::order(&order);
+            let text = messages::order(&order);
             order
                 .acknowledge
                 .into_iter()
--- a/crates/supervisor/src/http.rs
+++ b/crates/supervisor/src/protocol/http.rs
@@ -14,8 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::ending::{Ending, Life};
-use crate::hub::Hub;
+use crate::protocol::disconnect::{Ending, Life};
+use crate::server::hub::Hub;
 
 /// Sends requests without a body on one connection.
 pub type Sender = SendRequest<Empty<Bytes>>;
--- a/crates/supervisor/src/lines.rs
+++ b/crates/supervisor/src/protocol/lines.rs
@@ -3,8 +3,8 @@
 use bytes::{Buf, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-use crate::ending::{End, Ending};
-use crate::wire::{self, Message};
+use crate::protocol::disconnect::{End, Ending};
+use crate::protocol::messages::{self, Message};
 
 /// Bytes taken from a connection at a time: a few dozen reports, and little for each idle connection.
 const READ_AT_ONCE: usize = 4096;
@@ -41,7 +41,7 @@
     /// The next line, decoded. Nothing is lost when the call is dropped while it waits.
     pub async fn message(&mut self) -> Result<Message, End> {
         let line = self.next().await?;
-        wire::message(&line).map_err(|fault| Ending::Unreadable.because(fault))
+        messages::message(&line).map_err(|fault| Ending::Unreadable.because(fault))
     }
 
     /// Reads and forgets at most so many bytes, until the source ends.
--- a/crates/supervisor/src/wire.rs
+++ b/crates/supervisor/src/protocol/messages.rs
@@ -4,6 +4,7 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
+use chutegrade_engine::AdmissionLevel;
 use chutegrade_engine::{Lifecycle, LoadReport, Micros, NamedEndpoint, Order, Report, TableUpdate};
 use serde::Deserialize;
 
@@ -192,7 +193,7 @@
             .find("mean")
             .map_or(Ok(0.0), |_| w.figure("mean", TIME_MOST))?,
         period: w.period()?,
-        load: chutegrade_settings::load(w.find("util").unwrap_or_default()),
+        load: chutegrade_settings::parse_load_report(w.find("util").unwrap_or_default()),
     }))
 }
 
@@ -292,7 +293,7 @@
         let _ = write!(line, "{separator}{server}:{weight}");
         separator = ",";
     }
-    if let Some((level, retry)) = part.admission {
+    if let Some(AdmissionLevel { level, retry }) = part.admission {
         let _ = write!(line, " gate={level} again={}", retry as u8);
     }
     lines.push(line);
@@ -448,7 +449,7 @@
 /// Reads the load report in the body of a server's answer: `TEXT name=value, ...`.
 pub fn load_report(body: &str) -> LoadReport {
     let body = body.trim();
-    chutegrade_settings::load(body.strip_prefix("TEXT").unwrap_or(body))
+    chutegrade_settings::parse_load_report(body.strip_prefix("TEXT").unwrap_or(body))
 }
 
 #[cfg(test)]
--- a/crates/supervisor/src/wire/tests.rs
+++ b/crates/supervisor/src/protocol/messages/tests.rs
@@ -112,12 +112,18 @@
     let whole = TableUpdate {
         replace: true,
         weights: rows,
-        admission: Some((0.9, chutegrade_engine::Retry::IfNotExecuted)),
+        admission: Some(AdmissionLevel {
+            level: 0.9,
+            retry: chutegrade_engine::Retry::IfNotExecuted,
+        }),
         classes: vec![],
     };
     let level = TableUpdate {
         classes: names(&["order"]),
-        admission: Some((1.0, chutegrade_engine::Retry::Never)),
+        admission: Some(AdmissionLevel {
+            level: 1.0,
+            retry: chutegrade_engine::Retry::Never,
+        }),
         ..TableUpdate::default()
     };
     let full = Order {
--- a/crates/supervisor/src/hub.rs
+++ b/crates/supervisor/src/server/hub.rs
@@ -11,11 +11,11 @@
 use tokio::sync::{watch, Notify};
 use tokio_util::task::TaskTracker;
 
-use crate::ending::{End, Ending};
-use crate::limits::Limits;
-use crate::recording::Book;
-use crate::serve::length;
-use crate::wire::{Fault, Run};
+use crate::protocol::disconnect::{End, Ending};
+use crate::protocol::messages::{Fault, Run};
+use crate::server::length;
+use crate::server::overload::Limits;
+use crate::server::recording::Book;
 
 /// One time base for all: Unix time at the start, carried on by a clock that never steps.
 #[derive(Clone, Copy, Debug)]
--- a/crates/supervisor/src/serve.rs
+++ b/crates/supervisor/src/server/mod.rs
@@ -1,5 +1,10 @@
 //! Serving: wires the parts on one thread, ticks the decisions, and ends at SIGTERM.
 
+pub mod hub;
+pub mod overload;
+pub mod plugins;
+pub mod recording;
+
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::ExitCode;
@@ -7,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use chutegrade_engine::{Engine, Micros, Report, ReportSource};
-use chutegrade_operator_config::{LogFormat, Operator};
+use chutegrade_operator_config::{LogFormat, OperatorConfig};
 use chutegrade_records::{kind, pb, text, Kind};
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{signal, Signal, SignalKind};
@@ -15,12 +20,15 @@
 use tokio::task::{AbortHandle, JoinHandle, LocalSet};
 
 use crate::config::{self, Config, Reloaded, Source};
-use crate::hub::Hub;
-use crate::limits::{sentence, Limits};
-use crate::plugins::Plugins;
-use crate::recording::{self, Book};
-use crate::servers::Servers;
-use crate::{clients, list, listener, servers};
+use crate::peers::discovery;
+use crate::peers::health_check;
+use crate::peers::health_check::Servers;
+use crate::peers::listener;
+use crate::peers::proxy_stream;
+use crate::server::hub::Hub;
+use crate::server::overload::{sentence, Limits};
+use crate::server::plugins::Plugins;
+use crate::server::recording::Book;
 
 /// Time between two lines on dropped reports: a peer that names what is not known may do so a thousand times a second.
 const DROPPED_EVERY: Duration = Duration::from_secs(10);
@@ -35,7 +43,10 @@
 pub fn main(operator: Option<&Path>) -> ExitCode {
     let path = operator;
     let begun = begin();
-    let operator = path.map_or_else(|| Ok(Operator::default()), chutegrade_operator_config::load);
+    let operator = path.map_or_else(
+        || Ok(OperatorConfig::default()),
+        chutegrade_operator_config::load,
+    );
     log(operator
         .as_ref()
         .map_or(LogFormat::Plain, |operator| operator.log));
@@ -95,7 +106,7 @@
 async fn run(
     (config, source): (Config, Source),
     (mut terminate, replaced): Signals,
-    operator: &Operator,
+    operator: &OperatorConfig,
     path: Option<&Path>,
 ) -> Result<(), String> {
     let listener = listener::bind(config.listen, config.settings.proxies)
@@ -111,10 +122,10 @@
     }
     let reports = config.settings.report_source != ReportSource::None;
     let on_request = config.settings.endpoints_on_request;
-    let silence = clients::silence(length(config.settings.report_period));
+    let silence = proxy_stream::silence(length(config.settings.report_period));
     let within = (
         length(Micros::from_ms(config.connect_ms)),
-        servers::answer_most(&config.settings.classes),
+        health_check::answer_most(&config.settings.classes),
     );
     let servers = Servers::new(reports, within, length(config.settings.idle_timeout));
     let names = config.names;
@@ -170,7 +181,7 @@
         moved,
         (plugins, limits),
     ));
-    let list = list::List::new(hub.clone(), discovery, known, on_request);
+    let list = discovery::List::new(hub.clone(), discovery, known, on_request);
     let listing = tokio::task::spawn_local(list.run());
     let serving = listener::serve(
         hub.clone(),
--- a/crates/supervisor/src/limits.rs
+++ b/crates/supervisor/src/server/overload.rs
@@ -5,14 +5,14 @@
 use std::path::{Path, PathBuf};
 
 use chutegrade_engine::{Engine, Micros};
-use chutegrade_overload_control::{changed, classes, Service};
 use chutegrade_limits::{pb as limits, Class, OverloadConfig};
-use chutegrade_operator_config::Operator;
+use chutegrade_operator_config::OperatorConfig;
+use chutegrade_overload_control::{overload_classes, transition_record, OverloadController};
 use chutegrade_records::index::Query;
 use chutegrade_records::timeline::gauge;
 use chutegrade_records::{pb, text, Kind, Timeline};
 
-use crate::hub::Hub;
+use crate::server::hub::Hub;
 
 /// How far back records are looked at for the level before a restart, in microseconds: a little more than what is bridged.
 const LOOK_BACK_US: i64 = 70_000_000;
@@ -22,11 +22,11 @@
     path: Option<PathBuf>,
     classes: Vec<Class>,
     period: Micros,
-    service: RefCell<Option<Service>>,
+    service: RefCell<Option<OverloadController>>,
 }
 
 /// All faults of the operators' file in one sentence.
-pub fn sentence(faults: &[chutegrade_operator_config::Fault]) -> String {
+pub fn sentence(faults: &[chutegrade_operator_config::ConfigError]) -> String {
     faults
         .iter()
         .map(ToString::to_string)
@@ -34,11 +34,11 @@
         .join("; ")
 }
 
-fn plan(operator: &Operator, classes: &[Class]) -> Result<Option<OverloadConfig>, String> {
+fn plan(operator: &OperatorConfig, classes: &[Class]) -> Result<Option<OverloadConfig>, String> {
     let plan = operator
         .limits
         .as_ref()
-        .map(|limits| limits.plan(Some(classes)));
+        .map(|limits| limits.overload_config(Some(classes)));
     plan.transpose().map_err(|faults| sentence(&faults))
 }
 
@@ -46,12 +46,13 @@
     /// What the operators' file switches on; a fault is a sentence.
     pub fn new(
         path: Option<&Path>,
-        operator: &Operator,
+        operator: &OperatorConfig,
         engine: &mut Engine,
         period: Micros,
     ) -> Result<Self, String> {
-        let classes = classes(engine);
-        let service = plan(operator, &classes)?.map(|plan| Service::new(plan, engine, period));
+        let classes = overload_classes(engine);
+        let service =
+            plan(operator, &classes)?.map(|plan| OverloadController::new(plan, engine, period));
         Ok(Limits {
             path: path.map(Path::to_path_buf),
             classes,
@@ -65,7 +66,7 @@
         let mut service = self.service.borrow_mut();
         let Some(service) = service
             .as_mut()
-            .filter(|service| service.governor().transitions().is_some())
+            .filter(|service| service.manager().transitions().is_some())
         else {
             return;
         };
@@ -100,12 +101,16 @@
                     retry_budget: None,
                     fairness: None,
                 };
-                if let Some(kind) = service.replace(hub.clock.now(), plan.unwrap_or(none)) {
+                if let Some(kind) = service.reconfigure(hub.clock.now(), plan.unwrap_or(none)) {
                     tell(hub, kind);
                 }
             }
             (None, Some(plan)) => {
-                *service = Some(Service::new(plan, &mut hub.engine(), self.period))
+                *service = Some(OverloadController::new(
+                    plan,
+                    &mut hub.engine(),
+                    self.period,
+                ))
             }
             (None, None) => {}
         }
@@ -116,16 +121,16 @@
         let mut service = self.service.borrow_mut();
         let change = service
             .as_mut()
-            .and_then(|service| service.turn(hub.clock.now(), &mut hub.engine()));
+            .and_then(|service| service.evaluate(hub.clock.now(), &mut hub.engine()));
         if let Some(change) = change {
-            tell(hub, changed(&change));
+            tell(hub, transition_record(&change));
         }
     }
 
     /// Adds what is known to the figures of one moment.
     pub fn gauge(&self, gauge: &mut pb::Gauge, now: Micros) {
         if let Some(service) = self.service.borrow().as_ref() {
-            service.gauge(gauge, now);
+            service.add_metrics(gauge, now);
         }
     }
 }
--- a/crates/supervisor/src/plugins.rs
+++ b/crates/supervisor/src/server/plugins.rs
@@ -4,11 +4,11 @@
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 
-use chutegrade_plugin_advisor::Rules;
+use chutegrade_plugin_advisor::PluginAdvisor;
 use chutegrade_plugins::host::Word;
 use chutegrade_records::{pb, Kind};
 
-use crate::hub::Hub;
+use crate::server::hub::Hub;
 
 /// Longest text that is read, in bytes; the language takes far shorter ones.
 const TEXT_MOST: u64 = 1 << 20;
@@ -16,7 +16,7 @@
 /// The plug-ins of the operators' file.
 pub struct Plugins {
     files: Vec<PathBuf>,
-    rules: RefCell<Rules>,
+    rules: RefCell<PluginAdvisor>,
 }
 
 /// Reads one text that people write; the sentence of a fault names its file.
@@ -102,7 +102,7 @@
         let words = self
             .rules
             .borrow_mut()
-            .turn(hub.clock.now(), &mut hub.engine());
+            .evaluate(hub.clock.now(), &mut hub.engine());
         for (name, word) in words {
             let (what, text) = match word {
                 Word::Noted(text) => ("note", text),
--- a/crates/supervisor/src/recording.rs
+++ b/crates/supervisor/src/server/recording.rs
@@ -5,15 +5,15 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use chutegrade_scheduler::Cost;
 use chutegrade_engine::{Engine, Micros};
-use chutegrade_operator_config::Records;
+use chutegrade_operator_config::RecordingConfig;
 use chutegrade_records::jobs::Retention;
 use chutegrade_records::recorder::{self, Options};
 use chutegrade_records::{pb, Kind, Recorder, Recording};
+use chutegrade_scheduler::Cost;
 
-use crate::hub::{micros, Clock};
-use crate::limits::Limits;
+use crate::server::hub::{micros, Clock};
+use crate::server::overload::Limits;
 
 /// Time between two records of the fleet in figures: charts by the second, and a reader knows by it that one stood still.
 const GAUGE_EVERY: Micros = Micros(1_000_000);
@@ -49,7 +49,7 @@
 }
 
 /// Where a supervisor's records go.
-pub fn directory(records: &Records, supervisor: &str) -> PathBuf {
+pub fn directory(records: &RecordingConfig, supervisor: &str) -> PathBuf {
     records.directory.join(directory_name(supervisor))
 }
 
@@ -62,14 +62,18 @@
 
 impl Book {
     /// Begins to record for a supervisor; whatever is wrong with the directory, it serves on.
-    pub fn open(records: &Records, supervisor: &str, clock: Clock) -> std::io::Result<Self> {
+    pub fn open(
+        records: &RecordingConfig,
+        supervisor: &str,
+        clock: Clock,
+    ) -> std::io::Result<Self> {
         let directory = directory(records, supervisor);
         let options = Options {
             directory,
             supervisor: supervisor.to_string(),
             retention: Retention {
-                bytes: records.keep_bytes,
-                age: records.keep_for,
+                bytes: records.max_bytes,
+                age: records.max_age,
             },
             budget: Cost {
                 time: records.background_time,
--- a/crates/supervisor/src/tests/rules.rs
+++ b/crates/supervisor/src/tests/rules.rs
@@ -3,15 +3,15 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use chutegrade_emulators::tables::{Tables, CLASSES};
 use chutegrade_engine::{
     EndpointUpdateKind, Engine, HealthCheck, HealthCheckOutcome, Lifecycle, LoadReport, Micros,
-    NamedEndpoint, OverloadLimits, Report, Retry, StreamId,
+    NamedClassRetry, NamedEndpoint, OverloadLimits, Report, Retry, StreamId,
 };
-use chutegrade_emulators::tables::{Tables, CLASSES};
 use proptest::prelude::*;
 use serde_json::json;
 
-use crate::wire;
+use crate::protocol::messages;
 
 /// Time between two steps, and between two looks at what proxies hold.
 const STEP: Micros = Micros(20_000);
@@ -342,7 +342,10 @@
             },
             Storm::Again => {
                 let again = CLASSES
-                    .map(|class| (class.to_string(), Retry::Twice))
+                    .map(|class| NamedClassRetry {
+                        class: class.to_string(),
+                        retry: Retry::Twice,
+                    })
                     .to_vec();
                 let until = self.now + Micros(10_000_000);
                 self.report(Report::Limits(OverloadLimits {
@@ -543,7 +546,7 @@
             let Some(order) = self.engine.take_order(stream) else {
                 continue;
             };
-            let text = wire::order(&order);
+            let text = messages::order(&order);
             let proxy = self
                 .holders
                 .iter()
--- a/crates/supervisor/tests/incident.rs
+++ b/crates/supervisor/tests/incident.rs
@@ -2,11 +2,11 @@
 
 use std::path::Path;
 
-use chutegrade_records::index::Query;
-use chutegrade_records::{text, Timeline, Window};
 use chutegrade_emulators::script::{Stage, SUPERVISORS};
 use chutegrade_emulators::truth::{compare, shift, Deed, Truth};
 use chutegrade_emulators::Program;
+use chutegrade_records::index::Query;
+use chutegrade_records::{text, Timeline, Window};
 
 fn path(of: &Path) -> &str {
     of.to_str().expect("a plain path")
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-use chutegrade_records::index::Query;
-use chutegrade_records::{pb, Kind, Timeline};
 use chutegrade_emulators::script::Stage;
 use chutegrade_emulators::{until, Program};
+use chutegrade_records::index::Query;
+use chutegrade_records::{pb, Kind, Timeline};
 use tokio::time::sleep;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_chutegrade");
--- a/crates/supervisor/tests/plugins.rs
+++ b/crates/supervisor/tests/plugins.rs
@@ -7,10 +7,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use chutegrade_records::index::Query;
-use chutegrade_records::{GapReason, Kind, Timeline};
 use chutegrade_emulators::script::Stage;
 use chutegrade_emulators::{until, Program};
+use chutegrade_records::index::Query;
+use chutegrade_records::{GapReason, Kind, Timeline};
 use tokio::time::sleep;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_chutegrade");
--- a/crates/supervisor/tests/tools.rs
+++ b/crates/supervisor/tests/tools.rs
@@ -4,10 +4,10 @@
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
 
+use chutegrade_emulators::{config, until, Discovery, Manner, Program, Proxy, Server};
 use chutegrade_records::pb::{self, Record};
 use chutegrade_records::store::Store;
 use chutegrade_records::{frame, Kind};
-use chutegrade_emulators::{config, until, Discovery, Manner, Program, Proxy, Server};
 use prost::Message;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_chutegrade");
