--- /dev/null
+++ b/crates/supervisor/tests/recorded.rs
@@ -0,0 +1,72 @@
+//! Records written by an earlier build (4813afa, `make incident`) read the same today: what `records verify`, `list` and
+//! `export` print of them is compared with what that build printed.
+
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+use serde_json::Value;
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_chutegrade");
+
+/// The recorded incident with the output of the build that wrote it.
+fn fixture() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/incident")
+}
+
+fn expected(name: &str) -> String {
+    std::fs::read_to_string(fixture().join(name)).expect("an expected output")
+}
+
+/// Copies the records, since readers may write an index beside them.
+fn copied_records(target: &Path) {
+    for supervisor in ["n0", "n1"] {
+        let from = fixture().join("records").join(supervisor);
+        let to = target.join("records").join(supervisor);
+        std::fs::create_dir_all(&to).expect("a directory");
+        for entry in from.read_dir().expect("the records") {
+            let entry = entry.expect("an entry");
+            std::fs::copy(entry.path(), to.join(entry.file_name())).expect("a copy");
+        }
+    }
+}
+
+/// What `chutegrade records` prints on a fresh copy of the records.
+fn records(arguments: &[&str]) -> String {
+    let directory = tempfile::tempdir().expect("a directory");
+    copied_records(directory.path());
+    let output = Command::new(PROGRAM)
+        .arg("records")
+        .args(arguments)
+        .current_dir(directory.path())
+        .output()
+        .expect("the program");
+    assert!(output.status.success(), "{output:?}");
+    String::from_utf8(output.stdout).expect("text")
+}
+
+#[test]
+fn records_of_an_earlier_build_verify_as_sound() {
+    assert_eq!(records(&["verify", "records"]), expected("verify.txt"));
+}
+
+#[test]
+fn records_of_an_earlier_build_list_as_they_did() {
+    assert_eq!(records(&["list", "records"]), expected("list.txt"));
+}
+
+#[test]
+fn records_of_an_earlier_build_export_the_same_rows() {
+    let arguments = ["export", "--all", "--format", "jsonl", "records/n1"];
+    let rows = |text: &str| -> Vec<Value> {
+        text.lines()
+            .map(|line| serde_json::from_str(line).expect(line))
+            .collect()
+    };
+    assert_eq!(rows(&records(&arguments)), rows(&expected("export.jsonl")));
+}
+
+#[test]
+fn records_of_an_earlier_build_export_the_same_cells() {
+    let arguments = ["export", "--format", "csv", "--kind", "state", "records"];
+    assert_eq!(records(&arguments), expected("states.csv"));
+}
