--- a/crates/limits/src/concurrency_limiter.rs
+++ b/crates/limits/src/concurrency_limiter.rs
@@ -1,185 +1,237 @@
-//! A limit on the work that is let in, found by measurement. Four rules that differ in what they take for the measure of too
-//! much; which of them serves best under late and lumpy signals is told in docs/limits.md.
+//! An adaptive limit on the share of work that is admitted. Four rules differ in what they take as the measure of overload;
+//! docs/limits.md compares them under late and bursty signals.
 
 use crate::pb::adaptive::Rule;
 
-/// Least share let in: with nothing let in, nothing would be measured.
-pub const LET_IN_LEAST: f64 = 0.1;
-/// Saturation aimed at where nothing is said: servers busy, with little waiting.
-pub const TARGET: f64 = 0.25;
-/// Saturation from which what the fleet answers is all that it can do.
-const SATURATED: f64 = 0.3;
-/// How fast what is known of the capacity moves to what is seen while saturated, a second; and how fast it grows while work
-/// is held back from a fleet that is not saturated at all.
-const LEARN: (f64, f64) = (0.12, 0.05);
-/// Saturation beyond which a fleet has collapsed: what it answers then is not what it can do.
-const COLLAPSED: f64 = 0.7;
-/// What a saturated fleet answers tells of its capacity if at least so much of it is let in: else it is what was let in.
-const FILLED: f64 = 0.9;
-/// By so much of its distance from the target the saturation moves the limit at once, while it is moderate; from the second
-/// figure on steeply down to the least, where all that waits is worked off first. Steep everywhere would swing when reports
-/// are late.
-const AT_ONCE: (f64, f64) = (0.5, 0.35);
-/// Least time that an answer is believed to take, in milliseconds.
-const LEAST_MS: f64 = 1.0;
-/// Additive increase a second, and multiplicative decrease at each report that shows too much.
-const AIMD: (f64, f64) = (0.03, 0.88);
-/// Answer time, as a multiple of the least, that is no sign of waiting; the least is forgotten so fast a second; smoothing,
-/// and what is added to it each report.
-const GRADIENT: (f64, f64, f64, f64) = (1.6, 0.01, 0.25, 0.03);
-/// Gains of the rule that moves the share until the saturation is what it should be: by its change, and by its distance a
-/// second.
-const GAINS: (f64, f64) = (0.5, 0.12);
-
-/// What is seen of the fleet since the last report.
+/// Least share that is admitted: with nothing admitted, nothing would be measured.
+pub const MIN_ADMITTED_SHARE: f64 = 0.1;
+/// Default target saturation: servers are busy, and little is queued.
+pub const DEFAULT_TARGET_SATURATION: f64 = 0.25;
+
+/// Saturation from which the throughput of the fleet is all that it can do.
+const SATURATED_FROM: f64 = 0.3;
+/// Saturation from which a fleet has collapsed: its throughput is then below its capacity.
+const COLLAPSED_FROM: f64 = 0.7;
+/// Share of the known capacity that must be admitted for the throughput of a saturated fleet to measure its capacity.
+const MIN_UTILIZATION: f64 = 0.9;
+/// How fast the known capacity falls to the throughput of a saturated fleet, as a share per second.
+const CAPACITY_DECREASE_RATE: f64 = 0.12;
+/// How fast the known capacity grows while work is held back from an idle fleet, as a share per second.
+const CAPACITY_INCREASE_RATE: f64 = 0.05;
+
+/// How strongly moderate saturation corrects the limit, per unit of distance from the target.
+const SATURATION_CORRECTION: f64 = 0.5;
+/// Saturation from which the limit falls steeply to the least share, so that queues drain first. A steep correction below it
+/// would oscillate when reports are late.
+const STEEP_CORRECTION_FROM: f64 = 0.35;
+
+/// Additive increase of the share, per second.
+const ADDITIVE_INCREASE: f64 = 0.03;
+/// Multiplicative decrease of the share, at each report of overload.
+const MULTIPLICATIVE_DECREASE: f64 = 0.88;
+
+/// Least latency that is believed, in milliseconds.
+const MIN_LATENCY_MS: f64 = 1.0;
+/// Latency, as a multiple of the least one, that is no sign of queueing.
+const LATENCY_TOLERANCE: f64 = 1.6;
+/// How fast the least latency is forgotten, as a share per second.
+const MIN_LATENCY_GROWTH: f64 = 0.01;
+/// Least factor by which latency reduces the share.
+const MIN_GRADIENT: f64 = 0.5;
+/// Smoothing of the share, per report.
+const GRADIENT_SMOOTHING: f64 = 0.25;
+/// What is added to the share before it is smoothed.
+const GRADIENT_INCREASE: f64 = 0.03;
+
+/// Change of the share for a change of the saturation.
+const PROPORTIONAL_GAIN: f64 = 0.5;
+/// Change of the share for the distance of the saturation from the target, per second.
+const INTEGRAL_GAIN: f64 = 0.12;
+
+/// The rule of the limit and its target.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ConcurrencyLimitConfig {
+    /// The rule; unspecified means by capacity.
+    pub rule: Rule,
+    /// The saturation to aim at, above 0.
+    pub target_saturation: f64,
+}
+
+impl Default for ConcurrencyLimitConfig {
+    fn default() -> Self {
+        ConcurrencyLimitConfig {
+            rule: Rule::Capacity,
+            target_saturation: DEFAULT_TARGET_SATURATION,
+        }
+    }
+}
+
+/// The load of the fleet since the last report. Work counts in seconds of latency objective, retries included.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// Time since the last one, in seconds.
+pub struct LoadSample {
+    /// Time since the last report, in seconds.
     pub seconds: f64,
-    /// Work that came, a second; what came again counts.
+    /// Work that arrived, per second.
     pub offered: f64,
-    /// Work let in, a second.
-    pub let_in: f64,
-    /// Work answered, a second, late answers too.
-    pub good: f64,
+    /// Work that was admitted, per second.
+    pub admitted: f64,
+    /// Work that was completed, late or not, per second.
+    pub completed: f64,
     /// Saturation, 0 to 1.
-    pub strain: f64,
-    /// Mean time of good answers, in milliseconds; 0 if there were none.
-    pub took_ms: f64,
-    /// What warm servers weigh.
-    pub warm: f64,
+    pub saturation: f64,
+    /// Mean latency of successful responses, in milliseconds; 0 if there were none.
+    pub mean_latency_ms: f64,
+    /// Total weight of the warm servers.
+    pub warm_weight: f64,
+}
+
+impl LoadSample {
+    fn is_valid(&self) -> bool {
+        let figures = [
+            self.seconds,
+            self.offered,
+            self.admitted,
+            self.completed,
+            self.saturation,
+            self.mean_latency_ms,
+            self.warm_weight,
+        ];
+        let are_valid = figures
+            .iter()
+            .all(|figure| figure.is_finite() && *figure >= 0.0);
+        are_valid && self.seconds > 0.0
+    }
 }
 
-/// A limit at work.
+/// The limit and what it has learned.
 #[derive(Clone, Debug)]
-pub struct Limiter {
-    rule: Rule,
-    target: f64,
-    share: f64,
-    /// Work that a unit of warm weight does in a second; 0 until it is known.
-    does: f64,
-    least_ms: f64,
-    strain: f64,
-    told: bool,
+pub struct ConcurrencyLimiter {
+    config: ConcurrencyLimitConfig,
+    admitted_share: f64,
+    /// Work that a unit of warm weight completes in a second; 0 until it is known.
+    capacity_per_weight: f64,
+    min_latency_ms: f64,
+    last_saturation: Option<f64>,
 }
 
-impl Limiter {
-    /// One that lets all in.
-    pub fn new(rule: Rule, target: f64) -> Self {
-        Limiter {
-            rule,
-            target,
-            share: 1.0,
-            does: 0.0,
-            least_ms: 0.0,
-            strain: 0.0,
-            told: false,
+impl ConcurrencyLimiter {
+    /// A limiter that admits everything.
+    pub fn new(config: ConcurrencyLimitConfig) -> Self {
+        ConcurrencyLimiter {
+            config,
+            admitted_share: 1.0,
+            capacity_per_weight: 0.0,
+            min_latency_ms: 0.0,
+            last_saturation: None,
         }
     }
 
-    /// The share let in.
-    pub fn share(&self) -> f64 {
-        self.share
+    /// The share of work to admit, from [`MIN_ADMITTED_SHARE`] to 1.
+    pub fn admitted_share(&self) -> f64 {
+        self.admitted_share
     }
 
-    /// Work that warm servers of this weight can do in a second, where it is known.
-    pub fn capacity(&self, warm: f64) -> Option<f64> {
-        (self.does > 0.0 && warm > 0.0).then_some(self.does * warm)
+    /// Work that warm servers of this total weight can complete in a second, where it is known.
+    pub fn capacity(&self, warm_weight: f64) -> Option<f64> {
+        let is_known = self.capacity_per_weight > 0.0 && warm_weight > 0.0;
+        is_known.then_some(self.capacity_per_weight * warm_weight)
     }
 
-    /// Takes in what a report shows, and moves the share. What is no number is passed over.
-    pub fn step(&mut self, seen: &Seen) -> f64 {
-        let figures = [
-            seen.seconds,
-            seen.offered,
-            seen.let_in,
-            seen.good,
-            seen.strain,
-            seen.took_ms,
-            seen.warm,
-        ];
-        if figures
-            .iter()
-            .any(|figure| !figure.is_finite() || *figure < 0.0)
-            || seen.seconds <= 0.0
-        {
-            return self.share;
+    /// Adjusts the share to a report, and returns it. Samples that are negative or not finite are ignored.
+    pub fn update(&mut self, sample: &LoadSample) -> f64 {
+        if !sample.is_valid() {
+            return self.admitted_share;
         }
-        self.learn(seen);
-        let share = match self.rule {
-            Rule::Aimd => self.by_steps(seen),
-            Rule::Gradient => self.by_times(seen),
-            Rule::Target => self.by_target(seen),
-            Rule::Capacity | Rule::Unspecified => self.by_capacity(seen),
+        self.learn_capacity(sample);
+        let share = match self.config.rule {
+            Rule::Aimd => self.share_by_aimd(sample),
+            Rule::Gradient => self.share_by_gradient(sample),
+            Rule::Target => self.share_by_target(sample),
+            Rule::Capacity | Rule::Unspecified => self.share_by_capacity(sample),
         };
-        (self.strain, self.told) = (seen.strain, true);
-        self.share = share.clamp(LET_IN_LEAST, 1.0);
-        self.share
+        self.last_saturation = Some(sample.saturation);
+        self.admitted_share = share.clamp(MIN_ADMITTED_SHARE, 1.0);
+        self.admitted_share
     }
 
-    /// What the fleet can do: at least what it does. While it is saturated no more; but what it does then tells only if
-    /// enough is let in, or else holding back would pass for weakness and be held back further. While work is held back
-    /// from a fleet that is not saturated, it can do more.
-    fn learn(&mut self, seen: &Seen) {
-        if seen.warm <= 0.0 {
+    /// The capacity is at least the throughput. The throughput of a saturated fleet is its capacity, but only if enough work
+    /// was admitted: otherwise the limit itself would pass for weakness of the fleet, and tighten further. While work is held
+    /// back from a fleet that is not saturated, its capacity is assumed to be greater.
+    fn learn_capacity(&mut self, sample: &LoadSample) {
+        if sample.warm_weight <= 0.0 {
             return;
         }
-        let does = seen.good / seen.warm;
-        let filled = seen.let_in >= FILLED * self.does * seen.warm;
-        // Beyond collapse what waits is worked off first; then it is seen again what the fleet can do.
-        if (SATURATED..COLLAPSED).contains(&seen.strain) && filled {
-            self.does += (1.0 - (1.0 - LEARN.0).powf(seen.seconds)) * (does - self.does).min(0.0);
+        let throughput = sample.completed / sample.warm_weight;
+        let is_utilized =
+            sample.admitted >= MIN_UTILIZATION * self.capacity_per_weight * sample.warm_weight;
+        let is_saturated = (SATURATED_FROM..COLLAPSED_FROM).contains(&sample.saturation);
+        if is_saturated && is_utilized {
+            let smoothing = 1.0 - (1.0 - CAPACITY_DECREASE_RATE).powf(sample.seconds);
+            self.capacity_per_weight +=
+                smoothing * (throughput - self.capacity_per_weight).min(0.0);
         }
-        self.does = self.does.max(does);
-        if self.share < 1.0 && seen.strain < self.target {
-            self.does *= (1.0 + LEARN.1 * (1.0 - seen.strain / self.target)).powf(seen.seconds);
+        self.capacity_per_weight = self.capacity_per_weight.max(throughput);
+        let target = self.config.target_saturation;
+        if self.admitted_share < 1.0 && sample.saturation < target {
+            let idleness = 1.0 - sample.saturation / target;
+            let growth = 1.0 + CAPACITY_INCREASE_RATE * idleness;
+            self.capacity_per_weight *= growth.powf(sample.seconds);
         }
     }
 
-    /// What can be done over what comes: follows demand and failing servers at once, and its cause is what is seen, not what
-    /// was let in.
-    fn by_capacity(&mut self, seen: &Seen) -> f64 {
-        let moderate = seen.strain.min(AT_ONCE.1);
-        let jam = ((seen.strain - AT_ONCE.1) / (1.0 - AT_ONCE.1)).max(0.0);
-        let now = (1.0 + AT_ONCE.0 * (self.target - moderate)) * (1.0 - jam) + LET_IN_LEAST * jam;
-        match self.capacity(seen.warm).filter(|_| seen.offered > 0.0) {
-            // Danger: in a fleet that is not saturated, what it does is what came.
-            Some(can) if seen.strain >= self.target || self.share < 1.0 => can * now / seen.offered,
-            _ => 1.0,
+    /// The known capacity over the offered work, corrected by the saturation.
+    fn share_by_capacity(&self, sample: &LoadSample) -> f64 {
+        let target = self.config.target_saturation;
+        // The throughput of a fleet that is not saturated measures the demand, not the capacity.
+        let is_limited = sample.saturation >= target || self.admitted_share < 1.0;
+        let Some(capacity) = self.capacity(sample.warm_weight) else {
+            return 1.0;
+        };
+        if sample.offered <= 0.0 || !is_limited {
+            return 1.0;
         }
+        let moderate = sample.saturation.min(STEEP_CORRECTION_FROM);
+        let excess = (sample.saturation - STEEP_CORRECTION_FROM) / (1.0 - STEEP_CORRECTION_FROM);
+        let steepness = excess.max(0.0);
+        let moderate_correction = 1.0 + SATURATION_CORRECTION * (target - moderate);
+        let correction = moderate_correction * (1.0 - steepness) + MIN_ADMITTED_SHARE * steepness;
+        capacity * correction / sample.offered
     }
 
-    fn by_steps(&self, seen: &Seen) -> f64 {
-        if seen.strain > self.target {
-            self.share * AIMD.1
+    /// Additive increase, multiplicative decrease.
+    fn share_by_aimd(&self, sample: &LoadSample) -> f64 {
+        if sample.saturation > self.config.target_saturation {
+            self.admitted_share * MULTIPLICATIVE_DECREASE
         } else {
-            self.share + AIMD.0 * seen.seconds
+            self.admitted_share + ADDITIVE_INCREASE * sample.seconds
         }
     }
 
-    fn by_times(&mut self, seen: &Seen) -> f64 {
-        if seen.took_ms <= 0.0 {
-            // Nothing was answered: what is known says nothing of why.
-            return self.share;
+    /// The share follows the ratio of the least latency to the current one.
+    fn share_by_gradient(&mut self, sample: &LoadSample) -> f64 {
+        if sample.mean_latency_ms <= 0.0 {
+            // Without responses the cause is unknown.
+            return self.admitted_share;
         }
-        let least = self.least_ms * (1.0 + GRADIENT.1).powf(seen.seconds);
-        self.least_ms = if self.least_ms > 0.0 {
-            least.min(seen.took_ms)
+        let min_latency_ms = if self.min_latency_ms > 0.0 {
+            let grown_ms = self.min_latency_ms * (1.0 + MIN_LATENCY_GROWTH).powf(sample.seconds);
+            grown_ms.min(sample.mean_latency_ms)
         } else {
-            seen.took_ms
-        }
-        .max(LEAST_MS);
-        let gradient = (GRADIENT.0 * self.least_ms / seen.took_ms).clamp(0.5, 1.0);
-        self.share + GRADIENT.2 * (self.share * gradient + GRADIENT.3 - self.share)
+            sample.mean_latency_ms
+        };
+        self.min_latency_ms = min_latency_ms.max(MIN_LATENCY_MS);
+        let ratio = LATENCY_TOLERANCE * self.min_latency_ms / sample.mean_latency_ms;
+        let gradient = ratio.clamp(MIN_GRADIENT, 1.0);
+        let target_share = self.admitted_share * gradient + GRADIENT_INCREASE;
+        self.admitted_share + GRADIENT_SMOOTHING * (target_share - self.admitted_share)
     }
 
-    fn by_target(&self, seen: &Seen) -> f64 {
-        let moved = if self.told {
-            seen.strain - self.strain
-        } else {
-            0.0
-        };
-        self.share - GAINS.0 * moved - GAINS.1 * (seen.strain - self.target) * seen.seconds
+    /// A proportional-integral controller of the saturation.
+    fn share_by_target(&self, sample: &LoadSample) -> f64 {
+        let last_saturation = self.last_saturation.unwrap_or(sample.saturation);
+        let change = sample.saturation - last_saturation;
+        let error = sample.saturation - self.config.target_saturation;
+        self.admitted_share - PROPORTIONAL_GAIN * change - INTEGRAL_GAIN * error * sample.seconds
     }
 }
 
--- a/crates/limits/src/concurrency_limiter/tests.rs
+++ b/crates/limits/src/concurrency_limiter/tests.rs
@@ -6,50 +6,57 @@
 
 const RULES: [Rule; 4] = [Rule::Capacity, Rule::Aimd, Rule::Gradient, Rule::Target];
 
-/// A fleet that does 100 a second, waits grow by what is let in beyond, and reports that are so many seconds late.
-/// Returns the shares let in.
-fn play(
+fn limiter(rule: Rule) -> ConcurrencyLimiter {
+    ConcurrencyLimiter::new(ConcurrencyLimitConfig {
+        rule,
+        ..ConcurrencyLimitConfig::default()
+    })
+}
+
+/// A fleet that completes 100 a second and queues what is admitted beyond that, with reports that are delayed by some seconds.
+/// Returns the admitted shares.
+fn simulate(
     rule: Rule,
-    late: usize,
+    delay: usize,
     offered: impl Fn(usize) -> f64,
-    warm: impl Fn(usize) -> f64,
+    warm_weight: impl Fn(usize) -> f64,
 ) -> Vec<f64> {
-    let mut limiter = Limiter::new(rule, TARGET);
+    let mut limiter = limiter(rule);
     let (mut queue, mut shares) = (0.0f64, Vec::new());
-    let mut reports: VecDeque<Seen> = VecDeque::new();
+    let mut reports: VecDeque<LoadSample> = VecDeque::new();
     for second in 0..180 {
-        let (comes, can) = (offered(second), 100.0 * warm(second));
-        let let_in = comes * limiter.share();
-        let good = (queue + let_in).min(can);
-        queue = (queue + let_in - can).clamp(0.0, 400.0);
-        // Three seconds of work that wait are a fleet wholly saturated.
-        let strain = (queue / 300.0).min(1.0);
-        let seen = Seen {
+        let (offered_now, capacity) = (offered(second), 100.0 * warm_weight(second));
+        let admitted = offered_now * limiter.admitted_share();
+        let completed = (queue + admitted).min(capacity);
+        queue = (queue + admitted - capacity).clamp(0.0, 400.0);
+        // A fleet with three seconds of work in the queue is fully saturated.
+        let saturation = (queue / 300.0).min(1.0);
+        let sample = LoadSample {
             seconds: 1.0,
-            offered: comes,
-            let_in,
-            good,
-            strain,
-            took_ms: 50.0 + queue * 4.0,
-            warm: warm(second),
+            offered: offered_now,
+            admitted,
+            completed,
+            saturation,
+            mean_latency_ms: 50.0 + queue * 4.0,
+            warm_weight: warm_weight(second),
         };
-        reports.push_back(seen);
-        if reports.len() > late {
-            limiter.step(&reports.pop_front().expect("there"));
+        reports.push_back(sample);
+        if reports.len() > delay {
+            limiter.update(&reports.pop_front().expect("there"));
         }
-        shares.push(limiter.share());
+        shares.push(limiter.admitted_share());
     }
     shares
 }
 
-fn mean(of: &[f64]) -> f64 {
-    of.iter().sum::<f64>() / of.len() as f64
+fn mean(samples: &[f64]) -> f64 {
+    samples.iter().sum::<f64>() / samples.len() as f64
 }
 
 #[test]
-fn every_rule_lets_all_in_while_there_is_room() {
+fn every_rule_admits_everything_while_there_is_headroom() {
     for rule in RULES {
-        let shares = play(rule, 2, |_| 60.0, |_| 1.0);
+        let shares = simulate(rule, 2, |_| 60.0, |_| 1.0);
         assert!(
             shares.iter().all(|share| *share > 0.95),
             "{rule:?}: {shares:?}"
@@ -57,11 +64,11 @@
     }
 }
 
-/// Twice as much as can be done for a minute: about half is let in, and all again after it.
+/// Twice the capacity for a minute: about half is admitted, and everything after it.
 #[test]
-fn every_rule_finds_what_can_be_done_and_lets_go() {
+fn every_rule_finds_the_capacity_and_recovers() {
     for rule in RULES {
-        let shares = play(
+        let shares = simulate(
             rule,
             2,
             |second| {
@@ -79,35 +86,35 @@
     }
 }
 
-/// What sets the rule by capacity apart: it hardly swings, however late reports are.
+/// The rule by capacity hardly oscillates, however late reports are.
 #[test]
-fn by_capacity_the_share_stands_still_under_a_steady_overload() {
-    let swing = |rule: Rule, late: usize| {
-        let shares = play(
+fn the_capacity_rule_is_stable_under_steady_overload() {
+    let swing = |rule: Rule, delay: usize| {
+        let shares = simulate(
             rule,
-            late,
+            delay,
             |second| if second >= 40 { 200.0 } else { 60.0 },
             |_| 1.0,
         );
-        let (least, most) = shares[100..]
+        let (lowest, highest) = shares[100..]
             .iter()
             .fold((1.0f64, 0.0f64), |(l, m), s| (l.min(*s), m.max(*s)));
-        most - least
+        highest - lowest
     };
-    for late in [1, 2] {
+    for delay in [1, 2] {
         assert!(
-            swing(Rule::Capacity, late) < 0.2,
+            swing(Rule::Capacity, delay) < 0.2,
             "{}",
-            swing(Rule::Capacity, late)
+            swing(Rule::Capacity, delay)
         );
     }
     assert!(swing(Rule::Aimd, 2) > swing(Rule::Capacity, 2));
 }
 
-/// Half of the servers are lost: known at once by their weight, not by what waits.
+/// Half of the servers are lost: the weight shows it at once, before a queue does.
 #[test]
-fn by_capacity_lost_servers_count_at_once() {
-    let shares = play(
+fn the_capacity_rule_reacts_to_lost_servers_at_once() {
+    let shares = simulate(
         Rule::Capacity,
         1,
         |second| if second >= 30 { 180.0 } else { 60.0 },
@@ -123,21 +130,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Danger: figures that can be read but not be true move the limit beyond its bounds, or for good.
+    /// Absurd figures must not move the limit beyond its bounds, nor for good.
     #[test]
-    fn any_figures_keep_the_share_in_bounds(
+    fn any_samples_keep_the_share_in_bounds(
         rule in 0..4usize,
-        of in prop::collection::vec((-1.0..1e9f64, -1.0..1e9f64, 0.0..2.0f64, prop::num::f64::ANY, 0.0..1e6f64), 1..60),
+        samples in prop::collection::vec((-1.0..1e9f64, -1.0..1e9f64, 0.0..2.0f64, prop::num::f64::ANY, 0.0..1e6f64), 1..60),
     ) {
-        let mut limiter = Limiter::new(RULES[rule], TARGET);
-        for (offered, good, strain, took_ms, warm) in of {
-            let share = limiter.step(&Seen { seconds: 1.0, offered, let_in: good, good, strain, took_ms, warm });
-            prop_assert!((LET_IN_LEAST..=1.0).contains(&share));
+        let mut limiter = limiter(RULES[rule]);
+        for (offered, completed, saturation, mean_latency_ms, warm_weight) in samples {
+            let share = limiter.update(&LoadSample { seconds: 1.0, offered, admitted: completed, completed, saturation, mean_latency_ms, warm_weight });
+            prop_assert!((MIN_ADMITTED_SHARE..=1.0).contains(&share));
         }
         // All is well again for ten minutes.
         for _ in 0..600 {
-            limiter.step(&Seen { seconds: 1.0, offered: 10.0, let_in: 10.0, good: 10.0, strain: 0.0, took_ms: 50.0, warm: 10.0 });
+            limiter.update(&LoadSample { seconds: 1.0, offered: 10.0, admitted: 10.0, completed: 10.0, saturation: 0.0, mean_latency_ms: 50.0, warm_weight: 10.0 });
         }
-        prop_assert!(limiter.share() > 0.9, "{}", limiter.share());
+        prop_assert!(limiter.admitted_share() > 0.9, "{}", limiter.admitted_share());
     }
 }
--- a/crates/limits/src/condition/tests.rs
+++ b/crates/limits/src/condition/tests.rs
@@ -1,105 +1,145 @@
 use super::*;
 
-const AGE: i64 = 5_000_000;
+const MAX_AGE_US: i64 = 5_000_000;
 
-fn test(signal: Signal, above: bool, bound: f64, seconds: i64) -> Test {
-    Test {
+fn above(signal: Signal, bound: f64, hold_seconds: i64) -> SignalTest {
+    SignalTest {
         signal,
-        above,
+        comparison: Comparison::Above,
         bound,
-        hold: seconds * 1_000_000,
+        hold_us: hold_seconds * 1_000_000,
     }
 }
 
-fn board(of: &[(Signal, i64, f64)]) -> SignalWindow {
-    let mut board = SignalWindow::default();
-    for (signal, at, value) in of {
-        board.learn(
+fn below(signal: Signal, bound: f64) -> SignalTest {
+    SignalTest {
+        comparison: Comparison::Below,
+        ..above(signal, bound, 0)
+    }
+}
+
+fn signals(observations: &[(Signal, i64, f64)]) -> SignalWindow {
+    let mut signals = SignalWindow::default();
+    for (signal, at_us, value) in observations {
+        signals.record(
             *signal,
             Observation {
-                at: at * 1_000_000,
+                at_us: at_us * 1_000_000,
                 value: *value,
-                sure: 1.0,
+                confidence: 1.0,
             },
         );
     }
-    board
+    signals
 }
 
 #[test]
-fn a_test_holds_by_its_signals_own_times() {
-    let busy = test(Signal::Saturation, true, 0.5, 2);
-    let board = board(&[
+fn a_test_holds_by_the_times_that_observations_describe() {
+    let is_saturated = above(Signal::Saturation, 0.5, 2);
+    let signals = signals(&[
         (Signal::Saturation, 1, 0.6),
         (Signal::Saturation, 2, 0.7),
         (Signal::Saturation, 3, 0.6),
     ]);
-    assert_eq!(busy.known(&board, 3_000_000, AGE), Known::Yes);
     assert_eq!(
-        test(Signal::Saturation, true, 0.5, 3).known(&board, 3_000_000, AGE),
-        Known::No
+        is_saturated.state(&signals, 3_000_000, MAX_AGE_US),
+        ConditionState::Met
+    );
+    assert_eq!(
+        above(Signal::Saturation, 0.5, 3).state(&signals, 3_000_000, MAX_AGE_US),
+        ConditionState::NotMet
     );
     assert_eq!(
-        busy.known(&board, 9_000_000, AGE),
-        Known::Unknown,
+        is_saturated.state(&signals, 9_000_000, MAX_AGE_US),
+        ConditionState::Unknown,
         "too old"
     );
     assert_eq!(
-        test(Signal::Room, true, 1.0, 0).known(&board, 3_000_000, AGE),
-        Known::Unknown
+        above(Signal::Headroom, 1.0, 0).state(&signals, 3_000_000, MAX_AGE_US),
+        ConditionState::Unknown
+    );
+    let status = above(Signal::Saturation, 0.9, 2).status(&signals, 3_000_000, MAX_AGE_US);
+    assert!(
+        (status.shortfall.expect("known") - 0.3).abs() < 1e-9
+            && status.remaining_hold_us == 2_000_000
     );
-    let far = test(Signal::Saturation, true, 0.9, 2).distance(&board, 3_000_000, AGE);
-    assert!((far.short.expect("known") - 0.3).abs() < 1e-9 && far.wait == 2_000_000);
 }
 
 #[test]
-fn what_is_unknown_is_neither_met_nor_not() {
-    let board = board(&[(Signal::Saturation, 1, 0.6)]);
-    let (busy, room) = (
-        test(Signal::Saturation, true, 0.5, 0),
-        test(Signal::Room, true, 1.0, 0),
+fn a_condition_with_missing_signals_may_be_unknown() {
+    let signals = signals(&[(Signal::Saturation, 1, 0.6)]);
+    let (is_saturated, has_headroom) = (
+        above(Signal::Saturation, 0.5, 0),
+        above(Signal::Headroom, 1.0, 0),
     );
-    let calm = test(Signal::Saturation, false, 0.2, 0);
-    let known = |all: &[Test], any: &[Test], out: bool| {
+    let is_idle = below(Signal::Saturation, 0.2);
+    let state = |all: &[SignalTest], any: &[SignalTest], exclude_list_signals: bool| {
         let condition = Condition {
             all: all.to_vec(),
             any: any.to_vec(),
         };
-        condition.known(&board, 1_000_000, AGE, |signal| out && signal.by_list())
+        condition.state(&signals, 1_000_000, MAX_AGE_US, |signal| {
+            exclude_list_signals && signal.depends_on_endpoint_list()
+        })
     };
-    assert_eq!(known(&[busy, room], &[], false), Known::Unknown);
-    assert_eq!(known(&[busy, room], &[], true), Known::Yes);
-    assert_eq!(known(&[calm, room], &[], false), Known::No);
-    assert_eq!(known(&[], &[busy, room], false), Known::Yes);
-    assert_eq!(known(&[], &[calm, room], false), Known::Unknown);
-    assert_eq!(known(&[busy], &[calm], false), Known::No);
-    assert_eq!(known(&[room], &[], true), Known::Unknown, "no test is left");
+    assert_eq!(
+        state(&[is_saturated, has_headroom], &[], false),
+        ConditionState::Unknown
+    );
+    assert_eq!(
+        state(&[is_saturated, has_headroom], &[], true),
+        ConditionState::Met
+    );
+    assert_eq!(
+        state(&[is_idle, has_headroom], &[], false),
+        ConditionState::NotMet
+    );
+    assert_eq!(
+        state(&[], &[is_saturated, has_headroom], false),
+        ConditionState::Met
+    );
+    assert_eq!(
+        state(&[], &[is_idle, has_headroom], false),
+        ConditionState::Unknown
+    );
+    assert_eq!(
+        state(&[is_saturated], &[is_idle], false),
+        ConditionState::NotMet
+    );
+    assert_eq!(
+        state(&[has_headroom], &[], true),
+        ConditionState::Unknown,
+        "no test is left"
+    );
 }
 
 #[test]
-fn conditions_that_can_never_hold_are_faults() {
-    let impossible = |all: &[Test]| {
+fn conditions_that_can_never_be_met_are_faults() {
+    let reachability_error = |all: &[SignalTest]| {
         Condition {
             all: all.to_vec(),
             any: vec![],
         }
-        .possible()
+        .check_reachable()
         .expect_err("a fault")
     };
-    assert!(impossible(&[]).contains("no test"));
-    assert!(impossible(&[test(Signal::Late, true, 1.0, 0)]).contains("never so"));
-    assert!(impossible(&[
-        test(Signal::Late, true, 0.5, 0),
-        test(Signal::Late, false, 0.4, 0)
+    assert!(reachability_error(&[]).to_string().contains("no test"));
+    assert!(reachability_error(&[above(Signal::LateResponses, 1.0, 0)])
+        .to_string()
+        .contains("never so"));
+    assert!(reachability_error(&[
+        above(Signal::LateResponses, 0.5, 0),
+        below(Signal::LateResponses, 0.4)
     ])
+    .to_string()
     .contains("contradict"));
-    let either = Condition {
+    let alternatives = Condition {
         all: vec![],
         any: vec![
-            test(Signal::Late, true, 0.5, 0),
-            test(Signal::Late, false, 0.4, 0),
+            above(Signal::LateResponses, 0.5, 0),
+            below(Signal::LateResponses, 0.4),
         ],
     };
-    assert_eq!(either.possible(), Ok(()));
-    assert_eq!(either.to_string(), "LATE above 0.5 or LATE below 0.4");
+    assert_eq!(alternatives.check_reachable(), Ok(()));
+    assert_eq!(alternatives.to_string(), "LATE above 0.5 or LATE below 0.4");
 }
--- a/crates/limits/src/default_levels.rs
+++ b/crates/limits/src/default_levels.rs
@@ -1,78 +1,122 @@
-//! The ladder that holds where the operators ask for the usual one: derived from the classes' worth for their time.
+//! The default service levels, derived from the values of the classes.
 
-use crate::condition::{Condition, Test};
-use crate::service_levels::{ServiceLevel, KEEP_LEAST};
+use crate::condition::{Comparison, Condition, SignalTest};
+use crate::service_levels::{AdmittedShare, ServiceLevel, MIN_CLASS_SHARE};
 use crate::signals::Signal;
 use crate::{lowest_priority_first, Class};
 
-/// Saturation at which the first and the last level are entered. The module itself refuses from 0.2 on and nine tenths at 1:
-/// names begin where that is felt, and end before all is refused alike.
-const ENTER: (f64, f64) = (0.35, 0.85);
-/// Saturation must fall by so much before a level may be left.
-const GAP: f64 = 0.2;
-/// What warm servers can do, over what comes, before a level may be left: a tenth to spare.
-const ROOM: f64 = 1.1;
-/// How long a condition must hold for a level to be entered, and left, in microseconds: one report, three reports.
-const HOLD: (i64, i64) = (1_000_000, 3_000_000);
-/// Least stay, in microseconds.
-const STAY: i64 = 8_000_000;
-/// What is kept of a class in the first step that touches it.
-const HALF: f64 = 0.5;
+/// Saturation at which the first level is entered: the policy sheds from 0.2 on, and levels begin where that is noticeable.
+const FIRST_ENTER_SATURATION: f64 = 0.35;
+/// Saturation at which the last level is entered, before the policy sheds all classes alike.
+const LAST_ENTER_SATURATION: f64 = 0.85;
+/// Saturation must fall by this much before a level may be left.
+const SATURATION_HYSTERESIS: f64 = 0.2;
+/// Headroom from which a level may be left.
+const MIN_LEAVE_HEADROOM: f64 = 1.1;
+/// How long the condition for entering must hold, in microseconds: one report.
+const ENTER_HOLD_US: i64 = 1_000_000;
+/// How long the condition for leaving must hold, in microseconds: three reports.
+const LEAVE_HOLD_US: i64 = 3_000_000;
+/// Least duration of a level, in microseconds.
+const MIN_DURATION_US: i64 = 8_000_000;
+/// The share of a class that is admitted in the first level that reduces it.
+const HALF_SHARE: f64 = 0.5;
 
-/// The levels: each class but the dearest is halved, then held to the least, the cheapest first; the dearest is halved last
-/// of all, as what comes may be nothing else.
+/// A level before it has its conditions.
+struct Step {
+    name: String,
+    admitted_shares: Vec<AdmittedShare>,
+}
+
+/// The default levels: each class but the one with the highest value is halved, then reduced to the least share, the lowest
+/// value first; the class with the highest value is halved last, as the load may consist of nothing else.
 pub fn levels(classes: &[Class]) -> Vec<ServiceLevel> {
+    let steps = steps(classes);
+    let last = steps.len().saturating_sub(1);
+    let to_level = |(index, step)| service_level(step, enter_saturation(index, last));
+    steps.into_iter().enumerate().map(to_level).collect()
+}
+
+fn steps(classes: &[Class]) -> Vec<Step> {
     let order = lowest_priority_first(classes);
-    let mut steps: Vec<(String, Vec<(String, f64)>)> = Vec::new();
-    let mut kept: Vec<(String, f64)> = Vec::new();
-    for (place, class) in order.iter().enumerate() {
-        let name = &classes[*class].name;
-        let last = place + 1 == order.len();
-        let parts = if last {
-            vec![("half", HALF)]
-        } else {
-            vec![("half", HALF), ("little", KEEP_LEAST)]
-        };
-        for (word, keep) in parts {
-            kept.retain(|(known, _)| known != name);
-            kept.push((name.clone(), keep));
-            steps.push((format!("{word} of {name}"), kept.clone()));
+    let mut steps = Vec::new();
+    let mut admitted_shares: Vec<AdmittedShare> = Vec::new();
+    for (rank, index) in order.iter().enumerate() {
+        let class = &classes[*index].name;
+        let is_highest = rank + 1 == order.len();
+        admitted_shares.retain(|admitted| admitted.class != *class);
+        admitted_shares.push(AdmittedShare {
+            class: class.clone(),
+            share: HALF_SHARE,
+        });
+        steps.push(Step {
+            name: format!("half of {class}"),
+            admitted_shares: admitted_shares.clone(),
+        });
+        if is_highest {
+            continue;
         }
-    }
-    let count = steps.len();
-    let level = |(number, (name, keep)): (usize, (String, Vec<(String, f64)>))| {
-        let way = if count > 1 {
-            number as f64 / (count - 1) as f64
-        } else {
-            0.0
-        };
-        let enter = ((ENTER.0 + (ENTER.1 - ENTER.0) * way) * 100.0).round() / 100.0;
-        let leave = ((enter - GAP) * 100.0).round() / 100.0;
-        let test = |signal, above, bound, hold| Test {
-            signal,
-            above,
-            bound,
-            hold,
-        };
-        ServiceLevel {
-            name,
-            keep,
-            enter: Condition {
-                all: vec![test(Signal::Saturation, true, enter, HOLD.0)],
-                any: vec![],
-            },
-            leave: Condition {
-                all: vec![
-                    test(Signal::Saturation, false, leave, HOLD.1),
-                    test(Signal::Room, true, ROOM, HOLD.1),
-                ],
-                any: vec![],
-            },
-            least_stay: STAY,
-            tell: Vec::new(),
+        if let Some(admitted) = admitted_shares.last_mut() {
+            admitted.share = MIN_CLASS_SHARE;
         }
+        steps.push(Step {
+            name: format!("little of {class}"),
+            admitted_shares: admitted_shares.clone(),
+        });
+    }
+    steps
+}
+
+/// The saturation at which a level is entered, evenly spaced between the first and the last level.
+fn enter_saturation(index: usize, last: usize) -> f64 {
+    let progress = if last > 0 {
+        index as f64 / last as f64
+    } else {
+        0.0
     };
-    steps.into_iter().enumerate().map(level).collect()
+    let span = LAST_ENTER_SATURATION - FIRST_ENTER_SATURATION;
+    round_to_hundredths(FIRST_ENTER_SATURATION + span * progress)
+}
+
+fn service_level(step: Step, enter_saturation: f64) -> ServiceLevel {
+    let leave_saturation = round_to_hundredths(enter_saturation - SATURATION_HYSTERESIS);
+    let enter = SignalTest {
+        signal: Signal::Saturation,
+        comparison: Comparison::Above,
+        bound: enter_saturation,
+        hold_us: ENTER_HOLD_US,
+    };
+    let leave = SignalTest {
+        signal: Signal::Saturation,
+        comparison: Comparison::Below,
+        bound: leave_saturation,
+        hold_us: LEAVE_HOLD_US,
+    };
+    let has_headroom = SignalTest {
+        signal: Signal::Headroom,
+        comparison: Comparison::Above,
+        bound: MIN_LEAVE_HEADROOM,
+        hold_us: LEAVE_HOLD_US,
+    };
+    ServiceLevel {
+        name: step.name,
+        admitted_shares: step.admitted_shares,
+        enter: all_of(vec![enter]),
+        leave: all_of(vec![leave, has_headroom]),
+        min_duration_us: MIN_DURATION_US,
+        notify: Vec::new(),
+    }
+}
+
+fn all_of(tests: Vec<SignalTest>) -> Condition {
+    Condition {
+        all: tests,
+        any: Vec::new(),
+    }
+}
+
+fn round_to_hundredths(value: f64) -> f64 {
+    (value * 100.0).round() / 100.0
 }
 
 #[cfg(test)]
--- a/crates/limits/src/default_levels/tests.rs
+++ b/crates/limits/src/default_levels/tests.rs
@@ -2,19 +2,19 @@
 use crate::service_levels::ServiceLevels;
 use crate::{pb, Idempotency};
 
-fn class(name: &str, worth: f64, aim_s: f64) -> Class {
+fn class(name: &str, priority_weight: f64, latency_objective_seconds: f64) -> Class {
     Class {
         name: name.into(),
-        priority_weight: worth,
-        latency_objective_seconds: aim_s,
+        priority_weight,
+        latency_objective_seconds,
         deadline_seconds: 3.0,
         idempotency: Idempotency::Idempotent,
     }
 }
 
 #[test]
-fn the_usual_ladder_is_right_for_any_classes() {
-    let of = pb::Ladder {
+fn default_levels_are_valid_for_any_number_of_classes() {
+    let declared = pb::Ladder {
         usual: Some(true),
         ..pb::Ladder::default()
     };
@@ -22,27 +22,27 @@
         let classes: Vec<Class> = (0..count)
             .map(|n| class(&format!("c{n}"), 1.0 + f64::from((n * 5) % 7), 0.5))
             .collect();
-        let ladder =
-            ServiceLevels::read(&of, Some(&classes)).unwrap_or_else(|faults| panic!("{faults:?}"));
-        assert_eq!(ladder.levels.len(), 2 * count as usize - 1);
+        let levels = ServiceLevels::read(&declared, Some(&classes))
+            .unwrap_or_else(|faults| panic!("{faults:?}"));
+        assert_eq!(levels.levels.len(), 2 * count as usize - 1);
     }
 }
 
 #[test]
-fn the_dearest_goes_last_and_never_whole() {
+fn the_highest_priority_is_reduced_last_and_never_to_the_least_share() {
     let levels = levels(&[class("file", 8.0, 1.5), class("read", 2.0, 0.6)]);
-    let told: Vec<(&str, f64, f64)> = levels
+    let shares: Vec<(&str, f64, f64)> = levels
         .iter()
         .map(|level| {
             (
                 level.name.as_str(),
-                level.keeps("read"),
-                level.keeps("file"),
+                level.admitted_share("read"),
+                level.admitted_share("file"),
             )
         })
         .collect();
     assert_eq!(
-        told,
+        shares,
         [
             ("half of read", 0.5, 1.0),
             ("little of read", 0.1, 1.0),
--- a/crates/limits/src/heavy_hitters.rs
+++ b/crates/limits/src/heavy_hitters.rs
@@ -1,124 +1,156 @@
-//! The few that bring most: a Space-Saving sketch (Metwally, Agrawal, El Abbadi) over keys with weights, in memory that does
-//! not grow with the number of keys. What it counts is at most too high, by no more than the smallest count it holds.
+//! The keys with the greatest weight: a Space-Saving sketch (Metwally, Agrawal, El Abbadi) in memory that doesn't grow with the
+//! number of keys. It overestimates a key by no more than the smallest count that it holds.
 
 use rustc_hash::FxHashMap;
 
-/// Counts for each sketch: finds all that bring over a sixty-fourth of the whole.
-pub const COUNTS: usize = 64;
+/// Default number of counters: finds all keys that have more than a sixty-fourth of the total.
+pub const DEFAULT_COUNTERS: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
-struct Count {
+struct Counter {
     key: u32,
-    sum: f64,
-    over: f64,
+    weight: f64,
+    /// The most by which the weight may be too high.
+    error: f64,
 }
 
-/// The sketch: a heap of counts with the smallest first, and where each key stands in it.
+/// A key and its least weight.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct HeavyHitter {
+    /// The key.
+    pub key: u32,
+    /// The weight that it has at least.
+    pub weight: f64,
+}
+
+/// The sketch.
 #[derive(Clone, Debug)]
-pub struct Heavy {
-    heap: Vec<Count>,
-    places: FxHashMap<u32, usize>,
-    most: usize,
-    total: f64,
+pub struct HeavyHitters {
+    /// A binary heap with the smallest weight first.
+    heap: Vec<Counter>,
+    /// The index of each key in the heap.
+    indices: FxHashMap<u32, usize>,
+    capacity: usize,
+    total_weight: f64,
 }
 
-impl Heavy {
-    /// An empty one with so many counts.
-    pub fn new(most: usize) -> Self {
-        let most = most.max(1);
-        Heavy {
-            heap: Vec::with_capacity(most),
-            places: FxHashMap::default(),
-            most,
-            total: 0.0,
+impl HeavyHitters {
+    /// An empty sketch with a number of counters, at least one.
+    pub fn new(capacity: usize) -> Self {
+        let capacity = capacity.max(1);
+        HeavyHitters {
+            heap: Vec::with_capacity(capacity),
+            indices: FxHashMap::default(),
+            capacity,
+            total_weight: 0.0,
         }
     }
 
-    /// Adds to a key. What is no positive number is passed over.
+    /// Adds weight to a key. Weights that are not positive and finite are ignored.
     pub fn add(&mut self, key: u32, weight: f64) {
         if !weight.is_finite() || weight <= 0.0 {
             return;
         }
-        self.total += weight;
-        if let Some(place) = self.places.get(&key).copied() {
-            self.heap[place].sum += weight;
-            self.sink(place);
-        } else if self.heap.len() < self.most {
-            self.heap.push(Count {
-                key,
-                sum: weight,
-                over: 0.0,
-            });
-            self.places.insert(key, self.heap.len() - 1);
-            self.rise(self.heap.len() - 1);
+        self.total_weight += weight;
+        if let Some(index) = self.indices.get(&key).copied() {
+            self.heap[index].weight += weight;
+            self.sift_down(index);
+        } else if self.heap.len() < self.capacity {
+            self.insert(key, weight);
         } else {
-            let smallest = self.heap[0];
-            self.places.remove(&smallest.key);
-            self.heap[0] = Count {
-                key,
-                sum: smallest.sum + weight,
-                over: smallest.sum,
-            };
-            self.places.insert(key, 0);
-            self.sink(0);
+            self.replace_smallest(key, weight);
         }
     }
 
-    /// All that was counted fades to this share.
-    pub fn fade(&mut self, keep: f64) {
-        if !(0.0..=1.0).contains(&keep) {
+    fn insert(&mut self, key: u32, weight: f64) {
+        let index = self.heap.len();
+        self.heap.push(Counter {
+            key,
+            weight,
+            error: 0.0,
+        });
+        self.indices.insert(key, index);
+        self.sift_up(index);
+    }
+
+    fn replace_smallest(&mut self, key: u32, weight: f64) {
+        let smallest = self.heap[0];
+        self.indices.remove(&smallest.key);
+        self.heap[0] = Counter {
+            key,
+            weight: smallest.weight + weight,
+            error: smallest.weight,
+        };
+        self.indices.insert(key, 0);
+        self.sift_down(0);
+    }
+
+    /// Multiplies all weights by a factor from 0 to 1; others are ignored.
+    pub fn decay(&mut self, factor: f64) {
+        if !(0.0..=1.0).contains(&factor) {
             return;
         }
-        for count in &mut self.heap {
-            count.sum *= keep;
-            count.over *= keep;
+        for counter in &mut self.heap {
+            counter.weight *= factor;
+            counter.error *= factor;
         }
-        self.total *= keep;
+        self.total_weight *= factor;
     }
 
-    /// The sum of all keys.
-    pub fn total(&self) -> f64 {
-        self.total
+    /// The weight of all keys.
+    pub fn total_weight(&self) -> f64 {
+        self.total_weight
     }
 
-    /// Keys that surely bring more than so much, the heaviest first, each with what it surely brings.
-    pub fn above(&self, least: f64) -> Vec<(u32, f64)> {
-        let sure = self
-            .heap
-            .iter()
-            .map(|count| (count.key, count.sum - count.over));
-        let mut above: Vec<(u32, f64)> = sure.filter(|(_, sum)| *sum > least).collect();
-        above.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        above
+    /// The keys that surely have more than a weight, the heaviest first.
+    pub fn heavier_than(&self, min_weight: f64) -> Vec<HeavyHitter> {
+        let hitters = self.heap.iter().map(|counter| HeavyHitter {
+            key: counter.key,
+            weight: counter.weight - counter.error,
+        });
+        let mut heavier: Vec<HeavyHitter> = hitters
+            .filter(|hitter| hitter.weight > min_weight)
+            .collect();
+        heavier.sort_by(|a, b| {
+            let by_weight = b.weight.total_cmp(&a.weight);
+            by_weight.then(a.key.cmp(&b.key))
+        });
+        heavier
     }
 
-    fn rise(&mut self, mut place: usize) {
-        while place > 0 && self.heap[place].sum < self.heap[(place - 1) / 2].sum {
-            self.swap(place, (place - 1) / 2);
-            place = (place - 1) / 2;
+    fn sift_up(&mut self, mut index: usize) {
+        while index > 0 {
+            let parent = (index - 1) / 2;
+            if self.heap[index].weight >= self.heap[parent].weight {
+                return;
+            }
+            self.swap(index, parent);
+            index = parent;
         }
     }
 
-    fn sink(&mut self, mut place: usize) {
-        loop {
-            let children = [2 * place + 1, 2 * place + 2]
-                .into_iter()
-                .filter(|child| *child < self.heap.len());
-            let smallest = children.min_by(|a, b| self.heap[*a].sum.total_cmp(&self.heap[*b].sum));
-            match smallest {
-                Some(child) if self.heap[child].sum < self.heap[place].sum => {
-                    self.swap(place, child);
-                    place = child;
-                }
-                _ => break,
+    fn sift_down(&mut self, mut index: usize) {
+        while let Some(child) = self.smaller_child(index) {
+            if self.heap[child].weight >= self.heap[index].weight {
+                return;
             }
+            self.swap(index, child);
+            index = child;
         }
     }
 
+    fn smaller_child(&self, index: usize) -> Option<usize> {
+        let children = [2 * index + 1, 2 * index + 2];
+        children
+            .into_iter()
+            .filter(|child| *child < self.heap.len())
+            .min_by(|a, b| self.heap[*a].weight.total_cmp(&self.heap[*b].weight))
+    }
+
     fn swap(&mut self, a: usize, b: usize) {
         self.heap.swap(a, b);
-        self.places.insert(self.heap[a].key, a);
-        self.places.insert(self.heap[b].key, b);
+        self.indices.insert(self.heap[a].key, a);
+        self.indices.insert(self.heap[b].key, b);
     }
 }
 
--- a/crates/limits/src/heavy_hitters/tests.rs
+++ b/crates/limits/src/heavy_hitters/tests.rs
@@ -5,11 +5,11 @@
 use super::*;
 
 #[test]
-fn the_heavy_ones_are_found_among_ten_thousand() {
-    let mut heavy = Heavy::new(COUNTS);
+fn heavy_keys_are_found_among_ten_thousand() {
+    let mut hitters = HeavyHitters::new(DEFAULT_COUNTERS);
     for round in 0..50u32 {
         for key in 0..10_000 {
-            heavy.add(
+            hitters.add(
                 key,
                 if key % 5000 == 7 {
                     500.0
@@ -19,10 +19,10 @@
             );
         }
     }
-    let found: Vec<u32> = heavy
-        .above(heavy.total() / 100.0)
+    let found: Vec<u32> = hitters
+        .heavier_than(hitters.total_weight() / 100.0)
         .into_iter()
-        .map(|(key, _)| key)
+        .map(|hitter| hitter.key)
         .collect();
     assert_eq!(found, [7, 5007]);
 }
@@ -30,25 +30,25 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Against an exact table: never under what a key brought, over it by no more than the bound, none of the heavy
+    /// Against an exact table: never below the weight of a key, above it by no more than the bound, no heavy key
     /// missing.
     #[test]
-    fn it_errs_within_its_bound(of in prop::collection::vec((0..200u32, 0.1..10.0f64), 1..2000), most in 4..40usize) {
-        let mut heavy = Heavy::new(most);
+    fn the_error_stays_within_its_bound(additions in prop::collection::vec((0..200u32, 0.1..10.0f64), 1..2000), capacity in 4..40usize) {
+        let mut hitters = HeavyHitters::new(capacity);
         let mut exact: HashMap<u32, f64> = HashMap::new();
-        for (key, weight) in &of {
-            heavy.add(*key, *weight);
+        for (key, weight) in &additions {
+            hitters.add(*key, *weight);
             *exact.entry(*key).or_default() += weight;
         }
-        let total: f64 = exact.values().sum();
-        prop_assert!(heavy.heap.len() <= most && heavy.places.len() == heavy.heap.len());
-        for count in &heavy.heap {
-            let true_sum = exact[&count.key];
-            prop_assert!(count.sum >= true_sum - 1e-6 && count.sum - count.over <= true_sum + 1e-6);
-            prop_assert!(count.over <= total / most as f64 + 1e-6);
+        let total_weight: f64 = exact.values().sum();
+        prop_assert!(hitters.heap.len() <= capacity && hitters.indices.len() == hitters.heap.len());
+        for counter in &hitters.heap {
+            let true_weight = exact[&counter.key];
+            prop_assert!(counter.weight >= true_weight - 1e-6 && counter.weight - counter.error <= true_weight + 1e-6);
+            prop_assert!(counter.error <= total_weight / capacity as f64 + 1e-6);
         }
-        for (key, sum) in exact {
-            prop_assert!(sum <= total / most as f64 + 1e-6 || heavy.places.contains_key(&key));
+        for (key, weight) in exact {
+            prop_assert!(weight <= total_weight / capacity as f64 + 1e-6 || hitters.indices.contains_key(&key));
         }
     }
 }
--- a/crates/limits/src/manager.rs
+++ b/crates/limits/src/manager.rs
@@ -1,564 +1,313 @@
-//! All of it together: what reports tell becomes signals; signals move the ladder and the limit; what follows for each class
-//! is given to whoever hands it to the decision module. It stands for a short time only and must be said again.
+//! The overload manager: derives signals from reports, runs the service levels, the concurrency limit and the retry budget on
+//! them, and decides the limits that follow. The caller hands these to the policy at each evaluation; they expire otherwise.
 
-use crate::arrival_rates::{Came, Comings};
-use crate::concurrency_limiter::{Limiter, Seen, LET_IN_LEAST, TARGET};
-use crate::heavy_hitters::{Heavy, COUNTS};
-use crate::pb::{self, adaptive::Rule};
-use crate::retry_budget::{RetryAllowance, RetryBudget, Tried, RATIO};
-use crate::service_levels::{ConfigError, ServiceLevels};
-use crate::signals::{Observation, Signal, SignalWindow};
-use crate::transitions::{LevelTransition, LevelTransitions};
-use crate::{lowest_priority_first, Class};
-
-/// Smoothing of what comes and is answered, a report: reports are lumpy, and half of what is new must count at once.
-const NEWEST: f64 = 0.5;
-/// Tries and requests at which a signal made of them counts as sure.
-const SURE: f64 = 20.0;
-/// How fast what front ends bring is forgotten, a second.
-const FADE: f64 = 0.97;
-/// A front end is heavy from so many times the mean, where nothing is said.
-const TIMES_MEAN: f64 = 4.0;
-/// Most refused of the heavy ones.
-const HEAVY_MOST: f64 = 0.9;
-/// Bounds of what may be given: a target that servers can be held to, a ratio that is still a budget.
-const TARGETS: (f64, f64) = (0.05, 0.9);
-const RATIOS: (f64, f64) = (0.0, 2.0);
-const TIMES: (f64, f64) = (1.5, 1000.0);
-
-/// What the operators switched on, checked.
-#[derive(Clone, Debug, PartialEq)]
-pub struct OverloadConfig {
-    /// The ladder, if there is one.
-    pub ladder: Option<ServiceLevels>,
-    /// The rule of the limit and its target, if there is one.
-    pub concurrency_limit: Option<(Rule, f64)>,
-    /// Repeats for each answer, and whether ways of trying again may be widened, if they are budgeted.
-    pub retry_budget: Option<(f64, bool)>,
-    /// From how many times the mean a front end is heavy, if that counts.
-    pub fairness: Option<f64>,
-}
-
-impl OverloadConfig {
-    /// Reads and checks what the operators wrote; all faults at once. Without classes, what depends on them is not checked.
-    pub fn read(
-        of: &pb::Limits,
-        classes: Option<&[Class]>,
-    ) -> Result<OverloadConfig, Vec<ConfigError>> {
-        let mut faults = Vec::new();
-        let mut within = |field, given: Option<f64>, usual: f64, (least, most): (f64, f64)| {
-            let value = given.unwrap_or(usual);
-            if !(least..=most).contains(&value) {
-                let said = format!("{field} is {value}: give a figure from {least} to {most}");
-                faults.push(ConfigError {
-                    level: None,
-                    field,
-                    said,
-                });
-            }
-            value
-        };
-        let adaptive = of.adaptive.as_ref().map(|adaptive| {
-            let rule = if adaptive.rule() == Rule::Unspecified {
-                Rule::Capacity
-            } else {
-                adaptive.rule()
-            };
-            (rule, within("target", adaptive.target, TARGET, TARGETS))
-        });
-        let repeats = of.repeats.as_ref().map(|repeats| {
-            (
-                within("ratio", repeats.ratio, RATIO, RATIOS),
-                repeats.once_while_room.unwrap_or(false),
-            )
-        });
-        let fairness = of
-            .fairness
-            .as_ref()
-            .map(|of| within("times_mean", of.times_mean, TIMES_MEAN, TIMES));
-        let ladder = match of
-            .ladder
-            .as_ref()
-            .map(|ladder| ServiceLevels::read(ladder, classes))
-        {
-            Some(Err(wrong)) => {
-                faults.extend(wrong);
-                None
-            }
-            Some(Ok(ladder)) => Some(ladder),
-            None => None,
-        };
-        if faults.is_empty() {
-            Ok(OverloadConfig {
-                ladder,
-                concurrency_limit: adaptive,
-                retry_budget: repeats,
-                fairness,
-            })
-        } else {
-            Err(faults)
-        }
-    }
-}
-
-/// Requests of a class that came to a front end, as reported.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Demand {
-    /// The front end.
-    pub proxy: u32,
-    /// The class.
-    pub class: usize,
-    /// Requests that came.
-    pub arrivals: f64,
-    /// Admitted ones without an answer.
-    pub failed: f64,
-}
-
-/// What front ends met at a server, as reported.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Outcome {
-    /// Tries that ended.
-    pub attempts: f64,
-    /// Those without a good answer.
-    pub failed: f64,
-    /// Mean time of the good ones, in milliseconds.
-    pub mean_latency_ms: f64,
-    /// Requests that wait there, if told.
-    pub queued: Option<f64>,
-}
-
-/// What is seen in a turn.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Inputs {
-    /// The time, in microseconds.
-    pub now: i64,
-    /// When the newest report or probe came in.
-    pub last_report_at: Option<i64>,
-    /// Time over which reports count, in microseconds.
-    pub period: i64,
-    /// Saturation, as the decisions have it.
-    pub saturation: f64,
-    /// Share let in by class, as ordered.
-    pub admitted_shares: Vec<f64>,
-    /// What warm servers weigh.
-    pub warm_weight: f64,
-    /// Share of the zones that are cut off.
-    pub partitioned_share: f64,
-    /// Reports since the last turn.
-    pub demand: Vec<Demand>,
-    /// Reports since the last turn.
-    pub outcomes: Vec<Outcome>,
-}
+mod config;
+mod decision;
+mod inputs;
+mod shedding;
+mod traffic;
 
-/// The shares of requests to shed where heavy proxies can be told apart.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ShedShares {
-    /// At proxies that are not heavy.
-    pub ordinary: f64,
-    /// At heavy proxies.
-    pub heavy: f64,
-}
-
-/// The largest share of a class that is admitted.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ClassShare {
-    /// The class, by its position.
-    pub class: usize,
-    /// The share, from 0 to 1.
-    pub share: f64,
-}
+pub use config::OverloadConfig;
+pub use decision::{ClassShare, Decision, Evaluation, LimitStatus, ShedShares};
+pub use inputs::{Demand, Inputs, Outcome};
 
-/// What follows, until it is said anew.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Decision {
-    /// The least share of requests to refuse, beside what saturation tells.
-    pub min_shed_share: Option<f64>,
-    /// The same for front ends that are not heavy, and for those that are, where they can be told apart.
-    pub shed_shares: Option<ShedShares>,
-    /// The most of a class that is let in, by class.
-    pub admitted: Vec<ClassShare>,
-    /// How classes may be tried again, by class; nothing said: as ever.
-    pub retries: Vec<RetryAllowance>,
-}
-
-/// What came of a turn.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Evaluation {
-    /// What follows.
-    pub decision: Decision,
-    /// The level changed.
-    pub transition: Option<LevelTransition>,
-}
+use crate::concurrency_limiter::{ConcurrencyLimiter, LoadSample};
+use crate::heavy_hitters::{HeavyHitters, DEFAULT_COUNTERS};
+use crate::pb;
+use crate::repeat_estimator::{ArrivalSample, RepeatEstimator};
+use crate::retry_budget::{RetryAllowance, RetryBudget, RetrySample};
+use crate::service_levels::ServiceLevels;
+use crate::signals::{Observation, Signal, SignalWindow};
+use crate::transitions::{LevelTransition, LevelTransitions, RestoreError};
+use crate::{lowest_priority_first, Class};
+use traffic::{TrafficRates, TrafficSummary};
 
-/// Rates by class, smoothed.
-#[derive(Clone, Debug, Default)]
-struct Rates {
-    came: Vec<f64>,
-    failed: Vec<f64>,
-    let_in: Vec<f64>,
-    good: f64,
-    in_time: f64,
-    tries: f64,
-    took_ms: f64,
-    since: Option<i64>,
-}
+/// How much of the load of proxies is kept, per second.
+const PROXY_LOAD_RETENTION: f64 = 0.97;
+/// Most report periods that reports after a pause are taken to cover.
+const MAX_PERIODS_COVERED: i64 = 2;
+/// Least time that reports are taken to cover, in microseconds.
+const MIN_ELAPSED_US: i64 = 100_000;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Levels, limits and budgets of one supervisor.
+/// The overload manager of one supervisor.
 #[derive(Clone, Debug)]
 pub struct OverloadManager {
     classes: Vec<Class>,
-    order: Vec<usize>,
-    plan: OverloadConfig,
-    board: SignalWindow,
-    steps: Option<LevelTransitions>,
-    limiter: Limiter,
-    repeats: Option<RetryBudget>,
-    comings: Comings,
-    heavy: Heavy,
-    proxies: usize,
-    rates: Rates,
+    /// The classes by position, the lowest priority first.
+    priority_order: Vec<usize>,
+    config: OverloadConfig,
+    signals: SignalWindow,
+    transitions: Option<LevelTransitions>,
+    limiter: ConcurrencyLimiter,
+    retry_budget: Option<RetryBudget>,
+    repeat_estimator: RepeatEstimator,
+    proxy_load: HeavyHitters,
+    proxy_count: usize,
+    rates: TrafficRates,
+    /// When reports were last evaluated.
+    last_evaluated_us: Option<i64>,
 }
 
 impl OverloadManager {
-    /// One that has seen nothing yet. `proxies` is how many front ends there are in all.
-    pub fn new(plan: OverloadConfig, classes: Vec<Class>, proxies: usize) -> Self {
-        let (rule, target) = plan.concurrency_limit.unwrap_or((Rule::Capacity, TARGET));
-        let count = classes.len();
+    /// A manager without observations. `proxy_count` is the number of proxies in the deployment.
+    pub fn new(config: OverloadConfig, classes: Vec<Class>, proxy_count: usize) -> Self {
+        let limit = config.concurrency_limit.unwrap_or_default();
         OverloadManager {
-            order: lowest_priority_first(&classes),
-            board: SignalWindow::default(),
-            steps: plan.ladder.clone().map(LevelTransitions::new),
-            limiter: Limiter::new(rule, target),
-            repeats: plan
+            priority_order: lowest_priority_first(&classes),
+            signals: SignalWindow::default(),
+            transitions: config.service_levels.clone().map(LevelTransitions::new),
+            limiter: ConcurrencyLimiter::new(limit),
+            retry_budget: config
                 .retry_budget
-                .map(|(ratio, widens)| RetryBudget::new(ratio, widens, &classes)),
-            comings: Comings::default(),
-            heavy: Heavy::new(COUNTS),
-            proxies: proxies.max(1),
-            rates: Rates {
-                came: vec![0.0; count],
-                failed: vec![0.0; count],
-                let_in: vec![0.0; count],
-                ..Rates::default()
-            },
+                .map(|budget| RetryBudget::new(budget, &classes)),
+            repeat_estimator: RepeatEstimator::default(),
+            proxy_load: HeavyHitters::new(DEFAULT_COUNTERS),
+            proxy_count: proxy_count.max(1),
+            rates: TrafficRates::new(classes.len()),
+            last_evaluated_us: None,
             classes,
-            plan,
+            config,
         }
     }
 
-    /// The ladder at work.
+    /// The service levels at work; `None` if none are configured.
     pub fn transitions(&self) -> Option<&LevelTransitions> {
-        self.steps.as_ref()
+        self.transitions.as_ref()
     }
 
-    /// All signals.
+    /// The observations of all signals.
     pub fn signals(&self) -> &SignalWindow {
-        &self.board
+        &self.signals
     }
 
-    /// Puts another plan in the place of this one; what is learned stays, and the level as far as the new ladder has it.
-    pub fn replace(&mut self, now: i64, plan: OverloadConfig) -> Option<LevelTransition> {
-        let (rule, target) = plan.concurrency_limit.unwrap_or((Rule::Capacity, TARGET));
-        if plan.concurrency_limit != self.plan.concurrency_limit {
-            self.limiter = Limiter::new(rule, target);
+    /// The state of the concurrency limit.
+    pub fn limit(&self) -> LimitStatus {
+        let headroom = self.signals.observations(Signal::Headroom).last();
+        LimitStatus {
+            admitted_share: self.limiter.admitted_share(),
+            headroom: headroom.map(|observation| observation.value),
         }
-        if plan.retry_budget != self.plan.retry_budget {
-            self.repeats = plan
-                .retry_budget
-                .map(|(ratio, widens)| RetryBudget::new(ratio, widens, &self.classes));
+    }
+
+    /// Replaces the configuration. What was learned is kept for parts that don't change, and the service level as far as the
+    /// new levels have it.
+    pub fn replace(&mut self, now_us: i64, config: OverloadConfig) -> Option<LevelTransition> {
+        if config.concurrency_limit != self.config.concurrency_limit {
+            let limit = config.concurrency_limit.unwrap_or_default();
+            self.limiter = ConcurrencyLimiter::new(limit);
         }
-        let change = match (&mut self.steps, plan.ladder.clone()) {
-            (Some(steps), Some(ladder)) => steps.replace(now, ladder, &self.board),
-            (steps, ladder) => {
-                let empty = ServiceLevels {
-                    levels: Vec::new(),
-                    without_signals: 0,
-                    most_age: 0,
-                    doubt_list: 0,
-                };
-                let change = steps
-                    .as_mut()
-                    .and_then(|steps| steps.replace(now, empty, &self.board));
-                *steps = ladder.map(LevelTransitions::new);
-                change
-            }
+        if config.retry_budget != self.config.retry_budget {
+            let new_budget = |budget| RetryBudget::new(budget, &self.classes);
+            self.retry_budget = config.retry_budget.map(new_budget);
+        }
+        let transition = self.replace_levels(now_us, config.service_levels.clone());
+        self.config = config;
+        transition
+    }
+
+    fn replace_levels(
+        &mut self,
+        now_us: i64,
+        levels: Option<ServiceLevels>,
+    ) -> Option<LevelTransition> {
+        let Some(transitions) = &mut self.transitions else {
+            self.transitions = levels.map(LevelTransitions::new);
+            return None;
         };
-        self.plan = plan;
-        change
+        let are_removed = levels.is_none();
+        let transition = transitions.replace(now_us, levels.unwrap_or_default(), &self.signals);
+        if are_removed {
+            self.transitions = None;
+        }
+        transition
     }
 
-    /// Takes up the level from before a restart; or a sentence on why it is left.
+    /// Restores the service level from before a restart. `None` if that was full service.
+    ///
+    /// # Errors
+    ///
+    /// If the snapshot is too old, or there is no such level.
     pub fn restore(
         &mut self,
-        now: i64,
+        now_us: i64,
         saved: &pb::Saved,
-    ) -> Result<Option<LevelTransition>, String> {
-        match &mut self.steps {
-            Some(steps) => steps.restore(now, saved, &self.board),
-            None => Err("there is no ladder any more".to_string()),
+    ) -> Result<Option<LevelTransition>, RestoreError> {
+        match &mut self.transitions {
+            Some(transitions) => transitions.restore(now_us, saved, &self.signals),
+            None => Err(RestoreError::NoLevels),
         }
     }
 
-    /// The limit's share of the work that is let in, and what it takes the fleet to be able to do over what comes.
-    pub fn limit(&self) -> (f64, Option<f64>) {
-        (
-            self.limiter.share(),
-            self.board
-                .of(Signal::Room)
-                .last()
-                .map(|sample| sample.value),
-        )
-    }
-
-    /// One turn: takes in what is seen, and says what follows.
-    pub fn evaluate(&mut self, of: &Inputs) -> Evaluation {
-        self.learn(of);
-        let change = self
-            .steps
+    /// Takes in what was reported since the last evaluation, and decides the limits that follow.
+    pub fn evaluate(&mut self, inputs: &Inputs) -> Evaluation {
+        self.observe_fleet(inputs);
+        if !inputs.demand.is_empty() || !inputs.outcomes.is_empty() {
+            self.observe_traffic(inputs);
+        }
+        let transition = self
+            .transitions
             .as_mut()
-            .and_then(|steps| steps.step(of.now, &self.board));
+            .and_then(|transitions| transitions.evaluate(inputs.now_us, &self.signals));
         Evaluation {
-            decision: self.orders(),
-            transition: change,
+            decision: self.decide(),
+            transition,
         }
     }
 
-    fn learn(&mut self, of: &Inputs) {
-        if let Some(heard) = of.last_report_at {
-            self.tell(Signal::Saturation, heard, of.saturation, 1.0);
-            self.tell(Signal::Cut, heard, of.partitioned_share, 1.0);
+    fn observe_fleet(&mut self, inputs: &Inputs) {
+        if let Some(at_us) = inputs.last_report_at_us {
+            self.observe(Signal::Saturation, at_us, inputs.saturation, 1.0);
+            self.observe(
+                Signal::PartitionedZones,
+                at_us,
+                inputs.partitioned_share,
+                1.0,
+            );
         }
-        self.tell_queue(of);
-        if of.demand.is_empty() && of.outcomes.is_empty() {
-            return;
+        if let Some(length) = inputs.mean_queue_length() {
+            self.observe(Signal::QueueLength, inputs.described_time_us(), length, 1.0);
         }
-        let since = self.rates.since.replace(of.now);
-        // After a silence the first reports cover one period, not all of it.
-        let passed = since.map_or(of.period, |since| {
-            of.now
-                .saturating_sub(since)
-                .min(of.period.saturating_mul(2))
-        });
-        let seconds = (passed.max(100_000)) as f64 / 1e6;
-        self.sum(of, seconds);
-        // Reports tell of the period that ended; its middle is when it was so.
-        let at = of.now.saturating_sub(of.period / 2);
-        let (offered, let_in) = (self.work(&self.rates.came), self.work(&self.rates.let_in));
-        let rates = &self.rates;
-        let (came, admitted) = (
-            rates.came.iter().sum::<f64>(),
-            rates.let_in.iter().sum::<f64>(),
-        );
-        let refused = (came - admitted).max(0.0);
-        let failed: f64 = rates.failed.iter().sum();
-        let in_time = if admitted > 0.0 {
-            (rates.in_time / admitted).min(1.0)
-        } else {
-            0.0
-        };
-        let answered = if admitted > 0.0 {
-            (rates.good / admitted).min(1.0)
-        } else {
-            0.0
-        };
-        let good = let_in * answered;
-        let ordered = if came > 0.0 { refused / came } else { 0.0 };
-        self.comings.learn(Came {
-            came,
-            refused,
-            failed,
-            ordered,
+    }
+
+    fn observe_traffic(&mut self, inputs: &Inputs) {
+        let seconds = self.elapsed_seconds(inputs);
+        self.update_proxy_load(inputs, seconds);
+        self.rates.update(inputs, &self.classes, seconds);
+        let summary = self.rates.summary(&self.classes);
+        self.repeat_estimator.record(ArrivalSample {
+            arrivals: summary.arrivals,
+            shed: summary.shed,
+            unanswered: summary.unanswered,
+            shed_share: summary.shed_share,
         });
-        let seen = Seen {
+        self.limiter.update(&LoadSample {
             seconds,
-            offered,
-            let_in,
-            good,
-            strain: of.saturation,
-            took_ms: rates.took_ms,
-            warm: of.warm_weight,
-        };
-        self.limiter.step(&seen);
-        let again = self.comings.share();
-        let sure = (admitted * seconds / SURE).min(1.0);
-        let late = 1.0 - in_time;
-        let room = self
-            .limiter
-            .capacity(of.warm_weight)
-            .filter(|_| offered > 0.0)
-            .map(|can| can / (offered * (1.0 - again)));
-        if let Some(repeats) = &mut self.repeats {
-            let tried = Tried {
-                seconds,
-                tries: rates.tries * seconds,
-                good: rates.good * seconds,
-                let_in: rates.let_in.iter().map(|rate| rate * seconds).collect(),
-                failed: rates.failed.iter().map(|rate| rate * seconds).collect(),
-                strain: of.saturation,
-                room,
-            };
-            repeats.learn(&tried);
-        }
-        self.tell(Signal::Late, at, late, sure);
-        self.tell(Signal::Again, at, again, sure);
-        if let Some(room) = room {
-            self.tell(Signal::Room, at, room, sure);
+            offered: summary.offered_work,
+            admitted: summary.admitted_work,
+            completed: summary.completed_work,
+            saturation: inputs.saturation,
+            mean_latency_ms: self.rates.mean_latency_ms,
+            warm_weight: inputs.warm_weight,
+        });
+        let repeated_share = self.repeat_estimator.repeated_share();
+        let headroom = self.headroom(inputs, &summary, repeated_share);
+        self.record_retries(inputs, seconds, headroom);
+        let at_us = inputs.described_time_us();
+        let confidence = summary.confidence(seconds);
+        self.observe(Signal::LateResponses, at_us, summary.late_share, confidence);
+        self.observe(Signal::RepeatedArrivals, at_us, repeated_share, confidence);
+        if let Some(headroom) = headroom {
+            self.observe(Signal::Headroom, at_us, headroom, confidence);
         }
     }
 
-    /// The work in requests by class: their aims stand for it.
-    fn work(&self, requests: &[f64]) -> f64 {
-        requests
-            .iter()
-            .zip(&self.classes)
-            .map(|(requests, class)| requests * class.latency_objective_seconds)
-            .sum()
+    /// The time that new reports cover. After a pause they cover a period or two, not all of it.
+    fn elapsed_seconds(&mut self, inputs: &Inputs) -> f64 {
+        let period_us = inputs.report_period_us;
+        let last_evaluated_us = self.last_evaluated_us.replace(inputs.now_us);
+        let elapsed_us = match last_evaluated_us {
+            Some(last_us) => {
+                let max_us = period_us.saturating_mul(MAX_PERIODS_COVERED);
+                inputs.now_us.saturating_sub(last_us).min(max_us)
+            }
+            None => period_us,
+        };
+        elapsed_us.max(MIN_ELAPSED_US) as f64 / MICROSECONDS_PER_SECOND
     }
 
-    /// What was reported since the last turn, as rates.
-    fn sum(&mut self, of: &Inputs, seconds: f64) {
-        let smooth = |old: &mut f64, new: f64| *old += NEWEST * (new - *old);
-        let count = self.classes.len();
-        let (mut came, mut failed) = (vec![0.0; count], vec![0.0; count]);
-        self.heavy.fade(FADE.powf(seconds));
-        for demand in of.demand.iter().filter(|demand| demand.class < count) {
-            if !(demand.arrivals.is_finite() && demand.failed.is_finite()) || demand.arrivals < 0.0
-            {
+    fn update_proxy_load(&mut self, inputs: &Inputs, seconds: f64) {
+        self.proxy_load.decay(PROXY_LOAD_RETENTION.powf(seconds));
+        for demand in inputs.demand.iter().filter(|demand| demand.is_valid()) {
+            let Some(class) = self.classes.get(demand.class) else {
                 continue;
-            }
-            came[demand.class] += demand.arrivals;
-            failed[demand.class] += demand.failed.clamp(0.0, demand.arrivals);
-            self.heavy.add(
-                demand.proxy,
-                demand.arrivals * self.classes[demand.class].latency_objective_seconds,
-            );
-        }
-        if !of.demand.is_empty() {
-            for class in 0..count {
-                smooth(&mut self.rates.came[class], came[class] / seconds);
-                smooth(&mut self.rates.failed[class], failed[class] / seconds);
-                let level = of.admitted_shares.get(class).copied().unwrap_or(1.0);
-                smooth(&mut self.rates.let_in[class], level * came[class] / seconds);
-            }
-        }
-        let aims = self.work(&self.rates.came);
-        let all: f64 = self.rates.came.iter().sum();
-        let aim_ms = if all > 0.0 { 1000.0 * aims / all } else { 0.0 };
-        let (mut tries, mut good, mut in_time, mut took) = (0.0, 0.0, 0.0, 0.0);
-        let sane = |of: &&Outcome| {
-            [of.attempts, of.failed, of.mean_latency_ms]
-                .iter()
-                .all(|f| f.is_finite() && *f >= 0.0)
-        };
-        for outcome in of.outcomes.iter().filter(sane) {
-            let well = (outcome.attempts - outcome.failed).max(0.0);
-            tries += outcome.attempts;
-            good += well;
-            took += well * outcome.mean_latency_ms;
-            // Of answers with this mean, those within the aim: all at half of it, none at one and a half times it.
-            let late = if aim_ms > 0.0 {
-                (outcome.mean_latency_ms / aim_ms - 0.5).clamp(0.0, 1.0)
-            } else {
-                0.0
             };
-            in_time += well * (1.0 - late);
-        }
-        if !of.outcomes.is_empty() {
-            smooth(&mut self.rates.tries, tries / seconds);
-            smooth(&mut self.rates.good, good / seconds);
-            smooth(&mut self.rates.in_time, in_time / seconds);
-            smooth(
-                &mut self.rates.took_ms,
-                if good > 0.0 { took / good } else { 0.0 },
-            );
+            let work = demand.arrivals * class.latency_objective_seconds;
+            self.proxy_load.add(demand.proxy, work);
         }
     }
 
-    fn tell(&mut self, signal: Signal, at: i64, value: f64, sure: f64) {
-        self.board.learn(signal, Observation { at, value, sure });
+    /// The capacity of the warm servers over the work of arrivals that are no repeats, where both are known.
+    fn headroom(
+        &self,
+        inputs: &Inputs,
+        summary: &TrafficSummary,
+        repeated_share: f64,
+    ) -> Option<f64> {
+        let capacity = self.limiter.capacity(inputs.warm_weight)?;
+        let new_work = summary.offered_work * (1.0 - repeated_share);
+        (summary.offered_work > 0.0).then_some(capacity / new_work)
     }
 
-    fn tell_queue(&mut self, of: &Inputs) {
-        let queues = of
-            .outcomes
-            .iter()
-            .filter_map(|outcome| outcome.queued)
-            .filter(|queue| queue.is_finite());
-        let (sum, count) =
-            queues.fold((0.0, 0.0), |(sum, count), queue| (sum + queue, count + 1.0));
-        if count > 0.0 {
-            self.tell(
-                Signal::Queue,
-                of.now.saturating_sub(of.period / 2),
-                sum / count,
-                1.0,
-            );
-        }
+    fn record_retries(&mut self, inputs: &Inputs, seconds: f64, headroom: Option<f64>) {
+        let Some(budget) = &mut self.retry_budget else {
+            return;
+        };
+        let count = |rates: &[f64]| rates.iter().map(|rate| rate * seconds).collect();
+        budget.record(&RetrySample {
+            seconds,
+            attempts: self.rates.attempts * seconds,
+            successes: self.rates.successes * seconds,
+            admitted: count(&self.rates.admitted),
+            unanswered: count(&self.rates.unanswered),
+            saturation: inputs.saturation,
+            headroom,
+        });
     }
 
-    fn orders(&self) -> Decision {
-        let kept = |steps: &LevelTransitions| {
-            let keeps = self
-                .classes
-                .iter()
-                .map(|class| steps.keeps(&class.name))
-                .enumerate();
-            keeps
-                .filter(|(_, share)| *share < 1.0)
-                .map(|(class, share)| ClassShare { class, share })
-                .collect()
+    fn observe(&mut self, signal: Signal, at_us: i64, value: f64, confidence: f64) {
+        let observation = Observation {
+            at_us,
+            value,
+            confidence,
         };
-        let refuse = self.plan.concurrency_limit.map(|_| self.refuse());
+        self.signals.record(signal, observation);
+    }
+
+    fn decide(&self) -> Decision {
+        let min_shed_share = self.config.concurrency_limit.map(|_| self.shed_share());
         Decision {
-            min_shed_share: refuse,
-            shed_shares: refuse
-                .zip(self.plan.fairness)
-                .and_then(|(refuse, times)| self.fair(refuse, times)),
-            admitted: self.steps.as_ref().map(kept).unwrap_or_default(),
-            retries: self
-                .repeats
-                .as_ref()
-                .map(|repeats| {
-                    (0..self.classes.len())
-                        .map(|class| repeats.of(class))
-                        .collect()
-                })
-                .unwrap_or_default(),
+            min_shed_share,
+            shed_shares: min_shed_share.and_then(|share| self.shed_shares(share)),
+            admitted: self.admitted_shares(),
+            retries: self.retry_allowances(),
         }
     }
 
-    /// The share of requests that goes, when the least worth for its time goes first, for the work to come down to the limit.
-    fn refuse(&self) -> f64 {
-        let came = &self.rates.came;
-        let all: f64 = came.iter().sum();
-        let (mut over, mut refused) = (self.work(came) * (1.0 - self.limiter.share()), 0.0);
-        for class in &self.order {
-            let aim = self.classes[*class].latency_objective_seconds.max(1e-3);
-            let gone = (over / aim).min(came[*class] * (1.0 - LET_IN_LEAST));
-            over -= gone * aim;
-            refused += gone;
-        }
-        if all > 0.0 {
-            refused / all
-        } else {
-            0.0
-        }
+    /// The share of requests to shed for the work to fall to the limit.
+    fn shed_share(&self) -> f64 {
+        shedding::shed_share(
+            &self.rates.arrivals,
+            &self.classes,
+            &self.priority_order,
+            self.limiter.admitted_share(),
+        )
     }
 
-    /// What is refused of the others and of the heavy ones: these first, down to the least.
-    fn fair(&self, refuse: f64, times: f64) -> Option<ShedShares> {
-        let least = times * self.heavy.total() / self.proxies as f64;
-        let brings: f64 = self.heavy.above(least).iter().map(|(_, sum)| sum).sum();
-        let part = brings / self.heavy.total().max(f64::MIN_POSITIVE);
-        if part <= 0.0 || part >= 1.0 {
-            return None;
-        }
-        let heavy = (refuse / part).min(HEAVY_MOST);
-        let rest = ((refuse - heavy * part) / (1.0 - part)).clamp(0.0, 1.0);
-        Some(ShedShares {
-            ordinary: rest,
-            heavy,
-        })
+    fn shed_shares(&self, shed_share: f64) -> Option<ShedShares> {
+        let factor = self.config.heavy_hitter_factor?;
+        shedding::by_proxy_load(shed_share, &self.proxy_load, self.proxy_count, factor)
+    }
+
+    /// The classes of which the current service level doesn't admit all.
+    fn admitted_shares(&self) -> Vec<ClassShare> {
+        let Some(transitions) = &self.transitions else {
+            return Vec::new();
+        };
+        let class_share = |(class, of): (usize, &Class)| ClassShare {
+            class,
+            share: transitions.admitted_share(&of.name),
+        };
+        let shares = self.classes.iter().enumerate().map(class_share);
+        shares.filter(|admitted| admitted.share < 1.0).collect()
+    }
+
+    fn retry_allowances(&self) -> Vec<RetryAllowance> {
+        let Some(budget) = &self.retry_budget else {
+            return Vec::new();
+        };
+        let allowance = |class| budget.allowance(class);
+        (0..self.classes.len()).map(allowance).collect()
     }
 }
 
--- a/crates/limits/src/manager/tests.rs
+++ b/crates/limits/src/manager/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
-use crate::Idempotency;
+use crate::{ConfigError, Idempotency};
 
 fn classes() -> Vec<Class> {
-    let class = |name: &str, worth, effect| Class {
+    let class = |name: &str, priority_weight, idempotency| Class {
         name: name.into(),
-        priority_weight: worth,
+        priority_weight,
         latency_objective_seconds: 1.0,
         deadline_seconds: 3.0,
-        idempotency: effect,
+        idempotency,
     };
     vec![
         class("read", 1.0, Idempotency::Idempotent),
@@ -15,40 +15,66 @@
     ]
 }
 
-fn plan(text: &str) -> Result<OverloadConfig, Vec<ConfigError>> {
-    let of: pb::Limits =
+fn config(text: &str) -> Result<OverloadConfig, Vec<ConfigError>> {
+    let declared: pb::Limits =
         chutegrade_textproto::parse(crate::SCHEMA, "chutegrade.limits.v1.Limits", text)
             .expect(text);
-    OverloadConfig::read(&of, Some(&classes()))
+    OverloadConfig::read(&declared, Some(&classes()))
 }
 
-/// A second in which so many of each class come to each of ten front ends, the first bringing so many times as much.
-fn second(now: i64, rate: f64, can: f64, strain: f64, first: f64, levels: &[f64]) -> Inputs {
-    let of = |proxy: u32, class| {
-        let came = rate / 20.0 * if proxy == 0 { first } else { 1.0 };
+/// The load of one second.
+struct Load {
+    arrivals: f64,
+    capacity: f64,
+    saturation: f64,
+    /// How many times the arrivals of another proxy arrive at the first one.
+    first_proxy_factor: f64,
+    admitted_shares: [f64; 2],
+}
+
+/// Everything is admitted, and all proxies have the same load.
+const EVEN_LOAD: Load = Load {
+    arrivals: 200.0,
+    capacity: 300.0,
+    saturation: 0.0,
+    first_proxy_factor: 1.0,
+    admitted_shares: [1.0, 1.0],
+};
+
+/// The inputs of a second with ten proxies and two classes.
+fn inputs_at(second: i64, load: &Load) -> Inputs {
+    let demand_at = |proxy: u32, class| {
+        let factor = if proxy == 0 {
+            load.first_proxy_factor
+        } else {
+            1.0
+        };
         Demand {
             proxy,
             class,
-            arrivals: came,
+            arrivals: load.arrivals / 20.0 * factor,
             failed: 0.0,
         }
     };
     let demand: Vec<Demand> = (0..10)
-        .flat_map(|proxy| [of(proxy, 0), of(proxy, 1)])
+        .flat_map(|proxy| [demand_at(proxy, 0), demand_at(proxy, 1)])
         .collect();
-    let let_in: f64 = demand.iter().map(|of| of.arrivals * levels[of.class]).sum();
+    let admitted: f64 = demand
+        .iter()
+        .map(|demand| demand.arrivals * load.admitted_shares[demand.class])
+        .sum();
     let outcomes = vec![Outcome {
-        attempts: let_in,
-        failed: (let_in - can).max(0.0),
+        attempts: admitted,
+        failed: (admitted - load.capacity).max(0.0),
         mean_latency_ms: 100.0,
-        queued: Some(strain),
+        queued: Some(load.saturation),
     }];
     Inputs {
-        now: now * 1_000_000,
-        last_report_at: Some(now * 1_000_000),
-        period: 1_000_000,
-        saturation: strain,
-        admitted_shares: levels.to_vec(),
+        now_us: second * 1_000_000,
+        last_report_at_us: Some(second * 1_000_000),
+        report_period_us: 1_000_000,
+        saturation: load.saturation,
+        admitted_shares: load.admitted_shares.to_vec(),
         warm_weight: 10.0,
         partitioned_share: 0.0,
         demand,
@@ -57,99 +83,117 @@
 }
 
 #[test]
-fn what_is_off_orders_nothing() {
-    let mut governor = OverloadManager::new(plan("").expect("a plan"), classes(), 10);
-    for now in 0..30 {
-        let turn = governor.evaluate(&second(now, 200.0, 100.0, 0.9, 1.0, &[1.0, 1.0]));
-        assert_eq!(turn, Evaluation::default());
+fn without_configuration_nothing_is_decided() {
+    let mut manager = OverloadManager::new(config("").expect("a configuration"), classes(), 10);
+    let overload = Load {
+        arrivals: 200.0,
+        capacity: 100.0,
+        saturation: 0.9,
+        ..EVEN_LOAD
+    };
+    for second in 0..30 {
+        let evaluation = manager.evaluate(&inputs_at(second, &overload));
+        assert_eq!(evaluation, Evaluation::default());
     }
 }
 
 #[test]
-fn twice_as_much_as_can_be_done_sheds_the_cheap_class() {
-    let mut governor = OverloadManager::new(plan("adaptive {}").expect("a plan"), classes(), 10);
-    let (mut levels, mut queue, mut shares) = ([1.0, 1.0], 0.0f64, Vec::new());
-    for now in 0..80 {
-        let offered = if now < 10 { 60.0 } else { 200.0 };
-        queue = (queue + offered * 0.5 * (levels[0] + levels[1]) - 100.0).clamp(0.0, 400.0);
-        let turn = governor.evaluate(&second(
-            now,
-            offered,
-            100.0,
-            (queue / 300.0).min(1.0),
-            1.0,
-            &levels,
-        ));
-        let refuse = turn.decision.min_shed_share.expect("a limit");
-        levels = [
-            (1.0 - 2.0 * refuse).max(0.1),
-            (1.0 - (2.0 * refuse - 0.9).max(0.0)).clamp(0.1, 1.0),
+fn overload_sheds_the_class_of_lower_priority() {
+    let mut manager = OverloadManager::new(
+        config("adaptive {}").expect("a configuration"),
+        classes(),
+        10,
+    );
+    let (mut admitted_shares, mut queue, mut shares) = ([1.0, 1.0], 0.0f64, Vec::new());
+    for second in 0..80 {
+        let arrivals = if second < 10 { 60.0 } else { 200.0 };
+        queue = (queue + arrivals * 0.5 * (admitted_shares[0] + admitted_shares[1]) - 100.0)
+            .clamp(0.0, 400.0);
+        let load = Load {
+            arrivals,
+            capacity: 100.0,
+            saturation: (queue / 300.0).min(1.0),
+            admitted_shares,
+            ..EVEN_LOAD
+        };
+        let evaluation = manager.evaluate(&inputs_at(second, &load));
+        let shed_share = evaluation.decision.min_shed_share.expect("a limit");
+        admitted_shares = [
+            (1.0 - 2.0 * shed_share).max(0.1),
+            (1.0 - (2.0 * shed_share - 0.9).max(0.0)).clamp(0.1, 1.0),
         ];
-        shares.push(refuse);
+        shares.push(shed_share);
     }
-    let refuse = shares[40..].iter().sum::<f64>() / 40.0;
-    assert!((0.35..0.65).contains(&refuse), "{refuse}");
+    let shed_share = shares[40..].iter().sum::<f64>() / 40.0;
+    assert!((0.35..0.65).contains(&shed_share), "{shed_share}");
     assert!(
-        governor.limit().1.expect("known") < 0.7,
+        manager.limit().headroom.expect("known") < 0.7,
         "{:?}",
-        governor.limit()
+        manager.limit()
     );
 }
 
 #[test]
-fn one_heavy_front_end_is_held_to_its_share_first() {
-    let mut governor = OverloadManager::new(
-        plan("adaptive { rule: AIMD } fairness {}").expect("a plan"),
+fn load_of_a_heavy_proxy_is_shed_first() {
+    let mut manager = OverloadManager::new(
+        config("adaptive { rule: AIMD } fairness {}").expect("a configuration"),
         classes(),
         10,
     );
-    let mut turn = Evaluation::default();
-    let strain = |now: i64| if now > 26 { 0.6 } else { 0.0 };
-    for now in 0..30 {
-        turn = governor.evaluate(&second(now, 200.0, 300.0, strain(now), 12.0, &[1.0, 1.0]));
+    let mut evaluation = Evaluation::default();
+    let load = |second: i64, first_proxy_factor: f64| Load {
+        saturation: if second > 26 { 0.6 } else { 0.0 },
+        first_proxy_factor,
+        ..EVEN_LOAD
+    };
+    for second in 0..30 {
+        evaluation = manager.evaluate(&inputs_at(second, &load(second, 12.0)));
     }
-    let ShedShares {
-        ordinary: rest,
-        heavy,
-    } = turn.decision.shed_shares.expect("one is heavy");
+    let ShedShares { ordinary, heavy } = evaluation.decision.shed_shares.expect("one is heavy");
     assert!(
-        heavy > 2.0 * rest && rest < turn.decision.min_shed_share.expect("a limit"),
-        "{rest} {heavy}"
+        heavy > 2.0 * ordinary && ordinary < evaluation.decision.min_shed_share.expect("a limit"),
+        "{ordinary} {heavy}"
     );
     let mut even = OverloadManager::new(
-        plan("adaptive { rule: AIMD } fairness {}").expect("a plan"),
+        config("adaptive { rule: AIMD } fairness {}").expect("a configuration"),
         classes(),
         10,
     );
-    for now in 0..30 {
-        turn = even.evaluate(&second(now, 200.0, 300.0, strain(now), 1.0, &[1.0, 1.0]));
+    for second in 0..30 {
+        evaluation = even.evaluate(&inputs_at(second, &load(second, 1.0)));
     }
-    assert_eq!(turn.decision.shed_shares, None);
+    assert_eq!(evaluation.decision.shed_shares, None);
 }
 
 #[test]
-fn a_plan_with_faults_tells_them_all() {
+fn a_faulty_configuration_reports_all_faults() {
     let faults =
-        plan("adaptive { target: 2 } repeats { ratio: -1 } fairness { times_mean: 1 } ladder {}")
+        config("adaptive { target: 2 } repeats { ratio: -1 } fairness { times_mean: 1 } ladder {}")
             .expect_err("faults");
     let fields: Vec<&str> = faults.iter().map(|fault| fault.field).collect();
     assert_eq!(fields, ["target", "ratio", "times_mean", "ladder"]);
 }
 
 #[test]
-fn a_plan_that_drops_its_ladder_ends_the_level_with_a_reason() {
-    let mut governor = OverloadManager::new(
-        plan("ladder { usual: true }").expect("a plan"),
+fn removing_the_service_levels_ends_the_level() {
+    let mut manager = OverloadManager::new(
+        config("ladder { usual: true }").expect("a configuration"),
         classes(),
         10,
     );
-    for now in 0..10 {
-        governor.evaluate(&second(now, 100.0, 50.0, 0.9, 1.0, &[1.0, 1.0]));
+    let overload = Load {
+        arrivals: 100.0,
+        capacity: 50.0,
+        saturation: 0.9,
+        ..EVEN_LOAD
+    };
+    for second in 0..10 {
+        manager.evaluate(&inputs_at(second, &overload));
     }
-    assert!(governor.transitions().expect("a ladder").level() > 0);
-    let change = governor
-        .replace(11_000_000, plan("").expect("a plan"))
-        .expect("a change");
-    assert_eq!((change.to.as_str(), change.number), ("full", 0));
-    assert!(governor.transitions().is_none());
+    assert!(manager.transitions().expect("levels").level() > 0);
+    let transition = manager
+        .replace(11_000_000, config("").expect("a configuration"))
+        .expect("a transition");
+    assert_eq!((transition.to.as_str(), transition.number), ("full", 0));
+    assert!(manager.transitions().is_none());
 }
--- a/crates/limits/src/retry_budget.rs
+++ b/crates/limits/src/retry_budget.rs
@@ -1,160 +1,238 @@
-//! How far tries may be repeated. Repeats cost capacity that others need: each class has a budget, in repeats for each answer.
-//! Nothing here widens what a request's effect allows; and the decision module looks at the effect once more.
+//! Retry budgets. Retries cost capacity that other requests need: classes share a budget of retries per successful response,
+//! and a spent budget suspends the retries of one class after the other.
+//!
+//! No budget permits a retry that the idempotency of the class forbids; the policy checks that once more.
 
 use crate::{lowest_priority_first, Class, Idempotency};
 
-/// Repeats for each answer where nothing is said.
-pub const RATIO: f64 = 0.1;
-/// Half-life of what was counted, in seconds: some reports.
-const HALF_LIFE: f64 = 8.0;
-/// Answers assumed beside those counted: a few repeats are always within the budget.
-const PRIOR: f64 = 20.0;
-/// Reports between two steps of narrowing, and of widening again: an order shows in the sums after two.
-const PACE: (u32, u32) = (2, 5);
-/// Saturation up to which, and room from which, safe requests may be tried once more after any failure; share of failures
-/// between which that helps: below nothing fails, beyond the fleet does.
-const ROOM: (f64, f64) = (0.1, 1.3);
-const HELPS: (f64, f64) = (0.005, 0.15);
-/// Reports for which that must be so.
-const FOR: u32 = 5;
-/// What a clock may be off, and a message late, in seconds: the key's window must hold so much longer than the client waits.
-const CLOCKS: f64 = 1.5;
-
-/// A way of trying again, as the module orders them.
+/// Default budget, in retries per successful response.
+pub const DEFAULT_RETRY_RATIO: f64 = 0.1;
+/// Half-life of the counts, in seconds: some reports.
+const HALF_LIFE_SECONDS: f64 = 8.0;
+/// Responses assumed besides those counted, so that a few retries are always within the budget.
+const PRIOR_RESPONSES: f64 = 20.0;
+/// Least reports between two suspensions: a change shows in the counts after two.
+const SUSPEND_AFTER_REPORTS: u32 = 2;
+/// Least reports between a change and a resumption.
+const RESUME_AFTER_REPORTS: u32 = 5;
+/// Share of the budget below which suspended classes are resumed and more retries may be permitted.
+const LOW_USE_SHARE: f64 = 0.5;
+/// Saturation below which a retry after any failure may be permitted.
+const MAX_SATURATION_FOR_RETRY: f64 = 0.1;
+/// Headroom above which a retry after any failure may be permitted.
+const MIN_HEADROOM_FOR_RETRY: f64 = 1.3;
+/// Reports for which the saturation and the headroom must have been so.
+const MIN_REPORTS_WITH_HEADROOM: u32 = 5;
+/// Share of failures from which such retries help.
+const MIN_FAILURE_SHARE: f64 = 0.005;
+/// Share of failures from which the fleet itself fails and retries don't help.
+const MAX_FAILURE_SHARE: f64 = 0.15;
+/// Clock skew and message delay, in seconds: servers must remember idempotency keys for so much longer than clients wait.
+const CLOCK_SKEW_SECONDS: f64 = 1.5;
+
+/// The budget and what it permits.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RetryBudgetConfig {
+    /// Retries per successful response.
+    pub ratio: f64,
+    /// Whether requests that are safe to repeat may be retried after any failure while there is headroom.
+    pub retry_with_headroom: bool,
+}
+
+/// The retries of a class that are allowed, from the fewest to the most.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryAllowance {
-    /// Never.
+    /// None.
     Never,
-    /// Once, after proof that the first try did not run.
+    /// One, after proof that the first attempt was not executed.
     #[default]
     IfNotExecuted,
-    /// Once, after any failure.
+    /// One, after any failure.
     Once,
 }
 
-/// What a report tells of tries.
+/// What a report says of attempts.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tried {
-    /// Time since the last one, in seconds.
+pub struct RetrySample {
+    /// Time since the last report, in seconds.
     pub seconds: f64,
-    /// Tries that ended, of all classes.
-    pub tries: f64,
-    /// Those answered well.
-    pub good: f64,
-    /// Requests let in, by class.
-    pub let_in: Vec<f64>,
-    /// Of these, without an answer, by class.
-    pub failed: Vec<f64>,
-    /// Saturation.
-    pub strain: f64,
-    /// What warm servers can do over what comes, where it is known.
-    pub room: Option<f64>,
+    /// Attempts that ended, of all classes.
+    pub attempts: f64,
+    /// Attempts that succeeded, of all classes.
+    pub successes: f64,
+    /// Requests admitted, by class.
+    pub admitted: Vec<f64>,
+    /// Admitted requests without a response, by class.
+    pub unanswered: Vec<f64>,
+    /// Saturation, 0 to 1.
+    pub saturation: f64,
+    /// Capacity of the warm servers over the work of new arrivals, where it is known.
+    pub headroom: Option<f64>,
+}
+
+impl RetrySample {
+    fn is_valid(&self) -> bool {
+        let totals = [self.seconds, self.attempts, self.successes, self.saturation];
+        let mut figures = totals.iter().chain(&self.admitted).chain(&self.unanswered);
+        figures.all(|figure| figure.is_finite() && *figure >= 0.0)
+    }
+
+    fn has_headroom(&self) -> bool {
+        let has_capacity = self
+            .headroom
+            .is_some_and(|headroom| headroom > MIN_HEADROOM_FOR_RETRY);
+        self.saturation < MAX_SATURATION_FOR_RETRY && has_capacity
+    }
 }
 
-/// The most that a class's effect allows, whatever the budget: a second run must change nothing.
-pub fn allowed(class: &Class) -> RetryAllowance {
+/// The most retries that the idempotency of a class permits, whatever the budget.
+pub fn max_allowance(class: &Class) -> RetryAllowance {
     match class.idempotency {
         Idempotency::Idempotent => RetryAllowance::Once,
-        Idempotency::Keyed(window) if window >= class.deadline_seconds + CLOCKS => {
+        Idempotency::Keyed(window_seconds)
+            if window_seconds >= class.deadline_seconds + CLOCK_SKEW_SECONDS =>
+        {
             RetryAllowance::Once
         }
         Idempotency::Keyed(_) | Idempotency::NotIdempotent => RetryAllowance::IfNotExecuted,
     }
 }
 
-/// Budgets at work.
+/// A sum that decays with [`HALF_LIFE_SECONDS`].
+#[derive(Clone, Copy, Debug, Default)]
+struct DecayingSum(f64);
+
+impl DecayingSum {
+    fn add(&mut self, decay: f64, amount: f64) {
+        self.0 = self.0 * decay + amount;
+    }
+}
+
+/// What is counted of one class.
+#[derive(Clone, Debug)]
+struct ClassBudget {
+    max_allowance: RetryAllowance,
+    /// Position in the order of suspension.
+    rank: usize,
+    admitted: DecayingSum,
+    unanswered: DecayingSum,
+}
+
+impl ClassBudget {
+    /// Whether some requests fail, but not so many that the fleet itself does.
+    fn can_retries_help(&self) -> bool {
+        let failure_share = self.unanswered.0 / (self.admitted.0 + PRIOR_RESPONSES);
+        (MIN_FAILURE_SHARE..MAX_FAILURE_SHARE).contains(&failure_share)
+    }
+}
+
+/// The budget of all classes and its use.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    ratio: f64,
-    widens: bool,
-    order: Vec<usize>,
-    most: Vec<RetryAllowance>,
-    tries: f64,
-    let_in: f64,
-    good: f64,
-    failing: Vec<(f64, f64)>,
-    /// So many classes, the cheapest first, are not tried again at all.
-    narrowed: usize,
-    waits: u32,
-    roomy: u32,
+    config: RetryBudgetConfig,
+    classes: Vec<ClassBudget>,
+    attempts: DecayingSum,
+    admitted: DecayingSum,
+    successes: DecayingSum,
+    /// This many classes, those of lowest priority, have no retries.
+    suspended_classes: usize,
+    reports_since_change: u32,
+    reports_with_headroom: u32,
 }
 
 impl RetryBudget {
-    /// Budgets of some classes, all of them unspent.
-    pub fn new(ratio: f64, widens: bool, classes: &[Class]) -> Self {
+    /// An unspent budget.
+    pub fn new(config: RetryBudgetConfig, classes: &[Class]) -> Self {
+        let order = lowest_priority_first(classes);
+        let class_budget = |(index, class)| ClassBudget {
+            max_allowance: max_allowance(class),
+            rank: order
+                .iter()
+                .position(|other| *other == index)
+                .unwrap_or(order.len()),
+            admitted: DecayingSum::default(),
+            unanswered: DecayingSum::default(),
+        };
         RetryBudget {
-            ratio,
-            widens,
-            order: lowest_priority_first(classes),
-            most: classes.iter().map(allowed).collect(),
-            tries: 0.0,
-            let_in: 0.0,
-            good: 0.0,
-            failing: vec![(0.0, 0.0); classes.len()],
-            narrowed: 0,
-            waits: 0,
-            roomy: 0,
+            config,
+            classes: classes.iter().enumerate().map(class_budget).collect(),
+            attempts: DecayingSum::default(),
+            admitted: DecayingSum::default(),
+            successes: DecayingSum::default(),
+            suspended_classes: 0,
+            reports_since_change: 0,
+            reports_with_headroom: 0,
         }
     }
 
-    /// Repeats for each answer.
-    pub fn spent(&self) -> f64 {
-        (self.tries - self.let_in).max(0.0) / (self.good + PRIOR)
+    /// Retries per successful response.
+    pub fn retry_ratio(&self) -> f64 {
+        let retries = (self.attempts.0 - self.admitted.0).max(0.0);
+        retries / (self.successes.0 + PRIOR_RESPONSES)
     }
 
-    /// Takes a report in.
-    pub fn learn(&mut self, of: &Tried) {
-        let sane = |figure: &f64| figure.is_finite() && *figure >= 0.0;
-        let figures = [of.seconds, of.tries, of.good, of.strain];
-        if !figures.iter().chain(&of.let_in).chain(&of.failed).all(sane) {
+    /// Counts a report. One with figures that are negative or not finite is ignored.
+    pub fn record(&mut self, sample: &RetrySample) {
+        if !sample.is_valid() {
             return;
         }
-        let keep = 0.5f64.powf(of.seconds / HALF_LIFE);
-        let add = |sum: &mut f64, more: f64| *sum = *sum * keep + more;
-        add(&mut self.tries, of.tries);
-        add(&mut self.good, of.good);
-        add(&mut self.let_in, of.let_in.iter().sum());
-        for (class, sums) in self.failing.iter_mut().enumerate() {
-            add(&mut sums.0, of.failed.get(class).copied().unwrap_or(0.0));
-            add(&mut sums.1, of.let_in.get(class).copied().unwrap_or(0.0));
-        }
-        let roomy = of.strain < ROOM.0 && of.room.is_some_and(|room| room > ROOM.1);
-        self.roomy = if roomy {
-            self.roomy.saturating_add(1)
+        self.count(sample);
+        self.reports_with_headroom = if sample.has_headroom() {
+            self.reports_with_headroom.saturating_add(1)
         } else {
             0
         };
-        self.waits = self.waits.saturating_add(1);
-        let spent = self.spent();
-        if spent > self.ratio && self.waits >= PACE.0 && self.narrowed < self.order.len() {
-            (self.narrowed, self.waits) = (self.narrowed + 1, 0);
-        } else if spent < 0.5 * self.ratio && self.waits >= PACE.1 && self.narrowed > 0 {
-            (self.narrowed, self.waits) = (self.narrowed - 1, 0);
+        self.reports_since_change = self.reports_since_change.saturating_add(1);
+        self.update_suspensions();
+    }
+
+    fn count(&mut self, sample: &RetrySample) {
+        let decay = 0.5f64.powf(sample.seconds / HALF_LIFE_SECONDS);
+        self.attempts.add(decay, sample.attempts);
+        self.successes.add(decay, sample.successes);
+        self.admitted.add(decay, sample.admitted.iter().sum());
+        for (index, class) in self.classes.iter_mut().enumerate() {
+            let unanswered = sample.unanswered.get(index).copied().unwrap_or(0.0);
+            let admitted = sample.admitted.get(index).copied().unwrap_or(0.0);
+            class.unanswered.add(decay, unanswered);
+            class.admitted.add(decay, admitted);
         }
     }
 
-    /// How a class may be tried again.
-    pub fn of(&self, class: usize) -> RetryAllowance {
-        let place = self.order.iter().position(|known| *known == class);
-        if place.is_some_and(|place| place < self.narrowed) {
-            return RetryAllowance::Never;
+    fn update_suspensions(&mut self) {
+        let ratio = self.retry_ratio();
+        let can_suspend = self.reports_since_change >= SUSPEND_AFTER_REPORTS
+            && self.suspended_classes < self.classes.len();
+        let can_resume =
+            self.reports_since_change >= RESUME_AFTER_REPORTS && self.suspended_classes > 0;
+        if ratio > self.config.ratio && can_suspend {
+            self.suspended_classes += 1;
+            self.reports_since_change = 0;
+        } else if ratio < LOW_USE_SHARE * self.config.ratio && can_resume {
+            self.suspended_classes -= 1;
+            self.reports_since_change = 0;
         }
-        let helps = self.failing.get(class).is_some_and(|(failed, all)| {
-            let share = failed / (all + PRIOR);
-            (HELPS.0..HELPS.1).contains(&share)
-        });
-        let wide = self.widens && self.roomy >= FOR && helps && self.spent() < 0.5 * self.ratio;
-        let way = if wide {
-            RetryAllowance::Once
-        } else {
-            RetryAllowance::IfNotExecuted
+    }
+
+    /// The retries that a class may have now, by its position.
+    pub fn allowance(&self, class: usize) -> RetryAllowance {
+        let Some(class) = self.classes.get(class) else {
+            return RetryAllowance::IfNotExecuted;
         };
-        way.min(
-            self.most
-                .get(class)
-                .copied()
-                .unwrap_or(RetryAllowance::IfNotExecuted),
-        )
+        if class.rank < self.suspended_classes {
+            return RetryAllowance::Never;
+        }
+        if !self.is_retry_after_failure_permitted(class) {
+            return RetryAllowance::IfNotExecuted.min(class.max_allowance);
+        }
+        class.max_allowance
+    }
+
+    fn is_retry_after_failure_permitted(&self, class: &ClassBudget) -> bool {
+        self.config.retry_with_headroom
+            && self.reports_with_headroom >= MIN_REPORTS_WITH_HEADROOM
+            && class.can_retries_help()
+            && self.retry_ratio() < LOW_USE_SHARE * self.config.ratio
     }
 }
 
--- a/crates/limits/src/retry_budget/tests.rs
+++ b/crates/limits/src/retry_budget/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-fn class(worth: f64, effect: Idempotency) -> Class {
+fn class(priority_weight: f64, idempotency: Idempotency) -> Class {
     Class {
-        name: format!("{worth}"),
-        priority_weight: worth,
+        name: format!("{priority_weight}"),
+        priority_weight,
         latency_objective_seconds: 1.0,
         deadline_seconds: 5.0,
-        idempotency: effect,
+        idempotency,
     }
 }
 
@@ -21,31 +21,39 @@
     ]
 }
 
-fn report(tries: f64, failed: f64, strain: f64) -> Tried {
-    Tried {
+fn budget(ratio: f64, retry_with_headroom: bool, classes: &[Class]) -> RetryBudget {
+    let config = RetryBudgetConfig {
+        ratio,
+        retry_with_headroom,
+    };
+    RetryBudget::new(config, classes)
+}
+
+fn report(attempts: f64, unanswered: f64, saturation: f64) -> RetrySample {
+    RetrySample {
         seconds: 1.0,
-        tries,
-        good: 100.0 - failed,
-        let_in: vec![25.0; 4],
-        failed: vec![failed / 4.0; 4],
-        strain,
-        room: Some(2.0),
+        attempts,
+        successes: 100.0 - unanswered,
+        admitted: vec![25.0; 4],
+        unanswered: vec![unanswered / 4.0; 4],
+        saturation,
+        headroom: Some(2.0),
     }
 }
 
-fn ways(repeats: &RetryBudget) -> Vec<RetryAllowance> {
-    (0..4).map(|class| repeats.of(class)).collect()
+fn allowances(budget: &RetryBudget) -> Vec<RetryAllowance> {
+    (0..4).map(|class| budget.allowance(class)).collect()
 }
 
 #[test]
-fn a_spent_budget_narrows_the_cheapest_first_and_widens_slowly() {
-    let mut repeats = RetryBudget::new(RATIO, false, &classes());
-    assert_eq!(ways(&repeats), [RetryAllowance::IfNotExecuted; 4]);
+fn a_spent_budget_suspends_the_lowest_priority_first_and_resumes_slowly() {
+    let mut budget = budget(DEFAULT_RETRY_RATIO, false, &classes());
+    assert_eq!(allowances(&budget), [RetryAllowance::IfNotExecuted; 4]);
     for _ in 0..3 {
-        repeats.learn(&report(140.0, 10.0, 0.5));
+        budget.record(&report(140.0, 10.0, 0.5));
     }
     assert_eq!(
-        ways(&repeats),
+        allowances(&budget),
         [
             RetryAllowance::IfNotExecuted,
             RetryAllowance::Never,
@@ -54,23 +62,23 @@
         ]
     );
     for _ in 0..10 {
-        repeats.learn(&report(140.0, 10.0, 0.5));
+        budget.record(&report(140.0, 10.0, 0.5));
     }
-    assert_eq!(ways(&repeats), [RetryAllowance::Never; 4]);
+    assert_eq!(allowances(&budget), [RetryAllowance::Never; 4]);
     for _ in 0..120 {
-        repeats.learn(&report(100.0, 0.0, 0.0));
+        budget.record(&report(100.0, 0.0, 0.0));
     }
-    assert_eq!(ways(&repeats), [RetryAllowance::IfNotExecuted; 4]);
+    assert_eq!(allowances(&budget), [RetryAllowance::IfNotExecuted; 4]);
 }
 
 #[test]
-fn with_room_and_some_failures_what_may_run_twice_is_tried_once_more() {
-    let mut repeats = RetryBudget::new(RATIO, true, &classes());
+fn with_headroom_and_some_failures_safe_requests_are_retried_once() {
+    let mut budget = budget(DEFAULT_RETRY_RATIO, true, &classes());
     for _ in 0..20 {
-        repeats.learn(&report(100.0, 6.0, 0.0));
+        budget.record(&report(100.0, 6.0, 0.0));
     }
     assert_eq!(
-        ways(&repeats),
+        allowances(&budget),
         [
             RetryAllowance::IfNotExecuted,
             RetryAllowance::Once,
@@ -79,27 +87,27 @@
         ],
         "a window of 6 s is too short for 5 s"
     );
-    // It gets busy: at once no more.
-    repeats.learn(&report(104.0, 6.0, 0.3));
-    assert_eq!(ways(&repeats), [RetryAllowance::IfNotExecuted; 4]);
+    // Saturation rises: no more retries at once.
+    budget.record(&report(104.0, 6.0, 0.3));
+    assert_eq!(allowances(&budget), [RetryAllowance::IfNotExecuted; 4]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The rule: no order of a repeat that could run twice, whatever is reported.
+    /// Whatever is reported, no retry is permitted that could take effect twice.
     #[test]
-    fn no_report_widens_what_could_run_twice(
-        of in prop::collection::vec((prop::num::f64::ANY, prop::num::f64::ANY, 0.0..1.0f64, prop::option::of(prop::num::f64::ANY), 0.0..400.0f64), 0..80),
-        window in 0.0..30.0f64, deadline in 0.1..20.0f64, ratio in 0.0..10.0f64,
+    fn no_report_permits_a_retry_that_is_not_safe(
+        samples in prop::collection::vec((prop::num::f64::ANY, prop::num::f64::ANY, 0.0..1.0f64, prop::option::of(prop::num::f64::ANY), 0.0..400.0f64), 0..80),
+        window_seconds in 0.0..30.0f64, deadline_seconds in 0.1..20.0f64, ratio in 0.0..10.0f64,
     ) {
         let mut classes = classes();
-        classes[2] = Class { deadline_seconds: deadline, ..class(5.0, Idempotency::Keyed(window)) };
-        let mut repeats = RetryBudget::new(ratio, true, &classes);
-        for (tries, failed, strain, room, let_in) in of {
-            repeats.learn(&Tried { seconds: 1.0, tries, good: let_in, let_in: vec![let_in; 4], failed: vec![failed; 4], strain, room });
-            prop_assert!(repeats.of(0) <= RetryAllowance::IfNotExecuted && repeats.of(3) <= RetryAllowance::IfNotExecuted);
-            prop_assert!(repeats.of(2) <= RetryAllowance::IfNotExecuted || window >= deadline + CLOCKS);
+        classes[2] = Class { deadline_seconds, ..class(5.0, Idempotency::Keyed(window_seconds)) };
+        let mut budget = budget(ratio, true, &classes);
+        for (attempts, unanswered, saturation, headroom, admitted) in samples {
+            budget.record(&RetrySample { seconds: 1.0, attempts, successes: admitted, admitted: vec![admitted; 4], unanswered: vec![unanswered; 4], saturation, headroom });
+            prop_assert!(budget.allowance(0) <= RetryAllowance::IfNotExecuted && budget.allowance(3) <= RetryAllowance::IfNotExecuted);
+            prop_assert!(budget.allowance(2) <= RetryAllowance::IfNotExecuted || window_seconds >= deadline_seconds + CLOCK_SKEW_SECONDS);
         }
     }
 }
--- a/crates/limits/src/signals.rs
+++ b/crates/limits/src/signals.rs
@@ -1,189 +1,217 @@
-//! Signals: what conditions are made of. Each has the time of which it tells, which is not the time at which it is learned;
-//! samples may come late, together or twice.
+//! The signals that conditions test, and the window of recent observations of each.
+//!
+//! An observation carries the time that it describes, which differs from the time at which it is received; observations may
+//! arrive late, in batches or twice.
+
+use std::fmt;
 
 use crate::pb;
 
-/// How many samples of a signal are kept: a minute of one each half second.
-const KEPT: usize = 120;
+/// Observations kept of each signal: a minute of one each half second.
+const WINDOW_CAPACITY: usize = 120;
+/// Observations below this confidence are ignored.
+const MIN_CONFIDENCE: f64 = 0.2;
 
-/// What is watched.
+/// A monitored signal. The order of the variants is the order of their numbers in the schema.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Signal {
-    /// How far the fleet is saturated, 0 to 1.
+    /// Saturation of the fleet, 0 to 1.
     Saturation,
-    /// Share of admitted requests that get no answer, or one beyond the aim.
-    Late,
-    /// Requests that wait at a server, in the mean.
-    Queue,
-    /// Share of what comes that came before.
-    Again,
-    /// What warm servers can do over what comes for the first time.
-    Room,
-    /// Share of the zones that are cut off from here.
-    Cut,
+    /// Share of admitted requests that get no response, or one beyond the latency objective.
+    LateResponses,
+    /// Mean number of requests queued at a server.
+    QueueLength,
+    /// Share of arrivals that are repeats by clients.
+    RepeatedArrivals,
+    /// Capacity of the warm servers over the work of new arrivals.
+    Headroom,
+    /// Share of the zones that are partitioned from here.
+    PartitionedZones,
 }
 
 /// All signals, in the order of their numbers.
 pub const SIGNALS: [Signal; 6] = [
     Signal::Saturation,
-    Signal::Late,
-    Signal::Queue,
-    Signal::Again,
-    Signal::Room,
-    Signal::Cut,
+    Signal::LateResponses,
+    Signal::QueueLength,
+    Signal::RepeatedArrivals,
+    Signal::Headroom,
+    Signal::PartitionedZones,
 ];
 
+/// The values that a signal can take, both ends included.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SignalRange {
+    /// The least value.
+    pub min: f64,
+    /// The greatest value.
+    pub max: f64,
+}
+
 impl Signal {
-    /// Its name as the text format has it.
+    /// The name in the operators' file and in records.
     pub fn name(self) -> &'static str {
         match self {
             Signal::Saturation => "SATURATION",
-            Signal::Late => "LATE",
-            Signal::Queue => "QUEUE",
-            Signal::Again => "AGAIN",
-            Signal::Room => "ROOM",
-            Signal::Cut => "CUT",
+            Signal::LateResponses => "LATE",
+            Signal::QueueLength => "QUEUE",
+            Signal::RepeatedArrivals => "AGAIN",
+            Signal::Headroom => "ROOM",
+            Signal::PartitionedZones => "CUT",
         }
     }
 
-    /// A signal by its name.
+    /// The signal with a name, in upper or lower case.
     pub fn by_name(name: &str) -> Option<Signal> {
         SIGNALS
             .into_iter()
             .find(|signal| signal.name().eq_ignore_ascii_case(name))
     }
 
-    /// Least and greatest value.
-    pub fn range(self) -> (f64, f64) {
-        match self {
-            Signal::Saturation | Signal::Late | Signal::Again | Signal::Cut => (0.0, 1.0),
-            Signal::Queue => (0.0, 1e6),
-            Signal::Room => (0.0, 1e3),
-        }
-    }
-
-    /// Whether more of it is worse.
-    pub fn worse_up(self) -> bool {
-        self != Signal::Room
+    /// The values that it can take.
+    pub fn range(self) -> SignalRange {
+        let max = match self {
+            Signal::QueueLength => 1e6,
+            Signal::Headroom => 1e3,
+            Signal::Saturation
+            | Signal::LateResponses
+            | Signal::RepeatedArrivals
+            | Signal::PartitionedZones => 1.0,
+        };
+        SignalRange { min: 0.0, max }
     }
 
-    /// Whether it follows from the list of servers, which may be late, rather than from what is measured.
-    pub fn by_list(self) -> bool {
-        matches!(self, Signal::Room | Signal::Cut)
+    /// Whether it derives from the endpoint list, which may be stale, rather than from measurements.
+    pub fn depends_on_endpoint_list(self) -> bool {
+        matches!(self, Signal::Headroom | Signal::PartitionedZones)
     }
 
-    /// The signal that a schema's number means.
-    pub fn of(signal: pb::Signal) -> Option<Signal> {
+    /// The signal that a value of the schema denotes; `None` where it is unspecified.
+    pub fn from_schema(signal: pb::Signal) -> Option<Signal> {
         match signal {
             pb::Signal::Unspecified => None,
             pb::Signal::Saturation => Some(Signal::Saturation),
-            pb::Signal::Late => Some(Signal::Late),
-            pb::Signal::Queue => Some(Signal::Queue),
-            pb::Signal::Again => Some(Signal::Again),
-            pb::Signal::Room => Some(Signal::Room),
-            pb::Signal::Cut => Some(Signal::Cut),
+            pb::Signal::Late => Some(Signal::LateResponses),
+            pb::Signal::Queue => Some(Signal::QueueLength),
+            pb::Signal::Again => Some(Signal::RepeatedArrivals),
+            pb::Signal::Room => Some(Signal::Headroom),
+            pb::Signal::Cut => Some(Signal::PartitionedZones),
         }
     }
 }
 
+impl fmt::Display for Signal {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.name())
+    }
+}
+
 /// One value of a signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// The time of which it tells, in microseconds.
-    pub at: i64,
+    /// The time that it describes, in microseconds.
+    pub at_us: i64,
     /// The value.
     pub value: f64,
-    /// How sure it is, from 0 to 1: by how much it rests on.
-    pub sure: f64,
+    /// Confidence in the value, from 0 to 1: it grows with the number of requests behind it.
+    pub confidence: f64,
 }
 
-/// What a signal shows at a moment.
+/// The newest value of a signal at a moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SignalReading {
     /// The signal.
     pub signal: Signal,
-    /// Its newest value, whatever its age; nothing if it never told.
+    /// The newest value, whatever its age; `None` if there is none.
     pub value: Option<f64>,
-    /// The age of that value, in microseconds.
-    pub age: i64,
+    /// The age of that value, in microseconds; 0 if there is none.
+    pub age_us: i64,
 }
 
-/// Samples below this are passed over: they rest on next to nothing.
-const SURE_LEAST: f64 = 0.2;
-
-/// The samples of all signals, by their own times.
+/// The recent observations of all signals, ordered by the times that they describe.
 #[derive(Clone, Debug, Default)]
 pub struct SignalWindow {
-    samples: [Vec<Observation>; SIGNALS.len()],
+    observations: [Vec<Observation>; SIGNALS.len()],
 }
 
 impl SignalWindow {
-    /// Takes a sample in. One that tells of a time that is known already, as one that comes twice, changes nothing; one
-    /// that comes late takes its place in time. What is no number, or rests on too little, is passed over.
-    pub fn learn(&mut self, signal: Signal, sample: Observation) -> bool {
-        if !sample.value.is_finite() || sample.sure.is_nan() || sample.sure < SURE_LEAST {
+    /// Adds an observation, at its place in time. Returns whether it was taken: one for a time that the window has already
+    /// or that is older than a full window, one that is not a number, and one of low confidence are ignored.
+    pub fn record(&mut self, signal: Signal, observation: Observation) -> bool {
+        let is_confident = observation.confidence >= MIN_CONFIDENCE;
+        if !observation.value.is_finite() || !is_confident {
             return false;
         }
-        let (least, most) = signal.range();
-        let sample = Observation {
-            value: sample.value.clamp(least, most),
-            ..sample
+        let range = signal.range();
+        let observation = Observation {
+            value: observation.value.clamp(range.min, range.max),
+            ..observation
         };
-        let samples = &mut self.samples[signal as usize];
-        let place = samples.partition_point(|known| known.at < sample.at);
-        if samples
-            .get(place)
-            .is_some_and(|known| known.at == sample.at)
-        {
+        let observations = &mut self.observations[signal as usize];
+        let position = observations.partition_point(|other| other.at_us < observation.at_us);
+        let is_duplicate = observations
+            .get(position)
+            .is_some_and(|other| other.at_us == observation.at_us);
+        if is_duplicate {
             return false;
         }
-        if samples.len() >= KEPT {
-            if place == 0 {
-                return false;
-            }
-            samples.remove(0);
-            samples.insert(place - 1, sample);
-        } else {
-            samples.insert(place, sample);
+        if observations.len() < WINDOW_CAPACITY {
+            observations.insert(position, observation);
+            return true;
+        }
+        if position == 0 {
+            return false;
         }
+        observations.remove(0);
+        observations.insert(position - 1, observation);
         true
     }
 
-    /// All samples of a signal, the oldest first.
-    pub fn of(&self, signal: Signal) -> &[Observation] {
-        &self.samples[signal as usize]
+    /// All observations of a signal, the oldest first.
+    pub fn observations(&self, signal: Signal) -> &[Observation] {
+        &self.observations[signal as usize]
     }
 
-    /// The newest sample, if it is no older than so long, in microseconds.
-    pub fn newest(&self, signal: Signal, now: i64, most_age: i64) -> Option<Observation> {
-        let newest = self.of(signal).last().copied()?;
-        (now.saturating_sub(newest.at) <= most_age).then_some(newest)
+    /// The newest observation of a signal, if it is no older than `max_age_us`.
+    pub fn newest(&self, signal: Signal, now_us: i64, max_age_us: i64) -> Option<Observation> {
+        let newest = self.observations(signal).last().copied()?;
+        let age_us = now_us.saturating_sub(newest.at_us);
+        (age_us <= max_age_us).then_some(newest)
     }
 
-    /// What a signal shows, whatever the age of its newest value.
-    pub fn shown(&self, signal: Signal, now: i64) -> SignalReading {
-        let newest = self.of(signal).last();
+    /// The newest value of a signal, whatever its age.
+    pub fn reading(&self, signal: Signal, now_us: i64) -> SignalReading {
+        let newest = self.observations(signal).last();
         SignalReading {
             signal,
-            value: newest.map(|of| of.value),
-            age: newest.map_or(0, |of| now.saturating_sub(of.at)),
+            value: newest.map(|observation| observation.value),
+            age_us: newest.map_or(0, |observation| now_us.saturating_sub(observation.at_us)),
         }
     }
 
-    /// For how long a signal has told that something holds, in microseconds by its own times, up to the newest sample:
-    /// samples that arrive together count as much as they would have one by one. Nothing while the newest tells otherwise;
-    /// a hole longer than `most_hole` ends what was before it.
-    pub fn held(&self, signal: Signal, most_hole: i64, holds: impl Fn(f64) -> bool) -> Option<i64> {
-        let samples = self.of(signal);
-        let newest = samples.last().filter(|newest| holds(newest.value))?;
-        let mut since = newest.at;
-        for sample in samples.iter().rev().skip(1) {
-            if !holds(sample.value) || since.saturating_sub(sample.at) > most_hole {
+    /// For how long the values of a signal have met a predicate, in microseconds, up to the newest observation. It counts by
+    /// the times that observations describe, so that a batch counts as much as the same observations one by one. `None` if
+    /// the newest value doesn't meet it; a gap longer than `max_gap_us` ends the span.
+    pub fn holding_time_us(
+        &self,
+        signal: Signal,
+        max_gap_us: i64,
+        is_met: impl Fn(f64) -> bool,
+    ) -> Option<i64> {
+        let observations = self.observations(signal);
+        let newest = observations.last()?;
+        if !is_met(newest.value) {
+            return None;
+        }
+        let mut start_us = newest.at_us;
+        for observation in observations.iter().rev().skip(1) {
+            let gap_us = start_us.saturating_sub(observation.at_us);
+            if !is_met(observation.value) || gap_us > max_gap_us {
                 break;
             }
-            since = sample.at;
+            start_us = observation.at_us;
         }
-        Some(newest.at - since)
+        Some(newest.at_us - start_us)
     }
 }
 
--- a/crates/limits/src/transitions.rs
+++ b/crates/limits/src/transitions.rs
@@ -1,379 +1,386 @@
-//! The state machine of a ladder: which level is in force, since when and why. It goes up as far as conditions hold and down
-//! one level at a time, never before its least stay; it does not flap, is not kept by what is missing or doubtful, and says
-//! of each change what it saw.
+//! The state machine of service levels: which level is in force, since when and why.
+//!
+//! It escalates to the most severe level whose condition is met, and recovers one level at a time, never before the least
+//! duration of the current one. Backoff keeps it from oscillating; timeouts keep it from being stuck when signals are missing
+//! or stale.
 
-use crate::condition::{Distance, Known};
+use crate::condition::{Condition, ConditionState};
+use crate::level_history::LevelHistory;
 use crate::pb;
-use crate::service_levels::{used, ServiceLevels};
-use crate::signals::{Signal, SignalReading, SignalWindow};
+use crate::service_levels::{ServiceLevel, ServiceLevels, FULL_SERVICE};
+use crate::signals::{Signal, SignalWindow};
 
-/// Time that a change takes to show in the signals, in microseconds: orders, their effect, a report and its way. Until then
-/// the signals tell of the level before, and nothing goes further up.
-const SHOWS: i64 = 4_000_000;
-/// A level that is entered again within this time of being left was left too early, in microseconds.
-const AGAIN_WITHIN: i64 = 60_000_000;
-/// After each such return its least stay is so many times as long, up to the second figure.
-const BACKOFF: (i64, i64) = (2, 8);
-/// A state older than this is not taken up again after a restart, in microseconds: the cause may be gone.
-pub const RESTORE_WITHIN: i64 = 60_000_000;
+pub use crate::level_transition::{
+    ConditionStatus, LevelTransition, RestoreError, TransitionReason,
+};
 
-/// Why a level changed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TransitionReason {
-    /// The condition for entering it held.
-    Entered,
-    /// The condition for leaving the one before held.
-    Left,
-    /// Its signals were missing for too long.
-    NoSignals,
-    /// All that is measured was good for so long that what the list says is doubted.
-    Doubted,
-    /// Another ladder was put in the place of the one before.
-    Replaced,
-    /// It was in force before a restart.
-    Restored,
-}
-
-impl TransitionReason {
-    /// In a word, as records have it.
-    pub fn word(self) -> &'static str {
-        match self {
-            TransitionReason::Entered => "entered",
-            TransitionReason::Left => "left",
-            TransitionReason::NoSignals => "no signals",
-            TransitionReason::Doubted => "list doubted",
-            TransitionReason::Replaced => "ladder replaced",
-            TransitionReason::Restored => "restored",
-        }
-    }
-}
-
-/// A change of level.
-#[derive(Clone, Debug, PartialEq)]
-pub struct LevelTransition {
-    /// The name of the level before.
-    pub from: String,
-    /// The name of the level now.
-    pub to: String,
-    /// Its number; 0 is full service.
-    pub number: usize,
-    /// Why.
-    pub reason: TransitionReason,
-    /// The condition that held, or what else decided.
-    pub condition: String,
-    /// All signals that the ladder uses.
-    pub shown: Vec<SignalReading>,
-    /// Who is told.
-    pub tell: Vec<String>,
-}
+const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
+/// Time that a change takes to show in the signals, in microseconds. Until then they describe the level before, and nothing
+/// escalates further.
+const SETTLING_TIME_US: i64 = 4_000_000;
+/// The timeout of the endpoint list grows by this factor each time that the list is overruled.
+const LIST_TIMEOUT_BACKOFF_FACTOR: i64 = 2;
+/// The timeout of the endpoint list grows to at most this multiple.
+const MAX_LIST_TIMEOUT_FACTOR: i64 = 64;
+/// A snapshot older than this is not restored, in microseconds: the cause of the level may be gone.
+pub const RESTORE_WITHIN_US: i64 = 60_000_000;
+/// Before the first change; far enough in the past for any duration to be over.
+const LONG_AGO_US: i64 = i64::MIN / 2;
 
-/// One level's condition, and how far its tests are from being met.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ConditionStatus {
-    /// The level that would be in force.
-    pub to: String,
-    /// Going up.
-    pub up: bool,
-    /// The condition as declared.
-    pub condition: String,
-    /// What is known of it.
-    pub known: Known,
-    /// Each of its tests.
-    pub tests: Vec<Distance>,
-    /// How much longer the standing level stays at least, in microseconds.
-    pub stay: i64,
+/// A change that is due.
+struct Change {
+    number: usize,
+    reason: TransitionReason,
+    condition: String,
 }
 
-/// A ladder at work.
+/// The state machine of one supervisor.
 #[derive(Clone, Debug)]
 pub struct LevelTransitions {
-    ladder: ServiceLevels,
-    level: usize,
-    since: i64,
-    /// Since when the signals for leaving are missing.
-    missing: Option<i64>,
-    /// Since when all that is measured would let the level be left.
-    good: Option<i64>,
-    /// When each level was last left, and how many times as long as usual it stays.
-    left: Vec<(Option<i64>, i64)>,
-    /// How many times as long as usual the list is believed.
-    believed: i64,
+    levels: ServiceLevels,
+    /// The number of the current level; 0 is full service.
+    current: usize,
+    since_us: i64,
+    /// Since when signals of the condition for leaving are missing.
+    signals_lost_at_us: Option<i64>,
+    /// Since when the measured signals alone would let the level be left.
+    recovered_at_us: Option<i64>,
+    /// By the number of the level.
+    history: Vec<LevelHistory>,
+    /// Backoff of the timeout of the endpoint list.
+    list_timeout_factor: i64,
 }
 
 impl LevelTransitions {
-    /// Full service, under a ladder.
-    pub fn new(ladder: ServiceLevels) -> Self {
-        let left = vec![(None, 1); ladder.levels.len() + 1];
+    /// A state machine at full service.
+    pub fn new(levels: ServiceLevels) -> Self {
+        let history = vec![LevelHistory::NEW; levels.levels.len() + 1];
         LevelTransitions {
-            ladder,
-            level: 0,
-            since: i64::MIN / 2,
-            missing: None,
-            good: None,
-            left,
-            believed: 1,
+            levels,
+            current: 0,
+            since_us: LONG_AGO_US,
+            signals_lost_at_us: None,
+            recovered_at_us: None,
+            history,
+            list_timeout_factor: 1,
         }
     }
 
-    /// The ladder.
-    pub fn ladder(&self) -> &ServiceLevels {
-        &self.ladder
-    }
-
-    /// The number of the level in force; 0 is full service.
+    /// The number of the current level; 0 is full service.
     pub fn level(&self) -> usize {
-        self.level
+        self.current
     }
 
-    /// Its name.
+    /// The name of the current level.
     pub fn name(&self) -> &str {
-        self.ladder.name(self.level)
+        self.levels.name(self.current)
     }
 
-    /// Since when it is in force.
-    pub fn since(&self) -> i64 {
-        self.since
+    /// Since when the current level is in force, in microseconds.
+    pub fn since_us(&self) -> i64 {
+        self.since_us
     }
 
-    /// What it keeps of a class.
-    pub fn keeps(&self, class: &str) -> f64 {
-        self.level
-            .checked_sub(1)
-            .and_then(|at| self.ladder.levels.get(at))
-            .map_or(1.0, |level| level.keeps(class))
+    /// The share of a class that the current level admits.
+    pub fn admitted_share(&self, class: &str) -> f64 {
+        self.current_level()
+            .map_or(1.0, |level| level.admitted_share(class))
     }
 
-    /// Looks at the signals, and changes the level if it is time.
-    pub fn step(&mut self, now: i64, board: &SignalWindow) -> Option<LevelTransition> {
-        let age = self.ladder.most_age;
-        let holds = |number: &usize| {
-            let level = self.ladder.levels.get(number - 1);
-            level.is_some_and(|level| level.enter.known(board, now, age, |_| false) == Known::Yes)
-        };
-        let up = (self.level + 1..=self.ladder.levels.len())
+    /// Evaluates the conditions, and changes the level if one is met.
+    pub fn evaluate(&mut self, now_us: i64, signals: &SignalWindow) -> Option<LevelTransition> {
+        let change = self
+            .escalation(now_us, signals)
+            .or_else(|| self.recovery(now_us, signals))?;
+        Some(self.apply(now_us, change, signals))
+    }
+
+    /// The change to the most severe level whose condition is met, if that is above the current one.
+    fn escalation(&self, now_us: i64, signals: &SignalWindow) -> Option<Change> {
+        if now_us.saturating_sub(self.since_us) < SETTLING_TIME_US {
+            return None;
+        }
+        let higher = self.levels.levels.iter().enumerate().skip(self.current);
+        let (index, level) = higher
             .rev()
-            .find(holds);
-        if let Some(number) = up.filter(|_| now.saturating_sub(self.since) >= SHOWS) {
-            let condition = self.ladder.levels[number - 1].enter.to_string();
-            return Some(self.go(now, number, TransitionReason::Entered, condition, board));
+            .find(|(_, level)| self.is_met(&level.enter, now_us, signals))?;
+        Some(Change {
+            number: index + 1,
+            reason: TransitionReason::Entered,
+            condition: level.enter.to_string(),
+        })
+    }
+
+    fn is_met(&self, condition: &Condition, now_us: i64, signals: &SignalWindow) -> bool {
+        let max_age_us = self.levels.max_signal_age_us;
+        condition.state(signals, now_us, max_age_us, |_| false) == ConditionState::Met
+    }
+
+    /// The change to the next milder level, if it is due. Takes note of lost signals and of measured recovery.
+    fn recovery(&mut self, now_us: i64, signals: &SignalWindow) -> Option<Change> {
+        let level = self.levels.level(self.current)?;
+        let max_age_us = self.levels.max_signal_age_us;
+        let leave = level.leave.state(signals, now_us, max_age_us, |_| false);
+        let measured = level.leave.state(
+            signals,
+            now_us,
+            max_age_us,
+            Signal::depends_on_endpoint_list,
+        );
+        self.signals_lost_at_us =
+            (leave == ConditionState::Unknown).then(|| self.signals_lost_at_us.unwrap_or(now_us));
+        self.recovered_at_us =
+            (measured == ConditionState::Met).then(|| self.recovered_at_us.unwrap_or(now_us));
+        if now_us.saturating_sub(self.since_us) < self.min_duration_us() {
+            return None;
         }
-        let level = self.ladder.levels.get(self.level.checked_sub(1)?)?;
-        let leave = level.leave.known(board, now, age, |_| false);
-        let measured = level.leave.known(board, now, age, Signal::by_list);
-        let stayed = now.saturating_sub(self.since) >= self.stays();
-        self.missing = (leave == Known::Unknown).then(|| self.missing.unwrap_or(now));
-        self.good = (measured == Known::Yes).then(|| self.good.unwrap_or(now));
-        let long = |since: Option<i64>, most: i64| {
-            since.is_some_and(|since| now.saturating_sub(since) >= most)
+        let reason = self.recovery_reason(now_us, leave)?;
+        let condition = self.recovery_text(reason, &level.leave);
+        if reason == TransitionReason::EndpointListOverruled {
+            let factor = self.list_timeout_factor * LIST_TIMEOUT_BACKOFF_FACTOR;
+            self.list_timeout_factor = factor.min(MAX_LIST_TIMEOUT_FACTOR);
+        }
+        Some(Change {
+            number: self.current - 1,
+            reason,
+            condition,
+        })
+    }
+
+    fn recovery_reason(&self, now_us: i64, leave: ConditionState) -> Option<TransitionReason> {
+        let has_passed = |since_us: Option<i64>, timeout_us: i64| {
+            since_us.is_some_and(|since_us| now_us.saturating_sub(since_us) >= timeout_us)
         };
-        let (condition, reason) = if leave == Known::Yes && stayed {
-            (level.leave.to_string(), TransitionReason::Left)
-        } else if long(self.missing, self.ladder.without_signals) && stayed {
-            let seconds = self.ladder.without_signals as f64 / 1e6;
-            (
-                format!("nothing known of {} for {seconds} s", level.leave),
-                TransitionReason::NoSignals,
-            )
-        } else if long(
-            self.good,
-            self.ladder.doubt_list.saturating_mul(self.believed),
-        ) && stayed
-        {
-            self.believed = (self.believed * BACKOFF.0).min(BACKOFF.1 * BACKOFF.1);
-            (
-                format!("all that is measured in {}", level.leave),
-                TransitionReason::Doubted,
-            )
+        let list_timeout_us = self
+            .levels
+            .endpoint_list_timeout_us
+            .saturating_mul(self.list_timeout_factor);
+        if leave == ConditionState::Met {
+            Some(TransitionReason::Left)
+        } else if has_passed(self.signals_lost_at_us, self.levels.signal_loss_timeout_us) {
+            Some(TransitionReason::SignalsLost)
+        } else if has_passed(self.recovered_at_us, list_timeout_us) {
+            Some(TransitionReason::EndpointListOverruled)
         } else {
-            return None;
-        };
-        Some(self.go(now, self.level - 1, reason, condition, board))
+            None
+        }
+    }
+
+    /// What a transition for this reason says of the condition for leaving.
+    fn recovery_text(&self, reason: TransitionReason, leave: &Condition) -> String {
+        match reason {
+            TransitionReason::SignalsLost => {
+                let timeout_us = self.levels.signal_loss_timeout_us;
+                let seconds = timeout_us as f64 / MICROSECONDS_PER_SECOND as f64;
+                format!("nothing known of {leave} for {seconds} s")
+            }
+            TransitionReason::EndpointListOverruled => {
+                format!("all that is measured in {leave}")
+            }
+            _ => leave.to_string(),
+        }
     }
 
-    /// How long the level in force stays at least.
-    fn stays(&self) -> i64 {
-        let stay = self
-            .level
-            .checked_sub(1)
-            .and_then(|at| self.ladder.levels.get(at))
-            .map_or(0, |of| of.least_stay);
-        stay.saturating_mul(self.left.get(self.level).map_or(1, |(_, times)| *times))
+    fn current_level(&self) -> Option<&ServiceLevel> {
+        self.levels.level(self.current)
     }
 
-    fn go(
-        &mut self,
-        now: i64,
-        number: usize,
-        reason: TransitionReason,
-        condition: String,
-        board: &SignalWindow,
-    ) -> LevelTransition {
+    /// How long the current level lasts at least.
+    fn min_duration_us(&self) -> i64 {
+        let min_duration_us = self
+            .current_level()
+            .map_or(0, |level| level.min_duration_us);
+        let factor = self
+            .history
+            .get(self.current)
+            .map_or(1, |history| history.duration_factor);
+        min_duration_us.saturating_mul(factor)
+    }
+
+    fn apply(&mut self, now_us: i64, change: Change, signals: &SignalWindow) -> LevelTransition {
         let from = self.name().to_string();
-        if number < self.level {
-            if let Some(left) = self.left.get_mut(self.level) {
-                left.0 = Some(now);
+        if change.number < self.current {
+            if let Some(history) = self.history.get_mut(self.current) {
+                history.left_at_us = Some(now_us);
             }
         } else {
-            // Danger: a load that hovers drives a level in and out as fast as its least stay allows.
-            for left in self.left.iter_mut().skip(1).take(number) {
-                let soon = left
-                    .0
-                    .take()
-                    .map(|at| now.saturating_sub(at) < AGAIN_WITHIN);
-                left.1 = match soon {
-                    Some(true) => (left.1 * BACKOFF.0).min(BACKOFF.1),
-                    Some(false) => 1,
-                    None => left.1,
-                };
-            }
+            let entered = self.history.iter_mut().skip(1).take(change.number);
+            entered.for_each(|history| history.enter(now_us));
         }
-        if number == 0 && reason == TransitionReason::Left {
-            self.believed = 1;
+        if change.number == 0 && change.reason == TransitionReason::Left {
+            self.list_timeout_factor = 1;
         }
-        (self.level, self.since, self.missing, self.good) = (number, now, None, None);
-        let shown = used(&self.ladder)
+        self.set_level(change.number, now_us);
+        let signals_in_use = self.levels.signals_in_use();
+        let readings = signals_in_use
             .into_iter()
-            .map(|signal| board.shown(signal, now));
-        let entered = number
-            .checked_sub(1)
-            .and_then(|at| self.ladder.levels.get(at));
-        let tell = entered.map(|level| level.tell.clone()).unwrap_or_default();
+            .map(|signal| signals.reading(signal, now_us));
+        let notify = self.current_level().map(|level| level.notify.clone());
         LevelTransition {
             from,
             to: self.name().to_string(),
-            number,
-            reason,
-            condition,
-            shown: shown.collect(),
-            tell,
+            number: change.number,
+            reason: change.reason,
+            condition: change.condition,
+            readings: readings.collect(),
+            notify: notify.unwrap_or_default(),
         }
     }
 
-    /// Puts another ladder in the place of this one. A level that it has too, by name, stays in force with its time; else the
-    /// mildest of its levels that sheds no less takes over, or the last; its own condition lets it go.
+    fn set_level(&mut self, number: usize, since_us: i64) {
+        self.current = number;
+        self.since_us = since_us;
+        self.signals_lost_at_us = None;
+        self.recovered_at_us = None;
+    }
+
+    /// Replaces the levels. A current level that the new ones have too, by name, stays in force with its time; else the
+    /// mildest new one that admits no more takes over, or the last.
     pub fn replace(
         &mut self,
-        now: i64,
-        ladder: ServiceLevels,
-        board: &SignalWindow,
+        now_us: i64,
+        levels: ServiceLevels,
+        signals: &SignalWindow,
     ) -> Option<LevelTransition> {
         let from = self.name().to_string();
-        let kept: Vec<(String, f64)> = self
-            .level
-            .checked_sub(1)
-            .and_then(|at| self.ladder.levels.get(at))
-            .map(|of| of.keep.clone())
-            .unwrap_or_default();
-        let (level, since, left) = (self.level, self.since, std::mem::take(&mut self.left));
-        let old = std::mem::replace(&mut self.ladder, ladder);
-        let sheds = |number: &usize| {
-            kept.iter()
-                .all(|(class, keep)| self.ladder.levels[number - 1].keeps(class) <= *keep)
-        };
-        let last = self.ladder.levels.len();
-        let number = match self.ladder.number(&from) {
+        let number = match levels.number(&from) {
             Some(number) => number,
-            None => (1..=last).find(sheds).unwrap_or(last),
-        };
-        // What is known of a level that stays declared stays known.
-        let past = |name: &str| {
-            old.number(name)
-                .and_then(|number| left.get(number).copied())
-                .unwrap_or((None, 1))
+            None => self.substitute(&levels),
         };
-        self.left = (0..=last)
-            .map(|number| past(self.ladder.name(number)))
-            .collect();
-        if level == 0 || number > 0 && self.ladder.name(number) == from {
-            (self.level, self.since, self.missing, self.good) = (number, since, None, None);
+        self.history = self.history_for(&levels);
+        self.levels = levels;
+        if self.current == 0 || number > 0 && self.levels.name(number) == from {
+            self.set_level(number, self.since_us);
             return None;
         }
-        self.level = 0;
-        let mut change = self.go(
-            now,
+        self.current = 0;
+        let change = Change {
             number,
-            TransitionReason::Replaced,
-            format!("{from:?} is not in the new ladder"),
-            board,
-        );
-        change.from = from;
-        Some(change)
+            reason: TransitionReason::Replaced,
+            condition: format!("{from:?} is not in the new ladder"),
+        };
+        let transition = self.apply(now_us, change, signals);
+        Some(LevelTransition { from, ..transition })
     }
 
-    /// What should survive a restart.
-    pub fn saved(&self, now: i64) -> pb::Saved {
+    /// The number of the mildest of some levels that admits no more of any class than the current one, or of the last.
+    fn substitute(&self, levels: &ServiceLevels) -> usize {
+        let current_shares = self
+            .current_level()
+            .map(|level| level.admitted_shares.as_slice())
+            .unwrap_or_default();
+        let admits_no_more = |level: &ServiceLevel| {
+            current_shares
+                .iter()
+                .all(|admitted| level.admitted_share(&admitted.class) <= admitted.share)
+        };
+        let index = levels.levels.iter().position(admits_no_more);
+        index.map_or(levels.levels.len(), |index| index + 1)
+    }
+
+    /// The history of those of some levels that exist already, by name; the others have none.
+    fn history_for(&self, levels: &ServiceLevels) -> Vec<LevelHistory> {
+        let history = |number: usize| {
+            let old_number = self.levels.number(levels.name(number))?;
+            self.history.get(old_number).copied()
+        };
+        (0..=levels.levels.len())
+            .map(|number| history(number).unwrap_or(LevelHistory::NEW))
+            .collect()
+    }
+
+    /// The state that survives a restart.
+    pub fn snapshot(&self, now_us: i64) -> pb::Saved {
         pb::Saved {
             level: self.name().to_string(),
-            since_us: self.since,
-            at_us: now,
+            since_us: self.since_us,
+            at_us: now_us,
         }
     }
 
-    /// As it was at a moment of which records tell: for looking at it, not for serving. Whether the ladder has this level.
-    pub fn resume(&mut self, level: &str, since: i64) -> bool {
-        let known = self.ladder.number(level);
-        if let Some(number) = known {
-            (self.level, self.since, self.missing, self.good) = (number, since, None, None);
-        }
-        known.is_some()
+    /// Sets the level to what records say of a past moment, for inspection. Returns whether there is a level of that name.
+    pub fn resume(&mut self, level: &str, since_us: i64) -> bool {
+        let Some(number) = self.levels.number(level) else {
+            return false;
+        };
+        self.set_level(number, since_us);
+        true
     }
 
-    /// Takes up the level that was in force before a restart; or a sentence on why it is left.
+    /// Restores the level that was in force before a restart. `None` if that was full service.
+    ///
+    /// # Errors
+    ///
+    /// If the snapshot is too old, or there is no level of that name.
     pub fn restore(
         &mut self,
-        now: i64,
+        now_us: i64,
         saved: &pb::Saved,
-        board: &SignalWindow,
-    ) -> Result<Option<LevelTransition>, String> {
-        let age = now.saturating_sub(saved.at_us);
-        if saved.level == self.ladder.name(0) {
+        signals: &SignalWindow,
+    ) -> Result<Option<LevelTransition>, RestoreError> {
+        if saved.level == FULL_SERVICE {
             return Ok(None);
         }
-        if !(0..=RESTORE_WITHIN).contains(&age) {
-            let (age, most) = (age as f64 / 1e6, RESTORE_WITHIN / 1_000_000);
-            return Err(format!(
-                "{:?} was in force {age:.0} s ago, at most {most} s are bridged",
-                saved.level
-            ));
+        let level = saved.level.clone();
+        let age_us = now_us.saturating_sub(saved.at_us);
+        let age_seconds = age_us as f64 / MICROSECONDS_PER_SECOND as f64;
+        if !(0..=RESTORE_WITHIN_US).contains(&age_us) {
+            return Err(RestoreError::Expired {
+                level,
+                age_seconds,
+                max_age_seconds: RESTORE_WITHIN_US / MICROSECONDS_PER_SECOND,
+            });
         }
-        let number = self
-            .ladder
-            .number(&saved.level)
-            .ok_or_else(|| format!("no level {:?} in this ladder", saved.level))?;
-        let condition = format!("in force {:.1} s ago", age as f64 / 1e6);
-        let change = self.go(now, number, TransitionReason::Restored, condition, board);
-        self.since = saved
-            .since_us
-            .clamp(now.saturating_sub(SHOWS).min(saved.at_us), now);
-        Ok(Some(change))
+        let Some(number) = self.levels.number(&level) else {
+            return Err(RestoreError::UnknownLevel { level });
+        };
+        let change = Change {
+            number,
+            reason: TransitionReason::Restored,
+            condition: format!("in force {age_seconds:.1} s ago"),
+        };
+        let transition = self.apply(now_us, change, signals);
+        let earliest_us = now_us.saturating_sub(SETTLING_TIME_US).min(saved.at_us);
+        self.since_us = saved.since_us.clamp(earliest_us, now_us);
+        Ok(Some(transition))
     }
 
-    /// Which conditions would change the level, and how far each is from being met.
-    pub fn explain(&self, now: i64, board: &SignalWindow) -> Vec<ConditionStatus> {
-        let age = self.ladder.most_age;
-        let stay = (self.stays() - now.saturating_sub(self.since)).max(0);
-        let row = |to: usize, up: bool, condition: &crate::condition::Condition| ConditionStatus {
-            to: self.ladder.name(to).to_string(),
-            up,
+    /// The conditions that would change the level, and how far each is from being met: first the one for leaving the current
+    /// level, then those for entering more severe ones.
+    pub fn explain(&self, now_us: i64, signals: &SignalWindow) -> Vec<ConditionStatus> {
+        let elapsed_us = now_us.saturating_sub(self.since_us);
+        let leave = self.current_level().map(|level| ConditionStatus {
+            to: self.levels.name(self.current - 1).to_string(),
+            is_escalation: false,
+            remaining_duration_us: (self.min_duration_us() - elapsed_us).max(0),
+            ..self.condition_status(&level.leave, now_us, signals)
+        });
+        let higher = self.levels.levels.iter().skip(self.current);
+        let enter = higher.map(|level| ConditionStatus {
+            to: level.name.clone(),
+            ..self.condition_status(&level.enter, now_us, signals)
+        });
+        leave.into_iter().chain(enter).collect()
+    }
+
+    /// The status of a condition, as one for an escalation to a level that has no name yet.
+    fn condition_status(
+        &self,
+        condition: &Condition,
+        now_us: i64,
+        signals: &SignalWindow,
+    ) -> ConditionStatus {
+        let max_age_us = self.levels.max_signal_age_us;
+        let tests = condition
+            .tests()
+            .map(|test| test.status(signals, now_us, max_age_us));
+        ConditionStatus {
+            to: String::new(),
+            is_escalation: true,
             condition: condition.to_string(),
-            known: condition.known(board, now, age, |_| false),
-            tests: condition
-                .tests()
-                .map(|test| test.distance(board, now, age))
-                .collect(),
-            stay: if up { 0 } else { stay },
-        };
-        let higher = self.ladder.levels.iter().enumerate().skip(self.level);
-        let mut rows: Vec<ConditionStatus> = higher
-            .map(|(at, level)| row(at + 1, true, &level.enter))
-            .collect();
-        if let Some(level) = self
-            .level
-            .checked_sub(1)
-            .and_then(|at| self.ladder.levels.get(at))
-        {
-            rows.insert(0, row(self.level - 1, false, &level.leave));
+            state: condition.state(signals, now_us, max_age_us, |_| false),
+            tests: tests.collect(),
+            remaining_duration_us: 0,
         }
-        rows
     }
 }
--- a/crates/model/tests/levels.rs
+++ b/crates/model/tests/levels.rs
@@ -74,7 +74,11 @@
         }
     }
     for of in &levels.changes {
-        let told = of.change.shown.iter().all(|shown| shown.value.is_some());
+        let told = of
+            .change
+            .readings
+            .iter()
+            .all(|reading| reading.value.is_some());
         assert!(!of.change.condition.is_empty() && told, "{of:?}");
     }
     let kept = |of: &chutegrade_model::Outcome| of.classes[1].service;
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -121,7 +121,7 @@
             let fault = |of: &chutegrade_limits::ConfigError| ConfigError {
                 path: self.path.clone(),
                 position: of.place(&self.text),
-                message: of.said.clone(),
+                message: of.to_string(),
             };
             faults.iter().map(fault).collect()
         })
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -104,7 +104,7 @@
                     from,
                     to,
                     reason,
-                    condition: why,
+                    condition: why.to_string(),
                     ..Default::default()
                 }))
             }
@@ -135,15 +135,17 @@
     /// Adds to the figures of one moment what limits know.
     pub fn add_metrics(&self, gauge: &mut pb::Gauge, now: Micros) {
         let board = self.governor.signals();
-        let shown = SIGNALS.into_iter().map(|signal| board.shown(signal, now.0));
+        let shown = SIGNALS
+            .into_iter()
+            .map(|signal| board.reading(signal, now.0));
         gauge.signals = shown
             .filter(|shown| shown.value.is_some())
             .map(|shown| signal(&shown))
             .collect();
-        gauge.limit = Some(self.governor.limit().0);
+        gauge.limit = Some(self.governor.limit().admitted_share);
         if let Some(steps) = self.governor.transitions() {
             gauge.service_level = Some(steps.name().to_string());
-            gauge.level_since_us = steps.since().max(0);
+            gauge.level_since_us = steps.since_us().max(0);
         }
     }
 }
@@ -156,9 +158,9 @@
     figures: FleetStatus,
 ) -> Inputs {
     Inputs {
-        now: now.0,
-        last_report_at: measure.last_report_at.map(|heard| heard.0),
-        period: period.0,
+        now_us: now.0,
+        last_report_at_us: measure.last_report_at.map(|heard| heard.0),
+        report_period_us: period.0,
         saturation: figures.saturation,
         admitted_shares: figures.admitted_shares,
         warm_weight: figures.warm_weight,
@@ -209,7 +211,7 @@
 }
 
 fn signal(of: &SignalReading) -> pb::Signal {
-    let age_ms = u64::try_from(of.age / 1000).unwrap_or(0);
+    let age_ms = u64::try_from(of.age_us / 1000).unwrap_or(0);
     pb::Signal {
         name: of.signal.name().to_string(),
         value: of.value,
@@ -223,9 +225,9 @@
         from: change.from.clone(),
         to: change.to.clone(),
         number: u32::try_from(change.number).unwrap_or(u32::MAX),
-        reason: change.reason.word().to_string(),
+        reason: change.reason.as_str().to_string(),
         condition: change.condition.clone(),
-        signals: change.shown.iter().map(signal).collect(),
-        tell: change.tell.clone(),
+        signals: change.readings.iter().map(signal).collect(),
+        tell: change.notify.clone(),
     })
 }
--- a/crates/supervisor/src/commands/levels.rs
+++ b/crates/supervisor/src/commands/levels.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::io::Write;
 
-use chutegrade_limits::condition::Known;
+use chutegrade_limits::condition::ConditionState;
 use chutegrade_limits::transitions::{ConditionStatus, LevelTransitions};
 use chutegrade_limits::{LevelTransition, Observation, ServiceLevels, Signal, SignalWindow};
 use chutegrade_records::index::Query;
@@ -70,16 +70,16 @@
     let plan = limits
         .overload_config(classes.as_deref())
         .map_err(|all| each(&all))?;
-    plan.ladder
+    plan.service_levels
         .ok_or_else(|| said(format!("{shown}: no ladder is given")))
 }
 
 fn show(ladder: &ServiceLevels, out: &mut impl Write) -> Result<(), Fault> {
     for (number, level) in ladder.levels.iter().enumerate() {
         let kept: Vec<String> = level
-            .keep
+            .admitted_shares
             .iter()
-            .map(|(class, keep)| format!("{:.0} % of {class}", 100.0 * keep))
+            .map(|of| format!("{:.0} % of {}", 100.0 * of.share, of.class))
             .collect();
         writeln!(
             out,
@@ -93,13 +93,17 @@
             out,
             "    left when {}, after {} at least",
             level.leave,
-            length(level.least_stay)
+            length(level.min_duration_us)
         )?;
-        if !level.tell.is_empty() {
-            writeln!(out, "    told: {}", level.tell.join(", "))?;
+        if !level.notify.is_empty() {
+            writeln!(out, "    told: {}", level.notify.join(", "))?;
         }
     }
-    let (missing, age, doubt) = (ladder.without_signals, ladder.most_age, ladder.doubt_list);
+    let (missing, age, doubt) = (
+        ladder.signal_loss_timeout_us,
+        ladder.max_signal_age_us,
+        ladder.endpoint_list_timeout_us,
+    );
     writeln!(
         out,
         "signals older than {} are missing; a level stands {} without; the list is doubted after {}",
@@ -113,12 +117,12 @@
 /// What a recorded moment tells of signals; of records made without limits, the saturation alone.
 fn learn(board: &mut SignalWindow, at_us: i64, gauge: &pb::Gauge) {
     if gauge.signals.is_empty() {
-        board.learn(
+        board.record(
             Signal::Saturation,
             Observation {
-                at: at_us,
+                at_us,
                 value: gauge.strain,
-                sure: 1.0,
+                confidence: 1.0,
             },
         );
     }
@@ -129,12 +133,12 @@
         let age = i64::try_from(of.age_ms)
             .unwrap_or(i64::MAX)
             .saturating_mul(1000);
-        board.learn(
+        board.record(
             signal,
             Observation {
-                at: at_us.saturating_sub(age),
+                at_us: at_us.saturating_sub(age),
                 value,
-                sure: 1.0,
+                confidence: 1.0,
             },
         );
     }
@@ -197,14 +201,21 @@
 }
 
 fn tell(row: &ConditionStatus, out: &mut impl Write) -> Result<(), Fault> {
-    let way = if row.up { "up to" } else { "down to" };
-    let known = match row.known {
-        Known::Yes => "holds",
-        Known::No => "does not hold",
-        Known::Unknown => "is not known",
+    let way = if row.is_escalation {
+        "up to"
+    } else {
+        "down to"
+    };
+    let known = match row.state {
+        ConditionState::Met => "holds",
+        ConditionState::NotMet => "does not hold",
+        ConditionState::Unknown => "is not known",
     };
-    let stay = if row.stay > 0 {
-        format!("; stays {} more at least", length(row.stay))
+    let stay = if row.remaining_duration_us > 0 {
+        format!(
+            "; stays {} more at least",
+            length(row.remaining_duration_us)
+        )
     } else {
         String::new()
     };
@@ -218,10 +229,12 @@
         let shown = of
             .newest
             .map_or_else(|| "unknown".to_string(), |sample| figure(sample.value));
-        let far = match of.short {
+        let far = match of.shortfall {
             None => "its signal is missing".to_string(),
             Some(short) if short > 0.0 => format!("{} short of it", figure(short)),
-            Some(_) if of.wait > 0 => format!("met, {} more to hold", length(of.wait)),
+            Some(_) if of.remaining_hold_us > 0 => {
+                format!("met, {} more to hold", length(of.remaining_hold_us))
+            }
             Some(_) => "met".to_string(),
         };
         writeln!(
@@ -310,7 +323,7 @@
         *spent.entry(steps.level()).or_insert(0) += at - before;
         before = *at;
         learn(&mut board, *at, gauge);
-        changes.extend(steps.step(*at, &board).map(|change| (*at, change)));
+        changes.extend(steps.evaluate(*at, &board).map(|change| (*at, change)));
     }
     (changes, spent)
 }
--- a/crates/supervisor/src/server/overload.rs
+++ b/crates/supervisor/src/server/overload.rs
@@ -95,13 +95,8 @@
         let mut service = self.service.borrow_mut();
         match (service.as_mut(), plan) {
             (Some(service), plan) => {
-                let none = OverloadConfig {
-                    ladder: None,
-                    concurrency_limit: None,
-                    retry_budget: None,
-                    fairness: None,
-                };
-                if let Some(kind) = service.reconfigure(hub.clock.now(), plan.unwrap_or(none)) {
+                let config = plan.unwrap_or_default();
+                if let Some(kind) = service.reconfigure(hub.clock.now(), config) {
                     tell(hub, kind);
                 }
             }
