--- a/crates/records/benches/store.rs
+++ b/crates/records/benches/store.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use chutegrade_records::index::{self, Query};
-use chutegrade_records::jobs::{self, Retention, Shared};
+use chutegrade_records::maintenance::{self, ActiveSegment, Retention};
 use chutegrade_records::pb::{self, Record};
 use chutegrade_records::recorder::{begin, Options};
 use chutegrade_records::segment;
 use chutegrade_records::store::Store;
 use chutegrade_records::timeline::Timeline;
 use chutegrade_records::{frame, Kind};
-use chutegrade_scheduler::Cost;
+use chutegrade_scheduler::{Cost, JobState};
 use criterion::{criterion_group, BatchSize, Criterion, Throughput};
 use prost::Message;
 
@@ -68,10 +68,10 @@
             .expect("an append");
     }
     store.commit().expect("a commit");
-    let shared = Shared::default();
-    shared.set_writing(store.writing());
-    for mut job in jobs::all(directory, KEEP, &shared) {
-        while job.step().1 == chutegrade_scheduler::Left::More {}
+    let active_segment = ActiveSegment::default();
+    active_segment.set(store.writing());
+    for mut job in maintenance::jobs(directory, KEEP, &active_segment) {
+        while job.step().state == JobState::Ready {}
     }
 }
 
--- /dev/null
+++ b/crates/records/src/maintenance/retention.rs
@@ -0,0 +1,113 @@
+//! Removal of old segments.
+
+use std::path::{Path, PathBuf};
+use std::time::{Duration, SystemTime};
+
+use chutegrade_scheduler::{Cost, Job, JobState, Priority, StepReport};
+
+use super::{ActiveSegment, CHECK_INTERVAL};
+use crate::segment::{self, SegmentId};
+
+/// The greatest cost of a step.
+const STEP_COST_BOUND: Cost = Cost {
+    time: Duration::from_millis(20),
+    bytes: 0,
+};
+
+/// How long records are kept: until the first limit is reached. The newest segment always stays.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Retention {
+    /// Bytes of all segments of one supervisor.
+    pub bytes: u64,
+    /// Time since a segment was last written.
+    pub age: Duration,
+}
+
+/// A segment's file.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct SegmentFile {
+    id: SegmentId,
+    bytes: u64,
+    age: Duration,
+}
+
+/// Removes old segments. It comes before other jobs, as a full disk stops recording.
+pub(super) struct RetentionJob {
+    directory: PathBuf,
+    retention: Retention,
+    active_segment: ActiveSegment,
+}
+
+impl RetentionJob {
+    pub fn new(directory: &Path, retention: Retention, active_segment: &ActiveSegment) -> Self {
+        RetentionJob {
+            directory: directory.to_path_buf(),
+            retention,
+            active_segment: active_segment.clone(),
+        }
+    }
+
+    /// The segments of the directory, the oldest first.
+    fn files(&self) -> Vec<SegmentFile> {
+        let ids = segment::list(&self.directory).unwrap_or_default();
+        let now = SystemTime::now();
+        ids.into_iter()
+            .filter_map(|id| self.file(id, now))
+            .collect()
+    }
+
+    fn file(&self, id: SegmentId, now: SystemTime) -> Option<SegmentFile> {
+        let metadata = std::fs::metadata(id.path(&self.directory)).ok()?;
+        let written_at = metadata.modified().ok()?;
+        Some(SegmentFile {
+            id,
+            bytes: metadata.len(),
+            age: now.duration_since(written_at).unwrap_or_default(),
+        })
+    }
+
+    /// Removes a segment, its index first: a segment without an index is scanned, an index without a segment is useless.
+    fn remove(&self, id: SegmentId) {
+        let _ = std::fs::remove_file(id.index_path(&self.directory));
+        let _ = std::fs::remove_file(id.path(&self.directory));
+    }
+}
+
+impl Job for RetentionJob {
+    fn step(&mut self) -> StepReport {
+        let files = self.files();
+        for id in expired(&files, self.retention) {
+            if Some(id) == self.active_segment.get() {
+                break;
+            }
+            self.remove(id);
+        }
+        StepReport {
+            bytes: 0,
+            state: JobState::Delayed(CHECK_INTERVAL),
+        }
+    }
+
+    fn priority(&self) -> Priority {
+        Priority::Urgent
+    }
+
+    fn cost_bound(&self) -> Cost {
+        STEP_COST_BOUND
+    }
+}
+
+/// The segments to remove, of all in order; never the newest.
+fn expired(files: &[SegmentFile], retention: Retention) -> Vec<SegmentId> {
+    let mut bytes: u64 = files.iter().map(|file| file.bytes).sum();
+    let mut expired = Vec::new();
+    let sealed_count = files.len().saturating_sub(1);
+    for file in files.iter().take(sealed_count) {
+        if bytes <= retention.bytes && file.age <= retention.age {
+            break;
+        }
+        bytes -= file.bytes;
+        expired.push(file.id);
+    }
+    expired
+}
--- a/crates/records/tests/damage.rs
+++ b/crates/records/tests/damage.rs
@@ -6,14 +6,14 @@
 use std::time::{Duration, Instant};
 
 use chutegrade_records::index::Query;
-use chutegrade_records::jobs::{self, Retention, Shared};
+use chutegrade_records::maintenance::{self, ActiveSegment, Retention};
 use chutegrade_records::pb::{self, Record};
 use chutegrade_records::recorder::{begin, Options};
 use chutegrade_records::segment::{self, SegmentId};
 use chutegrade_records::store::Store;
 use chutegrade_records::timeline::{verify, Event, Gap, GapReason, Timeline};
 use chutegrade_records::{frame, Kind};
-use chutegrade_scheduler::Cost;
+use chutegrade_scheduler::{Cost, JobState};
 use proptest::prelude::*;
 use prost::Message;
 
@@ -97,10 +97,10 @@
 }
 
 fn seal(directory: &Path, writing: SegmentId) {
-    let shared = Shared::default();
-    shared.set_writing(Some(writing));
-    for mut job in jobs::all(directory, KEEP, &shared) {
-        while job.step().1 == chutegrade_scheduler::Left::More {}
+    let active_segment = ActiveSegment::default();
+    active_segment.set(Some(writing));
+    for mut job in maintenance::jobs(directory, KEEP, &active_segment) {
+        while job.step().state == JobState::Ready {}
     }
 }
 
@@ -187,11 +187,12 @@
     for at in 0..4 {
         last = write(directory.path(), "n0", &start(at * 100, 50, &[]));
     }
-    let (shared, small) = (Shared::default(), Retention { bytes: 1, ..KEEP });
-    shared.set_writing(Some(last));
-    jobs::all(directory.path(), small, &shared)
+    let active_segment = ActiveSegment::default();
+    let small = Retention { bytes: 1, ..KEEP };
+    active_segment.set(Some(last));
+    maintenance::jobs(directory.path(), small, &active_segment)
         .iter_mut()
-        .for_each(|job| assert!(job.step().0 < 1 << 20));
+        .for_each(|job| assert!(job.step().bytes < 1 << 20));
     assert_eq!(segment::list(directory.path()).expect("a list"), [last]);
     let gaps = read(directory.path()).1;
     assert_eq!(reasons(&gaps), [GapReason::Trimmed, GapReason::Open]);
--- a/crates/supervisor/src/server/recording.rs
+++ b/crates/supervisor/src/server/recording.rs
@@ -7,7 +7,7 @@
 
 use chutegrade_engine::{Engine, Micros};
 use chutegrade_operator_config::RecordingConfig;
-use chutegrade_records::jobs::Retention;
+use chutegrade_records::maintenance::Retention;
 use chutegrade_records::recorder::{self, Options};
 use chutegrade_records::{pb, Kind, Recorder, Recording};
 use chutegrade_scheduler::Cost;
