--- /dev/null
+++ b/crates/supervisor/src/commands/error.rs
@@ -0,0 +1,206 @@
+//! Why a command failed. Each error displays as the text that the user reads after `chutegrade: `.
+
+use std::fmt::Display;
+use std::io::ErrorKind;
+use std::path::{Path, PathBuf};
+
+use crate::config;
+
+/// Separates several faults in one message, so that each stands on a line of its own behind the program's name.
+const FAULT_SEPARATOR: &str = "\nchutegrade: ";
+
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+pub enum CommandError {
+    /// The reader of the output closed it, which is no failure.
+    #[error("the reader has gone")]
+    OutputClosed,
+    /// The output cannot be written.
+    #[error("the output cannot be written: {0}")]
+    Output(std::io::Error),
+    /// A file cannot be written.
+    #[error("{} cannot be written: {source}", path.display())]
+    WriteFile {
+        /// The file.
+        path: PathBuf,
+        /// What the system reported.
+        source: std::io::Error,
+    },
+    /// A text that a person wrote cannot be read; the message names its file.
+    #[error("{0}")]
+    ReadText(String),
+    /// The running program cannot be read.
+    #[error("{0}")]
+    ReadProgram(std::io::Error),
+    /// `check` was given no file.
+    #[error("nothing to check: give --config FILE, --operator FILE, or both")]
+    NothingToCheck,
+    /// The output lists so many faults.
+    #[error("{}", fault_count(*.0))]
+    FaultsListed(usize),
+    /// All faults of a file.
+    #[error("{}", .0.join(FAULT_SEPARATOR))]
+    Faults(Vec<String>),
+    /// The configuration cannot be read.
+    #[error(transparent)]
+    Configuration(#[from] config::Fault),
+    /// Records cannot be read.
+    #[error(transparent)]
+    Records(#[from] chutegrade_records::timeline::Fault),
+    /// The directories hold no records.
+    #[error("no records in these directories")]
+    NoRecords,
+    /// Some directories hold damaged or incomplete records.
+    #[error("{unsound} of {directories} directories are not sound")]
+    UnsoundRecords {
+        /// Directories that are damaged or incomplete.
+        unsound: usize,
+        /// Directories that were verified.
+        directories: usize,
+    },
+    /// A time cannot be parsed.
+    #[error(transparent)]
+    Time(#[from] chutegrade_records::text::NoTime),
+    /// A time window ends before it begins.
+    #[error("nothing lies between {from} and {to}: --from is after --to")]
+    EmptyWindow {
+        /// Its begin, as a timestamp.
+        from: String,
+        /// Its end, as a timestamp.
+        to: String,
+    },
+    /// No event kind has this name.
+    #[error("no kind {name:?}: give one of {}", known.join(", "))]
+    UnknownKind {
+        /// The name that was given.
+        name: String,
+        /// All names.
+        known: Vec<&'static str>,
+    },
+    /// The console failed.
+    #[error(transparent)]
+    Console(chutegrade_console::Fault),
+    /// A plug-in does not compile; the message is its first diagnostic.
+    #[error("{file}:{diagnostic}")]
+    PluginRejected {
+        /// The plug-in's file.
+        file: String,
+        /// The first diagnostic.
+        diagnostic: String,
+    },
+    /// A plug-in does not compile, and no diagnostic tells why.
+    #[error("{0} cannot be read")]
+    PluginUnreadable(String),
+    /// The plug-ins do not load, and no diagnostic tells why.
+    #[error("the plug-ins cannot be loaded")]
+    PluginsNotLoaded,
+    /// Some test cases failed.
+    #[error("{failed} of {total} cases failed")]
+    CasesFailed {
+        /// Cases that failed.
+        failed: usize,
+        /// Cases that ran.
+        total: usize,
+    },
+    /// Some texts differ from their canonical format.
+    #[error("{unformatted} of {total} texts are written otherwise")]
+    Unformatted {
+        /// Texts that differ.
+        unformatted: usize,
+        /// Texts that were read.
+        total: usize,
+    },
+    /// No supervisor has a record of the server before this time.
+    #[error("no supervisor knows a server {server:?} at {at}")]
+    ServerNotRecorded {
+        /// The server.
+        server: String,
+        /// The time, as a timestamp.
+        at: String,
+    },
+    /// The server to trace is not in the recorded fleet.
+    #[error("no server {server:?} is known at {at}")]
+    TracedServerUnknown {
+        /// The server.
+        server: String,
+        /// The time, as a timestamp.
+        at: String,
+    },
+    /// The operators' file declares no limits.
+    #[error("{}: no limits are given", .0.display())]
+    NoLimits(PathBuf),
+    /// The operators' file declares no service levels.
+    #[error("{}: no ladder is given", .0.display())]
+    NoServiceLevels(PathBuf),
+    /// The default levels derive from the classes, and no configuration was given.
+    #[error("the usual ladder derives from the classes: give --config FILE")]
+    ClassesNeeded,
+    /// No supervisor recorded metrics up to this time, a timestamp.
+    #[error("no supervisor recorded figures before {0}")]
+    NoMetricsBefore(String),
+    /// No supervisor recorded metrics in the time window.
+    #[error("no supervisor recorded figures in this time")]
+    NoMetricsInWindow,
+    /// Recorded traffic cannot be read.
+    #[error("{}: {reason}", path.display())]
+    Traffic {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        reason: String,
+    },
+    /// The simulation's setup is invalid, or does not fit the scenario.
+    #[error("{0}")]
+    SimulationSetup(String),
+    /// The scenario is invalid; all faults, separated by semicolons.
+    #[error("{0}")]
+    Scenario(String),
+    /// Threads cannot be started.
+    #[error(transparent)]
+    Threads(#[from] rayon::ThreadPoolBuildError),
+    /// Results of an experiment cannot be read or written.
+    #[error(transparent)]
+    Results(#[from] chutegrade_lab::store::Fault),
+}
+
+impl CommandError {
+    /// All faults of a file.
+    pub(super) fn from_faults(faults: &[impl Display]) -> Self {
+        CommandError::Faults(faults.iter().map(ToString::to_string).collect())
+    }
+
+    /// All faults of a file that do not name it themselves.
+    pub(super) fn from_file_faults(path: &Path, faults: &[impl Display]) -> Self {
+        let path = path.display();
+        let lines = faults.iter().map(|fault| format!("{path}:{fault}"));
+        CommandError::Faults(lines.collect())
+    }
+}
+
+impl From<std::io::Error> for CommandError {
+    fn from(error: std::io::Error) -> Self {
+        if error.kind() == ErrorKind::BrokenPipe {
+            CommandError::OutputClosed
+        } else {
+            CommandError::Output(error)
+        }
+    }
+}
+
+impl From<chutegrade_console::Fault> for CommandError {
+    fn from(error: chutegrade_console::Fault) -> Self {
+        match error {
+            chutegrade_console::Fault::Terminal(error) if error.kind() == ErrorKind::BrokenPipe => {
+                CommandError::OutputClosed
+            }
+            error => CommandError::Console(error),
+        }
+    }
+}
+
+fn fault_count(count: usize) -> String {
+    match count {
+        1 => "1 fault".to_string(),
+        _ => format!("{count} faults"),
+    }
+}
--- /dev/null
+++ b/crates/supervisor/src/commands/files.rs
@@ -0,0 +1,58 @@
+//! Files that commands read and write.
+
+use std::path::{Path, PathBuf};
+
+use chutegrade_records::text::printable;
+
+use super::CommandError;
+use crate::server::plugins;
+
+/// A text that a person wrote, with the file that it was read from.
+pub struct SourceText {
+    /// The file's path, as it is displayed.
+    pub name: String,
+    /// The content.
+    pub text: String,
+}
+
+/// Reads a text that a person wrote: an experiment, a scenario or a plug-in.
+pub fn read_text(path: &Path) -> Result<String, CommandError> {
+    plugins::read_one(path).map_err(|error| CommandError::ReadText(error.to_string()))
+}
+
+/// Reads the texts of plug-ins, in their order.
+pub fn read_texts(paths: &[PathBuf]) -> Result<Vec<SourceText>, CommandError> {
+    paths
+        .iter()
+        .map(|path| {
+            Ok(SourceText {
+                name: path.display().to_string(),
+                text: read_text(path)?,
+            })
+        })
+        .collect()
+}
+
+/// Reads the texts of plug-ins as pairs of name and text, the form in which plug-in hosts load them.
+pub fn read_plugins(paths: &[PathBuf]) -> Result<Vec<(String, String)>, CommandError> {
+    let sources = read_texts(paths)?;
+    Ok(sources
+        .into_iter()
+        .map(|source| (source.name, source.text))
+        .collect())
+}
+
+/// Replaces a file at once: other programs see its former content or this one, never a part.
+pub fn write_atomically(path: &Path, text: &str) -> Result<(), CommandError> {
+    let draft = path.with_extension("draft");
+    let written = std::fs::write(&draft, text).and_then(|()| std::fs::rename(&draft, path));
+    written.map_err(|source| CommandError::WriteFile {
+        path: path.to_path_buf(),
+        source,
+    })
+}
+
+/// A path without control characters, for the terminal.
+pub fn printable_path(path: &Path) -> String {
+    printable(&path.display().to_string())
+}
--- /dev/null
+++ b/crates/supervisor/src/commands/lab/experiment.rs
@@ -0,0 +1,124 @@
+//! `lab run`, `lab compare` and `lab report`: an experiment and its results.
+
+use std::io::Write;
+use std::path::Path;
+
+use chutegrade_lab::experiment::{self, Plan};
+use chutegrade_lab::{report, run as lab_run, Progress, Store};
+use indicatif::ProgressBar;
+
+use super::progress::new_bar;
+use crate::commands::arguments::{ExperimentArguments, ResultsArguments};
+use crate::commands::files::{read_text, write_atomically};
+use crate::commands::CommandError;
+
+/// Digits of the hash that identifies a build.
+const BUILD_ID_DIGITS: usize = 12;
+
+/// Plays an experiment, going on where it was stopped, and writes its comparisons and report.
+///
+/// # Errors
+///
+/// If the experiment is invalid, threads cannot be started, or results cannot be read or written.
+pub fn run(arguments: &ExperimentArguments, output: &mut impl Write) -> Result<(), CommandError> {
+    rayon::ThreadPoolBuilder::new()
+        .num_threads(arguments.threads)
+        .build_global()?;
+    let plan = load_plan(&arguments.experiment)?;
+    let build = build_id()?;
+    let directory = &arguments.out;
+    let mut store = Store::open(directory)?;
+    let existing = store.results().len();
+    if existing > 0 {
+        writeln!(output, "{existing} runs are there already")?;
+    }
+    play(&plan, &build, &mut store)?;
+    write!(output, "{}", report::table(&plan, &build, &store))?;
+    write_report(&plan, &build, &store, directory, output)
+}
+
+/// Writes the comparisons that the results allow so far.
+///
+/// # Errors
+///
+/// If the experiment is invalid, or results cannot be read.
+pub fn compare(arguments: &ResultsArguments, output: &mut impl Write) -> Result<(), CommandError> {
+    let plan = load_plan(&arguments.experiment)?;
+    let store = Store::open(&arguments.out)?;
+    let table = report::table(&plan, &build_id()?, &store);
+    write!(output, "{table}")?;
+    Ok(())
+}
+
+/// Writes the report anew.
+///
+/// # Errors
+///
+/// If the experiment is invalid, or results cannot be read or the report written.
+pub fn report(arguments: &ResultsArguments, output: &mut impl Write) -> Result<(), CommandError> {
+    let plan = load_plan(&arguments.experiment)?;
+    let store = Store::open(&arguments.out)?;
+    write_report(&plan, &build_id()?, &store, &arguments.out, output)
+}
+
+fn load_plan(path: &Path) -> Result<Plan, CommandError> {
+    let directory = path.parent().unwrap_or(Path::new("."));
+    experiment::read(&read_text(path)?, directory)
+        .map_err(|faults| CommandError::from_file_faults(path, &faults))
+}
+
+/// Identifies this build of the program: results of another build are never taken for its own.
+fn build_id() -> Result<String, CommandError> {
+    let program = std::env::current_exe()
+        .and_then(std::fs::read)
+        .map_err(CommandError::ReadProgram)?;
+    let hash = blake3::hash(&program).to_hex();
+    let id = hash.as_str().get(..BUILD_ID_DIGITS);
+    Ok(id.unwrap_or_default().to_string())
+}
+
+/// Plays what the store does not hold yet, with a progress bar.
+fn play(plan: &Plan, build: &str, store: &mut Store) -> Result<(), CommandError> {
+    let bar = new_bar();
+    let mut shown_look = 0;
+    let on_progress = |progress: Progress| {
+        show_progress(&bar, progress, &mut shown_look);
+        true
+    };
+    lab_run::play(plan, build, store, on_progress)?;
+    bar.finish_and_clear();
+    Ok(())
+}
+
+/// Each look asks for more runs, so the time that is left is estimated anew.
+fn show_progress(bar: &ProgressBar, progress: Progress, shown_look: &mut usize) {
+    let (look, most_looks) = progress.look;
+    if look != *shown_look {
+        *shown_look = look;
+        bar.reset_eta();
+    }
+    bar.set_length(progress.wanted as u64);
+    bar.set_position(progress.done as u64);
+    bar.set_message(format!("look {look} of {most_looks} at most"));
+}
+
+fn write_report(
+    plan: &Plan,
+    build: &str,
+    store: &Store,
+    directory: &Path,
+    output: &mut impl Write,
+) -> Result<(), CommandError> {
+    let runs = report::runs_csv(store);
+    let comparisons = report::comparisons_csv(plan, build, store);
+    let page = report::page(plan, build, store);
+    write_atomically(&directory.join("runs.csv"), &runs)?;
+    write_atomically(&directory.join("comparisons.csv"), &comparisons)?;
+    write_atomically(&directory.join("report.html"), &page)?;
+    writeln!(
+        output,
+        "{}: runs.csv, comparisons.csv and report.html are written",
+        directory.display()
+    )?;
+    Ok(())
+}
--- /dev/null
+++ b/crates/supervisor/src/commands/lab/mod.rs
@@ -0,0 +1,27 @@
+//! `lab`: simulations, experiments and searches. `chutegrade-lab` runs them; these modules read and write their files and
+//! the terminal.
+
+mod experiment;
+mod play;
+mod progress;
+mod search;
+
+use std::io::Write;
+
+use super::arguments::{LabArguments, LabCommand};
+use super::CommandError;
+
+/// Runs one of the commands of the laboratory.
+///
+/// # Errors
+///
+/// If a file cannot be read or written, or what it holds is invalid.
+pub fn run(arguments: &LabArguments, output: &mut impl Write) -> Result<(), CommandError> {
+    match &arguments.command {
+        LabCommand::Play(arguments) => play::run(arguments, output),
+        LabCommand::Run(arguments) => experiment::run(arguments, output),
+        LabCommand::Compare(results) => experiment::compare(results, output),
+        LabCommand::Report(results) => experiment::report(results, output),
+        LabCommand::Hunt(arguments) => search::run(arguments, output),
+    }
+}
--- /dev/null
+++ b/crates/supervisor/src/commands/lab/play.rs
@@ -0,0 +1,179 @@
+//! `lab play`: one scenario, once.
+
+use std::fmt::Display;
+use std::io::Write;
+use std::path::Path;
+use std::sync::Arc;
+use std::time::Instant;
+
+use chutegrade_limits::pb;
+use chutegrade_model::{play, scenario, Control, Outcome, Scenario, Setup, IDEAL_LATE_MS};
+use chutegrade_records::text;
+use chutegrade_traffic::Traffic;
+
+use crate::commands::arguments::{ControlPlane, PlayArguments};
+use crate::commands::files::{read_plugins, read_text};
+use crate::commands::CommandError;
+
+const US_PER_SECOND: f64 = 1e6;
+/// Least time that a speed is taken over, in seconds.
+const MIN_SECONDS: f64 = 1e-9;
+
+/// Figures of the whole run, in the order in which they are written.
+const FIGURES: [&str; 16] = [
+    "service",
+    "whole",
+    "worst_window",
+    "worst_class",
+    "nines",
+    "refused",
+    "failed",
+    "tries",
+    "comings",
+    "wasted",
+    "channel",
+    "backlog",
+    "connections",
+    "queue",
+    "crossing",
+    "shut_out_s",
+];
+
+/// Plays the scenario and writes its outcome.
+///
+/// # Errors
+///
+/// If a file cannot be read, or the setup is invalid or does not fit the scenario.
+pub fn run(arguments: &PlayArguments, output: &mut impl Write) -> Result<(), CommandError> {
+    let path = &arguments.scenario;
+    let scenario = scenario::read(&read_text(path)?)
+        .map_err(|faults| CommandError::from_file_faults(path, &faults))?;
+    let setup = load_setup(arguments)?;
+    setup.check().map_err(setup_error)?;
+    setup.fits(&scenario).map_err(setup_error)?;
+    let start = Instant::now();
+    let outcome = play(&scenario, &setup, arguments.seed);
+    write_outcome(&scenario, &outcome, output)?;
+    let seconds = start.elapsed().as_secs_f64();
+    let speed = simulated_seconds(&scenario) / seconds.max(MIN_SECONDS);
+    writeln!(
+        output,
+        "{} events in {seconds:.2} s, {speed:.0} times real time",
+        outcome.events
+    )?;
+    Ok(())
+}
+
+fn setup_error(error: impl Display) -> CommandError {
+    CommandError::SimulationSetup(error.to_string())
+}
+
+fn load_setup(arguments: &PlayArguments) -> Result<Setup, CommandError> {
+    let limits = match &arguments.limits {
+        Some(path) => load_limits(path)?,
+        None => None,
+    };
+    let traffic = match &arguments.traffic {
+        Some(path) => Some(Arc::new(load_traffic(path)?)),
+        None => None,
+    };
+    Ok(Setup {
+        control: control(arguments.control),
+        plugins: read_plugins(&arguments.plugins)?,
+        other: None,
+        limits,
+        traffic,
+    })
+}
+
+fn control(control_plane: ControlPlane) -> Control {
+    match control_plane {
+        ControlPlane::Module => Control::Module,
+        ControlPlane::Fixed => Control::Fixed,
+        ControlPlane::Nobody => Control::Nobody,
+        ControlPlane::Ideal => Control::Ideal(IDEAL_LATE_MS),
+    }
+}
+
+fn load_limits(path: &Path) -> Result<Option<pb::Limits>, CommandError> {
+    let operator = chutegrade_operator_config::load(path)
+        .map_err(|errors| CommandError::from_faults(&errors))?;
+    let limits = operator.limits;
+    Ok(limits.map(|limits| limits.declaration().clone()))
+}
+
+fn load_traffic(path: &Path) -> Result<Traffic, CommandError> {
+    let traffic_error = |reason: &dyn Display| CommandError::Traffic {
+        path: path.to_path_buf(),
+        reason: reason.to_string(),
+    };
+    let file = std::fs::File::open(path).map_err(|error| traffic_error(&error))?;
+    chutegrade_traffic::read(file).map_err(|error| traffic_error(&error))
+}
+
+fn simulated_seconds(scenario: &Scenario) -> f64 {
+    scenario.length_us as f64 / US_PER_SECOND
+}
+
+fn write_outcome(
+    scenario: &Scenario,
+    outcome: &Outcome,
+    output: &mut impl Write,
+) -> std::io::Result<()> {
+    writeln!(
+        output,
+        "{}: {} servers, {} front ends, {} supervisors, {:.0} requests/s for {:.0} s (simulated)",
+        scenario.name,
+        scenario.servers(),
+        scenario.front_ends,
+        scenario.supervisors,
+        scenario.rate,
+        simulated_seconds(scenario)
+    )?;
+    for name in FIGURES {
+        writeln!(output, "  {name:13} {:.4}", outcome.figure(name))?;
+    }
+    write_classes(outcome, output)?;
+    write_level_transitions(outcome, output)?;
+    write_broken_rules(outcome, output)
+}
+
+fn write_classes(outcome: &Outcome, output: &mut impl Write) -> std::io::Result<()> {
+    for class in &outcome.classes {
+        let [p50, p90, p99, p99_9] = class.quantiles_ms;
+        writeln!(
+            output,
+            "  {}: {} came, service {:.4}, refused {:.4}, failed {:.4}, answered within {p50:.0} / {p90:.0} / {p99:.0} / {p99_9:.0} ms (50, 90, 99, 99.9 %)",
+            class.name, class.came, class.service, class.refused, class.failed
+        )?;
+    }
+    Ok(())
+}
+
+fn write_level_transitions(outcome: &Outcome, output: &mut impl Write) -> std::io::Result<()> {
+    for level_change in &outcome.changes {
+        let record = chutegrade_overload_control::transition_record(&level_change.change);
+        let line = text::line(&record);
+        let supervisor = level_change.supervisor + 1;
+        writeln!(
+            output,
+            "  {:6.1} s, supervisor {supervisor}: {line}",
+            level_change.at_s
+        )?;
+    }
+    Ok(())
+}
+
+fn write_broken_rules(outcome: &Outcome, output: &mut impl Write) -> std::io::Result<()> {
+    for broken in &outcome.broken {
+        writeln!(
+            output,
+            "  RULE BROKEN: {} {} times, first at {:.1} s: {}",
+            broken.rule.word(),
+            broken.times,
+            broken.at_s,
+            broken.how
+        )?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/supervisor/src/commands/levels/show.rs
@@ -0,0 +1,51 @@
+//! `levels show`: the service levels with their conditions.
+
+use std::io::Write;
+
+use chutegrade_limits::service_levels::ServiceLevel;
+use chutegrade_records::text::length;
+
+use super::source::load;
+use crate::commands::arguments::LevelsSource;
+use crate::commands::CommandError;
+
+/// Writes all levels, from the mildest on, and how missing signals are taken.
+///
+/// # Errors
+///
+/// If the levels cannot be read.
+pub fn run(source: &LevelsSource, output: &mut impl Write) -> Result<(), CommandError> {
+    let levels = load(source)?;
+    for (number, level) in (1..).zip(&levels.levels) {
+        write_level(number, level, output)?;
+    }
+    writeln!(
+        output,
+        "signals older than {} are missing; a level stands {} without; the list is doubted after {}",
+        length(levels.most_age),
+        length(levels.without_signals),
+        length(levels.doubt_list)
+    )?;
+    Ok(())
+}
+
+fn write_level(
+    number: usize,
+    level: &ServiceLevel,
+    output: &mut impl Write,
+) -> std::io::Result<()> {
+    let admitted: Vec<String> = level
+        .keep
+        .iter()
+        .map(|(class, share)| format!("{:.0} % of {class}", 100.0 * share))
+        .collect();
+    let (name, admitted) = (&level.name, admitted.join(", "));
+    writeln!(output, "{number} {name}: keeps {admitted}")?;
+    writeln!(output, "    entered when {}", level.enter)?;
+    let (leave, least_stay) = (&level.leave, length(level.least_stay));
+    writeln!(output, "    left when {leave}, after {least_stay} at least")?;
+    if !level.tell.is_empty() {
+        writeln!(output, "    told: {}", level.tell.join(", "))?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/supervisor/src/commands/plugin/dry_run.rs
@@ -0,0 +1,179 @@
+//! `plugin run`: what plug-ins would advise of a recorded fleet, one turn for each second. Nothing comes of the advice.
+
+use std::io::Write;
+
+use chutegrade_engine::{Micros, PluginAdvice};
+use chutegrade_plugin_advisor::{advice_by_name, inputs_from_records};
+use chutegrade_plugins::host::{Host, Refused, Turn, Word};
+use chutegrade_plugins::Inputs;
+use chutegrade_records::index::Query;
+use chutegrade_records::replay::{Picture, LOOK_BACK_US};
+use chutegrade_records::text::{self, printable};
+use chutegrade_records::timeline::Timeline;
+
+use crate::commands::arguments::DryRunArguments;
+use crate::commands::files::read_plugins;
+use crate::commands::time_window::resolve_time;
+use crate::commands::CommandError;
+
+/// Time between two turns, in microseconds.
+const TURN_US: i64 = 1_000_000;
+
+/// Runs the plug-ins over all turns.
+///
+/// # Errors
+///
+/// If a plug-in or records cannot be read, the time cannot be parsed, or the server to trace is not known.
+pub fn run(arguments: &DryRunArguments, output: &mut impl Write) -> Result<(), CommandError> {
+    let mut host = load_host(arguments)?;
+    let timeline = Timeline::open(std::slice::from_ref(&arguments.records))?;
+    let start_us = resolve_time(&timeline, arguments.at.as_deref())?;
+    for turn in 0..i64::from(arguments.turns) {
+        let now_us = start_us.saturating_add(turn * TURN_US);
+        let fleet = fleet_at(&timeline, now_us);
+        let inputs = inputs_from_records(&fleet, &zones(&fleet));
+        check_traced_server(arguments.trace.as_deref(), &fleet, now_us)?;
+        let result = host.turn(&inputs);
+        write_turn(now_us, &inputs, &result, output)?;
+    }
+    Ok(())
+}
+
+fn load_host(arguments: &DryRunArguments) -> Result<Host, CommandError> {
+    let mut host = Host::default();
+    if let Some(server) = &arguments.trace {
+        host.watch(server);
+    }
+    host.load(&read_plugins(&arguments.files)?)
+        .map_err(|refused| load_error(&refused))?;
+    Ok(host)
+}
+
+fn load_error(refused: &[Refused]) -> CommandError {
+    let Some(plugin) = refused.first() else {
+        return CommandError::PluginsNotLoaded;
+    };
+    let diagnostic = plugin.faults.first().map(ToString::to_string);
+    CommandError::PluginRejected {
+        file: plugin.name.clone(),
+        diagnostic: diagnostic.unwrap_or_default(),
+    }
+}
+
+fn fleet_at(timeline: &Timeline, now_us: i64) -> Picture {
+    let query = Query::between(now_us.saturating_sub(LOOK_BACK_US), now_us);
+    let (events, _) = timeline.read(&query);
+    let mut fleet = Picture::default();
+    for event in &events {
+        fleet.apply(&event.record);
+    }
+    fleet
+}
+
+/// The zones of all servers, sorted, each once.
+fn zones(fleet: &Picture) -> Vec<String> {
+    let servers = fleet.servers.values();
+    let mut zones: Vec<String> = servers.map(|server| server.zone.clone()).collect();
+    zones.sort();
+    zones.dedup();
+    zones
+}
+
+fn check_traced_server(
+    traced: Option<&str>,
+    fleet: &Picture,
+    now_us: i64,
+) -> Result<(), CommandError> {
+    match traced {
+        Some(server) if !fleet.servers.contains_key(server) => {
+            Err(CommandError::TracedServerUnknown {
+                server: server.to_string(),
+                at: text::time(now_us),
+            })
+        }
+        _ => Ok(()),
+    }
+}
+
+fn write_turn(
+    now_us: i64,
+    inputs: &Inputs,
+    result: &Turn,
+    output: &mut impl Write,
+) -> std::io::Result<()> {
+    let server_count = inputs.servers.len();
+    writeln!(output, "{} {server_count} servers", text::time(now_us))?;
+    write_advice(
+        &advice_by_name(&result.advice, inputs, Micros(now_us)),
+        output,
+    )?;
+    write_exclusions(inputs, result, output)?;
+    write_traces(result, output)?;
+    write_messages(result, output)
+}
+
+fn write_advice(advice: &PluginAdvice, output: &mut impl Write) -> std::io::Result<()> {
+    for advised in &advice.factors {
+        let server = printable(&advised.server);
+        let percent = 100.0 * advised.factor;
+        let class = advised.class.as_deref().unwrap_or("all classes");
+        let zone = &advised.zone;
+        writeln!(
+            output,
+            "  {server} keeps {percent:.0} % for {class} from {zone}"
+        )?;
+    }
+    for cap in &advice.caps {
+        let percent = 100.0 * cap.share;
+        writeln!(output, "  {} is capped at {percent:.0} %", cap.class)?;
+    }
+    for class in &advice.no_retry {
+        writeln!(output, "  {class} is not tried again")?;
+    }
+    Ok(())
+}
+
+fn write_exclusions(
+    inputs: &Inputs,
+    result: &Turn,
+    output: &mut impl Write,
+) -> std::io::Result<()> {
+    for (position, (reason, seconds)) in &result.advice.excluded {
+        let server = inputs.servers.get(*position as usize);
+        let name = server.map_or("", |server| &*server.name);
+        let (name, reason) = (printable(name), printable(reason));
+        writeln!(output, "  {name} is left out for {seconds} s: {reason}")?;
+    }
+    Ok(())
+}
+
+fn write_traces(result: &Turn, output: &mut impl Write) -> std::io::Result<()> {
+    for (plugin, lines) in &result.traces {
+        for line in lines {
+            writeln!(output, "  {plugin} | {}", printable(line))?;
+        }
+    }
+    for (plugin, operations) in &result.spent {
+        writeln!(output, "  {plugin} took {operations} operations")?;
+    }
+    Ok(())
+}
+
+fn write_messages(result: &Turn, output: &mut impl Write) -> std::io::Result<()> {
+    for (plugin, message) in &result.words {
+        let text = printable(&message_text(message));
+        writeln!(output, "  {plugin} {text}")?;
+    }
+    Ok(())
+}
+
+fn message_text(message: &Word) -> String {
+    match message {
+        Word::Advises(text, line) => format!("says from now on, by line {line}: {text}"),
+        Word::Ends(text) => format!("says no more: {text}"),
+        Word::Noted(text) => format!("notes: {text}"),
+        Word::Faulted(stopped) => format!("faulted: {stopped}"),
+        Word::Paused(turns) => format!("is left alone for {turns} turns"),
+        Word::Differs(text) => format!("differs: {text}"),
+    }
+}
--- /dev/null
+++ b/crates/supervisor/src/commands/plugin/explain.rs
@@ -0,0 +1,168 @@
+//! `plugin explain`: why a server has its weight, as each supervisor recorded it.
+
+use std::collections::BTreeSet;
+use std::io::Write;
+
+use chutegrade_records::index::Query;
+use chutegrade_records::replay::{Picture, Server};
+use chutegrade_records::text::printable;
+use chutegrade_records::timeline::{Event, Timeline};
+use chutegrade_records::{kind, pb, text, Kind};
+
+use crate::commands::arguments::ExplainServerArguments;
+use crate::commands::time_window::resolve_time;
+use crate::commands::CommandError;
+
+/// How far back records are read for advice that still holds, in microseconds: a day.
+const LOOK_BACK_US: i64 = 86_400_000_000;
+
+/// Explains the server as each supervisor recorded it.
+///
+/// # Errors
+///
+/// If records cannot be read, the time cannot be parsed, or no supervisor has a record of the server.
+pub fn run(
+    arguments: &ExplainServerArguments,
+    output: &mut impl Write,
+) -> Result<(), CommandError> {
+    let timeline = Timeline::open(&arguments.directories)?;
+    let at_us = resolve_time(&timeline, arguments.at.as_deref())?;
+    let (events, _) = timeline.read(&Query::between(at_us.saturating_sub(LOOK_BACK_US), at_us));
+    let mut is_known = false;
+    for supervisor in &timeline.supervisors {
+        let own_events: Vec<&Event> = events
+            .iter()
+            .filter(|event| event.supervisor == supervisor.name)
+            .collect();
+        let fleet = replay(&own_events);
+        let Some(status) = fleet.servers.get(&arguments.server) else {
+            continue;
+        };
+        is_known = true;
+        write_status(&supervisor.name, &arguments.server, status, output)?;
+        write_causes(&own_events, &arguments.server, output)?;
+    }
+    if !is_known {
+        return Err(CommandError::ServerNotRecorded {
+            server: arguments.server.clone(),
+            at: text::time(at_us),
+        });
+    }
+    Ok(())
+}
+
+fn replay(events: &[&Event]) -> Picture {
+    let mut fleet = Picture::default();
+    for event in events {
+        fleet.apply(&event.record);
+    }
+    fleet
+}
+
+fn write_status(
+    supervisor: &str,
+    name: &str,
+    status: &Server,
+    output: &mut impl Write,
+) -> std::io::Result<()> {
+    let suspended = if status.shut {
+        ", shut out of all tables"
+    } else {
+        ""
+    };
+    writeln!(
+        output,
+        "{}: {} is {}, {}: score {:.2}, errors {:.2}, latency {:.2}, weight {:.2}, warmth {:.0} %{suspended}",
+        printable(supervisor),
+        printable(name),
+        text::life(status.life),
+        text::state(status.state),
+        status.score,
+        status.errors,
+        status.latency,
+        status.weight,
+        100.0 * status.warmth,
+    )
+}
+
+/// The last event about the server, what plug-ins advise of it, and the tables on which advice is void.
+fn write_causes(events: &[&Event], server: &str, output: &mut impl Write) -> std::io::Result<()> {
+    if let Some(event) = last_event_about(events, server) {
+        let at = text::time(event.at_us);
+        let line = printable(&event.line());
+        writeln!(output, "  last: {at} {line}")?;
+    }
+    for advice in advice_in_force(events, server) {
+        let plugin = printable(advice.plugin);
+        let text = printable(advice.text);
+        writeln!(output, "  plug-in {plugin}: {text}")?;
+    }
+    for table in tables_with_void_advice(events) {
+        writeln!(
+            output,
+            "  advice on table {table} is void: it would leave too little"
+        )?;
+    }
+    Ok(())
+}
+
+fn last_event_about<'a>(events: &[&'a Event], server: &str) -> Option<&'a Event> {
+    let concerns =
+        |event: &Event| event.record.kind.as_ref().and_then(kind::server) == Some(server);
+    events.iter().rev().copied().find(|event| concerns(event))
+}
+
+/// One piece of advice, as a plug-in gave it.
+struct GivenAdvice<'a> {
+    plugin: &'a str,
+    text: &'a str,
+}
+
+/// What plug-ins advise of a server and have not ended. A restart and a reload of a plug-in end its advice.
+fn advice_in_force<'a>(events: &[&'a Event], server: &str) -> Vec<GivenAdvice<'a>> {
+    let server_prefix = format!("{server} ");
+    let mut advice: Vec<GivenAdvice> = Vec::new();
+    for event in events {
+        match &event.record.kind {
+            Some(Kind::Started(_)) => advice.clear(),
+            Some(Kind::PluginLoaded(loaded)) => {
+                advice.retain(|given| given.plugin != loaded.name);
+            }
+            Some(Kind::PluginSaid(message)) if message.text.starts_with(&server_prefix) => {
+                apply_message(&mut advice, message);
+            }
+            _ => {}
+        }
+    }
+    advice
+}
+
+/// The text that ends advice is a prefix of the text that gave it, which has the line of the rule at its end.
+fn apply_message<'a>(advice: &mut Vec<GivenAdvice<'a>>, message: &'a pb::PluginSaid) {
+    match message.what.as_str() {
+        "advises" => advice.push(GivenAdvice {
+            plugin: &message.name,
+            text: &message.text,
+        }),
+        "ends" => advice
+            .retain(|given| given.plugin != message.name || !given.text.starts_with(&message.text)),
+        _ => {}
+    }
+}
+
+fn tables_with_void_advice(events: &[&Event]) -> BTreeSet<u32> {
+    let mut tables = BTreeSet::new();
+    for event in events {
+        match &event.record.kind {
+            Some(Kind::Started(_)) => tables.clear(),
+            Some(Kind::AdviceVoid(change)) if change.void => {
+                tables.insert(change.table);
+            }
+            Some(Kind::AdviceVoid(change)) => {
+                tables.remove(&change.table);
+            }
+            _ => {}
+        }
+    }
+    tables
+}
--- /dev/null
+++ b/crates/supervisor/src/commands/plugin/mod.rs
@@ -0,0 +1,27 @@
+//! `plugin`: checks, tests, formats, explains and tries rules in the hook language.
+
+mod check;
+mod dry_run;
+mod explain;
+mod format;
+mod test;
+
+use std::io::Write;
+
+use super::arguments::{PluginArguments, PluginCommand};
+use super::CommandError;
+
+/// Runs one of the commands on plug-ins.
+///
+/// # Errors
+///
+/// If a text or records cannot be read, or a text has faults, fails its test cases or differs from its canonical format.
+pub fn run(arguments: &PluginArguments, output: &mut impl Write) -> Result<(), CommandError> {
+    match &arguments.command {
+        PluginCommand::Check { files } => check::run(files, output),
+        PluginCommand::Test { files } => test::run(files, output),
+        PluginCommand::Format { files, check } => format::run(files, *check, output),
+        PluginCommand::Explain(arguments) => explain::run(arguments, output),
+        PluginCommand::Run(arguments) => dry_run::run(arguments, output),
+    }
+}
--- /dev/null
+++ b/crates/supervisor/src/commands/records/csv_rows.rs
@@ -0,0 +1,59 @@
+//! Events and gaps as comma-separated values.
+
+use std::io::Write;
+
+use chutegrade_records::timeline::{Event, Gap};
+use chutegrade_records::{kind, text};
+
+/// The columns, in their order.
+const HEADER: [&str; 8] = [
+    "at",
+    "learned",
+    "supervisor",
+    "start",
+    "seq",
+    "kind",
+    "server",
+    "text",
+];
+
+/// Writes the names of the columns.
+pub fn write_header(output: &mut impl Write) -> std::io::Result<()> {
+    writeln!(output, "{}", HEADER.join(","))
+}
+
+/// Writes an event.
+pub fn write_event(event: &Event, output: &mut impl Write) -> std::io::Result<()> {
+    let server = event.record.kind.as_ref().and_then(kind::server);
+    let cells = [
+        text::time(event.at_us),
+        text::time(event.learned_us()),
+        event.supervisor.to_string(),
+        event.incarnation.to_string(),
+        event.record.seq.to_string(),
+        kind::name(event.number).to_string(),
+        server.unwrap_or_default().to_string(),
+        event.line(),
+    ];
+    write_row(&cells, output)
+}
+
+/// Writes a gap: its begin and end stand where an event has its time and when that was learned.
+pub fn write_gap(gap: &Gap, output: &mut impl Write) -> std::io::Result<()> {
+    let cells = [
+        text::time(gap.from_us),
+        text::time(gap.to_us),
+        gap.supervisor.to_string(),
+        String::new(),
+        String::new(),
+        "gap".to_string(),
+        String::new(),
+        gap.line(),
+    ];
+    write_row(&cells, output)
+}
+
+fn write_row(cells: &[String; HEADER.len()], output: &mut impl Write) -> std::io::Result<()> {
+    let escaped: Vec<String> = cells.iter().map(|cell| text::cell(cell)).collect();
+    writeln!(output, "{}", escaped.join(","))
+}
--- a/crates/supervisor/src/main.rs
+++ b/crates/supervisor/src/main.rs
@@ -9,41 +9,14 @@
 #[cfg(test)]
 mod tests;
 
-use std::io::ErrorKind;
+use std::io::stdout;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::Parser;
 
 use crate::commands::arguments::{Cli, Command};
-use crate::commands::{lab, levels, tools};
-
-/// Why a command did not do what it should.
-#[derive(Debug, thiserror::Error)]
-pub enum Fault {
-    /// One sentence on what is wrong.
-    #[error("{0}")]
-    Said(String),
-    /// Nobody reads the output any more, which is no fault.
-    #[error("the reader has gone")]
-    Gone,
-}
-
-impl From<std::io::Error> for Fault {
-    fn from(fault: std::io::Error) -> Self {
-        if fault.kind() == ErrorKind::BrokenPipe {
-            Fault::Gone
-        } else {
-            Fault::Said(format!("the output cannot be written: {fault}"))
-        }
-    }
-}
-
-impl From<String> for Fault {
-    fn from(said: String) -> Self {
-        Fault::Said(said)
-    }
-}
+use crate::commands::{check, console, lab, levels, plugin, records, report, CommandError};
 
 fn main() -> ExitCode {
     // Alone it serves, without the pages of memory that reading a command line touches.
@@ -52,20 +25,20 @@
         return server::main(operator.map(PathBuf::from).as_deref());
     }
     let cli = Cli::parse();
-    let done = match cli.command.unwrap_or(Command::Serve(cli.serve)) {
-        Command::Serve(serve) => return server::main(serve.operator.as_deref()),
-        Command::Check(check) => tools::check(&check, &mut std::io::stdout().lock()),
-        Command::Records(records) => tools::records(&records, &mut std::io::stdout().lock()),
-        Command::Plugin(plugin) => tools::plugin(&plugin, &mut std::io::stdout().lock()),
-        Command::Console(console) => tools::console(&console),
-        Command::Report(report) => tools::report(&report, &mut std::io::stdout().lock()),
-        Command::Levels(of) => levels::levels(&of, &mut std::io::stdout().lock()),
-        Command::Lab(of) => lab::lab(&of, &mut std::io::stdout().lock()),
+    let outcome = match cli.command.unwrap_or(Command::Serve(cli.serve)) {
+        Command::Serve(arguments) => return server::main(arguments.operator.as_deref()),
+        Command::Check(arguments) => check::run(&arguments, &mut stdout().lock()),
+        Command::Records(arguments) => records::run(&arguments, &mut stdout().lock()),
+        Command::Plugin(arguments) => plugin::run(&arguments, &mut stdout().lock()),
+        Command::Console(arguments) => console::run(&arguments),
+        Command::Report(arguments) => report::run(&arguments, &mut stdout().lock()),
+        Command::Levels(arguments) => levels::run(&arguments, &mut stdout().lock()),
+        Command::Lab(arguments) => lab::run(&arguments, &mut stdout().lock()),
     };
-    match done {
-        Ok(()) | Err(Fault::Gone) => ExitCode::SUCCESS,
-        Err(Fault::Said(said)) => {
-            eprintln!("chutegrade: {said}");
+    match outcome {
+        Ok(()) | Err(CommandError::OutputClosed) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("chutegrade: {error}");
             ExitCode::FAILURE
         }
     }
