--- /dev/null
+++ b/crates/adapter/src/codec/decode_action.rs
@@ -0,0 +1,78 @@
+//! Lines to actions, as a policy in another process writes them.
+
+use chutegrade_policy::{Action, ClassSet, Micros, Retry};
+
+use super::error::CodecError;
+use super::fields::Fields;
+use super::vocabulary::ALL_PROXIES_TABLE;
+
+/// Characters of an unknown tag that its error shows.
+const MAX_SHOWN_TAG: usize = 80;
+
+/// The action of a line; `None` if the line does not concern the fleet model.
+pub(crate) fn decode_action(line: &str) -> Result<Option<Action>, CodecError> {
+    let fields = Fields::new(line);
+    let action = match fields.tag() {
+        "endpoint" => Action::SetWeight {
+            table: fields.table()?,
+            server: fields.server()?,
+            weight: fields.amount("weight")?,
+        },
+        "wipe" => Action::ClearTable(fields.table()?),
+        "point" => Action::AssignTable {
+            proxy: fields.proxy()?,
+            table: fields.table()?,
+            classes: classes(&fields)?,
+        },
+        "suspend" => Action::SetSuspended {
+            server: fields.server()?,
+            suspended: fields.flag("active")?,
+        },
+        "allow" => set_admission(&fields)?,
+        "ask_receipt" => Action::RequestAcknowledgement {
+            sequence: fields.parse("gen")?,
+            all_proxies: fields.flag("active")?,
+        },
+        "ping" => Action::HealthCheck(fields.server()?),
+        "subscribe" => Action::SubscribeEndpoints(fields.flag("active")?),
+        "list_all" => Action::FetchEndpoints,
+        "arm" => set_timer(&fields)?,
+        "source" | "write_log" | "notify" => return Ok(None),
+        unknown => {
+            let shown = unknown.chars().take(MAX_SHOWN_TAG).collect();
+            return Err(CodecError::MissingField(shown, "action of that name"));
+        }
+    };
+    Ok(Some(action))
+}
+
+fn classes(fields: &Fields) -> Result<ClassSet, CodecError> {
+    fields.parse("classBits").map(ClassSet)
+}
+
+fn set_admission(fields: &Fields) -> Result<Action, CodecError> {
+    let table = fields.table()?;
+    Ok(Action::SetAdmission {
+        table: (table.0 != ALL_PROXIES_TABLE).then_some(table),
+        classes: classes(fields)?,
+        level: fields.amount("allowance")?,
+        retry: retry(fields.parse("secondTry")?),
+    })
+}
+
+fn retry(number: u8) -> Retry {
+    match number {
+        1 => Retry::IfNotExecuted,
+        2 => Retry::Once,
+        3 => Retry::Twice,
+        _ => Retry::Never,
+    }
+}
+
+fn set_timer(fields: &Fields) -> Result<Action, CodecError> {
+    let delay_us = (fields.amount("fromNowMs")? * 1000.0).round();
+    Ok(Action::SetTimer {
+        id: fields.parse("handle")?,
+        delay: Micros(delay_us as i64),
+    })
+}
--- /dev/null
+++ b/crates/adapter/src/codec/fields.rs
@@ -0,0 +1,134 @@
+//! The fields of a line, by key.
+
+use std::str::FromStr;
+
+use chutegrade_policy::{LoadReport, Micros, ProxyId, ServerId, TableId, ZoneId};
+
+use super::error::CodecError;
+use super::vocabulary::{value_of, Word};
+
+/// Characters of an invalid value that its error shows.
+const MAX_SHOWN_VALUE: usize = 40;
+
+/// The tag and the fields of a line.
+pub(super) struct Fields<'a> {
+    line: &'a str,
+    tag: &'a str,
+}
+
+impl<'a> Fields<'a> {
+    /// Those of a line.
+    pub fn new(line: &'a str) -> Self {
+        let tag = line.split('\t').next().unwrap_or("");
+        Fields { line, tag }
+    }
+
+    /// The tag.
+    pub fn tag(&self) -> &'a str {
+        self.tag
+    }
+
+    /// Whether the line has a field.
+    pub fn has(&self, key: &str) -> bool {
+        self.find(key).is_some()
+    }
+
+    fn find(&self, key: &str) -> Option<&'a str> {
+        let mut fields = self.line.split('\t').skip(1);
+        fields.find_map(|field| field.strip_prefix(key)?.strip_prefix('='))
+    }
+
+    /// The text of a field.
+    pub fn text(&self, key: &'static str) -> Result<&'a str, CodecError> {
+        self.find(key).ok_or_else(|| self.missing(key))
+    }
+
+    /// The error of an absent field.
+    pub fn missing(&self, key: &'static str) -> CodecError {
+        CodecError::MissingField(self.tag.to_string(), key)
+    }
+
+    /// The error of an invalid value.
+    pub fn invalid(&self, key: &'static str, value: &str) -> CodecError {
+        let shown = value.chars().take(MAX_SHOWN_VALUE).collect();
+        CodecError::InvalidField(self.tag.to_string(), key, shown)
+    }
+
+    /// The value of a field.
+    pub fn parse<T: FromStr>(&self, key: &'static str) -> Result<T, CodecError> {
+        let text = self.text(key)?;
+        text.parse().map_err(|_| self.invalid(key, text))
+    }
+
+    /// A finite number.
+    pub fn number(&self, key: &'static str) -> Result<f64, CodecError> {
+        let value: f64 = self.parse(key)?;
+        if value.is_finite() {
+            Ok(value)
+        } else {
+            Err(self.invalid(key, &value.to_string()))
+        }
+    }
+
+    /// A finite number of at least 0.
+    pub fn amount(&self, key: &'static str) -> Result<f64, CodecError> {
+        let value = self.number(key)?;
+        if value >= 0.0 {
+            Ok(value)
+        } else {
+            Err(self.invalid(key, &value.to_string()))
+        }
+    }
+
+    /// A finite number of at least 0, or a default if the field is absent.
+    pub fn amount_or(&self, key: &'static str, default: f64) -> Result<f64, CodecError> {
+        if self.has(key) {
+            self.amount(key)
+        } else {
+            Ok(default)
+        }
+    }
+
+    /// A time in milliseconds.
+    pub fn milliseconds(&self, key: &'static str) -> Result<Micros, CodecError> {
+        self.number(key).map(Micros::from_ms)
+    }
+
+    /// A truth value: 0 or another number.
+    pub fn flag(&self, key: &'static str) -> Result<bool, CodecError> {
+        let value: u8 = self.parse(key)?;
+        Ok(value != 0)
+    }
+
+    /// The value of a word.
+    pub fn word<T: Copy>(&self, key: &'static str, words: &[Word<T>]) -> Result<T, CodecError> {
+        let text = self.text(key)?;
+        value_of(words, text).ok_or_else(|| self.invalid(key, text))
+    }
+
+    /// The load report; empty if there is none.
+    pub fn load_report(&self) -> LoadReport {
+        let text = self.find("healthInfo").unwrap_or("");
+        chutegrade_settings::parse_load_report(text)
+    }
+
+    /// The server.
+    pub fn server(&self) -> Result<ServerId, CodecError> {
+        self.parse("server").map(ServerId)
+    }
+
+    /// The proxy.
+    pub fn proxy(&self) -> Result<ProxyId, CodecError> {
+        self.parse("clientLb").map(ProxyId)
+    }
+
+    /// The zone.
+    pub fn zone(&self) -> Result<ZoneId, CodecError> {
+        self.parse("locality").map(ZoneId)
+    }
+
+    /// The table.
+    pub fn table(&self) -> Result<TableId, CodecError> {
+        self.parse("mapId").map(TableId)
+    }
+}
--- a/crates/adapter/src/other/tests.rs
+++ b/crates/adapter/src/codec/tests.rs
@@ -1,6 +1,11 @@
+use chutegrade_policy::{
+    Action, ClassId, ClassSet, Event, HealthCheckOutcome, LoadReport, Micros, ProxyId, Retry,
+    ServerId, TableId, ZoneId,
+};
+
 use super::*;
 
-/// Danger: what goes over the wire is not what was decided.
+/// Otherwise a comparison of builds would judge the wire, not the decisions.
 #[test]
 fn actions_that_are_written_read_the_same() {
     let all = [
@@ -42,10 +47,11 @@
         },
     ];
     for of in all {
-        let line = crate::codec::write(&of).expect("a line");
-        assert_eq!(action(&line).expect("an action"), Some(of));
+        let line = encode_action(&of).expect("a line");
+        assert_eq!(decode_action(&line).expect("an action"), Some(of));
     }
-    assert!(action("endpoint\tmapId=1").is_err() && action("internal_error\twhat=x").is_err());
+    assert!(decode_action("endpoint\tmapId=1").is_err());
+    assert!(decode_action("internal_error\twhat=x").is_err());
 }
 
 #[test]
@@ -87,10 +93,7 @@
         Event::Timer(6),
     ];
     for of in all {
-        let line = lines(&of, 1);
-        assert_eq!(
-            crate::codec::parse(line.trim_end()),
-            Ok(crate::codec::Message::Event(of))
-        );
+        let line = encode_event(&of, 1);
+        assert_eq!(decode_message(line.trim_end()), Ok(Message::Event(of)));
     }
 }
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,23 +1,30 @@
-//! Keeps the instances and hands each batch to them. Instances in one process share nothing.
+//! Runs the instances and hands each batch to them. Instances in one process share nothing.
 
 use std::collections::BTreeMap;
+use std::fmt::Write as _;
 
-use chutegrade_policy::Policy;
-use chutegrade_policy::{Action, Endpoint, EndpointUpdateKind, Event, Micros};
+use chutegrade_limits::pb;
+use chutegrade_policy::{Action, Endpoint, EndpointUpdateKind, Event, Micros, Policy, Settings};
 
-use crate::codec::{self, Fault, Message};
-use crate::limits::Service;
+use crate::codec::{decode_message, encode_action, CodecError, Message};
+use crate::overload::OverloadController;
 
+/// Begin of a line with an entry of an endpoint list.
+const ENDPOINT_LINE_PREFIX: &str = "row\t";
+
+/// One instance of the decision module.
 struct Instance {
     policy: Policy,
-    service: Option<Service>,
+    overload: Option<OverloadController>,
+    /// Events of the batch.
     events: Vec<Event>,
 }
 
+/// An endpoint list whose entries are being received.
 struct OpenList {
     instance: u32,
     kind: EndpointUpdateKind,
-    missing: usize,
+    missing_entries: usize,
     entries: Vec<Endpoint>,
 }
 
@@ -26,137 +33,188 @@
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
     now: Micros,
-    frame: u64,
-    at: Option<u32>,
-    list: Option<OpenList>,
-    limits: Option<chutegrade_limits::pb::Limits>,
+    batch_number: u64,
+    selected: Option<u32>,
+    open_list: Option<OpenList>,
+    limits: Option<pb::Limits>,
 }
 
 impl Host {
-    /// One whose instances limit service as the operators wrote.
-    pub fn limited(limits: Option<chutegrade_limits::pb::Limits>) -> Self {
+    /// A host whose instances limit service by the operators' declaration, if there is one.
+    pub fn with_limits(limits: Option<pb::Limits>) -> Self {
         Host {
             limits,
             ..Host::default()
         }
     }
 
-    /// Takes one line in; the last line of a batch gives the whole reply.
-    pub fn line(&mut self, line: &str) -> Result<Option<String>, Fault> {
+    /// Takes in one line. The last line of a batch returns the complete reply.
+    ///
+    /// # Errors
+    ///
+    /// The line is malformed. The batch continues without it.
+    pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, CodecError> {
         if line.is_empty() {
             return Ok(None);
         }
-        let message = codec::parse(line);
-        if let Ok(Message::Row(entry)) = message {
-            if let Some(list) = self.list.as_mut().filter(|list| list.missing > 0) {
-                list.entries.push(entry);
-                list.missing -= 1;
-            }
-            return Ok(None);
-        }
-        if message.is_err() && line.starts_with("row\t") {
-            // The row stays missing: a complete list without it must not read as the server's removal.
+        let message = decode_message(line);
+        if message.is_err() && line.starts_with(ENDPOINT_LINE_PREFIX) {
+            // The entry remains missing: a complete list without it must not read as the server's removal.
             return message.map(|_| None);
         }
+        if let Ok(Message::EndpointListEntry(endpoint)) = message {
+            self.add_list_entry(endpoint);
+            return Ok(None);
+        }
         self.close_list();
-        match message? {
-            Message::Frame(now, frame) => {
-                (self.now, self.frame, self.at) = (now, frame, None);
-                self.instances
-                    .values_mut()
-                    .for_each(|instance| instance.events.clear());
-            }
-            Message::Turn => return Ok(Some(self.reply())),
-            Message::At(instance) => self.at = Some(instance),
-            Message::Begin(seed, settings) => {
-                if let Some(at) = self.at {
-                    let service = self.limits.as_ref().and_then(|limits| {
-                        let faults = |all: Vec<_>| {
-                            all.iter()
-                                .for_each(|fault| eprintln!("chutegrade-adapter: {fault}"))
-                        };
-                        Service::new(limits, &settings).map_err(faults).ok()
-                    });
-                    let policy = Policy::new(*settings, seed);
-                    self.instances.insert(
-                        at,
-                        Instance {
-                            policy,
-                            service,
-                            events: Vec::new(),
-                        },
-                    );
-                }
-            }
-            Message::Teardown => {
-                self.at.and_then(|at| self.instances.remove(&at));
-            }
-            Message::List(kind, rows) => {
-                self.list = self.at.map(|instance| OpenList {
-                    instance,
-                    kind,
-                    missing: rows,
-                    entries: Vec::new(),
-                });
-                if rows == 0 {
-                    self.close_list();
-                }
-            }
-            Message::Event(event) => self.push(self.at, event),
-            Message::Row(_) | Message::Unknown => {}
+        Ok(self.handle_message(message?))
+    }
+
+    fn handle_message(&mut self, message: Message) -> Option<String> {
+        match message {
+            Message::BatchStart { now, number } => self.start_batch(now, number),
+            Message::BatchEnd => return Some(self.reply()),
+            Message::SelectInstance(instance) => self.selected = Some(instance),
+            Message::StartInstance { seed, settings } => self.start_instance(seed, *settings),
+            Message::StopInstance => self.stop_instance(),
+            Message::EndpointListStart { kind, entries } => self.open_list(kind, entries),
+            Message::Event(event) => self.push_event(self.selected, event),
+            Message::EndpointListEntry(_) | Message::Unknown => {}
+        }
+        None
+    }
+
+    fn start_batch(&mut self, now: Micros, number: u64) {
+        self.now = now;
+        self.batch_number = number;
+        self.selected = None;
+        for instance in self.instances.values_mut() {
+            instance.events.clear();
         }
-        Ok(None)
     }
 
-    fn push(&mut self, at: Option<u32>, event: Event) {
-        if let Some(instance) = at.and_then(|at| self.instances.get_mut(&at)) {
+    fn start_instance(&mut self, seed: u64, settings: Settings) {
+        let Some(selected) = self.selected else {
+            return;
+        };
+        let overload = self
+            .limits
+            .as_ref()
+            .and_then(|limits| overload_controller(limits, &settings));
+        let instance = Instance {
+            policy: Policy::new(settings, seed),
+            overload,
+            events: Vec::new(),
+        };
+        self.instances.insert(selected, instance);
+    }
+
+    fn stop_instance(&mut self) {
+        if let Some(selected) = self.selected {
+            self.instances.remove(&selected);
+        }
+    }
+
+    fn push_event(&mut self, instance: Option<u32>, event: Event) {
+        let instance = instance.and_then(|id| self.instances.get_mut(&id));
+        if let Some(instance) = instance {
             instance.events.push(event);
         }
     }
 
-    /// Ends a list: one that lost rows on the way is no longer complete, only news of the rows that
-    /// arrived.
-    fn close_list(&mut self) {
-        if let Some(list) = self.list.take() {
-            let kind = if list.missing > 0 {
-                EndpointUpdateKind::Delta
-            } else {
-                list.kind
-            };
-            self.push(Some(list.instance), Event::EndpointList(kind, list.entries));
+    fn open_list(&mut self, kind: EndpointUpdateKind, entries: usize) {
+        self.open_list = self.selected.map(|instance| OpenList {
+            instance,
+            kind,
+            missing_entries: entries,
+            entries: Vec::new(),
+        });
+        if entries == 0 {
+            self.close_list();
         }
     }
 
+    fn add_list_entry(&mut self, endpoint: Endpoint) {
+        let Some(list) = &mut self.open_list else {
+            return;
+        };
+        if list.missing_entries > 0 {
+            list.entries.push(endpoint);
+            list.missing_entries -= 1;
+        }
+    }
+
+    /// Ends an endpoint list. One that lost entries on the way is no longer complete, only a delta of those that arrived.
+    fn close_list(&mut self) {
+        let Some(list) = self.open_list.take() else {
+            return;
+        };
+        let kind = if list.missing_entries > 0 {
+            EndpointUpdateKind::Delta
+        } else {
+            list.kind
+        };
+        let event = Event::EndpointList(kind, list.entries);
+        self.push_event(Some(list.instance), event);
+    }
+
+    /// Hands the batch to all instances that have events; returns the reply.
     fn reply(&mut self) -> String {
         let mut reply = String::new();
         for (id, instance) in &mut self.instances {
             if instance.events.is_empty() {
                 continue;
             }
-            let said = instance
-                .service
-                .as_mut()
-                .and_then(|service| service.turn(self.now, &instance.events, &instance.policy));
-            instance.events.extend(said);
-            let actions = instance.policy.handle_events(self.now, &instance.events);
-            instance.events.clear();
+            let actions = instance.handle_batch(self.now);
             if !actions.is_empty() {
-                reply.push_str(&format!("source\tsupervisor={id}\n"));
+                let _ = writeln!(reply, "source\tsupervisor={id}");
             }
-            // The wire keeps every server known, and its proxies bring no withdrawals: nothing is said of either.
-            let unsaid =
-                |action: &Action| matches!(action, Action::ForgetServer(_) | Action::Reconcile(_));
-            for action in actions.into_iter().filter(|action| !unsaid(action)) {
-                match codec::write(&action) {
-                    Ok(line) => {
-                        reply.push_str(&line);
-                        reply.push('\n');
-                    }
-                    Err(fault) => eprintln!("chutegrade-adapter: {fault}"),
-                }
+            for action in actions.iter().filter(|action| has_line(action)) {
+                write_action(action, &mut reply);
             }
         }
-        reply.push_str(&format!("end\tframe={}\n", self.frame));
+        let _ = writeln!(reply, "end\tframe={}", self.batch_number);
         reply
     }
 }
+
+impl Instance {
+    fn handle_batch(&mut self, now: Micros) -> Vec<Action> {
+        if let Some(overload) = &mut self.overload {
+            let limits = overload.handle_batch(now, &self.events, &self.policy);
+            self.events.extend(limits.map(Event::Limits));
+        }
+        let actions = self.policy.handle_events(now, &self.events);
+        self.events.clear();
+        actions
+    }
+}
+
+/// A controller by the operators' declaration. Errors are printed, and leave the instance without one.
+fn overload_controller(limits: &pb::Limits, settings: &Settings) -> Option<OverloadController> {
+    match OverloadController::new(limits, settings) {
+        Ok(controller) => Some(controller),
+        Err(errors) => {
+            for error in &errors {
+                eprintln!("chutegrade-adapter: {error}");
+            }
+            None
+        }
+    }
+}
+
+/// Whether the wire has a line for an action. On the wire every server stays known, and proxies have no earlier
+/// suspensions: it needs neither [`Action::ForgetServer`] nor [`Action::Reconcile`].
+fn has_line(action: &Action) -> bool {
+    !matches!(action, Action::ForgetServer(_) | Action::Reconcile(_))
+}
+
+fn write_action(action: &Action, reply: &mut String) {
+    match encode_action(action) {
+        Ok(line) => {
+            reply.push_str(&line);
+            reply.push('\n');
+        }
+        Err(error) => eprintln!("chutegrade-adapter: {error}"),
+    }
+}
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,7 +1,9 @@
-//! The simulator's wire before the decisions of chutegrade. Nothing here decides anything: [`codec`]
-//! translates lines to events and actions to lines, [`host`] keeps one decision module for each instance.
+//! The simulator's wire in front of the decision module. Nothing here decides anything.
+//!
+//! [`codec`] translates lines to events and actions to lines, [`host`] runs one decision module for each instance, and
+//! [`remote_policy`] runs the decision module of another build as a child process, for comparison.
 
 pub mod codec;
 pub mod host;
-mod limits;
-pub mod other;
+mod overload;
+pub mod remote_policy;
--- /dev/null
+++ b/crates/adapter/src/remote_policy.rs
@@ -0,0 +1,180 @@
+//! The decision module of another build as a child process: another adapter, asked over the simulator's wire. For
+//! comparison on the fleet model only.
+
+use std::io::{self, BufRead as _, BufReader, Write as _};
+use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
+use std::sync::{Arc, Mutex};
+
+use chutegrade_engine::DecisionPolicy;
+use chutegrade_policy::{Action, Event, Micros, Settings};
+use chutegrade_settings::{to_json, DeploymentNames};
+
+use crate::codec::{decode_action, encode_event, encode_time};
+
+/// Begin of the last line of a reply.
+const REPLY_END_PREFIX: &str = "end\t";
+
+/// Characters of an invalid reply that its error shows.
+const MAX_SHOWN_REPLY: usize = 80;
+
+/// Why the other build can't be asked any more.
+#[derive(Debug, thiserror::Error)]
+enum RemoteError {
+    /// It did not start, or has ended.
+    #[error("the other build: {0}")]
+    Io(#[from] io::Error),
+    /// Its reply has a line that is not an action.
+    #[error("the other build said {0:?}")]
+    InvalidReply(String),
+}
+
+/// The first error of all child processes that share it.
+pub type Faults = Arc<Mutex<Option<String>>>;
+
+/// What a child process needs to start.
+pub struct RemotePolicyConfig<'a> {
+    /// The program and its arguments, separated by white space.
+    pub command: &'a str,
+    /// Settings of the instance.
+    pub settings: &'a Settings,
+    /// Names of the deployment.
+    pub names: &'a DeploymentNames,
+    /// Seed of the instance's random choices.
+    pub seed: u64,
+}
+
+/// Starts a child process that speaks the wire on its standard input and output.
+///
+/// One that does not start, or that fails later, returns no actions; the first error is stored in `faults`.
+pub fn spawn(config: &RemotePolicyConfig, faults: &Faults) -> Box<dyn DecisionPolicy> {
+    match RemotePolicy::spawn(config, Arc::clone(faults)) {
+        Ok(policy) => Box::new(policy),
+        Err(error) => {
+            store_first(faults, &error);
+            Box::new(NoPolicy)
+        }
+    }
+}
+
+fn store_first(faults: &Faults, error: &RemoteError) {
+    if let Ok(mut first) = faults.lock() {
+        first.get_or_insert(error.to_string());
+    }
+}
+
+/// One instance of the decision module in a child process.
+struct RemotePolicy {
+    child: Child,
+    input: ChildStdin,
+    output: BufReader<ChildStdout>,
+    batch_number: u64,
+    list_number: u64,
+    /// The line that starts the instance, until it is written.
+    start_line: Option<String>,
+    faults: Faults,
+}
+
+impl RemotePolicy {
+    fn spawn(config: &RemotePolicyConfig, faults: Faults) -> Result<Self, RemoteError> {
+        let mut words = config.command.split_whitespace();
+        let program = words.next().unwrap_or_default();
+        let mut child = Command::new(program)
+            .args(words)
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .stderr(Stdio::null())
+            .spawn()?;
+        let input = child.stdin.take().ok_or_else(missing_pipe)?;
+        let output = child.stdout.take().ok_or_else(missing_pipe)?;
+        let settings = to_json(config.settings, config.names);
+        let seed = config.seed;
+        Ok(RemotePolicy {
+            child,
+            input,
+            output: BufReader::new(output),
+            batch_number: 0,
+            list_number: 0,
+            start_line: Some(format!("begin\tnonce64={seed}\tenv={settings}\n")),
+            faults,
+        })
+    }
+
+    fn exchange(&mut self, now: Micros, events: &[Event]) -> Result<Vec<Action>, RemoteError> {
+        let batch = self.encode_batch(now, events);
+        self.input.write_all(batch.as_bytes())?;
+        self.input.flush()?;
+        self.read_reply()
+    }
+
+    fn encode_batch(&mut self, now: Micros, events: &[Event]) -> String {
+        self.batch_number += 1;
+        let mut batch = format!(
+            "frame\tatTimeMs={}\tframe={}\nat\tsupervisor=0\n",
+            encode_time(now),
+            self.batch_number
+        );
+        if let Some(start_line) = self.start_line.take() {
+            batch.push_str(&start_line);
+        }
+        for event in events {
+            self.list_number += 1;
+            batch.push_str(&encode_event(event, self.list_number));
+        }
+        batch.push_str("your_turn\n");
+        batch
+    }
+
+    fn read_reply(&mut self) -> Result<Vec<Action>, RemoteError> {
+        let mut actions = Vec::new();
+        let mut buffer = String::new();
+        loop {
+            buffer.clear();
+            if self.output.read_line(&mut buffer)? == 0 {
+                return Err(io::Error::other("it has ended").into());
+            }
+            let line = buffer.trim_end();
+            if line.starts_with(REPLY_END_PREFIX) {
+                return Ok(actions);
+            }
+            let action = decode_action(line).map_err(|_| invalid_reply(line))?;
+            actions.extend(action);
+        }
+    }
+}
+
+fn missing_pipe() -> io::Error {
+    io::Error::other("its standard input or output is not there")
+}
+
+fn invalid_reply(line: &str) -> RemoteError {
+    RemoteError::InvalidReply(line.chars().take(MAX_SHOWN_REPLY).collect())
+}
+
+impl DecisionPolicy for RemotePolicy {
+    fn handle_events(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
+        match self.exchange(now, events) {
+            Ok(actions) => actions,
+            Err(error) => {
+                store_first(&self.faults, &error);
+                Vec::new()
+            }
+        }
+    }
+}
+
+impl Drop for RemotePolicy {
+    fn drop(&mut self) {
+        // The process ends with its input; one that does not is killed.
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+/// Takes the place of a process that did not start.
+struct NoPolicy;
+
+impl DecisionPolicy for NoPolicy {
+    fn handle_events(&mut self, _: Micros, _: &[Event]) -> Vec<Action> {
+        Vec::new()
+    }
+}
--- a/crates/adapter/tests/codec.rs
+++ b/crates/adapter/tests/codec.rs
@@ -1,10 +1,14 @@
 //! The wire's forms, in numbers of the project's own.
 
-use chutegrade_adapter::codec::{parse, write, Fault, Message};
-use chutegrade_policy::*;
+use chutegrade_adapter::codec::{decode_message, encode_action, CodecError, Message};
+use chutegrade_policy::{
+    Action, AdmissionUnit, ClassSet, DecisionEvent, DeduplicationScope, Endpoint,
+    EndpointUpdateKind, Event, HealthCheckOutcome, Idempotency, Lifecycle, ListedWeight,
+    LoadReport, Micros, ProxyId, Retry, ServerId, TableId, ZoneId,
+};
 
 fn event(line: &str) -> Event {
-    match parse(line) {
+    match decode_message(line) {
         Ok(Message::Event(event)) => event,
         other => panic!("{line}: {other:?}"),
     }
@@ -13,13 +17,19 @@
 #[test]
 fn frame_lines_are_read() {
     assert_eq!(
-        parse("frame\tframe=7\tatTimeMs=1250.5"),
-        Ok(Message::Frame(Micros(1_250_500), 7))
+        decode_message("frame\tframe=7\tatTimeMs=1250.5"),
+        Ok(Message::BatchStart {
+            now: Micros(1_250_500),
+            number: 7
+        })
+    );
+    assert_eq!(decode_message("your_turn"), Ok(Message::BatchEnd));
+    assert_eq!(
+        decode_message("at\tsupervisor=2"),
+        Ok(Message::SelectInstance(2))
     );
-    assert_eq!(parse("your_turn"), Ok(Message::Turn));
-    assert_eq!(parse("at\tsupervisor=2"), Ok(Message::At(2)));
-    assert_eq!(parse("teardown"), Ok(Message::Teardown));
-    assert_eq!(parse("something_new\tx=1"), Ok(Message::Unknown));
+    assert_eq!(decode_message("teardown"), Ok(Message::StopInstance));
+    assert_eq!(decode_message("something_new\tx=1"), Ok(Message::Unknown));
 }
 
 #[test]
@@ -100,12 +110,18 @@
 #[test]
 fn list_rows_are_read() {
     assert_eq!(
-        parse("discovery\tgen=3\thow=total\trows=2"),
-        Ok(Message::List(EndpointUpdateKind::Snapshot, 2))
+        decode_message("discovery\tgen=3\thow=total\trows=2"),
+        Ok(Message::EndpointListStart {
+            kind: EndpointUpdateKind::Snapshot,
+            entries: 2
+        })
     );
     assert_eq!(
-        parse("discovery\tgen=3\thow=lost"),
-        Ok(Message::List(EndpointUpdateKind::Unavailable, 0))
+        decode_message("discovery\tgen=3\thow=lost"),
+        Ok(Message::EndpointListStart {
+            kind: EndpointUpdateKind::Unavailable,
+            entries: 0
+        })
     );
     let row = "row\tserver=44\tlocality=1\tfamilyType=2\tcluster=6\tlifecycle=terminating\tweight=2.5\tupSinceMs=70.5";
     let entry = Endpoint {
@@ -117,7 +133,7 @@
         weight: 2.5,
         started_at: Some(Micros(70_500)),
     };
-    assert_eq!(parse(row), Ok(Message::Row(entry)));
+    assert_eq!(decode_message(row), Ok(Message::EndpointListEntry(entry)));
 }
 
 #[test]
@@ -127,8 +143,8 @@
         "familyInfo":{"homeOnly":[true],"levelKind":"per_second","linesPerS":500,"messagesMost":"many"},
         "limits":{"probes":true},"peersTotal":3,"weights":"nominal"}"#
         .replace('\n', " ");
-    let Ok(Message::Begin(99, settings)) = parse(&line) else {
-        panic!("{:?}", parse(&line))
+    let Ok(Message::StartInstance { seed: 99, settings }) = decode_message(&line) else {
+        panic!("{:?}", decode_message(&line))
     };
     assert_eq!(settings.classes.len(), 1);
     assert_eq!(
@@ -165,11 +181,14 @@
         "begin\tnonce64=1\tenv={broken",
         "row\tserver=1\tlifecycle=in_service\tweight=inf",
     ] {
-        assert!(parse(line).is_err(), "{line}");
+        assert!(decode_message(line).is_err(), "{line}");
     }
     assert_eq!(
-        parse("lost_stream"),
-        Err(Fault::Missing("lost_stream".to_string(), "clientLb"))
+        decode_message("lost_stream"),
+        Err(CodecError::MissingField(
+            "lost_stream".to_string(),
+            "clientLb"
+        ))
     );
 }
 
@@ -245,10 +264,10 @@
         ),
     ];
     for (action, line) in cases {
-        assert_eq!(write(&action).as_deref(), Ok(line));
+        assert_eq!(encode_action(&action).as_deref(), Ok(line));
     }
     for weight in [f64::NAN, f64::INFINITY, -0.5] {
-        assert!(write(&Action::SetWeight {
+        assert!(encode_action(&Action::SetWeight {
             table,
             server: ServerId(8),
             weight
--- a/crates/adapter/tests/other.rs
+++ b/crates/adapter/tests/remote_policy.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use chutegrade_adapter::other::{decides, Faults};
+use chutegrade_adapter::remote_policy::{spawn, Faults, RemotePolicyConfig};
 use chutegrade_engine::{DecisionPolicy, Settings};
 use chutegrade_model::{play, scenario, Setup};
 use chutegrade_settings::DeploymentNames;
@@ -18,9 +18,15 @@
         let names = DeploymentNames {
             zones: vec!["a".into(), "b".into()],
             classes: vec!["read".into(), "order".into()],
-            kinds: Vec::new(),
+            machine_kinds: Vec::new(),
         };
-        decides(&command, settings, &names, seed, &faults)
+        let config = RemotePolicyConfig {
+            command: &command,
+            settings,
+            names: &names,
+            seed,
+        };
+        spawn(&config, &faults)
     };
     Setup {
         other: Some(chutegrade_model::Other {
@@ -31,7 +37,7 @@
     }
 }
 
-/// Danger: a comparison of builds that compares the wire instead.
+/// Otherwise a comparison of builds would judge the wire, not the decisions.
 #[test]
 fn the_same_build_over_the_wire_gives_the_same_day_to_the_bit() {
     let scenario = scenario::read(FLEET).unwrap_or_else(|faults| panic!("{faults:?}"));
--- a/crates/adapter/tests/stdio.rs
+++ b/crates/adapter/tests/stdio.rs
@@ -88,7 +88,7 @@
     let mut host = Host::default();
     let mut feed = |text: String| {
         text.lines()
-            .filter_map(|line| host.line(line).ok().flatten())
+            .filter_map(|line| host.handle_line(line).ok().flatten())
             .collect::<String>()
     };
     feed(batch(1, &begin(0)));
@@ -142,9 +142,9 @@
         let mut host = Host::default();
         let mut replies = String::new();
         for line in text.lines() {
-            replies.extend(host.line(line).ok().flatten());
+            replies.extend(host.handle_line(line).ok().flatten());
         }
-        replies.extend(host.line("your_turn").ok().flatten());
+        replies.extend(host.handle_line("your_turn").ok().flatten());
         prop_assert!(replies.contains("end\tframe="));
         prop_assert!(!replies.contains("NaN") && !replies.contains("inf") && !replies.contains("=-"));
     }
--- /dev/null
+++ b/crates/engine/src/engine/actions.rs
@@ -0,0 +1,215 @@
+//! Carries out the actions of the decision module.
+
+use std::collections::BTreeSet;
+
+use chutegrade_policy::{
+    Action, AdmissionLevel, ClassSet, DecisionEvent, Micros, ProxyId, ServerId, TableId,
+};
+use chutegrade_records::{pb, Kind};
+
+use super::{Engine, Timer};
+use crate::records;
+use crate::streams::AcknowledgementRequest;
+
+/// Shortest delay of a timer.
+const MIN_TIMER_DELAY: Micros = Micros(1);
+
+/// What the actions of one batch add up to.
+#[derive(Default)]
+struct BatchSummary {
+    acknowledgement: Option<AcknowledgementRequest>,
+    published: pb::Published,
+}
+
+impl Engine {
+    /// Carries out a batch of actions, in order.
+    pub(super) fn carry_out(&mut self, now: Micros, actions: Vec<Action>) {
+        let mut batch = BatchSummary::default();
+        for action in actions {
+            self.carry_out_action(now, action, &mut batch);
+        }
+        self.streams.end_batch(batch.acknowledgement);
+        self.remove_forgotten_servers();
+        if batch.published != pb::Published::default() {
+            let streams = self.streams.with_orders_count();
+            batch.published.streams = u32::try_from(streams).unwrap_or(u32::MAX);
+            self.log_events
+                .record(now, Kind::Published(batch.published));
+        }
+    }
+
+    fn carry_out_action(&mut self, now: Micros, action: Action, batch: &mut BatchSummary) {
+        match action {
+            Action::SetWeight {
+                table,
+                server,
+                weight,
+            } => self.set_weight(table, server, weight, batch),
+            Action::ClearTable(table) => self.clear_table(table),
+            Action::AssignTable {
+                proxy,
+                table,
+                classes,
+            } => self.assign_table(proxy, table, classes, batch),
+            Action::SetSuspended { server, suspended } => {
+                self.set_suspended(now, server, suspended, batch);
+            }
+            Action::SetAdmission {
+                table,
+                classes,
+                level,
+                retry,
+            } => self.set_admission(now, table, classes, AdmissionLevel { level, retry }),
+            Action::Reconcile(proxy) => self.reconcile(proxy, batch),
+            Action::RequestAcknowledgement {
+                sequence,
+                all_proxies,
+            } => {
+                batch.acknowledgement = Some(AcknowledgementRequest {
+                    sequence,
+                    all_proxies,
+                });
+            }
+            Action::HealthCheck(server) => self.due_health_checks.push_back(server),
+            Action::SubscribeEndpoints(watch) => self.subscription.watch = watch,
+            Action::FetchEndpoints => self.subscription.fetch = true,
+            Action::SetTimer { id, delay } => self.set_timer(now, id, delay),
+            Action::Emit(event) => self.emit(now, &event),
+            Action::ForgetServer(server) => {
+                self.forgotten_servers.insert(server);
+            }
+            // The protocol has no channel between instances, and the decisions do not request one.
+            Action::SendToPeer { .. } => {}
+        }
+    }
+
+    fn set_weight(
+        &mut self,
+        table: TableId,
+        server: ServerId,
+        weight: f64,
+        batch: &mut BatchSummary,
+    ) {
+        batch.published.lines += 1;
+        self.tables.set_weight(table, server, weight);
+        self.streams.set_weight(table, server, weight, &self.tables);
+    }
+
+    fn clear_table(&mut self, table: TableId) {
+        self.tables.clear(table);
+        self.streams.clear_table(table, &self.tables);
+    }
+
+    fn assign_table(
+        &mut self,
+        proxy: ProxyId,
+        table: TableId,
+        classes: ClassSet,
+        batch: &mut BatchSummary,
+    ) {
+        batch.published.binds += 1;
+        let classes = self.tables.class_positions(classes);
+        self.streams
+            .assign_table(proxy, table, &classes, &self.tables);
+    }
+
+    fn set_suspended(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        suspended: bool,
+        batch: &mut BatchSummary,
+    ) {
+        let has_changed = self.tables.set_suspended(server, suspended);
+        if !has_changed && !suspended {
+            // The decisions resume each new server in case it was known before; most were not.
+            return;
+        }
+        batch.published.withdrawals += 1;
+        let streams = self.streams.set_suspended(server, suspended, &self.tables);
+        let name = self.server_name(server);
+        self.log_events
+            .record(now, records::suspension_record(name, suspended, streams));
+    }
+
+    fn set_admission(
+        &mut self,
+        now: Micros,
+        table: Option<TableId>,
+        classes: ClassSet,
+        level: AdmissionLevel,
+    ) {
+        let classes = self.tables.class_positions(classes);
+        for class in &classes {
+            self.tables.set_admission(table, *class, level);
+        }
+        if self.log_events.is_recording() {
+            self.record_admission(now, table, &classes, level);
+        }
+        self.streams.set_admission(table, &classes, &self.tables);
+    }
+
+    fn record_admission(
+        &mut self,
+        now: Micros,
+        table: Option<TableId>,
+        classes: &[usize],
+        level: AdmissionLevel,
+    ) {
+        let saturation = self.policy.fleet_status().saturation;
+        for class in classes {
+            let name = self.class_name(*class);
+            let record = records::admission_record(name, table, level, saturation);
+            self.log_events.record(now, record);
+        }
+    }
+
+    fn reconcile(&mut self, proxy: ProxyId, batch: &mut BatchSummary) {
+        batch.published.withdrawals += 1;
+        self.streams.reconcile(proxy, &self.tables);
+    }
+
+    fn set_timer(&mut self, now: Micros, id: u32, delay: Micros) {
+        let due_at = now + delay.max(MIN_TIMER_DELAY);
+        self.timers.insert(Timer { due_at, id });
+    }
+
+    fn emit(&mut self, now: Micros, event: &DecisionEvent) {
+        let record = records::decision_record(
+            event,
+            |server| self.server_name(server),
+            |zone| self.names.zone_name(zone),
+        );
+        self.log_events.log(now, record);
+    }
+
+    /// Removes the forgotten servers that no table and no order names. An order that waits needs the name, or the
+    /// message that removes the server would be lost.
+    fn remove_forgotten_servers(&mut self) {
+        let forgotten = std::mem::take(&mut self.forgotten_servers);
+        let (named, unnamed): (BTreeSet<_>, BTreeSet<_>) =
+            forgotten.into_iter().partition(|server| {
+                self.tables.names_server(*server) || self.streams.names_server(*server)
+            });
+        self.forgotten_servers = named;
+        for server in unnamed {
+            self.remove_server(server);
+        }
+    }
+
+    fn remove_server(&mut self, server: ServerId) {
+        self.tables.forget(server);
+        self.streams.forget(server);
+        let name = self.names.server_name(server).unwrap_or_default();
+        self.log_events.forget(server, &name);
+        self.names.forget(server);
+    }
+
+    /// The name of the class at a position, or the position if it has none.
+    fn class_name(&self, class: usize) -> String {
+        match self.names.class_name(class) {
+            Some(name) => name.to_string(),
+            None => class.to_string(),
+        }
+    }
+}
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -3,9 +3,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
+use chutegrade_policy::{
+    Action, AdmissionLevel, AdmissionUnit, Class, ClassSet, DecisionEvent, EndpointUpdateKind,
+    Event, HealthChangeCause, HealthCheckOutcome, HealthState, Idempotency, Lifecycle, LoadReport,
+    Micros, ProxyId, Retry, ServerId, Settings, TableId, ZoneId,
+};
+use chutegrade_records::Kind;
 use proptest::prelude::*;
 
+use super::report_handling::MAX_QUEUED_EVENTS;
 use super::*;
+use crate::endpoint::NamedEndpoint;
+use crate::report::Report;
 
 const CLASSES: usize = 3;
 
@@ -41,9 +50,11 @@
     Engine::new(
         settings(classes),
         7,
-        names("z", 2),
-        names("c", classes),
-        names("k", 2),
+        DeploymentNames {
+            zones: names("z", 2),
+            classes: names("c", classes),
+            machine_kinds: names("k", 2),
+        },
     )
 }
 
@@ -98,7 +109,7 @@
         .expect("a whole table");
     assert!(whole.classes.is_empty(), "one table serves all classes");
     assert_eq!(whole.weights.len(), 4);
-    assert!(whole.weights.iter().all(|(_, weight)| *weight > 0.0));
+    assert!(whole.weights.iter().all(|entry| entry.weight > 0.0));
     assert!(order.acknowledge.is_some());
     assert!(
         order.suspended.is_empty() && order.resumed.is_empty(),
@@ -137,7 +148,13 @@
         }),
         Ok(())
     );
-    engine.tick(engine.timers.first().expect("the module's own timer").0);
+    engine.tick(
+        engine
+            .timers
+            .first()
+            .expect("the module's own timer")
+            .due_at,
+    );
     let order = engine.take_order(StreamId(1)).expect("an order");
     assert_eq!(
         names(&order.resumed),
@@ -263,10 +280,10 @@
         failed: 0.0,
         period: Micros(1_000_000),
     };
-    let taken = (0..2 * REPORTS_MOST)
+    let taken = (0..2 * MAX_QUEUED_EVENTS)
         .filter(|_| engine.report(demand.clone()).is_ok())
         .count();
-    assert!(taken < REPORTS_MOST);
+    assert!(taken < MAX_QUEUED_EVENTS);
     assert_eq!(engine.report(demand.clone()), Err(ReportError::QueueFull));
     assert_eq!(engine.report(joined(2, 1, true)), Ok(()));
     engine.tick(Micros(10_000));
@@ -283,9 +300,11 @@
             ..settings(1)
         },
         7,
-        vec!["z0".into()],
-        vec!["c0".into()],
-        vec![],
+        DeploymentNames {
+            zones: vec!["z0".into()],
+            classes: vec!["c0".into()],
+            machine_kinds: vec![],
+        },
     );
     assert!(!engine.take_subscription().watch);
     let mut next = engine.tick(Micros(0)).expect("a timer");
@@ -402,7 +421,9 @@
     };
     engine.carry_out(
         Micros(5),
-        (0..crate::notes::NOTES_MOST + 10).map(parts).collect(),
+        (0..crate::log_events::MAX_QUEUED_EVENTS + 10)
+            .map(parts)
+            .collect(),
     );
     let lost = engine.take_log_event(Micros(6)).expect("a note");
     assert!(
@@ -411,7 +432,7 @@
     );
     assert_eq!(
         std::iter::from_fn(|| engine.take_log_event(Micros(6))).count(),
-        crate::notes::NOTES_MOST
+        crate::log_events::MAX_QUEUED_EVENTS
     );
 }
 
@@ -528,7 +549,7 @@
     let rows: Vec<_> = order.updates[0]
         .weights
         .iter()
-        .map(|(name, weight)| (name.to_string(), *weight))
+        .map(|entry| (entry.server.to_string(), entry.weight))
         .collect();
     assert_eq!(rows, [("s2".to_string(), 1.0)]);
 }
@@ -562,8 +583,8 @@
                     rows.clear();
                     self.levels.remove(class);
                 }
-                for (server, weight) in &part.weights {
-                    rows.insert(server.to_string(), *weight);
+                for entry in &part.weights {
+                    rows.insert(entry.server.to_string(), entry.weight);
                 }
                 rows.retain(|_, weight| *weight > 0.0);
                 if let Some(level) = part.admission {
@@ -890,12 +911,12 @@
         (
             known,
             engine.policy.server_statuses().len(),
-            engine.going.len()
+            engine.forgotten_servers.len()
         ),
         (4, 4, 0)
     );
     assert!(
-        (0..80).all(|of| !engine.tables.is_withdrawn(ServerId(of))),
+        (0..80).all(|of| !engine.tables.is_suspended(ServerId(of))),
         "nor as shut out"
     );
     let told = turn(&mut engine, vec![listed(3), listed(99)], 30);
@@ -955,9 +976,11 @@
     let mut engine = Engine::new(
         settings,
         7,
-        names("z", 2),
-        names("c", CLASSES),
-        names("k", 2),
+        DeploymentNames {
+            zones: names("z", 2),
+            classes: names("c", CLASSES),
+            machine_kinds: names("k", 2),
+        },
     );
     assert_eq!(
         engine.report(Report::EndpointList(
@@ -1061,9 +1084,10 @@
     let mut engine = Engine::with_policy(
         Box::new(hears),
         &settings(CLASSES),
-        vec!["z0".into()],
-        vec![],
-        vec![],
+        DeploymentNames {
+            zones: vec!["z0".into()],
+            ..DeploymentNames::default()
+        },
     );
     let tell = |engine: &mut Engine, server: NamedEndpoint| {
         assert_eq!(
@@ -1145,7 +1169,12 @@
         };
         let (zones, classes) = (names("z", of.zones), names("c", of.classes.len()));
         let (class, zone) = (classes[0].clone(), zones[0].clone());
-        let mut engine = Engine::new(of, 7, zones, classes, names("k", 2));
+        let names = DeploymentNames {
+            zones,
+            classes,
+            machine_kinds: names("k", 2),
+        };
+        let mut engine = Engine::new(of, 7, names);
         let list = (0..6)
             .map(|of| NamedEndpoint {
                 zone: zone.clone(),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,32 +1,45 @@
-//! The facade of the decisions, in blocking style and without sockets: [`Engine::report`] takes in what
-//! happened, [`Engine::tick`] hands it to the decision module as one batch and says when to tick next, and the
-//! `pick` calls give what is due. Nothing outside sees an event or an action of the module. The engine carries
-//! out and never chooses: tables, levels and withdrawals are kept here as ordered, names become ids and back.
+//! The facade of the decision module, in blocking style and without sockets.
+//!
+//! [`Engine::report`] takes in what happened, [`Engine::tick`] hands it to the decision module as one batch and returns
+//! when to tick next, and the `take_*` calls return what is due: orders, health checks, discovery requests, log events.
+//! No event or action of the module is visible outside. The engine carries out decisions and makes none: it stores
+//! tables, admission levels and suspensions as ordered, and translates between names and numeric ids.
 
+mod endpoint;
 mod engine;
-mod measure;
+mod guidance;
+mod health_check;
+mod log_events;
 mod names;
-mod notes;
-mod order;
+mod orders;
+mod pending_order;
+mod policy;
+mod records;
+mod report;
 mod streams;
+mod subscription;
 mod tables;
+mod traffic_sampling;
 
-pub use engine::{
-    ClassInfo, DecisionPolicy, DiscoverySubscription, Engine, HealthCheck, NamedClassRetry,
-    NamedClassShare, NamedExclusion, NamedWeightFactor, OverloadLimits, PluginAdvice, Report,
-    ReportError,
+pub use chutegrade_settings::DeploymentNames;
+pub use endpoint::NamedEndpoint;
+pub use engine::{ClassInfo, DeploymentSize, Engine};
+pub use guidance::{
+    NamedClassRetry, NamedClassShare, NamedExclusion, NamedWeightFactor, OverloadLimits,
+    PluginAdvice,
 };
-pub use measure::TrafficSample;
-pub use names::NamedEndpoint;
-pub use notes::{decision_record, LogEvent};
-pub use order::{Order, TableUpdate};
+pub use health_check::HealthCheck;
+pub use log_events::LogEvent;
+pub use orders::{Order, ServerWeight, TableUpdate};
+pub use policy::DecisionPolicy;
+pub use records::decision_record;
+pub use report::{Report, ReportError};
+pub use streams::StreamId;
+pub use subscription::DiscoverySubscription;
+pub use traffic_sampling::TrafficSample;
 
 /// The types that reports share with the decision module.
 pub use chutegrade_policy::{
     AdmissionLevel, Class, EndpointUpdateKind, FleetStatus, HealthCheckOutcome, Lifecycle,
     LoadReport, Micros, ReportSource, Retry, Settings, ShedShares,
 };
-
-/// A stream of a proxy, numbered by whoever accepts it; a number is never used twice.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct StreamId(pub u64);
--- /dev/null
+++ b/crates/engine/src/log_events.rs
@@ -0,0 +1,202 @@
+//! The queue of log events: what the decisions and the engine report of themselves, for the log and for the records.
+//!
+//! Events that are only for the records are not made while nobody records.
+
+use std::collections::{HashMap, VecDeque};
+
+use chutegrade_policy::{Lifecycle, Micros, ServerId};
+use chutegrade_records::observe::Observer;
+use chutegrade_records::{pb, Kind};
+
+use crate::endpoint::NamedEndpoint;
+use crate::report::OutcomeReport;
+
+/// Events that wait to be taken; the oldest beyond it are dropped and counted.
+pub(crate) const MAX_QUEUED_EVENTS: usize = 16_384;
+
+/// Something that happened, for the log or the records.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LogEvent {
+    /// When it happened.
+    pub occurred_at: Micros,
+    /// When the engine learned of it.
+    pub observed_at: Micros,
+    /// What happened.
+    pub kind: Kind,
+    /// Whether it is for the log as well as for the records.
+    pub logged: bool,
+}
+
+/// When an observation began.
+enum Begin {
+    /// At this time.
+    At(Micros),
+    /// So long before the tick that learns of it.
+    Before(Micros),
+}
+
+/// Something that the next tick learns of.
+struct Observation {
+    begin: Begin,
+    kind: Kind,
+}
+
+/// Events that the full queue dropped.
+struct DroppedEvents {
+    count: u64,
+    first_at: Micros,
+    last_at: Micros,
+}
+
+/// Log events that wait to be taken.
+#[derive(Default)]
+pub(crate) struct LogEvents {
+    queue: VecDeque<LogEvent>,
+    dropped: Option<DroppedEvents>,
+    observations: Vec<Observation>,
+    is_recording: bool,
+    observer: Observer,
+    starts: HashMap<ServerId, Micros>,
+}
+
+impl LogEvents {
+    /// Makes events for the records too from now on.
+    pub fn enable_recording(&mut self) {
+        self.is_recording = true;
+    }
+
+    /// Whether events for the records are made.
+    pub fn is_recording(&self) -> bool {
+        self.is_recording
+    }
+
+    /// Adds an event for the log and the records.
+    pub fn log(&mut self, now: Micros, kind: Kind) {
+        self.push(LogEvent {
+            occurred_at: now,
+            observed_at: now,
+            kind,
+            logged: true,
+        });
+    }
+
+    /// Adds an event for the records alone.
+    pub fn record(&mut self, now: Micros, kind: Kind) {
+        self.record_occurrence(now, now, kind);
+    }
+
+    fn record_occurrence(&mut self, occurred_at: Micros, observed_at: Micros, kind: Kind) {
+        if !self.is_recording {
+            return;
+        }
+        self.push(LogEvent {
+            occurred_at,
+            observed_at,
+            kind,
+            logged: false,
+        });
+    }
+
+    fn push(&mut self, event: LogEvent) {
+        if self.queue.len() >= MAX_QUEUED_EVENTS {
+            self.drop_oldest();
+        }
+        self.queue.push_back(event);
+    }
+
+    fn drop_oldest(&mut self) {
+        let Some(oldest) = self.queue.pop_front() else {
+            return;
+        };
+        let dropped = self.dropped.get_or_insert(DroppedEvents {
+            count: 0,
+            first_at: oldest.occurred_at,
+            last_at: oldest.occurred_at,
+        });
+        dropped.count += 1;
+        dropped.last_at = oldest.occurred_at;
+    }
+
+    /// Observes the outcomes at a server, for the records.
+    pub fn observe_outcomes(&mut self, outcomes: &OutcomeReport) {
+        if !self.is_recording {
+            return;
+        }
+        let failing = self.observer.heard(
+            &outcomes.zone,
+            &outcomes.server,
+            outcomes.attempts,
+            outcomes.failed,
+        );
+        if let Some(failing) = failing {
+            self.observations.push(Observation {
+                begin: Begin::Before(outcomes.period),
+                kind: Kind::Failing(failing),
+            });
+        }
+    }
+
+    /// Observes an entry of the endpoint list, which may name a new start of the server.
+    pub fn observe_endpoint(&mut self, server: ServerId, endpoint: &NamedEndpoint) {
+        if !self.is_recording || endpoint.lifecycle == Lifecycle::Removed {
+            self.forget(server, &endpoint.name);
+            return;
+        }
+        let Some(started_at) = endpoint.started_at else {
+            return;
+        };
+        let previous = self.starts.insert(server, started_at);
+        if previous.is_some_and(|previous| previous >= started_at) {
+            return;
+        }
+        self.observations.push(Observation {
+            begin: Begin::At(started_at),
+            kind: Kind::ServerStarted(pb::ServerStarted {
+                server: endpoint.name.clone(),
+                zone: endpoint.zone.clone(),
+            }),
+        });
+    }
+
+    /// Removes a server that nothing refers to any more.
+    pub fn forget(&mut self, server: ServerId, name: &str) {
+        self.starts.remove(&server);
+        self.observer.forget(name);
+    }
+
+    /// Turns the observations since the last tick into events.
+    pub fn tick(&mut self, now: Micros) {
+        for observation in std::mem::take(&mut self.observations) {
+            let begin = match observation.begin {
+                Begin::At(time) => time,
+                Begin::Before(length) => now - length,
+            };
+            self.record_occurrence(begin.min(now), now, observation.kind);
+        }
+    }
+
+    /// The next event; before all others, how many were dropped.
+    pub fn take(&mut self, now: Micros) -> Option<LogEvent> {
+        if let Some(dropped) = self.dropped.take() {
+            return Some(dropped.into_event(now));
+        }
+        self.queue.pop_front()
+    }
+}
+
+impl DroppedEvents {
+    fn into_event(self, now: Micros) -> LogEvent {
+        let lost = pb::Lost {
+            count: self.count,
+            from_us: self.first_at.0,
+            to_us: self.last_at.0,
+            reason: "queue".to_string(),
+        };
+        LogEvent {
+            occurred_at: self.first_at,
+            observed_at: now,
+            kind: Kind::Lost(lost),
+            logged: false,
+        }
+    }
+}
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -1,183 +1,202 @@
-//! Names to ids and back. Ids carry no meaning and are never used twice; a server that was once listed stays known until
-//! the decisions have forgotten it, since tables and late reports may still name it.
+//! Names to ids and back.
+//!
+//! Ids have no meaning and are never reused. A server stays known after its removal from the endpoint list until the
+//! decisions have forgotten it, because tables and late reports may still name it.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-use chutegrade_policy::{ClassId, Endpoint, Lifecycle, Micros, ServerId, ZoneId};
-
-/// One entry of the list of servers, by names.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct NamedEndpoint {
-    /// The server.
-    pub name: String,
-    /// Where it listens; the newest one listed holds.
-    pub address: String,
-    /// Its zone.
-    pub zone: String,
-    /// Its machine kind.
-    pub machine_kind: String,
-    /// Its cell.
-    pub cell: u32,
-    /// Its life.
-    pub lifecycle: Lifecycle,
-    /// Its listed weight.
-    pub weight: f64,
-    /// Its latest start, if that is not long ago.
-    pub started_at: Option<Micros>,
+use chutegrade_policy::{ClassId, Endpoint, Micros, ServerId, ZoneId};
+use chutegrade_settings::DeploymentNames;
+
+use crate::endpoint::NamedEndpoint;
+
+/// Forgotten names that are still recognized, at eight bytes each: several times the servers of the largest fleet.
+const MAX_FORGOTTEN_NAMES: usize = 8192;
+
+/// An entry of the endpoint list with names resolved to ids.
+pub(crate) struct ResolvedEndpoint {
+    /// The entry, by ids.
+    pub endpoint: Endpoint,
+    /// Whether the server's name had been forgotten, so that proxies may still have it as suspended.
+    pub was_forgotten: bool,
 }
 
-struct Known {
+/// A server with a name.
+struct KnownServer {
     name: Rc<str>,
     address: String,
-    started: Option<Micros>,
+    started_at: Option<Micros>,
 }
 
-/// Names that were forgotten and are told from new ones, by eight bytes each: several times the servers of the largest
-/// fleet, all replaced. One beyond it that returns is told as new.
-const FORGOTTEN_MOST: usize = 8192;
+/// The id of a server, and whether its name had been forgotten.
+struct ResolvedServer {
+    id: ServerId,
+    was_forgotten: bool,
+}
 
-/// The names that are known.
+/// All known names.
 #[derive(Default)]
 pub(crate) struct Names {
     zones: Vec<String>,
-    kinds: Vec<String>,
+    machine_kinds: Vec<String>,
     classes: Vec<Rc<str>>,
-    servers: HashMap<ServerId, Known>,
-    by_name: HashMap<Rc<str>, ServerId>,
-    /// The number of the next server.
-    next: u32,
+    servers: HashMap<ServerId, KnownServer>,
+    ids_by_name: HashMap<Rc<str>, ServerId>,
+    next_server: u32,
+    /// Hashes of forgotten names, oldest first.
     forgotten: VecDeque<u64>,
 }
 
 impl Names {
-    pub fn new(zones: Vec<String>, classes: Vec<String>, kinds: Vec<String>) -> Self {
-        let classes = classes.into_iter().map(Rc::from).collect();
+    /// The names of a deployment, without servers.
+    pub fn new(names: DeploymentNames) -> Self {
         Names {
-            zones,
-            kinds,
-            classes,
+            zones: names.zones,
+            machine_kinds: names.machine_kinds,
+            classes: names.classes.into_iter().map(Rc::from).collect(),
             ..Names::default()
         }
     }
 
+    /// The names of zones, classes and machine kinds, including those that only the endpoint list names.
+    pub fn deployment(&self) -> DeploymentNames {
+        DeploymentNames {
+            zones: self.zones.clone(),
+            classes: self.classes.iter().map(ToString::to_string).collect(),
+            machine_kinds: self.machine_kinds.clone(),
+        }
+    }
+
+    /// The id of a class.
     pub fn class(&self, name: &str) -> Option<ClassId> {
-        self.classes
-            .iter()
-            .position(|class| **class == *name)
-            .map(|at| ClassId(at as u8))
+        let position = self.classes.iter().position(|class| **class == *name)?;
+        Some(ClassId(position as u8))
     }
 
+    /// The name of the class at a position.
     pub fn class_name(&self, class: usize) -> Option<Rc<str>> {
         self.classes.get(class).cloned()
     }
 
+    /// The id of a zone.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
-        self.zones
-            .iter()
-            .position(|zone| zone == name)
-            .map(|at| ZoneId(at as u16))
-    }
-
-    pub fn zones(&self) -> &[String] {
-        &self.zones
+        let position = self.zones.iter().position(|zone| zone == name)?;
+        Some(ZoneId(position as u16))
     }
 
+    /// The name of a zone; empty if it is unknown.
     pub fn zone_name(&self, zone: ZoneId) -> String {
-        self.zones
-            .get(usize::from(zone.0))
-            .cloned()
-            .unwrap_or_default()
+        let name = self.zones.get(usize::from(zone.0));
+        name.cloned().unwrap_or_default()
     }
 
+    /// The id of a server.
     pub fn server(&self, name: &str) -> Option<ServerId> {
-        self.by_name.get(name).copied()
+        self.ids_by_name.get(name).copied()
     }
 
-    pub fn name(&self, server: ServerId) -> Option<Rc<str>> {
-        self.servers.get(&server).map(|known| known.name.clone())
+    /// The name of a server.
+    pub fn server_name(&self, server: ServerId) -> Option<Rc<str>> {
+        let known = self.servers.get(&server)?;
+        Some(Rc::clone(&known.name))
     }
 
+    /// The address on which a server listens.
     pub fn address(&self, server: ServerId) -> Option<&str> {
-        self.servers
-            .get(&server)
-            .map(|known| known.address.as_str())
+        let known = self.servers.get(&server)?;
+        Some(known.address.as_str())
     }
 
-    /// The latest start of the server, as far as the list told it.
-    pub fn started(&self, server: ServerId) -> Option<Micros> {
-        self.servers.get(&server).and_then(|known| known.started)
+    /// The latest start of a server, if the endpoint list named one.
+    pub fn started_at(&self, server: ServerId) -> Option<Micros> {
+        self.servers.get(&server)?.started_at
     }
 
-    /// Nothing names the server any more. Its number is not used again.
+    /// Removes a server that nothing refers to any more. Its id is not reused.
     pub fn forget(&mut self, server: ServerId) {
         let Some(known) = self.servers.remove(&server) else {
             return;
         };
-        self.by_name.remove(&known.name);
-        if self.forgotten.len() >= FORGOTTEN_MOST {
+        self.ids_by_name.remove(&known.name);
+        if self.forgotten.len() >= MAX_FORGOTTEN_NAMES {
             self.forgotten.pop_front();
         }
-        self.forgotten.push_back(digest(&known.name));
-    }
-
-    /// The entry as the decisions know it; a zone or kind that the settings do not name gets a further number. And whether
-    /// its name had been forgotten: proxies may know it still, as one that is shut out.
-    pub fn listed(&mut self, listed: &NamedEndpoint) -> (Endpoint, bool) {
-        let known = self.server(&listed.name).map(|server| (server, false));
-        let (server, returned) = known.unwrap_or_else(|| self.intern(&listed.name));
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.started = listed.started_at;
-            if !listed.address.is_empty() {
-                known.address.clone_from(&listed.address);
+        self.forgotten.push_back(hash(&known.name));
+    }
+
+    /// Resolves an entry of the endpoint list. A zone or machine kind that the settings do not name gets the next number.
+    pub fn resolve(&mut self, named: &NamedEndpoint) -> ResolvedEndpoint {
+        let ResolvedServer { id, was_forgotten } = self.resolve_server(&named.name);
+        if let Some(known) = self.servers.get_mut(&id) {
+            known.started_at = named.started_at;
+            if !named.address.is_empty() {
+                known.address.clone_from(&named.address);
             }
         }
-        let entry = Endpoint {
-            server,
-            zone: ZoneId(position(&mut self.zones, &listed.zone) as u16),
-            machine_kind: position(&mut self.kinds, &listed.machine_kind) as u32,
-            cell: listed.cell,
-            lifecycle: listed.lifecycle,
-            weight: listed.weight,
-            started_at: listed.started_at,
+        let endpoint = Endpoint {
+            server: id,
+            zone: ZoneId(position_or_insert(&mut self.zones, &named.zone) as u16),
+            machine_kind: position_or_insert(&mut self.machine_kinds, &named.machine_kind) as u32,
+            cell: named.cell,
+            lifecycle: named.lifecycle,
+            weight: named.weight,
+            started_at: named.started_at,
         };
-        (entry, returned)
+        ResolvedEndpoint {
+            endpoint,
+            was_forgotten,
+        }
+    }
+
+    fn resolve_server(&mut self, name: &str) -> ResolvedServer {
+        if let Some(id) = self.server(name) {
+            return ResolvedServer {
+                id,
+                was_forgotten: false,
+            };
+        }
+        ResolvedServer {
+            id: self.add_server(name),
+            was_forgotten: self.recall(name),
+        }
     }
 
-    /// A number for a new name, and whether that had been forgotten.
-    fn intern(&mut self, name: &str) -> (ServerId, bool) {
-        let (id, digest, forgotten) = (ServerId(self.next), digest(name), self.forgotten.len());
-        self.next += 1;
-        self.forgotten.retain(|of| *of != digest);
-        let returned = self.forgotten.len() < forgotten;
+    fn add_server(&mut self, name: &str) -> ServerId {
+        let id = ServerId(self.next_server);
+        self.next_server += 1;
         let name: Rc<str> = Rc::from(name);
-        self.by_name.insert(Rc::clone(&name), id);
-        self.servers.insert(
-            id,
-            Known {
-                name,
-                address: String::new(),
-                started: None,
-            },
-        );
-        (id, returned)
+        self.ids_by_name.insert(Rc::clone(&name), id);
+        let known = KnownServer {
+            name,
+            address: String::new(),
+            started_at: None,
+        };
+        self.servers.insert(id, known);
+        id
+    }
+
+    /// Removes a name from the forgotten ones; returns whether it was there.
+    fn recall(&mut self, name: &str) -> bool {
+        let count_before = self.forgotten.len();
+        let hash = hash(name);
+        self.forgotten.retain(|forgotten| *forgotten != hash);
+        self.forgotten.len() < count_before
     }
 }
 
-fn digest(name: &str) -> u64 {
+fn hash(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
 }
 
-fn position(names: &mut Vec<String>, name: &str) -> usize {
-    names
-        .iter()
-        .position(|known| known == name)
-        .unwrap_or_else(|| {
-            names.push(name.to_string());
-            names.len() - 1
-        })
+fn position_or_insert(names: &mut Vec<String>, name: &str) -> usize {
+    if let Some(position) = names.iter().position(|known| known == name) {
+        return position;
+    }
+    names.push(name.to_string());
+    names.len() - 1
 }
--- /dev/null
+++ b/crates/engine/src/records.rs
@@ -0,0 +1,186 @@
+//! Conversion of decision events and statuses to stored records.
+//!
+//! The protobuf types have field names of their own; the mapping from the field's terms is here.
+
+use chutegrade_policy::{
+    AdmissionLevel, DecisionEvent, FleetStatus, HealthChangeCause, HealthState, Lifecycle,
+    ServerId, ServerStatus, TableId, ZoneId,
+};
+use chutegrade_records::{pb, Kind};
+
+fn health_state_record(state: HealthState) -> pb::State {
+    match state {
+        HealthState::Full => pb::State::Full,
+        HealthState::Reduced => pb::State::Reduced,
+        HealthState::Withdrawn => pb::State::Withdrawn,
+    }
+}
+
+fn lifecycle_record(lifecycle: Lifecycle) -> pb::Life {
+    match lifecycle {
+        Lifecycle::InService => pb::Life::InService,
+        Lifecycle::Draining => pb::Life::Draining,
+        Lifecycle::Removed => pb::Life::Gone,
+    }
+}
+
+fn cause_record(cause: HealthChangeCause) -> pb::Cause {
+    match cause {
+        HealthChangeCause::Score => pb::Cause::Score,
+        HealthChangeCause::Errors => pb::Cause::Errors,
+        HealthChangeCause::Latency => pb::Cause::Latency,
+        HealthChangeCause::HealthChecks => pb::Cause::Probes,
+        HealthChangeCause::EjectionElapsed => pb::Cause::TriedAgain,
+        HealthChangeCause::SustainedRecovery => pb::Cause::GoodTicks,
+    }
+}
+
+fn saturating_u32(count: usize) -> u32 {
+    u32::try_from(count).unwrap_or(u32::MAX)
+}
+
+/// A decision event as a record, by the names of servers and zones.
+#[expect(clippy::too_many_lines, reason = "one plain arm for each event")]
+pub fn decision_record(
+    event: &DecisionEvent,
+    server_name: impl Fn(ServerId) -> String,
+    zone_name: impl Fn(ZoneId) -> String,
+) -> Kind {
+    match *event {
+        DecisionEvent::HealthChanged {
+            server,
+            zone,
+            state,
+            score,
+            errors,
+            latency,
+            cause,
+        } => Kind::StateChanged(pb::StateChanged {
+            server: server_name(server),
+            zone: zone_name(zone),
+            state: health_state_record(state).into(),
+            score,
+            errors,
+            latency,
+            cause: cause_record(cause).into(),
+        }),
+        DecisionEvent::LifecycleChanged {
+            server,
+            zone,
+            lifecycle,
+        } => Kind::LifeChanged(pb::LifeChanged {
+            server: server_name(server),
+            zone: zone_name(zone),
+            life: lifecycle_record(lifecycle).into(),
+        }),
+        DecisionEvent::WarmingWithheld {
+            withheld,
+            attempts_per_answer,
+        } => Kind::ColdHeld(pb::ColdHeld {
+            held: withheld,
+            tries: attempts_per_answer,
+        }),
+        DecisionEvent::ZonePartition {
+            zone,
+            partitioned,
+            unanswered_share,
+        } => Kind::ZoneCut(pb::ZoneCut {
+            zone: zone_name(zone),
+            cut: partitioned,
+            mute: unanswered_share,
+        }),
+        DecisionEvent::Saturation {
+            shed_share,
+            saturation,
+            queue_term,
+            latency_term,
+            unanswered_term,
+        } => Kind::Saturation(pb::Saturation {
+            refused: shed_share,
+            strain: saturation,
+            queues: queue_term,
+            probes: latency_term,
+            mute: unanswered_term,
+        }),
+        DecisionEvent::AdviceOverruled { table, overruled } => Kind::AdviceVoid(pb::AdviceVoid {
+            table: u32::from(table.0),
+            void: overruled,
+        }),
+        DecisionEvent::Resharded { shards, narrowed } => Kind::Parts(pb::Parts {
+            parts: saturating_u32(shards),
+            narrowed,
+        }),
+    }
+}
+
+/// An admission level as a record.
+pub(crate) fn admission_record(
+    class: String,
+    table: Option<TableId>,
+    level: AdmissionLevel,
+    saturation: f64,
+) -> Kind {
+    Kind::Level(pb::Level {
+        class,
+        level: level.level,
+        retry: level.retry as u32,
+        table: table.map_or(0, |table| u32::from(table.0)),
+        strain: saturation,
+    })
+}
+
+/// The suspension or resumption of a server as a record, with the number of streams that it concerned.
+pub(crate) fn suspension_record(server: String, suspended: bool, streams: u32) -> Kind {
+    Kind::Withdrawn(pb::Withdrawn {
+        server,
+        out: suspended,
+        streams,
+    })
+}
+
+/// The status of a server as a record.
+pub(crate) fn server_record(name: String, zone: String, status: &ServerStatus) -> pb::Server {
+    pb::Server {
+        name,
+        zone,
+        state: health_state_record(status.state).into(),
+        life: lifecycle_record(status.endpoint.lifecycle).into(),
+        score: status.score,
+        errors: status.terms.errors,
+        latency: status.terms.latency,
+        weight: status.weight,
+        warmth: status.warm_up_share,
+        shut: status.suspended,
+    }
+}
+
+/// The status of the fleet and the numbers of its servers by state, as a record.
+pub(crate) fn fleet_record(
+    fleet: FleetStatus,
+    proxy_count: usize,
+    servers: impl Iterator<Item = ServerStatus>,
+) -> pb::Gauge {
+    let mut record = pb::Gauge {
+        waiting: fleet.queued_lines,
+        refused: fleet.shed_share,
+        strain: fleet.saturation,
+        streams: saturating_u32(proxy_count),
+        levels: fleet.admitted_shares,
+        ..pb::Gauge::default()
+    };
+    for server in servers {
+        *server_counter(&mut record, &server) += 1;
+    }
+    record
+}
+
+/// The counter of a server's state.
+fn server_counter<'a>(record: &'a mut pb::Gauge, server: &ServerStatus) -> &'a mut u32 {
+    match (server.endpoint.lifecycle, server.state) {
+        (Lifecycle::InService, HealthState::Withdrawn) => &mut record.withdrawn,
+        (Lifecycle::InService, _) if server.warm_up_share < 1.0 => &mut record.cold,
+        (Lifecycle::InService, HealthState::Reduced) => &mut record.reduced,
+        (Lifecycle::InService, HealthState::Full) => &mut record.full,
+        _ => &mut record.leaving,
+    }
+}
--- a/crates/engine/src/streams.rs
+++ b/crates/engine/src/streams.rs
@@ -1,280 +1,170 @@
-//! The joined proxies: the stream of each, its tables by class, what it was told of withdrawn servers, and
-//! what waits to be written.
+//! The joined proxies: the stream of each, and the orders that wait to be written to it.
+
+mod joined_proxy;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use chutegrade_policy::{Action, ProxyId, ServerId, TableId};
+use chutegrade_policy::{ProxyId, ServerId, TableId};
 
-use crate::order::Draft;
+use crate::pending_order::PendingOrder;
 use crate::tables::Tables;
-use crate::StreamId;
-
-/// A proxy that is joined.
-pub(crate) struct Joined {
-    pub stream: StreamId,
-    /// It holds tables from before, and withdrawals that may be another supervisor's.
-    brought: bool,
-    /// It was told of each server that its tables name whether it is shut out.
-    reconciled: bool,
-    tables: BTreeMap<usize, TableId>,
-    told: BTreeMap<ServerId, bool>,
-    draft: Draft,
-}
-
-impl Joined {
-    fn on(&self, table: TableId) -> Vec<usize> {
-        self.tables
-            .iter()
-            .filter(|(_, own)| **own == table)
-            .map(|(class, _)| *class)
-            .collect()
-    }
-
-    /// The proxy must know of a server that its tables name whether it is shut out: withdrawals stay with a proxy across
-    /// streams, so what it brings is put right with the first line that names a server that left here, and of all others
-    /// once that is ordered.
-    fn names(&mut self, server: ServerId, all: &Tables) {
-        let out = all.is_withdrawn(server);
-        let unsure = self.brought && (self.reconciled || all.has_left(server));
-        let unknown = unsure || all.has_returned(server);
-        let known = self
-            .told
-            .get(&server)
-            .copied()
-            .or((!unknown).then_some(false));
-        if known != Some(out) {
-            self.told.insert(server, out);
-            self.draft.withdraw(server, out);
-        }
-    }
-
-    fn line(&mut self, table: TableId, server: ServerId, weight: f64, all: &Tables) {
-        let classes = self.on(table);
-        for class in &classes {
-            self.draft.row(*class, server, weight);
-        }
-        if weight > 0.0 && !classes.is_empty() {
-            self.names(server, all);
-        }
-    }
-
-    fn bind(&mut self, table: TableId, classes: &[usize], all: &Tables) {
-        let (none, held) = (BTreeMap::new(), all.get(table));
-        let lines = held.map_or(&none, |table| &table.lines);
-        for class in classes {
-            self.tables.insert(*class, table);
-            self.draft
-                .replace(*class, lines, all.level(Some(table), *class));
-        }
-        for server in lines.keys() {
-            self.names(*server, all);
-        }
-    }
-
-    fn reconcile(&mut self, all: &Tables) {
-        self.reconciled = true;
-        let tables: BTreeSet<TableId> = self.tables.values().copied().collect();
-        for server in tables
-            .into_iter()
-            .filter_map(|table| all.get(table))
-            .flat_map(|table| table.lines.keys())
-        {
-            self.names(*server, all);
-        }
-    }
-
-    fn clear(&mut self, table: TableId, all: &Tables) {
-        for class in self.on(table) {
-            self.draft
-                .replace(class, &BTreeMap::new(), all.level(None, class));
-        }
-    }
-
-    fn level(&mut self, table: Option<TableId>, class: usize, all: &Tables) {
-        let own = self.tables.get(&class).copied();
-        if table.is_some() && table != own {
-            return;
-        }
-        if let Some(level) = all.level(own, class) {
-            self.draft.gate(class, level);
-        }
-    }
-
-    /// A server is shut out or let back: of no concern to a proxy whose tables do not name it, nor to one that has none of
-    /// ours yet. Whether it is. What its tables name later they put right with the line itself.
-    fn withdraw(&mut self, server: ServerId, out: bool, all: &Tables) -> bool {
-        let named = |table: &TableId| {
-            all.get(*table)
-                .is_some_and(|t| t.lines.contains_key(&server))
-        };
-        let concerned = self.tables.values().any(named) || (out && self.bound_in_part(all));
-        if concerned {
-            self.told.insert(server, out);
-            self.draft.withdraw(server, out);
-        }
-        concerned
-    }
-
-    fn bound_in_part(&self, all: &Tables) -> bool {
-        !self.tables.is_empty() && self.tables.len() < all.classes()
-    }
+use joined_proxy::JoinedProxy;
+
+/// A stream of a proxy, numbered by whoever accepts it; a number is never reused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct StreamId(pub u64);
+
+/// A request for acknowledgements at the end of a batch of actions.
+#[derive(Clone, Copy)]
+pub(crate) struct AcknowledgementRequest {
+    /// The sequence number to acknowledge.
+    pub sequence: u16,
+    /// Whether to ask all joined proxies, or only those that the batch changed something for.
+    pub all_proxies: bool,
 }
 
 /// All joined proxies.
 #[derive(Default)]
 pub(crate) struct Streams {
-    proxies: BTreeMap<ProxyId, Joined>,
+    proxies: BTreeMap<ProxyId, JoinedProxy>,
     by_stream: HashMap<StreamId, ProxyId>,
-    /// Proxies that use a table: most orders concern one table, and few of many proxies use it.
+    /// Proxies by table: most orders change one table, which few of many proxies use.
     by_table: BTreeMap<TableId, BTreeSet<ProxyId>>,
-    /// Proxies that this turn's orders concern.
-    touched: BTreeSet<ProxyId>,
-    reached: BTreeSet<StreamId>,
+    /// Proxies that the current batch of actions may have changed something for.
+    changed_in_batch: BTreeSet<ProxyId>,
+    /// Streams with an order to write.
+    with_orders: BTreeSet<StreamId>,
 }
 
 impl Streams {
-    pub fn join(&mut self, proxy: ProxyId, stream: StreamId, brought: bool) {
+    /// Joins a proxy on a stream, in the place of any older stream of that proxy.
+    pub fn join(&mut self, proxy: ProxyId, stream: StreamId, has_previous_table: bool) {
         self.by_stream.insert(stream, proxy);
-        let joined = Joined {
-            stream,
-            brought,
-            reconciled: false,
-            tables: BTreeMap::new(),
-            told: BTreeMap::new(),
-            draft: Draft::default(),
-        };
-        if let Some(old) = self.proxies.insert(proxy, joined) {
-            self.by_stream.remove(&old.stream);
-            self.reached.remove(&old.stream);
-            self.unbind(proxy, &old);
+        let joined = JoinedProxy::new(stream, has_previous_table);
+        if let Some(previous) = self.proxies.insert(proxy, joined) {
+            self.by_stream.remove(&previous.stream);
+            self.with_orders.remove(&previous.stream);
+            self.unassign_tables(proxy, &previous);
         }
     }
 
-    fn unbind(&mut self, proxy: ProxyId, joined: &Joined) {
-        for table in joined.tables.values() {
-            if let Some(users) = self.by_table.get_mut(table) {
+    /// Removes a stream; returns its proxy, unless a newer stream has replaced this one.
+    pub fn leave(&mut self, stream: StreamId) -> Option<ProxyId> {
+        let proxy = self.by_stream.remove(&stream)?;
+        self.with_orders.remove(&stream);
+        if let Some(joined) = self.proxies.remove(&proxy) {
+            self.unassign_tables(proxy, &joined);
+        }
+        Some(proxy)
+    }
+
+    fn unassign_tables(&mut self, proxy: ProxyId, joined: &JoinedProxy) {
+        for table in joined.assigned_tables() {
+            if let Some(users) = self.by_table.get_mut(&table) {
                 users.remove(&proxy);
             }
         }
     }
 
-    /// The proxy whose stream this is, if no newer one has taken its place.
+    /// The proxy of a stream, unless a newer stream has replaced this one.
     pub fn proxy(&self, stream: StreamId) -> Option<ProxyId> {
         self.by_stream.get(&stream).copied()
     }
 
     /// The stream on which a proxy is joined.
-    pub fn of(&self, proxy: ProxyId) -> Option<StreamId> {
+    pub fn stream_of(&self, proxy: ProxyId) -> Option<StreamId> {
         self.proxies.get(&proxy).map(|joined| joined.stream)
     }
 
-    pub fn leave(&mut self, stream: StreamId) -> Option<ProxyId> {
-        let proxy = self.by_stream.remove(&stream)?;
-        self.reached.remove(&stream);
-        if let Some(joined) = self.proxies.remove(&proxy) {
-            self.unbind(proxy, &joined);
-        }
-        Some(proxy)
+    /// Sets the weight of a server at all proxies that use a table. `tables` already has the new weight.
+    pub fn set_weight(&mut self, table: TableId, server: ServerId, weight: f64, tables: &Tables) {
+        self.for_users_of(table, |joined| {
+            joined.set_weight(table, server, weight, tables);
+        });
     }
 
-    /// Carries one action to the streams it concerns; the tables hold it already. Tells how many a withdrawal concerns.
-    pub fn apply(&mut self, action: &Action, all: &Tables) -> u32 {
-        match action {
-            Action::SetWeight {
-                table,
-                server,
-                weight,
-            } => {
-                self.users(*table, |joined| joined.line(*table, *server, *weight, all));
-            }
-            Action::ClearTable(table) => self.users(*table, |joined| joined.clear(*table, all)),
-            Action::AssignTable {
-                proxy,
-                table,
-                classes,
-            } => {
-                self.bind(*proxy, *table, &all.positions(*classes), all);
-            }
-            Action::Reconcile(proxy) => {
-                if let Some(joined) = self.proxies.get_mut(proxy) {
-                    joined.reconcile(all);
-                    self.touched.insert(*proxy);
-                }
-            }
-            Action::SetSuspended {
-                server,
-                suspended: out,
-            } => return self.withdraw(*server, *out, all),
-            Action::SetAdmission { table, classes, .. } => {
-                for class in all.positions(*classes) {
-                    match table {
-                        Some(of) => self.users(*of, |joined| joined.level(*table, class, all)),
-                        None => self.each(|joined| joined.level(None, class, all)),
-                    }
-                }
-            }
-            _ => {}
-        }
-        0
+    /// Clears a table at all proxies that use it.
+    pub fn clear_table(&mut self, table: TableId, tables: &Tables) {
+        self.for_users_of(table, |joined| joined.clear_table(table, tables));
     }
 
-    fn bind(&mut self, proxy: ProxyId, table: TableId, classes: &[usize], all: &Tables) {
+    /// Assigns a table to a proxy for some classes.
+    pub fn assign_table(
+        &mut self,
+        proxy: ProxyId,
+        table: TableId,
+        classes: &[usize],
+        tables: &Tables,
+    ) {
         let Some(joined) = self.proxies.get_mut(&proxy) else {
             return;
         };
-        let before: Vec<TableId> = classes
-            .iter()
-            .filter_map(|class| joined.tables.get(class).copied())
-            .collect();
-        joined.bind(table, classes, all);
-        for old in before.iter().filter(|old| joined.on(**old).is_empty()) {
-            if let Some(users) = self.by_table.get_mut(old) {
+        let previous = joined.tables_of(classes);
+        joined.assign_table(table, classes, tables);
+        for unused in previous.iter().filter(|table| !joined.uses(**table)) {
+            if let Some(users) = self.by_table.get_mut(unused) {
                 users.remove(&proxy);
             }
         }
         self.by_table.entry(table).or_default().insert(proxy);
-        self.touched.insert(proxy);
+        self.changed_in_batch.insert(proxy);
     }
 
-    fn withdraw(&mut self, server: ServerId, out: bool, all: &Tables) -> u32 {
+    /// Informs a proxy of the suspension of each server that its tables name.
+    pub fn reconcile(&mut self, proxy: ProxyId, tables: &Tables) {
+        if let Some(joined) = self.proxies.get_mut(&proxy) {
+            joined.reconcile(tables);
+            self.changed_in_batch.insert(proxy);
+        }
+    }
+
+    /// Sets the admission level of some classes at the users of a table, or at all proxies without one.
+    pub fn set_admission(&mut self, table: Option<TableId>, classes: &[usize], tables: &Tables) {
+        for class in classes {
+            match table {
+                Some(id) => self.for_users_of(id, |joined| {
+                    joined.update_admission(table, *class, tables);
+                }),
+                None => self.for_all(|joined| joined.update_admission(None, *class, tables)),
+            }
+        }
+    }
+
+    /// Suspends or resumes a server at the proxies that this concerns; returns their number.
+    pub fn set_suspended(&mut self, server: ServerId, suspended: bool, tables: &Tables) -> u32 {
         let mut concerned = 0;
         for (proxy, joined) in &mut self.proxies {
-            if joined.withdraw(server, out, all) {
-                self.touched.insert(*proxy);
+            if joined.set_suspended(server, suspended, tables) {
+                self.changed_in_batch.insert(*proxy);
                 concerned += 1;
             }
         }
         concerned
     }
 
-    /// Whether anything that waits to be written names the server.
-    pub fn mention(&self, server: ServerId) -> bool {
-        self.proxies
-            .values()
-            .any(|joined| joined.draft.mentions(server))
+    /// Whether any order that waits to be written refers to a server.
+    pub fn names_server(&self, server: ServerId) -> bool {
+        let mut proxies = self.proxies.values();
+        proxies.any(|joined| joined.pending.names_server(server))
     }
 
+    /// Removes a server that no order names.
     pub fn forget(&mut self, server: ServerId) {
-        self.proxies.values_mut().for_each(|joined| {
-            joined.told.remove(&server);
-        });
-    }
-
-    /// How many streams have something to write.
-    pub fn reached(&self) -> usize {
-        self.reached.len()
+        for joined in self.proxies.values_mut() {
+            joined.forget(server);
+        }
     }
 
-    fn each(&mut self, apply: impl FnMut(&mut Joined)) {
-        self.touched.extend(self.proxies.keys());
+    fn for_all(&mut self, apply: impl FnMut(&mut JoinedProxy)) {
+        self.changed_in_batch.extend(self.proxies.keys());
         self.proxies.values_mut().for_each(apply);
     }
 
-    fn users(&mut self, table: TableId, mut apply: impl FnMut(&mut Joined)) {
+    fn for_users_of(&mut self, table: TableId, mut apply: impl FnMut(&mut JoinedProxy)) {
         let Some(users) = self.by_table.get(&table) else {
             return;
         };
-        self.touched.extend(users);
+        self.changed_in_batch.extend(users);
         for proxy in users {
             if let Some(joined) = self.proxies.get_mut(proxy) {
                 apply(joined);
@@ -282,34 +172,41 @@
         }
     }
 
-    /// Ends a turn: the proxies it reached, or all, get its mark, and their streams something to write.
-    pub fn end_turn(&mut self, mark: Option<(u16, bool)>) {
-        let mut concerned = std::mem::take(&mut self.touched);
-        if mark.is_some_and(|(_, everyone)| everyone) {
+    /// Ends a batch of actions: requests acknowledgements, and registers the streams that have something to write.
+    pub fn end_batch(&mut self, request: Option<AcknowledgementRequest>) {
+        let mut concerned = std::mem::take(&mut self.changed_in_batch);
+        if request.is_some_and(|request| request.all_proxies) {
             concerned.extend(self.proxies.keys());
         }
         for proxy in concerned {
             let Some(joined) = self.proxies.get_mut(&proxy) else {
                 continue;
             };
-            let touched = joined.draft.take_touched();
-            if let Some((mark, _)) = mark.filter(|(_, everyone)| touched || *everyone) {
-                joined.draft.stamp(mark);
+            let has_changed = joined.pending.take_changed_in_batch();
+            if let Some(request) = request.filter(|request| has_changed || request.all_proxies) {
+                joined.pending.request_acknowledgement(request.sequence);
             }
-            if !joined.draft.is_empty() {
-                self.reached.insert(joined.stream);
+            if !joined.pending.is_empty() {
+                self.with_orders.insert(joined.stream);
             }
         }
     }
 
-    /// Streams with something to write since this was last asked.
-    pub fn take_reached(&mut self) -> BTreeSet<StreamId> {
-        std::mem::take(&mut self.reached)
+    /// Number of streams with an order to write.
+    pub fn with_orders_count(&self) -> usize {
+        self.with_orders.len()
+    }
+
+    /// Streams that got an order to write since the last call.
+    pub fn take_with_orders(&mut self) -> BTreeSet<StreamId> {
+        std::mem::take(&mut self.with_orders)
     }
 
-    pub fn take_draft(&mut self, stream: StreamId) -> Option<Draft> {
+    /// The order that waits for a stream, if there is one.
+    pub fn take_pending_order(&mut self, stream: StreamId) -> Option<PendingOrder> {
         let proxy = self.by_stream.get(&stream)?;
-        let draft = std::mem::take(&mut self.proxies.get_mut(proxy)?.draft);
-        (!draft.is_empty()).then_some(draft)
+        let joined = self.proxies.get_mut(proxy)?;
+        let pending = std::mem::take(&mut joined.pending);
+        (!pending.is_empty()).then_some(pending)
     }
 }
--- /dev/null
+++ b/crates/engine/src/streams/joined_proxy.rs
@@ -0,0 +1,172 @@
+//! One joined proxy: its tables by class, what it was informed of, and the order that waits for it.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use chutegrade_policy::{ServerId, TableId};
+
+use super::StreamId;
+use crate::pending_order::PendingOrder;
+use crate::tables::Tables;
+
+/// A proxy with an open stream.
+pub(super) struct JoinedProxy {
+    /// Its stream.
+    pub stream: StreamId,
+    /// The order that waits to be written.
+    pub pending: PendingOrder,
+    /// It has tables from an earlier stream, and suspensions that may be another supervisor's.
+    has_previous_table: bool,
+    /// It was informed of the suspension of each server that its tables name.
+    is_reconciled: bool,
+    tables: BTreeMap<usize, TableId>,
+    /// The suspensions of which it was informed on this stream.
+    notified_suspensions: BTreeMap<ServerId, bool>,
+}
+
+impl JoinedProxy {
+    /// A proxy that has just joined.
+    pub fn new(stream: StreamId, has_previous_table: bool) -> Self {
+        JoinedProxy {
+            stream,
+            pending: PendingOrder::default(),
+            has_previous_table,
+            is_reconciled: false,
+            tables: BTreeMap::new(),
+            notified_suspensions: BTreeMap::new(),
+        }
+    }
+
+    /// The table of each class that has one.
+    pub fn assigned_tables(&self) -> impl Iterator<Item = TableId> + '_ {
+        self.tables.values().copied()
+    }
+
+    /// The tables of some classes.
+    pub fn tables_of(&self, classes: &[usize]) -> Vec<TableId> {
+        let assigned = classes.iter().filter_map(|class| self.tables.get(class));
+        assigned.copied().collect()
+    }
+
+    /// Whether any class uses a table.
+    pub fn uses(&self, table: TableId) -> bool {
+        self.tables.values().any(|assigned| *assigned == table)
+    }
+
+    fn classes_of(&self, table: TableId) -> Vec<usize> {
+        let assigned = self.tables.iter().filter(|(_, id)| **id == table);
+        assigned.map(|(class, _)| *class).collect()
+    }
+
+    /// Informs the proxy of the suspension of a server that one of its tables names, unless it already is.
+    ///
+    /// A proxy retains suspensions across streams. What it has from before is corrected with the first weight of a
+    /// server that was ever suspended here, and for all other servers once reconciliation is ordered.
+    fn notify_suspension(&mut self, server: ServerId, tables: &Tables) {
+        let suspended = tables.is_suspended(server);
+        if self.assumed_suspension(server, tables) != Some(suspended) {
+            self.notified_suspensions.insert(server, suspended);
+            self.pending.set_suspended(server, suspended);
+        }
+    }
+
+    /// Whether the proxy has a server as suspended; `None` if that is uncertain.
+    fn assumed_suspension(&self, server: ServerId, tables: &Tables) -> Option<bool> {
+        if let Some(notified) = self.notified_suspensions.get(&server) {
+            return Some(*notified);
+        }
+        let is_corrected_now = self.is_reconciled || tables.was_ever_suspended(server);
+        let may_be_suspended = self.has_previous_table && is_corrected_now;
+        if may_be_suspended || tables.has_returned(server) {
+            return None;
+        }
+        Some(false)
+    }
+
+    /// Sets the weight of a server in a table.
+    pub fn set_weight(&mut self, table: TableId, server: ServerId, weight: f64, tables: &Tables) {
+        let classes = self.classes_of(table);
+        for class in &classes {
+            self.pending.set_weight(*class, server, weight);
+        }
+        if weight > 0.0 && !classes.is_empty() {
+            self.notify_suspension(server, tables);
+        }
+    }
+
+    /// Assigns a table for some classes.
+    pub fn assign_table(&mut self, table: TableId, classes: &[usize], tables: &Tables) {
+        let no_weights = BTreeMap::new();
+        let weights = match tables.get(table) {
+            Some(table) => &table.weights,
+            None => &no_weights,
+        };
+        for class in classes {
+            self.tables.insert(*class, table);
+            let admission = tables.admission_level(Some(table), *class);
+            self.pending.replace_table(*class, weights, admission);
+        }
+        for server in weights.keys() {
+            self.notify_suspension(*server, tables);
+        }
+    }
+
+    /// Clears a table for all classes that use it.
+    pub fn clear_table(&mut self, table: TableId, tables: &Tables) {
+        for class in self.classes_of(table) {
+            let admission = tables.admission_level(None, class);
+            self.pending
+                .replace_table(class, &BTreeMap::new(), admission);
+        }
+    }
+
+    /// Informs the proxy of the suspension of each server that its tables name.
+    pub fn reconcile(&mut self, tables: &Tables) {
+        self.is_reconciled = true;
+        let assigned: BTreeSet<TableId> = self.assigned_tables().collect();
+        for table in assigned.into_iter().filter_map(|id| tables.get(id)) {
+            for server in table.weights.keys() {
+                self.notify_suspension(*server, tables);
+            }
+        }
+    }
+
+    /// Brings the admission level of a class up to date after a change in a table, or for all proxies without one.
+    pub fn update_admission(&mut self, table: Option<TableId>, class: usize, tables: &Tables) {
+        let assigned = self.tables.get(&class).copied();
+        if table.is_some() && table != assigned {
+            return;
+        }
+        if let Some(level) = tables.admission_level(assigned, class) {
+            self.pending.set_admission(class, level);
+        }
+    }
+
+    /// Suspends or resumes a server, if that concerns the proxy; returns whether it does.
+    ///
+    /// It does not if the proxy's tables do not name the server, nor while it has none of this supervisor's tables.
+    /// Weights that follow bring the suspension with them.
+    pub fn set_suspended(&mut self, server: ServerId, suspended: bool, tables: &Tables) -> bool {
+        let has_foreign_table = self.has_some_tables_only(tables);
+        let is_concerned = self.names_server(server, tables) || (suspended && has_foreign_table);
+        if is_concerned {
+            self.notified_suspensions.insert(server, suspended);
+            self.pending.set_suspended(server, suspended);
+        }
+        is_concerned
+    }
+
+    fn names_server(&self, server: ServerId, tables: &Tables) -> bool {
+        let mut assigned = self.tables.values().filter_map(|id| tables.get(*id));
+        assigned.any(|table| table.weights.contains_key(&server))
+    }
+
+    /// Whether some classes but not all have a table of this supervisor.
+    fn has_some_tables_only(&self, tables: &Tables) -> bool {
+        !self.tables.is_empty() && self.tables.len() < tables.class_count()
+    }
+
+    /// Removes a server that no table and no order names.
+    pub fn forget(&mut self, server: ServerId) {
+        self.notified_suspensions.remove(&server);
+    }
+}
--- /dev/null
+++ b/crates/engine/src/subscription.rs
@@ -0,0 +1,10 @@
+//! What the decisions require of service discovery.
+
+/// What the decisions require of service discovery.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct DiscoverySubscription {
+    /// Whether to watch the endpoint list for changes.
+    pub watch: bool,
+    /// Whether to fetch the complete endpoint list once.
+    pub fetch: bool,
+}
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -1,126 +1,137 @@
-//! The tables, levels and withdrawals as the decisions ordered them.
+//! The tables, admission levels and suspensions as the decisions ordered them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chutegrade_policy::{AdmissionLevel, ClassSet, Retry, ServerId, TableId};
+use chutegrade_policy::{AdmissionLevel, ClassSet, ServerId, TableId};
 
-/// One table: servers with weights, and levels by class.
+/// One table: weights by server, and admission levels by class.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
-    pub lines: BTreeMap<ServerId, f64>,
-    levels: BTreeMap<usize, AdmissionLevel>,
+    /// The weights; all are above 0.
+    pub weights: BTreeMap<ServerId, f64>,
+    admission_levels: BTreeMap<usize, AdmissionLevel>,
 }
 
-/// All that holds now.
+/// Everything that is in force.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tables {
     tables: BTreeMap<TableId, Table>,
-    for_all: BTreeMap<usize, AdmissionLevel>,
-    withdrawn: BTreeSet<ServerId>,
-    /// Servers that proxies may know from before, as shut out.
+    /// Admission levels by class for all joined proxies.
+    global_admission_levels: BTreeMap<usize, AdmissionLevel>,
+    suspended: BTreeSet<ServerId>,
+    /// Servers that returned after they were forgotten: proxies may still have them as suspended.
     returned: BTreeSet<ServerId>,
-    /// Servers that were ever shut out here: proxies of another supervisor may hold them so.
-    left: BTreeSet<ServerId>,
-    classes: usize,
+    /// Servers that were ever suspended here: proxies of another supervisor may still have them as suspended.
+    ever_suspended: BTreeSet<ServerId>,
+    class_count: usize,
 }
 
 impl Tables {
-    pub fn new(classes: usize) -> Self {
+    /// No tables yet, for a number of classes.
+    pub fn new(class_count: usize) -> Self {
         Tables {
-            classes,
+            class_count,
             ..Tables::default()
         }
     }
 
-    /// The positions of a set of classes; no class in the set stands for all of them.
-    pub fn positions(&self, classes: ClassSet) -> Vec<usize> {
-        (0..self.classes)
-            .filter(|class| classes == ClassSet::default() || classes.has(*class))
-            .collect()
+    /// The positions of a set of classes; the empty set stands for all of them.
+    pub fn class_positions(&self, classes: ClassSet) -> Vec<usize> {
+        let is_empty = classes == ClassSet::default();
+        let positions = (0..self.class_count).filter(|class| is_empty || classes.has(*class));
+        positions.collect()
     }
 
-    pub fn classes(&self) -> usize {
-        self.classes
+    /// Number of classes.
+    pub fn class_count(&self) -> usize {
+        self.class_count
     }
 
+    /// A table by its id.
     pub fn get(&self, table: TableId) -> Option<&Table> {
         self.tables.get(&table)
     }
 
-    pub fn line(&mut self, table: TableId, server: ServerId, weight: f64) {
-        let lines = &mut self.tables.entry(table).or_default().lines;
+    /// Sets the weight of a server in a table; 0 removes it.
+    pub fn set_weight(&mut self, table: TableId, server: ServerId, weight: f64) {
+        let weights = &mut self.tables.entry(table).or_default().weights;
         if weight > 0.0 {
-            lines.insert(server, weight);
+            weights.insert(server, weight);
         } else {
-            lines.remove(&server);
+            weights.remove(&server);
         }
     }
 
+    /// Removes all weights and admission levels of a table.
     pub fn clear(&mut self, table: TableId) {
         self.tables.remove(&table);
     }
 
-    pub fn admit(&mut self, table: Option<TableId>, class: usize, level: f64, retry: Retry) {
+    /// Sets the admission level of a class in a table, or for all joined proxies without one.
+    pub fn set_admission(&mut self, table: Option<TableId>, class: usize, level: AdmissionLevel) {
         let levels = match table {
-            Some(table) => &mut self.tables.entry(table).or_default().levels,
-            None => &mut self.for_all,
+            Some(table) => &mut self.tables.entry(table).or_default().admission_levels,
+            None => &mut self.global_admission_levels,
         };
-        levels.insert(class, AdmissionLevel { level, retry });
+        levels.insert(class, level);
     }
 
-    /// The level in force for a class: the lower of the table's and that for all, with the table's own way of
-    /// trying again.
-    pub fn level(&self, table: Option<TableId>, class: usize) -> Option<AdmissionLevel> {
-        let own = table
-            .and_then(|table| self.tables.get(&table)?.levels.get(&class))
+    /// The admission level in force for a class: the lower of the table's and the global one, with the table's retry
+    /// policy if it has one.
+    pub fn admission_level(&self, table: Option<TableId>, class: usize) -> Option<AdmissionLevel> {
+        let of_table = table
+            .and_then(|table| self.tables.get(&table)?.admission_levels.get(&class))
             .copied();
-        let for_all = self.for_all.get(&class).copied();
-        match (own, for_all) {
-            (Some(own), Some(all)) => Some(AdmissionLevel {
-                level: own.level.min(all.level),
-                retry: own.retry,
+        let global = self.global_admission_levels.get(&class).copied();
+        match (of_table, global) {
+            (Some(of_table), Some(global)) => Some(AdmissionLevel {
+                level: of_table.level.min(global.level),
+                retry: of_table.retry,
             }),
-            (own, all) => own.or(all),
+            (of_table, global) => of_table.or(global),
         }
     }
 
-    /// Shuts a server out or lets it back; whether that is news.
-    pub fn withdraw(&mut self, server: ServerId, out: bool) -> bool {
-        if out {
-            self.left.insert(server);
-            self.withdrawn.insert(server)
+    /// Suspends or resumes a server; returns whether that changes anything.
+    pub fn set_suspended(&mut self, server: ServerId, suspended: bool) -> bool {
+        if suspended {
+            self.ever_suspended.insert(server);
+            self.suspended.insert(server)
         } else {
-            self.withdrawn.remove(&server)
+            self.suspended.remove(&server)
         }
     }
 
-    /// Proxies may know the server from before, as shut out.
-    pub fn returned(&mut self, server: ServerId) {
+    /// Whether a server is suspended.
+    pub fn is_suspended(&self, server: ServerId) -> bool {
+        self.suspended.contains(&server)
+    }
+
+    /// Notes that a forgotten server returned, so that proxies may still have it as suspended.
+    pub fn mark_returned(&mut self, server: ServerId) {
         self.returned.insert(server);
     }
 
+    /// Whether a server returned after it was forgotten.
     pub fn has_returned(&self, server: ServerId) -> bool {
         self.returned.contains(&server)
     }
 
-    pub fn has_left(&self, server: ServerId) -> bool {
-        self.left.contains(&server)
+    /// Whether a server was ever suspended here.
+    pub fn was_ever_suspended(&self, server: ServerId) -> bool {
+        self.ever_suspended.contains(&server)
     }
 
-    /// Whether any table has a line of the server.
-    pub fn mention(&self, server: ServerId) -> bool {
-        self.tables
-            .values()
-            .any(|table| table.lines.contains_key(&server))
+    /// Whether any table has a weight for a server.
+    pub fn names_server(&self, server: ServerId) -> bool {
+        let mut tables = self.tables.values();
+        tables.any(|table| table.weights.contains_key(&server))
     }
 
+    /// Removes a server that no table names.
     pub fn forget(&mut self, server: ServerId) {
-        self.withdrawn.remove(&server);
+        self.suspended.remove(&server);
         self.returned.remove(&server);
-        self.left.remove(&server);
-    }
-
-    pub fn is_withdrawn(&self, server: ServerId) -> bool {
-        self.withdrawn.contains(&server)
+        self.ever_suspended.remove(&server);
     }
 }
--- /dev/null
+++ b/crates/engine/src/traffic_sampling.rs
@@ -0,0 +1,68 @@
+//! Samples of reported traffic for the overload manager. Off until enabled, and bounded.
+
+use chutegrade_limits::manager::{Demand, Outcome};
+use chutegrade_policy::Micros;
+
+/// Reports of each sort in one sample at most: a few seconds of the largest deployments.
+const MAX_SAMPLED_REPORTS: usize = 50_000;
+
+/// Traffic that was reported since the last sample.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct TrafficSample {
+    /// Time of the first tick after the newest report or answered health check.
+    pub last_report_at: Option<Micros>,
+    /// Requests that arrived.
+    pub demand: Vec<Demand>,
+    /// Attempts that ended.
+    pub outcomes: Vec<Outcome>,
+}
+
+/// Collects a [`TrafficSample`] once enabled.
+#[derive(Debug, Default)]
+pub(crate) struct TrafficSampler {
+    enabled: bool,
+    has_unstamped_report: bool,
+    sample: TrafficSample,
+}
+
+impl TrafficSampler {
+    /// Starts the collection.
+    pub fn enable(&mut self) {
+        self.enabled = true;
+    }
+
+    /// Notes that a report or the result of a health check arrived; the next tick gives it a time.
+    pub fn record_report(&mut self) {
+        self.has_unstamped_report = true;
+    }
+
+    /// Adds arrivals to the sample.
+    pub fn record_demand(&mut self, demand: Demand) {
+        if self.enabled && self.sample.demand.len() < MAX_SAMPLED_REPORTS {
+            self.sample.demand.push(demand);
+        }
+    }
+
+    /// Adds outcomes of attempts to the sample.
+    pub fn record_outcome(&mut self, outcome: Outcome) {
+        if self.enabled && self.sample.outcomes.len() < MAX_SAMPLED_REPORTS {
+            self.sample.outcomes.push(outcome);
+        }
+    }
+
+    /// Gives the reports since the last tick their time.
+    pub fn tick(&mut self, now: Micros) {
+        if std::mem::take(&mut self.has_unstamped_report) {
+            self.sample.last_report_at = Some(now);
+        }
+    }
+
+    /// Returns the sample and starts a new one, which retains the time of the last report.
+    pub fn take(&mut self) -> TrafficSample {
+        let next = TrafficSample {
+            last_report_at: self.sample.last_report_at,
+            ..TrafficSample::default()
+        };
+        std::mem::replace(&mut self.sample, next)
+    }
+}
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use chutegrade_adapter::other::{decides, Faults};
+use chutegrade_adapter::remote_policy::{spawn, Faults, RemotePolicyConfig};
 use chutegrade_engine::{DecisionPolicy, Settings};
 
 use chutegrade_model::scenario::{changed, digest, parse, pb as model, Scenario};
@@ -347,9 +347,15 @@
         let names = DeploymentNames {
             zones: numbered("z", settings.zones),
             classes: numbered("c", settings.classes.len()),
-            kinds: Vec::new(),
+            machine_kinds: Vec::new(),
         };
-        decides(&command, settings, &names, seed, &faults)
+        let config = RemotePolicyConfig {
+            command: &command,
+            settings,
+            names: &names,
+            seed,
+        };
+        spawn(&config, &faults)
     };
     Ok(Other {
         name,
--- a/crates/model/src/front.rs
+++ b/crates/model/src/front.rs
@@ -160,7 +160,7 @@
             let rows = || {
                 part.weights
                     .iter()
-                    .filter_map(|(name, weight)| Some((server_of(name)?, *weight)))
+                    .filter_map(|of| Some((server_of(&of.server)?, of.weight)))
             };
             if part.replace {
                 let table = Rc::new(Table::new(
--- a/crates/model/src/front/tests.rs
+++ b/crates/model/src/front/tests.rs
@@ -1,4 +1,4 @@
-use chutegrade_engine::{Retry, TableUpdate};
+use chutegrade_engine::{Retry, ServerWeight, TableUpdate};
 
 use super::*;
 use crate::chance::Source;
@@ -54,7 +54,7 @@
 #[test]
 fn orders_change_the_tables_of_their_classes() {
     let mut front = front(&[(1, 1.0), (2, 1.0)]);
-    let rows = vec![(Rc::from("s3"), 2.0), (Rc::from("s1"), 0.0)];
+    let rows = vec![ServerWeight::new("s3", 2.0), ServerWeight::new("s1", 0.0)];
     carry(
         &mut front,
         &order(TableUpdate {
@@ -109,7 +109,7 @@
         &mut front,
         &order(TableUpdate {
             replace: true,
-            weights: vec![("s9".into(), 1.0)],
+            weights: vec![ServerWeight::new("s9", 1.0)],
             ..TableUpdate::default()
         }),
     );
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -5,8 +5,8 @@
 
 use chutegrade_engine::AdmissionLevel;
 use chutegrade_engine::{
-    EndpointUpdateKind, Engine, HealthCheck, HealthCheckOutcome, Lifecycle, LoadReport, Micros,
-    Order, Report, Retry, StreamId,
+    DeploymentNames, EndpointUpdateKind, Engine, HealthCheck, HealthCheckOutcome, Lifecycle,
+    LoadReport, Micros, Order, Report, Retry, StreamId,
 };
 use chutegrade_policy::Idempotency;
 use chutegrade_traffic::Traffic;
@@ -394,25 +394,27 @@
         )
         .number();
         let settings = self.scenario.settings(zone);
-        let zones = self.scenario.zones.clone();
-        let classes = self
-            .scenario
-            .classes
-            .iter()
-            .map(|class| class.name.clone())
-            .collect();
-        let kinds = self
-            .scenario
-            .kinds
-            .iter()
-            .map(|kind| kind.name.clone())
-            .collect();
+        let names = DeploymentNames {
+            zones: self.scenario.zones.clone(),
+            classes: self
+                .scenario
+                .classes
+                .iter()
+                .map(|class| class.name.clone())
+                .collect(),
+            machine_kinds: self
+                .scenario
+                .kinds
+                .iter()
+                .map(|kind| kind.name.clone())
+                .collect(),
+        };
         let mut engine = Box::new(match &self.setup.other {
             Some(other) => {
                 let decides = (other.make)(&settings, seed);
-                Engine::with_policy(decides, &settings, zones, classes, kinds)
+                Engine::with_policy(decides, &settings, names)
             }
-            None => Engine::new(settings, seed, zones, classes, kinds),
+            None => Engine::new(settings, seed, names),
         });
         let service = self.setup.service(self.scenario, &mut engine);
         Mind::Engine(engine, Box::new(self.setup.rules()), service)
--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -7,7 +7,7 @@
 
 use chutegrade_engine::{
     DecisionPolicy, Engine, Lifecycle, LoadReport, Micros, NamedEndpoint, Order, Report,
-    TableUpdate,
+    ServerWeight, TableUpdate,
 };
 use chutegrade_plugin_advisor::PluginAdvisor;
 
@@ -397,13 +397,14 @@
     zone: usize,
     weight: impl Fn(usize) -> f64,
 ) -> Order {
-    let rows = |home: bool| -> Vec<(Rc<str>, f64)> {
+    let rows = |home: bool| -> Vec<ServerWeight> {
         let all = servers
             .iter()
             .enumerate()
             .filter(|(_, server)| !home || server.zone == zone);
-        let weighed = all.map(|(at, server)| (Rc::clone(&server.name), weight(at)));
-        weighed.filter(|(_, weight)| *weight > 0.0).collect()
+        let weighed =
+            all.map(|(at, server)| ServerWeight::new(Rc::clone(&server.name), weight(at)));
+        weighed.filter(|of| of.weight > 0.0).collect()
     };
     let classes = |home: bool| -> Vec<Rc<str>> {
         let of = scenario
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -68,8 +68,11 @@
     /// One under a plan; the engine measures from now on. `period` is the time over which reports count.
     pub fn new(plan: OverloadConfig, engine: &mut Engine, period: Micros) -> Self {
         engine.enable_traffic_sampling();
-        let governor =
-            OverloadManager::new(plan, overload_classes(engine), engine.deployment_size().0);
+        let governor = OverloadManager::new(
+            plan,
+            overload_classes(engine),
+            engine.deployment_size().proxies,
+        );
         OverloadController {
             governor,
             due: Micros(i64::MIN),
--- a/crates/plugin-advisor/benches/tick.rs
+++ b/crates/plugin-advisor/benches/tick.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use chutegrade_engine::{Engine, Micros, Report, StreamId};
+use chutegrade_engine::{DeploymentNames, Engine, Micros, Report, StreamId};
 use chutegrade_plugin_advisor::PluginAdvisor;
 use chutegrade_policy::*;
 
@@ -59,7 +59,12 @@
     };
     let names = |names: &[&str]| names.iter().map(ToString::to_string).collect::<Vec<_>>();
     let classes = names(&["status-read", "refund-order", "petition-file"]);
-    let mut engine = Engine::new(settings, 1, names(&["a", "b"]), classes, names(&["m"]));
+    let deployment = DeploymentNames {
+        zones: names(&["a", "b"]),
+        classes,
+        machine_kinds: names(&["m"]),
+    };
+    let mut engine = Engine::new(settings, 1, deployment);
     let listed = (0..SERVERS).map(|n| chutegrade_engine::NamedEndpoint {
         name: format!("s-{n:08x}"),
         zone: ["a", "b"][n % 2].to_string(),
--- a/crates/plugin-advisor/src/lib.rs
+++ b/crates/plugin-advisor/src/lib.rs
@@ -67,10 +67,10 @@
 
 /// What plug-ins see of the engine.
 pub fn inputs_from_engine(engine: &Engine) -> Inputs {
-    let (gauge, fleet, (zones, _)) = (
+    let (gauge, fleet, names) = (
         engine.fleet_metrics(),
         engine.server_snapshot(),
-        engine.zone_and_class_names(),
+        engine.deployment_names(),
     );
     let levels = gauge.levels.iter().copied().chain(std::iter::repeat(1.0));
     let class = |(of, level): (&chutegrade_engine::ClassInfo, f64)| Class {
@@ -82,7 +82,11 @@
     Inputs {
         servers: fleet.servers.iter().map(standing).collect(),
         classes: engine.classes().iter().zip(levels).map(class).collect(),
-        zones: zones.iter().map(|zone| zone.as_str().into()).collect(),
+        zones: names
+            .zones
+            .iter()
+            .map(|zone| zone.as_str().into())
+            .collect(),
         fleet: fleet_in(&gauge, engine.fleet_status().request_rate),
     }
 }
--- /dev/null
+++ b/crates/settings/src/consistency.rs
@@ -0,0 +1,73 @@
+//! Warnings about settings that contradict themselves or leave something open.
+
+use chutegrade_policy::{Settings, NO_LIMIT};
+
+/// Lines of a message with a complete table, beside the table: the acknowledgement request and `replace`.
+const TABLE_MESSAGE_LINES: f64 = 2.0;
+
+/// Lines of a message that suspends one server: the acknowledgement request and the suspension.
+const SUSPENSION_MESSAGE_LINES: f64 = 2.0;
+
+/// Lines for each server of a complete table: its weight and its suspension.
+const LINES_PER_SERVER: f64 = 2.0;
+
+/// What the settings contradict or leave open, for an endpoint list of a number of servers, a sentence each. The
+/// decisions continue all the same and observe the rules as far as they can be observed.
+pub fn consistency_warnings(settings: &Settings, servers: usize) -> Vec<String> {
+    let warnings = [
+        no_backlog_limit(settings),
+        no_line_rate(settings),
+        backlog_below_table(settings, servers),
+        backlog_below_suspension(settings),
+        no_proxies(settings),
+        single_message(settings),
+    ];
+    warnings.into_iter().flatten().collect()
+}
+
+fn no_backlog_limit(settings: &Settings) -> Option<String> {
+    (settings.channel_backlog >= NO_LIMIT)
+        .then(|| "familyInfo.backlog names no limit: any number of lines may wait".to_string())
+}
+
+fn no_line_rate(settings: &Settings) -> Option<String> {
+    (settings.channel_lines_per_second >= NO_LIMIT)
+        .then(|| "familyInfo.linesPerS names no pace: the channel counts as never slow".to_string())
+}
+
+fn backlog_below_table(settings: &Settings, servers: usize) -> Option<String> {
+    let backlog = settings.channel_backlog;
+    let admission_levels = settings.classes.len() as f64;
+    let table = settings.message_overhead
+        + TABLE_MESSAGE_LINES
+        + admission_levels
+        + LINES_PER_SERVER * servers as f64;
+    (backlog < table).then(|| {
+        format!(
+            "familyInfo.backlog is {backlog}, less than the {table} lines of one table of {servers} servers: \
+             such a table goes out alone and beyond it"
+        )
+    })
+}
+
+fn backlog_below_suspension(settings: &Settings) -> Option<String> {
+    let backlog = settings.channel_backlog;
+    let proxies = settings.proxies;
+    let suspension = proxies as f64 * (settings.message_overhead + SUSPENSION_MESSAGE_LINES);
+    (backlog < suspension).then(|| {
+        format!(
+            "familyInfo.backlog is {backlog}, less than the {suspension} lines that shut one server out \
+             at {proxies} proxies: where they all come here it goes out alone and beyond it"
+        )
+    })
+}
+
+fn no_proxies(settings: &Settings) -> Option<String> {
+    (settings.proxies == 0).then(|| "familyInfo.proxies is 0: no proxy is let in".to_string())
+}
+
+fn single_message(settings: &Settings) -> Option<String> {
+    (settings.max_messages == 1).then(|| {
+        "familyInfo.messagesMost is 1: a drain may have to wait for a whole window".to_string()
+    })
+}
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,3 +1,9 @@
+use chutegrade_policy::{
+    AdmissionUnit, DeduplicationScope, Idempotency, ListedWeight, LoadReport, Micros, PickPolicy,
+    ReportSource, ZoneId, NO_LIMIT,
+};
+use serde_json::Value;
+
 use super::*;
 
 const TEXT: &str = r#"{"peersTotal": 2, "locality": 1, "zones": ["a", "b"], "kinds": ["m1", "m2"], "tickMs": 4.0,
@@ -57,7 +63,7 @@
     let expected = DeploymentNames {
         zones: text(&["a", "b"]),
         classes: text(&["lookup", "order"]),
-        kinds: text(&["m1", "m2"]),
+        machine_kinds: text(&["m1", "m2"]),
     };
     assert_eq!(names(&json), expected);
     assert_eq!(tick_ms(&json), 4.0);
--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -183,8 +183,7 @@
 pub fn classes(path: &str) -> Result<Vec<chutegrade_limits::Class>, Fault> {
     let config = load(path).and_then(|file| read(file, |_| None))?;
     let names = config.names;
-    let engine =
-        chutegrade_engine::Engine::new(config.settings, 0, names.zones, names.classes, names.kinds);
+    let engine = chutegrade_engine::Engine::new(config.settings, 0, names);
     Ok(chutegrade_overload_control::overload_classes(&engine))
 }
 
--- a/crates/supervisor/src/peers/health_check/tests.rs
+++ b/crates/supervisor/src/peers/health_check/tests.rs
@@ -1,5 +1,7 @@
 use chutegrade_emulators::{Peer, Scripted};
-use chutegrade_engine::{EndpointUpdateKind, Engine, NamedEndpoint, Settings, StreamId};
+use chutegrade_engine::{
+    DeploymentNames, EndpointUpdateKind, Engine, NamedEndpoint, Settings, StreamId,
+};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -10,7 +12,7 @@
 
 impl Servers {
     async fn ask(&self, name: &str) -> (HealthCheckOutcome, LoadReport) {
-        let engine = Engine::new(Settings::default(), 0, vec![], vec![], vec![]);
+        let engine = Engine::new(Settings::default(), 0, DeploymentNames::default());
         self.asked(&Hub::new(engine), name, &mut Instant::now())
             .await
     }
@@ -191,7 +193,7 @@
                 .answer(200, "TEXT queue=3")
                 .await;
         });
-        let engine = Engine::new(Settings::default(), 0, vec![], vec![], vec![]);
+        let engine = Engine::new(Settings::default(), 0, DeploymentNames::default());
         let (hub, servers) = (
             Hub::new(engine),
             Servers::new(true, WITHIN, Duration::from_secs(60)),
@@ -269,7 +271,12 @@
         "limits": {"probes": true}, "familyInfo": {"proxies": 1, "backlog": 9000, "linesPerS": 6000}});
     let settings = chutegrade_settings::from_json(&settings).expect("settings");
     let names = |name: &str| vec![name.to_string()];
-    let mut engine = Engine::new(settings, 0, names("a"), names("lookup"), names("m"));
+    let names = DeploymentNames {
+        zones: names("a"),
+        classes: names("lookup"),
+        machine_kinds: names("m"),
+    };
+    let mut engine = Engine::new(settings, 0, names);
     let listed = |server: usize| NamedEndpoint {
         name: format!("s{server}"),
         address: "nowhere".to_string(),
--- a/crates/supervisor/src/peers/listener.rs
+++ b/crates/supervisor/src/peers/listener.rs
@@ -8,6 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use chutegrade_engine::DeploymentSize;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -134,7 +135,7 @@
     sockets: usize,
     silence: Duration,
 ) {
-    let (proxies, zones) = hub.engine().deployment_size();
+    let DeploymentSize { proxies, zones } = hub.engine().deployment_size();
     let doors = Rc::new(Doors {
         strangers: Places::new(strangers(sockets, proxies, zones)),
         collectors: Collectors::default(),
--- a/crates/supervisor/src/protocol/messages.rs
+++ b/crates/supervisor/src/protocol/messages.rs
@@ -5,7 +5,8 @@
 use std::rc::Rc;
 
 use chutegrade_engine::AdmissionLevel;
-use chutegrade_engine::{Lifecycle, LoadReport, Micros, NamedEndpoint, Order, Report, TableUpdate};
+use chutegrade_engine::{Lifecycle, LoadReport, Micros, NamedEndpoint, Order, Report};
+use chutegrade_engine::{ServerWeight, TableUpdate};
 use serde::Deserialize;
 
 /// What a proxy says of itself.
@@ -285,7 +286,7 @@
         line.push_str(" replace=1");
     }
     let mut separator = " rows=";
-    for (server, weight) in &part.weights {
+    for ServerWeight { server, weight } in &part.weights {
         if line.len() > LINE_MOST {
             lines.push(std::mem::replace(&mut line, head.clone()));
             separator = " rows=";
--- a/crates/supervisor/src/protocol/messages/tests.rs
+++ b/crates/supervisor/src/protocol/messages/tests.rs
@@ -108,7 +108,7 @@
 
 #[test]
 fn an_order_is_written_as_the_parts_of_one_message() {
-    let rows = vec![(Rc::from("s-1"), 1.5), (Rc::from("s-2"), 0.0)];
+    let rows = vec![ServerWeight::new("s-1", 1.5), ServerWeight::new("s-2", 0.0)];
     let whole = TableUpdate {
         replace: true,
         weights: rows,
@@ -158,7 +158,7 @@
 /// A table beyond a line goes on in parts that change what the first one began.
 #[test]
 fn a_long_table_goes_on_in_further_parts() {
-    let row = |k: usize| (Rc::from(format!("server-with-a-long-name-{k:08}")), 0.125);
+    let row = |k: usize| ServerWeight::new(format!("server-with-a-long-name-{k:08}"), 0.125);
     let part = TableUpdate {
         replace: true,
         weights: (0..60_000).map(row).collect(),
--- a/crates/supervisor/src/server/mod.rs
+++ b/crates/supervisor/src/server/mod.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use chutegrade_engine::{Engine, Micros, Report, ReportSource};
+use chutegrade_engine::{DeploymentNames, Engine, Micros, Report, ReportSource};
 use chutegrade_operator_config::{LogFormat, OperatorConfig};
 use chutegrade_records::{kind, pb, text, Kind};
 use tokio::runtime::Runtime;
@@ -130,13 +130,7 @@
     let servers = Servers::new(reports, within, length(config.settings.idle_timeout));
     let names = config.names;
     let period = config.settings.report_period;
-    let mut engine = Engine::new(
-        config.settings,
-        config.seed,
-        names.zones,
-        names.classes,
-        names.kinds,
-    );
+    let mut engine = Engine::new(config.settings, config.seed, names);
     let limits = Rc::new(Limits::new(path, operator, &mut engine, period)?);
     let hub = Hub::new(engine);
     if let Some(records) = &operator.records {
@@ -144,7 +138,7 @@
         hub.record(book.map_err(|fault| format!("no thread for the records: {fault}"))?);
         limits.restore(&hub, &recording::directory(records, &config.name));
     }
-    let (zones, classes) = hub.engine().zone_and_class_names();
+    let DeploymentNames { zones, classes, .. } = hub.engine().deployment_names();
     let version = env!("CARGO_PKG_VERSION").to_string();
     hub.note(Kind::Started(pb::Started {
         version,
--- a/crates/supervisor/src/tests/rules.rs
+++ b/crates/supervisor/src/tests/rules.rs
@@ -5,8 +5,8 @@
 
 use chutegrade_emulators::tables::{Tables, CLASSES};
 use chutegrade_engine::{
-    EndpointUpdateKind, Engine, HealthCheck, HealthCheckOutcome, Lifecycle, LoadReport, Micros,
-    NamedClassRetry, NamedEndpoint, OverloadLimits, Report, Retry, StreamId,
+    DeploymentNames, EndpointUpdateKind, Engine, HealthCheck, HealthCheckOutcome, Lifecycle,
+    LoadReport, Micros, NamedClassRetry, NamedEndpoint, OverloadLimits, Report, Retry, StreamId,
 };
 use proptest::prelude::*;
 use serde_json::json;
@@ -170,9 +170,11 @@
         let engine = Engine::new(
             settings,
             weather.seed,
-            names(&["a", "b"]),
-            names(&CLASSES),
-            vec![],
+            DeploymentNames {
+                zones: names(&["a", "b"]),
+                classes: names(&CLASSES),
+                machine_kinds: vec![],
+            },
         );
         let mut world = World {
             random: weather.seed,
