--- /dev/null
+++ b/crates/engine/src/engine/tests/forgotten_servers.rs
@@ -0,0 +1,128 @@
+//! Removal of servers that nothing refers to any more.
+
+use std::ops::Range;
+
+use super::*;
+
+/// Time between two ticks.
+const TICK: Micros = Micros(500_000);
+const TICKS_PER_SECOND: usize = 2;
+
+/// Names of servers in the orders to the only proxy.
+#[derive(Debug, Default, PartialEq)]
+struct OrderedSuspensions {
+    suspended: BTreeSet<String>,
+    resumed: BTreeSet<String>,
+}
+
+/// An engine with one proxy, which acknowledges all orders, over time.
+struct Deployment {
+    engine: Engine,
+    now: Micros,
+}
+
+impl Deployment {
+    fn new() -> Self {
+        let mut engine = serving();
+        assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+        Deployment {
+            engine,
+            now: Micros(10_000),
+        }
+    }
+
+    /// Reports endpoints, and then ticks for a while.
+    fn update(&mut self, endpoints: Vec<NamedEndpoint>, seconds: usize) -> OrderedSuspensions {
+        report_endpoints(&mut self.engine, EndpointUpdateKind::Delta, endpoints);
+        let mut ordered = OrderedSuspensions::default();
+        for _ in 0..TICKS_PER_SECOND * seconds {
+            self.now = self.now + TICK;
+            self.engine.tick(self.now);
+            if let Some(order) = self.engine.take_order(StreamId(1)) {
+                ordered.suspended.extend(texts(&order.suspended));
+                ordered.resumed.extend(texts(&order.resumed));
+                acknowledge(&mut self.engine, StreamId(1), &order, Micros(1000));
+            }
+        }
+        ordered
+    }
+
+    /// Adds the four servers that follow some others, and then drains and removes those.
+    fn replace(&mut self, servers: Range<u32>) {
+        let next = servers.end..servers.end + 4;
+        self.update(next.map(listed).collect(), 30);
+        let with_lifecycle = |lifecycle| {
+            servers.clone().map(move |server| NamedEndpoint {
+                lifecycle,
+                ..listed(server)
+            })
+        };
+        self.update(with_lifecycle(Lifecycle::Draining).collect(), 3);
+        self.update(with_lifecycle(Lifecycle::Removed).collect(), 90);
+    }
+
+    fn server(&self, server: u32) -> Option<ServerId> {
+        self.engine.names.server(&format!("s{server}"))
+    }
+}
+
+/// Servers are replaced over and over, as over months: a removed one leaves nothing behind, and no id is reused. One that
+/// returns under its name after that is resumed at proxies that may still have it as suspended.
+#[test]
+fn a_removed_server_is_forgotten_and_resumed_on_its_return() {
+    let mut deployment = Deployment::new();
+    let mut ids = BTreeSet::new();
+    for round in 0..20 {
+        let servers = 4 * round..4 + 4 * round;
+        ids.extend(
+            servers
+                .clone()
+                .filter_map(|server| deployment.server(server)),
+        );
+        deployment.replace(servers);
+    }
+    assert_eq!(ids.len(), 80, "each has an id of its own");
+    let known = (0..84).filter(|server| deployment.server(*server).is_some());
+    assert_eq!(known.count(), 4);
+    let engine = &deployment.engine;
+    assert_eq!(engine.policy.server_statuses().len(), 4);
+    assert_eq!(engine.forgotten_servers.len(), 0);
+    assert!(
+        (0..80).all(|id| !engine.tables.is_suspended(ServerId(id))),
+        "nor as suspended"
+    );
+    let ordered = deployment.update(vec![listed(3), listed(99)], 30);
+    let expected = OrderedSuspensions {
+        suspended: BTreeSet::new(),
+        resumed: BTreeSet::from(["s3".to_string()]),
+    };
+    assert_eq!(ordered, expected, "s99 is new to all");
+}
+
+/// Otherwise a stalled stream would lose the suspension of a server, together with the server's name.
+#[test]
+fn a_server_in_a_pending_order_is_not_forgotten() {
+    let mut engine = serving();
+    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    engine.tick(Micros(10_000));
+    assert!(engine.take_order(StreamId(1)).is_some());
+    let server = ServerId(2);
+    let suspend = Action::SetSuspended {
+        server,
+        suspended: true,
+    };
+    let actions = vec![suspend, Action::ForgetServer(server)];
+    engine.carry_out(Micros(20_000), actions);
+    let order = engine.take_order(StreamId(1)).expect("an order");
+    assert_eq!(texts(&order.suspended), ["s2"]);
+    let remove_from = |table| Action::SetWeight {
+        table: TableId(table),
+        server,
+        weight: 0.0,
+    };
+    let actions = vec![remove_from(0), remove_from(1)];
+    engine.carry_out(Micros(30_000), actions);
+    assert!(engine.take_order(StreamId(1)).is_some());
+    engine.carry_out(Micros(40_000), vec![]);
+    assert_eq!(engine.names.server("s2"), None);
+}
--- /dev/null
+++ b/crates/engine/src/engine/tests/orders.rs
@@ -0,0 +1,154 @@
+//! What orders contain.
+
+use super::*;
+
+/// The most updates that the protocol allows in one message.
+const MAX_UPDATES: usize = 64;
+
+#[test]
+fn a_joined_proxy_gets_its_complete_table_in_one_message_with_an_acknowledgement_request() {
+    let mut engine = serving();
+    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    engine.tick(Micros(10_000));
+    assert_eq!(
+        engine.take_streams_with_orders(),
+        BTreeSet::from([StreamId(1)])
+    );
+    let order = engine.take_order(StreamId(1)).expect("an order");
+    let mut updates = order.updates.iter();
+    let complete = updates
+        .find(|update| update.replace)
+        .expect("a complete table");
+    assert!(complete.classes.is_empty(), "one table serves all classes");
+    assert_eq!(complete.weights.len(), 4);
+    assert!(complete.weights.iter().all(|entry| entry.weight > 0.0));
+    assert!(order.acknowledge.is_some());
+    assert!(
+        order.suspended.is_empty() && order.resumed.is_empty(),
+        "a new proxy has nobody's suspensions"
+    );
+    assert_eq!(engine.take_order(StreamId(1)), None);
+}
+
+#[test]
+fn a_proxy_with_a_previous_table_is_informed_of_servers_that_are_not_suspended_here() {
+    let mut engine = serving();
+    let set_suspended = |suspended| Action::SetSuspended {
+        server: ServerId(3),
+        suspended,
+    };
+    let actions = vec![set_suspended(true), set_suspended(false)];
+    engine.carry_out(Micros(0), actions);
+    assert_eq!(engine.report(joined(1, 0, false)), Ok(()));
+    engine.tick(Micros(10_000));
+    let order = engine.take_order(StreamId(1)).expect("an order");
+    assert_eq!(
+        texts(&order.resumed),
+        ["s3"],
+        "the others were never suspended here"
+    );
+    acknowledge(&mut engine, StreamId(1), &order, Micros(1000));
+    let timer = *engine.timers.first().expect("the module's own timer");
+    engine.tick(timer.due_at);
+    let order = engine.take_order(StreamId(1)).expect("an order");
+    assert_eq!(
+        texts(&order.resumed),
+        ["s0", "s1", "s2"],
+        "the rest once the channel has capacity"
+    );
+    let draining = NamedEndpoint {
+        lifecycle: Lifecycle::Draining,
+        ..listed(2)
+    };
+    report_endpoints(&mut engine, EndpointUpdateKind::Delta, vec![draining]);
+    engine.tick(Micros(900_000));
+    let order = engine.take_order(StreamId(1)).expect("an order");
+    assert_eq!(texts(&order.suspended), ["s2"]);
+    assert!(order.resumed.is_empty());
+}
+
+#[test]
+fn the_late_end_of_a_replaced_stream_changes_nothing() {
+    let mut engine = serving();
+    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    engine.tick(Micros(10_000));
+    assert_eq!(engine.report(joined(2, 0, false)), Ok(()));
+    engine.tick(Micros(20_000));
+    let acknowledgement = Report::Acknowledged {
+        stream: StreamId(1),
+        sequence: 1,
+        elapsed: Micros(1),
+    };
+    assert_eq!(
+        engine.report(acknowledgement),
+        Err(ReportError::StreamReplaced)
+    );
+    assert_eq!(
+        engine.report(Report::StreamLost(StreamId(1))),
+        Err(ReportError::StreamReplaced)
+    );
+    assert_eq!(engine.take_order(StreamId(1)), None);
+    let order = engine.take_order(StreamId(2)).expect("assigned anew");
+    assert!(order.updates.iter().any(|update| update.replace));
+}
+
+#[test]
+fn an_order_never_has_more_updates_than_the_protocol_allows() {
+    let mut engine = engine(32);
+    let endpoints = (0..40).map(listed).collect();
+    report_endpoints(&mut engine, EndpointUpdateKind::CachedSnapshot, endpoints);
+    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    let actions = (0..32).flat_map(separate_table).collect();
+    engine.carry_out(Micros(0), actions);
+    let order = engine.take_order(StreamId(1)).expect("an order");
+    assert!(order.updates.len() <= MAX_UPDATES);
+    let replaced = order.updates.iter().filter(|update| update.replace);
+    assert_eq!(replaced.count(), 32);
+}
+
+/// A table of its own for one class, with a weight and an admission level like no other's.
+fn separate_table(class: u16) -> [Action; 3] {
+    let table = TableId(class);
+    let classes = ClassSet::default().with(usize::from(class));
+    [
+        Action::SetWeight {
+            table,
+            server: ServerId(u32::from(class)),
+            weight: 1.0,
+        },
+        Action::SetAdmission {
+            table: Some(table),
+            classes,
+            level: f64::from(class + 1) / 40.0,
+            retry: Retry::Never,
+        },
+        Action::AssignTable {
+            proxy: ProxyId(0),
+            table,
+            classes,
+        },
+    ]
+}
+
+/// A server that is removed from a complete table before that is written costs no line.
+#[test]
+fn a_complete_table_never_names_a_removed_server() {
+    let mut engine = serving();
+    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    let table = TableId(900);
+    let set_weight = |server, weight| Action::SetWeight {
+        table,
+        server: ServerId(server),
+        weight,
+    };
+    let assign = Action::AssignTable {
+        proxy: ProxyId(0),
+        table,
+        classes: ClassSet::default(),
+    };
+    let actions = vec![set_weight(1, 1.0), set_weight(2, 1.0), assign];
+    engine.carry_out(Micros(0), actions);
+    engine.carry_out(Micros(0), vec![set_weight(1, 0.0)]);
+    let order = engine.take_order(StreamId(1)).expect("an order");
+    assert_eq!(order.updates[0].weights, [ServerWeight::new("s2", 1.0)]);
+}
