--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -1,70 +1,28 @@
-//! What the supervisor is told: the environment and the configuration file, at its start and when the file is replaced.
+//! The configuration: the environment and the configuration file, at the start and when the file is replaced.
 //!
-//! At the start the environment comes before the file. At a reload the environment still says what it said at the start,
-//! so what the file changed since it was last read comes first, and what it did not change stays as it is.
+//! At the start the environment takes precedence over the file. At a reload the environment still says what it said at the
+//! start, so what the file changed since it was last read takes precedence, and what it did not change stays as it is.
+
+mod error;
+mod file;
+mod source;
 
 use std::net::SocketAddr;
 
-use chutegrade_engine::{EndpointUpdateKind, Report, Settings};
+use chutegrade_engine::{Engine, Settings};
 use chutegrade_settings::DeploymentNames;
-use serde::Deserialize;
-use serde_json::Value;
-
-use crate::protocol::messages::{self, Targets};
-
-/// How long a connection to a server may take where the settings do not tell, in milliseconds: far beyond any way.
-const CONNECT_MS: f64 = 1000.0;
 
-/// Why the supervisor cannot start.
-#[derive(Debug, thiserror::Error)]
-pub enum Fault {
-    /// Neither the environment nor the file tells this.
-    #[error("{0} is not set")]
-    Missing(&'static str),
-    /// No address.
-    #[error("{0} is no address and port: {1:?}")]
-    Address(&'static str, String),
-    /// The file cannot be opened.
-    #[error("the configuration {0:?} cannot be opened: {1}")]
-    File(String, std::io::Error),
-    /// The file holds no configuration.
-    #[error("the configuration cannot be read: {0}")]
-    Json(#[from] serde_json::Error),
-    /// The settings cannot be read.
-    #[error("the settings cannot be read: {0}")]
-    Settings(#[from] chutegrade_settings::SettingsError),
-    /// The settings ask for what the protocol has no words for.
-    #[error("the settings ask for slices, for which the protocol has no messages")]
-    Slices,
-}
-
-#[derive(Clone, Debug, Default, Deserialize)]
-#[serde(default)]
-struct File {
-    name: Option<String>,
-    listen: Option<String>,
-    discovery: Option<String>,
-    seed: Value,
-    limits: Limits,
-    known: Option<Value>,
-    settings: Value,
-}
+use crate::protocol::endpoint_delivery::{decode_delivery_value, EndpointDelivery, KnownList};
+use file::{parse_address, ConfigFile, MachineLimits};
 
-/// What the machine allows.
-#[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
-#[serde(default)]
-pub struct Limits {
-    /// File descriptors, all processes together.
-    pub sockets: usize,
-}
+pub use error::ConfigError;
+pub use source::{ConfigSource, ReloadedConfig};
 
-impl Default for Limits {
-    fn default() -> Self {
-        Limits { sockets: 1024 }
-    }
-}
+/// How long opening a connection to a server may take where the settings do not tell, in milliseconds: far beyond any
+/// network delay.
+const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1000.0;
 
-/// All that the supervisor is told.
+/// The configuration of a supervisor.
 #[derive(Debug)]
 pub struct Config {
     /// The supervisor's name.
@@ -73,195 +31,154 @@
     pub listen: SocketAddr,
     /// Where discovery answers.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
     /// What the machine allows.
-    pub limits: Limits,
-    /// The list as last had, and its version.
-    pub known: Option<(u64, Report)>,
+    pub limits: MachineLimits,
+    /// The endpoint list as it was last delivered.
+    pub known: Option<KnownList>,
     /// The settings of the decisions.
     pub settings: Settings,
     /// The names that reports use.
     pub names: DeploymentNames,
-    /// The least time between two batches, in milliseconds.
-    pub tick_ms: f64,
-    /// How long a connection to a server may take, in milliseconds.
-    pub connect_ms: f64,
+    /// The least time between two ticks for reports, in milliseconds.
+    pub min_tick_interval_ms: f64,
+    /// How long opening a connection to a server may take, in milliseconds.
+    pub connect_timeout_ms: f64,
 }
 
-/// The configuration file, and what it said when it was last read.
+/// The configuration at a start, and the file to read it anew from.
 #[derive(Debug)]
-pub struct Source {
-    path: String,
-    said: File,
-    discovery: SocketAddr,
-}
-
-/// What a reload brings.
-#[derive(Debug, PartialEq)]
-pub struct Reloaded {
-    /// Where discovery answers from now on.
-    pub discovery: SocketAddr,
-    /// Keys that the file changed and that take effect at the next start only.
-    pub later: Vec<&'static str>,
+pub struct LoadedConfig {
+    /// The configuration.
+    pub config: Config,
+    /// The file.
+    pub source: ConfigSource,
 }
 
 /// Reads the configuration that the environment points to.
-pub fn from_env() -> Result<(Config, Source), Fault> {
-    let var = |key: &str| std::env::var(key).ok().filter(|value| !value.is_empty());
-    let path = var("LB_CONFIG").ok_or(Fault::Missing("LB_CONFIG"))?;
-    let said = load(&path)?;
-    let config = read(said.clone(), var)?;
-    let discovery = config.discovery;
-    Ok((
-        config,
-        Source {
-            path,
-            said,
-            discovery,
-        },
-    ))
-}
-
-impl Source {
-    /// Reads the file anew; on a fault nothing changes. The list that it holds as known is older than what discovery has
-    /// told, and the seed is for a start: neither is looked at.
-    pub fn reload(&mut self) -> Result<Reloaded, Fault> {
-        self.take(load(&self.path)?)
-    }
-
-    fn take(&mut self, now: File) -> Result<Reloaded, Fault> {
-        settings(&now)?;
-        let given = now
-            .discovery
-            .clone()
-            .ok_or(Fault::Missing("LB_DISCOVERY"))?;
-        let address = parse("LB_DISCOVERY", given)?;
-        let before = &self.said;
-        if now.discovery != before.discovery {
-            self.discovery = address;
-        }
-        let kept = [
-            ("name", now.name != before.name),
-            ("listen", now.listen != before.listen),
-            ("limits", now.limits != before.limits),
-            ("settings", now.settings != before.settings),
-        ];
-        let later = kept
-            .into_iter()
-            .filter_map(|(key, changed)| changed.then_some(key))
-            .collect();
-        // Keys that wait for a start are told of at each reload until then.
-        self.said.discovery = now.discovery;
-        Ok(Reloaded {
-            discovery: self.discovery,
-            later,
-        })
-    }
-}
-
-impl Config {
-    /// What the settings contradict or leave open: a sentence each, for the log at a start and for `check`.
-    pub fn doubts(&self) -> Vec<String> {
-        let servers = match &self.known {
-            Some((_, Report::EndpointList(_, entries))) => entries.len(),
-            _ => 0,
-        };
-        chutegrade_settings::consistency_warnings(&self.settings, servers)
-    }
-}
-
-/// What is wrong with a configuration, as a start without an environment would find; JSON faults tell line and column. Or
-/// else what it contradicts or leaves open.
-pub fn check(path: &str) -> Result<Vec<String>, Fault> {
-    load(path)
-        .and_then(|file| read(file, |_| None))
-        .map(|config| config.doubts())
+///
+/// # Errors
+///
+/// If it is incomplete or cannot be read.
+pub fn from_env() -> Result<LoadedConfig, ConfigError> {
+    let path = env_variable("LB_CONFIG").ok_or(ConfigError::Missing("LB_CONFIG"))?;
+    let file = ConfigFile::load(&path)?;
+    let config = Config::new(file.clone(), env_variable)?;
+    let source = ConfigSource::new(path, file, config.discovery);
+    Ok(LoadedConfig { config, source })
+}
+
+/// Checks a configuration, as a start without an environment would. Returns what it contradicts or leaves open.
+///
+/// # Errors
+///
+/// If it is incomplete or cannot be read; faults of JSON tell line and column.
+pub fn check(path: &str) -> Result<Vec<String>, ConfigError> {
+    let config = load_without_env(path)?;
+    Ok(config.consistency_warnings())
 }
 
 /// The classes that a configuration holds, as limits need them.
-pub fn classes(path: &str) -> Result<Vec<chutegrade_limits::Class>, Fault> {
-    let config = load(path).and_then(|file| read(file, |_| None))?;
+///
+/// # Errors
+///
+/// If it is incomplete or cannot be read.
+pub fn classes(path: &str) -> Result<Vec<chutegrade_limits::Class>, ConfigError> {
+    const SEED: u64 = 0;
+    let config = load_without_env(path)?;
     let names = config.names;
-    let engine =
-        chutegrade_engine::Engine::new(config.settings, 0, names.zones, names.classes, names.kinds);
+    let engine = Engine::new(
+        config.settings,
+        SEED,
+        names.zones,
+        names.classes,
+        names.kinds,
+    );
     Ok(chutegrade_overload_control::overload_classes(&engine))
 }
 
-fn load(path: &str) -> Result<File, Fault> {
-    let text = std::fs::read(path).map_err(|fault| Fault::File(path.to_string(), fault))?;
-    Ok(serde_json::from_slice(&text)?)
+fn load_without_env(path: &str) -> Result<Config, ConfigError> {
+    let file = ConfigFile::load(path)?;
+    Config::new(file, |_| None)
 }
 
-fn settings(file: &File) -> Result<Settings, Fault> {
-    let settings = chutegrade_settings::from_json(&file.settings)?;
-    if settings.slices > 0 {
-        return Err(Fault::Slices);
-    }
-    Ok(settings)
+/// A variable of the environment; an empty one is like none.
+fn env_variable(key: &str) -> Option<String> {
+    std::env::var(key).ok().filter(|value| !value.is_empty())
 }
 
-fn parse(key: &'static str, text: String) -> Result<SocketAddr, Fault> {
-    text.parse().map_err(|_| Fault::Address(key, text))
-}
+impl Config {
+    /// The configuration of a file, in which the variables of the environment take precedence.
+    fn new(
+        file: ConfigFile,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, ConfigError> {
+        let address = |key: &'static str, in_file: Option<String>| {
+            let text = variable(key).or(in_file);
+            parse_address(key, text.ok_or(ConfigError::Missing(key))?)
+        };
+        let settings = file.parse_settings()?;
+        let connect_timeout_ms = chutegrade_settings::connect_ms(&file.settings);
+        Ok(Config {
+            name: variable("LB_NAME").or(file.name).unwrap_or_default(),
+            listen: address("LB_LISTEN", file.listen)?,
+            discovery: address("LB_DISCOVERY", file.discovery)?,
+            seed: parse_seed(&file.seed),
+            limits: file.limits,
+            known: file.known.and_then(parse_known_list),
+            settings,
+            names: chutegrade_settings::names(&file.settings),
+            min_tick_interval_ms: chutegrade_settings::tick_ms(&file.settings),
+            connect_timeout_ms: connect_timeout_ms.unwrap_or(DEFAULT_CONNECT_TIMEOUT_MS),
+        })
+    }
 
-/// Reads a configuration; the environment, where it tells the same, comes first.
-fn read(file: File, var: impl Fn(&str) -> Option<String>) -> Result<Config, Fault> {
-    let address = |key: &'static str, given: Option<String>| {
-        parse(key, var(key).or(given).ok_or(Fault::Missing(key))?)
-    };
-    let settings = settings(&file)?;
-    Ok(Config {
-        name: var("LB_NAME").or(file.name).unwrap_or_default(),
-        listen: address("LB_LISTEN", file.listen)?,
-        discovery: address("LB_DISCOVERY", file.discovery)?,
-        seed: seed(&file.seed),
-        limits: file.limits,
-        known: file.known.and_then(known),
-        settings,
-        names: chutegrade_settings::names(&file.settings),
-        tick_ms: chutegrade_settings::tick_ms(&file.settings),
-        connect_ms: chutegrade_settings::connect_ms(&file.settings).unwrap_or(CONNECT_MS),
-    })
+    /// What the settings contradict or leave open: a sentence each, for the log at a start and for `check`.
+    pub fn consistency_warnings(&self) -> Vec<String> {
+        let servers = self.known.as_ref().map_or(0, |list| list.endpoints.len());
+        chutegrade_settings::consistency_warnings(&self.settings, servers)
+    }
 }
 
-/// A list in the file that cannot be read is like none: discovery tells the rest. Of one that can be read in part
-/// discovery tells all that came since the first version.
-fn known(json: Value) -> Option<(u64, Report)> {
-    match messages::targets_in(json) {
-        Ok(Targets {
-            index,
-            entries,
-            unreadable,
-            ..
-        }) => {
-            if unreadable > 0 {
-                tracing::warn!(unreadable, "entries of the known list can't be read");
-            }
-            let index = if unreadable > 0 { 0 } else { index };
-            Some((
-                index,
-                Report::EndpointList(EndpointUpdateKind::CachedSnapshot, entries),
-            ))
-        }
-        Err(fault) => {
-            tracing::warn!(%fault, "the known list cannot be read");
-            None
+/// A list in the file that cannot be read is like none: discovery delivers the rest. Of one that can be read in part
+/// discovery delivers all that came since the first version.
+fn parse_known_list(json: serde_json::Value) -> Option<KnownList> {
+    let EndpointDelivery {
+        version,
+        endpoints,
+        unreadable,
+        ..
+    } = match decode_delivery_value(json) {
+        Ok(delivery) => delivery,
+        Err(malformed) => {
+            tracing::warn!(fault = %malformed, "the known list cannot be read");
+            return None;
         }
+    };
+    if unreadable > 0 {
+        tracing::warn!(unreadable, "endpoints of the known list can't be read");
     }
+    let version = if unreadable > 0 { 0 } else { version };
+    Some(KnownList { version, endpoints })
 }
 
-/// Seeds are 16 hexadecimal digits; whatever else is given still tells supervisors apart.
-fn seed(given: &Value) -> u64 {
-    let text = given
-        .as_str()
-        .map_or_else(|| given.to_string(), str::to_string);
-    let mixed = |text: &str| {
-        text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
-            (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-        })
+/// Seeds are 16 hexadecimal digits; whatever else is given is hashed, so that it still tells supervisors apart.
+fn parse_seed(json: &serde_json::Value) -> u64 {
+    let text = match json.as_str() {
+        Some(text) => text.to_string(),
+        None => json.to_string(),
     };
-    u64::from_str_radix(&text, 16).unwrap_or_else(|_| mixed(&text))
+    u64::from_str_radix(&text, 16).unwrap_or_else(|_| fnv1a(&text))
+}
+
+/// The 64-bit FNV-1a hash of a text.
+fn fnv1a(text: &str) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    text.bytes().fold(OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
+    })
 }
 
 #[cfg(test)]
--- a/crates/supervisor/src/main.rs
+++ b/crates/supervisor/src/main.rs
@@ -6,6 +6,7 @@
 mod peers;
 mod protocol;
 mod server;
+mod shared;
 #[cfg(test)]
 mod tests;
 
@@ -17,6 +18,7 @@
 
 use crate::commands::arguments::{Cli, Command};
 use crate::commands::{lab, levels, tools};
+use crate::server::TextFileError;
 
 /// Why a command did not do what it should.
 #[derive(Debug, thiserror::Error)]
@@ -39,6 +41,12 @@
     }
 }
 
+impl From<TextFileError> for Fault {
+    fn from(error: TextFileError) -> Self {
+        Fault::Said(error.to_string())
+    }
+}
+
 impl From<String> for Fault {
     fn from(said: String) -> Self {
         Fault::Said(said)
@@ -49,11 +57,11 @@
     // Alone it serves, without the pages of memory that reading a command line touches.
     if std::env::args_os().len() <= 1 {
         let operator = std::env::var_os("CHUTEGRADE_OPERATOR").filter(|file| !file.is_empty());
-        return server::main(operator.map(PathBuf::from).as_deref());
+        return server::run(operator.map(PathBuf::from).as_deref());
     }
     let cli = Cli::parse();
     let done = match cli.command.unwrap_or(Command::Serve(cli.serve)) {
-        Command::Serve(serve) => return server::main(serve.operator.as_deref()),
+        Command::Serve(serve) => return server::run(serve.operator.as_deref()),
         Command::Check(check) => tools::check(&check, &mut std::io::stdout().lock()),
         Command::Records(records) => tools::records(&records, &mut std::io::stdout().lock()),
         Command::Plugin(plugin) => tools::plugin(&plugin, &mut std::io::stdout().lock()),
--- a/crates/supervisor/src/peers/collector_stream.rs
+++ b/crates/supervisor/src/peers/collector_stream.rs
@@ -1,4 +1,4 @@
-//! Collectors: reports on a zone's servers and on usage. Nothing is written to them but answers to `probe`.
+//! Collectors: reports on a zone's servers and on demand. Nothing is written to them but answers to `probe`.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,72 +6,91 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
-use crate::peers::listener::Places;
-use crate::protocol::disconnect::{End, Ending};
-use crate::protocol::lines::{send, Lines};
-use crate::protocol::messages::{self, Fault, Message, Run};
-use crate::server::hub::Hub;
+use crate::peers::connection::PeerConnection;
+use crate::peers::connection_slots::ConnectionSlots;
+use crate::peers::malformed_counter::MalformedCounter;
+use crate::protocol::decode::Message;
+use crate::protocol::disconnect::{Disconnect, DisconnectReason};
+use crate::protocol::encode::PROBE_REPLY;
+use crate::protocol::line_reader::send;
+use crate::protocol::malformed::MalformedMessage;
+use crate::shared::engine_handle::EngineHandle;
 
-/// A collector that has brought nothing for so long is gone; one without news merely dials again.
-const SILENT_MOST: Duration = Duration::from_secs(30);
+/// How long a collector may send nothing; one without news merely dials again.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Collectors of a zone at a time: one serves it, the others fell silent and dial again.
-pub const PER_ZONE: usize = 4;
+pub const MAX_COLLECTORS_PER_ZONE: usize = 4;
 
-/// The collectors that are connected, by zone. When a zone has too many the oldest goes, which is the likeliest to have
+/// The collectors that are connected, by zone. When a zone has too many, the oldest is evicted: it is the likeliest to have
 /// fallen silent.
-#[derive(Default)]
-pub struct Collectors {
-    zones: RefCell<HashMap<String, Rc<Places>>>,
+pub struct CollectorStreams {
+    engine: EngineHandle,
+    slots_by_zone: RefCell<HashMap<String, Rc<ConnectionSlots>>>,
 }
 
-impl Collectors {
-    /// Serves a collector of a known zone from its `agent` on.
+impl CollectorStreams {
+    /// No collectors yet; their reports go to this engine.
+    pub fn new(engine: EngineHandle) -> Self {
+        CollectorStreams {
+            engine,
+            slots_by_zone: RefCell::default(),
+        }
+    }
+
+    /// Serves a collector of a known zone from its `agent` message on.
+    ///
+    /// # Errors
+    ///
+    /// Always, with why the connection ended.
     pub async fn serve(
         &self,
-        hub: &Hub,
-        mut lines: Lines<OwnedReadHalf>,
-        mut write: OwnedWriteHalf,
-        site: String,
-    ) -> Result<Infallible, End> {
-        let places = self
-            .zones
-            .borrow_mut()
-            .entry(site)
-            .or_insert_with(|| Rc::new(Places::new(PER_ZONE)))
-            .clone();
-        let place = places.take();
+        mut connection: PeerConnection,
+        zone: String,
+    ) -> Result<Infallible, Disconnect> {
+        let slots = self.slots_of(zone);
+        let slot = slots.acquire();
         tokio::select! {
-            end = reports(hub, &mut lines, &mut write) => end,
-            () = place.needed() => Err(Ending::Crowded.into()),
+            end = self.receive_reports(&mut connection) => end,
+            () = slot.evicted() => Err(DisconnectReason::Evicted.into()),
         }
     }
-}
 
-async fn reports(
-    hub: &Hub,
-    lines: &mut Lines<OwnedReadHalf>,
-    write: &mut OwnedWriteHalf,
-) -> Result<Infallible, End> {
-    let mut run = Run::default();
-    loop {
-        let message = timeout(SILENT_MOST, lines.message()).await;
-        let fault = match message.unwrap_or(Err(Ending::Silent.into()))? {
-            Message::Told(report) => {
-                hub.report(report);
-                None
-            }
-            Message::Probe => {
-                send(write, messages::ALIVE).await?;
-                None
-            }
-            Message::Other => None,
-            Message::Spoilt(fault) => Some(fault),
-            _ => Some(Fault::Stray("collector")),
-        };
-        hub.skip(&mut run, fault)?;
+    fn slots_of(&self, zone: String) -> Rc<ConnectionSlots> {
+        let mut slots_by_zone = self.slots_by_zone.borrow_mut();
+        let slots = slots_by_zone
+            .entry(zone)
+            .or_insert_with(|| Rc::new(ConnectionSlots::new(MAX_COLLECTORS_PER_ZONE)));
+        Rc::clone(slots)
+    }
+
+    async fn receive_reports(
+        &self,
+        connection: &mut PeerConnection,
+    ) -> Result<Infallible, Disconnect> {
+        let mut malformed = MalformedCounter::new(self.engine.clone());
+        loop {
+            let Ok(message) = timeout(IDLE_TIMEOUT, connection.reader.next_message()).await else {
+                return Err(DisconnectReason::IdleTimeout.into());
+            };
+            let handled = match message? {
+                Message::Report(report) => {
+                    self.engine.report(report);
+                    Ok(())
+                }
+                Message::Probe => {
+                    send(&mut connection.writer, PROBE_REPLY).await?;
+                    Ok(())
+                }
+                Message::Unknown => Ok(()),
+                Message::Malformed(error) => Err(error),
+                Message::CollectorHello { .. }
+                | Message::ProxyHello(_)
+                | Message::Acknowledgement { .. } => Err(MalformedMessage::Unexpected("collector")),
+            };
+            malformed.account(handled)?;
+        }
     }
 }
--- a/crates/supervisor/src/peers/health_check.rs
+++ b/crates/supervisor/src/peers/health_check.rs
@@ -1,7 +1,8 @@
-//! Probes of the servers, over connections that are kept.
+//! Health checks of the servers, over connections that are kept between them.
 
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
+mod connection_pool;
+
+use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -9,257 +10,249 @@
 use chutegrade_engine::{Class, HealthCheck, HealthCheckOutcome, LoadReport, Report};
 use http_body_util::{BodyExt, Limited};
 use hyper::StatusCode;
-use tokio::time::{sleep, timeout};
+use tokio::time::timeout;
 
-use crate::protocol::disconnect::Ending;
-use crate::protocol::http::{self, Sender};
-use crate::protocol::messages;
-use crate::server::hub::{micros, Hub};
-use crate::server::length;
+use crate::peers::health_check::connection_pool::ConnectionPool;
+use crate::protocol::disconnect::DisconnectReason;
+use crate::protocol::http::{self, RequestSender};
+use crate::protocol::load_report::decode_load_report;
+use crate::shared::clock::{to_duration, to_micros};
+use crate::shared::engine_handle::EngineHandle;
+use crate::shared::shutdown::Shutdown;
 
-/// An answer to a probe is awaited for this share of the shortest aim of any class: a server that takes longer for so little
-/// serves that class too late. And for a second at most, where aims are long or none: the next probe is due then.
-const ANSWER_SHARE: f64 = 0.5;
-const ANSWER_MOST: Duration = Duration::from_secs(1);
+/// The response timeout as a share of the shortest latency objective of any class: a server that takes longer for so little
+/// serves that class too late.
+const RESPONSE_TIMEOUT_SHARE: f64 = 0.5;
+/// The longest response timeout, where objectives are long or none: the next health check is due then.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest body of an answer, in bytes: a load report is one short line.
-const BODY_MOST: usize = 16 * 1024;
-/// A server that took no connection and was not tried again for so long is gone: many times the pause between probes.
-const TRIED_WITHIN: Duration = Duration::from_secs(60);
-/// Wait before a descriptor is looked for again: other probes are answered in less.
-const ROOM_AGAIN: Duration = Duration::from_millis(20);
-/// Probes under way at most, each a task made when it is due: the decisions ask a server once at a time, so that a list
-/// four times the largest fleet never has as many. What is due beyond is answered as an ending that says nothing of the server.
-const UNDER_WAY_MOST: usize = 4096;
+const MAX_BODY_BYTES: usize = 16 * 1024;
+/// Health checks that are scheduled or under way at most, each a task of its own. The engine checks a server once at a
+/// time, so that a list four times the largest fleet never has as many. What is due beyond is reported as inconclusive.
+const MAX_PENDING_CHECKS: usize = 4096;
+
+/// How servers are checked.
+pub struct HealthCheckConfig {
+    /// Whether servers answer with load reports.
+    pub uses_load_reports: bool,
+    /// How long opening a connection may take.
+    pub connect_timeout: Duration,
+    /// How long an answer may take.
+    pub response_timeout: Duration,
+    /// How long a connection is kept without a request.
+    pub idle_timeout: Duration,
+}
 
-/// Asks servers how they are.
-pub struct Servers {
+/// Checks the health of servers and reports the results to the engine.
+pub struct HealthChecker {
+    engine: EngineHandle,
+    shutdown: Shutdown,
     path: &'static str,
-    connect_most: Duration,
-    answer_most: Duration,
-    keep: Duration,
-    kept: RefCell<HashMap<SocketAddr, (Sender, Instant)>>,
-    /// How many connections may be kept, and since when: there was no descriptor left then.
-    short: Cell<Option<(usize, Instant)>>,
-    /// Those that took no connection, and when that was last tried.
-    closed: RefCell<HashMap<SocketAddr, Instant>>,
-    under_way: Cell<usize>,
+    response_timeout: Duration,
+    pool: ConnectionPool,
+    pending: Cell<usize>,
+}
+
+/// The result of one health check.
+struct CheckResult {
+    outcome: HealthCheckOutcome,
+    load: LoadReport,
+    /// When the request was sent that the result belongs to.
+    sent_at: Instant,
 }
 
-/// How long an answer to a probe is awaited, by the aims of the classes.
-pub fn answer_most(classes: &[Class]) -> Duration {
-    let shortest = classes
+/// A server's answer to a health check.
+struct CheckResponse {
+    status: StatusCode,
+    load: LoadReport,
+}
+
+/// How long an answer to a health check may take, by the latency objectives of the classes.
+pub fn response_timeout(classes: &[Class]) -> Duration {
+    let shortest_objective = classes
         .iter()
-        .map(|class| length(class.latency_objective))
-        .filter(|aim| !aim.is_zero())
+        .map(|class| to_duration(class.latency_objective))
+        .filter(|objective| !objective.is_zero())
         .min();
-    shortest.map_or(ANSWER_MOST, |aim| {
-        aim.mul_f64(ANSWER_SHARE).min(ANSWER_MOST)
-    })
+    match shortest_objective {
+        Some(objective) => objective
+            .mul_f64(RESPONSE_TIMEOUT_SHARE)
+            .min(MAX_RESPONSE_TIMEOUT),
+        None => MAX_RESPONSE_TIMEOUT,
+    }
 }
 
-impl Servers {
-    /// Probes by load report, where servers have them, else by health.
-    pub fn new(
-        reports: bool,
-        (connect_most, answer_most): (Duration, Duration),
-        keep: Duration,
-    ) -> Rc<Self> {
-        let path = if reports { "/-/load" } else { "/-/healthy" };
-        Rc::new(Servers {
+impl HealthChecker {
+    /// A checker without connections.
+    pub fn new(engine: EngineHandle, shutdown: Shutdown, config: HealthCheckConfig) -> Rc<Self> {
+        let path = if config.uses_load_reports {
+            "/-/load"
+        } else {
+            "/-/healthy"
+        };
+        let pool = ConnectionPool::new(
+            shutdown.clone(),
+            config.connect_timeout,
+            config.idle_timeout,
+        );
+        Rc::new(HealthChecker {
+            engine,
+            shutdown,
             path,
-            connect_most,
-            answer_most,
-            keep,
-            kept: RefCell::default(),
-            short: Cell::default(),
-            closed: RefCell::default(),
-            under_way: Cell::new(0),
+            response_timeout: config.response_timeout,
+            pool,
+            pending: Cell::new(0),
         })
     }
 
-    /// Starts these probes, spread evenly over a time; each result is reported. Sent at once, the answers of hundreds of
-    /// servers arrive together, and what the last of them wait for in this process would pass for slow servers.
-    pub fn probe_spread(self: &Rc<Self>, hub: &Rc<Hub>, probes: Vec<HealthCheck>, over: Duration) {
-        let pause = over / u32::try_from(probes.len().max(1)).unwrap_or(u32::MAX);
+    /// Schedules these health checks evenly over a time; each result is reported. Sent at once, the answers of hundreds of
+    /// servers would arrive together, and the time that the last of them wait in this process would pass for slow servers.
+    pub fn schedule(self: &Rc<Self>, checks: Vec<HealthCheck>, spread: Duration) {
+        let count = u32::try_from(checks.len().max(1)).unwrap_or(u32::MAX);
+        let interval = spread / count;
         let mut delay = Duration::ZERO;
-        for probe in probes {
-            self.probe(hub, probe, delay);
-            delay += pause;
+        for check in checks {
+            self.schedule_one(check, delay);
+            delay += interval;
         }
     }
 
-    /// Sends one probe after a delay; its result is reported.
-    fn probe(self: &Rc<Self>, hub: &Rc<Hub>, probe: HealthCheck, delay: Duration) {
-        let (servers, hub) = (self.clone(), hub.clone());
-        if self.under_way.get() >= UNDER_WAY_MOST {
-            let other = Report::HealthChecked {
-                check: probe,
+    /// Frees descriptors for other connections: closes half of the idle connections to servers.
+    pub fn release_idle_connections(&self) {
+        self.pool.release_idle();
+    }
+
+    fn schedule_one(self: &Rc<Self>, check: HealthCheck, delay: Duration) {
+        if self.pending.get() >= MAX_PENDING_CHECKS {
+            self.engine.report(Report::HealthChecked {
+                check,
                 outcome: HealthCheckOutcome::Inconclusive,
-                elapsed: micros(Duration::ZERO),
+                elapsed: to_micros(Duration::ZERO),
                 load: LoadReport::default(),
-            };
-            hub.report(other);
+            });
             return;
         }
-        self.under_way.set(self.under_way.get() + 1);
+        self.pending.set(self.pending.get() + 1);
+        let checker = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            // Nothing is asked once the supervisor stops.
-            let due = timeout(delay, hub.stopped()).await.is_err();
-            if due {
-                let mut sent = Instant::now();
-                let (end, load) = servers.asked(&hub, &probe.address, &mut sent).await;
-                let took = micros(sent.elapsed());
-                hub.report(Report::HealthChecked {
-                    check: probe,
-                    outcome: end,
-                    elapsed: took,
-                    load,
-                });
+            // Nothing is sent once the supervisor stops.
+            let is_due = timeout(delay, checker.shutdown.requested()).await.is_err();
+            if is_due {
+                checker.check_and_report(check).await;
             }
-            servers
-                .under_way
-                .set(servers.under_way.get().saturating_sub(1));
+            checker.pending.set(checker.pending.get().saturating_sub(1));
         });
     }
 
-    /// How a server answers, and when that was asked which it answered.
-    async fn asked(
-        &self,
-        hub: &Rc<Hub>,
-        name: &str,
-        sent: &mut Instant,
-    ) -> (HealthCheckOutcome, LoadReport) {
+    async fn check_and_report(&self, check: HealthCheck) {
+        let CheckResult {
+            outcome,
+            load,
+            sent_at,
+        } = self.check(&check.address).await;
+        self.engine.report(Report::HealthChecked {
+            check,
+            outcome,
+            elapsed: to_micros(sent_at.elapsed()),
+            load,
+        });
+    }
+
+    /// Checks the server at an address.
+    async fn check(&self, name: &str) -> CheckResult {
+        let mut sent_at = Instant::now();
         let Ok(address) = name.parse::<SocketAddr>() else {
-            return (HealthCheckOutcome::Inconclusive, LoadReport::default());
+            return CheckResult {
+                outcome: HealthCheckOutcome::Inconclusive,
+                load: LoadReport::default(),
+                sent_at,
+            };
         };
-        match self.answer(hub, address, name, sent).await {
-            Ok((status, load)) if status.is_success() => (HealthCheckOutcome::Passed, load),
-            // What a server says that drains or has too many probes; it lives.
-            Ok((StatusCode::SERVICE_UNAVAILABLE, load)) => (HealthCheckOutcome::Rejected, load),
-            Ok((_, load)) => (HealthCheckOutcome::Error, load),
-            Err(Ending::TimedOut) => (HealthCheckOutcome::TimedOut, LoadReport::default()),
-            Err(Ending::NoRoom) => (HealthCheckOutcome::Inconclusive, LoadReport::default()),
-            Err(Ending::Unreadable | Ending::TooLong) => {
-                (HealthCheckOutcome::Error, LoadReport::default())
-            }
-            Err(_) => (HealthCheckOutcome::Unreachable, LoadReport::default()),
+        let (outcome, load) = match self.request(address, name, &mut sent_at).await {
+            Ok(response) => (outcome_of_status(response.status), response.load),
+            Err(reason) => (outcome_of_disconnect(reason), LoadReport::default()),
+        };
+        CheckResult {
+            outcome,
+            load,
+            sent_at,
         }
     }
 
-    async fn answer(
+    async fn request(
         &self,
-        hub: &Rc<Hub>,
         address: SocketAddr,
         name: &str,
-        sent: &mut Instant,
-    ) -> Result<(StatusCode, LoadReport), Ending> {
-        if let Some(kept) = self.take(address) {
-            // A server may close a kept connection just as the next probe is sent: that says nothing of the server,
+        sent_at: &mut Instant,
+    ) -> Result<CheckResponse, DisconnectReason> {
+        if let Some(sender) = self.pool.take_idle(address) {
+            // A server may close an idle connection just as the next request is sent: that says nothing of the server,
             // and a new connection does.
-            match self.answer_on(kept, address, name).await {
-                Err(Ending::Closed | Ending::CutShort | Ending::Reset) => {}
-                answer => return answer,
+            match self.request_on(sender, address, name).await {
+                Err(
+                    DisconnectReason::Closed
+                    | DisconnectReason::Truncated
+                    | DisconnectReason::Reset,
+                ) => {}
+                result => return result,
             }
         }
-        // Danger: with the time that a broken connection took, a quick server would pass for a slow one.
-        let sender = self.open(hub, address, name, sent).await?;
-        self.answer_on(sender, address, name).await
+        // From here on `sent_at` counts anew: with the time that a broken connection took, a fast server would pass for a
+        // slow one.
+        let sender = self.pool.connect(address, name, sent_at).await?;
+        self.request_on(sender, address, name).await
     }
 
-    async fn answer_on(
+    /// Sends the request on a connection, which is kept if it is answered in time.
+    async fn request_on(
         &self,
-        mut sender: Sender,
+        mut sender: RequestSender,
         address: SocketAddr,
         name: &str,
-    ) -> Result<(StatusCode, LoadReport), Ending> {
-        let ask = async {
-            let response = http::get(&mut sender, name, self.path).await?;
-            let status = response.status();
-            let body = Limited::new(response.into_body(), BODY_MOST)
-                .collect()
-                .await;
-            let body = body.map_err(|fault| http::cut(fault.as_ref()))?.to_bytes();
-            Ok((
-                status,
-                messages::load_report(&String::from_utf8_lossy(&body)),
-            ))
-        };
-        let answer = timeout(self.answer_most, ask)
+    ) -> Result<CheckResponse, DisconnectReason> {
+        let exchange = exchange(&mut sender, name, self.path);
+        let response = timeout(self.response_timeout, exchange)
             .await
-            .unwrap_or(Err(Ending::TimedOut))?;
-        self.kept
-            .borrow_mut()
-            .insert(address, (sender, Instant::now()));
-        let short = self
-            .short
-            .get()
-            .filter(|(_, since)| since.elapsed() < self.keep);
-        short
-            .into_iter()
-            .for_each(|(most, _)| self.keep_at_most(most));
-        Ok(answer)
+            .unwrap_or(Err(DisconnectReason::TimedOut))?;
+        self.pool.put_idle(address, sender);
+        Ok(response)
     }
+}
 
-    /// There is no descriptor left: half of the kept connections go, and no more are kept for as long as one may be.
-    pub fn let_go(&self) {
-        let most = self.kept.borrow().len() / 2;
-        self.short.set(Some((most, Instant::now())));
-        self.keep_at_most(most);
-    }
+/// Requests a path, and waits for the complete answer.
+async fn exchange(
+    sender: &mut RequestSender,
+    host: &str,
+    path: &str,
+) -> Result<CheckResponse, DisconnectReason> {
+    let response = http::get(sender, host, path).await?;
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
+        .collect()
+        .await
+        .map_err(|error| http::incomplete_body_reason(error.as_ref()))?
+        .to_bytes();
+    let load = decode_load_report(&String::from_utf8_lossy(&body));
+    Ok(CheckResponse { status, load })
+}
 
-    /// Those not used for longest go first.
-    fn keep_at_most(&self, most: usize) {
-        let mut kept = self.kept.borrow_mut();
-        while kept.len() > most {
-            let oldest = kept
-                .iter()
-                .min_by_key(|(_, (_, used))| *used)
-                .map(|(address, _)| *address);
-            oldest.and_then(|address| kept.remove(&address));
-        }
+fn outcome_of_status(status: StatusCode) -> HealthCheckOutcome {
+    if status.is_success() {
+        return HealthCheckOutcome::Passed;
     }
-
-    /// Opens a connection; of a server that takes none, only the first try leaves a line. One that is not tried any more,
-    /// as after its removal, is forgotten. Where no descriptor is left, kept ones are let go, and it is tried again for as
-    /// long as a connection may take. Danger: of more servers than descriptors, the same would never be asked.
-    async fn open(
-        &self,
-        hub: &Rc<Hub>,
-        address: SocketAddr,
-        name: &str,
-        sent: &mut Instant,
-    ) -> Result<Sender, Ending> {
-        let begun = Instant::now();
-        let opened = loop {
-            *sent = Instant::now();
-            let opened =
-                http::open(hub, "server", name.to_string(), address, self.connect_most).await;
-            if !matches!(opened, Err(Ending::NoRoom)) || begun.elapsed() >= self.connect_most {
-                break opened;
-            }
-            self.let_go();
-            sleep(ROOM_AGAIN).await;
-        };
-        let mut closed = self.closed.borrow_mut();
-        match &opened {
-            Ok(_) => {
-                closed.remove(&address);
-            }
-            Err(reason) => {
-                closed.retain(|_, tried| tried.elapsed() < TRIED_WITHIN);
-                if closed.insert(address, Instant::now()).is_none() {
-                    tracing::info!(server = name, %reason, "server takes no connection");
-                }
-            }
-        }
-        opened
+    match status {
+        // The answer of a server that drains or has too many health checks; it is alive.
+        StatusCode::SERVICE_UNAVAILABLE => HealthCheckOutcome::Rejected,
+        _ => HealthCheckOutcome::Error,
     }
+}
 
-    /// The kept connection to an address; those not used for long are let go.
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
-        let mut kept = self.kept.borrow_mut();
-        kept.retain(|_, (sender, used)| !sender.is_closed() && used.elapsed() < self.keep);
-        kept.remove(&address).map(|(sender, _)| sender)
+fn outcome_of_disconnect(reason: DisconnectReason) -> HealthCheckOutcome {
+    match reason {
+        DisconnectReason::TimedOut => HealthCheckOutcome::TimedOut,
+        DisconnectReason::ResourcesExhausted => HealthCheckOutcome::Inconclusive,
+        DisconnectReason::Malformed | DisconnectReason::TooLong => HealthCheckOutcome::Error,
+        _ => HealthCheckOutcome::Unreachable,
     }
 }
 
--- /dev/null
+++ b/crates/supervisor/src/peers/health_check/connection_pool.rs
@@ -0,0 +1,154 @@
+//! Connections to servers: opened within a time, kept while they are idle, and closed when descriptors run out.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use tokio::time::sleep;
+
+use crate::protocol::disconnect::DisconnectReason;
+use crate::protocol::http::{self, Destination, RequestSender};
+use crate::shared::shutdown::Shutdown;
+
+/// A server that refused connections and was not dialled again for so long is forgotten: many times the pause between
+/// health checks.
+const UNREACHABLE_RETENTION: Duration = Duration::from_secs(60);
+/// Pause before a descriptor is tried for again: other health checks are answered in less.
+const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Connections to servers, at most one idle connection to each.
+pub struct ConnectionPool {
+    shutdown: Shutdown,
+    connect_timeout: Duration,
+    idle_timeout: Duration,
+    idle: RefCell<HashMap<SocketAddr, IdleConnection>>,
+    reduced: Cell<Option<ReducedCapacity>>,
+    /// Servers that refused connections, and when each was last dialled.
+    unreachable: RefCell<HashMap<SocketAddr, Instant>>,
+}
+
+struct IdleConnection {
+    sender: RequestSender,
+    last_used_at: Instant,
+}
+
+/// The capacity of the pool since the descriptors ran out.
+#[derive(Clone, Copy)]
+struct ReducedCapacity {
+    max_idle: usize,
+    since: Instant,
+}
+
+impl ConnectionPool {
+    /// An empty pool.
+    pub fn new(shutdown: Shutdown, connect_timeout: Duration, idle_timeout: Duration) -> Self {
+        ConnectionPool {
+            shutdown,
+            connect_timeout,
+            idle_timeout,
+            idle: RefCell::default(),
+            reduced: Cell::default(),
+            unreachable: RefCell::default(),
+        }
+    }
+
+    /// Takes the idle connection to a server, if there is one; closes those that were idle for too long.
+    pub fn take_idle(&self, address: SocketAddr) -> Option<RequestSender> {
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|_, connection| {
+            let is_open = !connection.sender.is_closed();
+            is_open && connection.last_used_at.elapsed() < self.idle_timeout
+        });
+        idle.remove(&address).map(|connection| connection.sender)
+    }
+
+    /// Keeps a connection for the next request.
+    pub fn put_idle(&self, address: SocketAddr, sender: RequestSender) {
+        let connection = IdleConnection {
+            sender,
+            last_used_at: Instant::now(),
+        };
+        self.idle.borrow_mut().insert(address, connection);
+        let Some(reduced) = self.reduced.get() else {
+            return;
+        };
+        if reduced.since.elapsed() < self.idle_timeout {
+            self.limit_idle(reduced.max_idle);
+        }
+    }
+
+    /// Frees descriptors: closes half of the idle connections, and keeps no more for as long as one may be idle.
+    pub fn release_idle(&self) {
+        let max_idle = self.idle.borrow().len() / 2;
+        self.reduced.set(Some(ReducedCapacity {
+            max_idle,
+            since: Instant::now(),
+        }));
+        self.limit_idle(max_idle);
+    }
+
+    /// Closes the least recently used connections.
+    fn limit_idle(&self, max_idle: usize) {
+        let mut idle = self.idle.borrow_mut();
+        while idle.len() > max_idle {
+            let oldest = idle
+                .iter()
+                .min_by_key(|(_, connection)| connection.last_used_at)
+                .map(|(address, _)| *address);
+            let Some(oldest) = oldest else { return };
+            idle.remove(&oldest);
+        }
+    }
+
+    /// Opens a connection; `dialled_at` becomes the time of the last attempt. Where no descriptor is left, idle connections
+    /// are closed and it is tried again for as long as a connection may take: where there are more servers than
+    /// descriptors, some would never be checked otherwise.
+    ///
+    /// # Errors
+    ///
+    /// If no connection is established in time, or at all.
+    pub async fn connect(
+        &self,
+        address: SocketAddr,
+        name: &str,
+        dialled_at: &mut Instant,
+    ) -> Result<RequestSender, DisconnectReason> {
+        let started_at = Instant::now();
+        let connected = loop {
+            *dialled_at = Instant::now();
+            let destination = Destination {
+                peer_kind: "server",
+                peer_name: name.to_string(),
+                address,
+            };
+            let connected = http::connect(&self.shutdown, destination, self.connect_timeout).await;
+            let is_exhausted = matches!(connected, Err(DisconnectReason::ResourcesExhausted));
+            if !is_exhausted || started_at.elapsed() >= self.connect_timeout {
+                break connected;
+            }
+            self.release_idle();
+            sleep(DESCRIPTOR_RETRY_DELAY).await;
+        };
+        match &connected {
+            Ok(_) => {
+                self.unreachable.borrow_mut().remove(&address);
+            }
+            Err(reason) => self.record_unreachable(address, name, *reason),
+        }
+        connected
+    }
+
+    /// Logs the first failure to connect to a server; forgets servers that are not dialled any more, as after a removal.
+    fn record_unreachable(&self, address: SocketAddr, name: &str, reason: DisconnectReason) {
+        let mut unreachable = self.unreachable.borrow_mut();
+        unreachable.retain(|_, dialled_at| dialled_at.elapsed() < UNREACHABLE_RETENTION);
+        let is_first_failure = unreachable.insert(address, Instant::now()).is_none();
+        if is_first_failure {
+            tracing::info!(server = name, %reason, "server refuses connections");
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/supervisor/src/peers/health_check/connection_pool/tests.rs
@@ -0,0 +1,36 @@
+use chutegrade_engine::HealthCheckOutcome;
+
+use super::*;
+use crate::peers::health_check::tests::checker;
+
+/// Over months of replaced servers, the addresses of those that are gone must not add up.
+#[test]
+fn servers_that_are_gone_are_forgotten() {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        let checker = checker();
+        let gone = |port: u16| {
+            (
+                SocketAddr::from(([127, 0, 0, 1], port)),
+                Instant::now() - 2 * UNREACHABLE_RETENTION,
+            )
+        };
+        let unreachable = &checker.pool.unreachable;
+        unreachable.borrow_mut().extend((1..=20).map(gone));
+        assert_eq!(
+            checker.outcome_at("127.0.0.1:21").await.0,
+            HealthCheckOutcome::Unreachable
+        );
+        assert_eq!(
+            unreachable
+                .borrow()
+                .keys()
+                .map(SocketAddr::port)
+                .collect::<Vec<_>>(),
+            [21]
+        );
+    });
+}
--- a/crates/supervisor/src/peers/health_check/tests.rs
+++ b/crates/supervisor/src/peers/health_check/tests.rs
@@ -5,22 +5,41 @@
 use tokio::net::TcpListener;
 
 use super::*;
+use crate::shared::clock::Clock;
 
-const WITHIN: (Duration, Duration) = (Duration::from_secs(5), Duration::from_millis(300));
+/// A checker that reports to this engine and asks for load reports.
+fn checker_for(engine: EngineHandle, shutdown: Shutdown) -> Rc<HealthChecker> {
+    let config = HealthCheckConfig {
+        uses_load_reports: true,
+        connect_timeout: Duration::from_secs(5),
+        response_timeout: Duration::from_millis(300),
+        idle_timeout: Duration::from_secs(60),
+    };
+    HealthChecker::new(engine, shutdown, config)
+}
+
+/// A checker that reports to an engine without settings.
+pub(super) fn checker() -> Rc<HealthChecker> {
+    let engine = Engine::new(Settings::default(), 0, vec![], vec![], vec![]);
+    checker_for(EngineHandle::new(engine), Shutdown::new())
+}
 
-impl Servers {
-    async fn ask(&self, name: &str) -> (HealthCheckOutcome, LoadReport) {
-        let engine = Engine::new(Settings::default(), 0, vec![], vec![], vec![]);
-        self.asked(&Hub::new(engine), name, &mut Instant::now())
-            .await
+impl HealthChecker {
+    /// Checks the server at an address, without the time that it took.
+    pub(super) async fn outcome_at(&self, name: &str) -> (HealthCheckOutcome, LoadReport) {
+        let result = self.check(name).await;
+        (result.outcome, result.load)
     }
 }
 
-const WELL: &str = "HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\nTEXT queue=3";
+const GOOD_ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\nTEXT queue=3";
 
-/// A server that gives these answers on each connection, then closes it at the next request; the ends of so many
-/// probes.
-fn ends(answers: &'static [&'static str], probes: usize) -> Vec<(HealthCheckOutcome, LoadReport)> {
+/// The results of so many checks of a server that gives these answers on each connection, then closes it at the next
+/// request.
+fn results(
+    answers: &'static [&'static str],
+    checks: usize,
+) -> Vec<(HealthCheckOutcome, LoadReport)> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -38,54 +57,57 @@
                 let _ = stream.read(&mut request).await;
             }
         });
-        let servers = Servers::new(true, WITHIN, Duration::from_secs(60));
-        let mut seen = Vec::new();
-        for _ in 0..probes {
-            seen.push(servers.ask(&address).await);
+        let checker = checker();
+        let mut results = Vec::new();
+        for _ in 0..checks {
+            results.push(checker.outcome_at(&address).await);
         }
-        seen
+        results
     })
 }
 
-/// Danger: a connection closed between two probes would be held against a server that is well.
+/// A connection closed between two health checks must not be held against a healthy server.
 #[test]
-fn a_kept_connection_that_closes_is_no_failure() {
+fn an_idle_connection_that_closes_is_no_failure() {
     let load = LoadReport {
         queued: Some(3.0),
         ..LoadReport::default()
     };
     assert_eq!(
-        ends(&[WELL], 4),
+        results(&[GOOD_ANSWER], 4),
         vec![(HealthCheckOutcome::Passed, load); 4]
     );
     assert_eq!(
-        ends(&[WELL, WELL, WELL], 5),
+        results(&[GOOD_ANSWER, GOOD_ANSWER, GOOD_ANSWER], 5),
         vec![(HealthCheckOutcome::Passed, load); 5]
     );
 }
 
 #[test]
-fn answers_become_ends() {
-    let of = |answer: &'static [&'static str]| ends(answer, 1)[0].0;
+fn answers_become_outcomes() {
+    let outcome_of = |answers: &'static [&'static str]| results(answers, 1)[0].0;
     assert_eq!(
-        of(&["HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n"]),
+        outcome_of(&["HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n"]),
         HealthCheckOutcome::Rejected
     );
     assert_eq!(
-        of(&["HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n"]),
+        outcome_of(&["HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n"]),
+        HealthCheckOutcome::Error
+    );
+    assert_eq!(
+        outcome_of(&["TEXT queue=3\r\n\r\n"]),
         HealthCheckOutcome::Error
     );
-    assert_eq!(of(&["TEXT queue=3\r\n\r\n"]), HealthCheckOutcome::Error);
     assert_eq!(
-        of(&["HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\nTEXT"]),
+        outcome_of(&["HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\nTEXT"]),
         HealthCheckOutcome::TimedOut
     );
-    assert_eq!(of(&[""]), HealthCheckOutcome::TimedOut);
-    assert_eq!(of(&[]), HealthCheckOutcome::Unreachable);
+    assert_eq!(outcome_of(&[""]), HealthCheckOutcome::TimedOut);
+    assert_eq!(outcome_of(&[]), HealthCheckOutcome::Unreachable);
 }
 
-/// How a probe ends whose answer breaks off after so many bytes, on a connection of its own.
-fn end_of_an_answer_cut_after(bytes: usize) -> HealthCheckOutcome {
+/// The outcome of a check whose answer breaks off after so many bytes, on a connection of its own.
+fn outcome_of_an_answer_cut_after(bytes: usize) -> HealthCheckOutcome {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -95,83 +117,57 @@
         let address = script.address.to_string();
         tokio::task::spawn_local(async move {
             let mut peer = script.asked_for("/-/load").await;
-            peer.raw(&WELL.as_bytes()[..bytes]).await;
+            peer.raw(&GOOD_ANSWER.as_bytes()[..bytes]).await;
         });
-        let servers = Servers::new(true, WITHIN, Duration::from_secs(60));
-        servers.ask(&address).await.0
+        checker().outcome_at(&address).await.0
     })
 }
 
-/// Danger: a server that dies within its answer would pass for one that is well.
+/// A server that dies within its answer must not pass for a healthy one.
 #[test]
-fn an_answer_that_breaks_off_at_any_point_is_no_good_one() {
-    for bytes in 0..WELL.len() {
-        let end = end_of_an_answer_cut_after(bytes);
+fn an_answer_truncated_at_any_point_does_not_pass() {
+    for bytes in 0..GOOD_ANSWER.len() {
+        let outcome = outcome_of_an_answer_cut_after(bytes);
         assert!(
             matches!(
-                end,
+                outcome,
                 HealthCheckOutcome::Unreachable | HealthCheckOutcome::Error
             ),
-            "{end:?} after {bytes} bytes"
+            "{outcome:?} after {bytes} bytes"
         );
     }
     assert_eq!(
-        end_of_an_answer_cut_after(WELL.len()),
+        outcome_of_an_answer_cut_after(GOOD_ANSWER.len()),
         HealthCheckOutcome::Passed
     );
 }
 
-/// Danger: over months of replaced servers, the addresses of those that are gone add up.
 #[test]
-fn servers_that_are_gone_leave_nothing_behind() {
+fn an_invalid_address_is_inconclusive() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, async {
-        let servers = Servers::new(true, WITHIN, Duration::from_secs(60));
-        let gone = |port: u16| {
-            (
-                SocketAddr::from(([127, 0, 0, 1], port)),
-                Instant::now() - 2 * TRIED_WITHIN,
-            )
-        };
-        servers.closed.borrow_mut().extend((1..=20).map(gone));
-        assert_eq!(
-            servers.ask("127.0.0.1:21").await.0,
-            HealthCheckOutcome::Unreachable
-        );
-        assert_eq!(
-            servers
-                .closed
-                .borrow()
-                .keys()
-                .map(SocketAddr::port)
-                .collect::<Vec<_>>(),
-            [21]
-        );
-    });
-}
-
-#[test]
-fn an_address_that_is_none_says_nothing_of_the_server() {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    let servers = Servers::new(false, WITHIN, Duration::from_secs(60));
     assert_eq!(
-        runtime.block_on(servers.ask("nowhere")),
+        runtime.block_on(checker().outcome_at("nowhere")),
         (HealthCheckOutcome::Inconclusive, LoadReport::default())
     );
 }
 
-/// Two servers' worth of connections at one address: what the first probe leaves is kept, and the second one meets what
-/// `broken` does on it, then a good answer on a new one. How the second ended, how long it took by its own count, and since
-/// it began.
-fn after_a_broken_connection(
-    broken: impl AsyncFnOnce(&mut Peer) + 'static,
-) -> ((HealthCheckOutcome, LoadReport), Duration, Duration) {
+/// The second of two checks of one server.
+struct SecondCheck {
+    result: (HealthCheckOutcome, LoadReport),
+    /// How long it took by its own count.
+    elapsed: Duration,
+    /// How long it took since it began.
+    total: Duration,
+}
+
+/// Checks a server twice. The first check leaves an idle connection; the second one meets what `break_connection` does on
+/// it, then a good answer on a new connection.
+fn check_after_a_broken_connection(
+    break_connection: impl AsyncFnOnce(&mut Peer) + 'static,
+) -> SecondCheck {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -180,37 +176,36 @@
         let script = Scripted::start().await;
         let address = script.address.to_string();
         tokio::task::spawn_local(async move {
-            let mut kept = script.asked_for("/-/load").await;
-            kept.answer(200, "TEXT queue=1").await;
-            assert!(kept.request().await.is_some());
-            broken(&mut kept).await;
-            kept.reset();
+            let mut idle = script.asked_for("/-/load").await;
+            idle.answer(200, "TEXT queue=1").await;
+            assert!(idle.request().await.is_some());
+            break_connection(&mut idle).await;
+            idle.reset();
             script
                 .asked_for("/-/load")
                 .await
                 .answer(200, "TEXT queue=3")
                 .await;
         });
-        let engine = Engine::new(Settings::default(), 0, vec![], vec![], vec![]);
-        let (hub, servers) = (
-            Hub::new(engine),
-            Servers::new(true, WITHIN, Duration::from_secs(60)),
-        );
+        let checker = checker();
         assert_eq!(
-            servers.asked(&hub, &address, &mut Instant::now()).await.0,
+            checker.check(&address).await.outcome,
             HealthCheckOutcome::Passed
         );
-        let begun = Instant::now();
-        let mut sent = begun;
-        let end = servers.asked(&hub, &address, &mut sent).await;
-        (end, sent.elapsed(), begun.elapsed())
+        let started_at = Instant::now();
+        let second = checker.check(&address).await;
+        SecondCheck {
+            result: (second.outcome, second.load),
+            elapsed: second.sent_at.elapsed(),
+            total: started_at.elapsed(),
+        }
     })
 }
 
-/// Danger: half an answer on a connection that breaks would pass for a bad answer of a server that is well.
+/// A partial answer on a connection that breaks must not pass for a bad answer of a healthy server.
 #[test]
-fn half_an_answer_on_a_kept_connection_is_no_answer() {
-    let half = async |peer: &mut Peer| {
+fn a_partial_answer_on_an_idle_connection_is_retried_on_a_new_one() {
+    let answer_partially = async |peer: &mut Peer| {
         peer.raw(b"HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\nTEXT qu")
             .await;
     };
@@ -219,32 +214,35 @@
         ..LoadReport::default()
     };
     assert_eq!(
-        after_a_broken_connection(half).0,
+        check_after_a_broken_connection(answer_partially).result,
         (HealthCheckOutcome::Passed, load)
     );
     assert_eq!(
-        after_a_broken_connection(async |_: &mut Peer| {}).0,
+        check_after_a_broken_connection(async |_: &mut Peer| {}).result,
         (HealthCheckOutcome::Passed, load)
     );
 }
 
-/// Danger: with the time that a broken connection took, a quick server would pass for a slow one.
+/// With the time that a broken connection took, a fast server would pass for a slow one.
 #[test]
-fn the_time_of_a_second_attempt_is_its_own() {
-    let held = Duration::from_millis(100);
-    let (end, took, all) =
-        after_a_broken_connection(async move |_: &mut Peer| tokio::time::sleep(held).await);
-    assert_eq!(end.0, HealthCheckOutcome::Passed);
-    assert!(took + held <= all, "{took:?} of {all:?}");
+fn a_second_attempt_counts_only_its_own_time() {
+    let delay = Duration::from_millis(100);
+    let SecondCheck {
+        result,
+        elapsed,
+        total,
+    } = check_after_a_broken_connection(async move |_: &mut Peer| tokio::time::sleep(delay).await);
+    assert_eq!(result.0, HealthCheckOutcome::Passed);
+    assert!(elapsed + delay <= total, "{elapsed:?} of {total:?}");
 }
 
-/// Danger: a time for probes that suits one customer's aims takes another's servers for dead, or waits too long for them.
+/// A timeout that suits the objectives of one deployment would take another's servers for dead, or wait too long.
 #[test]
-fn an_answer_is_awaited_by_the_shortest_aim() {
-    let of = |aims: &[i64]| {
-        let class = |aim: &i64| json!({"name": "c", "aimMs": aim});
-        let settings = json!({"classes": aims.iter().map(class).collect::<Vec<_>>()});
-        answer_most(
+fn the_response_timeout_follows_the_shortest_latency_objective() {
+    let timeout_ms = |objectives_ms: &[i64]| {
+        let class = |objective_ms: &i64| json!({"name": "c", "aimMs": objective_ms});
+        let settings = json!({"classes": objectives_ms.iter().map(class).collect::<Vec<_>>()});
+        response_timeout(
             &chutegrade_settings::from_json(&settings)
                 .expect("settings")
                 .classes,
@@ -253,24 +251,25 @@
     };
     assert_eq!(
         [
-            of(&[1500, 600]),
-            of(&[1000]),
-            of(&[0, 500]),
-            of(&[9000]),
-            of(&[])
+            timeout_ms(&[1500, 600]),
+            timeout_ms(&[1000]),
+            timeout_ms(&[0, 500]),
+            timeout_ms(&[9000]),
+            timeout_ms(&[])
         ],
         [300, 500, 250, 1000, 1000]
     );
 }
 
-/// So many servers without an address that can be dialled, one joined proxy, and the probes that the first tick orders.
-fn ordered_probes(servers: usize) -> (Rc<Hub>, Vec<HealthCheck>) {
+/// The engine of so many servers without a valid address and one joined proxy, and the health checks that its first tick
+/// orders.
+fn ordered_checks(servers: usize) -> (EngineHandle, Vec<HealthCheck>) {
     let settings = json!({"classes": [{"name": "lookup", "aimMs": 600}], "zones": ["a"],
         "limits": {"probes": true}, "familyInfo": {"proxies": 1, "backlog": 9000, "linesPerS": 6000}});
     let settings = chutegrade_settings::from_json(&settings).expect("settings");
     let names = |name: &str| vec![name.to_string()];
     let mut engine = Engine::new(settings, 0, names("a"), names("lookup"), names("m"));
-    let listed = |server: usize| NamedEndpoint {
+    let endpoint = |server: usize| NamedEndpoint {
         name: format!("s{server}"),
         address: "nowhere".to_string(),
         zone: "a".to_string(),
@@ -280,7 +279,7 @@
     };
     let list = Report::EndpointList(
         EndpointUpdateKind::Snapshot,
-        (0..servers).map(listed).collect(),
+        (0..servers).map(endpoint).collect(),
     );
     assert_eq!(engine.report(list), Ok(()));
     let joined = Report::StreamOpened {
@@ -291,13 +290,10 @@
         has_no_table: true,
     };
     assert_eq!(engine.report(joined), Ok(()));
-    let hub = Hub::new(engine);
-    let now = hub.clock.now();
-    hub.engine().tick(now);
-    let probes: Vec<HealthCheck> =
-        std::iter::from_fn(|| hub.engine().take_health_check()).collect();
-    assert_eq!(probes.len(), servers);
-    (hub, probes)
+    engine.tick(Clock::start().now());
+    let checks: Vec<HealthCheck> = std::iter::from_fn(|| engine.take_health_check()).collect();
+    assert_eq!(checks.len(), servers);
+    (EngineHandle::new(engine), checks)
 }
 
 fn paused_runtime() -> tokio::runtime::Runtime {
@@ -309,60 +305,56 @@
         .expect("a runtime")
 }
 
-/// Lets every task run that is due now, and a length of the runtime's paused time pass.
-async fn pass(length: Duration) {
-    tokio::time::advance(length).await;
+/// Advances the runtime's paused time, and runs every task that is due then.
+async fn advance(duration: Duration) {
+    tokio::time::advance(duration).await;
     for _ in 0..1000 {
         tokio::task::yield_now().await;
     }
 }
 
-/// Seen on a busy machine: 120 probes sent at once waited for each other in this process, the whole fleet passed for saturated,
-/// and two thirds of its requests were refused.
+/// Health checks sent at once wait for each other in this process, and a fast fleet would pass for a saturated one.
 #[test]
-fn the_probes_of_a_tick_are_spread_over_the_time_they_are_given() {
-    let (hub, probes) = ordered_probes(100);
+fn the_checks_of_a_tick_are_spread_over_the_time_they_are_given() {
+    let (engine, checks) = ordered_checks(100);
     tokio::task::LocalSet::new().block_on(&paused_runtime(), async {
-        let servers = Servers::new(true, WITHIN, Duration::from_secs(60));
-        servers.probe_spread(&hub, probes, Duration::from_millis(200));
-        pass(Duration::ZERO).await;
+        let checker = checker_for(engine.clone(), Shutdown::new());
+        checker.schedule(checks, Duration::from_millis(200));
+        advance(Duration::ZERO).await;
         for answered in [0, 25, 50, 75] {
-            let waiting = servers.under_way.get();
+            let waiting = checker.pending.get();
             assert!(
                 (98 - answered..=100 - answered).contains(&waiting),
                 "{waiting} wait, {answered} had time"
             );
-            pass(Duration::from_millis(50)).await;
+            advance(Duration::from_millis(50)).await;
         }
-        pass(Duration::from_millis(2)).await;
-        assert_eq!(
-            servers.under_way.get(),
-            0,
-            "all were sent within their time"
-        );
-        assert_eq!(hub.take_dropped().0, 0, "each result was reported");
+        advance(Duration::from_millis(2)).await;
+        assert_eq!(checker.pending.get(), 0, "all were sent within their time");
+        assert_eq!(engine.take_dropped().count, 0, "each result was reported");
     });
 }
 
-/// Danger: a probe that is still waiting would be sent after SIGTERM, and cost its server work for nothing.
+/// A health check sent after SIGTERM would cost its server work for nothing.
 #[test]
-fn probes_that_wait_are_not_sent_once_the_supervisor_stops() {
-    let (hub, mut probes) = ordered_probes(100);
+fn pending_checks_are_not_sent_once_the_supervisor_stops() {
+    let (engine, mut checks) = ordered_checks(100);
     tokio::task::LocalSet::new().block_on(&paused_runtime(), async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener
             .set_nonblocking(true)
             .expect("a listener that does not wait");
         let address = listener.local_addr().expect("an address").to_string();
-        let servers = Servers::new(true, WITHIN, Duration::from_secs(60));
-        probes
-            .iter_mut()
-            .for_each(|probe| probe.address.clone_from(&address));
-        servers.probe_spread(&hub, probes, Duration::from_millis(200));
-        hub.stopping.send_replace(true);
-        pass(Duration::from_millis(300)).await;
-        assert_eq!(servers.under_way.get(), 0, "none waits any more");
-        let dialled = listener.accept().map_err(|fault| fault.kind());
+        let shutdown = Shutdown::new();
+        let checker = checker_for(engine, shutdown.clone());
+        for check in &mut checks {
+            check.address.clone_from(&address);
+        }
+        checker.schedule(checks, Duration::from_millis(200));
+        shutdown.request();
+        advance(Duration::from_millis(300)).await;
+        assert_eq!(checker.pending.get(), 0, "none waits any more");
+        let dialled = listener.accept().map_err(|error| error.kind());
         assert_eq!(
             dialled.err(),
             Some(std::io::ErrorKind::WouldBlock),
--- a/crates/supervisor/src/peers/listener.rs
+++ b/crates/supervisor/src/peers/listener.rs
@@ -1,278 +1,207 @@
-//! The supervisor's own address: accepts connections, learns who is there, and keeps strangers from taking the
-//! descriptors that proxies, collectors, discovery and probes need.
+//! The supervisor's own address: accepts connections, lets peers identify themselves, and keeps unidentified connections
+//! from taking the descriptors that proxies, collectors, discovery and health checks need.
 
-use std::cell::RefCell;
-use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::io::AsyncWriteExt;
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use tokio::sync::Notify;
-use tokio::time::timeout;
-
-use crate::peers::collector_stream::{Collectors, PER_ZONE};
-use crate::peers::health_check::Servers;
-use crate::peers::proxy_stream;
-use crate::protocol::disconnect::{End, Ending, Life};
-use crate::protocol::lines::{send, Lines};
-use crate::protocol::messages::{self, Hello, Message};
-use crate::server::hub::Hub;
+use tokio::time::{sleep, timeout};
+
+use crate::peers::collector_stream::{CollectorStreams, MAX_COLLECTORS_PER_ZONE};
+use crate::peers::connection::PeerConnection;
+use crate::peers::connection_slots::{ConnectionSlot, ConnectionSlots};
+use crate::peers::health_check::HealthChecker;
+use crate::peers::identification::{identify, IdentifiedPeer};
+use crate::peers::proxy_stream::{self, ProxyStreamContext};
+use crate::protocol::disconnect::{ConnectionLog, Disconnect, DisconnectReason};
+use crate::protocol::encode::encode_error;
+use crate::shared::engine_handle::EngineHandle;
+use crate::shared::shutdown::Shutdown;
 
 /// The least connections that the system holds until they are accepted: all proxies of a fleet may dial at once, and
-/// as many strangers. It is a bound for the system, which reserves nothing.
-const BACKLOG_LEAST: usize = 1024;
+/// as many others. It is a bound for the system, which reserves nothing.
+const MIN_BACKLOG: usize = 1024;
 /// Longest first message, in bytes: `hello` with the longest names has a fraction of it.
-const FIRST_LINE_MOST: usize = 1024;
-/// Longest line from whoever has said who it is, in bytes: no message has a form that comes near it, and a thousand
-/// such buffers fit the memory that a supervisor has.
-const LINE_MOST: usize = 64 * 1024;
-/// How long a connection may go without saying who it is, from when it was accepted and whatever it asks meanwhile: a
-/// peer has 1 s for it, and who is none must hear of its end within 3 s.
-const UNNAMED_MOST: Duration = Duration::from_millis(1500);
-/// How long, and for how many bytes, one that is turned away is still read: what stays unread turns a close into a reset,
-/// and the last word is lost with it.
-const LAST_READ: (Duration, usize) = (Duration::from_millis(200), 64 * 1024);
+const MAX_FIRST_LINE_BYTES: usize = 1024;
+/// Longest line of an identified peer, in bytes: no message has a form that comes near it, and a thousand such buffers fit
+/// the memory that a supervisor has.
+const MAX_LINE_BYTES: usize = 64 * 1024;
+/// How long a connection may go without identifying itself, from when it was accepted and whatever it asks meanwhile: a
+/// peer has 1 s for it, and any other must hear of its end within 3 s.
+const IDENTIFICATION_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long a rejected connection is still read: what stays unread turns a close into a reset, and the `error` message is
+/// lost with it.
+const REJECTION_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
+/// How much of a rejected connection is still read, in bytes.
+const REJECTION_DRAIN_BYTES: usize = 64 * 1024;
 /// Descriptors that are not for peers: the runtime's own, standard streams, the listener, the watch of discovery and the
-/// one that takes its place, one to accept with.
-const OWN_DESCRIPTORS: usize = 16;
-/// The least connections that may be there without having said who they are, however few descriptors there are.
-const STRANGERS_LEAST: usize = 8;
-/// Wait before accepting again when no descriptor is left: long enough not to spin, short for a proxy.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
-
-/// Places for connections of one sort, oldest first; when there are too many, the oldest has to go.
-pub struct Places {
-    most: usize,
-    taken: RefCell<VecDeque<Rc<Notify>>>,
-}
-
-/// One connection's place, until it is dropped.
-pub struct Place<'a> {
-    places: &'a Places,
-    needed: Rc<Notify>,
-}
-
-impl Places {
-    /// So many places.
-    pub fn new(most: usize) -> Self {
-        Places {
-            most,
-            taken: RefCell::default(),
-        }
-    }
-
-    /// Takes one; the oldest is told when there are too many.
-    pub fn take(&self) -> Place<'_> {
-        let needed = Rc::new(Notify::new());
-        let mut taken = self.taken.borrow_mut();
-        taken.push_back(Rc::clone(&needed));
-        if taken.len() > self.most {
-            if let Some(oldest) = taken.pop_front() {
-                oldest.notify_one();
-            }
-        }
-        Place {
-            places: self,
-            needed,
-        }
-    }
-}
-
-impl Place<'_> {
-    /// Waits until the place is needed for another.
-    pub async fn needed(&self) {
-        self.needed.notified().await;
-    }
-}
-
-impl Drop for Place<'_> {
-    fn drop(&mut self) {
-        self.places
-            .taken
-            .borrow_mut()
-            .retain(|other| !Rc::ptr_eq(other, &self.needed));
-    }
-}
-
-/// How many may be there without having said who they are: half of what remains once each proxy and collector that the
-/// settings hold has its descriptor; the other half is for servers, whose number only the list tells.
-fn strangers(sockets: usize, proxies: usize, zones: usize) -> usize {
-    let peers = OWN_DESCRIPTORS + proxies + zones * PER_ZONE;
-    (sockets.saturating_sub(peers) / 2).max(STRANGERS_LEAST)
-}
-
-/// Where a connection goes once it has said who it is, and until then.
-struct Doors {
-    strangers: Places,
-    collectors: Collectors,
-    silence: Duration,
-}
+/// one that replaces it, one to accept with.
+const RESERVED_DESCRIPTORS: usize = 16;
+/// The least unidentified connections that may be open, however few descriptors there are.
+const MIN_UNIDENTIFIED_CONNECTIONS: usize = 8;
+/// Pause before accepting again when no descriptor is left: long enough not to spin, short for a proxy.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Binds the address, for so many proxies.
+///
+/// # Errors
+///
+/// If the address cannot be listened at.
 pub fn bind(address: SocketAddr, proxies: usize) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
-        TcpSocket::new_v4()
+        TcpSocket::new_v4()?
     } else {
-        TcpSocket::new_v6()
-    }?;
+        TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(u32::try_from(proxies.saturating_mul(2).max(BACKLOG_LEAST)).unwrap_or(u32::MAX))
+    let backlog = proxies.saturating_mul(2).max(MIN_BACKLOG);
+    socket.listen(u32::try_from(backlog).unwrap_or(u32::MAX))
 }
 
-/// Accepts connections, with so many descriptors in all and that limit on a proxy's silence, until the supervisor stops.
-/// Where none is left, kept connections to servers are let go. Danger: these come back each second, and a proxy that dials
-/// would find none for good.
-pub async fn serve(
-    hub: Rc<Hub>,
-    listener: TcpListener,
-    servers: Rc<Servers>,
-    sockets: usize,
-    silence: Duration,
-) {
-    let (proxies, zones) = hub.engine().deployment_size();
-    let doors = Rc::new(Doors {
-        strangers: Places::new(strangers(sockets, proxies, zones)),
-        collectors: Collectors::default(),
-        silence,
-    });
-    let mut failing = false;
-    loop {
-        match listener.accept().await {
-            Ok((stream, remote)) => {
-                failing = false;
-                let (serving, doors) = (hub.clone(), doors.clone());
-                hub.drive(async move { connection(&serving, &doors, stream, remote).await });
-            }
-            Err(fault) => {
-                if !std::mem::replace(&mut failing, true) {
-                    tracing::warn!(%fault, "no connection can be accepted now");
-                }
-                servers.let_go();
-                tokio::time::sleep(ACCEPT_AGAIN).await;
-            }
+/// How many unidentified connections may be open: half of what remains once each proxy and collector that the settings
+/// hold has its descriptor; the other half is for servers, whose number only the endpoint list tells.
+fn max_unidentified_connections(descriptors: usize, proxies: usize, zones: usize) -> usize {
+    let peers = RESERVED_DESCRIPTORS + proxies + zones * MAX_COLLECTORS_PER_ZONE;
+    (descriptors.saturating_sub(peers) / 2).max(MIN_UNIDENTIFIED_CONNECTIONS)
+}
+
+/// Serves the connections that are accepted.
+pub struct ConnectionHandler {
+    engine: EngineHandle,
+    shutdown: Shutdown,
+    proxy_streams: ProxyStreamContext,
+    collector_streams: CollectorStreams,
+    unidentified: ConnectionSlots,
+}
+
+impl ConnectionHandler {
+    /// A handler for a process that may have so many descriptors.
+    pub fn new(shutdown: Shutdown, proxy_streams: ProxyStreamContext, descriptors: usize) -> Self {
+        let engine = proxy_streams.engine.clone();
+        let (proxies, zones) = engine.borrow_mut().deployment_size();
+        let max_unidentified = max_unidentified_connections(descriptors, proxies, zones);
+        ConnectionHandler {
+            collector_streams: CollectorStreams::new(engine.clone()),
+            engine,
+            shutdown,
+            proxy_streams,
+            unidentified: ConnectionSlots::new(max_unidentified),
         }
     }
-}
 
-/// One connection, from its first message to its end.
-async fn connection(hub: &Hub, doors: &Doors, stream: TcpStream, remote: SocketAddr) {
-    let mut life = Life::begin("stranger", remote.to_string());
-    // An order is a message of its own and must not wait for the next one.
-    let _ = stream.set_nodelay(true);
-    let (read, mut write) = stream.into_split();
-    let mut lines = Lines::new(read, FIRST_LINE_MOST);
-    let served = async {
-        let place = doors.strangers.take();
-        let end = tokio::select! {
-            named = timeout(UNNAMED_MOST, named(hub, &mut lines, &mut write)) => {
-                match named.unwrap_or(Err(Ending::Unnamed.into())) {
-                    Ok(peer) => {
-                        drop(place);
-                        return peer.serve(hub, doors, lines, write, &mut life).await;
+    /// Accepts connections until the supervisor stops. When no descriptor is left, half of the idle connections to servers
+    /// are closed: health checks open them anew each second, and a proxy that dials would find no descriptor for good.
+    pub async fn accept_connections(
+        self: Rc<Self>,
+        listener: TcpListener,
+        health_checker: Rc<HealthChecker>,
+    ) {
+        let mut is_failing = false;
+        loop {
+            match listener.accept().await {
+                Ok((stream, remote)) => {
+                    is_failing = false;
+                    let handler = Rc::clone(&self);
+                    self.shutdown
+                        .spawn_connection(async move { handler.handle(stream, remote).await });
+                }
+                Err(error) => {
+                    if !is_failing {
+                        is_failing = true;
+                        tracing::warn!(fault = %error, "no connection can be accepted now");
                     }
-                    Err(end) => end,
+                    health_checker.release_idle_connections();
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
-            () = place.needed() => Ending::Crowded.into(),
-        };
-        turn_away(lines, write, &end, &place).await;
-        Err(end)
-    };
-    // The end first: whoever asks once the supervisor stops must not hear that it is in use.
-    let Err(end) = tokio::select! {
-        biased;
-        () = hub.stopped() => Err(Ending::Stopping.into()),
-        end = served => end,
-    };
-    life.end(end);
-}
+        }
+    }
 
-/// Who has said who it is.
-enum Named {
-    Proxy(Hello),
-    Collector { site: String },
-}
+    /// One connection, from its first message to its end.
+    async fn handle(&self, stream: TcpStream, remote: SocketAddr) {
+        let mut log = ConnectionLog::open("stranger", remote.to_string());
+        let connection = PeerConnection::new(stream, MAX_FIRST_LINE_BYTES);
+        // The shutdown first: whoever sends `probe` once the supervisor stops must not get an answer.
+        let Err(disconnect) = tokio::select! {
+            biased;
+            () = self.shutdown.requested() => Err(DisconnectReason::ShuttingDown.into()),
+            end = self.identify_and_serve(connection, &mut log) => end,
+        };
+        log.close(disconnect);
+    }
 
-impl Named {
-    async fn serve(
-        self,
-        hub: &Hub,
-        doors: &Doors,
-        mut lines: Lines<OwnedReadHalf>,
-        write: OwnedWriteHalf,
-        life: &mut Life,
-    ) -> Result<Infallible, End> {
-        lines.allow(LINE_MOST);
-        match self {
-            Named::Proxy(hello) => {
-                life.named("proxy", format!("{}@{}", hello.id, hello.site));
-                proxy_stream::serve(hub, lines, write, hello, doors.silence).await
+    async fn identify_and_serve(
+        &self,
+        mut connection: PeerConnection,
+        log: &mut ConnectionLog,
+    ) -> Result<Infallible, Disconnect> {
+        let slot = self.unidentified.acquire();
+        let identified = tokio::select! {
+            identified = timeout(IDENTIFICATION_TIMEOUT, identify(&self.engine, &mut connection)) => {
+                identified.unwrap_or(Err(DisconnectReason::NotIdentified.into()))
             }
-            Named::Collector { site } => {
-                life.named("collector", site.clone());
-                doors.collectors.serve(hub, lines, write, site).await
+            () = slot.evicted() => Err(DisconnectReason::Evicted.into()),
+        };
+        match identified {
+            Ok(peer) => {
+                drop(slot);
+                self.serve(peer, connection, log).await
+            }
+            Err(disconnect) => {
+                reject(connection, &disconnect, &slot).await;
+                Err(disconnect)
             }
         }
     }
-}
 
-/// Waits for the message that says who is there; `probe` may come any number of times before. Whoever can ask finds the
-/// decisions begun, see `run` in `main.rs`.
-async fn named(
-    hub: &Hub,
-    lines: &mut Lines<OwnedReadHalf>,
-    write: &mut OwnedWriteHalf,
-) -> Result<Named, End> {
-    loop {
-        match lines.message().await? {
-            Message::Probe => send(write, messages::ALIVE).await?,
-            Message::Hello(hello) => {
-                hub.engine()
-                    .validate_peer(&hello.site, Some(hello.id))
-                    .map_err(|no| Ending::Unknown.because(no))?;
-                return Ok(Named::Proxy(hello));
+    /// Serves a peer that has identified itself.
+    async fn serve(
+        &self,
+        peer: IdentifiedPeer,
+        mut connection: PeerConnection,
+        log: &mut ConnectionLog,
+    ) -> Result<Infallible, Disconnect> {
+        connection.reader.set_max_line_bytes(MAX_LINE_BYTES);
+        match peer {
+            IdentifiedPeer::Proxy(hello) => {
+                log.identify("proxy", format!("{}@{}", hello.proxy, hello.zone));
+                proxy_stream::serve(&self.proxy_streams, connection, hello).await
             }
-            Message::Agent { site } => {
-                hub.engine()
-                    .validate_peer(&site, None)
-                    .map_err(|no| Ending::Unknown.because(no))?;
-                return Ok(Named::Collector { site });
+            IdentifiedPeer::Collector { zone } => {
+                log.identify("collector", zone.clone());
+                self.collector_streams.serve(connection, zone).await
             }
-            Message::Spoilt(fault) => return Err(Ending::Unreadable.because(fault)),
-            _ => return Err(Ending::Unreadable.because("first message names nobody")),
         }
     }
 }
 
-/// Tells one that is no peer why it has to go, and reads on for a moment so that the word arrives. Nothing waits for a
-/// client that reads nothing.
-async fn turn_away(
-    lines: Lines<OwnedReadHalf>,
-    mut write: OwnedWriteHalf,
-    end: &End,
-    place: &Place<'_>,
-) {
-    if matches!(
-        end.reason,
-        Ending::Closed | Ending::CutShort | Ending::Reset
-    ) {
+/// Tells a connection that was not identified why it is closed, and reads on for a moment so that the message arrives.
+/// Nothing waits for a client that reads nothing.
+async fn reject(connection: PeerConnection, disconnect: &Disconnect, slot: &ConnectionSlot<'_>) {
+    let is_closed = matches!(
+        disconnect.reason,
+        DisconnectReason::Closed | DisconnectReason::Truncated | DisconnectReason::Reset
+    );
+    if is_closed {
         return;
     }
-    let _ = write.try_write(messages::error(end.reason.code()).as_bytes());
-    if end.reason == Ending::Crowded {
+    let PeerConnection { reader, mut writer } = connection;
+    let message = encode_error(disconnect.reason.code());
+    let _ = writer.try_write(message.as_bytes());
+    if disconnect.reason == DisconnectReason::Evicted {
         return;
     }
+    let drain = async {
+        let _ = writer.shutdown().await;
+        reader.discard(REJECTION_DRAIN_BYTES).await;
+    };
     tokio::select! {
-        _ = timeout(LAST_READ.0, async {
-            let _ = write.shutdown().await;
-            lines.discard(LAST_READ.1).await;
-        }) => {}
-        () = place.needed() => {}
+        _ = timeout(REJECTION_DRAIN_TIMEOUT, drain) => {}
+        () = slot.evicted() => {}
     }
 }
 
--- a/crates/supervisor/src/peers/listener/tests.rs
+++ b/crates/supervisor/src/peers/listener/tests.rs
@@ -1,33 +1,24 @@
 use super::*;
 
-/// Danger: with a fixed share, strangers and a whole fleet that comes to one supervisor need more than there is.
+/// With a fixed share, unidentified connections and a complete fleet that joins one supervisor would need more descriptors
+/// than there are.
 #[test]
-fn strangers_get_what_peers_leave() {
-    for (sockets, proxies) in [(256, 150), (512, 400), (1024, 150), (1024, 240)] {
-        let most = strangers(sockets, proxies, 3);
-        let rest = sockets - most - OWN_DESCRIPTORS - proxies - 3 * PER_ZONE;
+fn unidentified_connections_get_half_of_what_peers_leave() {
+    for (descriptors, proxies) in [(256, 150), (512, 400), (1024, 150), (1024, 240)] {
+        let unidentified = max_unidentified_connections(descriptors, proxies, 3);
+        let for_servers = descriptors
+            - unidentified
+            - RESERVED_DESCRIPTORS
+            - proxies
+            - 3 * MAX_COLLECTORS_PER_ZONE;
         assert!(
-            (STRANGERS_LEAST..=sockets / 2).contains(&most) && rest >= 30,
-            "{sockets}: {most}, {rest}"
+            (MIN_UNIDENTIFIED_CONNECTIONS..=descriptors / 2).contains(&unidentified)
+                && for_servers >= 30,
+            "{descriptors}: {unidentified}, {for_servers}"
         );
     }
-    assert_eq!(strangers(64, 150, 3), STRANGERS_LEAST);
-}
-
-#[test]
-fn the_oldest_place_is_needed_first_and_a_place_given_up_is_free() {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .build()
-        .expect("a runtime");
-    runtime.block_on(async {
-        let places = Places::new(2);
-        let (first, second) = (places.take(), places.take());
-        drop(first);
-        let third = places.take();
-        let fourth = places.take();
-        second.needed().await;
-        assert_eq!(places.taken.borrow().len(), 2);
-        drop((second, third, fourth));
-        assert!(places.taken.borrow().is_empty());
-    });
+    assert_eq!(
+        max_unidentified_connections(64, 150, 3),
+        MIN_UNIDENTIFIED_CONNECTIONS
+    );
 }
--- /dev/null
+++ b/crates/supervisor/src/peers/malformed_counter.rs
@@ -0,0 +1,40 @@
+//! Accounts for malformed messages: each is counted as a dropped report, and too many in a row end the connection.
+
+use crate::protocol::disconnect::{Disconnect, DisconnectReason};
+use crate::protocol::malformed::{ErrorBudget, MalformedMessage};
+use crate::shared::engine_handle::EngineHandle;
+
+/// The account of one connection.
+pub struct MalformedCounter {
+    engine: EngineHandle,
+    budget: ErrorBudget,
+}
+
+impl MalformedCounter {
+    /// The account of a new connection.
+    pub fn new(engine: EngineHandle) -> Self {
+        MalformedCounter {
+            engine,
+            budget: ErrorBudget::default(),
+        }
+    }
+
+    /// Accounts for one message that was handled.
+    ///
+    /// # Errors
+    ///
+    /// Once too many messages in a row were malformed.
+    pub fn account(&mut self, handled: Result<(), MalformedMessage>) -> Result<(), Disconnect> {
+        let Err(malformed) = handled else {
+            self.budget.restore();
+            return Ok(());
+        };
+        match self.budget.spend(malformed) {
+            Ok(malformed) => {
+                self.engine.count_dropped(malformed);
+                Ok(())
+            }
+            Err(malformed) => Err(DisconnectReason::Malformed.with_detail(malformed)),
+        }
+    }
+}
--- a/crates/supervisor/src/peers/proxy_stream.rs
+++ b/crates/supervisor/src/peers/proxy_stream.rs
@@ -1,7 +1,9 @@
-//! Proxies' streams: marks and usage in, orders out.
+//! Proxies' streams: acknowledgements and demand in, orders out.
+
+mod liveness;
 
-use std::cell::Cell;
 use std::convert::Infallible;
+use std::rc::Rc;
 use std::time::Duration;
 
 use chutegrade_engine::{Micros, Report, StreamId};
@@ -9,221 +11,227 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
-use crate::protocol::disconnect::{End, Ending};
-use crate::protocol::lines::{send, Lines};
-use crate::protocol::messages::{self, Fault, Hello, Message, Run};
-use crate::server::hub::{micros, Bell, Hub};
-
-/// Report periods after which a quiet stream is taken for gone: live ones, of proxies that stood still for 2 s too,
-/// were never quiet for over 1.7 periods, and ending one that lives takes its proxy off its newest tables. Where few requests
-/// come to each proxy they are quiet for longer: then so many times the longest pause on the stream.
-const SILENT_PERIODS: u32 = 10;
-/// The least such time, where reports are gathered more often.
-const SILENT_LEAST: Duration = Duration::from_secs(5);
-
-/// What tells that a stream should bring something.
-#[derive(Default)]
-struct Expected {
-    /// When it last brought usage, and the longest time that it had none before.
-    usage: Cell<Option<(Micros, Micros)>>,
-    /// The newest mark that was written and is not answered, and since when one is awaited.
-    answer: Cell<Option<(u16, Micros)>>,
-}
-
-impl Expected {
-    /// Usage has come, on a stream that began then.
-    fn used(&self, now: Micros, begun: Micros) {
-        let (last, longest) = self.usage.get().unwrap_or((begun, Micros(0)));
-        self.usage.set(Some((now, longest.max(now - last))));
-    }
+use crate::peers::connection::PeerConnection;
+use crate::peers::malformed_counter::MalformedCounter;
+use crate::protocol::decode::{Message, ProxyHello};
+use crate::protocol::disconnect::{Disconnect, DisconnectReason};
+use crate::protocol::encode::{encode_order, PROBE_REPLY};
+use crate::protocol::line_reader::{send, LineReader};
+use crate::protocol::malformed::MalformedMessage;
+use crate::shared::clock::{to_micros, Clock};
+use crate::shared::engine_handle::EngineHandle;
+use crate::shared::event_recorder::EventRecorder;
+use crate::shared::stream_registry::{RegisteredStream, StreamRegistry, WriteSignal};
 
-    /// Whether usage should have come by now. Danger: a proxy to which few requests come has none in most periods, and would
-    /// lose its stream for it.
-    fn usage_is_late(&self, now: Micros, silence: Duration) -> bool {
-        let due =
-            |longest: Micros| micros(silence).max(Micros(longest.0 * i64::from(SILENT_PERIODS)));
-        self.usage
-            .get()
-            .is_some_and(|(last, longest)| now - last >= due(longest))
-    }
+pub use liveness::stream_idle_timeout;
+use liveness::StreamLiveness;
 
-    /// A mark has been written.
-    fn wrote(&self, mark: u16, now: Micros) {
-        let since = self.answer.get().map_or(now, |(_, since)| since);
-        self.answer.set(Some((mark, since)));
-    }
-
-    /// A mark is answered. Danger: the answer to an older one says nothing of a newer one, which is awaited from here on.
-    fn answered(&self, mark: u16, now: Micros) {
-        self.answer.set(
-            self.answer
-                .get()
-                .filter(|(newest, _)| *newest != mark)
-                .map(|(newest, _)| (newest, now)),
-        );
-    }
-
-    /// Whether a mark should have been answered by now: it reaches the proxy after all that waits in the channel. Danger: one
-    /// with little to do, whose table waits behind those of many others, would lose its stream before it had any.
-    fn answer_is_late(&self, hub: &Hub, silence: Duration) -> bool {
-        let waited = self.answer.get().map(|(_, since)| hub.clock.now() - since);
-        let waited = waited.filter(|waited| *waited >= micros(silence));
-        waited.is_some_and(|waited| {
-            waited >= micros(silence) + hub.engine().fleet_status().queue_delay
-        })
-    }
+/// What all streams use.
+pub struct ProxyStreamContext {
+    /// Takes reports and gives orders.
+    pub engine: EngineHandle,
+    /// Numbers streams and wakes their writers.
+    pub streams: Rc<StreamRegistry>,
+    /// Records streams that join and leave.
+    pub recorder: EventRecorder,
+    /// The time base.
+    pub clock: Clock,
+    /// How long a proxy that is due to send something may be quiet.
+    pub idle_timeout: Duration,
 }
 
-/// How long a proxy that is due to say something may be quiet.
-pub fn silence(report_period: Duration) -> Duration {
-    (report_period * SILENT_PERIODS).max(SILENT_LEAST)
+/// A stream that has joined.
+struct ProxyStream<'a> {
+    context: &'a ProxyStreamContext,
+    id: StreamId,
+    proxy: u32,
+    zone: String,
+    signal: Rc<WriteSignal>,
+    opened_at: Micros,
+    liveness: StreamLiveness,
 }
 
 /// Serves a stream from its `hello` on.
+///
+/// # Errors
+///
+/// Always, with why the connection ended.
 pub async fn serve(
-    hub: &Hub,
-    mut lines: Lines<OwnedReadHalf>,
-    mut write: OwnedWriteHalf,
-    Hello { id, site, rps, new }: Hello,
-    silence: Duration,
-) -> Result<Infallible, End> {
-    let (stream, bell) = hub.open_stream();
-    let older = hub.engine().stream_of(id);
-    let begun = hub.clock.now();
-    let zone = site.clone();
-    let joined = Report::StreamOpened {
-        stream,
-        proxy: id,
-        zone: site,
-        request_rate: rps,
-        has_no_table: new,
+    context: &ProxyStreamContext,
+    mut connection: PeerConnection,
+    hello: ProxyHello,
+) -> Result<Infallible, Disconnect> {
+    let stream = ProxyStream::join(context, hello)?;
+    let Err(disconnect) = tokio::select! {
+        end = stream.receive_reports(&mut connection.reader) => end,
+        end = stream.send_orders(&mut connection.writer) => end,
+        () = stream.signal.replaced() => Err(DisconnectReason::Replaced.into()),
     };
-    if let Err(unknown) = hub.try_report(joined) {
-        hub.close_stream(stream);
-        return Err(Ending::Unknown.because(unknown));
+    stream.leave(&disconnect);
+    Err(disconnect)
+}
+
+impl<'a> ProxyStream<'a> {
+    /// Joins a stream; an older one of the same proxy is replaced.
+    fn join(context: &'a ProxyStreamContext, hello: ProxyHello) -> Result<Self, Disconnect> {
+        let RegisteredStream { id, signal } = context.streams.open();
+        let older = context.engine.borrow_mut().stream_of(hello.proxy);
+        let opened_at = context.clock.now();
+        let opened = Report::StreamOpened {
+            stream: id,
+            proxy: hello.proxy,
+            zone: hello.zone.clone(),
+            request_rate: hello.request_rate,
+            has_no_table: hello.has_no_table,
+        };
+        if let Err(refused) = context.engine.try_report(opened) {
+            context.streams.close(id);
+            return Err(DisconnectReason::UnknownPeer.with_detail(refused));
+        }
+        if let Some(older) = older {
+            context.streams.notify_replaced(older);
+        }
+        context
+            .recorder
+            .record(Kind::StreamJoined(pb::StreamJoined {
+                proxy: hello.proxy,
+                zone: hello.zone.clone(),
+                rate: hello.request_rate,
+                new: hello.has_no_table,
+            }));
+        Ok(ProxyStream {
+            context,
+            id,
+            proxy: hello.proxy,
+            zone: hello.zone,
+            signal,
+            opened_at,
+            liveness: StreamLiveness::new(context.clock.now(), context.idle_timeout),
+        })
     }
-    if let Some(older) = older {
-        hub.replace(older);
+
+    /// Takes the stream out of the registry, records its end, and reports it.
+    fn leave(self, disconnect: &Disconnect) {
+        let context = self.context;
+        context.streams.close(self.id);
+        let ended = if disconnect.reason.closed_locally() {
+            Report::StreamClosed(self.id)
+        } else {
+            Report::StreamLost(self.id)
+        };
+        self.record_end(disconnect.reason);
+        // A stream that was replaced has left the engine already: its late end changes nothing.
+        let _ = context.engine.try_report(ended);
     }
-    hub.note(Kind::StreamJoined(pb::StreamJoined {
-        proxy: id,
-        zone: zone.clone(),
-        rate: rps,
-        new,
-    }));
-    let expected = Expected::default();
-    let end = tokio::select! {
-        end = reports(hub, &mut lines, (stream, id), &bell, &expected, silence) => end,
-        end = orders(hub, &mut write, stream, &bell, &expected) => end,
-        () = bell.replaced() => Err(Ending::Replaced.into()),
-    };
-    hub.close_stream(stream);
-    note_end(hub, (id, zone), begun, &end, silence);
-    // A stream whose place a newer one has taken has left already: its late end changes nothing.
-    let ours = matches!(&end, Err(end) if end.reason.is_ours());
-    let _ = hub.try_report(if ours {
-        Report::StreamClosed(stream)
-    } else {
-        Report::StreamLost(stream)
-    });
-    end
-}
 
-/// Notes the end of a stream; one that fell silent did so when it was last heard.
-fn note_end(
-    hub: &Hub,
-    (proxy, zone): (u32, String),
-    begun: Micros,
-    end: &Result<Infallible, End>,
-    silence: Duration,
-) {
-    let Err(end) = end else { return };
-    let learned = hub.clock.now();
-    let at = if end.reason == Ending::Silent {
-        learned - micros(silence)
-    } else {
-        learned
-    };
-    let lasted_ms = u64::try_from((at - begun).0 / 1000).unwrap_or_default();
-    let left = pb::StreamLeft {
-        proxy,
-        zone,
-        reason: end.reason.code().to_string(),
-        lasted_ms,
-    };
-    hub.note_at(at, learned, Kind::StreamLeft(left));
-}
+    /// Records the end of the stream; one that fell silent ended when it was last heard.
+    fn record_end(self, reason: DisconnectReason) {
+        let observed_at = self.context.clock.now();
+        let ended_at = if reason == DisconnectReason::IdleTimeout {
+            observed_at - to_micros(self.context.idle_timeout)
+        } else {
+            observed_at
+        };
+        let lasted_ms = u64::try_from((ended_at - self.opened_at).0 / 1000).unwrap_or_default();
+        let left = Kind::StreamLeft(pb::StreamLeft {
+            proxy: self.proxy,
+            zone: self.zone,
+            reason: reason.code().to_string(),
+            lasted_ms,
+        });
+        self.context.recorder.record_at(ended_at, observed_at, left);
+    }
 
-/// Takes in what the proxy says; never waits for what is written to it.
-async fn reports(
-    hub: &Hub,
-    lines: &mut Lines<OwnedReadHalf>,
-    (stream, id): (StreamId, u32),
-    bell: &Bell,
-    expected: &Expected,
-    silence: Duration,
-) -> Result<Infallible, End> {
-    let (mut run, begun) = (Run::default(), hub.clock.now());
-    loop {
-        let message = timeout(silence, lines.message()).await;
-        if message.is_err() && expected.usage_is_late(hub.clock.now(), silence) {
-            return Err(Ending::Silent.because("no usage"));
+    /// Handles what the proxy sends; never waits for what is written to it.
+    async fn receive_reports(
+        &self,
+        reader: &mut LineReader<OwnedReadHalf>,
+    ) -> Result<Infallible, Disconnect> {
+        let mut malformed = MalformedCounter::new(self.context.engine.clone());
+        loop {
+            let message = timeout(self.context.idle_timeout, reader.next_message()).await;
+            let timed_out = message.is_err();
+            let is_acknowledgement = matches!(message, Ok(Ok(Message::Acknowledgement { .. })));
+            self.check_liveness(timed_out, is_acknowledgement)?;
+            let Ok(message) = message else { continue };
+            let handled = self.handle_message(message?);
+            malformed.account(handled)?;
         }
-        // Whatever else it says. Danger: one that goes on with usage but takes no order keeps its old tables for good.
-        if !matches!(message, Ok(Ok(Message::Ack { .. }))) && expected.answer_is_late(hub, silence)
-        {
-            return Err(Ending::Silent.because("no answer to a mark"));
+    }
+
+    /// Closes a stream on which something is overdue.
+    fn check_liveness(&self, timed_out: bool, is_acknowledgement: bool) -> Result<(), Disconnect> {
+        let now = self.context.clock.now();
+        if timed_out && self.liveness.is_demand_overdue(now) {
+            return Err(DisconnectReason::IdleTimeout.with_detail("no usage"));
+        }
+        // Whatever else it sends: a proxy that goes on with reports but applies no order keeps its old tables for good.
+        let queue_delay = || self.context.engine.borrow_mut().fleet_status().queue_delay;
+        let is_overdue = || self.liveness.is_acknowledgement_overdue(now, queue_delay);
+        if !is_acknowledgement && is_overdue() {
+            return Err(DisconnectReason::IdleTimeout.with_detail("no answer to a mark"));
         }
-        let Ok(message) = message else { continue };
-        let fault = match message? {
-            Message::Ack { id: by, seq, ms } if by == id => {
-                expected.answered(seq, hub.clock.now());
-                hub.report(Report::Acknowledged {
-                    stream,
-                    sequence: seq,
-                    elapsed: ms,
+        Ok(())
+    }
+
+    fn handle_message(&self, message: Message) -> Result<(), MalformedMessage> {
+        match message {
+            Message::Acknowledgement {
+                proxy,
+                sequence,
+                elapsed,
+            } if proxy == self.proxy => {
+                let now = self.context.clock.now();
+                self.liveness.record_acknowledgement(sequence, now);
+                self.context.engine.report(Report::Acknowledged {
+                    stream: self.id,
+                    sequence,
+                    elapsed,
                 });
-                None
+                Ok(())
             }
-            Message::Told(report) if matches!(report, Report::ProxyDemand { proxy, .. } if proxy == id) =>
-            {
-                expected.used(hub.clock.now(), begun);
-                hub.report(report);
-                None
+            Message::Report(report) if self.is_own_demand(&report) => {
+                self.liveness.record_demand(self.context.clock.now());
+                self.context.engine.report(report);
+                Ok(())
             }
-            Message::Other => None,
             Message::Probe => {
-                bell.ask();
-                None
+                self.signal.request_probe_reply();
+                Ok(())
             }
-            Message::Spoilt(fault) => Some(fault),
-            _ => Some(Fault::Stray("stream")),
-        };
-        hub.skip(&mut run, fault)?;
+            Message::Unknown => Ok(()),
+            Message::Malformed(error) => Err(error),
+            Message::Acknowledgement { .. }
+            | Message::Report(_)
+            | Message::CollectorHello { .. }
+            | Message::ProxyHello(_) => Err(MalformedMessage::Unexpected("stream")),
+        }
+    }
+
+    fn is_own_demand(&self, report: &Report) -> bool {
+        matches!(report, Report::ProxyDemand { proxy, .. } if *proxy == self.proxy)
     }
-}
 
-/// Writes what is ordered, a message at a time; what is ordered meanwhile becomes one later message.
-async fn orders(
-    hub: &Hub,
-    write: &mut OwnedWriteHalf,
-    stream: StreamId,
-    bell: &Bell,
-    expected: &Expected,
-) -> Result<Infallible, End> {
-    loop {
-        if bell.rung().await {
-            send(write, messages::ALIVE).await?;
+    /// Writes orders, a message at a time; what is ordered meanwhile becomes one later message.
+    async fn send_orders(&self, writer: &mut OwnedWriteHalf) -> Result<Infallible, Disconnect> {
+        loop {
+            self.signal.write_pending().await;
+            if self.signal.take_probe() {
+                send(writer, PROBE_REPLY).await?;
+            }
+            self.send_pending_orders(writer).await?;
         }
+    }
+
+    async fn send_pending_orders(&self, writer: &mut OwnedWriteHalf) -> Result<(), Disconnect> {
         loop {
-            let order = hub.engine().take_order(stream);
-            let Some(order) = order else { break };
-            let text = messages::order(&order);
-            order
-                .acknowledge
-                .into_iter()
-                .for_each(|mark| expected.wrote(mark, hub.clock.now()));
-            send(write, text.as_bytes()).await?;
+            let order = self.context.engine.borrow_mut().take_order(self.id);
+            let Some(order) = order else { return Ok(()) };
+            if let Some(sequence) = order.acknowledge {
+                self.liveness
+                    .record_order(sequence, self.context.clock.now());
+            }
+            send(writer, encode_order(&order).as_bytes()).await?;
         }
     }
 }
--- a/crates/supervisor/src/protocol/disconnect.rs
+++ b/crates/supervisor/src/protocol/disconnect.rs
@@ -1,153 +1,155 @@
-//! Why a connection ended: a closed list of codes, each explained in docs/on-call.md.
+//! Why a connection ended: a closed list of codes, each explained in docs/on-call.md, and the log line that carries one.
 
 use std::fmt;
 use std::time::Instant;
 
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum DisconnectReason {
     /// The peer closed it between two messages.
     Closed,
     /// The peer closed it within a message.
-    CutShort,
+    Truncated,
     /// It was reset, or broke.
     Reset,
     /// It could not be opened: refused or unreachable.
     Refused,
     /// It could not be opened for want of a descriptor or port on this machine.
-    NoRoom,
-    /// Nothing came for longer than a live peer would be quiet.
-    Silent,
+    ResourcesExhausted,
+    /// Nothing arrived for longer than a live peer would be quiet.
+    IdleTimeout,
     /// An answer or a connection did not come in time.
     TimedOut,
     /// It brought what can't be read.
-    Unreadable,
+    Malformed,
     /// A line or an answer was longer than allowed.
     TooLong,
     /// It named a proxy or a zone that the settings do not hold.
-    Unknown,
-    /// It did not say who it is in time.
-    Unnamed,
-    /// It had not said who it is, and its place was needed.
-    Crowded,
-    /// A newer stream of the same proxy took its place.
+    UnknownPeer,
+    /// It did not identify itself in time.
+    NotIdentified,
+    /// It was the oldest of its sort, and its slot was needed for a newer one.
+    Evicted,
+    /// A newer stream of the same proxy replaced it.
     Replaced,
     /// An answer had a status other than success.
-    Status,
-    /// This supervisor stops.
-    Stopping,
+    ErrorStatus,
+    /// This supervisor shuts down.
+    ShuttingDown,
 }
 
-impl Ending {
+impl DisconnectReason {
+    /// Every reason, for the test that the on-call page explains each code.
     #[cfg(test)]
-    /// Every code, for the test that the on-call page explains them all.
-    pub const ALL: [Ending; 15] = [
-        Ending::Closed,
-        Ending::CutShort,
-        Ending::Reset,
-        Ending::Refused,
-        Ending::NoRoom,
-        Ending::Silent,
-        Ending::TimedOut,
-        Ending::Unreadable,
-        Ending::TooLong,
-        Ending::Unknown,
-        Ending::Unnamed,
-        Ending::Crowded,
-        Ending::Replaced,
-        Ending::Status,
-        Ending::Stopping,
+    pub const ALL: [DisconnectReason; 15] = [
+        DisconnectReason::Closed,
+        DisconnectReason::Truncated,
+        DisconnectReason::Reset,
+        DisconnectReason::Refused,
+        DisconnectReason::ResourcesExhausted,
+        DisconnectReason::IdleTimeout,
+        DisconnectReason::TimedOut,
+        DisconnectReason::Malformed,
+        DisconnectReason::TooLong,
+        DisconnectReason::UnknownPeer,
+        DisconnectReason::NotIdentified,
+        DisconnectReason::Evicted,
+        DisconnectReason::Replaced,
+        DisconnectReason::ErrorStatus,
+        DisconnectReason::ShuttingDown,
     ];
 
-    /// Whether this side ended the connection, though the peer may live.
-    pub fn is_ours(self) -> bool {
-        matches!(self, Ending::Silent | Ending::Unreadable | Ending::TooLong)
+    /// Whether this side closed the connection although the peer may be alive.
+    pub fn closed_locally(self) -> bool {
+        matches!(
+            self,
+            DisconnectReason::IdleTimeout | DisconnectReason::Malformed | DisconnectReason::TooLong
+        )
     }
 
-    /// The code that log lines carry.
+    /// The code that log lines and the `error` message carry.
     pub fn code(self) -> &'static str {
         match self {
-            Ending::Closed => "closed",
-            Ending::CutShort => "cut-short",
-            Ending::Reset => "reset",
-            Ending::Refused => "refused",
-            Ending::NoRoom => "no-room",
-            Ending::Silent => "silent",
-            Ending::TimedOut => "timed-out",
-            Ending::Unreadable => "unreadable",
-            Ending::TooLong => "too-long",
-            Ending::Unknown => "unknown",
-            Ending::Unnamed => "unnamed",
-            Ending::Crowded => "crowded",
-            Ending::Replaced => "replaced",
-            Ending::Status => "status",
-            Ending::Stopping => "stopping",
+            DisconnectReason::Closed => "closed",
+            DisconnectReason::Truncated => "cut-short",
+            DisconnectReason::Reset => "reset",
+            DisconnectReason::Refused => "refused",
+            DisconnectReason::ResourcesExhausted => "no-room",
+            DisconnectReason::IdleTimeout => "silent",
+            DisconnectReason::TimedOut => "timed-out",
+            DisconnectReason::Malformed => "unreadable",
+            DisconnectReason::TooLong => "too-long",
+            DisconnectReason::UnknownPeer => "unknown",
+            DisconnectReason::NotIdentified => "unnamed",
+            DisconnectReason::Evicted => "crowded",
+            DisconnectReason::Replaced => "replaced",
+            DisconnectReason::ErrorStatus => "status",
+            DisconnectReason::ShuttingDown => "stopping",
+        }
+    }
+
+    /// A disconnect for this reason, with a detail for the log.
+    pub fn with_detail(self, detail: impl ToString) -> Disconnect {
+        Disconnect {
+            reason: self,
+            detail: detail.to_string(),
         }
     }
 }
 
-impl fmt::Display for Ending {
+impl fmt::Display for DisconnectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.code())
     }
 }
 
-/// How a connection came to its end: the reason and, where there is more to say, what.
+/// How a connection ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct Disconnect {
     /// The reason.
-    pub reason: Ending,
-    /// What was wrong; empty where the reason says it all.
+    pub reason: DisconnectReason,
+    /// What was wrong; empty where the reason is all there is to say.
     pub detail: String,
 }
 
-impl From<Ending> for End {
-    fn from(reason: Ending) -> Self {
-        End {
+impl From<DisconnectReason> for Disconnect {
+    fn from(reason: DisconnectReason) -> Self {
+        Disconnect {
             reason,
             detail: String::new(),
         }
     }
 }
 
-impl Ending {
-    /// The end for this reason, with what was wrong.
-    pub fn because(self, detail: impl ToString) -> End {
-        End {
-            reason: self,
-            detail: detail.to_string(),
-        }
-    }
-}
-
-/// What a connection's last log line tells of it.
+/// What the log line at a connection's end says of the connection.
 #[derive(Debug)]
-pub struct Life {
-    peer: &'static str,
-    name: String,
-    since: Instant,
+pub struct ConnectionLog {
+    peer_kind: &'static str,
+    peer_name: String,
+    opened_at: Instant,
 }
 
-impl Life {
-    /// A connection to a peer of this kind, not known by name yet.
-    pub fn begin(peer: &'static str, name: String) -> Self {
-        Life {
-            peer,
-            name,
-            since: Instant::now(),
+impl ConnectionLog {
+    /// A connection to a peer of this kind that is open from now on.
+    pub fn open(peer_kind: &'static str, peer_name: String) -> Self {
+        ConnectionLog {
+            peer_kind,
+            peer_name,
+            opened_at: Instant::now(),
         }
     }
 
-    /// The peer said who it is.
-    pub fn named(&mut self, peer: &'static str, name: String) {
-        (self.peer, self.name) = (peer, name);
+    /// The peer has identified itself.
+    pub fn identify(&mut self, peer_kind: &'static str, peer_name: String) {
+        self.peer_kind = peer_kind;
+        self.peer_name = peer_name;
     }
 
-    /// Leaves the connection's one log line.
-    pub fn end(self, end: impl Into<End>) {
-        let End { reason, detail } = end.into();
-        let ms = self.since.elapsed().as_millis() as u64;
-        tracing::info!(peer = self.peer, name = %self.name, ms, %reason, detail, "connection ended");
+    /// Logs the end of the connection.
+    pub fn close(self, disconnect: impl Into<Disconnect>) {
+        let Disconnect { reason, detail } = disconnect.into();
+        let ms = self.opened_at.elapsed().as_millis() as u64;
+        tracing::info!(peer = self.peer_kind, name = %self.peer_name, ms, %reason, detail, "connection ended");
     }
 }
 
--- a/crates/supervisor/src/protocol/http.rs
+++ b/crates/supervisor/src/protocol/http.rs
@@ -1,8 +1,7 @@
-//! Connections to those who speak HTTP: opened, driven, and logged at their end.
+//! Client connections to peers that speak HTTP: opened, driven on their own, and logged at their end.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -14,91 +13,117 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::protocol::disconnect::{Ending, Life};
-use crate::server::hub::Hub;
+use crate::protocol::disconnect::{ConnectionLog, DisconnectReason};
+use crate::shared::shutdown::Shutdown;
 
 /// Sends requests without a body on one connection.
-pub type Sender = SendRequest<Empty<Bytes>>;
+pub type RequestSender = SendRequest<Empty<Bytes>>;
 
-/// Opens a connection; it is driven, and leaves its log line, on its own. One that never came up leaves none.
-pub async fn open(
-    hub: &Rc<Hub>,
-    peer: &'static str,
-    name: String,
-    address: SocketAddr,
-    within: Duration,
-) -> Result<Sender, Ending> {
-    let stream = match timeout(within, TcpStream::connect(address)).await {
+/// A peer to connect to, and how the log names it.
+pub struct Destination {
+    /// The kind of peer.
+    pub peer_kind: &'static str,
+    /// The name of the peer, or of what is requested there.
+    pub peer_name: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
+/// Opens a connection. It is driven on its own until its end or the shutdown, and then logged; one that could not be
+/// opened is not.
+///
+/// # Errors
+///
+/// If the connection is not established in time, or not at all.
+pub async fn connect(
+    shutdown: &Shutdown,
+    destination: Destination,
+    connect_timeout: Duration,
+) -> Result<RequestSender, DisconnectReason> {
+    let connecting = TcpStream::connect(destination.address);
+    let stream = match timeout(connect_timeout, connecting).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(fault)) => return Err(unopened(fault.kind())),
-        Err(_) => return Err(Ending::TimedOut),
+        Ok(Err(error)) => return Err(connect_failure(error.kind())),
+        Err(_) => return Err(DisconnectReason::TimedOut),
     };
-    let life = Life::begin(peer, name);
+    let log = ConnectionLog::open(destination.peer_kind, destination.peer_name);
+    // Without it requests are merely slower.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = match http1::handshake(TokioIo::new(stream)).await {
         Ok(opened) => opened,
-        Err(fault) => {
-            life.end(reason(&fault));
-            return Err(reason(&fault));
+        Err(error) => {
+            let reason = disconnect_reason(&error);
+            log.close(reason);
+            return Err(reason);
         }
     };
-    let driving = hub.clone();
-    hub.drive(async move {
-        let end = tokio::select! {
+    let shutdown_signal = shutdown.clone();
+    shutdown.spawn_connection(async move {
+        let reason = tokio::select! {
             biased;
-            () = driving.stopped() => Ending::Stopping,
-            end = connection => end.map_or_else(|fault| reason(&fault), |()| Ending::Closed),
+            () = shutdown_signal.requested() => DisconnectReason::ShuttingDown,
+            result = connection => match result {
+                Ok(()) => DisconnectReason::Closed,
+                Err(error) => disconnect_reason(&error),
+            },
         };
-        life.end(end);
+        log.close(reason);
     });
     Ok(sender)
 }
 
-/// Why a connection could not be opened: by the peer or the way there, or else by this machine.
-fn unopened(kind: ErrorKind) -> Ending {
+/// Why a connection could not be opened: because of the peer or the network, or else of this machine.
+fn connect_failure(kind: ErrorKind) -> DisconnectReason {
     match kind {
-        ErrorKind::TimedOut => Ending::TimedOut,
+        ErrorKind::TimedOut => DisconnectReason::TimedOut,
         ErrorKind::ConnectionRefused
         | ErrorKind::ConnectionReset
         | ErrorKind::ConnectionAborted
         | ErrorKind::HostUnreachable
-        | ErrorKind::NetworkUnreachable => Ending::Refused,
-        _ => Ending::NoRoom,
+        | ErrorKind::NetworkUnreachable => DisconnectReason::Refused,
+        _ => DisconnectReason::ResourcesExhausted,
     }
 }
 
-/// Asks for a path.
+/// Requests a path, and waits for the head of the answer.
+///
+/// # Errors
+///
+/// If the connection ends before, or the answer can't be read.
 pub async fn get(
-    sender: &mut Sender,
+    sender: &mut RequestSender,
     host: &str,
     path: &str,
-) -> Result<Response<Incoming>, Ending> {
+) -> Result<Response<Incoming>, DisconnectReason> {
     let request = Request::get(path)
         .header("host", host)
         .body(Empty::new())
-        .map_err(|_| Ending::Unreadable)?;
-    sender.ready().await.map_err(|_| Ending::Closed)?;
+        .map_err(|_| DisconnectReason::Malformed)?;
+    sender.ready().await.map_err(|_| DisconnectReason::Closed)?;
     sender
         .send_request(request)
         .await
-        .map_err(|fault| reason(&fault))
+        .map_err(|error| disconnect_reason(&error))
 }
 
-/// What it means that a body did not come whole: its connection broke, or it is longer than allowed.
-pub fn cut(fault: &(dyn std::error::Error + Send + Sync + 'static)) -> Ending {
-    fault
-        .downcast_ref::<hyper::Error>()
-        .map_or(Ending::TooLong, reason)
+/// Why a body of limited length was not received completely: its connection broke, or it is longer than allowed.
+pub fn incomplete_body_reason(
+    error: &(dyn std::error::Error + Send + Sync + 'static),
+) -> DisconnectReason {
+    match error.downcast_ref::<hyper::Error>() {
+        Some(error) => disconnect_reason(error),
+        None => DisconnectReason::TooLong,
+    }
 }
 
-/// What an error of the connection means for whoever waits for an answer.
-pub fn reason(fault: &hyper::Error) -> Ending {
-    if fault.is_parse() {
-        Ending::Unreadable
-    } else if fault.is_incomplete_message() {
-        Ending::CutShort
+/// The reason that an error of the connection amounts to.
+fn disconnect_reason(error: &hyper::Error) -> DisconnectReason {
+    if error.is_parse() {
+        DisconnectReason::Malformed
+    } else if error.is_incomplete_message() {
+        DisconnectReason::Truncated
     } else {
-        Ending::Reset
+        DisconnectReason::Reset
     }
 }
 
--- a/crates/supervisor/src/protocol/http/tests.rs
+++ b/crates/supervisor/src/protocol/http/tests.rs
@@ -1,15 +1,21 @@
 use super::*;
 
-/// Danger: a supervisor without descriptors would take all its servers for dead.
+/// A supervisor that has run out of descriptors must not take all its servers for dead.
 #[test]
-fn a_lack_on_this_machine_is_not_the_peers() {
-    assert_eq!(unopened(ErrorKind::ConnectionRefused), Ending::Refused);
-    assert_eq!(unopened(ErrorKind::TimedOut), Ending::TimedOut);
+fn a_local_shortage_is_not_held_against_the_peer() {
+    assert_eq!(
+        connect_failure(ErrorKind::ConnectionRefused),
+        DisconnectReason::Refused
+    );
+    assert_eq!(
+        connect_failure(ErrorKind::TimedOut),
+        DisconnectReason::TimedOut
+    );
     // Too many open files; no port left; no memory for buffers.
     for code in [24, 23, 99, 105] {
         assert_eq!(
-            unopened(std::io::Error::from_raw_os_error(code).kind()),
-            Ending::NoRoom,
+            connect_failure(std::io::Error::from_raw_os_error(code).kind()),
+            DisconnectReason::ResourcesExhausted,
             "{code}"
         );
     }
--- a/crates/supervisor/src/protocol/lines/tests.rs
+++ b/crates/supervisor/src/protocol/line_reader/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Everything that comes of bytes that arrive in these pieces.
-fn read(pieces: Vec<Vec<u8>>, most: usize) -> (Vec<String>, Ending) {
+/// All lines of the bytes that arrive in these pieces, and why there are no more.
+fn read(pieces: Vec<Vec<u8>>, max_line_bytes: usize) -> (Vec<String>, DisconnectReason) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
@@ -17,12 +17,12 @@
             }
         };
         let reader = async {
-            let mut lines = Lines::new(read, most);
-            let mut seen = Vec::new();
+            let mut reader = LineReader::new(read, max_line_bytes);
+            let mut lines = Vec::new();
             loop {
-                match lines.next().await {
-                    Ok(line) => seen.push(line),
-                    Err(ending) => break (seen, ending),
+                match reader.next_line().await {
+                    Ok(line) => lines.push(line),
+                    Err(reason) => break (lines, reason),
                 }
             }
         };
@@ -31,38 +31,43 @@
 }
 
 #[test]
-fn lines_end_in_either_way_and_have_a_limit() {
-    let (lines, ending) = read(
+fn lines_end_in_crlf_or_lf_and_have_a_limit() {
+    let (lines, reason) = read(
         vec![b"one\r\ntwo\n\r\nthr".to_vec(), b"ee\r\n".to_vec()],
         100,
     );
     assert_eq!(
-        (lines, ending),
+        (lines, reason),
         (
             vec!["one".into(), "two".into(), "".into(), "three".into()],
-            Ending::Closed
+            DisconnectReason::Closed
         )
     );
     assert_eq!(
         read(vec![b"ok\nhalf a li".to_vec()], 100),
-        (vec!["ok".into()], Ending::CutShort)
+        (vec!["ok".into()], DisconnectReason::Truncated)
+    );
+    assert_eq!(
+        read(vec![vec![b'x'; 101]], 100),
+        (vec![], DisconnectReason::TooLong)
+    );
+    assert_eq!(
+        read(vec![vec![b'x'; 5000]], 100),
+        (vec![], DisconnectReason::TooLong)
     );
-    assert_eq!(read(vec![vec![b'x'; 101]], 100), (vec![], Ending::TooLong));
-    assert_eq!(read(vec![vec![b'x'; 5000]], 100), (vec![], Ending::TooLong));
     assert_eq!(
         read(vec![b"ok\n\xff\xfe\n".to_vec()], 100),
-        (vec!["ok".into()], Ending::Unreadable)
+        (vec!["ok".into()], DisconnectReason::Malformed)
     );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However a text is cut into pieces on the way, the same lines come out.
     #[test]
-    fn pieces_do_not_matter(lines in proptest::collection::vec("[a-z =]{0,40}", 1..8), cut in 1..9usize) {
+    fn lines_do_not_depend_on_how_their_bytes_are_split(lines in proptest::collection::vec("[a-z =]{0,40}", 1..8), cut in 1..9usize) {
         let text = lines.iter().map(|line| format!("{line}\r\n")).collect::<String>();
         let pieces = text.as_bytes().chunks(cut).map(<[u8]>::to_vec).collect();
-        prop_assert_eq!(read(pieces, 100), (lines, Ending::Closed));
+        prop_assert_eq!(read(pieces, 100), (lines, DisconnectReason::Closed));
     }
 }
--- /dev/null
+++ b/crates/supervisor/src/protocol/load_report.rs
@@ -0,0 +1,13 @@
+//! Decodes the load report in the answer to a health check.
+
+use chutegrade_engine::LoadReport;
+
+/// Decodes a body of the form `TEXT name=value, ...`.
+pub fn decode_load_report(body: &str) -> LoadReport {
+    let body = body.trim();
+    let values = body.strip_prefix("TEXT").unwrap_or(body);
+    chutegrade_settings::parse_load_report(values)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/supervisor/src/server/errors.rs
@@ -0,0 +1,106 @@
+//! Why the server cannot start or go on, and why a file cannot be used.
+
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use crate::config::ConfigError;
+
+/// Why the server cannot start, or has stopped.
+#[derive(Debug, thiserror::Error)]
+pub enum ServerError {
+    /// The runtime cannot be built.
+    #[error("no runtime: {0}")]
+    Runtime(io::Error),
+    /// A signal cannot be handled.
+    #[error("no signals: {0}")]
+    Signals(io::Error),
+    /// The operators' file is wrong.
+    #[error(transparent)]
+    OperatorConfig(#[from] OperatorConfigErrors),
+    /// The configuration is missing or wrong.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The address cannot be listened at.
+    #[error("cannot listen at {address}: {error}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        error: io::Error,
+    },
+    /// The address that was bound is not known.
+    #[error("no address: {0}")]
+    LocalAddress(io::Error),
+    /// The writer of the records cannot be started.
+    #[error("no thread for the records: {0}")]
+    Recorder(io::Error),
+    /// A task that never ends has ended: the supervisor would only seem to serve.
+    #[error(transparent)]
+    TaskStopped(#[from] TaskStopped),
+}
+
+/// A task that has ended, though it runs as long as the server does.
+#[derive(Clone, Copy, Debug, thiserror::Error)]
+pub enum TaskStopped {
+    /// The tick loop.
+    #[error("the decisions have stopped")]
+    TickLoop,
+    /// The reload of configurations.
+    #[error("reading new configurations has stopped")]
+    Reload,
+    /// The discovery client.
+    #[error("following the list has stopped")]
+    Discovery,
+    /// The listener.
+    #[error("accepting connections has stopped")]
+    Listener,
+}
+
+/// All faults of the operators' file, in one sentence.
+#[derive(Debug)]
+pub struct OperatorConfigErrors(pub Vec<chutegrade_operator_config::ConfigError>);
+
+impl fmt::Display for OperatorConfigErrors {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (position, error) in self.0.iter().enumerate() {
+            if position > 0 {
+                f.write_str("; ")?;
+            }
+            write!(f, "{error}")?;
+        }
+        Ok(())
+    }
+}
+
+impl std::error::Error for OperatorConfigErrors {}
+
+impl From<Vec<chutegrade_operator_config::ConfigError>> for OperatorConfigErrors {
+    fn from(errors: Vec<chutegrade_operator_config::ConfigError>) -> Self {
+        OperatorConfigErrors(errors)
+    }
+}
+
+/// Why a text that people write cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub enum TextFileError {
+    /// It cannot be opened or read, or is no UTF-8.
+    #[error("{}: {error}", path.display())]
+    Io {
+        /// The file.
+        path: PathBuf,
+        /// What the system says.
+        error: io::Error,
+    },
+    /// It is too long.
+    #[error("{}: {bytes} bytes are too long, at most {max_bytes} are read", path.display())]
+    TooLong {
+        /// The file.
+        path: PathBuf,
+        /// Its length.
+        bytes: u64,
+        /// The longest length that is read.
+        max_bytes: u64,
+    },
+}
--- /dev/null
+++ b/crates/supervisor/src/server/handles.rs
@@ -0,0 +1,98 @@
+//! The handles that the server's tasks share, and the selection that each of them uses.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use crate::peers::discovery::DiscoveryContext;
+use crate::peers::proxy_stream::ProxyStreamContext;
+use crate::server::fleet_series::FleetSeries;
+use crate::server::overload_control::{OverloadContext, OverloadControl};
+use crate::server::plugins::PluginContext;
+use crate::shared::clock::Clock;
+use crate::shared::engine_handle::EngineHandle;
+use crate::shared::event_recorder::EventRecorder;
+use crate::shared::shutdown::Shutdown;
+use crate::shared::stream_registry::StreamRegistry;
+use crate::shared::subscription_channel::SubscriptionChannel;
+
+/// The handles that the server's tasks share.
+pub struct SharedHandles {
+    /// The engine.
+    pub engine: EngineHandle,
+    /// The time base.
+    pub clock: Clock,
+    /// The recorder.
+    pub recorder: EventRecorder,
+    /// The shutdown signal.
+    pub shutdown: Shutdown,
+    /// The proxies' open streams.
+    pub streams: Rc<StreamRegistry>,
+    /// What the engine wants of the endpoint list.
+    pub subscriptions: Rc<SubscriptionChannel>,
+}
+
+impl SharedHandles {
+    /// Handles to this engine and recorder.
+    pub fn new(engine: EngineHandle, recorder: EventRecorder, clock: Clock) -> Self {
+        SharedHandles {
+            engine,
+            clock,
+            recorder,
+            shutdown: Shutdown::new(),
+            streams: Rc::default(),
+            subscriptions: Rc::default(),
+        }
+    }
+
+    /// What overload control uses.
+    pub fn overload_context(&self) -> OverloadContext {
+        OverloadContext {
+            engine: self.engine.clone(),
+            recorder: self.recorder.clone(),
+            clock: self.clock,
+        }
+    }
+
+    /// What plug-ins use.
+    pub fn plugin_context(&self) -> PluginContext {
+        PluginContext {
+            engine: self.engine.clone(),
+            recorder: self.recorder.clone(),
+            clock: self.clock,
+        }
+    }
+
+    /// What proxies' streams use.
+    pub fn proxy_stream_context(&self, idle_timeout: Duration) -> ProxyStreamContext {
+        ProxyStreamContext {
+            engine: self.engine.clone(),
+            streams: Rc::clone(&self.streams),
+            recorder: self.recorder.clone(),
+            clock: self.clock,
+            idle_timeout,
+        }
+    }
+
+    /// What the discovery client uses.
+    pub fn discovery_context(&self) -> DiscoveryContext {
+        DiscoveryContext {
+            engine: self.engine.clone(),
+            shutdown: self.shutdown.clone(),
+            recorder: self.recorder.clone(),
+            subscriptions: Rc::clone(&self.subscriptions),
+        }
+    }
+
+    /// The fleet in figures, if records are kept.
+    pub fn fleet_series(&self, overload: &Rc<OverloadControl>) -> Option<FleetSeries> {
+        if !self.recorder.is_enabled() {
+            return None;
+        }
+        Some(FleetSeries::new(
+            self.clock,
+            self.engine.clone(),
+            self.recorder.clone(),
+            Rc::clone(overload),
+        ))
+    }
+}
--- /dev/null
+++ b/crates/supervisor/src/server/overload_control.rs
@@ -0,0 +1,212 @@
+//! Overload control: the operators' service levels, limits and budgets are evaluated once a second; what they decide goes to
+//! the engine as a report, what changes into the log and the records. They are read anew at SIGHUP, complete or not at all.
+
+use std::cell::RefCell;
+use std::path::{Path, PathBuf};
+
+use chutegrade_engine::Micros;
+use chutegrade_limits::{pb as limits, Class, OverloadConfig};
+use chutegrade_operator_config::OperatorConfig;
+use chutegrade_overload_control::{overload_classes, transition_record, OverloadController};
+use chutegrade_records::index::Query;
+use chutegrade_records::timeline::gauge;
+use chutegrade_records::{pb, text, Kind, Timeline};
+
+use crate::server::errors::OperatorConfigErrors;
+use crate::shared::clock::Clock;
+use crate::shared::engine_handle::EngineHandle;
+use crate::shared::event_recorder::EventRecorder;
+
+/// How far back records are searched for the level before a restart, in microseconds: a little more than what is restored.
+const RESTORE_WINDOW_US: i64 = 70_000_000;
+
+/// What overload control uses.
+pub struct OverloadContext {
+    /// Takes the limits that are in force.
+    pub engine: EngineHandle,
+    /// Records changes.
+    pub recorder: EventRecorder,
+    /// The time base.
+    pub clock: Clock,
+}
+
+/// Levels, limits and budgets of the operators' file.
+pub struct OverloadControl {
+    context: OverloadContext,
+    path: Option<PathBuf>,
+    classes: Vec<Class>,
+    report_period: Micros,
+    controller: RefCell<Option<OverloadController>>,
+}
+
+impl OverloadControl {
+    /// What the operators' file, read from this path, switches on.
+    pub fn new(
+        context: OverloadContext,
+        path: Option<&Path>,
+        config: Option<OverloadConfig>,
+        report_period: Micros,
+    ) -> Self {
+        let classes = classes(&context.engine);
+        let controller = config.map(|config| {
+            OverloadController::new(config, &mut context.engine.borrow_mut(), report_period)
+        });
+        OverloadControl {
+            context,
+            path: path.map(Path::to_path_buf),
+            classes,
+            report_period,
+            controller: RefCell::new(controller),
+        }
+    }
+
+    /// Restores the level in force at the end of the records, if they are kept and it is not too old.
+    pub fn restore_level(&self) {
+        let Some(directory) = self.context.recorder.directory() else {
+            return;
+        };
+        let mut controller = self.controller.borrow_mut();
+        let Some(controller) = controller.as_mut() else {
+            return;
+        };
+        let has_levels = controller.manager().transitions().is_some();
+        if !has_levels {
+            return;
+        }
+        let clock = self.context.clock;
+        let Some(saved) = last_recorded_level(directory, clock.now()) else {
+            return;
+        };
+        if let Some(kind) = controller.restore(clock.now(), &saved) {
+            self.log_and_record(kind);
+        }
+    }
+
+    /// Reads the operators' file anew; one that is wrong changes nothing.
+    pub fn reload(&self) {
+        let Some(path) = &self.path else { return };
+        let config = match load_config(path, &self.classes) {
+            Ok(config) => config,
+            Err(errors) => {
+                let fault = errors.to_string();
+                tracing::error!(fault, "limits rejected, those in force stay");
+                self.context.recorder.record(Kind::Reloaded(pb::Reloaded {
+                    taken: false,
+                    detail: fault,
+                }));
+                return;
+            }
+        };
+        let mut controller = self.controller.borrow_mut();
+        match (controller.as_mut(), config) {
+            (Some(controller), config) => {
+                let config = config.unwrap_or_else(nothing_configured);
+                let change = controller.reconfigure(self.context.clock.now(), config);
+                if let Some(kind) = change {
+                    self.log_and_record(kind);
+                }
+            }
+            (None, Some(config)) => {
+                let engine = &mut self.context.engine.borrow_mut();
+                let created = OverloadController::new(config, engine, self.report_period);
+                *controller = Some(created);
+            }
+            (None, None) => {}
+        }
+    }
+
+    /// Evaluates the levels, limits and budgets if it is time.
+    pub fn evaluate(&self) {
+        let mut controller = self.controller.borrow_mut();
+        let Some(controller) = controller.as_mut() else {
+            return;
+        };
+        let now = self.context.clock.now();
+        let transition = controller.evaluate(now, &mut self.context.engine.borrow_mut());
+        if let Some(transition) = transition {
+            self.log_and_record(transition_record(&transition));
+        }
+    }
+
+    /// Adds what is known to the metrics of one moment.
+    pub fn add_metrics(&self, metrics: &mut pb::Gauge, now: Micros) {
+        if let Some(controller) = self.controller.borrow().as_ref() {
+            controller.add_metrics(metrics, now);
+        }
+    }
+
+    fn log_and_record(&self, kind: Kind) {
+        if let Kind::ServiceLevel(change) = &kind {
+            tracing::warn!(
+                kind = "service-level",
+                level = change.to,
+                reason = change.reason,
+                tell = change.tell.join(","),
+                "{}",
+                text::line(&kind)
+            );
+        }
+        self.context.recorder.record(kind);
+    }
+}
+
+/// The overload control that the operators' file configures for the engine's classes.
+///
+/// # Errors
+///
+/// If the file does not fit the classes.
+pub fn config_for_engine(
+    operator: &OperatorConfig,
+    engine: &EngineHandle,
+) -> Result<Option<OverloadConfig>, OperatorConfigErrors> {
+    config_for_classes(operator, &classes(engine))
+}
+
+fn classes(engine: &EngineHandle) -> Vec<Class> {
+    overload_classes(&engine.borrow_mut())
+}
+
+fn config_for_classes(
+    operator: &OperatorConfig,
+    classes: &[Class],
+) -> Result<Option<OverloadConfig>, OperatorConfigErrors> {
+    let Some(limits) = &operator.limits else {
+        return Ok(None);
+    };
+    let config = limits.overload_config(Some(classes))?;
+    Ok(Some(config))
+}
+
+fn load_config(
+    path: &Path,
+    classes: &[Class],
+) -> Result<Option<OverloadConfig>, OperatorConfigErrors> {
+    let operator = chutegrade_operator_config::load(path)?;
+    config_for_classes(&operator, classes)
+}
+
+/// The configuration of a file that configures no overload control.
+fn nothing_configured() -> OverloadConfig {
+    OverloadConfig {
+        ladder: None,
+        concurrency_limit: None,
+        retry_budget: None,
+        fairness: None,
+    }
+}
+
+/// The level that was in force at the end of the records, and when that was.
+fn last_recorded_level(directory: &Path, now: Micros) -> Option<limits::Saved> {
+    let timeline = Timeline::open(&[directory.to_path_buf()]).ok()?;
+    let window = Query::between(now.0.saturating_sub(RESTORE_WINDOW_US), now.0);
+    let (events, _) = timeline.read(&window);
+    events.iter().rev().find_map(|event| {
+        let gauge = gauge(event)?;
+        let level = gauge.service_level.clone()?;
+        Some(limits::Saved {
+            level,
+            since_us: gauge.level_since_us,
+            at_us: event.at_us,
+        })
+    })
+}
--- /dev/null
+++ b/crates/supervisor/src/server/startup.rs
@@ -0,0 +1,213 @@
+//! The start: reads the configuration, wires the parts, and runs them until SIGTERM.
+
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::ExitCode;
+use std::rc::Rc;
+use std::time::Instant;
+
+use chutegrade_engine::{Engine, Micros};
+use chutegrade_limits::OverloadConfig;
+use chutegrade_operator_config::{LogFormat, OperatorConfig};
+use chutegrade_records::{pb, Kind};
+use tokio::net::TcpListener;
+use tokio::runtime::{Builder, Runtime};
+use tokio::task::{AbortHandle, LocalSet};
+
+use crate::config::{self, Config, LoadedConfig};
+use crate::peers::listener;
+use crate::server::errors::{OperatorConfigErrors, ServerError};
+use crate::server::handles::SharedHandles;
+use crate::server::logging;
+use crate::server::overload_control::{config_for_engine, OverloadControl};
+use crate::server::parameters::ServerParameters;
+use crate::server::plugins::Plugins;
+use crate::server::shutdown::shut_down;
+use crate::server::signals::Signals;
+use crate::server::tasks::TaskInputs;
+use crate::shared::clock::Clock;
+use crate::shared::engine_handle::EngineHandle;
+use crate::shared::event_recorder::EventRecorder;
+
+/// Serves until SIGTERM, with the operators' file at this path; a failure is one sentence in the log and code 1.
+pub fn run(operator_path: Option<&Path>) -> ExitCode {
+    // The signals before all else: SIGHUP may come to a process that has only begun to read its configuration, and a
+    // signal that is not handled ends the program.
+    let runtime = ServerRuntime::new();
+    let operator = OperatorFile::load(operator_path);
+    logging::init(
+        operator
+            .as_ref()
+            .map_or(LogFormat::Plain, |file| file.config.log),
+    );
+    let served = runtime.and_then(|runtime| runtime.serve(operator?));
+    match served {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            tracing::error!("chutegrade cannot run: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// The runtime of the one thread, with its signal handlers.
+struct ServerRuntime {
+    runtime: Runtime,
+    signals: Signals,
+}
+
+impl ServerRuntime {
+    fn new() -> Result<Self, ServerError> {
+        let runtime = Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .map_err(ServerError::Runtime)?;
+        let signals = {
+            let _entered = runtime.enter();
+            Signals::install()?
+        };
+        Ok(ServerRuntime { runtime, signals })
+    }
+
+    fn serve(self, operator: OperatorFile<'_>) -> Result<(), ServerError> {
+        let configuration = config::from_env()?;
+        let serving = serve(configuration, &operator, self.signals);
+        LocalSet::new().block_on(&self.runtime, serving)
+    }
+}
+
+/// The operators' file, as it was read at the start.
+struct OperatorFile<'a> {
+    path: Option<&'a Path>,
+    config: OperatorConfig,
+}
+
+impl<'a> OperatorFile<'a> {
+    /// Reads the file; without a path nothing is switched on.
+    fn load(path: Option<&'a Path>) -> Result<Self, OperatorConfigErrors> {
+        let config = match path {
+            Some(path) => chutegrade_operator_config::load(path)?,
+            None => OperatorConfig::default(),
+        };
+        Ok(OperatorFile { path, config })
+    }
+}
+
+/// Wires the parts, and runs them until SIGTERM or until one of them fails.
+async fn serve(
+    configuration: LoadedConfig,
+    operator: &OperatorFile<'_>,
+    signals: Signals,
+) -> Result<(), ServerError> {
+    let LoadedConfig { config, source } = configuration;
+    let listener = bind(&config)?;
+    let listen = listener.local_addr().map_err(ServerError::LocalAddress)?;
+    warn_of_inconsistencies(&config);
+    let parameters = ServerParameters::from(&config);
+    let engine = EngineHandle::new(Engine::new(
+        config.settings,
+        config.seed,
+        config.names.zones,
+        config.names.classes,
+        config.names.kinds,
+    ));
+    let overload_config = config_for_engine(&operator.config, &engine)?;
+    let clock = Clock::start();
+    let recorder = open_recorder(&operator.config, &config.name, clock)?;
+    let handles = SharedHandles::new(engine, recorder, clock);
+    let overload = start_overload_control(
+        &handles,
+        operator.path,
+        overload_config,
+        parameters.report_period,
+    );
+    record_start(&handles, listen);
+    if let Some(known) = &config.known {
+        handles.engine.report(known.to_report());
+    }
+    let plugin_files = operator.config.plugins.clone();
+    let plugins = Rc::new(Plugins::new(handles.plugin_context(), plugin_files));
+    plugins.load();
+    let Signals {
+        mut terminate,
+        hangup,
+    } = signals;
+    let tasks = TaskInputs {
+        handles: &handles,
+        parameters,
+        overload,
+        plugins,
+        listener,
+        discovery: config.discovery,
+        known: config.known,
+        source,
+        hangup,
+    }
+    .spawn();
+    tracing::info!(name = config.name, %listen, discovery = %config.discovery, "started");
+    let abort_handles = tasks.abort_handles();
+    tasks.run_until(&mut terminate).await?;
+    tracing::info!("stopping");
+    let requested_at = Instant::now();
+    // From here on nothing is decided, requested, read anew or accepted: an order that nobody gets would stand in the
+    // records, and a health check would cost its server work for nothing.
+    abort_handles.iter().for_each(AbortHandle::abort);
+    shut_down(&handles.shutdown, &handles.recorder, requested_at).await;
+    Ok(())
+}
+
+fn bind(config: &Config) -> Result<TcpListener, ServerError> {
+    listener::bind(config.listen, config.settings.proxies).map_err(|error| ServerError::Listen {
+        address: config.listen,
+        error,
+    })
+}
+
+fn warn_of_inconsistencies(config: &Config) {
+    for warning in config.consistency_warnings() {
+        tracing::warn!(
+            doubt = warning,
+            "the settings contradict themselves or leave this open"
+        );
+    }
+}
+
+/// The recorder that the operators' file asks for.
+fn open_recorder(
+    operator: &OperatorConfig,
+    supervisor: &str,
+    clock: Clock,
+) -> Result<EventRecorder, ServerError> {
+    match &operator.records {
+        Some(records) => {
+            EventRecorder::open(records, supervisor, clock).map_err(ServerError::Recorder)
+        }
+        None => Ok(EventRecorder::disabled()),
+    }
+}
+
+/// Starts overload control, with the level that the records tell of.
+fn start_overload_control(
+    handles: &SharedHandles,
+    path: Option<&Path>,
+    config: Option<OverloadConfig>,
+    report_period: Micros,
+) -> Rc<OverloadControl> {
+    let context = handles.overload_context();
+    let overload = OverloadControl::new(context, path, config, report_period);
+    if handles.recorder.is_enabled() {
+        handles.engine.borrow_mut().enable_recording();
+        overload.restore_level();
+    }
+    Rc::new(overload)
+}
+
+fn record_start(handles: &SharedHandles, listen: SocketAddr) {
+    let (zones, classes) = handles.engine.borrow_mut().zone_and_class_names();
+    handles.recorder.record(Kind::Started(pb::Started {
+        version: env!("CARGO_PKG_VERSION").to_string(),
+        listen: listen.to_string(),
+        zones,
+        classes,
+    }));
+}
--- /dev/null
+++ b/crates/supervisor/src/server/tasks.rs
@@ -0,0 +1,137 @@
+//! The tasks that run as long as the server does.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use tokio::net::TcpListener;
+use tokio::signal::unix::Signal;
+use tokio::sync::watch;
+use tokio::task::{spawn_local, AbortHandle, JoinHandle};
+
+use crate::config::ConfigSource;
+use crate::peers::discovery::DiscoveryClient;
+use crate::peers::health_check::HealthChecker;
+use crate::peers::listener::ConnectionHandler;
+use crate::protocol::endpoint_delivery::KnownList;
+use crate::server::errors::TaskStopped;
+use crate::server::handles::SharedHandles;
+use crate::server::overload_control::OverloadControl;
+use crate::server::parameters::ServerParameters;
+use crate::server::plugins::Plugins;
+use crate::server::reload::Reloader;
+use crate::server::tick_loop::TickLoop;
+
+/// What the tasks are made of.
+pub struct TaskInputs<'a> {
+    /// What they share.
+    pub handles: &'a SharedHandles,
+    /// What the configuration says on them.
+    pub parameters: ServerParameters,
+    /// Overload control.
+    pub overload: Rc<OverloadControl>,
+    /// The plug-ins.
+    pub plugins: Rc<Plugins>,
+    /// The supervisor's own address.
+    pub listener: TcpListener,
+    /// The address of discovery.
+    pub discovery: SocketAddr,
+    /// The endpoint list as it was last delivered.
+    pub known: Option<KnownList>,
+    /// The configuration file.
+    pub source: ConfigSource,
+    /// The signal to read it anew.
+    pub hangup: Signal,
+}
+
+impl TaskInputs<'_> {
+    /// Spawns the tasks. The first tick comes before the first connection is accepted: whoever gets an answer finds a
+    /// supervisor that has begun with the list it last had.
+    pub fn spawn(self) -> ServerTasks {
+        let handles = self.handles;
+        let parameters = self.parameters;
+        let health_checker = HealthChecker::new(
+            handles.engine.clone(),
+            handles.shutdown.clone(),
+            parameters.health_check,
+        );
+        let tick_loop = TickLoop {
+            engine: handles.engine.clone(),
+            clock: handles.clock,
+            streams: Rc::clone(&handles.streams),
+            subscriptions: Rc::clone(&handles.subscriptions),
+            health_checker: Rc::clone(&health_checker),
+            plugins: Rc::clone(&self.plugins),
+            overload: Rc::clone(&self.overload),
+            recorder: handles.recorder.clone(),
+            series: handles.fleet_series(&self.overload),
+            min_tick_interval: parameters.min_tick_interval,
+        };
+        let (discovery_sender, discovery_receiver) = watch::channel(self.discovery);
+        let reloader = Reloader {
+            source: self.source,
+            discovery: discovery_sender,
+            plugins: self.plugins,
+            overload: self.overload,
+            recorder: handles.recorder.clone(),
+        };
+        let discovery_client = DiscoveryClient::new(
+            handles.discovery_context(),
+            discovery_receiver,
+            self.known,
+            parameters.endpoints_on_request,
+        );
+        let connection_handler = Rc::new(ConnectionHandler::new(
+            handles.shutdown.clone(),
+            handles.proxy_stream_context(parameters.stream_idle_timeout),
+            parameters.max_descriptors,
+        ));
+        ServerTasks {
+            tick_loop: spawn_local(tick_loop.run()),
+            reload: spawn_local(reloader.run(self.hangup)),
+            discovery: spawn_local(discovery_client.run()),
+            listener: spawn_local(
+                connection_handler.accept_connections(self.listener, health_checker),
+            ),
+        }
+    }
+}
+
+/// The tasks of a server; none of them ends while all is well.
+pub struct ServerTasks {
+    /// Ticks the decisions.
+    pub tick_loop: JoinHandle<()>,
+    /// Reads new configurations.
+    pub reload: JoinHandle<()>,
+    /// Follows the endpoint list.
+    pub discovery: JoinHandle<()>,
+    /// Accepts connections.
+    pub listener: JoinHandle<()>,
+}
+
+impl ServerTasks {
+    /// Handles that end the tasks.
+    pub fn abort_handles(&self) -> [AbortHandle; 4] {
+        [
+            self.tick_loop.abort_handle(),
+            self.reload.abort_handle(),
+            self.discovery.abort_handle(),
+            self.listener.abort_handle(),
+        ]
+    }
+
+    /// Waits for SIGTERM.
+    ///
+    /// # Errors
+    ///
+    /// If a task ends before: the supervisor would only seem to serve.
+    pub async fn run_until(self, terminate: &mut Signal) -> Result<(), TaskStopped> {
+        tokio::select! {
+            biased;
+            _ = terminate.recv() => Ok(()),
+            _ = self.tick_loop => Err(TaskStopped::TickLoop),
+            _ = self.reload => Err(TaskStopped::Reload),
+            _ = self.discovery => Err(TaskStopped::Discovery),
+            _ = self.listener => Err(TaskStopped::Listener),
+        }
+    }
+}
--- /dev/null
+++ b/crates/supervisor/src/shared/event_recorder.rs
@@ -0,0 +1,132 @@
+//! Records what happens, where the operators' file asks for records; without them nothing is made.
+
+use std::cell::Cell;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+use chutegrade_engine::Micros;
+use chutegrade_operator_config::RecordingConfig;
+use chutegrade_records::jobs::Retention;
+use chutegrade_records::recorder::{self, Options};
+use chutegrade_records::{Kind, Recorder, Recording};
+use chutegrade_scheduler::Cost;
+
+use crate::shared::clock::Clock;
+
+/// Longest part of a supervisor's name that its directory of records is named by, in characters.
+const MAX_DIRECTORY_NAME_CHARS: usize = 100;
+
+/// A handle to the recorder; clones refer to the same one.
+#[derive(Clone, Default)]
+pub struct EventRecorder {
+    active: Option<Rc<ActiveRecorder>>,
+}
+
+struct ActiveRecorder {
+    clock: Clock,
+    directory: PathBuf,
+    recorder: Recorder,
+    recording: Cell<Option<Recording>>,
+}
+
+impl EventRecorder {
+    /// A recorder that keeps nothing.
+    pub fn disabled() -> Self {
+        EventRecorder::default()
+    }
+
+    /// Begins to record for a supervisor. Whatever is wrong with the directory, the supervisor serves on.
+    ///
+    /// # Errors
+    ///
+    /// If the writer's thread cannot be started.
+    pub fn open(config: &RecordingConfig, supervisor: &str, clock: Clock) -> std::io::Result<Self> {
+        let directory = config.directory.join(directory_name(supervisor));
+        let options = Options {
+            directory: directory.clone(),
+            supervisor: supervisor.to_string(),
+            retention: Retention {
+                bytes: config.max_bytes,
+                age: config.max_age,
+            },
+            budget: Cost {
+                time: config.background_time,
+                bytes: config.background_bytes,
+            },
+        };
+        let (recorder, recording) = recorder::begin(options, move || clock.now().0)?;
+        Ok(EventRecorder {
+            active: Some(Rc::new(ActiveRecorder {
+                clock,
+                directory,
+                recorder,
+                recording: Cell::new(Some(recording)),
+            })),
+        })
+    }
+
+    /// Whether records are kept.
+    pub fn is_enabled(&self) -> bool {
+        self.active.is_some()
+    }
+
+    /// Where records go, if they are kept.
+    pub fn directory(&self) -> Option<&Path> {
+        self.active
+            .as_ref()
+            .map(|active| active.directory.as_path())
+    }
+
+    /// Records an event that happens now.
+    pub fn record(&self, kind: Kind) {
+        let Some(active) = &self.active else { return };
+        let now = active.clock.now();
+        active.recorder.note(now.0, now.0, kind);
+    }
+
+    /// Records an event that occurred at one time and was observed at another.
+    pub fn record_at(&self, occurred_at: Micros, observed_at: Micros, kind: Kind) {
+        if let Some(active) = &self.active {
+            active.recorder.note(occurred_at.0, observed_at.0, kind);
+        }
+    }
+
+    /// Writes what waits; a disk that hangs is awaited for no longer than this.
+    pub fn close(&self, within: Duration) {
+        let recording = self
+            .active
+            .as_ref()
+            .and_then(|active| active.recording.take());
+        let Some(recording) = recording else { return };
+        if !recording.close_within(within) {
+            tracing::warn!("the last records may not have reached the disk");
+        }
+    }
+}
+
+/// A directory name made of a supervisor's name. The name comes from the environment: nothing in it leads elsewhere.
+fn directory_name(supervisor: &str) -> String {
+    let name: String = supervisor
+        .chars()
+        .take(MAX_DIRECTORY_NAME_CHARS)
+        .map(directory_character)
+        .collect();
+    match name.trim_matches('.') {
+        "" => "supervisor".to_string(),
+        name => name.to_string(),
+    }
+}
+
+/// The character that stands for this one in a directory name.
+fn directory_character(character: char) -> char {
+    let is_plain = character.is_ascii_alphanumeric() || matches!(character, '-' | '_' | '.');
+    if is_plain {
+        character
+    } else {
+        '_'
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/supervisor/src/server/recording/tests.rs
+++ b/crates/supervisor/src/shared/event_recorder/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Danger: a name from the environment writes records elsewhere.
+/// A name from the environment must not direct records elsewhere.
 #[test]
-fn a_name_leads_nowhere_else() {
+fn a_directory_name_leads_nowhere_else() {
     let named: Vec<String> = ["n3", "../../etc", "a/b c", "..", "", "é"]
         .map(directory_name)
         .into();
--- /dev/null
+++ b/crates/supervisor/src/shared/shutdown.rs
@@ -0,0 +1,47 @@
+//! The shutdown signal, and the connections that have to end before the program does.
+
+use std::future::Future;
+use std::time::Duration;
+
+use tokio::sync::watch;
+use tokio::time::timeout;
+use tokio_util::task::TaskTracker;
+
+/// A handle to the shutdown signal and the tracked connections; clones refer to the same ones.
+#[derive(Clone, Debug)]
+pub struct Shutdown {
+    requested: watch::Sender<bool>,
+    connections: TaskTracker,
+}
+
+impl Shutdown {
+    /// A signal that is not given yet, without connections.
+    pub fn new() -> Self {
+        Shutdown {
+            requested: watch::channel(false).0,
+            connections: TaskTracker::new(),
+        }
+    }
+
+    /// Gives the signal.
+    pub fn request(&self) {
+        self.requested.send_replace(true);
+    }
+
+    /// Waits until the signal is given.
+    pub async fn requested(&self) {
+        let mut requested = self.requested.subscribe();
+        let _ = requested.wait_for(|requested| *requested).await;
+    }
+
+    /// Runs a connection on its own, until its end.
+    pub fn spawn_connection(&self, connection: impl Future<Output = ()> + 'static) {
+        tokio::task::spawn_local(self.connections.track_future(connection));
+    }
+
+    /// Waits until all connections have ended, at most for so long.
+    pub async fn drain_connections(&self, within: Duration) {
+        self.connections.close();
+        let _ = timeout(within, self.connections.wait()).await;
+    }
+}
--- /dev/null
+++ b/crates/supervisor/src/shared/stream_registry.rs
@@ -0,0 +1,84 @@
+//! The proxies' open streams, and the signals that wake their writers.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use chutegrade_engine::StreamId;
+use tokio::sync::Notify;
+
+/// Wakes the task of one stream when there is something to write, or when a newer stream replaces it.
+#[derive(Debug, Default)]
+pub struct WriteSignal {
+    write_pending: Notify,
+    probe_pending: Cell<bool>,
+    replaced: Notify,
+}
+
+impl WriteSignal {
+    /// Asks the writer to answer a `probe`; probes that are not answered yet count as one.
+    pub fn request_probe_reply(&self) {
+        self.probe_pending.set(true);
+        self.write_pending.notify_one();
+    }
+
+    /// Waits until there is something to write.
+    pub async fn write_pending(&self) {
+        self.write_pending.notified().await;
+    }
+
+    /// Whether a `probe` waits for its answer; the caller answers it.
+    pub fn take_probe(&self) -> bool {
+        self.probe_pending.take()
+    }
+
+    /// Waits until a newer stream of the same proxy replaces this one.
+    pub async fn replaced(&self) {
+        self.replaced.notified().await;
+    }
+}
+
+/// A stream that was entered into the registry.
+pub struct RegisteredStream {
+    /// Its number, which is never used twice.
+    pub id: StreamId,
+    /// What wakes its writer.
+    pub signal: Rc<WriteSignal>,
+}
+
+/// All open streams by their numbers.
+#[derive(Default)]
+pub struct StreamRegistry {
+    signals: RefCell<HashMap<StreamId, Rc<WriteSignal>>>,
+    next_id: Cell<u64>,
+}
+
+impl StreamRegistry {
+    /// Enters a new stream.
+    pub fn open(&self) -> RegisteredStream {
+        let id = StreamId(self.next_id.get());
+        self.next_id.set(id.0 + 1);
+        let signal = Rc::new(WriteSignal::default());
+        self.signals.borrow_mut().insert(id, Rc::clone(&signal));
+        RegisteredStream { id, signal }
+    }
+
+    /// Removes a stream that has ended.
+    pub fn close(&self, stream: StreamId) {
+        self.signals.borrow_mut().remove(&stream);
+    }
+
+    /// Notifies a stream that an order waits for it.
+    pub fn notify_order(&self, stream: StreamId) {
+        if let Some(signal) = self.signals.borrow().get(&stream) {
+            signal.write_pending.notify_one();
+        }
+    }
+
+    /// Notifies a stream that a newer one replaces it.
+    pub fn notify_replaced(&self, stream: StreamId) {
+        if let Some(signal) = self.signals.borrow().get(&stream) {
+            signal.replaced.notify_one();
+        }
+    }
+}
--- a/crates/supervisor/src/tests/rules.rs
+++ b/crates/supervisor/src/tests/rules.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-use crate::protocol::messages;
+use crate::protocol::encode::encode_order;
 
 /// Time between two steps, and between two looks at what proxies hold.
 const STEP: Micros = Micros(20_000);
@@ -546,7 +546,7 @@
             let Some(order) = self.engine.take_order(stream) else {
                 continue;
             };
-            let text = messages::order(&order);
+            let text = encode_order(&order);
             let proxy = self
                 .holders
                 .iter()
--- a/crates/supervisor/tests/crossings.rs
+++ b/crates/supervisor/tests/crossings.rs
@@ -361,7 +361,7 @@
         applies(&mut proxy, &["s-1", "s-3"]).await;
         script.asked_for("/api/targets?watch=1&from=42").await;
         supervisor
-            .logs(1, &["discovery does not tell", "reason=silent"])
+            .logs(1, &["discovery unavailable", "reason=silent"])
             .await;
     }
 
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -92,7 +92,7 @@
     std::fs::write(&operator, text.replace("leave {", "leaves {")).expect("a wrong file");
     stage.reload().await;
     stage
-        .logs(1, &["limits are not taken, those in force stay"])
+        .logs(1, &["limits rejected, those in force stay"])
         .await;
     std::fs::write(
         &operator,
--- a/crates/supervisor/tests/plugins.rs
+++ b/crates/supervisor/tests/plugins.rs
@@ -88,7 +88,7 @@
         &AUDIT.replace("return 0", "return speed"),
     );
     stage.reload().await;
-    stage.logs(1, &["plug-ins are not taken", "no name"]).await;
+    stage.logs(1, &["plug-ins rejected", "no name"]).await;
     sleep(Duration::from_secs(3)).await;
     assert!(none_picks(&stage, "order", "s-a2"), "the old rule holds");
 
--- a/crates/supervisor/tests/serving.rs
+++ b/crates/supervisor/tests/serving.rs
@@ -98,7 +98,7 @@
     discovery.say("{\"index\":9,\"snapshot\":true,\"endpoints\":[");
     until("a third watch", || discovery.opened() == 3).await;
     supervisor
-        .logs(1, &["discovery told what can't be read"])
+        .logs(1, &["discovery delivered a malformed list"])
         .await;
     discovery.set(news[1], servers[1].address, "draining");
     proxy
@@ -113,7 +113,7 @@
     discovery.set(news[0], servers[0].address, "up");
     discovery.set(news[1], servers[1].address, "up");
     until("the loss in the log", || {
-        supervisor.logged(&["discovery does not tell", "reason=silent"]) > 0
+        supervisor.logged(&["discovery unavailable", "reason=silent"]) > 0
     })
     .await;
     assert_eq!(
@@ -193,9 +193,7 @@
     supervisor
         .reload("{\"discovery\": \"127.0.0.1:9\", \"settings\"")
         .await;
-    supervisor
-        .logs(1, &["the new configuration is not taken"])
-        .await;
+    supervisor.logs(1, &["new configuration rejected"]).await;
     told["limits"]["sockets"] = json!(64);
     supervisor.reload(&told.to_string()).await;
     supervisor.logs(1, &["reloaded", "limits"]).await;
@@ -664,7 +662,7 @@
     })
     .await;
     supervisor
-        .logs(1, &["server takes no connection", "reason=refused"])
+        .logs(1, &["server refuses connections", "reason=refused"])
         .await;
     assert!(supervisor.runs() && supervisor.alive().await);
 }
