--- a/crates/supervisor/src/commands/error.rs
+++ b/crates/supervisor/src/commands/error.rs
@@ -5,6 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use crate::config;
+use crate::server::TextFileError;
 
 /// Separates several faults in one message, so that each stands on a line of its own behind the program's name.
 const FAULT_SEPARATOR: &str = "\nchutegrade: ";
@@ -27,8 +28,8 @@
         source: std::io::Error,
     },
     /// A text that a person wrote cannot be read; the message names its file.
-    #[error("{0}")]
-    ReadText(String),
+    #[error(transparent)]
+    ReadText(#[from] TextFileError),
     /// The running program cannot be read.
     #[error("{0}")]
     ReadProgram(std::io::Error),
--- a/crates/supervisor/src/commands/files.rs
+++ b/crates/supervisor/src/commands/files.rs
@@ -17,7 +17,7 @@
 
 /// Reads a text that a person wrote: an experiment, a scenario or a plug-in.
 pub fn read_text(path: &Path) -> Result<String, CommandError> {
-    plugins::read_one(path).map_err(|error| CommandError::ReadText(error.to_string()))
+    Ok(plugins::read_one(path)?)
 }
 
 /// Reads the texts of plug-ins, in their order.
--- a/crates/supervisor/src/main.rs
+++ b/crates/supervisor/src/main.rs
@@ -1,11 +1,12 @@
-//! chutegrade: one supervisor on sockets, and the tools that read what it recorded. See docs/architecture.md for how the
-//! parts fit.
+//! The program `chutegrade`: one supervisor on sockets, and the commands that read what it recorded. See
+//! docs/architecture.md for how the parts fit.
 
 mod commands;
 mod config;
 mod peers;
 mod protocol;
 mod server;
+mod shared;
 #[cfg(test)]
 mod tests;
 
@@ -19,14 +20,13 @@
 use crate::commands::{check, console, lab, levels, plugin, records, report, CommandError};
 
 fn main() -> ExitCode {
-    // Alone it serves, without the pages of memory that reading a command line touches.
+    // Without arguments it serves, and saves the memory that parsing a command line takes.
     if std::env::args_os().len() <= 1 {
-        let operator = std::env::var_os("CHUTEGRADE_OPERATOR").filter(|file| !file.is_empty());
-        return server::main(operator.map(PathBuf::from).as_deref());
+        return server::run(operator_path_from_env().as_deref());
     }
     let cli = Cli::parse();
     let outcome = match cli.command.unwrap_or(Command::Serve(cli.serve)) {
-        Command::Serve(arguments) => return server::main(arguments.operator.as_deref()),
+        Command::Serve(arguments) => return server::run(arguments.operator.as_deref()),
         Command::Check(arguments) => check::run(&arguments, &mut stdout().lock()),
         Command::Records(arguments) => records::run(&arguments, &mut stdout().lock()),
         Command::Plugin(arguments) => plugin::run(&arguments, &mut stdout().lock()),
@@ -43,3 +43,10 @@
         }
     }
 }
+
+/// The operators' file that the environment names; an empty name is like none.
+fn operator_path_from_env() -> Option<PathBuf> {
+    std::env::var_os("CHUTEGRADE_OPERATOR")
+        .filter(|path| !path.is_empty())
+        .map(PathBuf::from)
+}
