--- /dev/null
+++ b/crates/policy/src/decisions/channel/tests.rs
@@ -0,0 +1,26 @@
+use super::*;
+
+/// A mutilated acknowledgement would free what is still queued, and the queue behind it would grow unseen.
+#[test]
+fn a_sequence_number_that_was_not_written_to_a_proxy_acknowledges_nothing() {
+    let mut channel = Channel::default();
+    let lines = |proxies: &[u32]| {
+        proxies
+            .iter()
+            .map(|id| (ProxyId(*id), 4.0))
+            .collect::<BTreeMap<_, _>>()
+    };
+    channel.record_turn(Micros(1), 1, lines(&[1, 2]));
+    channel.record_turn(Micros(2), 2, lines(&[2]));
+    channel.acknowledge(Micros(3), ProxyId(1), 2, Micros(1));
+    channel.acknowledge(Micros(3), ProxyId(2), 77, Micros(1));
+    assert_eq!(
+        (channel.queued_lines(), channel.last_acknowledged_at),
+        (12.0, Micros(0))
+    );
+    channel.acknowledge(Micros(4), ProxyId(2), 2, Micros(1));
+    assert_eq!(
+        (channel.queued_lines(), channel.last_acknowledged_at),
+        (0.0, Micros(4))
+    );
+}
--- /dev/null
+++ b/crates/policy/src/decisions/class_levels.rs
@@ -0,0 +1,126 @@
+//! The admission level and the retry policy of each class: the class with the least value for its time is shed first.
+
+use crate::interface::{AdmissionLevel, AdmissionUnit, Class, Settings};
+
+use super::admission::Admission;
+use super::advice::ActiveAdvice;
+use super::limits::ActiveLimits;
+use super::retry_policy::retry_policy;
+
+/// The least admitted share of a class, and its least admitted rate in requests per second.
+const MIN_LEVEL: f64 = 0.1;
+/// A rate that no proxy reaches, in requests per second: it admits all.
+pub(super) const UNLIMITED_RATE: f64 = 1e6;
+/// Steps in which shares are admitted.
+const SHARE_STEPS: f64 = 20.0;
+/// Arrivals that are added to each class, so that none counts as absent.
+const PRIOR_ARRIVALS: f64 = 1.0;
+/// Lower bound on the latency objective by which a class is valued, in seconds.
+const MIN_OBJECTIVE_SECONDS: f64 = 0.001;
+
+/// What levels depend on.
+#[derive(Debug)]
+pub(super) struct ClassLevels<'a> {
+    /// The settings.
+    pub settings: &'a Settings,
+    /// Saturation and arrivals.
+    pub admission: &'a Admission,
+    /// The advice in force.
+    pub advice: &'a ActiveAdvice,
+    /// The limits in force.
+    pub limits: &'a ActiveLimits,
+    /// Demand of the busiest proxy, in requests per second, which rates follow.
+    pub busiest_rate: f64,
+}
+
+/// A class and its recent arrivals.
+#[derive(Clone, Copy, Debug)]
+struct ClassArrivals {
+    class: usize,
+    arrivals: f64,
+}
+
+impl ClassLevels<'_> {
+    /// The level and retry policy of each class, with this share of all requests shed.
+    pub fn with_shed_share(&self, shed_share: f64) -> Vec<AdmissionLevel> {
+        self.levels(shed_share)
+            .into_iter()
+            .enumerate()
+            .map(|(class, level)| AdmissionLevel {
+                level,
+                retry: retry_policy(
+                    self.settings.classes.get(class),
+                    self.limits.retry(class),
+                    self.advice.no_retry.has(class),
+                    self.admission.has_headroom(),
+                ),
+            })
+            .collect()
+    }
+
+    fn levels(&self, shed_share: f64) -> Vec<f64> {
+        let uses_rates = self.settings.admission_unit == AdmissionUnit::RequestsPerSecond;
+        let unlimited = if uses_rates { UNLIMITED_RATE } else { 1.0 };
+        let mut levels = vec![unlimited; self.settings.classes.len()];
+        if self.settings.admission_unit == AdmissionUnit::Unsupported {
+            return levels;
+        }
+        let order = self.by_rising_value();
+        let total = self.total_arrivals();
+        let mut to_shed = shed_share * total;
+        for ClassArrivals { class, arrivals } in order {
+            let shed = to_shed.min(arrivals * (1.0 - MIN_LEVEL));
+            to_shed -= shed;
+            let admitted_share = self.admitted_share(class, shed / arrivals);
+            let is_limited = admitted_share < 1.0;
+            let Some(level) = levels.get_mut(class).filter(|_| is_limited) else {
+                continue;
+            };
+            *level = if uses_rates {
+                let rate = admitted_share * self.busiest_rate * arrivals / total;
+                rate.max(MIN_LEVEL).ceil()
+            } else {
+                admitted_share
+            };
+        }
+        levels
+    }
+
+    /// The admitted share of a class with this share shed, within the bounds of advice and limits.
+    fn admitted_share(&self, class: usize, shed_share: f64) -> f64 {
+        let admitted_share = (SHARE_STEPS * (1.0 - shed_share)).round() / SHARE_STEPS;
+        let bound = self
+            .advice
+            .max_admitted_share(class)
+            .min(self.limits.max_admitted_share(class));
+        admitted_share.min(bound.max(MIN_LEVEL))
+    }
+
+    fn arrivals(&self) -> impl Iterator<Item = f64> + '_ {
+        self.admission
+            .arrivals()
+            .map(|arrivals| arrivals + PRIOR_ARRIVALS)
+    }
+
+    fn total_arrivals(&self) -> f64 {
+        self.arrivals().sum()
+    }
+
+    /// The classes, those with the least value for their time first.
+    fn by_rising_value(&self) -> Vec<ClassArrivals> {
+        let value = |class: usize| self.settings.classes.get(class).map_or(0.0, value_for_time);
+        let mut order: Vec<ClassArrivals> = self
+            .arrivals()
+            .enumerate()
+            .map(|(class, arrivals)| ClassArrivals { class, arrivals })
+            .collect();
+        order.sort_by(|a, b| value(a.class).total_cmp(&value(b.class)));
+        order
+    }
+}
+
+/// Priority weight of a class per second of its latency objective.
+fn value_for_time(class: &Class) -> f64 {
+    let objective_seconds = class.latency_objective.secs();
+    class.priority_weight / objective_seconds.max(MIN_OBJECTIVE_SECONDS)
+}
--- /dev/null
+++ b/crates/policy/src/decisions/events.rs
@@ -0,0 +1,151 @@
+//! How each event changes what an instance knows. Orders follow later, at the tick or at once.
+
+use crate::interface::{ClassId, Event, HealthCheckOutcome, LoadReport, Micros, ProxyId, ServerId};
+
+use super::evidence::AttemptCounts;
+use super::proxies::Proxy;
+use super::Policy;
+
+impl Policy {
+    /// Takes in one event.
+    pub(super) fn apply_event(&mut self, now: Micros, event: &Event) {
+        match event {
+            Event::EndpointList(kind, endpoints) => {
+                self.registry
+                    .apply_update(now, &self.settings, *kind, endpoints);
+            }
+            Event::ServerOutcomes { .. } | Event::HealthChecked { .. } => {
+                self.apply_server_event(event);
+            }
+            Event::ProxyJoined { .. }
+            | Event::ProxyLeft(_)
+            | Event::StreamClosed(_)
+            | Event::Acknowledged { .. } => self.apply_proxy_event(now, event),
+            Event::ProxyDemand {
+                proxy,
+                class,
+                arrivals,
+                period,
+                ..
+            } => self.record_proxy_demand(*proxy, *class, *arrivals, *period),
+            Event::SliceDemand {
+                class, arrivals, ..
+            } => self.admission.record_arrivals(*class, *arrivals),
+            Event::SliceOwnership { table, granted } => {
+                self.tables.reset(*table);
+                self.slices.set_responsibility(*table, *granted);
+            }
+            Event::PublishedWeight {
+                table,
+                server,
+                weight,
+            } => self.tables.record_published(*table, *server, *weight),
+            Event::Advice(advice) => {
+                let is_saturated = self.admission.is_saturated();
+                self.advice.accept(now, advice, is_saturated);
+            }
+            Event::Limits(limits) => self.limits.accept(limits),
+            Event::PeerMessage { .. } | Event::Timer(_) => {}
+        }
+    }
+
+    /// Takes in what was observed of a server.
+    fn apply_server_event(&mut self, event: &Event) {
+        match event {
+            Event::ServerOutcomes {
+                zone,
+                server,
+                attempts,
+                failed,
+                mean_latency_ms,
+                load,
+                ..
+            } => {
+                let Some(server) = self.registry.get_mut(*server) else {
+                    return;
+                };
+                let counts = AttemptCounts {
+                    attempts: *attempts,
+                    failed: *failed,
+                    mean_latency_ms: *mean_latency_ms,
+                };
+                server.evidence.record_outcomes(*zone, counts);
+                server.evidence.record_load(load);
+            }
+            Event::HealthChecked {
+                server,
+                outcome,
+                elapsed,
+                load,
+            } => self.record_health_check(*server, *outcome, *elapsed, load),
+            _ => {}
+        }
+    }
+
+    /// Takes in the beginning and end of streams, and acknowledgements.
+    fn apply_proxy_event(&mut self, now: Micros, event: &Event) {
+        match event {
+            Event::ProxyJoined {
+                proxy,
+                zone,
+                request_rate,
+                has_previous_table,
+            } => {
+                let joined = Proxy::joined(*zone, *request_rate, *has_previous_table);
+                self.proxies.join(*proxy, joined);
+            }
+            Event::ProxyLeft(proxy) => {
+                self.channel.drop_queued(*proxy);
+                self.remove_proxy(now, *proxy);
+            }
+            Event::StreamClosed(proxy) => self.remove_proxy(now, *proxy),
+            Event::Acknowledged {
+                proxy,
+                sequence,
+                elapsed,
+            } => {
+                self.channel.acknowledge(now, *proxy, *sequence, *elapsed);
+                self.slices.acknowledge(*proxy, *sequence);
+            }
+            _ => {}
+        }
+    }
+
+    fn record_health_check(
+        &mut self,
+        server: ServerId,
+        outcome: HealthCheckOutcome,
+        elapsed: Micros,
+        load: &LoadReport,
+    ) {
+        let Some(server) = self.registry.get_mut(server) else {
+            return;
+        };
+        let network_seconds = if server.endpoint.zone == self.settings.zone {
+            0.0
+        } else {
+            self.links.extra_check_seconds
+        };
+        server.record_health_check(outcome, elapsed, network_seconds);
+        server.evidence.record_load(load);
+    }
+
+    fn record_proxy_demand(
+        &mut self,
+        proxy: ProxyId,
+        class: ClassId,
+        arrivals: f64,
+        period: Micros,
+    ) {
+        let class_count = self.settings.classes.len() as f64;
+        if let Some(proxy) = self.proxies.get_mut(proxy) {
+            proxy.record_arrivals(arrivals, period.secs(), class_count);
+        }
+        self.admission.record_arrivals(class, arrivals);
+    }
+
+    fn remove_proxy(&mut self, now: Micros, proxy: ProxyId) {
+        self.proxies.leave(proxy);
+        self.slices.proxy_left(proxy, now + self.settings.lease);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/decisions/health_checks.rs
@@ -0,0 +1,71 @@
+//! Health checks of one server: when the next one is due and how many failed.
+
+use crate::interface::{HealthCheckOutcome, Micros};
+use crate::statistics::decay_factor;
+
+use super::tick::TICK_INTERVAL;
+
+/// Interval between the health checks of a server that answers.
+const CHECK_INTERVAL: Micros = Micros(1_000_000);
+/// A health check whose result never came is given up after this time.
+const CHECK_LOSS_TIMEOUT: Micros = Micros(3_000_000);
+/// A failed health check counts as so many failed attempts, times the number of consecutive failures.
+const ATTEMPTS_PER_FAILED_CHECK: f64 = 2.0;
+/// Half-life of failed health checks, in seconds.
+const FAILURE_HALF_LIFE_SECONDS: f64 = 1.5;
+
+/// The health checks of a server.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct HealthChecks {
+    /// Consecutive health checks that failed.
+    pub consecutive_failures: u32,
+    /// The failed health checks as a number of failed attempts, decaying.
+    pub failed_attempts: f64,
+    sent_at: Option<Micros>,
+    next_at: Micros,
+}
+
+impl HealthChecks {
+    /// Starts a health check if one is due; whether it did.
+    pub fn start_if_due(&mut self, now: Micros) -> bool {
+        let in_flight = self
+            .sent_at
+            .is_some_and(|sent_at| now - sent_at < CHECK_LOSS_TIMEOUT);
+        if in_flight || self.next_at > now {
+            return false;
+        }
+        self.sent_at = Some(now);
+        self.next_at = now + CHECK_INTERVAL;
+        true
+    }
+
+    /// Takes in the outcome of the health check in flight.
+    pub fn record_outcome(&mut self, outcome: HealthCheckOutcome) {
+        let sent_at = self.sent_at.take();
+        match outcome {
+            HealthCheckOutcome::Passed => self.consecutive_failures = 0,
+            HealthCheckOutcome::Rejected | HealthCheckOutcome::Inconclusive => {}
+            HealthCheckOutcome::Error
+            | HealthCheckOutcome::TimedOut
+            | HealthCheckOutcome::Unreachable => {
+                self.consecutive_failures += 1;
+                self.failed_attempts +=
+                    ATTEMPTS_PER_FAILED_CHECK * f64::from(self.consecutive_failures);
+                if let Some(sent_at) = sent_at {
+                    self.next_at = sent_at + TICK_INTERVAL;
+                }
+            }
+        }
+    }
+
+    /// Discards failures that don't show a fault of the server. Once it is reachable again, answers come one by one.
+    pub fn discard_failures(&mut self) {
+        self.failed_attempts = 0.0;
+        self.consecutive_failures = self.consecutive_failures.min(1);
+    }
+
+    /// Lets time pass.
+    pub fn decay(&mut self, elapsed_seconds: f64) {
+        self.failed_attempts *= decay_factor(elapsed_seconds, FAILURE_HALF_LIFE_SECONDS);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/decisions/publication.rs
@@ -0,0 +1,280 @@
+//! Publication of tables: which weights changed enough to be sent, in which order, and how many at a time.
+
+use std::collections::BTreeSet;
+
+use crate::interface::{
+    Action, AdmissionLevel, ClassSet, DecisionEvent, Micros, ProxyId, ServerId, Settings, TableId,
+};
+use crate::statistics::median;
+
+use super::channel::Channel;
+use super::orders::{Orders, GUARD_BUDGET, LEVEL_BUDGET, ORDINARY_BUDGET};
+use super::proxies::Proxies;
+use super::registry::{Registry, Weights};
+use super::server::Server;
+use super::table_layout::TablePlan;
+use super::tables::Tables;
+
+/// A weight is sent again after it moved by more than this share of the weight sent last.
+const RESEND_SHARE: f64 = 0.2;
+/// Least time between ordinary updates, in seconds.
+const MIN_UPDATE_SECONDS: f64 = 1.0;
+/// Share of the channel that the headers of ordinary updates may take.
+const HEADER_SHARE: f64 = 0.2;
+/// Lines of a change of a weight.
+const CHANGE_LINES: f64 = 1.0;
+/// Lines of a weight for a server that the table doesn't name yet: its suspension may have to end, too.
+const ADDITION_LINES: f64 = 2.0;
+
+/// A change of a weight that waits to be sent.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct WeightChange<'a> {
+    table: TableId,
+    server: ServerId,
+    weight: f64,
+    /// The proxies that use the table.
+    recipients: &'a [ProxyId],
+    /// Whether the change protects a server or a proxy, and goes before all others.
+    is_guard: bool,
+    /// Traffic that the change moves, in requests per second of a usual proxy of the table.
+    moved_rate: f64,
+    /// Lines that it takes at each recipient.
+    lines: f64,
+}
+
+/// What publication changes.
+#[derive(Debug)]
+pub(super) struct Publisher<'a> {
+    /// The published tables.
+    pub tables: &'a mut Tables,
+    /// The joined proxies.
+    pub proxies: &'a Proxies,
+    /// The orders of the turn.
+    pub orders: &'a mut Orders,
+}
+
+impl Publisher<'_> {
+    /// The weights of a table that differ enough from those sent.
+    pub fn weight_changes<'u>(
+        &self,
+        plan: &TablePlan,
+        users: &'u [ProxyId],
+        desired: &Weights,
+        registry: &Registry,
+    ) -> Vec<WeightChange<'u>> {
+        let nothing_sent = Weights::new();
+        let comparison = WeightComparison {
+            plan,
+            users,
+            desired,
+            sent: self
+                .tables
+                .get(plan.table)
+                .map_or(&nothing_sent, |table| &table.weights),
+            registry,
+            mean_rate: self.mean_rate(users),
+        };
+        comparison.changes()
+    }
+
+    /// Reports that advice on a table is overruled, or in force again.
+    pub fn report_overruled(&mut self, table: TableId, is_overruled: bool) {
+        let published = self.tables.entry(table);
+        if published.advice_overruled == is_overruled {
+            return;
+        }
+        published.advice_overruled = is_overruled;
+        self.orders
+            .push(Action::Emit(DecisionEvent::AdviceOverruled {
+                table,
+                overruled: is_overruled,
+            }));
+    }
+
+    /// Sends the levels that changed to the users of a table.
+    pub fn publish_levels(
+        &mut self,
+        plan: &TablePlan,
+        users: &[ProxyId],
+        levels: &[AdmissionLevel],
+    ) {
+        for (class, level) in levels.iter().enumerate() {
+            if !plan.classes.has(class) {
+                continue;
+            }
+            let published = self.tables.get(plan.table);
+            let sent = published.and_then(|table| table.levels.get(&class));
+            let is_due =
+                sent != Some(level) && self.orders.fits(self.proxies, users, 1.0, &LEVEL_BUDGET);
+            if !is_due {
+                continue;
+            }
+            self.tables.entry(plan.table).levels.insert(class, *level);
+            let order = Action::SetAdmission {
+                table: Some(plan.table),
+                classes: ClassSet::default().with(class),
+                level: level.level,
+                retry: level.retry,
+            };
+            self.orders.push_to(users, 1.0, order);
+        }
+    }
+
+    /// Mean demand of proxies, in requests per second.
+    fn mean_rate(&self, users: &[ProxyId]) -> f64 {
+        let rates = users
+            .iter()
+            .filter_map(|id| Some(self.proxies.get(*id)?.request_rate()));
+        rates.sum::<f64>() / users.len().max(1) as f64
+    }
+}
+
+/// The desired weights of a table beside those sent.
+#[derive(Debug)]
+struct WeightComparison<'a, 'u> {
+    plan: &'a TablePlan,
+    users: &'u [ProxyId],
+    desired: &'a Weights,
+    sent: &'a Weights,
+    registry: &'a Registry,
+    /// Mean demand of the users, in requests per second.
+    mean_rate: f64,
+}
+
+impl<'u> WeightComparison<'_, 'u> {
+    fn changes(&self) -> Vec<WeightChange<'u>> {
+        let scale = self.scale();
+        let total = self.desired.values().sum::<f64>().max(f64::MIN_POSITIVE);
+        let servers: BTreeSet<ServerId> = self
+            .sent
+            .keys()
+            .chain(self.desired.keys())
+            .copied()
+            .collect();
+        servers
+            .into_iter()
+            .filter_map(|server| self.change(server, scale, total))
+            .collect()
+    }
+
+    /// The median factor between sent and desired weights. What moves all weights of a table alike is not sent: it would
+    /// fill the channel and change nothing.
+    fn scale(&self) -> f64 {
+        let factors = self
+            .desired
+            .iter()
+            .filter(|(id, weight)| **weight > 0.0 && self.registry.is_warm(**id))
+            .filter_map(|(id, weight)| Some(self.sent.get(id)? / weight));
+        median(factors).unwrap_or(1.0)
+    }
+
+    /// The change of a server's weight, if it is large enough; `total` is the sum of the desired weights.
+    fn change(&self, id: ServerId, scale: f64, total: f64) -> Option<WeightChange<'u>> {
+        let sent = self.sent.get(&id).copied().unwrap_or(0.0);
+        let weight = self.desired.get(&id).copied().unwrap_or(0.0) * scale;
+        let difference = (weight - sent).abs();
+        let has_changed = difference > RESEND_SHARE * sent;
+        if !has_changed {
+            return None;
+        }
+        let server = self.registry.get(id);
+        let is_new = sent <= 0.0;
+        let moved_weight = difference.max(self.addition_size(server, is_new) * scale);
+        let moved_rate = if server.is_some_and(Server::is_in_service) {
+            self.mean_rate * moved_weight / (total * scale)
+        } else {
+            0.0
+        };
+        // Only changes that protect go first: else failing servers would crowd out those that recovered.
+        let protects_warming_up =
+            weight < sent && server.is_some_and(|server| server.warm_up_share < 1.0);
+        Some(WeightChange {
+            table: self.plan.table,
+            server: id,
+            weight,
+            recipients: self.users,
+            is_guard: self.sent.is_empty() || protects_warming_up,
+            moved_rate,
+            lines: if is_new { ADDITION_LINES } else { CHANGE_LINES },
+        })
+    }
+
+    /// A server of the table's zone that is not named yet counts with its full size: else a fleet that grew would idle.
+    fn addition_size(&self, server: Option<&Server>, is_new: bool) -> f64 {
+        server
+            .filter(|server| is_new && server.endpoint.zone == self.plan.zone)
+            .map_or(0.0, Server::size)
+    }
+}
+
+/// The pace of ordinary updates.
+#[derive(Clone, Debug, Default)]
+pub(super) struct UpdatePace {
+    last_update: Option<Micros>,
+}
+
+impl UpdatePace {
+    /// Sends the changes that fit the channel, those that protect first, then those that move most traffic.
+    pub fn send(
+        &mut self,
+        mut changes: Vec<WeightChange>,
+        interval_seconds: f64,
+        publisher: &mut Publisher,
+    ) {
+        changes.sort_by(|a, b| {
+            let guards_first = b.is_guard.cmp(&a.is_guard);
+            guards_first.then(b.moved_rate.total_cmp(&a.moved_rate))
+        });
+        let now = publisher.orders.at;
+        let is_due = self
+            .last_update
+            .is_none_or(|at| (now - at).secs() >= interval_seconds);
+        for change in &changes {
+            if !change.recipients.is_empty() {
+                if !change.may_go(is_due, publisher) {
+                    continue;
+                }
+                let is_free = change.is_guard || publisher.orders.reaches_all(change.recipients);
+                if !is_free {
+                    self.last_update = Some(now);
+                }
+            }
+            publisher
+                .tables
+                .set_weight(change.table, change.server, change.weight);
+            let order = Action::SetWeight {
+                table: change.table,
+                server: change.server,
+                weight: change.weight,
+            };
+            publisher
+                .orders
+                .push_to(change.recipients, change.lines, order);
+        }
+    }
+}
+
+impl WeightChange<'_> {
+    /// Whether the channel takes the change now. One that goes with messages that are due already costs none of its own:
+    /// else levels and guards would use up the message limit.
+    fn may_go(&self, is_due: bool, publisher: &Publisher) -> bool {
+        let fits = |budget| {
+            publisher
+                .orders
+                .fits(publisher.proxies, self.recipients, self.lines, budget)
+        };
+        let is_ordinary = is_due || publisher.orders.reaches_all(self.recipients);
+        (is_ordinary && fits(&ORDINARY_BUDGET)) || (self.is_guard && fits(&GUARD_BUDGET))
+    }
+}
+
+/// Interval between ordinary updates, in seconds, by which the headers of messages to all proxies take no more than
+/// their share of the channel.
+pub(super) fn update_interval_seconds(
+    proxies: &Proxies,
+    settings: &Settings,
+    channel: &Channel,
+) -> f64 {
+    let header_lines = proxies.len() as f64 * (settings.message_overhead + 1.0);
+    MIN_UPDATE_SECONDS.max(header_lines / HEADER_SHARE / channel.pace())
+}
--- /dev/null
+++ b/crates/policy/src/decisions/registry.rs
@@ -0,0 +1,206 @@
+//! The servers of the endpoint list: their lifecycle, incarnations and ordinals, and the subscription to the list.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::interface::{
+    Action, DecisionEvent, Endpoint, EndpointUpdateKind, Lifecycle, Micros, ServerId, Settings,
+    ZoneId,
+};
+use crate::statistics::median;
+
+use super::health::Health;
+use super::server::Server;
+
+/// A value for each server.
+pub(super) type Weights = BTreeMap<ServerId, f64>;
+/// A value for each zone.
+pub(super) type ByZone = BTreeMap<ZoneId, f64>;
+
+/// Delay before a failed subscription is retried.
+const RESUBSCRIBE_DELAY: Micros = Micros(1_000_000);
+/// Servers of a zone that must show a value before the zone has a median of its own.
+const MIN_SERVERS_PER_ZONE: usize = 8;
+
+/// The known servers.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Registry {
+    servers: BTreeMap<ServerId, Server>,
+    /// Number of servers that were ever listed.
+    listed_count: usize,
+    resubscribe_at: Option<Micros>,
+}
+
+impl Registry {
+    /// Takes in an update of the endpoint list.
+    pub fn apply_update(
+        &mut self,
+        now: Micros,
+        settings: &Settings,
+        kind: EndpointUpdateKind,
+        endpoints: &[Endpoint],
+    ) {
+        match kind {
+            EndpointUpdateKind::Unavailable => {
+                self.resubscribe_at = Some(now + RESUBSCRIBE_DELAY);
+                return;
+            }
+            EndpointUpdateKind::Snapshot | EndpointUpdateKind::CachedSnapshot => {
+                self.remove_unlisted(endpoints);
+            }
+            EndpointUpdateKind::Delta => {}
+        }
+        let is_first_list = self.servers.is_empty();
+        // Ordinals run through zones and machine kinds in turn, so that each shard gets its share of both.
+        let mut ordered: Vec<&Endpoint> = endpoints.iter().collect();
+        ordered.sort_by_key(|endpoint| (endpoint.zone, endpoint.machine_kind, endpoint.server));
+        for endpoint in ordered {
+            let is_warming_up = endpoint
+                .started_at
+                .is_some_and(|started| now - started < settings.slow_start_period);
+            if let Some(known) = self.servers.get_mut(&endpoint.server) {
+                update_known(known, *endpoint, is_warming_up);
+            } else {
+                self.add(*endpoint, is_warming_up, is_first_list);
+            }
+        }
+    }
+
+    /// Whether a failed subscription is due for its retry, which the caller then sends.
+    pub fn take_due_resubscription(&mut self, now: Micros) -> bool {
+        self.resubscribe_at.take_if(|at| *at <= now).is_some()
+    }
+
+    /// All known servers, by id.
+    pub fn iter(&self) -> impl Iterator<Item = (&ServerId, &Server)> + Clone {
+        self.servers.iter()
+    }
+
+    /// All known servers, by id.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ServerId, &mut Server)> {
+        self.servers.iter_mut()
+    }
+
+    /// The servers that may be sent requests.
+    pub fn in_service(&self) -> impl Iterator<Item = (&ServerId, &Server)> + Clone {
+        self.iter().filter(|(_, server)| server.is_in_service())
+    }
+
+    /// The servers that may be sent requests.
+    pub fn in_service_mut(&mut self) -> impl Iterator<Item = (&ServerId, &mut Server)> {
+        self.iter_mut().filter(|(_, server)| server.is_in_service())
+    }
+
+    /// A known server.
+    pub fn get(&self, id: ServerId) -> Option<&Server> {
+        self.servers.get(&id)
+    }
+
+    /// A known server.
+    pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+        self.servers.get_mut(&id)
+    }
+
+    /// Whether a server is known and has all its capacity.
+    pub fn is_warm(&self, id: ServerId) -> bool {
+        self.get(id).is_some_and(Server::is_warm)
+    }
+
+    /// Drops all that is known of a server.
+    pub fn forget(&mut self, id: ServerId) {
+        self.servers.remove(&id);
+    }
+
+    /// The median of what the servers in service show: of those of a zone, if enough of them do, else of all.
+    pub fn median(
+        &self,
+        zone: Option<ZoneId>,
+        shown: impl Fn(&Server) -> Option<f64>,
+    ) -> Option<f64> {
+        if let Some(zone) = zone {
+            let of_zone: Vec<f64> = self
+                .in_service()
+                .filter(|(_, server)| server.endpoint.zone == zone)
+                .filter_map(|(_, server)| shown(server))
+                .collect();
+            if of_zone.len() >= MIN_SERVERS_PER_ZONE {
+                return median(of_zone.into_iter());
+            }
+        }
+        median(self.in_service().filter_map(|(_, server)| shown(server)))
+    }
+
+    /// Reports the servers whose lifecycle changed since the last call.
+    pub fn report_lifecycle_changes(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        for server in self.servers.values_mut() {
+            let Endpoint {
+                server: id,
+                zone,
+                lifecycle,
+                ..
+            } = server.endpoint;
+            if server.reported_lifecycle == lifecycle {
+                continue;
+            }
+            server.reported_lifecycle = lifecycle;
+            server.lifecycle_changed_at = now;
+            actions.push(Action::Emit(DecisionEvent::LifecycleChanged {
+                server: id,
+                zone,
+                lifecycle,
+            }));
+        }
+    }
+
+    /// A snapshot names all servers; the others are removed.
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
+        for (id, server) in &mut self.servers {
+            if !listed.contains(id) {
+                server.endpoint.lifecycle = Lifecycle::Removed;
+            }
+        }
+    }
+
+    fn add(&mut self, endpoint: Endpoint, is_warming_up: bool, is_first_list: bool) {
+        let health = if is_first_list && !is_warming_up {
+            Health::full()
+        } else {
+            Health::warming_up()
+        };
+        // Proxies may still hold the suspension of a server that was forgotten. One that is listed only now that it
+        // leaves is suspended with the others that leave.
+        let suspended = !is_first_list && endpoint.lifecycle == Lifecycle::InService;
+        let server = Server {
+            suspended,
+            ordinal: self.listed_count,
+            ..Server::new(endpoint, health)
+        };
+        self.servers.insert(endpoint.server, server);
+        self.listed_count += 1;
+    }
+}
+
+/// The zones of the deployment.
+pub(super) fn zones(settings: &Settings) -> impl Iterator<Item = ZoneId> + Clone {
+    (0..settings.zones.max(1) as u16).map(ZoneId)
+}
+
+/// Takes in the entry of a known server. A newer start means another incarnation, which has no past.
+fn update_known(known: &mut Server, endpoint: Endpoint, is_warming_up: bool) {
+    let is_new_incarnation = endpoint.started_at > known.endpoint.started_at;
+    if !is_new_incarnation {
+        known.endpoint = endpoint;
+        return;
+    }
+    let health = if is_warming_up {
+        Health::warming_up()
+    } else {
+        Health::full()
+    };
+    *known = Server {
+        suspended: known.suspended,
+        ordinal: known.ordinal,
+        reported_lifecycle: known.reported_lifecycle,
+        ..Server::new(endpoint, health)
+    };
+}
--- /dev/null
+++ b/crates/policy/src/decisions/slices.rs
@@ -0,0 +1,172 @@
+//! Ownership of slices: which server owns each slice that this instance is responsible for, and the hand-over of a slice
+//! with exclusive ownership.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::interface::{Action, Micros, ProxyId, ServerId, Settings, TableId};
+
+use super::orders::{Orders, SUSPENSION_BUDGET};
+use super::proxies::Proxies;
+use super::registry::Weights;
+use super::tables::{Table, Tables};
+
+/// Lines of a change of owner.
+const OWNER_CHANGE_LINES: f64 = 2.0;
+/// Weight of an owner.
+const OWNER_WEIGHT: f64 = 1.0;
+/// Odd multiplier that spreads the bits of a hash: 2^64 divided by the golden ratio.
+const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Shift that mixes the high bits of a hash into the low ones.
+const HASH_SHIFT: u32 = 29;
+
+/// A change of an exclusive owner: nobody owns the slice until no proxy can write to the former owner.
+#[derive(Clone, Debug)]
+struct HandOver {
+    /// Proxies that may still send to the former owner.
+    waits_for: BTreeSet<ProxyId>,
+    /// Sequence number of the message that clears the table.
+    sequence: u16,
+    /// When the leases of all proxies without an acknowledgement have ended.
+    not_before: Micros,
+}
+
+/// The slices that this instance is responsible for, with their hand-overs under way.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Slices {
+    owned: BTreeMap<TableId, Option<HandOver>>,
+}
+
+/// What owners depend on.
+#[derive(Debug)]
+pub(super) struct SliceInputs<'a> {
+    /// The settings.
+    pub settings: &'a Settings,
+    /// The joined proxies, which all use each slice.
+    pub proxies: &'a Proxies,
+    /// The weights of all servers; those above 0 may own slices.
+    pub usable: &'a Weights,
+    /// Sequence number of the turn.
+    pub sequence: u16,
+}
+
+impl Slices {
+    /// Takes in that this instance gained or lost a slice.
+    pub fn set_responsibility(&mut self, slice: TableId, granted: bool) {
+        self.owned.remove(&slice);
+        if granted {
+            self.owned.insert(slice, None);
+        }
+    }
+
+    /// Takes in that a proxy's stream ended: it may send to former owners until its lease ends.
+    pub fn proxy_left(&mut self, proxy: ProxyId, lease_end: Micros) {
+        for hand_over in self.owned.values_mut().flatten() {
+            if hand_over.waits_for.remove(&proxy) {
+                hand_over.not_before = hand_over.not_before.max(lease_end);
+            }
+        }
+    }
+
+    /// Takes in that a proxy applied the message with this sequence number.
+    pub fn acknowledge(&mut self, proxy: ProxyId, sequence: u16) {
+        for hand_over in self.owned.values_mut().flatten() {
+            if hand_over.sequence == sequence {
+                hand_over.waits_for.remove(&proxy);
+            }
+        }
+    }
+
+    /// Finds owners for slices whose owner is not usable any more. An owner that is usable stays, since it has the
+    /// slice's state.
+    pub fn update_owners(
+        &mut self,
+        inputs: &SliceInputs,
+        tables: &mut Tables,
+        orders: &mut Orders,
+    ) {
+        let recipients: Vec<ProxyId> = inputs.proxies.ids().collect();
+        for (&slice, hand_over) in &mut self.owned {
+            let fits = orders.fits(
+                inputs.proxies,
+                &recipients,
+                OWNER_CHANGE_LINES,
+                &SUSPENSION_BUDGET,
+            );
+            if !fits {
+                continue;
+            }
+            let table = tables.entry(slice);
+            let former_owners = former_owners(table, inputs.usable);
+            let Some(owner) = highest_hash(slice, inputs.usable) else {
+                continue;
+            };
+            if former_owners.is_empty() && !table.weights.is_empty() {
+                continue;
+            }
+            if inputs.settings.exclusive_ownership {
+                table.weights.clear();
+                let pending = hand_over.get_or_insert_with(|| {
+                    orders.push_to(&recipients, 1.0, Action::ClearTable(slice));
+                    HandOver::begin(&recipients, inputs, orders.at)
+                });
+                if !pending.is_complete(orders.at, inputs.settings) {
+                    continue;
+                }
+                *hand_over = None;
+            }
+            table.weights.insert(owner, OWNER_WEIGHT);
+            orders.push_to(&recipients, 1.0, set_weight(slice, owner, OWNER_WEIGHT));
+            if inputs.settings.exclusive_ownership {
+                continue;
+            }
+            for server in former_owners {
+                table.weights.remove(&server);
+                orders.push_to(&recipients, 1.0, set_weight(slice, server, 0.0));
+            }
+        }
+    }
+}
+
+impl HandOver {
+    fn begin(recipients: &[ProxyId], inputs: &SliceInputs, now: Micros) -> Self {
+        HandOver {
+            waits_for: recipients.iter().copied().collect(),
+            sequence: inputs.sequence,
+            not_before: now + inputs.settings.lease,
+        }
+    }
+
+    /// Whether no write can reach the former owner any more.
+    fn is_complete(&self, now: Micros, settings: &Settings) -> bool {
+        self.waits_for.is_empty() && now >= self.not_before + settings.write_settle_time
+    }
+}
+
+fn set_weight(table: TableId, server: ServerId, weight: f64) -> Action {
+    Action::SetWeight {
+        table,
+        server,
+        weight,
+    }
+}
+
+/// The servers of a slice's table that can't own it any more.
+fn former_owners(table: &Table, usable: &Weights) -> Vec<ServerId> {
+    let is_unusable = |server: &ServerId| usable.get(server).is_none_or(|weight| *weight <= 0.0);
+    table.weights.keys().copied().filter(is_unusable).collect()
+}
+
+/// The owner of a slice by rendezvous hashing: the usable server with the highest hash of both numbers.
+fn highest_hash(slice: TableId, usable: &Weights) -> Option<ServerId> {
+    usable
+        .iter()
+        .filter(|(_, weight)| **weight > 0.0)
+        .map(|(server, _)| *server)
+        .max_by_key(|server| rendezvous_hash(slice, *server))
+}
+
+fn rendezvous_hash(slice: TableId, server: ServerId) -> u64 {
+    let key = (u64::from(slice.0) << 32) | u64::from(server.0);
+    let mixed = key.wrapping_mul(HASH_MULTIPLIER);
+    (mixed ^ (mixed >> HASH_SHIFT)).wrapping_mul(HASH_MULTIPLIER)
+}
--- /dev/null
+++ b/crates/policy/src/decisions/speed.rs
@@ -0,0 +1,79 @@
+//! The speed of each server for its listed weight, by health checks or reported service times.
+
+use std::collections::BTreeSet;
+
+use crate::interface::{ListedWeight, Settings};
+use crate::statistics::median;
+
+use super::evidence::SpeedEvidence;
+use super::registry::{Registry, Weights};
+use super::server::Server;
+
+/// Timed health checks count like so many load reports, which mix requests of all costs.
+const CHECK_REPORTS: f64 = 60.0;
+/// Load reports at the median speed that are mixed in before a measured speed is believed.
+const PRIOR_REPORTS: f64 = 4.0;
+/// Group of the servers where the listed weight doesn't include their speed.
+const COMMON_GROUP: u32 = 0;
+
+/// The estimated speed of a server.
+#[derive(Clone, Copy, Debug)]
+struct SpeedEstimate {
+    /// Requests or health checks per unit of time.
+    speed: f64,
+    /// The estimate as a number of load reports.
+    reports: f64,
+}
+
+impl SpeedEstimate {
+    fn from_evidence(evidence: &SpeedEvidence) -> Option<Self> {
+        if let Some(speed) = evidence.checks.positive_mean() {
+            return Some(SpeedEstimate {
+                speed,
+                reports: CHECK_REPORTS,
+            });
+        }
+        let service_ms = evidence.service_ms.positive_mean()?;
+        Some(SpeedEstimate {
+            speed: 1.0 / service_ms,
+            reports: evidence.service_ms.weight,
+        })
+    }
+
+    /// The speed against the median, as far as it is believed.
+    fn relative_to(&self, median_speed: f64) -> f64 {
+        let confidence = self.reports / (self.reports + PRIOR_REPORTS);
+        (self.speed / median_speed).powf(confidence)
+    }
+}
+
+/// The speed of each server in service against the median of the fleet, or of its machine kind where the listed weight
+/// includes the speed of the kind. Servers without an estimate are left out.
+pub(super) fn relative_speeds(registry: &Registry, settings: &Settings) -> Weights {
+    let weight_includes_speed = settings.listed_weight == ListedWeight::RegisteredCapacity;
+    let group_of = |server: &Server| {
+        if weight_includes_speed {
+            server.endpoint.machine_kind
+        } else {
+            COMMON_GROUP
+        }
+    };
+    let groups: BTreeSet<u32> = registry
+        .in_service()
+        .map(|(_, server)| group_of(server))
+        .collect();
+    let mut speeds = Weights::new();
+    for group in groups {
+        let estimates = registry
+            .in_service()
+            .filter(|(_, server)| group_of(server) == group)
+            .filter_map(|(id, server)| {
+                let estimate = SpeedEstimate::from_evidence(&server.evidence.speed)?;
+                Some((*id, estimate))
+            });
+        let median_speed = median(estimates.clone().map(|(_, estimate)| estimate.speed));
+        let median_speed = median_speed.unwrap_or(1.0);
+        speeds.extend(estimates.map(|(id, estimate)| (id, estimate.relative_to(median_speed))));
+    }
+    speeds
+}
--- /dev/null
+++ b/crates/policy/src/decisions/suspension.rs
@@ -0,0 +1,97 @@
+//! Suspension of servers that drain or are removed, and what is dropped once they are gone.
+
+use crate::interface::{Action, Lifecycle, Micros, ProxyId, ServerId};
+
+use super::orders::{Orders, SUSPENSION_BUDGET};
+use super::proxies::Proxies;
+use super::registry::Registry;
+use super::server::Server;
+use super::sharding::Sharding;
+use super::tables::Tables;
+
+/// A removed server is forgotten after this time, when no report on it can come any more.
+const FORGET_AFTER: Micros = Micros(60_000_000);
+
+/// Clears the tables of earlier layouts, once no proxy uses them.
+pub(super) fn clear_unused_tables(
+    sharding: &Sharding,
+    proxies: &Proxies,
+    tables: &mut Tables,
+    orders: &mut Orders,
+) {
+    if sharding.shards == 0 || !proxies.all_assigned() {
+        return;
+    }
+    for table in tables.drop_unused(|table| sharding.uses(table)) {
+        orders.push(Action::ClearTable(table));
+    }
+}
+
+/// Suspends the servers that drain or are removed, at once and whatever tables name them. One that returns to service
+/// stays suspended until no table names it: it warms up, and proxies may hold its old weight.
+pub(super) fn update_suspensions(
+    registry: &mut Registry,
+    proxies: &Proxies,
+    tables: &Tables,
+    orders: &mut Orders,
+) {
+    let changed: Vec<(ServerId, bool)> = registry
+        .iter()
+        .filter(|(_, server)| server.suspended != server.is_leaving())
+        .map(|(id, server)| (*id, server.is_leaving()))
+        .collect();
+    for (id, suspended) in changed {
+        let holders = holders_of(id, proxies, tables);
+        let is_possible = if suspended {
+            orders.fits(proxies, &holders, 1.0, &SUSPENSION_BUDGET)
+        } else {
+            !tables.any_names(id)
+        };
+        if !is_possible {
+            continue;
+        }
+        if let Some(server) = registry.get_mut(id) {
+            server.suspended = suspended;
+        }
+        let order = Action::SetSuspended {
+            server: id,
+            suspended,
+        };
+        orders.push_to(&holders, 1.0, order);
+    }
+}
+
+/// Drops the servers that were removed long ago, once no table names them.
+pub(super) fn forget_removed(
+    now: Micros,
+    registry: &mut Registry,
+    tables: &Tables,
+    orders: &mut Orders,
+) {
+    let is_expired = |server: &Server| {
+        server.suspended
+            && server.reported_lifecycle == Lifecycle::Removed
+            && now - server.lifecycle_changed_at >= FORGET_AFTER
+    };
+    let forgotten: Vec<ServerId> = registry
+        .iter()
+        .filter(|(id, server)| is_expired(server) && !tables.any_names(**id))
+        .map(|(id, _)| *id)
+        .collect();
+    for id in forgotten {
+        registry.forget(id);
+        orders.push(Action::ForgetServer(id));
+    }
+}
+
+/// The proxies that hold a table which names the server.
+fn holders_of(server: ServerId, proxies: &Proxies, tables: &Tables) -> Vec<ProxyId> {
+    proxies
+        .iter()
+        .filter(|(_, proxy)| {
+            let mut held = proxy.tables.iter();
+            held.any(|table| tables.names(*table, server))
+        })
+        .map(|(id, _)| *id)
+        .collect()
+}
--- /dev/null
+++ b/crates/policy/src/decisions/warm_up.rs
@@ -0,0 +1,162 @@
+//! The guard for servers that warm up: their weights stay below what would overload them, all proxies together.
+
+use crate::interface::{ServerId, Settings};
+
+use super::evidence::PRIOR_ATTEMPTS;
+use super::health::MIN_WEIGHT_SHARE;
+use super::registry::{Registry, Weights};
+
+/// A server that warms up is prepared for this multiple of what the listed fleet can do: reports are seconds late.
+const DEMAND_MULTIPLE: f64 = 4.0;
+/// Attempts per successful answer beyond which servers that warm up are withheld.
+const WITHHOLD_ATTEMPTS: f64 = 1.5;
+/// Saturation beyond which servers that warm up are withheld.
+const WITHHOLD_SATURATION: f64 = 0.3;
+/// Demand that servers that warm up must bear by themselves, as a multiple of the size of all known servers.
+const SOLE_DEMAND_MULTIPLE: f64 = 2.0;
+/// The largest part of a table that servers that warm up may take together.
+const MAX_TABLE_SHARE: f64 = 0.9;
+
+/// The demand that servers that warm up must be prepared for.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct WarmingDemand {
+    /// Attempts that a successful answer takes.
+    pub attempts_per_answer: f64,
+    /// The demand, as a multiple of what the listed fleet can do.
+    pub fleets: f64,
+    /// Whether they are withheld from tables. Proxies that eject failing servers send all requests to a server that
+    /// warms up, once the others fail.
+    pub is_withheld: bool,
+}
+
+impl WarmingDemand {
+    /// The demand by the outcomes of all servers in service and the smoothed saturation.
+    pub fn estimate(registry: &Registry, settings: &Settings, saturation: f64) -> Self {
+        let mut attempts = 0.0;
+        let mut succeeded = 0.0;
+        for (_, server) in registry.in_service() {
+            for evidence in server.evidence.by_proxy_zone.values() {
+                attempts += evidence.failures.weight;
+                succeeded += evidence.latency_ms.weight;
+            }
+        }
+        let attempts_per_answer =
+            ((attempts + PRIOR_ATTEMPTS) / (succeeded + PRIOR_ATTEMPTS)).max(1.0);
+        let is_at_risk = attempts_per_answer > WITHHOLD_ATTEMPTS
+            || saturation > WITHHOLD_SATURATION
+            || attempts <= 0.0;
+        WarmingDemand {
+            attempts_per_answer,
+            fleets: DEMAND_MULTIPLE * attempts_per_answer,
+            is_withheld: settings.proxy_ejection_threshold > 0 && is_at_risk,
+        }
+    }
+
+    /// The demand where only a share of all requests can reach the servers.
+    pub fn scaled(self, share: f64) -> Self {
+        WarmingDemand {
+            fleets: self.fleets * share,
+            ..self
+        }
+    }
+}
+
+/// The guard of one table.
+#[derive(Debug)]
+pub(super) struct WarmUpGuard<'a> {
+    /// The known servers.
+    pub registry: &'a Registry,
+    /// Multiple of its capacity beyond which a server that warms up fails.
+    pub overload_multiple: f64,
+    /// Size of all servers that the table may name, in service or not.
+    pub known_size: f64,
+    /// Size of the servers in service of the table's shard.
+    pub listed_size: f64,
+    /// The demand to be prepared for.
+    pub demand: WarmingDemand,
+}
+
+impl WarmUpGuard<'_> {
+    /// Caps the weights of servers that warm up.
+    pub fn apply(&self, weights: &mut Weights) {
+        self.restore_warm_servers(weights);
+        let warm_weight = self.warm_weight(weights);
+        if warm_weight <= 0.0 {
+            self.clear_unless_sufficient(weights);
+        }
+        let has_warm_servers = warm_weight > 0.0;
+        if !has_warm_servers {
+            return;
+        }
+        let capped_share = weights
+            .keys()
+            .filter(|id| self.is_warming_up(**id))
+            .map(|id| self.max_share(*id))
+            .sum::<f64>()
+            .min(MAX_TABLE_SHARE);
+        let table_weight = warm_weight / (1.0 - capped_share);
+        for (id, weight) in weights.iter_mut() {
+            if !self.is_warming_up(*id) {
+                continue;
+            }
+            *weight = if self.demand.is_withheld {
+                0.0
+            } else {
+                weight.min(table_weight * self.max_share(*id))
+            };
+        }
+    }
+
+    /// If all warm servers are withdrawn they get a little weight, since they are a better choice than only servers
+    /// that warm up.
+    fn restore_warm_servers(&self, weights: &mut Weights) {
+        let lacks_warm_servers = self.warm_weight(weights) <= 0.0;
+        for (id, weight) in weights.iter_mut() {
+            if lacks_warm_servers && !self.is_warming_up(*id) {
+                *weight = MIN_WEIGHT_SHARE * self.size(*id);
+            }
+        }
+    }
+
+    /// Without warm servers nobody is sent to the others until they can surely bear the demand of the complete fleet.
+    fn clear_unless_sufficient(&self, weights: &mut Weights) {
+        let capacity: f64 = weights
+            .keys()
+            .map(|id| self.warm_up_share(*id) * self.size(*id))
+            .sum();
+        let needed = SOLE_DEMAND_MULTIPLE * self.known_size;
+        if capacity * self.overload_multiple < needed {
+            for weight in weights.values_mut() {
+                *weight = 0.0;
+            }
+        }
+    }
+
+    fn warm_weight(&self, weights: &Weights) -> f64 {
+        weights
+            .iter()
+            .filter(|(id, _)| !self.is_warming_up(**id))
+            .map(|(_, weight)| *weight)
+            .sum()
+    }
+
+    /// The share of the table's requests that a server which warms up can bear.
+    fn max_share(&self, id: ServerId) -> f64 {
+        let overload_per_demand = self.overload_multiple / self.demand.fleets;
+        overload_per_demand * self.warm_up_share(id) * self.size(id) / self.listed_size
+    }
+
+    fn is_warming_up(&self, id: ServerId) -> bool {
+        self.warm_up_share(id) < 1.0
+    }
+
+    fn warm_up_share(&self, id: ServerId) -> f64 {
+        self.registry
+            .get(id)
+            .map_or(1.0, |server| server.warm_up_share)
+    }
+
+    fn size(&self, id: ServerId) -> f64 {
+        self.registry.get(id).map_or(0.0, |server| server.size())
+    }
+}
--- /dev/null
+++ b/crates/policy/src/decisions/zone_affinity.rs
@@ -0,0 +1,143 @@
+//! Zone affinity: how the proxies of a zone divide their requests among the zones of servers.
+
+use std::collections::BTreeMap;
+
+use crate::interface::{Settings, ZoneId};
+use crate::statistics::shares;
+
+use super::health::{MIN_WEIGHT_SHARE, RESTORE_ABOVE};
+use super::proxies::Proxies;
+use super::registry::{zones, ByZone, Registry};
+use super::zone_links::{ZoneLinks, ZonePair};
+
+/// Share of a zone's requests that follows its affinity where it names all zones; the rest goes to all by weight.
+const AFFINITY_SHARE: f64 = 0.9;
+/// The least factor on weights over a degraded link.
+const MIN_LINK_FACTOR: f64 = MIN_WEIGHT_SHARE * MIN_WEIGHT_SHARE;
+/// Lower bound on the capacity share of a zone, where it scales the weights of other zones.
+const MIN_OWN_CAPACITY: f64 = 0.01;
+/// Lower bound on the demand of an isolated zone, as a multiple of an equal share.
+const MIN_ISOLATED_DEMAND: f64 = 0.5;
+/// Lower bound on shares that others are divided by.
+const MIN_DIVISOR: f64 = 1e-6;
+
+/// Whether proxies prefer the servers of their own zone: where crossing zones has a cost and this instance sees the
+/// proxies of all zones.
+pub(super) fn prefers_own_zone(settings: &Settings) -> bool {
+    settings.zone_crossing_cost > 0.0 && settings.instances == 1
+}
+
+/// How capacity and demand are spread over the zones.
+#[derive(Debug)]
+pub(super) struct ZoneBalance {
+    capacity: ByZone,
+    demand: ByZone,
+}
+
+impl ZoneBalance {
+    /// The present balance.
+    pub fn new(registry: &Registry, proxies: &Proxies) -> Self {
+        let weights = registry
+            .in_service()
+            .map(|(_, server)| (server.endpoint.zone, server.weight));
+        ZoneBalance {
+            capacity: shares(weights),
+            demand: proxies.demand_shares(|zone| zone),
+        }
+    }
+
+    /// The demand that reaches the servers of an isolated zone, as a share of all: that of its own proxies, or all where
+    /// none is known.
+    pub fn isolated_demand(&self, zone: ZoneId) -> f64 {
+        let least = MIN_ISOLATED_DEMAND / self.demand.len().max(1) as f64;
+        self.demand.get(&zone).copied().unwrap_or(1.0).max(least)
+    }
+
+    fn demand_or_zero(&self, zone: ZoneId) -> f64 {
+        self.demand.get(&zone).copied().unwrap_or(0.0)
+    }
+
+    /// Capacity of a zone beyond its own demand.
+    fn surplus(&self, zone: ZoneId) -> f64 {
+        self.capacity.get(&zone).map_or(0.0, |capacity| {
+            (capacity - self.demand_or_zero(zone)).max(0.0)
+        })
+    }
+
+    /// Share of a zone's demand that its own servers can take.
+    fn local_share(&self, zone: ZoneId) -> f64 {
+        self.capacity
+            .get(&zone)
+            .map_or(0.0, |capacity| {
+                capacity / self.demand_or_zero(zone).max(MIN_DIVISOR)
+            })
+            .min(1.0)
+    }
+}
+
+/// What affinity depends on.
+#[derive(Debug)]
+pub(super) struct ZoneAffinity<'a> {
+    /// The settings.
+    pub settings: &'a Settings,
+    /// The links between zones.
+    pub links: &'a ZoneLinks,
+    /// The balance of the zones.
+    pub balance: &'a ZoneBalance,
+    /// Whether each zone has shards of its own, so that nothing crosses zones without need.
+    pub isolates_zones: bool,
+}
+
+impl ZoneAffinity<'_> {
+    /// By zone of the proxies, the factors on the weights of each zone's servers.
+    pub fn factors_by_zone(&self) -> BTreeMap<ZoneId, ByZone> {
+        zones(self.settings)
+            .map(|zone| (zone, self.factors(zone)))
+            .collect()
+    }
+
+    /// The factors on the weights of each zone's servers, in the tables of one zone's proxies. What the own servers can
+    /// take stays in the zone; the rest goes where capacity exceeds demand.
+    fn factors(&self, zone: ZoneId) -> ByZone {
+        if !prefers_own_zone(self.settings) {
+            return zones(self.settings)
+                .map(|servers| (servers, self.link_factor(zone, servers)))
+                .collect();
+        }
+        let capacity = &self.balance.capacity;
+        let local_share = self.balance.local_share(zone);
+        let own_capacity = capacity
+            .get(&zone)
+            .map_or(0.0, |capacity| capacity.max(MIN_OWN_CAPACITY));
+        let total_surplus = capacity
+            .keys()
+            .map(|other| self.balance.surplus(*other))
+            .sum::<f64>();
+        let affinity_share = if self.isolates_zones {
+            1.0
+        } else {
+            AFFINITY_SHARE
+        };
+        let mut factors = ByZone::new();
+        for (&servers, capacity) in capacity {
+            let by_affinity = if servers == zone {
+                local_share
+            } else {
+                let remote_share = (1.0 - local_share) * self.balance.surplus(servers)
+                    / total_surplus.max(MIN_DIVISOR);
+                remote_share * own_capacity / capacity.max(MIN_DIVISOR)
+            };
+            let factor = affinity_share * by_affinity + (1.0 - affinity_share) * own_capacity;
+            factors.insert(servers, factor * self.link_factor(zone, servers));
+        }
+        factors
+    }
+
+    /// The factor for the link between two zones.
+    fn link_factor(&self, proxies: ZoneId, servers: ZoneId) -> f64 {
+        self.links
+            .score(ZonePair { proxies, servers })
+            .map_or(1.0, |score| score / RESTORE_ABOVE)
+            .clamp(MIN_LINK_FACTOR, 1.0)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/interface/status.rs
@@ -0,0 +1,155 @@
+//! What the decisions report of themselves: health states, decision events and figures.
+
+use super::{Endpoint, Lifecycle, Micros, ServerId, TableId, ZoneId};
+
+/// The health state of a server.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum HealthState {
+    /// It has the full weight that its size and speed give it.
+    #[default]
+    Full,
+    /// Its weight is reduced in proportion to its score.
+    Reduced,
+    /// Its weight is 0: it is ejected.
+    Withdrawn,
+}
+
+/// The cause of a change of health state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HealthChangeCause {
+    /// The score, both terms alike.
+    Score,
+    /// Mostly failed attempts.
+    Errors,
+    /// Mostly a latency regression.
+    Latency,
+    /// Mostly failed health checks.
+    HealthChecks,
+    /// The ejection period elapsed: the server gets a little traffic again.
+    EjectionElapsed,
+    /// Enough consecutive good ticks.
+    SustainedRecovery,
+}
+
+/// The terms of a server's score, each from 0 to 1, where 1 is free of faults.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ScoreTerms {
+    /// Error term: failed attempts and health checks.
+    pub errors: f64,
+    /// Latency term: response and health check times.
+    pub latency: f64,
+}
+
+/// A decision, as reported to logs and records.
+#[derive(Clone, Debug, PartialEq)]
+pub enum DecisionEvent {
+    /// A server's health state changed.
+    HealthChanged {
+        /// The server.
+        server: ServerId,
+        /// Its zone.
+        zone: ZoneId,
+        /// Its new state.
+        state: HealthState,
+        /// Its smoothed score.
+        score: f64,
+        /// The error term of its score, 1 being free of faults.
+        errors: f64,
+        /// The latency term of its score.
+        latency: f64,
+        /// The cause of the change.
+        cause: HealthChangeCause,
+    },
+    /// The lifecycle of a server changed in the endpoint list.
+    LifecycleChanged {
+        /// The server.
+        server: ServerId,
+        /// Its zone.
+        zone: ZoneId,
+        /// Its new lifecycle.
+        lifecycle: Lifecycle,
+    },
+    /// Servers that warm up are withheld from tables, or re-admitted.
+    WarmingWithheld {
+        /// Whether they are withheld.
+        withheld: bool,
+        /// Attempts that a successful answer takes.
+        attempts_per_answer: f64,
+    },
+    /// A zone answers no health checks while another one does, or answers again.
+    ZonePartition {
+        /// The zone.
+        zone: ZoneId,
+        /// Whether it is partitioned from this instance.
+        partitioned: bool,
+        /// Share of its servers that leave health checks unanswered.
+        unanswered_share: f64,
+    },
+    /// The share of requests to shed moved by a tenth.
+    Saturation {
+        /// The share of requests to shed.
+        shed_share: f64,
+        /// The smoothed saturation.
+        saturation: f64,
+        /// Its term from the queues that servers report.
+        queue_term: f64,
+        /// Its term from the latency of health checks.
+        latency_term: f64,
+        /// Its term from unanswered health checks.
+        unanswered_term: f64,
+    },
+    /// Advice on a table's servers is overruled, since it would leave the table too little capacity, or it is in force again.
+    AdviceOverruled {
+        /// The table.
+        table: TableId,
+        /// Whether it is overruled.
+        overruled: bool,
+    },
+    /// The fleet was divided into shards anew.
+    Resharded {
+        /// The number of shards.
+        shards: usize,
+        /// Whether there are more than usual, since attempts fail everywhere.
+        narrowed: bool,
+    },
+}
+
+/// The status of a server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ServerStatus {
+    /// Its entry in the endpoint list.
+    pub endpoint: Endpoint,
+    /// Its health state.
+    pub state: HealthState,
+    /// Its smoothed score.
+    pub score: f64,
+    /// The terms of its score at the last tick.
+    pub terms: ScoreTerms,
+    /// Its weight, before the adjustments of each table.
+    pub weight: f64,
+    /// Share of its capacity that it is sure to have by the time since its start.
+    pub warm_up_share: f64,
+    /// Whether it is suspended in all tables.
+    pub suspended: bool,
+}
+
+/// The status of the fleet.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct FleetStatus {
+    /// Lines queued in the channel.
+    pub queued_lines: f64,
+    /// Time until they are sent, at the channel's present pace.
+    pub queue_delay: Micros,
+    /// Share of requests to shed.
+    pub shed_share: f64,
+    /// The smoothed saturation.
+    pub saturation: f64,
+    /// Requests per second that arrive at all joined proxies.
+    pub request_rate: f64,
+    /// Sum of the weights of the servers that are warmed up.
+    pub warm_weight: f64,
+    /// Share of the zones that are partitioned from this instance.
+    pub partitioned_share: f64,
+    /// The lowest level of each class in any table, as a share; a rate is divided by the demand of the busiest proxy.
+    pub admitted_shares: Vec<f64>,
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,11 +1,12 @@
-//! The decisions of chutegrade, free of I/O, clocks and wire formats.
+//! The decisions of chutegrade, free of I/O, clocks and wire formats: which servers a proxy sends its requests to, with
+//! which weights, and what share of the requests it admits.
 //!
-//! The crate's root is the whole vocabulary: settings, events in, actions out. [`Policy`] holds every
-//! decision; what it remembers is plain data in a module of its own.
+//! [`Policy`] is a state machine: the engine hands it [`Event`]s with the time at which they happened, and carries out
+//! the [`Action`]s that it returns. All other public items are the vocabulary of those two.
 
 mod decisions;
 mod interface;
-mod state;
+mod statistics;
 
 pub use decisions::Policy;
 pub use interface::*;
