--- a/crates/supervisor/src/commands/error.rs
+++ b/crates/supervisor/src/commands/error.rs
@@ -44,7 +44,7 @@
     Faults(Vec<String>),
     /// The configuration cannot be read.
     #[error(transparent)]
-    Configuration(#[from] config::Fault),
+    Configuration(#[from] config::ConfigError),
     /// Records cannot be read.
     #[error(transparent)]
     Records(#[from] chutegrade_records::timeline::Fault),
--- a/crates/supervisor/src/commands/levels/explain.rs
+++ b/crates/supervisor/src/commands/levels/explain.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use chutegrade_limits::condition::{Distance, Known};
+use chutegrade_limits::condition::{ConditionState, TestStatus};
 use chutegrade_limits::service_levels::FULL_SERVICE;
 use chutegrade_limits::transitions::{ConditionStatus, LevelTransitions};
 use chutegrade_limits::{ServiceLevels, SignalWindow};
@@ -84,16 +84,23 @@
 }
 
 fn write_condition(status: &ConditionStatus, output: &mut impl Write) -> std::io::Result<()> {
-    let direction = if status.up { "up to" } else { "down to" };
+    let direction = if status.is_escalation {
+        "up to"
+    } else {
+        "down to"
+    };
     let level = printable(&status.to);
     let condition = &status.condition;
-    let state = match status.known {
-        Known::Yes => "holds",
-        Known::No => "does not hold",
-        Known::Unknown => "is not known",
+    let state = match status.state {
+        ConditionState::Met => "holds",
+        ConditionState::NotMet => "does not hold",
+        ConditionState::Unknown => "is not known",
     };
-    let stay = if status.stay > 0 {
-        format!("; stays {} more at least", length(status.stay))
+    let stay = if status.remaining_duration_us > 0 {
+        format!(
+            "; stays {} more at least",
+            length(status.remaining_duration_us)
+        )
     } else {
         String::new()
     };
@@ -104,17 +111,19 @@
     Ok(())
 }
 
-fn write_distance(distance: &Distance, output: &mut impl Write) -> std::io::Result<()> {
+fn write_distance(distance: &TestStatus, output: &mut impl Write) -> std::io::Result<()> {
     let test = &distance.test;
     let signal = test.signal.name();
     let value = distance.newest.map_or_else(
         || "unknown".to_string(),
         |observation| figure(observation.value),
     );
-    let missing = match distance.short {
+    let missing = match distance.shortfall {
         None => "its signal is missing".to_string(),
         Some(short) if short > 0.0 => format!("{} short of it", figure(short)),
-        Some(_) if distance.wait > 0 => format!("met, {} more to hold", length(distance.wait)),
+        Some(_) if distance.remaining_hold_us > 0 => {
+            format!("met, {} more to hold", length(distance.remaining_hold_us))
+        }
         Some(_) => "met".to_string(),
     };
     writeln!(output, "      {test}: {signal} is {value}, {missing}")
--- a/crates/supervisor/src/commands/levels/recorded.rs
+++ b/crates/supervisor/src/commands/levels/recorded.rs
@@ -35,7 +35,7 @@
     let gauge = metrics.gauge;
     if gauge.signals.is_empty() {
         let saturation = certain_observation(metrics.at_us, gauge.strain);
-        window.learn(Signal::Saturation, saturation);
+        window.record(Signal::Saturation, saturation);
     }
     for recorded in &gauge.signals {
         let (Some(signal), Some(value)) = (Signal::by_name(&recorded.name), recorded.value) else {
@@ -45,14 +45,14 @@
         let observed_us = metrics
             .at_us
             .saturating_sub(age_ms.saturating_mul(US_PER_MS));
-        window.learn(signal, certain_observation(observed_us, value));
+        window.record(signal, certain_observation(observed_us, value));
     }
 }
 
 fn certain_observation(at_us: i64, value: f64) -> Observation {
     Observation {
-        at: at_us,
+        at_us: at_us,
         value,
-        sure: 1.0,
+        confidence: 1.0,
     }
 }
--- a/crates/supervisor/src/commands/levels/show.rs
+++ b/crates/supervisor/src/commands/levels/show.rs
@@ -22,9 +22,9 @@
     writeln!(
         output,
         "signals older than {} are missing; a level stands {} without; the list is doubted after {}",
-        length(levels.most_age),
-        length(levels.without_signals),
-        length(levels.doubt_list)
+        length(levels.max_signal_age_us),
+        length(levels.signal_loss_timeout_us),
+        length(levels.endpoint_list_timeout_us)
     )?;
     Ok(())
 }
@@ -35,17 +35,17 @@
     output: &mut impl Write,
 ) -> std::io::Result<()> {
     let admitted: Vec<String> = level
-        .keep
+        .admitted_shares
         .iter()
-        .map(|(class, share)| format!("{:.0} % of {class}", 100.0 * share))
+        .map(|of| format!("{:.0} % of {}", 100.0 * of.share, of.class))
         .collect();
     let (name, admitted) = (&level.name, admitted.join(", "));
     writeln!(output, "{number} {name}: keeps {admitted}")?;
     writeln!(output, "    entered when {}", level.enter)?;
-    let (leave, least_stay) = (&level.leave, length(level.least_stay));
+    let (leave, least_stay) = (&level.leave, length(level.min_duration_us));
     writeln!(output, "    left when {leave}, after {least_stay} at least")?;
-    if !level.tell.is_empty() {
-        writeln!(output, "    told: {}", level.tell.join(", "))?;
+    if !level.notify.is_empty() {
+        writeln!(output, "    told: {}", level.notify.join(", "))?;
     }
     Ok(())
 }
--- a/crates/supervisor/src/commands/levels/simulate.rs
+++ b/crates/supervisor/src/commands/levels/simulate.rs
@@ -86,7 +86,7 @@
             .or_insert(0) += at_us - previous_us;
         previous_us = at_us;
         observe(&mut window, moment);
-        if let Some(transition) = level_transitions.step(at_us, &window) {
+        if let Some(transition) = level_transitions.evaluate(at_us, &window) {
             transitions.push(TimedTransition { at_us, transition });
         }
     }
--- a/crates/supervisor/src/commands/levels/source.rs
+++ b/crates/supervisor/src/commands/levels/source.rs
@@ -25,7 +25,7 @@
         .overload_config(classes.as_deref())
         .map_err(|errors| CommandError::from_faults(&errors))?;
     overload
-        .ladder
+        .service_levels
         .ok_or_else(|| CommandError::NoServiceLevels(source.operator.clone()))
 }
 
--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -87,14 +87,7 @@
 pub fn classes(path: &str) -> Result<Vec<chutegrade_limits::Class>, ConfigError> {
     const SEED: u64 = 0;
     let config = load_without_env(path)?;
-    let names = config.names;
-    let engine = Engine::new(
-        config.settings,
-        SEED,
-        names.zones,
-        names.classes,
-        names.kinds,
-    );
+    let engine = Engine::new(config.settings, SEED, config.names);
     Ok(chutegrade_overload_control::overload_classes(&engine))
 }
 
--- a/crates/supervisor/src/peers/health_check/tests.rs
+++ b/crates/supervisor/src/peers/health_check/tests.rs
@@ -1,5 +1,7 @@
 use chutegrade_emulators::{Peer, Scripted};
-use chutegrade_engine::{EndpointUpdateKind, Engine, NamedEndpoint, Settings, StreamId};
+use chutegrade_engine::{
+    DeploymentNames, EndpointUpdateKind, Engine, NamedEndpoint, Settings, StreamId,
+};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -20,7 +22,7 @@
 
 /// A checker that reports to an engine without settings.
 pub(super) fn checker() -> Rc<HealthChecker> {
-    let engine = Engine::new(Settings::default(), 0, vec![], vec![], vec![]);
+    let engine = Engine::new(Settings::default(), 0, DeploymentNames::default());
     checker_for(EngineHandle::new(engine), Shutdown::new())
 }
 
@@ -267,8 +269,12 @@
     let settings = json!({"classes": [{"name": "lookup", "aimMs": 600}], "zones": ["a"],
         "limits": {"probes": true}, "familyInfo": {"proxies": 1, "backlog": 9000, "linesPerS": 6000}});
     let settings = chutegrade_settings::from_json(&settings).expect("settings");
-    let names = |name: &str| vec![name.to_string()];
-    let mut engine = Engine::new(settings, 0, names("a"), names("lookup"), names("m"));
+    let names = DeploymentNames {
+        zones: vec!["a".to_string()],
+        classes: vec!["lookup".to_string()],
+        machine_kinds: vec!["m".to_string()],
+    };
+    let mut engine = Engine::new(settings, 0, names);
     let endpoint = |server: usize| NamedEndpoint {
         name: format!("s{server}"),
         address: "nowhere".to_string(),
--- a/crates/supervisor/src/peers/listener.rs
+++ b/crates/supervisor/src/peers/listener.rs
@@ -1,6 +1,7 @@
 //! The supervisor's own address: accepts connections, lets peers identify themselves, and keeps unidentified connections
 //! from taking the descriptors that proxies, collectors, discovery and health checks need.
 
+use chutegrade_engine::DeploymentSize;
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -82,7 +83,7 @@
     /// A handler for a process that may have so many descriptors.
     pub fn new(shutdown: Shutdown, proxy_streams: ProxyStreamContext, descriptors: usize) -> Self {
         let engine = proxy_streams.engine.clone();
-        let (proxies, zones) = engine.borrow_mut().deployment_size();
+        let DeploymentSize { proxies, zones } = engine.borrow_mut().deployment_size();
         let max_unidentified = max_unidentified_connections(descriptors, proxies, zones);
         ConnectionHandler {
             collector_streams: CollectorStreams::new(engine.clone()),
--- a/crates/supervisor/src/protocol/encode.rs
+++ b/crates/supervisor/src/protocol/encode.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-use chutegrade_engine::{AdmissionLevel, Order, TableUpdate};
+use chutegrade_engine::{AdmissionLevel, Order, ServerWeight, TableUpdate};
 
 /// The answer to `probe`.
 pub const PROBE_REPLY: &[u8] = b"alive\r\n";
@@ -44,7 +44,7 @@
         line.push_str(" replace=1");
     }
     let mut separator = " rows=";
-    for (server, weight) in &update.weights {
+    for ServerWeight { server, weight } in &update.weights {
         if line.len() > LINE_SPLIT_BYTES {
             lines.push(std::mem::replace(&mut line, head.clone()));
             separator = " rows=";
--- a/crates/supervisor/src/protocol/encode/tests.rs
+++ b/crates/supervisor/src/protocol/encode/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn an_order_is_encoded_as_the_parts_of_one_message() {
-    let weights = vec![(Rc::from("s-1"), 1.5), (Rc::from("s-2"), 0.0)];
+    let weights = vec![ServerWeight::new("s-1", 1.5), ServerWeight::new("s-2", 0.0)];
     let full_table = TableUpdate {
         replace: true,
         weights,
@@ -58,12 +58,8 @@
 /// Only the first part of a table that is longer than a line replaces the old table; the others add to it.
 #[test]
 fn a_long_table_is_split_into_parts() {
-    let weight = |number: usize| {
-        (
-            Rc::from(format!("server-with-a-long-name-{number:08}")),
-            0.125,
-        )
-    };
+    let weight =
+        |number: usize| ServerWeight::new(format!("server-with-a-long-name-{number:08}"), 0.125);
     let update = TableUpdate {
         replace: true,
         weights: (0..60_000).map(weight).collect(),
--- a/crates/supervisor/src/server/overload_control.rs
+++ b/crates/supervisor/src/server/overload_control.rs
@@ -100,7 +100,7 @@
         let mut controller = self.controller.borrow_mut();
         match (controller.as_mut(), config) {
             (Some(controller), config) => {
-                let config = config.unwrap_or_else(nothing_configured);
+                let config = config.unwrap_or_default();
                 let change = controller.reconfigure(self.context.clock.now(), config);
                 if let Some(kind) = change {
                     self.log_and_record(kind);
@@ -185,16 +185,6 @@
     config_for_classes(&operator, classes)
 }
 
-/// The configuration of a file that configures no overload control.
-fn nothing_configured() -> OverloadConfig {
-    OverloadConfig {
-        ladder: None,
-        concurrency_limit: None,
-        retry_budget: None,
-        fairness: None,
-    }
-}
-
 /// The level that was in force at the end of the records, and when that was.
 fn last_recorded_level(directory: &Path, now: Micros) -> Option<limits::Saved> {
     let timeline = Timeline::open(&[directory.to_path_buf()]).ok()?;
--- a/crates/supervisor/src/server/startup.rs
+++ b/crates/supervisor/src/server/startup.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use chutegrade_engine::{Engine, Micros};
+use chutegrade_engine::{DeploymentNames, Engine, Micros};
 use chutegrade_limits::OverloadConfig;
 use chutegrade_operator_config::{LogFormat, OperatorConfig};
 use chutegrade_records::{pb, Kind};
@@ -130,13 +130,7 @@
 ) -> Result<ServerParts, ServerError> {
     warn_of_inconsistencies(&config);
     let parameters = ServerParameters::from(&config);
-    let engine = EngineHandle::new(Engine::new(
-        config.settings,
-        config.seed,
-        config.names.zones,
-        config.names.classes,
-        config.names.kinds,
-    ));
+    let engine = EngineHandle::new(Engine::new(config.settings, config.seed, config.names));
     let overload_config = config_for_engine(&operator.config, &engine)?;
     let clock = Clock::start();
     let recorder = open_recorder(&operator.config, &config.name, clock)?;
@@ -211,7 +205,7 @@
 }
 
 fn record_start(handles: &SharedHandles, listen: SocketAddr) {
-    let (zones, classes) = handles.engine.borrow_mut().zone_and_class_names();
+    let DeploymentNames { zones, classes, .. } = handles.engine.borrow_mut().deployment_names();
     handles.recorder.record(Kind::Started(pb::Started {
         version: env!("CARGO_PKG_VERSION").to_string(),
         listen: listen.to_string(),
--- a/crates/supervisor/src/shared/event_recorder.rs
+++ b/crates/supervisor/src/shared/event_recorder.rs
@@ -7,7 +7,7 @@
 
 use chutegrade_engine::Micros;
 use chutegrade_operator_config::RecordingConfig;
-use chutegrade_records::jobs::Retention;
+use chutegrade_records::maintenance::Retention;
 use chutegrade_records::recorder::{self, Options};
 use chutegrade_records::{Kind, Recorder, Recording};
 use chutegrade_scheduler::Cost;
--- a/crates/supervisor/src/tests/rules/simulation.rs
+++ b/crates/supervisor/src/tests/rules/simulation.rs
@@ -4,8 +4,8 @@
 
 use chutegrade_emulators::tables::CLASSES;
 use chutegrade_engine::{
-    EndpointUpdateKind, Engine, HealthCheck, HealthCheckOutcome, Lifecycle, LoadReport, Micros,
-    NamedEndpoint, Report, Settings, StreamId,
+    DeploymentNames, EndpointUpdateKind, Engine, HealthCheck, HealthCheckOutcome, Lifecycle,
+    LoadReport, Micros, NamedEndpoint, Report, Settings, StreamId,
 };
 use proptest::prelude::*;
 use serde_json::json;
@@ -145,9 +145,11 @@
         let engine = Engine::new(
             settings(&conditions, backlog, lines_per_s),
             conditions.seed,
-            owned_names(&ZONES),
-            owned_names(&CLASSES),
-            vec![],
+            DeploymentNames {
+                zones: owned_names(&ZONES),
+                classes: owned_names(&CLASSES),
+                machine_kinds: vec![],
+            },
         );
         let mut simulation = Simulation {
             random: conditions.seed,
