--- /dev/null
+++ b/crates/operator-config/src/checks.rs
@@ -0,0 +1,181 @@
+//! Checks of each section that does not depend on the classes, and the defaults of what the file does not mention.
+
+use std::fmt::Debug;
+use std::ops::RangeInclusive;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use chutegrade_textproto::find;
+
+use crate::{pb, ConfigError, LogFormat, OperatorConfig, RecordingConfig};
+
+/// Least size that records may be held to, in MiB: the segment being written and a sealed one.
+const MIN_RECORDS_MIB: u64 = 24;
+/// Most hours that records may be kept: ten years.
+const MAX_RECORDS_HOURS: u64 = 87_600;
+/// Processor time that background work may be given, in milliseconds in any ten seconds: the index of a segment is made in
+/// steps of some ten, and one core has 10,000.
+const CPU_MS_RANGE: RangeInclusive<u64> = 200..=10_000;
+/// Least bytes for background work, in MiB in any ten seconds: a step of the index takes four.
+const MIN_BACKGROUND_MIB: u64 = 8;
+/// Most plug-ins, as the host of plug-ins takes them.
+const MAX_PLUGINS: usize = 32;
+
+/// Size that records are held to where the file names none, in MiB.
+const DEFAULT_RECORDS_MIB: u64 = 1024;
+/// Hours that records are kept where the file names none.
+const DEFAULT_RECORDS_HOURS: u64 = 168;
+/// Processor time for background work where the file names none, in milliseconds in any ten seconds.
+const DEFAULT_CPU_MS: u64 = 500;
+/// Bytes for background work where the file names none, in MiB in any ten seconds.
+const DEFAULT_BACKGROUND_MIB: u64 = 64;
+
+const BYTES_PER_MIB: u64 = 1 << 20;
+const SECONDS_PER_HOUR: u64 = 3600;
+
+/// Checks a file and gathers its errors.
+pub struct Checker<'a> {
+    path: &'a Path,
+    text: &'a str,
+    errors: Vec<ConfigError>,
+}
+
+impl<'a> Checker<'a> {
+    /// A checker for the file at this path; errors point into the text.
+    pub fn new(path: &'a Path, text: &'a str) -> Self {
+        Checker {
+            path,
+            text,
+            errors: Vec::new(),
+        }
+    }
+
+    /// All errors that were found, in the order of the checks.
+    pub fn into_errors(self) -> Vec<ConfigError> {
+        self.errors
+    }
+
+    /// The configuration that the file declares, all but its limits. It holds only if there are no errors.
+    pub fn check(&mut self, file: &pb::Operator) -> OperatorConfig {
+        let plugins = file.plugins.as_ref();
+        let plugins = plugins.map(|plugins| self.check_plugins(plugins));
+        let records = file.records.as_ref();
+        let records = records.and_then(|records| self.check_records(records));
+        OperatorConfig {
+            records,
+            log: log_format(file),
+            plugins: plugins.unwrap_or_default(),
+            limits: None,
+        }
+    }
+
+    /// Adds an error at the first place where the field's name stands.
+    fn error(&mut self, field: &str, message: String) {
+        self.errors.push(ConfigError {
+            path: self.path.to_path_buf(),
+            position: find(self.text, field),
+            message,
+        });
+    }
+
+    fn check_plugins(&mut self, plugins: &pb::Plugins) -> Vec<PathBuf> {
+        let count = plugins.file.len();
+        if count > MAX_PLUGINS {
+            self.error(
+                "plugins",
+                format!("{count} plug-ins are too many: at most {MAX_PLUGINS}"),
+            );
+        }
+        let files: Vec<PathBuf> = plugins.file.iter().map(PathBuf::from).collect();
+        for file in &files {
+            self.check_absolute("file", file, file);
+        }
+        files
+    }
+
+    /// `shown` is the path as the message quotes it.
+    fn check_absolute(&mut self, field: &str, path: &Path, shown: &impl Debug) {
+        if !path.is_absolute() {
+            self.error(
+                field,
+                format!(
+                    "{shown:?} depends on where the program is started: give a path that begins with /"
+                ),
+            );
+        }
+    }
+
+    fn check_records(&mut self, records: &pb::Records) -> Option<RecordingConfig> {
+        if records.directory.is_empty() {
+            self.error(
+                "records",
+                "records without a directory: give directory: \"/var/lib/chutegrade\", or leave records out"
+                    .to_string(),
+            );
+            return None;
+        }
+        let directory = PathBuf::from(&records.directory);
+        self.check_absolute("directory", &directory, &records.directory);
+        let max_size_mib = or_default(records.keep_mib, DEFAULT_RECORDS_MIB);
+        let max_age_hours = or_default(records.keep_hours, DEFAULT_RECORDS_HOURS);
+        self.check_retention(max_size_mib, max_age_hours);
+        let budget = records.background.unwrap_or_default();
+        let cpu_ms = or_default(budget.cpu_ms, DEFAULT_CPU_MS);
+        let background_mib = or_default(budget.mib, DEFAULT_BACKGROUND_MIB);
+        self.check_budget(cpu_ms, background_mib);
+        Some(RecordingConfig {
+            directory,
+            max_bytes: max_size_mib.saturating_mul(BYTES_PER_MIB),
+            max_age: Duration::from_secs(max_age_hours.saturating_mul(SECONDS_PER_HOUR)),
+            background_time: Duration::from_millis(cpu_ms),
+            background_bytes: background_mib.saturating_mul(BYTES_PER_MIB),
+        })
+    }
+
+    fn check_retention(&mut self, max_size_mib: u64, max_age_hours: u64) {
+        if max_size_mib < MIN_RECORDS_MIB {
+            self.error(
+                "keep_mib",
+                format!("{max_size_mib} MiB hold less than two segments: give {MIN_RECORDS_MIB} or more"),
+            );
+        }
+        if max_age_hours > MAX_RECORDS_HOURS {
+            self.error(
+                "keep_hours",
+                format!("{max_age_hours} hours are too long: give {MAX_RECORDS_HOURS} or fewer"),
+            );
+        }
+    }
+
+    fn check_budget(&mut self, cpu_ms: u64, background_mib: u64) {
+        if !CPU_MS_RANGE.contains(&cpu_ms) {
+            let (least, most) = (CPU_MS_RANGE.start(), CPU_MS_RANGE.end());
+            self.error(
+                "cpu_ms",
+                format!("{cpu_ms} ms in any ten seconds: give {least} to {most}"),
+            );
+        }
+        if background_mib < MIN_BACKGROUND_MIB {
+            self.error(
+                "mib",
+                format!("{background_mib} MiB in any ten seconds are less than a step takes: give {MIN_BACKGROUND_MIB} or more"),
+            );
+        }
+    }
+}
+
+fn log_format(file: &pb::Operator) -> LogFormat {
+    match file.log.as_ref().map(pb::Log::format) {
+        Some(pb::log::Format::Json) => LogFormat::Json,
+        _ => LogFormat::Plain,
+    }
+}
+
+/// A number of the file; 0 is how the format says that it is not given.
+fn or_default(value: u64, default: u64) -> u64 {
+    if value == 0 {
+        default
+    } else {
+        value
+    }
+}
--- /dev/null
+++ b/crates/operator-config/src/limits_section.rs
@@ -0,0 +1,52 @@
+//! The `limits` part of the file. What it amounts to depends on the classes, which stand elsewhere, so it is kept as
+//! declared, with the text that its errors point into.
+
+use std::path::{Path, PathBuf};
+
+use chutegrade_limits::{pb, Class, OverloadConfig};
+
+use crate::ConfigError;
+
+/// Limits as declared, with the text that they stand in.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LimitsSection {
+    path: PathBuf,
+    text: String,
+    declaration: pb::Limits,
+}
+
+impl LimitsSection {
+    pub(crate) fn new(path: &Path, text: &str, declaration: pb::Limits) -> Self {
+        LimitsSection {
+            path: path.to_path_buf(),
+            text: text.to_string(),
+            declaration,
+        }
+    }
+
+    /// The limits as declared.
+    pub fn declaration(&self) -> &pb::Limits {
+        &self.declaration
+    }
+
+    /// The limits for these classes. Without classes, only what does not depend on them is checked.
+    ///
+    /// # Errors
+    ///
+    /// All errors of the section at once.
+    pub fn overload_config(
+        &self,
+        classes: Option<&[Class]>,
+    ) -> Result<OverloadConfig, Vec<ConfigError>> {
+        OverloadConfig::read(&self.declaration, classes)
+            .map_err(|errors| errors.iter().map(|error| self.locate(error)).collect())
+    }
+
+    fn locate(&self, error: &chutegrade_limits::ConfigError) -> ConfigError {
+        ConfigError {
+            path: self.path.clone(),
+            position: error.place(&self.text),
+            message: error.said.clone(),
+        }
+    }
+}
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -1,3 +1,5 @@
+use std::path::Path;
+
 use proptest::prelude::*;
 
 use super::*;
@@ -6,20 +8,21 @@
     super::parse(Path::new("o.txtpb"), text)
 }
 
-fn says(text: &str, wanted: &[&str]) {
-    let faults = parse(text).expect_err(text);
-    let said: Vec<String> = faults.iter().map(ConfigError::to_string).collect();
-    assert_eq!(said.len(), wanted.len(), "{said:?}");
-    for (said, wanted) in said.iter().zip(wanted) {
+/// The text has exactly these errors, each of which begins with its position and message as given, on one line.
+fn assert_errors(text: &str, expected: &[&str]) {
+    let errors = parse(text).expect_err(text);
+    let messages: Vec<String> = errors.iter().map(ConfigError::to_string).collect();
+    assert_eq!(messages.len(), expected.len(), "{messages:?}");
+    for (message, expected) in messages.iter().zip(expected) {
         assert!(
-            said.starts_with(&format!("o.txtpb:{wanted}")) && !said.contains('\n'),
-            "{said}"
+            message.starts_with(&format!("o.txtpb:{expected}")) && !message.contains('\n'),
+            "{message}"
         );
     }
 }
 
 #[test]
-fn what_is_not_said_is_off() {
+fn sections_that_are_not_given_are_off() {
     assert_eq!(parse(""), Ok(OperatorConfig::default()));
     assert_eq!(parse("# nothing\n"), Ok(OperatorConfig::default()));
     let records = parse("records { directory: \"/var/lib/chutegrade\" }")
@@ -37,22 +40,22 @@
 }
 
 #[test]
-fn the_file_in_the_repository_is_right() {
+fn the_repository_file_is_valid() {
     let text = include_str!("../../../deploy/operator.txtpb");
     assert!(parse(text).is_ok(), "{:?}", parse(text));
 }
 
 #[test]
-fn each_fault_has_its_line_and_says_what_is_right() {
-    says("records {\n  directry: \"/x\"\n}", &["2:3: "]);
-    says("records {\n  directory: 7\n}", &["2:"]);
-    says("records {\n", &["2:1: "]);
-    says("log { format: XML }", &["1:"]);
-    says(
+fn each_error_has_its_position_and_tells_what_is_valid() {
+    assert_errors("records {\n  directry: \"/x\"\n}", &["2:3: "]);
+    assert_errors("records {\n  directory: 7\n}", &["2:"]);
+    assert_errors("records {\n", &["2:1: "]);
+    assert_errors("log { format: XML }", &["1:"]);
+    assert_errors(
         "# records come later\nrecords { keep_mib: 3 }",
         &["2:1: records without a directory"],
     );
-    says(
+    assert_errors(
             "records {\n directory: \"x\" # keep_mib\n keep_mib: 3\n background { cpu_ms: 3 mib: 1 }\n}",
             &[
                 "2:2: \"x\" depends on where",
@@ -64,10 +67,10 @@
 }
 
 #[test]
-fn limits_are_checked_with_their_lines() {
-    says("limits {\n adaptive { target: 3 }\n ladder {\n  level { name: 'x' shed { class: 'a' keep: 0.5 } enter { all { signal: LATE above: 0.5 } } }\n }\n}", &["2:13: target is 3", "4:3: \"x\" can't be left"]);
-    let right = parse("limits { ladder { usual: true } }").expect("a file");
-    assert!(right
+fn limits_errors_have_their_positions() {
+    assert_errors("limits {\n adaptive { target: 3 }\n ladder {\n  level { name: 'x' shed { class: 'a' keep: 0.5 } enter { all { signal: LATE above: 0.5 } } }\n }\n}", &["2:13: target is 3", "4:3: \"x\" can't be left"]);
+    let valid = parse("limits { ladder { usual: true } }").expect("a file");
+    assert!(valid
         .limits
         .expect("limits")
         .overload_config(Some(&[]))
@@ -75,27 +78,27 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_one_sentence() {
-    let fault = load(Path::new("/nowhere/o.txtpb"))
+fn a_missing_file_is_one_error() {
+    let error = load(Path::new("/nowhere/o.txtpb"))
         .expect_err("no file")
         .remove(0)
         .to_string();
     assert!(
-        fault.starts_with("/nowhere/o.txtpb: cannot be opened"),
-        "{fault}"
+        error.starts_with("/nowhere/o.txtpb: cannot be opened"),
+        "{error}"
     );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is written there: a file or faults of one line each, and no end of the program.
+    /// The repository's file, cut off anywhere and followed by any text: no panic.
     #[test]
-    fn any_text_is_read(text in "[a-z_{}:\"0-9 #\n\\\\é<>\\[\\],;.-]{0,80}", kept in 0..40usize) {
-        let whole = include_str!("../../../deploy/operator.txtpb");
-        let kept: String = whole.chars().take(kept * 20).collect();
-        if let Err(faults) = parse(&format!("{kept}{text}")) {
-            prop_assert!(!faults.is_empty() && faults.iter().all(|fault| !fault.to_string().contains('\n')));
+    fn any_text_yields_a_configuration_or_errors_of_one_line(text in "[a-z_{}:\"0-9 #\n\\\\é<>\\[\\],;.-]{0,80}", kept_blocks in 0..40usize) {
+        let repository_file = include_str!("../../../deploy/operator.txtpb");
+        let kept: String = repository_file.chars().take(kept_blocks * 20).collect();
+        if let Err(errors) = parse(&format!("{kept}{text}")) {
+            prop_assert!(!errors.is_empty() && errors.iter().all(|error| !error.to_string().contains('\n')));
         }
     }
 }
