--- a/crates/plugin-advisor/benches/tick.rs
+++ b/crates/plugin-advisor/benches/tick.rs
@@ -1,21 +1,25 @@
-#![allow(missing_docs)]
 //! What plug-ins cost a supervisor: a second of ticks over a large fleet without any, with eight that are sound, and with
 //! eight that are hostile in ways that a supervisor meets in practice.
 
 use std::time::{Duration, Instant};
 
-use chutegrade_engine::{Engine, Micros, Report, StreamId};
+use chutegrade_engine::{Engine, Micros, NamedEndpoint, Report, StreamId};
 use chutegrade_plugin_advisor::PluginAdvisor;
-use chutegrade_policy::*;
+use chutegrade_policy::{
+    Class, EndpointUpdateKind, Idempotency, LoadReport, ReportSource, Retry, Settings,
+};
 
 const SERVERS: usize = 320;
 const PROXIES: u32 = 500;
+const ZONES: [&str; 2] = ["a", "b"];
 /// Seconds that are measured, after as many that settle.
 const SECONDS: i64 = 40;
 /// Days of each kind.
 const ROUNDS: usize = 5;
 /// Ticks a second: reports come in this many lots.
 const TICKS: i64 = 20;
+/// Time between two ticks, in microseconds.
+const TICK_US: i64 = 1_000_000 / TICKS;
 
 const AUDIT: &str = include_str!("../../../plugins/audit.chute");
 const ENDLESS: &str =
@@ -24,17 +28,20 @@
     "hook factor(server, class, zone) { if fleet.turn % 2 == 0 { return 0.2 } return 1 }";
 const VETO: &str = "hook factor(server, class, zone) { return 0 }";
 
-fn engine() -> Engine {
-    let class = |effect| Class {
+fn class(idempotency: Idempotency) -> Class {
+    Class {
         latency_objective: Micros::from_ms(600.0),
         deadline: Micros::from_ms(2000.0),
         priority_weight: 2.0,
-        idempotency: effect,
+        idempotency,
         zone_local: false,
-    };
-    let settings = Settings {
+    }
+}
+
+fn settings() -> Settings {
+    Settings {
         instances: 1,
-        zones: 2,
+        zones: ZONES.len(),
         classes: vec![
             class(Idempotency::Idempotent),
             class(Idempotency::NotIdempotent),
@@ -56,107 +63,140 @@
         overload_multiple: 3.0,
         overload_window: Micros::from_ms(3000.0),
         ..Settings::default()
-    };
-    let names = |names: &[&str]| names.iter().map(ToString::to_string).collect::<Vec<_>>();
+    }
+}
+
+fn names(names: &[&str]) -> Vec<String> {
+    names.iter().map(ToString::to_string).collect()
+}
+
+fn server_name(number: usize) -> String {
+    format!("s-{number:08x}")
+}
+
+/// An engine with all servers listed and all proxies joined.
+fn engine() -> Engine {
     let classes = names(&["status-read", "refund-order", "petition-file"]);
-    let mut engine = Engine::new(settings, 1, names(&["a", "b"]), classes, names(&["m"]));
-    let listed = (0..SERVERS).map(|n| chutegrade_engine::NamedEndpoint {
-        name: format!("s-{n:08x}"),
-        zone: ["a", "b"][n % 2].to_string(),
+    let mut engine = Engine::new(settings(), 1, names(&ZONES), classes, names(&["m"]));
+    let endpoints = (0..SERVERS).map(|number| NamedEndpoint {
+        name: server_name(number),
+        zone: ZONES[number % ZONES.len()].to_string(),
         weight: 1.0,
-        ..chutegrade_engine::NamedEndpoint::default()
+        ..NamedEndpoint::default()
     });
     engine
         .report(Report::EndpointList(
             EndpointUpdateKind::Snapshot,
-            listed.collect(),
+            endpoints.collect(),
         ))
         .expect("a list");
     for proxy in 0..PROXIES {
-        let zone = ["a", "b"][proxy as usize % 2].to_string();
-        let joined = Report::StreamOpened {
+        let opened = Report::StreamOpened {
             stream: StreamId(proxy.into()),
             proxy,
-            zone,
+            zone: ZONES[proxy as usize % ZONES.len()].to_string(),
             request_rate: 5.0,
             has_no_table: true,
         };
-        engine.report(joined).expect("a proxy");
+        engine.report(opened).expect("a proxy");
     }
     engine
 }
 
-fn reports(engine: &mut Engine, lot: i64) {
-    for n in (0..SERVERS).filter(|n| *n as i64 % TICKS == lot) {
-        for zone in ["a", "b"] {
-            let tries = 4.0 + (n % 3) as f64;
-            let (zone, server, mean_ms) = (
-                zone.to_string(),
-                format!("s-{n:08x}"),
-                110.0 + (n % 17) as f64,
-            );
-            let load = LoadReport {
-                queued: Some(1.0),
-                ..LoadReport::default()
-            };
-            let period = Micros(1_000_000);
-            let heard = Report::ServerOutcomes {
-                zone,
-                server,
-                attempts: tries,
+/// Reports on the servers whose turn it is in this tick of a second.
+fn report_outcomes(engine: &mut Engine, tick: i64) {
+    for number in (0..SERVERS).filter(|number| *number as i64 % TICKS == tick) {
+        for zone in ZONES {
+            let outcomes = Report::ServerOutcomes {
+                zone: zone.to_string(),
+                server: server_name(number),
+                attempts: 4.0 + (number % 3) as f64,
                 failed: 0.0,
-                mean_latency_ms: mean_ms,
-                period,
-                load,
+                mean_latency_ms: 110.0 + (number % 17) as f64,
+                period: Micros(1_000_000),
+                load: LoadReport {
+                    queued: Some(1.0),
+                    ..LoadReport::default()
+                },
             };
-            engine.report(heard).expect("a known server");
+            engine.report(outcomes).expect("a known server");
         }
     }
 }
 
-/// Mean and longest time of a tick's work, plug-ins and all.
-fn day(texts: &[String]) -> (Duration, Duration, u64) {
-    let (mut engine, mut rules) = (engine(), PluginAdvisor::default());
-    let named: Vec<(String, String)> = texts
-        .iter()
-        .enumerate()
-        .map(|(n, text)| (n.to_string(), text.clone()))
+/// Takes and acknowledges all orders; returns how many there were.
+fn drain_orders(engine: &mut Engine) -> u64 {
+    let mut orders = 0;
+    for stream in engine.take_streams_with_orders() {
+        let Some(order) = engine.take_order(stream) else {
+            continue;
+        };
+        orders += 1;
+        if let Some(sequence) = order.acknowledge {
+            let acknowledged = Report::Acknowledged {
+                stream,
+                sequence,
+                elapsed: Micros(200_000),
+            };
+            engine.report(acknowledged).expect("a stream");
+        }
+    }
+    orders
+}
+
+/// What the ticks of a run cost, plug-ins and all.
+#[derive(Clone, Copy)]
+struct Cost {
+    mean: Duration,
+    longest: Duration,
+    orders: u64,
+}
+
+fn run(texts: &[String]) -> Cost {
+    let mut engine = engine();
+    let mut advisor = PluginAdvisor::default();
+    let named = texts.iter().enumerate();
+    let named: Vec<(String, String)> = named
+        .map(|(number, text)| (number.to_string(), text.clone()))
         .collect();
-    rules.load(&named).expect("plug-ins");
-    let (mut sum, mut longest, mut lines) = (Duration::ZERO, Duration::ZERO, 0);
+    advisor.load(&named).expect("plug-ins");
+    let (mut sum, mut longest, mut orders) = (Duration::ZERO, Duration::ZERO, 0);
     for tick in 0..2 * SECONDS * TICKS {
-        let now = Micros(1_000_000 + tick * 1_000_000 / TICKS);
-        reports(&mut engine, tick % TICKS);
-        let begun = Instant::now();
-        rules.evaluate(now, &mut engine);
+        let now = Micros(1_000_000 + tick * TICK_US);
+        report_outcomes(&mut engine, tick % TICKS);
+        let start = Instant::now();
+        advisor.evaluate(now, &mut engine);
         engine.tick(now);
-        let took = begun.elapsed();
-        for stream in engine.take_streams_with_orders() {
-            let Some(order) = engine.take_order(stream) else {
-                continue;
-            };
-            lines += 1;
-            if let Some(mark) = order.acknowledge {
-                engine
-                    .report(Report::Acknowledged {
-                        stream,
-                        sequence: mark,
-                        elapsed: Micros(200_000),
-                    })
-                    .expect("a stream");
-            }
-        }
+        let elapsed = start.elapsed();
+        orders += drain_orders(&mut engine);
         while engine.take_log_event(now).is_some() {}
         if tick >= SECONDS * TICKS {
-            (sum, longest) = (sum + took, longest.max(took));
+            sum += elapsed;
+            longest = longest.max(elapsed);
         }
     }
-    (sum / (SECONDS * TICKS) as u32, longest, lines)
+    Cost {
+        mean: sum / (SECONDS * TICKS) as u32,
+        longest,
+        orders,
+    }
+}
+
+fn audit(number: usize) -> String {
+    AUDIT.replace("\"audit\"", &format!("\"audit-{number}\""))
+}
+
+fn endless(number: usize) -> String {
+    format!("plugin \"endless-{number}\" version 1 host 1\n{ENDLESS}")
+}
+
+fn hostile(number: usize) -> String {
+    let body = [ENDLESS, SWINGING, VETO][number % 3];
+    format!("plugin \"hostile-{number}\" version 1 host 1\n{body}")
 }
 
-fn hostile(n: usize) -> String {
-    let body = [ENDLESS, SWINGING, VETO][n % 3];
-    format!("plugin \"hostile-{n}\" version 1 host 1\n{body}")
+fn eight(text: fn(usize) -> String) -> Vec<String> {
+    (0..8).map(text).collect()
 }
 
 /// Measures under `cargo bench` alone.
@@ -164,28 +204,33 @@
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
-    let eight = |text: fn(usize) -> String| (0..8).map(text).collect::<Vec<_>>();
-    let endless = |n: usize| format!("plugin \"endless-{n}\" version 1 host 1\n{ENDLESS}");
-    let audit = |n: usize| AUDIT.replace("\"audit\"", &format!("\"audit-{n}\""));
     let kinds = [
         ("none", Vec::new()),
         ("eight audit rules", eight(audit)),
         ("eight endless ones", eight(endless)),
         ("eight endless, swinging and vetoing", eight(hostile)),
     ];
+    let unmeasured = Cost {
+        mean: Duration::MAX,
+        longest: Duration::MAX,
+        orders: 0,
+    };
     // In turns, and the best of each, so that what else the machine does falls on all alike.
-    let mut best = [(Duration::MAX, Duration::MAX, 0); 4];
+    let mut best = [unmeasured; 4];
     for _ in 0..ROUNDS {
         for (best, (_, texts)) in best.iter_mut().zip(&kinds) {
-            let (mean, longest, orders) = day(texts);
-            *best = (best.0.min(mean), best.1.min(longest), orders);
+            let cost = run(texts);
+            best.mean = best.mean.min(cost.mean);
+            best.longest = best.longest.min(cost.longest);
+            best.orders = cost.orders;
         }
     }
     println!(
         "{SERVERS} servers, {PROXIES} front ends, {SECONDS} s of {TICKS} ticks a second, best of {ROUNDS}"
     );
-    for ((name, _), (mean, longest, orders)) in kinds.iter().zip(best) {
-        let ratio = mean.as_secs_f64() / best[0].0.as_secs_f64();
+    for ((name, _), cost) in kinds.iter().zip(best) {
+        let ratio = cost.mean.as_secs_f64() / best[0].mean.as_secs_f64();
+        let (mean, longest, orders) = (cost.mean, cost.longest, cost.orders);
         println!("{name:36} mean {mean:>9.1?}  longest {longest:>9.1?}  {ratio:.2} of none  {orders} orders");
     }
 }
--- /dev/null
+++ b/crates/plugin-advisor/src/advisor.rs
@@ -0,0 +1,73 @@
+//! The plug-ins of one supervisor, evaluated once a second.
+
+use std::sync::Arc;
+
+use chutegrade_engine::{Engine, Micros, PluginAdvice, Report};
+use chutegrade_plugins::host::{Refused, Taken, Word};
+use chutegrade_plugins::Host;
+
+use crate::{advice_by_name, inputs_from_engine, EVALUATION_INTERVAL};
+
+/// The plug-ins of one supervisor. The owner calls [`PluginAdvisor::evaluate`] at least once in an interval.
+#[derive(Default)]
+pub struct PluginAdvisor {
+    host: Host,
+    next_evaluation: Micros,
+    /// The engine holds advice that the next report replaces or withdraws.
+    has_reported_advice: bool,
+}
+
+impl PluginAdvisor {
+    /// Replaces the loaded plug-ins with these, given as pairs of name and text. If any is refused, those that were loaded
+    /// stay.
+    ///
+    /// # Errors
+    ///
+    /// The plug-ins that do not compile or cannot be loaded beside the others, with their diagnostics.
+    pub fn load(&mut self, texts: &[(String, String)]) -> Result<Vec<Taken>, Vec<Refused>> {
+        self.host.load(texts)
+    }
+
+    /// Evaluates all plug-ins if an interval has passed, reports their advice to the engine, and returns the messages that
+    /// should be recorded, each with its plug-in's name.
+    pub fn evaluate(&mut self, now: Micros, engine: &mut Engine) -> Vec<(Arc<str>, Word)> {
+        if now < self.next_evaluation || self.is_idle() {
+            return Vec::new();
+        }
+        self.next_evaluation = now + EVALUATION_INTERVAL;
+        if self.host.rests() {
+            self.host.pass();
+            self.report(no_advice(now), engine);
+            return Vec::new();
+        }
+        let inputs = inputs_from_engine(engine);
+        let turn = self.host.turn(&inputs);
+        self.report(advice_by_name(&turn.advice, &inputs, now), engine);
+        turn.words
+    }
+
+    fn is_idle(&self) -> bool {
+        self.host.is_empty() && !self.has_reported_advice
+    }
+
+    /// Advice replaces what was reported before, so empty advice is reported only where there was some.
+    fn report(&mut self, advice: PluginAdvice, engine: &mut Engine) {
+        let has_advice = !is_empty(&advice);
+        if has_advice || self.has_reported_advice {
+            // A full queue drops outcomes and demand only, so advice is never refused.
+            let _ = engine.report(Report::Advice(advice));
+        }
+        self.has_reported_advice = has_advice;
+    }
+}
+
+fn no_advice(expires_at: Micros) -> PluginAdvice {
+    PluginAdvice {
+        expires_at,
+        ..PluginAdvice::default()
+    }
+}
+
+fn is_empty(advice: &PluginAdvice) -> bool {
+    *advice == no_advice(advice.expires_at)
+}
--- /dev/null
+++ b/crates/plugin-advisor/src/inputs.rs
@@ -0,0 +1,97 @@
+//! What plug-ins see: the fleet as an engine knows it, or as it was recorded.
+
+use std::iter;
+use std::sync::Arc;
+
+use chutegrade_engine::{ClassInfo, Engine};
+use chutegrade_plugins::inputs::{Class, Fleet, Inputs, Server};
+use chutegrade_records::replay::{Picture, Server as RecordedServer};
+use chutegrade_records::{pb, text};
+
+/// What plug-ins see of an engine.
+pub fn inputs_from_engine(engine: &Engine) -> Inputs {
+    let metrics = engine.fleet_metrics();
+    let snapshot = engine.server_snapshot();
+    let (zones, _) = engine.zone_and_class_names();
+    let classes = engine.classes().iter().zip(admitted_shares(&metrics));
+    Inputs {
+        servers: snapshot.servers.iter().map(server_from_status).collect(),
+        classes: classes
+            .map(|(class, admitted_share)| class_from_engine(class, admitted_share))
+            .collect(),
+        zones: zone_names(&zones),
+        fleet: fleet_from_metrics(&metrics, engine.fleet_status().request_rate),
+    }
+}
+
+/// What plug-ins would have seen of a recorded moment. The request rate is not recorded and is 0.
+pub fn inputs_from_records(fleet: &Picture, zones: &[String]) -> Inputs {
+    let metrics = fleet.gauge.clone().unwrap_or_default();
+    let classes = fleet.classes.iter().zip(admitted_shares(&metrics));
+    Inputs {
+        servers: fleet
+            .servers
+            .iter()
+            .map(|(name, server)| server_from_record(name, server))
+            .collect(),
+        classes: classes
+            .map(|(name, admitted_share)| class_from_records(name, admitted_share))
+            .collect(),
+        zones: zone_names(zones),
+        fleet: fleet_from_metrics(&metrics, 0.0),
+    }
+}
+
+/// The admitted share of each class; classes that the metrics do not list are admitted in full.
+fn admitted_shares(metrics: &pb::Gauge) -> impl Iterator<Item = f64> + '_ {
+    metrics.levels.iter().copied().chain(iter::repeat(1.0))
+}
+
+fn class_from_engine(class: &ClassInfo, admitted_share: f64) -> Class {
+    Class {
+        name: class.name.as_str().into(),
+        effect: class.idempotency.into(),
+        worth: class.class.priority_weight,
+        level: admitted_share,
+    }
+}
+
+fn class_from_records(name: &str, admitted_share: f64) -> Class {
+    Class {
+        level: admitted_share,
+        ..Class::plain(name)
+    }
+}
+
+fn server_from_status(status: &pb::Server) -> Server {
+    server_from_record(&status.name, &RecordedServer::from(status))
+}
+
+fn server_from_record(name: &str, server: &RecordedServer) -> Server {
+    Server {
+        name: name.into(),
+        zone: server.zone.as_str().into(),
+        state: text::state(server.state).into(),
+        life: text::life(server.life).into(),
+        score: server.score,
+        errors: server.errors,
+        latency: server.latency,
+        weight: server.weight,
+        warmth: server.warmth,
+    }
+}
+
+fn zone_names(zones: &[String]) -> Vec<Arc<str>> {
+    zones.iter().map(|zone| zone.as_str().into()).collect()
+}
+
+/// `request_rate` is in requests a second.
+fn fleet_from_metrics(metrics: &pb::Gauge, request_rate: f64) -> Fleet {
+    Fleet {
+        strain: metrics.strain,
+        refused: metrics.refused,
+        waiting: metrics.waiting,
+        streams: f64::from(metrics.streams),
+        demand: request_rate,
+    }
+}
