--- /dev/null
+++ b/crates/overload-control/src/controller.rs
@@ -0,0 +1,102 @@
+//! Service levels, limits and retry budgets of one supervisor, evaluated once a second.
+
+use chutegrade_engine::{Engine, Micros, Report};
+use chutegrade_limits::manager::Decision;
+use chutegrade_limits::signals::SIGNALS;
+use chutegrade_limits::{pb as limits, LevelTransition, OverloadConfig, OverloadManager};
+use chutegrade_records::{pb, Kind};
+
+use crate::records::{not_restored_record, signal_record};
+use crate::{
+    limits_by_name, manager_inputs, overload_classes, transition_record, EVALUATION_INTERVAL,
+};
+
+/// The overload manager of one supervisor. The owner calls [`OverloadController::evaluate`] at least once in an interval.
+pub struct OverloadController {
+    manager: OverloadManager,
+    next_evaluation: Micros,
+    period: Micros,
+    /// The engine holds a decision that the next report replaces or withdraws.
+    has_reported_decision: bool,
+}
+
+impl OverloadController {
+    /// A controller with this configuration; the engine samples traffic from now on. `period` is the time over which reports
+    /// count.
+    pub fn new(config: OverloadConfig, engine: &mut Engine, period: Micros) -> Self {
+        engine.enable_traffic_sampling();
+        let classes = overload_classes(engine);
+        let (proxies, _) = engine.deployment_size();
+        OverloadController {
+            manager: OverloadManager::new(config, classes, proxies),
+            next_evaluation: Micros(i64::MIN),
+            period: period.max(EVALUATION_INTERVAL),
+            has_reported_decision: false,
+        }
+    }
+
+    /// The overload manager.
+    pub fn manager(&self) -> &OverloadManager {
+        &self.manager
+    }
+
+    /// Replaces the configuration. Returns the record of the level transition that follows, if one does.
+    pub fn reconfigure(&mut self, now: Micros, config: OverloadConfig) -> Option<Kind> {
+        let transition = self.manager.replace(now.0, config)?;
+        Some(transition_record(&transition))
+    }
+
+    /// Restores the level from before a restart. Returns the record of the transition, or of why the level was left.
+    pub fn restore(&mut self, now: Micros, saved: &limits::Saved) -> Option<Kind> {
+        match self.manager.restore(now.0, saved) {
+            Ok(transition) => transition.map(|transition| transition_record(&transition)),
+            Err(reason) => Some(not_restored_record(&saved.level, reason)),
+        }
+    }
+
+    /// Evaluates the engine's state if an interval has passed, reports the decision to the engine, and returns the level
+    /// transition, if there was one.
+    pub fn evaluate(&mut self, now: Micros, engine: &mut Engine) -> Option<LevelTransition> {
+        if now < self.next_evaluation {
+            return None;
+        }
+        self.next_evaluation = now + EVALUATION_INTERVAL;
+        let sample = engine.take_traffic_sample();
+        let inputs = manager_inputs(now, self.period, sample, engine.fleet_status());
+        let evaluation = self.manager.evaluate(&inputs);
+        self.report(&evaluation.decision, now, engine);
+        evaluation.transition
+    }
+
+    /// A decision replaces what was reported before, so an empty one is reported only where there was some.
+    fn report(&mut self, decision: &Decision, now: Micros, engine: &mut Engine) {
+        let has_decision = *decision != Decision::default();
+        if has_decision || self.has_reported_decision {
+            let limits = limits_by_name(decision, engine, now);
+            // A full queue drops outcomes and demand only, so limits are never refused.
+            let _ = engine.report(Report::Limits(limits));
+        }
+        self.has_reported_decision = has_decision;
+    }
+
+    /// Adds the signals, the limit and the level to the metrics of one moment.
+    pub fn add_metrics(&self, gauge: &mut pb::Gauge, now: Micros) {
+        gauge.signals = self.known_signals(now);
+        let (limit, _) = self.manager.limit();
+        gauge.limit = Some(limit);
+        if let Some(transitions) = self.manager.transitions() {
+            gauge.service_level = Some(transitions.name().to_string());
+            gauge.level_since_us = transitions.since().max(0);
+        }
+    }
+
+    fn known_signals(&self, now: Micros) -> Vec<pb::Signal> {
+        let window = self.manager.signals();
+        SIGNALS
+            .into_iter()
+            .map(|signal| window.shown(signal, now.0))
+            .filter(|reading| reading.value.is_some())
+            .map(|reading| signal_record(&reading))
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/overload-control/src/inputs.rs
@@ -0,0 +1,24 @@
+//! What the overload manager sees of an engine.
+
+use chutegrade_engine::{FleetStatus, Micros, TrafficSample};
+use chutegrade_limits::manager::Inputs;
+
+/// What was reported since the last evaluation, and the state of the fleet. `period` is the time over which reports count.
+pub fn manager_inputs(
+    now: Micros,
+    period: Micros,
+    sample: TrafficSample,
+    status: FleetStatus,
+) -> Inputs {
+    Inputs {
+        now: now.0,
+        last_report_at: sample.last_report_at.map(|at| at.0),
+        period: period.0,
+        saturation: status.saturation,
+        admitted_shares: status.admitted_shares,
+        warm_weight: status.warm_weight,
+        partitioned_share: status.partitioned_share,
+        demand: sample.demand,
+        outcomes: sample.outcomes,
+    }
+}
--- /dev/null
+++ b/crates/overload-control/src/records.rs
@@ -0,0 +1,41 @@
+//! Level transitions and signals as records.
+
+use chutegrade_limits::service_levels::FULL_SERVICE;
+use chutegrade_limits::signals::SignalReading;
+use chutegrade_limits::LevelTransition;
+use chutegrade_records::{pb, Kind};
+
+const US_PER_MS: i64 = 1000;
+
+/// A level transition as a record.
+pub fn transition_record(transition: &LevelTransition) -> Kind {
+    Kind::ServiceLevel(pb::ServiceLevel {
+        from: transition.from.clone(),
+        to: transition.to.clone(),
+        number: u32::try_from(transition.number).unwrap_or(u32::MAX),
+        reason: transition.reason.word().to_string(),
+        condition: transition.condition.clone(),
+        signals: transition.shown.iter().map(signal_record).collect(),
+        tell: transition.tell.clone(),
+    })
+}
+
+/// The record of a saved level that was not restored after a restart: service is full, for this reason.
+pub fn not_restored_record(level: &str, reason: String) -> Kind {
+    Kind::ServiceLevel(pb::ServiceLevel {
+        from: level.to_string(),
+        to: FULL_SERVICE.to_string(),
+        reason: "not restored".to_string(),
+        condition: reason,
+        ..pb::ServiceLevel::default()
+    })
+}
+
+/// A signal as it was at the moment of a record.
+pub fn signal_record(reading: &SignalReading) -> pb::Signal {
+    pb::Signal {
+        name: reading.signal.name().to_string(),
+        value: reading.value,
+        age_ms: u64::try_from(reading.age / US_PER_MS).unwrap_or(0),
+    }
+}
