--- a/crates/supervisor/src/commands/lab/play.rs
+++ b/crates/supervisor/src/commands/lab/play.rs
@@ -140,11 +140,15 @@
 
 fn write_classes(outcome: &Outcome, output: &mut impl Write) -> std::io::Result<()> {
     for class in &outcome.classes {
+        write!(
+            output,
+            "  {}: {} came, service {:.4}, refused {:.4}, failed {:.4}, ",
+            class.name, class.came, class.service, class.refused, class.failed
+        )?;
         let [p50, p90, p99, p99_9] = class.quantiles_ms;
         writeln!(
             output,
-            "  {}: {} came, service {:.4}, refused {:.4}, failed {:.4}, answered within {p50:.0} / {p90:.0} / {p99:.0} / {p99_9:.0} ms (50, 90, 99, 99.9 %)",
-            class.name, class.came, class.service, class.refused, class.failed
+            "answered within {p50:.0} / {p90:.0} / {p99:.0} / {p99_9:.0} ms (50, 90, 99, 99.9 %)"
         )?;
     }
     Ok(())
--- a/crates/supervisor/src/commands/levels/simulate.rs
+++ b/crates/supervisor/src/commands/levels/simulate.rs
@@ -7,7 +7,7 @@
 use chutegrade_limits::{LevelTransition, ServiceLevels, SignalWindow};
 use chutegrade_records::index::Query;
 use chutegrade_records::text::{self, length, printable};
-use chutegrade_records::timeline::Timeline;
+use chutegrade_records::timeline::{Event, Supervisor, Timeline};
 
 use super::recorded::{metrics_of, observe, RecordedMetrics};
 use super::source::load;
@@ -35,21 +35,7 @@
     let (events, _) = timeline.read(&Query::between(window.from_us, window.to_us));
     let mut has_metrics = false;
     for supervisor in &timeline.supervisors {
-        let metrics = metrics_of(&events, &supervisor.name);
-        let (Some(first), Some(last)) = (metrics.first(), metrics.last()) else {
-            continue;
-        };
-        has_metrics = true;
-        let span_us = last.at_us - first.at_us;
-        let name = printable(&supervisor.name);
-        let start = text::time(first.at_us);
-        writeln!(
-            output,
-            "{name}: {} of signals from {start}",
-            length(span_us)
-        )?;
-        let simulation = simulate(&levels, &metrics);
-        write_simulation(&levels, &simulation, span_us, output)?;
+        has_metrics |= simulate_supervisor(&levels, supervisor, &events, output)?;
     }
     if !has_metrics {
         return Err(CommandError::NoMetricsInWindow);
@@ -61,6 +47,27 @@
     Ok(())
 }
 
+/// Whether the supervisor recorded metrics, over which the levels are simulated.
+fn simulate_supervisor(
+    levels: &ServiceLevels,
+    supervisor: &Supervisor,
+    events: &[Event],
+    output: &mut impl Write,
+) -> std::io::Result<bool> {
+    let metrics = metrics_of(events, &supervisor.name);
+    let (Some(first), Some(last)) = (metrics.first(), metrics.last()) else {
+        return Ok(false);
+    };
+    let span_us = last.at_us - first.at_us;
+    let name = printable(&supervisor.name);
+    let duration = length(span_us);
+    let start = text::time(first.at_us);
+    writeln!(output, "{name}: {duration} of signals from {start}")?;
+    let simulation = simulate(levels, &metrics);
+    write_simulation(levels, &simulation, span_us, output)?;
+    Ok(true)
+}
+
 /// What levels would have done over the signals of one supervisor.
 struct Simulation {
     transitions: Vec<TimedTransition>,
@@ -81,9 +88,10 @@
     let mut previous_us = metrics.first().map_or(0, |first| first.at_us);
     for moment in metrics {
         let at_us = moment.at_us;
-        *time_at_level_us
+        let time_us = time_at_level_us
             .entry(level_transitions.level())
-            .or_insert(0) += at_us - previous_us;
+            .or_insert(0);
+        *time_us += at_us - previous_us;
         previous_us = at_us;
         observe(&mut window, moment);
         if let Some(transition) = level_transitions.step(at_us, &window) {
--- a/crates/supervisor/src/commands/plugin/explain.rs
+++ b/crates/supervisor/src/commands/plugin/explain.rs
@@ -65,24 +65,24 @@
     status: &Server,
     output: &mut impl Write,
 ) -> std::io::Result<()> {
-    let suspended = if status.shut {
-        ", shut out of all tables"
-    } else {
-        ""
-    };
-    writeln!(
+    let (supervisor, name) = (printable(supervisor), printable(name));
+    let (lifecycle, state) = (text::life(status.life), text::state(status.state));
+    write!(output, "{supervisor}: {name} is {lifecycle}, {state}: ")?;
+    write!(
         output,
-        "{}: {} is {}, {}: score {:.2}, errors {:.2}, latency {:.2}, weight {:.2}, warmth {:.0} %{suspended}",
-        printable(supervisor),
-        printable(name),
-        text::life(status.life),
-        text::state(status.state),
+        "score {:.2}, errors {:.2}, latency {:.2}, weight {:.2}, warmth {:.0} %",
         status.score,
         status.errors,
         status.latency,
         status.weight,
         100.0 * status.warmth,
-    )
+    )?;
+    let suspended = if status.shut {
+        ", shut out of all tables"
+    } else {
+        ""
+    };
+    writeln!(output, "{suspended}")
 }
 
 /// The last event about the server, what plug-ins advise of it, and the tables on which advice is void.
@@ -107,9 +107,14 @@
 }
 
 fn last_event_about<'a>(events: &[&'a Event], server: &str) -> Option<&'a Event> {
-    let concerns =
-        |event: &Event| event.record.kind.as_ref().and_then(kind::server) == Some(server);
-    events.iter().rev().copied().find(|event| concerns(event))
+    let mut newest_first = events.iter().rev().copied();
+    newest_first.find(|event| server_of(event) == Some(server))
+}
+
+/// The server that an event concerns, if it concerns one.
+fn server_of(event: &Event) -> Option<&str> {
+    let kind = event.record.kind.as_ref()?;
+    kind::server(kind)
 }
 
 /// One piece of advice, as a plug-in gave it.
@@ -118,6 +123,13 @@
     text: &'a str,
 }
 
+impl GivenAdvice<'_> {
+    /// The text that ends advice lacks the line of the rule, which the text that gave it has at its end.
+    fn is_ended_by(&self, message: &pb::PluginSaid) -> bool {
+        self.plugin == message.name && self.text.starts_with(&message.text)
+    }
+}
+
 /// What plug-ins advise of a server and have not ended. A restart and a reload of a plug-in end its advice.
 fn advice_in_force<'a>(events: &[&'a Event], server: &str) -> Vec<GivenAdvice<'a>> {
     let server_prefix = format!("{server} ");
@@ -137,15 +149,13 @@
     advice
 }
 
-/// The text that ends advice is a prefix of the text that gave it, which has the line of the rule at its end.
 fn apply_message<'a>(advice: &mut Vec<GivenAdvice<'a>>, message: &'a pb::PluginSaid) {
     match message.what.as_str() {
         "advises" => advice.push(GivenAdvice {
             plugin: &message.name,
             text: &message.text,
         }),
-        "ends" => advice
-            .retain(|given| given.plugin != message.name || !given.text.starts_with(&message.text)),
+        "ends" => advice.retain(|given| !given.is_ended_by(message)),
         _ => {}
     }
 }
