--- a/crates/adapter/src/codec/tests.rs
+++ b/crates/adapter/src/codec/tests.rs
@@ -1,3 +1,5 @@
+//! What one direction of the codec writes, the other reads.
+
 use chutegrade_policy::{
     Action, ClassId, ClassSet, Event, HealthCheckOutcome, LoadReport, Micros, ProxyId, Retry,
     ServerId, TableId, ZoneId,
@@ -7,8 +9,8 @@
 
 /// Otherwise a comparison of builds would judge the wire, not the decisions.
 #[test]
-fn actions_that_are_written_read_the_same() {
-    let all = [
+fn encoded_actions_decode_to_the_same() {
+    let actions = [
         Action::SetWeight {
             table: TableId(7),
             server: ServerId(40),
@@ -46,22 +48,22 @@
             delay: Micros(1_000_001),
         },
     ];
-    for of in all {
-        let line = encode_action(&of).expect("a line");
-        assert_eq!(decode_action(&line).expect("an action"), Some(of));
+    for action in actions {
+        let line = encode_action(&action).expect("a line");
+        assert_eq!(decode_action(&line).expect("an action"), Some(action));
     }
     assert!(decode_action("endpoint\tmapId=1").is_err());
     assert!(decode_action("internal_error\twhat=x").is_err());
 }
 
 #[test]
-fn events_that_are_written_read_the_same() {
+fn encoded_events_decode_to_the_same() {
     let load = LoadReport {
         queued: Some(3.5),
         latency_ms: Some(1.25),
         ..LoadReport::default()
     };
-    let all = [
+    let events = [
         Event::ProxyLeft(ProxyId(3)),
         Event::ServerOutcomes {
             zone: ZoneId(1),
@@ -92,8 +94,8 @@
         },
         Event::Timer(6),
     ];
-    for of in all {
-        let line = encode_event(&of, 1);
-        assert_eq!(decode_message(line.trim_end()), Ok(Message::Event(of)));
+    for event in events {
+        let line = encode_event(&event, 1);
+        assert_eq!(decode_message(line.trim_end()), Ok(Message::Event(event)));
     }
 }
--- a/crates/adapter/tests/codec.rs
+++ b/crates/adapter/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The wire's forms, in numbers of the project's own.
+//! The forms of the wire, in the project's own numbers.
 
 use chutegrade_adapter::codec::{decode_message, encode_action, CodecError, Message};
 use chutegrade_policy::{
@@ -7,7 +7,7 @@
     LoadReport, Micros, ProxyId, Retry, ServerId, TableId, ZoneId,
 };
 
-fn event(line: &str) -> Event {
+fn decode_event(line: &str) -> Event {
     match decode_message(line) {
         Ok(Message::Event(event)) => event,
         other => panic!("{line}: {other:?}"),
@@ -15,35 +15,37 @@
 }
 
 #[test]
-fn frame_lines_are_read() {
-    assert_eq!(
-        decode_message("frame\tframe=7\tatTimeMs=1250.5"),
-        Ok(Message::BatchStart {
-            now: Micros(1_250_500),
-            number: 7
-        })
-    );
-    assert_eq!(decode_message("your_turn"), Ok(Message::BatchEnd));
-    assert_eq!(
-        decode_message("at\tsupervisor=2"),
-        Ok(Message::SelectInstance(2))
-    );
-    assert_eq!(decode_message("teardown"), Ok(Message::StopInstance));
-    assert_eq!(decode_message("something_new\tx=1"), Ok(Message::Unknown));
+fn control_lines_are_decoded() {
+    let cases = [
+        (
+            "frame\tframe=7\tatTimeMs=1250.5",
+            Message::BatchStart {
+                now: Micros(1_250_500),
+                number: 7,
+            },
+        ),
+        ("your_turn", Message::BatchEnd),
+        ("at\tsupervisor=2", Message::SelectInstance(2)),
+        ("teardown", Message::StopInstance),
+        ("something_new\tx=1", Message::Unknown),
+    ];
+    for (line, message) in cases {
+        assert_eq!(decode_message(line), Ok(message));
+    }
 }
 
 #[test]
-fn events_are_read_in_any_order_of_their_parts_and_unknown_parts_are_skipped() {
-    let tally =
+fn fields_are_decoded_in_any_order_and_unknown_ones_skipped() {
+    let line =
         "tally\tserver=901\tlocality=2\tbad=3\ttotal=17\tperiodLenMs=900.0\tnovel=x\tcostTimeMs=61.5\t\
-                 healthInfo=queue:4,mood:9,util:0.5";
+         healthInfo=queue:4,mood:9,util:0.5";
     let load = LoadReport {
         queued: Some(4.0),
         utilization: Some(0.5),
         ..LoadReport::default()
     };
     assert_eq!(
-        event(tally),
+        decode_event(line),
         Event::ServerOutcomes {
             zone: ZoneId(2),
             server: ServerId(901),
@@ -55,7 +57,7 @@
         }
     );
     assert_eq!(
-        event("health\tcostTimeMs=2.25\tserver=901\tending=econnreset"),
+        decode_event("health\tcostTimeMs=2.25\tserver=901\tending=econnreset"),
         Event::HealthChecked {
             server: ServerId(901),
             outcome: HealthCheckOutcome::Unreachable,
@@ -63,8 +65,12 @@
             load: LoadReport::default()
         }
     );
+}
+
+#[test]
+fn events_of_proxies_are_decoded() {
     assert_eq!(
-        event("joined\tclientLb=12\tlocality=1\tweight=3.5\tactive=1"),
+        decode_event("joined\tclientLb=12\tlocality=1\tweight=3.5\tactive=1"),
         Event::ProxyJoined {
             proxy: ProxyId(12),
             zone: ZoneId(1),
@@ -73,42 +79,42 @@
         }
     );
     assert_eq!(
-        event("lost_stream\tclientLb=12"),
+        decode_event("lost_stream\tclientLb=12"),
         Event::ProxyLeft(ProxyId(12))
     );
-    assert_eq!(event("ring\thandle=31"), Event::Timer(31));
     assert_eq!(
-        event("tenure\tactive=0\tmapId=5"),
+        decode_event("receipt\tclientLb=3\tgen=9\tcostTimeMs=88"),
+        Event::Acknowledged {
+            proxy: ProxyId(3),
+            sequence: 9,
+            elapsed: Micros(88_000),
+        }
+    );
+}
+
+#[test]
+fn timers_slices_and_peer_messages_are_decoded() {
+    let peer_message = |data| Event::PeerMessage { from: 1, data };
+    assert_eq!(decode_event("ring\thandle=31"), Event::Timer(31));
+    assert_eq!(
+        decode_event("tenure\tactive=0\tmapId=5"),
         Event::SliceOwnership {
             table: TableId(5),
             granted: false
         }
     );
     assert_eq!(
-        event("whisper\tfrom=1\tcontents=AQI="),
-        Event::PeerMessage {
-            from: 1,
-            data: vec![1, 2]
-        }
+        decode_event("whisper\tfrom=1\tcontents=AQI="),
+        peer_message(vec![1, 2])
     );
     assert_eq!(
-        event("whisper\tfrom=1\tcontents=-"),
-        Event::PeerMessage {
-            from: 1,
-            data: vec![]
-        }
+        decode_event("whisper\tfrom=1\tcontents=-"),
+        peer_message(vec![])
     );
-    let took = Micros(88_000);
-    let receipt = Event::Acknowledged {
-        proxy: ProxyId(3),
-        sequence: 9,
-        elapsed: took,
-    };
-    assert_eq!(event("receipt\tclientLb=3\tgen=9\tcostTimeMs=88"), receipt);
 }
 
 #[test]
-fn list_rows_are_read() {
+fn endpoint_lists_are_decoded() {
     assert_eq!(
         decode_message("discovery\tgen=3\thow=total\trows=2"),
         Ok(Message::EndpointListStart {
@@ -137,7 +143,7 @@
 }
 
 #[test]
-fn settings_are_read_and_missing_ones_read_as_nothing() {
+fn settings_are_decoded_and_absent_ones_have_their_defaults() {
     let line = r#"begin	nonce64=99	env={"classes":[{"aimMs":400,"hardLimitMs":1500.0,"worth":2,
         "effect":"idempotency_key","dedupScope":"zone","windowMs":6000}],"zones":["x","y"],"locality":1,
         "familyInfo":{"homeOnly":[true],"levelKind":"per_second","linesPerS":500,"messagesMost":"many"},
@@ -170,7 +176,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_an_error() {
+fn a_malformed_line_is_an_error() {
     for line in [
         "tally\tlocality=0\tserver=1\ttotal=-3\tbad=0\tcostTimeMs=0\tperiodLenMs=1",
         "tally\tlocality=0\tserver=1\ttotal=NaN\tbad=0\tcostTimeMs=0\tperiodLenMs=1",
@@ -192,86 +198,90 @@
     );
 }
 
+fn assert_encoded<const COUNT: usize>(cases: [(Action, &str); COUNT]) {
+    for (action, line) in cases {
+        assert_eq!(encode_action(&action).as_deref(), Ok(line));
+    }
+}
+
 #[test]
-fn actions_are_written() {
+fn actions_on_tables_are_encoded() {
     let table = TableId(3);
+    let server = ServerId(8);
     let classes = ClassSet::default().with(0).with(2);
-    let cases = [
-        (
-            Action::SetWeight {
-                table,
-                server: ServerId(8),
-                weight: 1.25,
-            },
-            "endpoint\tmapId=3\tserver=8\tweight=1.25",
-        ),
+    let set_weight = Action::SetWeight {
+        table,
+        server,
+        weight: 1.25,
+    };
+    let assign = Action::AssignTable {
+        proxy: ProxyId(6),
+        table,
+        classes,
+    };
+    let suspend = Action::SetSuspended {
+        server,
+        suspended: true,
+    };
+    let admit = Action::SetAdmission {
+        table: None,
+        classes,
+        level: 0.5,
+        retry: Retry::IfNotExecuted,
+    };
+    assert_encoded([
+        (set_weight, "endpoint\tmapId=3\tserver=8\tweight=1.25"),
         (Action::ClearTable(table), "wipe\tmapId=3"),
+        (assign, "point\tclientLb=6\tmapId=3\tclassBits=5"),
+        (suspend, "suspend\tserver=8\tactive=1"),
         (
-            Action::AssignTable {
-                proxy: ProxyId(6),
-                table,
-                classes,
-            },
-            "point\tclientLb=6\tmapId=3\tclassBits=5",
-        ),
-        (
-            Action::SetSuspended {
-                server: ServerId(8),
-                suspended: true,
-            },
-            "suspend\tserver=8\tactive=1",
-        ),
-        (
-            Action::SetAdmission {
-                table: None,
-                classes,
-                level: 0.5,
-                retry: Retry::IfNotExecuted,
-            },
+            admit,
             "allow\tallowance=0.5\tclassBits=5\tmapId=65535\tsecondTry=1",
         ),
-        (
-            Action::RequestAcknowledgement {
-                sequence: 4,
-                all_proxies: false,
-            },
-            "ask_receipt\tgen=4\tactive=0",
-        ),
+    ]);
+}
+
+#[test]
+fn other_actions_are_encoded() {
+    let request_acknowledgement = Action::RequestAcknowledgement {
+        sequence: 4,
+        all_proxies: false,
+    };
+    let set_timer = Action::SetTimer {
+        id: 1,
+        delay: Micros(1500),
+    };
+    let send_to_all = Action::SendToPeer {
+        peer: None,
+        data: vec![1, 2],
+    };
+    let zone_answers = DecisionEvent::ZonePartition {
+        zone: ZoneId(2),
+        partitioned: false,
+        unanswered_share: 0.0,
+    };
+    assert_encoded([
+        (request_acknowledgement, "ask_receipt\tgen=4\tactive=0"),
         (Action::HealthCheck(ServerId(8)), "ping\tserver=8"),
         (Action::SubscribeEndpoints(true), "subscribe\tactive=1"),
         (Action::FetchEndpoints, "list_all"),
+        (set_timer, "arm\thandle=1\tfromNowMs=1.5"),
+        (send_to_all, "notify\trecipient=all\tcontents=AQI="),
         (
-            Action::SetTimer {
-                id: 1,
-                delay: Micros(1500),
-            },
-            "arm\thandle=1\tfromNowMs=1.5",
-        ),
-        (
-            Action::SendToPeer {
-                peer: None,
-                data: vec![1, 2],
-            },
-            "notify\trecipient=all\tcontents=AQI=",
-        ),
-        (
-            Action::Emit(DecisionEvent::ZonePartition {
-                zone: ZoneId(2),
-                partitioned: false,
-                unanswered_share: 0.0,
-            }),
+            Action::Emit(zone_answers),
             "write_log\twhat=zone 2 answers again",
         ),
-    ];
-    for (action, line) in cases {
-        assert_eq!(encode_action(&action).as_deref(), Ok(line));
-    }
+    ]);
+}
+
+#[test]
+fn a_weight_that_is_negative_or_not_finite_is_not_encoded() {
     for weight in [f64::NAN, f64::INFINITY, -0.5] {
-        assert!(encode_action(&Action::SetWeight {
-            table,
+        let action = Action::SetWeight {
+            table: TableId(3),
             server: ServerId(8),
-            weight
-        })
-        .is_err());
+            weight,
+        };
+        assert!(encode_action(&action).is_err());
     }
 }
--- a/crates/adapter/tests/remote_policy.rs
+++ b/crates/adapter/tests/remote_policy.rs
@@ -1,4 +1,4 @@
-//! Another build behind the simulator's wire, on the fleet model: the same build orders the same, and one that fails is told.
+//! Another build behind the simulator's wire, on the fleet model: the same build orders the same, and failures are reported.
 
 use std::sync::Arc;
 
@@ -12,8 +12,11 @@
     trouble { sort: SLOW at_s: 4 length_s: 6 part: 0.3 size: 6 } trouble { sort: CRASH at_s: 6 length_s: 4 part: 0.1 }\n\
     trouble { sort: REPLACE at_s: 5 length_s: 3 part: 0.2 size: 3 extra: 4 }";
 
-fn by(command: &str, faults: &Faults) -> Setup {
-    let (command, faults, name) = (command.to_string(), Arc::clone(faults), command.to_string());
+/// Decisions by a program that speaks the wire.
+fn remote_setup(command: &str, faults: &Faults) -> Setup {
+    let name = command.to_string();
+    let command = command.to_string();
+    let faults = Arc::clone(faults);
     let make = move |settings: &Settings, seed: u64| -> Box<dyn DecisionPolicy> {
         let names = DeploymentNames {
             zones: vec!["a".into(), "b".into()],
@@ -39,13 +42,13 @@
 
 /// Otherwise a comparison of builds would judge the wire, not the decisions.
 #[test]
-fn the_same_build_over_the_wire_gives_the_same_day_to_the_bit() {
+fn the_same_build_over_the_wire_gives_the_same_figures_to_the_bit() {
     let scenario = scenario::read(FLEET).unwrap_or_else(|faults| panic!("{faults:?}"));
     let faults = Faults::default();
     let direct = play(&scenario, &Setup::default(), 3);
     let over_the_wire = play(
         &scenario,
-        &by(env!("CARGO_BIN_EXE_chutegrade-adapter"), &faults),
+        &remote_setup(env!("CARGO_BIN_EXE_chutegrade-adapter"), &faults),
         3,
     );
     assert_eq!(faults.lock().expect("no panic").clone(), None);
@@ -54,15 +57,15 @@
 }
 
 #[test]
-fn a_program_that_says_nonsense_or_ends_is_told() {
+fn an_invalid_reply_and_an_early_exit_are_reported() {
     let scenario = scenario::read(FLEET).unwrap_or_else(|faults| panic!("{faults:?}"));
-    for (command, wanted) in [
+    for (command, expected) in [
         ("/bin/cat", "the other build said"),
         ("/bin/true", "the other build: "),
     ] {
         let faults = Faults::default();
-        play(&scenario, &by(command, &faults), 1);
-        let said = faults.lock().expect("no panic").clone().unwrap_or_default();
-        assert!(said.starts_with(wanted), "{command}: {said}");
+        play(&scenario, &remote_setup(command, &faults), 1);
+        let fault = faults.lock().expect("no panic").clone().unwrap_or_default();
+        assert!(fault.starts_with(expected), "{command}: {fault}");
     }
 }
--- a/crates/adapter/tests/stdio.rs
+++ b/crates/adapter/tests/stdio.rs
@@ -11,7 +11,8 @@
 "updateWindowMs":10000,"proxies":2,"levelKind":"fraction"},"guarantees":{"coldFrom":0.2,"coldMs":9000,
 "fallMultiple":3},"limits":{"probes":true},"weights":"rough"}"#;
 
-fn begin(instance: u32) -> Vec<String> {
+/// Lines that start an instance with two servers and one proxy.
+fn start_lines(instance: u32) -> Vec<String> {
     let env = ENV.replace('\n', " ");
     [
         format!("at\tsupervisor={instance}"),
@@ -58,7 +59,8 @@
 
 #[test]
 fn every_batch_gets_one_reply_and_the_end_of_input_ends_the_process() {
-    let input = batch(1, &[]) + &batch(2, &begin(3)) + &batch(3, &["at\tsupervisor=9".to_string()]);
+    let input =
+        batch(1, &[]) + &batch(2, &start_lines(3)) + &batch(3, &["at\tsupervisor=9".to_string()]);
     let (out, err, success) = run_binary(&input);
     assert!(success && err.is_empty(), "{err}");
     let ends: Vec<&str> = out
@@ -76,7 +78,7 @@
 
 #[test]
 fn a_malformed_line_is_reported_and_the_rest_of_the_batch_handled() {
-    let mut lines = begin(0);
+    let mut lines = start_lines(0);
     lines.insert(2, "joined\tclientLb=oops\tlocality=0".to_string());
     let (out, err, success) = run_binary(&batch(1, &lines));
     assert!(success && err.contains("clientLb"), "{err}");
@@ -91,7 +93,7 @@
             .filter_map(|line| host.handle_line(line).ok().flatten())
             .collect::<String>()
     };
-    feed(batch(1, &begin(0)));
+    feed(batch(1, &start_lines(0)));
     let list = [
         "at\tsupervisor=0".to_string(),
         "discovery\tgen=2\thow=total\trows=2".to_string(),
@@ -103,10 +105,10 @@
 }
 
 #[test]
-fn instances_in_one_process_act_as_alone_and_a_killed_one_is_silent() {
-    let both = [begin(0), begin(1)].concat();
+fn instances_in_one_process_act_as_alone_and_a_stopped_one_is_silent() {
+    let both = [start_lines(0), start_lines(1)].concat();
     let together = run_binary(&batch(1, &both)).0;
-    let alone = run_binary(&batch(1, &begin(1))).0;
+    let alone = run_binary(&batch(1, &start_lines(1))).0;
     let of_one = |out: &str| {
         out.split("source\tsupervisor=1\n")
             .nth(1)
@@ -114,7 +116,7 @@
     };
     assert_eq!(of_one(&together), of_one(&alone));
     let killed = [
-        begin(0),
+        start_lines(0),
         vec!["teardown".to_string(), "ring\thandle=1".to_string()],
     ]
     .concat();
@@ -125,11 +127,11 @@
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_mangled_batch_makes_it_panic(
+    fn a_mangled_batch_never_causes_a_panic(
         cuts in prop::collection::vec((0usize..4000, 0usize..40, "\\PC{0,6}"), 0..12),
         extra in prop::collection::vec("(tally|health|row|held|receipt|usage|tenure)(\t[a-zA-Z]{1,9}=[-0-9.e]{0,6}){0,6}", 0..8),
     ) {
-        let mut lines = begin(0);
+        let mut lines = start_lines(0);
         lines.extend(extra);
         lines.push("tally\tlocality=0\tserver=70\ttotal=4\tbad=1\tcostTimeMs=9\tperiodLenMs=1000".to_string());
         let mut text = batch(1, &lines) + &batch(2, &lines[2..]);
