--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -5,10 +5,9 @@
 use chutegrade_policy::{
     Action, AdmissionLevel, ClassSet, DecisionEvent, Micros, ProxyId, ServerId, TableId,
 };
-use chutegrade_records::{pb, Kind};
 
 use super::{Engine, Timer};
-use crate::records;
+use crate::records::{self, PublishedCounts};
 use crate::streams::AcknowledgementRequest;
 
 /// Shortest delay of a timer.
@@ -18,7 +17,7 @@
 #[derive(Default)]
 struct BatchSummary {
     acknowledgement: Option<AcknowledgementRequest>,
-    published: pb::Published,
+    published: PublishedCounts,
 }
 
 impl Engine {
@@ -30,11 +29,10 @@
         }
         self.streams.end_batch(batch.acknowledgement);
         self.remove_forgotten_servers();
-        if batch.published != pb::Published::default() {
+        if batch.published != PublishedCounts::default() {
             let streams = self.streams.with_orders_count();
-            batch.published.streams = u32::try_from(streams).unwrap_or(u32::MAX);
-            self.log_events
-                .record(now, Kind::Published(batch.published));
+            let record = records::published_record(batch.published, streams);
+            self.log_events.record(now, record);
         }
     }
 
@@ -90,7 +88,7 @@
         weight: f64,
         batch: &mut BatchSummary,
     ) {
-        batch.published.lines += 1;
+        batch.published.weights += 1;
         self.tables.set_weight(table, server, weight);
         self.streams.set_weight(table, server, weight, &self.tables);
     }
@@ -107,7 +105,7 @@
         classes: ClassSet,
         batch: &mut BatchSummary,
     ) {
-        batch.published.binds += 1;
+        batch.published.assignments += 1;
         let classes = self.tables.class_positions(classes);
         self.streams
             .assign_table(proxy, table, &classes, &self.tables);
@@ -125,7 +123,7 @@
             // The decisions resume each new server in case it was known before; most were not.
             return;
         }
-        batch.published.withdrawals += 1;
+        batch.published.suspensions += 1;
         let streams = self.streams.set_suspended(server, suspended, &self.tables);
         let name = self.server_name(server);
         self.log_events
@@ -165,7 +163,7 @@
     }
 
     fn reconcile(&mut self, proxy: ProxyId, batch: &mut BatchSummary) {
-        batch.published.withdrawals += 1;
+        batch.published.suspensions += 1;
         self.streams.reconcile(proxy, &self.tables);
     }
 
--- a/crates/engine/src/log_events.rs
+++ b/crates/engine/src/log_events.rs
@@ -6,9 +6,10 @@
 
 use chutegrade_policy::{Lifecycle, Micros, ServerId};
 use chutegrade_records::observe::Observer;
-use chutegrade_records::{pb, Kind};
+use chutegrade_records::Kind;
 
 use crate::endpoint::NamedEndpoint;
+use crate::records::{self, DroppedEvents};
 use crate::report::OutcomeReport;
 
 /// Events that wait to be taken; the oldest beyond it are dropped and counted.
@@ -41,13 +42,6 @@
     kind: Kind,
 }
 
-/// Events that the full queue dropped.
-struct DroppedEvents {
-    count: u64,
-    first_at: Micros,
-    last_at: Micros,
-}
-
 /// Log events that wait to be taken.
 #[derive(Default)]
 pub(crate) struct LogEvents {
@@ -151,10 +145,7 @@
         }
         self.observations.push(Observation {
             begin: Begin::At(started_at),
-            kind: Kind::ServerStarted(pb::ServerStarted {
-                server: endpoint.name.clone(),
-                zone: endpoint.zone.clone(),
-            }),
+            kind: records::server_started_record(&endpoint.name, &endpoint.zone),
         });
     }
 
@@ -178,25 +169,13 @@
     /// The next event; before all others, how many were dropped.
     pub fn take(&mut self, now: Micros) -> Option<LogEvent> {
         if let Some(dropped) = self.dropped.take() {
-            return Some(dropped.into_event(now));
+            return Some(LogEvent {
+                occurred_at: dropped.first_at,
+                observed_at: now,
+                kind: records::dropped_record(&dropped),
+                logged: false,
+            });
         }
         self.queue.pop_front()
     }
 }
-
-impl DroppedEvents {
-    fn into_event(self, now: Micros) -> LogEvent {
-        let lost = pb::Lost {
-            count: self.count,
-            from_us: self.first_at.0,
-            to_us: self.last_at.0,
-            reason: "queue".to_string(),
-        };
-        LogEvent {
-            occurred_at: self.first_at,
-            observed_at: now,
-            kind: Kind::Lost(lost),
-            logged: false,
-        }
-    }
-}
--- a/crates/engine/src/pending_order.rs
+++ b/crates/engine/src/pending_order.rs
@@ -97,9 +97,11 @@
 
     /// Whether the order refers to a server.
     pub fn names_server(&self, server: ServerId) -> bool {
+        if self.suspensions.contains_key(&server) {
+            return true;
+        }
         let mut updates = self.updates.values();
         updates.any(|update| update.weights.contains_key(&server))
-            || self.suspensions.contains_key(&server)
     }
 
     /// Whether nothing waits.
--- a/crates/engine/src/records.rs
+++ b/crates/engine/src/records.rs
@@ -3,7 +3,7 @@
 //! The protobuf types have field names of their own; the mapping from the field's terms is here.
 
 use chutegrade_policy::{
-    AdmissionLevel, DecisionEvent, FleetStatus, HealthChangeCause, HealthState, Lifecycle,
+    AdmissionLevel, DecisionEvent, FleetStatus, HealthChangeCause, HealthState, Lifecycle, Micros,
     ServerId, ServerStatus, TableId, ZoneId,
 };
 use chutegrade_records::{pb, Kind};
@@ -138,6 +138,55 @@
     })
 }
 
+/// What one batch of actions changed in the tables of proxies.
+#[derive(Clone, Copy, Default, PartialEq)]
+pub(crate) struct PublishedCounts {
+    /// Weights set.
+    pub weights: u32,
+    /// Tables assigned.
+    pub assignments: u32,
+    /// Servers suspended or resumed, and reconciliations.
+    pub suspensions: u32,
+}
+
+/// The changes of one batch as a record, with the number of streams that have an order to write.
+pub(crate) fn published_record(counts: PublishedCounts, streams: usize) -> Kind {
+    Kind::Published(pb::Published {
+        lines: counts.weights,
+        binds: counts.assignments,
+        withdrawals: counts.suspensions,
+        streams: saturating_u32(streams),
+    })
+}
+
+/// The start of a server as a record.
+pub(crate) fn server_started_record(server: &str, zone: &str) -> Kind {
+    Kind::ServerStarted(pb::ServerStarted {
+        server: server.to_string(),
+        zone: zone.to_string(),
+    })
+}
+
+/// Events that the full queue dropped.
+pub(crate) struct DroppedEvents {
+    /// Number of events.
+    pub count: u64,
+    /// Time of the first one.
+    pub first_at: Micros,
+    /// Time of the last one.
+    pub last_at: Micros,
+}
+
+/// Dropped events as a record.
+pub(crate) fn dropped_record(dropped: &DroppedEvents) -> Kind {
+    Kind::Lost(pb::Lost {
+        count: dropped.count,
+        from_us: dropped.first_at.0,
+        to_us: dropped.last_at.0,
+        reason: "queue".to_string(),
+    })
+}
+
 /// The status of a server as a record.
 pub(crate) fn server_record(name: String, zone: String, status: &ServerStatus) -> pb::Server {
     pb::Server {
--- a/crates/engine/src/streams.rs
+++ b/crates/engine/src/streams.rs
@@ -19,7 +19,7 @@
 pub(crate) struct AcknowledgementRequest {
     /// The sequence number to acknowledge.
     pub sequence: u16,
-    /// Whether to ask all joined proxies, or only those that the batch changed something for.
+    /// Whether it is for all joined proxies, or only for those that the batch changed something for.
     pub all_proxies: bool,
 }
 
@@ -182,10 +182,7 @@
             let Some(joined) = self.proxies.get_mut(&proxy) else {
                 continue;
             };
-            let has_changed = joined.pending.take_changed_in_batch();
-            if let Some(request) = request.filter(|request| has_changed || request.all_proxies) {
-                joined.pending.request_acknowledgement(request.sequence);
-            }
+            joined.end_batch(request);
             if !joined.pending.is_empty() {
                 self.with_orders.insert(joined.stream);
             }
--- a/crates/engine/src/streams/joined_proxy.rs
+++ b/crates/engine/src/streams/joined_proxy.rs
@@ -4,7 +4,7 @@
 
 use chutegrade_policy::{ServerId, TableId};
 
-use super::StreamId;
+use super::{AcknowledgementRequest, StreamId};
 use crate::pending_order::PendingOrder;
 use crate::tables::Tables;
 
@@ -165,6 +165,17 @@
         !self.tables.is_empty() && self.tables.len() < tables.class_count()
     }
 
+    /// Ends a batch of actions: adds the request for an acknowledgement, if it concerns the proxy.
+    pub fn end_batch(&mut self, request: Option<AcknowledgementRequest>) {
+        let has_changed = self.pending.take_changed_in_batch();
+        let Some(request) = request else {
+            return;
+        };
+        if has_changed || request.all_proxies {
+            self.pending.request_acknowledgement(request.sequence);
+        }
+    }
+
     /// Removes a server that no table and no order names.
     pub fn forget(&mut self, server: ServerId) {
         self.notified_suspensions.remove(&server);
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -37,9 +37,11 @@
 
     /// The positions of a set of classes; the empty set stands for all of them.
     pub fn class_positions(&self, classes: ClassSet) -> Vec<usize> {
-        let is_empty = classes == ClassSet::default();
-        let positions = (0..self.class_count).filter(|class| is_empty || classes.has(*class));
-        positions.collect()
+        let positions = 0..self.class_count;
+        if classes == ClassSet::default() {
+            return positions.collect();
+        }
+        positions.filter(|class| classes.has(*class)).collect()
     }
 
     /// Number of classes.
--- a/crates/engine/src/traffic_sampling.rs
+++ b/crates/engine/src/traffic_sampling.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct TrafficSampler {
     enabled: bool,
-    has_unstamped_report: bool,
+    has_report_since_tick: bool,
     sample: TrafficSample,
 }
 
@@ -31,9 +31,9 @@
         self.enabled = true;
     }
 
-    /// Notes that a report or the result of a health check arrived; the next tick gives it a time.
+    /// Registers that a report or the result of a health check arrived; the next tick gives it a time.
     pub fn record_report(&mut self) {
-        self.has_unstamped_report = true;
+        self.has_report_since_tick = true;
     }
 
     /// Adds arrivals to the sample.
@@ -52,7 +52,7 @@
 
     /// Gives the reports since the last tick their time.
     pub fn tick(&mut self, now: Micros) {
-        if std::mem::take(&mut self.has_unstamped_report) {
+        if std::mem::take(&mut self.has_report_since_tick) {
             self.sample.last_report_at = Some(now);
         }
     }
