--- a/crates/adapter/tests/stdio.rs
+++ b/crates/adapter/tests/stdio.rs
@@ -6,17 +6,17 @@
 use chutegrade_adapter::host::Host;
 use proptest::prelude::*;
 
-const ENV: &str = r#"{"classes":[{"aimMs":500,"hardLimitMs":2000,"worth":1,"effect":"read_like"}],"zones":["x"],
+const SETTINGS: &str = r#"{"classes":[{"aimMs":500,"hardLimitMs":2000,"worth":1,"effect":"read_like"}],"zones":["x"],
 "locality":0,"peersTotal":1,"familyInfo":{"backlog":3000,"linesPerS":2000,"fixedCost":4,"messagesMost":20,
 "updateWindowMs":10000,"proxies":2,"levelKind":"fraction"},"guarantees":{"coldFrom":0.2,"coldMs":9000,
 "fallMultiple":3},"limits":{"probes":true},"weights":"rough"}"#;
 
 /// Lines that start an instance with two servers and one proxy.
 fn start_lines(instance: u32) -> Vec<String> {
-    let env = ENV.replace('\n', " ");
+    let settings = SETTINGS.replace('\n', " ");
     [
         format!("at\tsupervisor={instance}"),
-        format!("begin\tnonce64=5\tenv={env}"),
+        format!("begin\tnonce64=5\tenv={settings}"),
         "discovery\tgen=1\thow=warm_copy\trows=2".to_string(),
         "row\tserver=70\tlocality=0\tfamilyType=0\tcluster=0\tlifecycle=in_service\tweight=2"
             .to_string(),
@@ -27,6 +27,7 @@
     .to_vec()
 }
 
+/// A complete batch with these lines.
 fn batch(frame: u64, lines: &[String]) -> String {
     format!(
         "frame\tatTimeMs={}\tframe={frame}\n{}\nyour_turn\n",
@@ -35,7 +36,13 @@
     )
 }
 
-fn run_binary(input: &str) -> (String, String, bool) {
+struct RunOutput {
+    stdout: String,
+    stderr: String,
+    success: bool,
+}
+
+fn run_binary(input: &str) -> RunOutput {
     let mut child = Command::new(env!("CARGO_BIN_EXE_chutegrade-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -50,39 +57,43 @@
         .expect("it reads its input");
     let output = child.wait_with_output().expect("it ends with its input");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    (
-        text(output.stdout),
-        text(output.stderr),
-        output.status.success(),
-    )
+    RunOutput {
+        stdout: text(output.stdout),
+        stderr: text(output.stderr),
+        success: output.status.success(),
+    }
+}
+
+/// The lines of a reply that begin with a tag.
+fn lines_with_tag<'a>(reply: &'a str, tag: &str) -> Vec<&'a str> {
+    let lines = reply.lines();
+    lines.filter(|line| line.starts_with(tag)).collect()
 }
 
 #[test]
 fn every_batch_gets_one_reply_and_the_end_of_input_ends_the_process() {
-    let input =
-        batch(1, &[]) + &batch(2, &start_lines(3)) + &batch(3, &["at\tsupervisor=9".to_string()]);
-    let (out, err, success) = run_binary(&input);
-    assert!(success && err.is_empty(), "{err}");
-    let ends: Vec<&str> = out
-        .lines()
-        .filter(|line| line.starts_with("end\t"))
-        .collect();
-    assert_eq!(ends, ["end\tframe=1", "end\tframe=2", "end\tframe=3"]);
-    let sources: Vec<&str> = out
-        .lines()
-        .filter(|line| line.starts_with("source"))
-        .collect();
-    assert_eq!(sources, ["source\tsupervisor=3"]);
-    assert!(out.contains("point\tclientLb=0\tmapId=0"), "{out}");
+    let empty = batch(1, &[]);
+    let start = batch(2, &start_lines(3));
+    let unknown_instance = batch(3, &["at\tsupervisor=9".to_string()]);
+    let output = run_binary(&(empty + &start + &unknown_instance));
+    let (reply, errors) = (&output.stdout, &output.stderr);
+    assert!(output.success && errors.is_empty(), "{errors}");
+    assert_eq!(
+        lines_with_tag(reply, "end\t"),
+        ["end\tframe=1", "end\tframe=2", "end\tframe=3"]
+    );
+    assert_eq!(lines_with_tag(reply, "source"), ["source\tsupervisor=3"]);
+    assert!(reply.contains("point\tclientLb=0\tmapId=0"), "{reply}");
 }
 
 #[test]
 fn a_malformed_line_is_reported_and_the_rest_of_the_batch_handled() {
     let mut lines = start_lines(0);
     lines.insert(2, "joined\tclientLb=oops\tlocality=0".to_string());
-    let (out, err, success) = run_binary(&batch(1, &lines));
-    assert!(success && err.contains("clientLb"), "{err}");
-    assert!(out.contains("point\tclientLb=0"), "{out}");
+    let output = run_binary(&batch(1, &lines));
+    let (reply, errors) = (&output.stdout, &output.stderr);
+    assert!(output.success && errors.contains("clientLb"), "{errors}");
+    assert!(reply.contains("point\tclientLb=0"), "{reply}");
 }
 
 #[test]
@@ -104,23 +115,38 @@
     assert!(!reply.contains("suspend"), "{reply}");
 }
 
+/// What instance 1 replies, which must be the last to reply.
+fn reply_of_instance_1(input: &str) -> Option<String> {
+    let reply = run_binary(input).stdout;
+    let (_, of_instance) = reply.split_once("source\tsupervisor=1\n")?;
+    Some(of_instance.to_string())
+}
+
 #[test]
 fn instances_in_one_process_act_as_alone_and_a_stopped_one_is_silent() {
     let both = [start_lines(0), start_lines(1)].concat();
-    let together = run_binary(&batch(1, &both)).0;
-    let alone = run_binary(&batch(1, &start_lines(1))).0;
-    let of_one = |out: &str| {
-        out.split("source\tsupervisor=1\n")
-            .nth(1)
-            .map(str::to_string)
-    };
-    assert_eq!(of_one(&together), of_one(&alone));
-    let killed = [
-        start_lines(0),
-        vec!["teardown".to_string(), "ring\thandle=1".to_string()],
-    ]
-    .concat();
-    assert_eq!(run_binary(&batch(1, &killed)).0, "end\tframe=1\n");
+    assert_eq!(
+        reply_of_instance_1(&batch(1, &both)),
+        reply_of_instance_1(&batch(1, &start_lines(1)))
+    );
+    let mut stopped = start_lines(0);
+    stopped.push("teardown".to_string());
+    stopped.push("ring\thandle=1".to_string());
+    let output = run_binary(&batch(1, &stopped));
+    assert_eq!(output.stdout, "end\tframe=1\n");
+}
+
+/// Replaces a range of text, extended to character boundaries.
+fn splice(text: &mut String, start: usize, length: usize, replacement: &str) {
+    let mut start = start.min(text.len());
+    while !text.is_char_boundary(start) {
+        start -= 1;
+    }
+    let mut end = (start + length).min(text.len());
+    while !text.is_char_boundary(end) {
+        end += 1;
+    }
+    text.replace_range(start..end, replacement);
 }
 
 proptest! {
@@ -135,11 +161,8 @@
         lines.extend(extra);
         lines.push("tally\tlocality=0\tserver=70\ttotal=4\tbad=1\tcostTimeMs=9\tperiodLenMs=1000".to_string());
         let mut text = batch(1, &lines) + &batch(2, &lines[2..]);
-        for (at, len, with) in cuts {
-            let at = (0..=at.min(text.len())).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
-            let to = (at + len).min(text.len());
-            let to = (to..=text.len()).find(|to| text.is_char_boundary(*to)).unwrap_or(text.len());
-            text.replace_range(at..to, &with);
+        for (start, length, replacement) in cuts {
+            splice(&mut text, start, length, &replacement);
         }
         let mut host = Host::default();
         let mut replies = String::new();
