--- a/crates/supervisor/src/main.rs
+++ b/crates/supervisor/src/main.rs
@@ -27,7 +27,7 @@
     #[error("{0}")]
     Said(String),
     /// The reader of the output has closed it, which is no failure.
-    #[error("the reader has gone")]
+    #[error("the reader has closed the output")]
     Gone,
 }
 
--- a/crates/supervisor/src/peers/discovery.rs
+++ b/crates/supervisor/src/peers/discovery.rs
@@ -262,7 +262,7 @@
             DisconnectReason::Malformed
         })?;
         log_delivery(&delivery);
-        if self.cache.is_stale(&delivery) {
+        if self.cache.should_ignore(&delivery) {
             return Ok(());
         }
         let applied = self.cache.apply(delivery);
--- a/crates/supervisor/src/peers/discovery/endpoint_cache.rs
+++ b/crates/supervisor/src/peers/discovery/endpoint_cache.rs
@@ -58,9 +58,9 @@
         self.stale_since = None;
     }
 
-    /// Whether a delivery is older than the known version and is to be ignored. An agent that lags, as one at a new address
+    /// Whether a delivery is to be ignored, as it is older than the known version. An agent that lags, as one at a new address
     /// may, reports a draining server as in service.
-    pub fn is_stale(&mut self, delivery: &EndpointDelivery) -> bool {
+    pub fn should_ignore(&mut self, delivery: &EndpointDelivery) -> bool {
         let version = delivery.version;
         let Some(known) = self.version.filter(|known| version < *known) else {
             self.stale_since = None;
--- a/crates/supervisor/src/peers/identification.rs
+++ b/crates/supervisor/src/peers/identification.rs
@@ -43,7 +43,8 @@
                 return Err(DisconnectReason::Malformed.with_detail(malformed));
             }
             Message::Report(_) | Message::Acknowledgement { .. } | Message::Unknown => {
-                return Err(DisconnectReason::Malformed.with_detail("first message names nobody"));
+                return Err(DisconnectReason::Malformed
+                    .with_detail("first message does not identify the peer"));
             }
         }
     }
--- a/crates/supervisor/src/peers/listener.rs
+++ b/crates/supervisor/src/peers/listener.rs
@@ -112,7 +112,7 @@
                 Err(error) => {
                     if !is_failing {
                         is_failing = true;
-                        tracing::warn!(fault = %error, "no connection can be accepted now");
+                        tracing::warn!(fault = %error, "cannot accept connections");
                     }
                     health_checker.release_idle_connections();
                     sleep(ACCEPT_RETRY_DELAY).await;
--- a/crates/supervisor/src/peers/proxy_stream.rs
+++ b/crates/supervisor/src/peers/proxy_stream.rs
@@ -163,13 +163,13 @@
     fn check_liveness(&self, timed_out: bool, is_acknowledgement: bool) -> Result<(), Disconnect> {
         let now = self.context.clock.now();
         if timed_out && self.liveness.is_demand_overdue(now) {
-            return Err(DisconnectReason::IdleTimeout.with_detail("no usage"));
+            return Err(DisconnectReason::IdleTimeout.with_detail("no demand reports"));
         }
         // Whatever else it sends: a proxy that goes on with reports but applies no order keeps its old tables for good.
         let queue_delay = || self.context.engine.borrow_mut().fleet_status().queue_delay;
         let is_overdue = || self.liveness.is_acknowledgement_overdue(now, queue_delay);
         if !is_acknowledgement && is_overdue() {
-            return Err(DisconnectReason::IdleTimeout.with_detail("no answer to a mark"));
+            return Err(DisconnectReason::IdleTimeout.with_detail("no acknowledgement"));
         }
         Ok(())
     }
@@ -204,7 +204,7 @@
             Message::Acknowledgement { .. }
             | Message::Report(_)
             | Message::CollectorHello { .. }
-            | Message::ProxyHello(_) => Err(MalformedMessage::Unexpected("stream")),
+            | Message::ProxyHello(_) => Err(MalformedMessage::Unexpected("proxy")),
         }
     }
 
--- a/crates/supervisor/src/protocol/endpoint_delivery.rs
+++ b/crates/supervisor/src/protocol/endpoint_delivery.rs
@@ -143,9 +143,12 @@
         .collect();
     let duplicates = endpoints.len() - last_positions.len();
     if duplicates > 0 {
-        let mut positions = 0..;
-        endpoints
-            .retain(|endpoint| positions.next() == last_positions.get(&endpoint.name).copied());
+        let mut position = 0;
+        endpoints.retain(|endpoint| {
+            let is_last = last_positions.get(&endpoint.name) == Some(&position);
+            position += 1;
+            is_last
+        });
     }
     duplicates
 }
@@ -190,8 +193,12 @@
 
 /// Whether a server's name can be written in an order.
 fn is_encodable_name(name: &str) -> bool {
-    let is_encodable = |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b',' | b':' | b'=');
-    !name.is_empty() && name.bytes().all(is_encodable)
+    !name.is_empty() && name.bytes().all(is_encodable_byte)
+}
+
+fn is_encodable_byte(byte: u8) -> bool {
+    let is_separator = matches!(byte, b',' | b':' | b'=');
+    byte.is_ascii_graphic() && !is_separator
 }
 
 #[cfg(test)]
--- a/crates/supervisor/src/protocol/malformed.rs
+++ b/crates/supervisor/src/protocol/malformed.rs
@@ -19,14 +19,14 @@
         /// The field.
         field: &'static str,
     },
-    /// A message that does not belong on such a connection, or not again.
-    #[error("a message that no {0} brings")]
+    /// A message that such a peer does not send, or not again.
+    #[error("unexpected message from a {0}")]
     Unexpected(&'static str),
     /// The kind has characters that no kind has.
     #[error("no message")]
     NoMessage,
     /// An endpoint list is no JSON of its form.
-    #[error("no list: {0}")]
+    #[error("malformed endpoint list: {0}")]
     EndpointList(String),
 }
 
--- a/crates/supervisor/src/server/errors.rs
+++ b/crates/supervisor/src/server/errors.rs
@@ -45,16 +45,16 @@
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub enum TaskStopped {
     /// The tick loop.
-    #[error("the decisions have stopped")]
+    #[error("the tick loop has stopped")]
     TickLoop,
     /// The reload of configurations.
-    #[error("reading new configurations has stopped")]
+    #[error("the reload of configurations has stopped")]
     Reload,
     /// The discovery client.
-    #[error("following the list has stopped")]
+    #[error("the discovery client has stopped")]
     Discovery,
     /// The listener.
-    #[error("accepting connections has stopped")]
+    #[error("the listener has stopped")]
     Listener,
 }
 
--- a/crates/supervisor/src/server/startup.rs
+++ b/crates/supervisor/src/server/startup.rs
@@ -173,10 +173,7 @@
 
 fn warn_of_inconsistencies(config: &Config) {
     for warning in config.consistency_warnings() {
-        tracing::warn!(
-            doubt = warning,
-            "the settings contradict themselves or leave this open"
-        );
+        tracing::warn!(doubt = warning, "settings are inconsistent or incomplete");
     }
 }
 
--- a/crates/supervisor/tests/crossings/streams.rs
+++ b/crates/supervisor/tests/crossings/streams.rs
@@ -17,7 +17,7 @@
     let mut stalled = Peer::connect(supervisor.address).await;
     stalled.send("hello id=0 site=a rps=20.0 new=0").await;
     let report_until_closed = async {
-        while supervisor.logged(&["0@a", "reason=silent", "no answer to a mark"]) == 0 {
+        while supervisor.logged(&["0@a", "reason=silent", "no acknowledgement"]) == 0 {
             stalled
                 .raw(b"demand id=0 lane=lookup count=4 fail=0 over=200.0\r\n")
                 .await;
@@ -55,7 +55,7 @@
         .await;
     proxy_peer.ended().await;
     supervisor
-        .logs(1, &["0@a", "reason=silent", "no answer to a mark"])
+        .logs(1, &["0@a", "reason=silent", "no acknowledgement"])
         .await;
 }
 
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -59,6 +59,13 @@
         .is_some_and(|change| change.to == "full")
 }
 
+/// Whether a supervisor has recorded metrics with this level, from which it restores the level after a restart.
+fn has_recorded_level(stage: &Stage, supervisor: &str, level: &str) -> bool {
+    recorded_kinds(stage, supervisor).iter().any(|kind| {
+        matches!(kind, Kind::Gauge(metrics) if metrics.service_level.as_deref() == Some(level))
+    })
+}
+
 /// Load rises and falls; one of the supervisors is killed while a level is in force, and restores it from its records.
 async fn restart_while_a_level_is_in_force(stage: &mut Stage) {
     sleep(Duration::from_secs(3)).await;
@@ -67,7 +74,10 @@
         has_entered(stage, "n0", 1) && has_entered(stage, "n1", 1)
     })
     .await;
-    sleep(Duration::from_millis(1500)).await;
+    until("the level in the metrics of n1", || {
+        has_recorded_level(stage, "n1", "fewer lookups")
+    })
+    .await;
     stage.kill(1).await;
     stage.again(1).await;
     until("the level is restored", || {
--- a/crates/supervisor/tests/serving/connections.rs
+++ b/crates/supervisor/tests/serving/connections.rs
@@ -37,7 +37,7 @@
         unidentified.push(Peer::connect(supervisor.address).await);
     }
     until("the shortage in the log", || {
-        supervisor.logged(&["no connection can be accepted now"]) > 0
+        supervisor.logged(&["cannot accept connections"]) > 0
     })
     .await;
     drop(unidentified);
--- a/crates/supervisor/tests/serving/streams.rs
+++ b/crates/supervisor/tests/serving/streams.rs
@@ -127,7 +127,15 @@
     proxy.demand().await;
     proxy.peer.ended().await;
     supervisor
-        .logs(1, &["peer=\"proxy\"", "0@a", "reason=silent", "no usage"])
+        .logs(
+            1,
+            &[
+                "peer=\"proxy\"",
+                "0@a",
+                "reason=silent",
+                "no demand reports",
+            ],
+        )
         .await;
     assert!(supervisor.alive().await);
 }
@@ -181,7 +189,7 @@
                 "peer=\"proxy\"",
                 "1@a",
                 "reason=silent",
-                "no answer to a mark",
+                "no acknowledgement",
             ],
         )
         .await;
