--- a/crates/operator-config/src/limits_section.rs
+++ b/crates/operator-config/src/limits_section.rs
@@ -46,7 +46,7 @@
         ConfigError {
             path: self.path.clone(),
             position: error.place(&self.text),
-            message: error.said.clone(),
+            message: error.problem.to_string(),
         }
     }
 }
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -26,7 +26,7 @@
     pub fn new(config: OverloadConfig, engine: &mut Engine, period: Micros) -> Self {
         engine.enable_traffic_sampling();
         let classes = overload_classes(engine);
-        let (proxies, _) = engine.deployment_size();
+        let proxies = engine.deployment_size().proxies;
         OverloadController {
             manager: OverloadManager::new(config, classes, proxies),
             next_evaluation: Micros(i64::MIN),
@@ -50,7 +50,7 @@
     pub fn restore(&mut self, now: Micros, saved: &limits::Saved) -> Option<Kind> {
         match self.manager.restore(now.0, saved) {
             Ok(transition) => transition.map(|transition| transition_record(&transition)),
-            Err(reason) => Some(not_restored_record(&saved.level, reason)),
+            Err(reason) => Some(not_restored_record(&saved.level, reason.to_string())),
         }
     }
 
@@ -82,11 +82,11 @@
     /// Adds the signals, the limit and the level to the metrics of one moment.
     pub fn add_metrics(&self, gauge: &mut pb::Gauge, now: Micros) {
         gauge.signals = self.known_signals(now);
-        let (limit, _) = self.manager.limit();
+        let limit = self.manager.limit().admitted_share;
         gauge.limit = Some(limit);
         if let Some(transitions) = self.manager.transitions() {
             gauge.service_level = Some(transitions.name().to_string());
-            gauge.level_since_us = transitions.since().max(0);
+            gauge.level_since_us = transitions.since_us().max(0);
         }
     }
 
@@ -94,7 +94,7 @@
         let window = self.manager.signals();
         SIGNALS
             .into_iter()
-            .map(|signal| window.shown(signal, now.0))
+            .map(|signal| window.reading(signal, now.0))
             .filter(|reading| reading.value.is_some())
             .map(|reading| signal_record(&reading))
             .collect()
--- a/crates/overload-control/src/inputs.rs
+++ b/crates/overload-control/src/inputs.rs
@@ -11,9 +11,9 @@
     status: FleetStatus,
 ) -> Inputs {
     Inputs {
-        now: now.0,
-        last_report_at: sample.last_report_at.map(|at| at.0),
-        period: period.0,
+        now_us: now.0,
+        last_report_at_us: sample.last_report_at.map(|at| at.0),
+        report_period_us: period.0,
         saturation: status.saturation,
         admitted_shares: status.admitted_shares,
         warm_weight: status.warm_weight,
--- a/crates/overload-control/src/records.rs
+++ b/crates/overload-control/src/records.rs
@@ -13,10 +13,10 @@
         from: transition.from.clone(),
         to: transition.to.clone(),
         number: u32::try_from(transition.number).unwrap_or(u32::MAX),
-        reason: transition.reason.word().to_string(),
+        reason: transition.reason.as_str().to_string(),
         condition: transition.condition.clone(),
-        signals: transition.shown.iter().map(signal_record).collect(),
-        tell: transition.tell.clone(),
+        signals: transition.readings.iter().map(signal_record).collect(),
+        tell: transition.notify.clone(),
     })
 }
 
@@ -36,6 +36,6 @@
     pb::Signal {
         name: reading.signal.name().to_string(),
         value: reading.value,
-        age_ms: u64::try_from(reading.age / US_PER_MS).unwrap_or(0),
+        age_ms: u64::try_from(reading.age_us / US_PER_MS).unwrap_or(0),
     }
 }
--- a/crates/plugin-advisor/benches/tick.rs
+++ b/crates/plugin-advisor/benches/tick.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use chutegrade_engine::{Engine, Micros, NamedEndpoint, Report, StreamId};
+use chutegrade_engine::{DeploymentNames, Engine, Micros, NamedEndpoint, Report, StreamId};
 use chutegrade_plugin_advisor::PluginAdvisor;
 use chutegrade_policy::{
     Class, EndpointUpdateKind, Idempotency, LoadReport, ReportSource, Retry, Settings,
@@ -77,7 +77,12 @@
 /// An engine with all servers listed and all proxies joined.
 fn engine() -> Engine {
     let classes = names(&["status-read", "refund-order", "petition-file"]);
-    let mut engine = Engine::new(settings(), 1, names(&ZONES), classes, names(&["m"]));
+    let deployment = DeploymentNames {
+        zones: names(&ZONES),
+        classes,
+        machine_kinds: names(&["m"]),
+    };
+    let mut engine = Engine::new(settings(), 1, deployment);
     let endpoints = (0..SERVERS).map(|number| NamedEndpoint {
         name: server_name(number),
         zone: ZONES[number % ZONES.len()].to_string(),
--- a/crates/plugin-advisor/src/inputs.rs
+++ b/crates/plugin-advisor/src/inputs.rs
@@ -12,7 +12,7 @@
 pub fn inputs_from_engine(engine: &Engine) -> Inputs {
     let metrics = engine.fleet_metrics();
     let snapshot = engine.server_snapshot();
-    let (zones, _) = engine.zone_and_class_names();
+    let zones = engine.deployment_names().zones;
     let classes = engine.classes().iter().zip(admitted_shares(&metrics));
     Inputs {
         servers: snapshot.servers.iter().map(server_from_status).collect(),
