--- a/crates/supervisor/src/commands/levels/recorded.rs
+++ b/crates/supervisor/src/commands/levels/recorded.rs
@@ -51,7 +51,7 @@
 
 fn certain_observation(at_us: i64, value: f64) -> Observation {
     Observation {
-        at_us: at_us,
+        at_us,
         value,
         confidence: 1.0,
     }
