--- a/crates/records/src/frame.rs
+++ b/crates/records/src/frame.rs
@@ -1,15 +1,21 @@
-//! Frames: how one record lies in a file. A mark, the length, a checksum of both length and content, the content. What is
-//! no whole frame is stepped over to the next one that is, so that damage costs what it hits and nothing else.
+//! Frames: how one record is stored in a file. A magic number, the length, a checksum of length and content, the content.
+//!
+//! A reader skips what is no valid frame and continues with the next one that is, so that damage costs only the frames that it
+//! hits.
 
-/// Begins each frame: no byte of it occurs twice, and two of them are no text.
+/// Begins each frame: no byte of it occurs twice, and it is no valid text.
 pub const MARK: [u8; 4] = [0xC4, 0x75, 0x7E, 0x9D];
-/// Mark, length and checksum, in bytes.
+/// Length of the magic number, the length and the checksum, in bytes.
 pub const HEAD: usize = 12;
 /// Longest content of a frame, in bytes: a fleet of 10,000 servers in one record.
 pub const CONTENT_MOST: usize = 1 << 20;
-/// Bytes that may be checksummed in the search behind one piece of damage. Danger: a file of nothing but marks would take
-/// hours; the search then gives up, and the rest of the file counts as damaged.
-const SEARCH_MOST: usize = 64 << 20;
+/// Offset of the length in a frame.
+const LENGTH_OFFSET: usize = 4;
+/// Offset of the checksum in a frame.
+const CHECKSUM_OFFSET: usize = 8;
+/// Bytes that may be checksummed in the search for the next valid frame; the rest of the file counts as damaged beyond it. A
+/// file of nothing but magic numbers would take hours otherwise.
+const MAX_SEARCH_BYTES: usize = 64 << 20;
 
 fn checksum(length: [u8; 4], content: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
@@ -18,7 +24,7 @@
     hasher.finalize()
 }
 
-/// Appends a frame; a content that is too long is not taken.
+/// Appends a frame. Returns false, and appends nothing, if the content is too long.
 pub fn put(out: &mut Vec<u8>, content: &[u8]) -> bool {
     if content.len() > CONTENT_MOST {
         return false;
@@ -31,84 +37,96 @@
     true
 }
 
-/// A part of a file, in the order in which they lie.
+/// A piece of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Piece<'a> {
-    /// A whole frame.
+    /// A valid frame.
     Whole {
-        /** Where it begins. */
+        /// The offset of the frame.
         at: usize,
-        /** Its content. */
+        /// The content.
         content: &'a [u8],
     },
-    /// Bytes that belong to no whole frame, with whole ones behind them.
+    /// Bytes that belong to no valid frame, with a valid one after them.
     Damaged {
-        /** Where they begin. */
+        /// The offset of the bytes.
         at: usize,
-        /** How many. */
+        /// The number of bytes.
         bytes: usize,
     },
-    /// Bytes at the end of the file that belong to no whole frame.
+    /// Bytes at the end of the file that belong to no valid frame.
     Torn {
-        /** Where they begin. */
+        /// The offset of the bytes.
         at: usize,
-        /** How many. */
+        /// The number of bytes.
         bytes: usize,
     },
 }
 
-enum Look<'a> {
-    Whole(&'a [u8]),
-    Broken { checked: usize },
+/// What is at an offset.
+enum Parsed<'a> {
+    /// A valid frame with this content.
+    Frame(&'a [u8]),
+    /// No valid frame, which took a checksum over some bytes to see.
+    Invalid { checked_bytes: usize },
 }
 
-fn look(bytes: &[u8], at: usize) -> Look<'_> {
-    let broken = Look::Broken { checked: 0 };
-    let Some(head) = bytes
-        .get(at..at + HEAD)
-        .filter(|head| head.starts_with(&MARK))
-    else {
-        return broken;
+/// Four bytes at an offset.
+fn word(bytes: &[u8], at: usize) -> Option<[u8; 4]> {
+    bytes.get(at..at + 4)?.try_into().ok()
+}
+
+fn parse(bytes: &[u8], at: usize) -> Parsed<'_> {
+    let invalid = Parsed::Invalid { checked_bytes: 0 };
+    let Some(head) = bytes.get(at..at + HEAD) else {
+        return invalid;
     };
-    let word = |from: usize| {
-        head.get(from..from + 4)
-            .and_then(|word| <[u8; 4]>::try_from(word).ok())
+    let (Some(length), Some(stored_checksum)) =
+        (word(head, LENGTH_OFFSET), word(head, CHECKSUM_OFFSET))
+    else {
+        return invalid;
     };
-    let (Some(length), Some(sum)) = (word(4), word(8)) else {
-        return broken;
+    let content_bytes = u32::from_le_bytes(length) as usize;
+    if !head.starts_with(&MARK) || content_bytes > CONTENT_MOST {
+        return invalid;
+    }
+    let start = at + HEAD;
+    let Some(content) = bytes.get(start..start + content_bytes) else {
+        return invalid;
     };
-    let count = u32::from_le_bytes(length) as usize;
-    let content = bytes.get(at + HEAD..(at + HEAD).saturating_add(count));
-    match content.filter(|_| count <= CONTENT_MOST) {
-        Some(content) if checksum(length, content) == u32::from_le_bytes(sum) => {
-            Look::Whole(content)
+    if checksum(length, content) == u32::from_le_bytes(stored_checksum) {
+        Parsed::Frame(content)
+    } else {
+        Parsed::Invalid {
+            checked_bytes: content_bytes,
         }
-        Some(_) => Look::Broken { checked: count },
-        None => broken,
     }
 }
 
-/// The pieces of a file's bytes.
+/// An iterator over the pieces of a file, in order.
 pub struct Pieces<'a> {
     bytes: &'a [u8],
     at: usize,
 }
 
 impl<'a> Pieces<'a> {
-    /// The pieces from a place on, which should be the begin of a frame.
+    /// The pieces from an offset on, which should be that of a frame.
     pub fn new(bytes: &'a [u8], from: usize) -> Self {
         Pieces { bytes, at: from }
     }
 
-    /// Where the next whole frame begins.
-    fn found(&self) -> Option<usize> {
-        let (mut at, mut checked) = (self.at + 1, 0);
-        while checked <= SEARCH_MOST {
+    /// The offset of the next valid frame after the current position.
+    fn find_next_frame(&self) -> Option<usize> {
+        let mut at = self.at + 1;
+        let mut checked_bytes = 0;
+        while checked_bytes <= MAX_SEARCH_BYTES {
             let rest = self.bytes.get(at..)?;
             at += rest.windows(MARK.len()).position(|window| window == MARK)?;
-            match look(self.bytes, at) {
-                Look::Whole(_) => return Some(at),
-                Look::Broken { checked: more } => checked += more,
+            match parse(self.bytes, at) {
+                Parsed::Frame(_) => return Some(at),
+                Parsed::Invalid {
+                    checked_bytes: more,
+                } => checked_bytes += more,
             }
             at += 1;
         }
@@ -124,18 +142,18 @@
         if at >= self.bytes.len() {
             return None;
         }
-        if let Look::Whole(content) = look(self.bytes, at) {
+        if let Parsed::Frame(content) = parse(self.bytes, at) {
             self.at = at + HEAD + content.len();
             return Some(Piece::Whole { at, content });
         }
-        let found = self.found();
-        self.at = found.unwrap_or(self.bytes.len());
-        let bytes = self.at - at;
-        Some(if found.is_some() {
-            Piece::Damaged { at, bytes }
-        } else {
-            Piece::Torn { at, bytes }
-        })
+        if let Some(next) = self.find_next_frame() {
+            self.at = next;
+            let bytes = next - at;
+            return Some(Piece::Damaged { at, bytes });
+        }
+        self.at = self.bytes.len();
+        let bytes = self.bytes.len() - at;
+        Some(Piece::Torn { at, bytes })
     }
 }
 
--- a/crates/records/src/frame/tests.rs
+++ b/crates/records/src/frame/tests.rs
@@ -24,58 +24,58 @@
 }
 
 #[test]
-fn a_content_that_is_too_long_is_not_taken() {
+fn content_that_is_too_long_is_rejected() {
     let mut out = Vec::new();
     assert!(!put(&mut out, &vec![0; CONTENT_MOST + 1]));
     assert!(out.is_empty());
 }
 
-/// Danger: a file made to be slow keeps a report from ever opening.
+/// A file made to be slow must not keep a report from opening.
 #[test]
-fn a_file_of_marks_alone_is_given_up_in_time() {
+fn the_search_in_a_file_of_marks_alone_ends() {
     let mut bytes = Vec::new();
     for _ in 0..200_000 {
         bytes.extend_from_slice(&MARK);
         bytes.extend_from_slice(&(CONTENT_MOST as u32 / 2).to_le_bytes());
     }
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     assert_eq!(Pieces::new(&bytes, 0).count(), 1);
-    assert!(begun.elapsed().as_secs() < 20);
+    assert!(started_at.elapsed().as_secs() < 20);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Cut at any byte: all frames before the cut, none invented, and the tail is said to be torn.
+    /// Cut at any byte: all frames before the cut and no others, and the tail counts as torn.
     #[test]
-    fn a_cut_keeps_all_before_it(
+    fn a_truncated_file_keeps_all_frames_before_the_cut(
         contents in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..40), 1..12),
         cut in any::<prop::sample::Index>(),
     ) {
         let (bytes, ends) = framed(&contents);
         let cut = cut.index(bytes.len() + 1);
-        let kept = ends.iter().filter(|end| **end <= cut).count();
-        prop_assert_eq!(whole(&bytes[..cut]), contents[..kept].to_vec());
+        let complete = ends.iter().filter(|end| **end <= cut).count();
+        prop_assert_eq!(whole(&bytes[..cut]), contents[..complete].to_vec());
         let torn: usize = Pieces::new(&bytes[..cut], 0)
             .map(|piece| if let Piece::Torn { bytes, .. } = piece { bytes } else { 0 })
             .sum();
-        prop_assert_eq!(torn, cut - kept.checked_sub(1).map_or(0, |last| ends[last]));
+        prop_assert_eq!(torn, cut - complete.checked_sub(1).map_or(0, |last| ends[last]));
     }
 
     /// A flipped bit costs the frame it hits, and no other.
     #[test]
     fn a_flipped_bit_costs_one_frame(
         contents in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..40), 1..12),
-        place in any::<prop::sample::Index>(),
+        position in any::<prop::sample::Index>(),
         bit in 0..8u8,
     ) {
         let (mut bytes, ends) = framed(&contents);
-        let place = place.index(bytes.len());
-        bytes[place] ^= 1 << bit;
-        let hit = ends.iter().filter(|end| **end <= place).count();
-        let mut left = contents.clone();
-        left.remove(hit);
-        prop_assert_eq!(whole(&bytes), left);
+        let position = position.index(bytes.len());
+        bytes[position] ^= 1 << bit;
+        let damaged = ends.iter().filter(|end| **end <= position).count();
+        let mut remaining = contents.clone();
+        remaining.remove(damaged);
+        prop_assert_eq!(whole(&bytes), remaining);
         let all: usize = Pieces::new(&bytes, 0).map(|piece| match piece {
             Piece::Whole { content, .. } => HEAD + content.len(),
             Piece::Damaged { bytes, .. } | Piece::Torn { bytes, .. } => bytes,
--- a/crates/records/src/kind.rs
+++ b/crates/records/src/kind.rs
@@ -1,14 +1,15 @@
-//! What can be said of a record by its kind: its number in the schema, its name, whom it concerns.
+//! The kinds of records: their numbers in the schema, their names, the server that each is about; and the decoding of records
+//! that are newer than this version.
 
 use prost::encoding::decode_key;
 use prost::Message;
 
 use crate::pb::{self, record::Kind, Record};
 
-/// Numbers of the kinds begin here; what is below belongs to every record.
+/// The first number of a kind; lower ones are fields that every record has.
 pub const FIRST: u32 = 10;
 
-/// Every kind's number and name, in the order of their numbers.
+/// The number and the name of every kind, in the order of their numbers.
 pub const KINDS: [(u32, &str); 27] = [
     (10, "started"),
     (11, "stopped"),
@@ -76,7 +77,7 @@
 pub fn name(number: u32) -> &'static str {
     KINDS
         .iter()
-        .find(|(known, _)| *known == number)
+        .find(|(other, _)| *other == number)
         .map_or("unknown", |(_, name)| name)
 }
 
@@ -84,7 +85,7 @@
 pub fn by_name(name: &str) -> Option<u32> {
     KINDS
         .iter()
-        .find(|(_, known)| *known == name)
+        .find(|(_, other)| *other == name)
         .map(|(number, _)| *number)
 }
 
@@ -100,12 +101,12 @@
     }
 }
 
-/// Whether a record is one of a series that charts show, not an event of its own.
+/// Whether a record is a sample of a time series, which charts show, rather than an event.
 pub fn is_series(kind: &Kind) -> bool {
     matches!(kind, Kind::Gauge(_) | Kind::Fleet(_) | Kind::Published(_))
 }
 
-/// Whether an event is news for whoever asks what went wrong; joins and ends of streams and the like are not.
+/// Whether an event matters to whoever asks what went wrong; joins and ends of streams and the like do not.
 pub fn is_trouble(kind: &Kind) -> bool {
     match kind {
         Kind::StateChanged(of) => of.state() != pb::State::Full,
@@ -126,25 +127,26 @@
     }
 }
 
-/// A record as read: what this version understands of it, and whether there is more in it.
+/// A decoded record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Read {
-    /// The record; without a kind if that is newer than this version.
+    /// The record; without a kind if this version does not know it.
     pub record: Record,
     /// The number of its kind; 0 if it has none at all.
     pub number: u32,
-    /// Its bytes, where they hold more than this version understands.
+    /// Its bytes, if they contain more than this version can decode.
     pub newer: Option<Vec<u8>>,
 }
 
-/// Reads a record; what is newer than this version is kept as bytes. Nothing if it is no record.
+/// Decodes a record; what this version can't decode is kept as bytes. `None` if it is no record.
 pub fn read(content: &[u8]) -> Option<Read> {
     let record = Record::decode(content).ok()?;
     let number = record
         .kind
         .as_ref()
-        .map_or_else(|| unknown(content), number);
-    let newer = (record.encoded_len() != content.len()).then(|| content.to_vec());
+        .map_or_else(|| unknown_kind_number(content), number);
+    let is_newer = record.encoded_len() != content.len();
+    let newer = is_newer.then(|| content.to_vec());
     Some(Read {
         record,
         number,
@@ -152,14 +154,14 @@
     })
 }
 
-/// The first field's number beyond those that every record has.
-fn unknown(mut content: &[u8]) -> u32 {
+/// The number of the first field beyond those that every record has; 0 if there is none.
+fn unknown_kind_number(mut content: &[u8]) -> u32 {
     let context = prost::encoding::DecodeContext::default();
-    while let Ok((tag, wire)) = decode_key(&mut content) {
+    while let Ok((tag, wire_type)) = decode_key(&mut content) {
         if tag >= FIRST {
             return tag;
         }
-        if prost::encoding::skip_field(wire, tag, &mut content, context.clone()).is_err() {
+        if prost::encoding::skip_field(wire_type, tag, &mut content, context.clone()).is_err() {
             break;
         }
     }
--- a/crates/records/src/kind/tests.rs
+++ b/crates/records/src/kind/tests.rs
@@ -2,17 +2,20 @@
 
 #[test]
 fn names_and_numbers_agree_and_fit_the_index() {
-    for (known, its) in KINDS {
-        assert_eq!((name(known), by_name(its)), (its, Some(known)));
-        assert!((FIRST..FIRST + 64).contains(&known));
+    for (kind_number, kind_name) in KINDS {
+        assert_eq!(
+            (name(kind_number), by_name(kind_name)),
+            (kind_name, Some(kind_number))
+        );
+        assert!((FIRST..FIRST + 64).contains(&kind_number));
     }
     assert_eq!(number(&Kind::Fleet(pb::Fleet::default())), 47);
     assert_eq!((name(63), by_name("nothing")), ("unknown", None));
 }
 
-/// Danger: a day's records of a newer version, read by an older one, are silently fewer.
+/// Records of a newer version must not silently vanish when an older one reads them.
 #[test]
-fn what_is_newer_is_kept_and_shown_as_unknown() {
+fn newer_kinds_are_kept_and_named_unknown() {
     let mut bytes = Record {
         seq: 7,
         at_us: 5,
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -18,8 +18,8 @@
 pub mod text;
 pub mod timeline;
 
-/// The types of the schema, as generated.
-#[allow(missing_docs)]
+/// The types of the schema `proto/records.proto`, as generated.
+#[allow(missing_docs, clippy::all, clippy::doc_markdown)]
 pub mod pb {
     include!(concat!(env!("OUT_DIR"), "/chutegrade.records.v1.rs"));
 }
--- a/crates/records/src/observe.rs
+++ b/crates/records/src/observe.rs
@@ -1,38 +1,56 @@
-//! What reports tell at once, before any state follows from it: at which servers most tries fail, and since when. It
-//! steers nothing; it is for whoever asks later what came first.
+//! Which servers fail most attempts, as reports show before any state follows from them. It decides nothing; it is for whoever
+//! asks later what came first.
 
 use std::collections::BTreeSet;
 
 use crate::pb::Failing;
 
-/// Tries in one report from which it says something.
-const TRIES_LEAST: f64 = 4.0;
-/// Share of failed tries at which a server counts as failing, and below which it does no more.
-const FAILS: (f64, f64) = (0.5, 0.1);
-/// Ways that are remembered as failing at most: all servers of a large fleet, from several zones.
-const FAILING_MOST: usize = 20_000;
+/// Least attempts in a report that count.
+const MIN_ATTEMPTS: f64 = 4.0;
+/// Share of failed attempts from which a server is failing.
+const FAILING_FROM: f64 = 0.5;
+/// Share of failed attempts below which a failing server has recovered.
+const RECOVERED_BELOW: f64 = 0.1;
+/// Most failing servers that are remembered: all of a large fleet, seen from several zones.
+const MAX_FAILING: usize = 20_000;
 
-/// Which servers fail most tries, by zone of those who try.
+/// A server as the proxies of a zone see it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ObservedServer {
+    server: String,
+    proxy_zone: String,
+}
+
+/// The servers that fail most attempts, by the zone of the proxies.
 #[derive(Debug, Default)]
 pub struct Observer {
-    failing: BTreeSet<(String, String)>,
+    failing: BTreeSet<ObservedServer>,
 }
 
 impl Observer {
-    /// Takes in what the proxies of a zone met at a server; tells where that is news.
-    pub fn heard(&mut self, zone: &str, server: &str, tries: f64, failed: f64) -> Option<Failing> {
-        if tries < TRIES_LEAST {
+    /// Takes in a report of the proxies of a zone on a server. Returns a record if the server begins or ceases to fail.
+    pub fn heard(
+        &mut self,
+        zone: &str,
+        server: &str,
+        attempts: f64,
+        failed: f64,
+    ) -> Option<Failing> {
+        if attempts < MIN_ATTEMPTS {
             return None;
         }
-        let share = failed / tries;
-        let way = (server.to_string(), zone.to_string());
-        let failing = if share >= FAILS.0
-            && !self.failing.contains(&way)
-            && self.failing.len() < FAILING_MOST
-        {
-            self.failing.insert(way);
+        let observed = ObservedServer {
+            server: server.to_string(),
+            proxy_zone: zone.to_string(),
+        };
+        let failed_share = failed / attempts;
+        let was_failing = self.failing.contains(&observed);
+        let has_capacity = self.failing.len() < MAX_FAILING;
+        let failing = if failed_share >= FAILING_FROM && !was_failing && has_capacity {
+            self.failing.insert(observed);
             true
-        } else if share < FAILS.1 && self.failing.remove(&way) {
+        } else if failed_share < RECOVERED_BELOW && was_failing {
+            self.failing.remove(&observed);
             false
         } else {
             return None;
@@ -41,14 +59,14 @@
             server: server.to_string(),
             zone: zone.to_string(),
             failing,
-            tries,
+            tries: attempts,
             failed,
         })
     }
 
-    /// The server is gone, whatever it was.
+    /// Forgets a server that is gone.
     pub fn forget(&mut self, server: &str) {
-        self.failing.retain(|(known, _)| known != server);
+        self.failing.retain(|observed| observed.server != server);
     }
 }
 
--- a/crates/records/src/recorder/writer.rs
+++ b/crates/records/src/recorder/writer.rs
@@ -12,7 +12,7 @@
 use crate::frame;
 use crate::maintenance::ActiveSegment;
 use crate::pb::{record::Kind, Record, Recovered};
-use crate::store::{Fault, Store};
+use crate::store::{Store, StoreError};
 use crate::text;
 
 /// Time between two polls of the queue: what a killed process may lose.
@@ -232,7 +232,7 @@
     }
 
     /// Logs once that recording has stopped.
-    fn report_failure(&mut self, fault: &Fault) {
+    fn report_failure(&mut self, fault: &StoreError) {
         if !std::mem::replace(&mut self.is_failing, true) {
             tracing::error!(%fault, "recording stops, serving goes on");
         }
--- a/crates/records/src/segment.rs
+++ b/crates/records/src/segment.rs
@@ -1,5 +1,5 @@
-//! Segments: files of frames, written by one start of one supervisor, in order. The name tells the start and the place
-//! within it, so that order and gaps are known even where a file can't be read.
+//! Segments: files of frames, written by one incarnation of one supervisor. The file name holds the incarnation and the number
+//! of the segment, so that order and gaps are known even where a file can't be read.
 
 use std::fs::File;
 use std::io::{Read as _, Seek as _, SeekFrom};
@@ -13,49 +13,57 @@
 
 /// Version of the framing and of the schema's meaning that this program writes.
 pub const VERSION: u32 = 1;
-/// Longest segment that is read, in bytes; one is sealed far below it.
+/// Longest segment that is read, in bytes; segments are sealed far below it.
 pub const LENGTH_MOST: u64 = 256 << 20;
-const ENDING: &str = "seg";
-const INDEX_ENDING: &str = "idx";
+const EXTENSION: &str = "seg";
+const INDEX_EXTENSION: &str = "idx";
 
-/// Which segment: the start that wrote it, and its place among those of the start.
+/// Identifies a segment within a directory; the order is that of writing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SegmentId {
-    /// Counts the starts of the supervisor, from 1.
+    /// The incarnation of the supervisor that wrote it, from 1.
     pub incarnation: u64,
-    /// Counts the segments of the start, from 0.
+    /// The number of the segment within the incarnation, from 0.
     pub number: u64,
 }
 
 impl SegmentId {
-    /// The segment's file.
+    /// The path of the segment.
     pub fn path(self, directory: &Path) -> PathBuf {
         directory.join(format!(
-            "{:08}-{:06}.{ENDING}",
+            "{:08}-{:06}.{EXTENSION}",
             self.incarnation, self.number
         ))
     }
 
-    /// The file of its index.
+    /// The path of its index.
     pub fn index_path(self, directory: &Path) -> PathBuf {
-        self.path(directory).with_extension(INDEX_ENDING)
+        self.path(directory).with_extension(INDEX_EXTENSION)
     }
 
-    fn of(name: &str) -> Option<Self> {
-        let (incarnation, number) = name.strip_suffix(&format!(".{ENDING}"))?.split_once('-')?;
-        let digits = |text: &str| {
-            text.bytes()
-                .all(|byte| byte.is_ascii_digit())
-                .then(|| text.parse().ok())?
-        };
+    /// The segment with a file name; `None` if that is no segment.
+    fn from_file_name(name: &str) -> Option<Self> {
+        let (incarnation, number) = name
+            .strip_suffix(&format!(".{EXTENSION}"))?
+            .split_once('-')?;
         Some(SegmentId {
-            incarnation: digits(incarnation)?,
-            number: digits(number)?,
+            incarnation: parse_digits(incarnation)?,
+            number: parse_digits(number)?,
         })
     }
 }
 
-/// The segments of a directory, in order. A directory that is not there has none.
+/// A number without a sign.
+fn parse_digits(text: &str) -> Option<u64> {
+    let are_digits = text.bytes().all(|byte| byte.is_ascii_digit());
+    are_digits.then(|| text.parse().ok())?
+}
+
+/// The segments of a directory, in order. A directory that does not exist has none.
+///
+/// # Errors
+///
+/// If the directory can't be read.
 pub fn list(directory: &Path) -> std::io::Result<Vec<SegmentId>> {
     let entries = match std::fs::read_dir(directory) {
         Ok(entries) => entries,
@@ -63,12 +71,18 @@
         Err(fault) => return Err(fault),
     };
     let names = entries.filter_map(|entry| entry.ok()?.file_name().into_string().ok());
-    let mut found: Vec<SegmentId> = names.filter_map(|name| SegmentId::of(&name)).collect();
-    found.sort();
-    Ok(found)
+    let mut segments: Vec<SegmentId> = names
+        .filter_map(|name| SegmentId::from_file_name(&name))
+        .collect();
+    segments.sort();
+    Ok(segments)
 }
 
-/// A part of a segment's file; nothing where the file is shorter.
+/// A range of a file's bytes; fewer where the file is shorter.
+///
+/// # Errors
+///
+/// If the file can't be read.
 pub fn bytes(path: &Path, from: u64, length: u64) -> std::io::Result<Vec<u8>> {
     let mut file = File::open(path)?;
     file.seek(SeekFrom::Start(from))?;
@@ -77,46 +91,51 @@
     Ok(bytes)
 }
 
-/// What lies in a segment, in order.
+/// A part of a segment.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
     /// The header.
     Header(SegmentHeader),
-    /// A record, with its place and the length of its frame.
+    /// A record.
     Record {
-        /** Where its frame begins. */
+        /// The offset of its frame.
         at: u64,
-        /** Bytes of its frame. */
+        /// The bytes of its frame.
         bytes: u64,
-        /** The record. */
+        /// The record.
         read: Read,
     },
-    /// Bytes that belong to no record, with records behind them.
+    /// Bytes that belong to no record, with records after them.
     Damaged(u64),
     /// Bytes that belong to no record, at the end.
     Torn(u64),
 }
 
-/// Reads the items of a segment's bytes, which begin at this place of the file, each with the place where it ends; the
-/// frame at 0 is the header.
+/// The items of a range of a segment's bytes that begins at an offset, each with the offset of its end. The frame at offset 0
+/// is the header.
 pub fn items(bytes: &[u8], from: u64) -> impl Iterator<Item = (u64, Item)> + '_ {
     Pieces::new(bytes, 0).map(move |piece| match piece {
         Piece::Whole { at, content } => {
-            let bytes = (HEAD + content.len()) as u64;
             let at = from + at as u64;
-            let item = if at == 0 {
-                SegmentHeader::decode(content).ok().map(Item::Header)
-            } else {
-                kind::read(content).map(|read| Item::Record { at, bytes, read })
-            };
-            (at + bytes, item.unwrap_or(Item::Damaged(bytes)))
+            let bytes = (HEAD + content.len()) as u64;
+            (at + bytes, frame_item(at, bytes, content))
         }
         Piece::Damaged { at, bytes } => (from + (at + bytes) as u64, Item::Damaged(bytes as u64)),
         Piece::Torn { at, bytes } => (from + (at + bytes) as u64, Item::Torn(bytes as u64)),
     })
 }
 
-/// Reads the index beside a segment; nothing if there is none, it is damaged, or the segment has another length.
+/// The item of a frame at an offset.
+fn frame_item(at: u64, bytes: u64, content: &[u8]) -> Item {
+    let item = if at == 0 {
+        SegmentHeader::decode(content).ok().map(Item::Header)
+    } else {
+        kind::read(content).map(|read| Item::Record { at, bytes, read })
+    };
+    item.unwrap_or(Item::Damaged(bytes))
+}
+
+/// The stored index of a segment; `None` if there is none, it is damaged, or the segment has grown since.
 pub fn stored_index(directory: &Path, id: SegmentId) -> Option<Index> {
     let bytes = std::fs::read(id.index_path(directory)).ok()?;
     let Some(Piece::Whole { content, .. }) = Pieces::new(&bytes, 0).next() else {
@@ -124,8 +143,9 @@
     };
     let index = Index::decode(content).ok()?;
     let length = std::fs::metadata(id.path(directory)).ok()?.len();
-    (index.length == length && index.incarnation == id.incarnation && index.number == id.number)
-        .then_some(index)
+    let is_current =
+        index.length == length && index.incarnation == id.incarnation && index.number == id.number;
+    is_current.then_some(index)
 }
 
 #[cfg(test)]
--- a/crates/records/src/segment/tests.rs
+++ b/crates/records/src/segment/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn names_tell_the_order_and_nothing_else_is_a_segment() {
+fn file_names_are_parsed_and_other_files_are_no_segments() {
     let id = SegmentId {
         incarnation: 12,
         number: 3,
     };
     let path = id.path(Path::new("/x"));
     assert_eq!(path, Path::new("/x/00000012-000003.seg"));
-    assert_eq!(SegmentId::of("00000012-000003.seg"), Some(id));
+    assert_eq!(SegmentId::from_file_name("00000012-000003.seg"), Some(id));
     assert_eq!(
-        SegmentId::of("123456789-000003.seg").map(|id| id.incarnation),
+        SegmentId::from_file_name("123456789-000003.seg").map(|id| id.incarnation),
         Some(123_456_789)
     );
     for other in [
@@ -21,6 +21,6 @@
         "+1-2.seg",
         "-.seg",
     ] {
-        assert_eq!(SegmentId::of(other), None, "{other}");
+        assert_eq!(SegmentId::from_file_name(other), None, "{other}");
     }
 }
--- a/crates/records/src/store.rs
+++ b/crates/records/src/store.rs
@@ -1,5 +1,5 @@
-//! The writing side of a directory of records: one supervisor's at a time. A start never changes what an earlier one
-//! wrote; it begins a segment of its own, so that nothing has to be repaired before it can go on.
+//! The write side of a directory of records, for one supervisor at a time. An incarnation never changes what an earlier one
+//! wrote; it begins a segment of its own, so that nothing has to be repaired before it starts.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::Write as _;
@@ -12,95 +12,106 @@
 use crate::pb::{Recovered, SegmentHeader};
 use crate::segment::{self, SegmentId, VERSION};
 
-/// A segment is sealed at this length, in bytes: read whole by a reader with little memory, and a day has a few dozen.
+/// Length from which a segment is sealed, in bytes: readers can hold one in memory, and a day has a few dozen.
 pub const SEAL_BYTES: u64 = 8 << 20;
-/// File that tells other processes that the directory is in use. The lock dies with the process that holds it.
-const LOCK: &str = "lock";
+/// The file whose lock shows other processes that the directory is in use; the lock ends with the process that holds it.
+const LOCK_FILE: &str = "lock";
 
-/// Why records cannot be written.
+/// Why records can't be written.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
-    /// Another supervisor writes there.
+pub enum StoreError {
+    /// Another supervisor uses the directory.
     #[error("{0} is in use by another supervisor: give each its own name or its own directory")]
     InUse(PathBuf),
-    /// The directory or a file in it cannot be used.
+    /// The directory or a file in it can't be used.
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
 }
 
-fn at(path: &Path) -> impl Fn(std::io::Error) -> Fault + '_ {
-    |fault| Fault::Io(path.to_path_buf(), fault)
+/// Adds the path to an I/O error.
+fn with_path(path: &Path) -> impl Fn(std::io::Error) -> StoreError + '_ {
+    |error| StoreError::Io(path.to_path_buf(), error)
 }
 
-/// A directory under this supervisor's lock, and the segment that it writes.
+/// A locked directory, and the segment that is being written.
 #[derive(Debug)]
 pub struct Store {
     directory: PathBuf,
     supervisor: String,
-    id: SegmentId,
-    active: Option<Active>,
+    /// The segment that will be opened next.
+    next_segment: SegmentId,
+    open_segment: Option<OpenSegment>,
     _lock: File,
 }
 
 #[derive(Debug)]
-struct Active {
+struct OpenSegment {
     file: File,
     path: PathBuf,
     length: u64,
-    dirty: bool,
+    has_uncommitted: bool,
 }
 
-/// Takes the lock of a directory, which is made if it is not there.
-fn lock(directory: &Path) -> Result<File, Fault> {
-    std::fs::create_dir_all(directory).map_err(at(directory))?;
-    let path = directory.join(LOCK);
+/// Locks a directory, which is created if it does not exist.
+fn lock(directory: &Path) -> Result<File, StoreError> {
+    std::fs::create_dir_all(directory).map_err(with_path(directory))?;
+    let path = directory.join(LOCK_FILE);
     let file = OpenOptions::new()
         .create(true)
         .truncate(false)
         .write(true)
         .open(&path)
-        .map_err(at(&path))?;
+        .map_err(with_path(&path))?;
     match file.try_lock() {
         Ok(()) => Ok(file),
-        Err(TryLockError::WouldBlock) => Err(Fault::InUse(directory.to_path_buf())),
-        Err(TryLockError::Error(fault)) => Err(at(&path)(fault)),
+        Err(TryLockError::WouldBlock) => Err(StoreError::InUse(directory.to_path_buf())),
+        Err(TryLockError::Error(error)) => Err(with_path(&path)(error)),
     }
 }
 
 impl Store {
-    /// Opens a directory for a supervisor's next start. Nothing is written before the first append.
-    pub fn open(directory: &Path, supervisor: &str) -> Result<Self, Fault> {
+    /// Opens a directory for the next incarnation of a supervisor. Nothing is written before the first append.
+    ///
+    /// # Errors
+    ///
+    /// If the directory can't be used, or is in use.
+    pub fn open(directory: &Path, supervisor: &str) -> Result<Self, StoreError> {
         let lock = lock(directory)?;
-        let known = segment::list(directory).map_err(at(directory))?;
-        let incarnation = known.last().map_or(0, |last| last.incarnation) + 1;
+        let segments = segment::list(directory).map_err(with_path(directory))?;
+        let incarnation = segments.last().map_or(0, |last| last.incarnation) + 1;
         Ok(Store {
             directory: directory.to_path_buf(),
             supervisor: supervisor.to_string(),
-            id: SegmentId {
+            next_segment: SegmentId {
                 incarnation,
                 number: 0,
             },
-            active: None,
+            open_segment: None,
             _lock: lock,
         })
     }
 
-    /// This start's number.
+    /// The number of this incarnation.
     pub fn incarnation(&self) -> u64 {
-        self.id.incarnation
+        self.next_segment.incarnation
     }
 
-    /// What the start before has left, if there was one: a look at its last segment.
-    pub fn recovered(&self) -> Result<Option<Recovered>, Fault> {
-        let known = segment::list(&self.directory).map_err(at(&self.directory))?;
-        let Some(last) = known
+    /// What the last segment of the previous incarnation holds, if there is one.
+    ///
+    /// # Errors
+    ///
+    /// If the segment can't be read.
+    pub fn recovered(&self) -> Result<Option<Recovered>, StoreError> {
+        let segments = segment::list(&self.directory).map_err(with_path(&self.directory))?;
+        let this_incarnation = self.incarnation();
+        let Some(last) = segments
             .into_iter()
-            .rfind(|id| id.incarnation < self.id.incarnation)
+            .rfind(|id| id.incarnation < this_incarnation)
         else {
             return Ok(None);
         };
         let path = last.path(&self.directory);
-        let bytes = segment::bytes(&path, 0, segment::LENGTH_MOST).map_err(at(&path))?;
+        let bytes = segment::bytes(&path, 0, segment::LENGTH_MOST).map_err(with_path(&path))?;
         let index = index::build(last, &bytes);
         Ok(Some(Recovered {
             incarnation: last.incarnation,
@@ -112,37 +123,46 @@
         }))
     }
 
-    /// Appends frames. On a fault the segment is left as it is, whatever part of them it holds, and the next append
-    /// begins another.
-    pub fn append(&mut self, frames: &[u8], first_seq: u64, now_us: i64) -> Result<(), Fault> {
-        let full = self
-            .active
+    /// Appends frames, to a new segment if the current one is full.
+    ///
+    /// # Errors
+    ///
+    /// If they can't be written. The segment is left as it is, whatever part of them it holds, and the next append begins
+    /// another one.
+    pub fn append(&mut self, frames: &[u8], first_seq: u64, now_us: i64) -> Result<(), StoreError> {
+        let is_full = self
+            .open_segment
             .as_ref()
-            .is_some_and(|active| active.length >= SEAL_BYTES);
-        if full {
+            .is_some_and(|segment| segment.length >= SEAL_BYTES);
+        if is_full {
             self.commit()?;
-            self.active = None;
+            self.open_segment = None;
         }
-        let mut active = match self.active.take() {
-            Some(active) => active,
-            None => self.begin(first_seq, now_us)?,
+        let mut segment = match self.open_segment.take() {
+            Some(segment) => segment,
+            None => self.begin_segment(first_seq, now_us)?,
         };
-        active.file.write_all(frames).map_err(at(&active.path))?;
-        active.length += frames.len() as u64;
-        active.dirty = true;
-        self.active = Some(active);
+        let written = segment.file.write_all(frames);
+        written.map_err(with_path(&segment.path))?;
+        segment.length += frames.len() as u64;
+        segment.has_uncommitted = true;
+        self.open_segment = Some(segment);
         Ok(())
     }
 
-    fn begin(&mut self, first_seq: u64, created_us: i64) -> Result<Active, Fault> {
-        let id = self.id;
+    fn begin_segment(
+        &mut self,
+        first_seq: u64,
+        created_us: i64,
+    ) -> Result<OpenSegment, StoreError> {
+        let id = self.next_segment;
         let path = id.path(&self.directory);
-        self.id.number += 1;
+        self.next_segment.number += 1;
         let mut file = OpenOptions::new()
             .create_new(true)
             .write(true)
             .open(&path)
-            .map_err(at(&path))?;
+            .map_err(with_path(&path))?;
         let header = SegmentHeader {
             version: VERSION,
             supervisor: self.supervisor.clone(),
@@ -151,41 +171,48 @@
             first_seq,
             created_us,
         };
-        let mut head = Vec::new();
-        frame::put(&mut head, &header.encode_to_vec());
-        file.write_all(&head).map_err(at(&path))?;
-        Ok(Active {
+        let mut header_frame = Vec::new();
+        frame::put(&mut header_frame, &header.encode_to_vec());
+        file.write_all(&header_frame).map_err(with_path(&path))?;
+        Ok(OpenSegment {
             file,
             path,
-            length: head.len() as u64,
-            dirty: true,
+            length: header_frame.len() as u64,
+            has_uncommitted: true,
         })
     }
 
     /// Whether something was appended since the last commit.
-    pub fn dirty(&self) -> bool {
-        self.active.as_ref().is_some_and(|active| active.dirty)
+    pub fn has_uncommitted(&self) -> bool {
+        self.open_segment
+            .as_ref()
+            .is_some_and(|segment| segment.has_uncommitted)
     }
 
-    /// Returns once all that was appended would survive a loss of power.
-    pub fn commit(&mut self) -> Result<(), Fault> {
-        let Some(mut active) = self.active.take() else {
+    /// Returns once everything that was appended would survive a power failure.
+    ///
+    /// # Errors
+    ///
+    /// If the segment can't be synchronized; the next append begins another one.
+    pub fn commit(&mut self) -> Result<(), StoreError> {
+        let Some(mut segment) = self.open_segment.take() else {
             return Ok(());
         };
-        if active.dirty {
-            active.file.sync_data().map_err(at(&active.path))?;
-            active.dirty = false;
+        if segment.has_uncommitted {
+            let synchronized = segment.file.sync_data();
+            synchronized.map_err(with_path(&segment.path))?;
+            segment.has_uncommitted = false;
         }
-        self.active = Some(active);
+        self.open_segment = Some(segment);
         Ok(())
     }
 
-    /// The segment being written, if there is one: background jobs leave it alone.
+    /// The segment that is being written, if there is one; maintenance leaves it alone.
     pub fn writing(&self) -> Option<SegmentId> {
-        self.active.as_ref()?;
+        self.open_segment.as_ref()?;
         Some(SegmentId {
-            number: self.id.number.saturating_sub(1),
-            ..self.id
+            number: self.next_segment.number.saturating_sub(1),
+            ..self.next_segment
         })
     }
 }
--- a/crates/records/src/store/tests.rs
+++ b/crates/records/src/store/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_second_in_one_directory_is_refused_until_the_first_is_gone() {
+fn a_directory_is_locked_until_its_store_is_closed() {
     let directory = tempfile::tempdir().expect("a directory");
     let first = Store::open(directory.path(), "n0").expect("a store");
     let refused = Store::open(directory.path(), "n0")
@@ -59,9 +59,9 @@
     );
 }
 
-/// Danger: a crash at a bad moment costs records that were safe, or the next start. All places are tried.
+/// A crash must cost neither records that were safe nor the next incarnation, at whatever byte it happens.
 #[test]
-fn a_crash_at_any_byte_keeps_all_before_it_and_the_next_start_goes_on() {
+fn a_crash_at_any_byte_keeps_all_records_before_it() {
     let directory = tempfile::tempdir().expect("a directory");
     let all = records(12);
     let mut store = Store::open(directory.path(), "n0").expect("a store");
@@ -76,29 +76,35 @@
         .collect();
     for cut in 0..=whole.len() {
         std::fs::write(&path, &whole[..cut]).expect("a cut file");
-        let kept = ends
+        let complete = ends
             .iter()
             .filter(|end| **end <= cut)
             .count()
             .saturating_sub(1);
-        assert_eq!(read(directory.path(), id), all[..kept], "cut at {cut}");
-        let mut next = Store::open(directory.path(), "n0").expect("the next start");
-        let found = next.recovered().expect("a look").expect("a start before");
+        assert_eq!(read(directory.path(), id), all[..complete], "cut at {cut}");
+        let mut next = Store::open(directory.path(), "n0").expect("the next incarnation");
+        let recovered = next
+            .recovered()
+            .expect("a readable segment")
+            .expect("an incarnation");
         assert_eq!(
-            (found.incarnation, found.records, found.stopped),
-            (1, kept as u64, false)
+            (recovered.incarnation, recovered.records, recovered.stopped),
+            (1, complete as u64, false)
         );
         let torn = cut - ends.iter().rfind(|end| **end <= cut).copied().unwrap_or(0);
-        assert_eq!(found.torn_bytes, torn as u64, "cut at {cut}");
+        assert_eq!(recovered.torn_bytes, torn as u64, "cut at {cut}");
         next.append(&framed(&records(1)), 1, 0).expect("an append");
-        let its = next.writing().expect("a segment");
-        assert_eq!((its.incarnation, read(directory.path(), its).len()), (2, 1));
-        std::fs::remove_file(its.path(directory.path())).expect("its end");
+        let segment = next.writing().expect("a segment");
+        assert_eq!(
+            (segment.incarnation, read(directory.path(), segment).len()),
+            (2, 1)
+        );
+        std::fs::remove_file(segment.path(directory.path())).expect("a removed file");
     }
 }
 
 #[test]
-fn a_start_that_ended_as_asked_is_known() {
+fn a_graceful_shutdown_is_recognized() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut store = Store::open(directory.path(), "n0").expect("a store");
     let mut all = records(3);
@@ -112,14 +118,14 @@
     let next = Store::open(directory.path(), "n0").expect("a store");
     assert!(
         next.recovered()
-            .expect("a look")
-            .expect("a start before")
+            .expect("a readable segment")
+            .expect("an incarnation")
             .stopped
     );
 }
 
 #[test]
-fn a_long_segment_is_sealed_and_another_begun() {
+fn a_full_segment_is_sealed_and_another_one_begun() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut store = Store::open(directory.path(), "n0").expect("a store");
     let large = vec![0; SEAL_BYTES as usize];
@@ -127,7 +133,7 @@
     assert_eq!(store.writing().map(|id| id.number), Some(0));
     store.append(&framed(&records(1)), 1, 0).expect("an append");
     assert_eq!(store.writing().map(|id| id.number), Some(1));
-    assert!(store.dirty());
+    assert!(store.has_uncommitted());
     store.commit().expect("a commit");
-    assert!(!store.dirty());
+    assert!(!store.has_uncommitted());
 }
--- /dev/null
+++ b/crates/records/src/timeline/verification.rs
@@ -0,0 +1,105 @@
+//! A full scan of a directory, whatever its indexes say.
+
+use std::path::Path;
+
+use super::Fault;
+use crate::index;
+use crate::segment::{self, Item, SegmentId};
+
+/// What a full scan of a directory finds.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Verdict {
+    /// Segments that were read.
+    pub segments: u64,
+    /// Records that were read.
+    pub records: u64,
+    /// Records of kinds, or with fields, that are newer than this version.
+    pub newer: u64,
+    /// Bytes that belong to no record, within segments.
+    pub damaged_bytes: u64,
+    /// Bytes that belong to no record, at the end of segments.
+    pub torn_bytes: u64,
+    /// Sequence numbers that are missing.
+    pub missing: u64,
+    /// Segments whose header can't be read.
+    pub headless: u64,
+    /// Indexes that do not match their segments.
+    pub wrong_indexes: u64,
+}
+
+impl Verdict {
+    /// Whether nothing is wrong; a torn tail is what a crash leaves.
+    pub fn sound(&self) -> bool {
+        self.damaged_bytes == 0
+            && self.missing == 0
+            && self.headless == 0
+            && self.wrong_indexes == 0
+    }
+}
+
+/// Reads every byte of a directory's segments.
+///
+/// # Errors
+///
+/// If the directory or a segment can't be read.
+pub fn verify(directory: &Path) -> Result<Verdict, Fault> {
+    let io_fault = |error| Fault::Io(directory.to_path_buf(), error);
+    let mut scan = Scan::default();
+    for id in segment::list(directory).map_err(io_fault)? {
+        let path = id.path(directory);
+        let bytes = segment::bytes(&path, 0, segment::LENGTH_MOST).map_err(io_fault)?;
+        scan.add_segment(id, &bytes);
+        if id.index_path(directory).exists() {
+            let is_right = segment::stored_index(directory, id) == Some(index::build(id, &bytes));
+            scan.verdict.wrong_indexes += u64::from(!is_right);
+        }
+    }
+    Ok(scan.verdict)
+}
+
+#[derive(Default)]
+struct Scan {
+    verdict: Verdict,
+    last_record: Option<RecordPosition>,
+}
+
+#[derive(Clone, Copy)]
+struct RecordPosition {
+    incarnation: u64,
+    seq: u64,
+}
+
+impl Scan {
+    fn add_segment(&mut self, id: SegmentId, bytes: &[u8]) {
+        let mut has_header = false;
+        for (_, item) in segment::items(bytes, 0) {
+            match item {
+                Item::Header(_) => has_header = true,
+                Item::Damaged(bytes) => self.verdict.damaged_bytes += bytes,
+                Item::Torn(bytes) => self.verdict.torn_bytes += bytes,
+                Item::Record { read, .. } => {
+                    self.verdict.records += 1;
+                    self.verdict.newer += u64::from(read.newer.is_some());
+                    self.add_position(RecordPosition {
+                        incarnation: id.incarnation,
+                        seq: read.record.seq,
+                    });
+                }
+            }
+        }
+        self.verdict.segments += 1;
+        self.verdict.headless += u64::from(!has_header && !bytes.is_empty());
+    }
+
+    /// Counts the sequence numbers that are missing between two records of an incarnation.
+    fn add_position(&mut self, position: RecordPosition) {
+        let previous = self
+            .last_record
+            .filter(|last| last.incarnation == position.incarnation);
+        if let Some(previous) = previous {
+            let distance = position.seq.saturating_sub(previous.seq);
+            self.verdict.missing += distance.saturating_sub(1);
+        }
+        self.last_record = Some(position);
+    }
+}
