--- a/crates/records/src/replay.rs
+++ b/crates/records/src/replay.rs
@@ -1,37 +1,37 @@
-//! The state of things at one moment, folded from records: what the console shows and the report's charts are drawn from.
+//! The state of a fleet at one moment, as one supervisor saw it, replayed from its records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::pb::{self, record::Kind, Life, Record, State};
 
-/// How far before a moment its records must be read to know the whole fleet then, in microseconds: a little more than the
-/// time between two records of all servers.
+/// How long before a moment its records must be read to know the fleet at that moment, in microseconds: a little more than the
+/// interval between two records of all servers.
 pub const LOOK_BACK_US: i64 = 25_000_000;
 
-/// A server as it stands.
+/// The state of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// Its state.
+    /// The health state.
     pub state: State,
-    /// What the list says of its life.
+    /// The lifecycle, as the endpoint list has it.
     pub life: Life,
-    /// Its smoothed score.
+    /// The smoothed score, 1 for a healthy server.
     pub score: f64,
-    /// The error term, 1 being free.
+    /// The error term of the score; 1 without errors.
     pub errors: f64,
-    /// The latency term.
+    /// The latency term of the score; 1 at the usual latency.
     pub latency: f64,
-    /// Its weight.
+    /// The weight in the tables.
     pub weight: f64,
-    /// Share of its capacity that it is sure to have since its start.
+    /// The share of its capacity that it has reached since its start.
     pub warmth: f64,
-    /// It is shut out of all tables.
+    /// Whether it is suspended from all tables.
     pub shut: bool,
-    /// Reports tell that most tries fail.
+    /// Whether reports show that most attempts fail.
     pub failing: bool,
-    /// When its state or life last changed, in Unix microseconds; 0 if that was before what is known.
+    /// When its state or lifecycle last changed, in Unix microseconds; 0 if that was before the records.
     pub since_us: i64,
 }
 
@@ -72,100 +72,58 @@
 }
 
 impl Server {
-    /// Whether requests go there as usual.
+    /// Whether it serves requests without restrictions.
     pub fn is_well(&self) -> bool {
         self.state == State::Full && self.life == Life::InService && !self.failing
     }
 }
 
-/// One supervisor's view at one moment.
+/// The state of a fleet at one moment, as one supervisor saw it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Picture {
-    /// Servers by name; those that are gone leave.
+    /// The servers, by name.
     pub servers: BTreeMap<String, Server>,
-    /// Zones that are cut off.
+    /// The zones that are partitioned.
     pub cut: BTreeSet<String>,
-    /// Names of the classes, as far as a start told.
+    /// The names of the classes, as far as they are recorded.
     pub classes: Vec<String>,
-    /// The last figures.
+    /// The last sample of metrics.
     pub gauge: Option<pb::Gauge>,
-    /// The level of service in force, where there are levels.
+    /// The service level in force, where there are levels.
     pub service_level: Option<String>,
-    /// The last word on saturation.
+    /// The last change of the saturation.
     pub saturation: Option<pb::Saturation>,
-    /// Way of trying again by class.
+    /// The retry policy, by class.
     pub retries: BTreeMap<String, u32>,
-    /// Cold servers are held out.
+    /// Whether servers that are warming up are withheld.
     pub cold_held: bool,
-    /// Discovery is silent.
+    /// Whether discovery is unavailable.
     pub discovery_silent: bool,
-    /// Proxies whose streams stand, as far as joins were seen.
+    /// The proxies that are connected, as far as that is recorded.
     pub proxies: BTreeSet<u32>,
-    /// The supervisor has stopped as asked.
+    /// Whether the supervisor was shut down.
     pub stopped: bool,
     /// When the last record was learned, in Unix microseconds.
     pub learned_us: i64,
 }
 
 impl Picture {
-    /// Carries the picture on by one record.
+    /// Applies the next record.
     pub fn apply(&mut self, record: &Record) {
         self.learned_us = record.learned_us;
         let Some(kind) = &record.kind else { return };
         match kind {
-            Kind::Started(of) => {
-                *self = Picture {
-                    classes: of.classes.clone(),
-                    learned_us: record.learned_us,
-                    ..Picture::default()
-                };
-            }
+            Kind::Started(of) => self.restart(of),
             Kind::Stopped(_) => self.stopped = true,
-            Kind::StateChanged(of) => {
-                let state = of.state();
-                let server = self.server(&of.server, &of.zone);
-                (server.state, server.score) = (state, of.score);
-                (server.errors, server.latency) = (of.errors, of.latency);
-                server.since_us = record.at_us;
-            }
-            Kind::LifeChanged(of) => {
-                let life = of.life();
-                if life == Life::Gone {
-                    self.servers.remove(&of.server);
-                    return;
-                }
-                let server = self.server(&of.server, &of.zone);
-                (server.life, server.since_us) = (life, record.at_us);
-            }
-            Kind::ServerStarted(of) => {
-                let zone = of.zone.clone();
-                self.servers.insert(
-                    of.server.clone(),
-                    Server {
-                        zone,
-                        warmth: 0.0,
-                        since_us: record.at_us,
-                        ..Server::default()
-                    },
-                );
-            }
-            Kind::Withdrawn(of) => {
-                if let Some(server) = self.servers.get_mut(&of.server) {
-                    server.shut = of.out;
-                }
-            }
+            Kind::StateChanged(of) => self.change_state(of, record.at_us),
+            Kind::LifeChanged(of) => self.change_lifecycle(of, record.at_us),
+            Kind::ServerStarted(of) => self.start_server(of, record.at_us),
+            Kind::Withdrawn(of) => self.update_server(&of.server, |server| server.shut = of.out),
             Kind::Failing(of) => {
-                if let Some(server) = self.servers.get_mut(&of.server) {
-                    server.failing = of.failing;
-                }
+                self.update_server(&of.server, |server| server.failing = of.failing)
             }
             Kind::ColdHeld(of) => self.cold_held = of.held,
-            Kind::ZoneCut(of) if of.cut => {
-                self.cut.insert(of.zone.clone());
-            }
-            Kind::ZoneCut(of) => {
-                self.cut.remove(&of.zone);
-            }
+            Kind::ZoneCut(of) => self.change_partition(of),
             Kind::Saturation(of) => self.saturation = Some(*of),
             Kind::Level(of) => {
                 self.retries.insert(of.class.clone(), of.retry);
@@ -177,48 +135,106 @@
                 self.proxies.remove(&of.proxy);
             }
             Kind::ServiceLevel(of) => self.service_level = Some(of.to.clone()),
-            Kind::Gauge(of) => {
-                // Where levels were switched off, or a change was lost, the figures put it right.
-                self.service_level.clone_from(&of.service_level);
-                self.gauge = Some(of.clone());
-            }
+            Kind::Gauge(of) => self.sample(of),
             Kind::Discovery(of) => self.discovery_silent = !of.tells,
-            Kind::Fleet(of) => self.fleet(of, record.at_us),
+            Kind::Fleet(of) => self.replace_servers(of, record.at_us),
             _ => {}
         }
     }
 
-    fn server(&mut self, name: &str, zone: &str) -> &mut Server {
-        let known = self.servers.entry(name.to_string()).or_default();
-        if known.zone.is_empty() {
-            known.zone = zone.to_string();
+    /// A new incarnation knows nothing but the classes.
+    fn restart(&mut self, of: &pb::Started) {
+        *self = Picture {
+            classes: of.classes.clone(),
+            learned_us: self.learned_us,
+            ..Picture::default()
+        };
+    }
+
+    fn change_state(&mut self, of: &pb::StateChanged, at_us: i64) {
+        let server = self.server_mut(&of.server, &of.zone);
+        server.state = of.state();
+        server.score = of.score;
+        server.errors = of.errors;
+        server.latency = of.latency;
+        server.since_us = at_us;
+    }
+
+    fn change_lifecycle(&mut self, of: &pb::LifeChanged, at_us: i64) {
+        if of.life() == Life::Gone {
+            self.servers.remove(&of.server);
+            return;
         }
-        known
+        let server = self.server_mut(&of.server, &of.zone);
+        server.life = of.life();
+        server.since_us = at_us;
+    }
+
+    fn start_server(&mut self, of: &pb::ServerStarted, at_us: i64) {
+        let server = Server {
+            zone: of.zone.clone(),
+            warmth: 0.0,
+            since_us: at_us,
+            ..Server::default()
+        };
+        self.servers.insert(of.server.clone(), server);
     }
 
-    /// A record of all servers tells how things stand, also those of which an event was lost.
-    fn fleet(&mut self, fleet: &pb::Fleet, at_us: i64) {
-        let before = std::mem::take(&mut self.servers);
+    fn change_partition(&mut self, of: &pb::ZoneCut) {
+        if of.cut {
+            self.cut.insert(of.zone.clone());
+        } else {
+            self.cut.remove(&of.zone);
+        }
+    }
+
+    /// A sample corrects the service level where levels were disabled or a change was lost.
+    fn sample(&mut self, of: &pb::Gauge) {
+        self.service_level.clone_from(&of.service_level);
+        self.gauge = Some(of.clone());
+    }
+
+    fn update_server(&mut self, name: &str, update: impl FnOnce(&mut Server)) {
+        if let Some(server) = self.servers.get_mut(name) {
+            update(server);
+        }
+    }
+
+    /// A server, which is added if it is not known.
+    fn server_mut(&mut self, name: &str, zone: &str) -> &mut Server {
+        let server = self.servers.entry(name.to_string()).or_default();
+        if server.zone.is_empty() {
+            server.zone = zone.to_string();
+        }
+        server
+    }
+
+    /// A record of all servers corrects the state where an event was lost.
+    fn replace_servers(&mut self, fleet: &pb::Fleet, at_us: i64) {
         if !fleet.classes.is_empty() {
             self.classes.clone_from(&fleet.classes);
         }
+        let old = std::mem::take(&mut self.servers);
         for of in &fleet.servers {
-            let known = before.get(&of.name);
-            let (state, life) = (of.state(), of.life());
-            let same = known.filter(|known| (known.state, known.life) == (state, life));
-            let since_us = same.map_or(if known.is_some() { at_us } else { 0 }, |known| {
-                known.since_us
-            });
-            let failing = known.is_some_and(|known| known.failing);
-            let server = Server {
-                failing,
-                since_us,
-                ..Server::from(of)
-            };
+            let server = recorded_server(of, old.get(&of.name), at_us);
             self.servers.insert(of.name.clone(), server);
         }
     }
 }
 
+/// A server of a record of all servers. What the record doesn't hold comes from the state before it.
+fn recorded_server(of: &pb::Server, old: Option<&Server>, at_us: i64) -> Server {
+    let server = Server::from(of);
+    let Some(old) = old else {
+        return server;
+    };
+    let is_unchanged = old.state == server.state && old.life == server.life;
+    Server {
+        failing: old.failing,
+        since_us: if is_unchanged { old.since_us } else { at_us },
+        ..server
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/records/src/replay/tests.rs
+++ b/crates/records/src/replay/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_picture_follows_events_and_is_put_right_by_a_record_of_all() {
+fn the_state_follows_events_and_is_corrected_by_a_record_of_all_servers() {
     let mut picture = Picture::default();
     picture.apply(&record(1, state("s-1", State::Withdrawn)));
     assert_eq!(picture.servers["s-1"].state, State::Withdrawn);
@@ -47,7 +47,7 @@
     assert_eq!(picture.servers.len(), 1);
 }
 
-/// Danger: a moment long after the start, read without it, would know no class, and rules asked of it say nothing.
+/// A moment long after the start is read without it.
 #[test]
 fn a_moment_long_after_the_start_knows_the_classes() {
     let mut picture = Picture::default();
@@ -65,9 +65,9 @@
     );
 }
 
-/// Danger: a start that knows nothing yet would show what the one before held.
+/// A new incarnation must not show what the previous one knew.
 #[test]
-fn a_start_begins_with_nothing() {
+fn a_new_incarnation_begins_with_nothing() {
     let mut picture = Picture::default();
     picture.apply(&record(1, state("s-1", State::Reduced)));
     picture.apply(&record(2, Kind::Stopped(pb::Stopped::default())));
--- /dev/null
+++ b/crates/records/src/text/kinds.rs
@@ -0,0 +1,256 @@
+//! One line for each kind of record.
+
+use super::time::signed;
+use super::{cause, figure, length, life, retry, state};
+use crate::pb::{self, record::Kind};
+
+/// A record's kind in one line, without its time.
+pub fn line(kind: &Kind) -> String {
+    match kind {
+        Kind::Started(of) => started(of),
+        Kind::Stopped(of) => format!("stopped: {}", of.reason),
+        Kind::ClockStepped(of) => format!("the system's clock stepped by {}", signed(of.by_us)),
+        Kind::Lost(of) => lost(of),
+        Kind::Recovered(of) => recovered(of),
+        Kind::StateChanged(of) => state_changed(of),
+        Kind::LifeChanged(of) => format!("{} {}", of.server, life(of.life())),
+        Kind::ServerStarted(of) => format!("{} started", of.server),
+        Kind::Withdrawn(of) => withdrawn(of),
+        Kind::ColdHeld(of) => cold_held(*of),
+        Kind::ZoneCut(of) => zone_cut(of),
+        Kind::Saturation(of) => saturation(*of),
+        Kind::Level(of) => level(of),
+        Kind::AdviceVoid(of) => advice_void(of),
+        Kind::ServiceLevel(of) => service_level(of),
+        Kind::PluginLoaded(of) => plugin_loaded(of),
+        Kind::PluginSaid(of) => format!("plug-in {} {}: {}", of.name, of.what, of.text),
+        Kind::Parts(of) => parts(*of),
+        Kind::Failing(of) => failing(of),
+        Kind::StreamJoined(of) => stream_joined(of),
+        Kind::StreamLeft(of) => stream_left(of),
+        Kind::Published(of) => published(*of),
+        Kind::Gauge(of) => gauge(of),
+        Kind::ReportsDropped(of) => format!("{} reports dropped, the last: {}", of.count, of.last),
+        Kind::Discovery(of) => discovery(of),
+        Kind::Reloaded(of) => reloaded(of),
+        Kind::Fleet(of) => format!("{} servers as they stand", of.servers.len()),
+    }
+}
+
+fn started(of: &pb::Started) -> String {
+    format!(
+        "started, version {}, listening at {}",
+        of.version, of.listen
+    )
+}
+
+fn lost(of: &pb::Lost) -> String {
+    let length = length(of.to_us.saturating_sub(of.from_us));
+    let reason = match of.reason.as_str() {
+        "queue" => "the writer was too slow",
+        "disk" => "nothing could be written",
+        other => other,
+    };
+    format!("{} records lost over {length}: {reason}", of.count)
+}
+
+fn recovered(of: &pb::Recovered) -> String {
+    let end = if of.stopped {
+        "ended as asked"
+    } else {
+        "ended without a last word"
+    };
+    let mut text = format!(
+        "start {} {end}, {} records kept",
+        of.incarnation, of.records
+    );
+    if of.torn_bytes > 0 {
+        text += &format!(", {} bytes of a torn tail dropped", of.torn_bytes);
+    }
+    if of.damaged_bytes > 0 {
+        text += &format!(", {} bytes damaged", of.damaged_bytes);
+    }
+    text
+}
+
+fn state_changed(of: &pb::StateChanged) -> String {
+    format!(
+        "{} {}, score {:.2}: errors {:.2} latency {:.2}, {}",
+        of.server,
+        state(of.state()),
+        of.score,
+        of.errors,
+        of.latency,
+        cause(of.cause())
+    )
+}
+
+fn withdrawn(of: &pb::Withdrawn) -> String {
+    let change = if of.out {
+        "shut out of all tables"
+    } else {
+        "let in again"
+    };
+    format!("{} {change}, {} streams told", of.server, of.streams)
+}
+
+fn cold_held(of: pb::ColdHeld) -> String {
+    let change = if of.held {
+        "held out of tables"
+    } else {
+        "let in again"
+    };
+    format!("cold servers {change}: {:.1} tries an answer", of.tries)
+}
+
+fn zone_cut(of: &pb::ZoneCut) -> String {
+    if !of.cut {
+        return format!("zone {} answers again", of.zone);
+    }
+    let unanswered_percent = 100.0 * of.mute;
+    format!(
+        "zone {} cut off from here: {unanswered_percent:.0} % answer no probe",
+        of.zone
+    )
+}
+
+fn saturation(of: pb::Saturation) -> String {
+    format!(
+        "refuses {:.1}, saturated {:.2}: queues {:.2} probes {:.2} mute {:.2}",
+        of.refused, of.strain, of.queues, of.probes, of.mute
+    )
+}
+
+fn level(of: &pb::Level) -> String {
+    format!(
+        "level of {} {} in table {}, tries again {}, saturated {:.2}",
+        of.class,
+        figure(of.level),
+        of.table,
+        retry(of.retry),
+        of.strain
+    )
+}
+
+fn advice_void(of: &pb::AdviceVoid) -> String {
+    if of.void {
+        format!(
+            "advice on table {} is void: it would leave too little",
+            of.table
+        )
+    } else {
+        format!("advice on table {} holds again", of.table)
+    }
+}
+
+fn service_level(of: &pb::ServiceLevel) -> String {
+    let signals: Vec<String> = of.signals.iter().map(signal).collect();
+    let mut text = format!("service level {} after {}, {}", of.to, of.from, of.reason);
+    let details = [
+        (": ", of.condition.clone()),
+        ("; ", signals.join(", ")),
+        ("; tell ", of.tell.join(", ")),
+    ];
+    for (separator, detail) in details {
+        if !detail.is_empty() {
+            text += separator;
+            text += &detail;
+        }
+    }
+    text
+}
+
+/// A signal, with its age where that matters.
+pub fn signal(of: &pb::Signal) -> String {
+    let value = of.value.map_or_else(|| "unknown".to_string(), figure);
+    let age = if of.age_ms >= 1000 {
+        format!(" {} ago", length(microseconds(of.age_ms)))
+    } else {
+        String::new()
+    };
+    format!("{} {value}{age}", of.name)
+}
+
+fn plugin_loaded(of: &pb::PluginLoaded) -> String {
+    if !of.refused.is_empty() {
+        return format!("plug-in {} refused: {}", of.name, of.refused);
+    }
+    format!(
+        "plug-in {} version {} loaded, {}",
+        of.name, of.version, of.digest
+    )
+}
+
+fn parts(of: pb::Parts) -> String {
+    let narrowed = if of.narrowed {
+        ", narrowed: tries fail everywhere"
+    } else {
+        ""
+    };
+    format!("fleet dealt into {} parts{narrowed}", of.parts)
+}
+
+fn failing(of: &pb::Failing) -> String {
+    if !of.failing {
+        return format!("{} answers tries from {} again", of.server, of.zone);
+    }
+    format!(
+        "{} fails {:.0} of {:.0} tries from {}",
+        of.server, of.failed, of.tries, of.zone
+    )
+}
+
+fn stream_joined(of: &pb::StreamJoined) -> String {
+    let table = if of.new {
+        "holds no table"
+    } else {
+        "brings a table"
+    };
+    format!(
+        "proxy {}@{} joined with {:.1} requests/s, {table}",
+        of.proxy, of.zone, of.rate
+    )
+}
+
+fn stream_left(of: &pb::StreamLeft) -> String {
+    let lasted = length(microseconds(of.lasted_ms));
+    format!(
+        "proxy {}@{} left after {lasted}: {}",
+        of.proxy, of.zone, of.reason
+    )
+}
+
+fn published(of: pb::Published) -> String {
+    format!(
+        "{} lines, {} bindings, {} withdrawals to {} streams",
+        of.lines, of.binds, of.withdrawals, of.streams
+    )
+}
+
+fn gauge(of: &pb::Gauge) -> String {
+    format!(
+        "{:.0} lines wait, refuses {:.2}, {} streams, {} full {} reduced {} withdrawn {} cold",
+        of.waiting, of.refused, of.streams, of.full, of.reduced, of.withdrawn, of.cold
+    )
+}
+
+fn discovery(of: &pb::Discovery) -> String {
+    if of.tells {
+        "discovery tells again".to_string()
+    } else {
+        format!("discovery does not tell: {}", of.reason)
+    }
+}
+
+fn reloaded(of: &pb::Reloaded) -> String {
+    if of.taken {
+        format!("configuration reloaded: {}", of.detail)
+    } else {
+        format!("the new configuration is not taken: {}", of.detail)
+    }
+}
+
+/// Milliseconds as microseconds; the greatest value if they are too many.
+fn microseconds(ms: u64) -> i64 {
+    i64::try_from(ms).unwrap_or(i64::MAX).saturating_mul(1000)
+}
--- a/crates/records/src/text/tests.rs
+++ b/crates/records/src/text/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn times_read_as_people_write_them() {
+fn times_are_parsed_and_printed() {
     let last = parse_time("2026-12-01T10:00:00Z", 0).expect("a time");
     assert_eq!(time(last), "2026-12-01T10:00:00.000Z");
     assert_eq!(
@@ -17,21 +17,21 @@
         "09:50:00.000"
     );
     for wrong in ["", "9", "25:00", "xm", "-5m", "09:12:30:1"] {
-        let said = parse_time(wrong, last).expect_err(wrong).to_string();
+        let error = parse_time(wrong, last).expect_err(wrong).to_string();
         assert!(
-            said.contains("is no time") && !said.contains('\n'),
-            "{said}"
+            error.contains("is no time") && !error.contains('\n'),
+            "{error}"
         );
     }
 }
 
 #[test]
-fn lengths_read_as_people_say_them() {
-    let said: Vec<String> = [0, 250_000, 1_500_000, 61_000_000, 7_260_000_000, -1_000_000]
+fn lengths_of_time_are_printed() {
+    let printed: Vec<String> = [0, 250_000, 1_500_000, 61_000_000, 7_260_000_000, -1_000_000]
         .map(length)
         .into();
     assert_eq!(
-        said,
+        printed,
         [
             "0 ms",
             "250 ms",
--- /dev/null
+++ b/crates/records/src/text/time.rs
@@ -0,0 +1,92 @@
+//! Times and lengths of time as people write them.
+
+use jiff::Timestamp;
+
+const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
+const MICROSECONDS_PER_MINUTE: i64 = 60 * MICROSECONDS_PER_SECOND;
+const MICROSECONDS_PER_HOUR: i64 = 60 * MICROSECONDS_PER_MINUTE;
+
+/// A point in time, RFC 3339 with milliseconds, UTC.
+pub fn time(us: i64) -> String {
+    let nearest = if us < 0 {
+        Timestamp::MIN
+    } else {
+        Timestamp::MAX
+    };
+    let time = Timestamp::from_microsecond(us).unwrap_or(nearest);
+    time.strftime("%Y-%m-%dT%H:%M:%S%.3fZ").to_string()
+}
+
+/// The time of day alone, with milliseconds, UTC.
+pub fn clock(us: i64) -> String {
+    time(us).get(11..23).unwrap_or_default().to_string()
+}
+
+/// A length of time, rounded to a readable precision.
+pub fn length(us: i64) -> String {
+    let ms = us / 1000;
+    match ms {
+        ..=-1 => format!("-{}", length(us.saturating_neg())),
+        0..=999 => format!("{ms} ms"),
+        1000..=59_999 => format!("{:.1} s", ms as f64 / 1000.0),
+        60_000..=3_599_999 => format!("{} min {} s", ms / 60_000, ms % 60_000 / 1000),
+        _ => format!("{} h {} min", ms / 3_600_000, ms % 3_600_000 / 60_000),
+    }
+}
+
+/// A length of time with its sign.
+pub(super) fn signed(us: i64) -> String {
+    if us < 0 {
+        length(us)
+    } else {
+        format!("+{}", length(us))
+    }
+}
+
+/// A text that is no time.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0:?} is no time: give 2026-12-01T09:12:00Z, 09:12 or 09:12:30 (UTC, of the last record's day), or 10m, 90s, 2h before the last record")]
+pub struct NoTime(String);
+
+/// Parses a point in time, in Unix microseconds. A time of day is that of the last record's day, a length of time counts back
+/// from the last record.
+///
+/// # Errors
+///
+/// If the text is neither.
+pub fn parse_time(text: &str, last_us: i64) -> Result<i64, NoTime> {
+    if let Ok(time) = text.parse::<Timestamp>() {
+        return Ok(time.as_microsecond());
+    }
+    let time_us = if text.ends_with(['s', 'm', 'h']) {
+        parse_length(text).map(|length_us| last_us.saturating_sub(length_us))
+    } else {
+        parse_time_of_day(text, last_us)
+    };
+    time_us.ok_or_else(|| NoTime(text.to_string()))
+}
+
+/// Parses a number of seconds, minutes or hours as microseconds.
+fn parse_length(text: &str) -> Option<i64> {
+    let (count, unit_us) = if let Some(count) = text.strip_suffix('s') {
+        (count, MICROSECONDS_PER_SECOND)
+    } else if let Some(count) = text.strip_suffix('m') {
+        (count, MICROSECONDS_PER_MINUTE)
+    } else {
+        (text.strip_suffix('h')?, MICROSECONDS_PER_HOUR)
+    };
+    let count: i64 = count.parse().ok()?;
+    (count >= 0).then(|| count.saturating_mul(unit_us))
+}
+
+/// Parses a time of day, with or without seconds, on the day of another time.
+fn parse_time_of_day(text: &str, day_us: i64) -> Option<i64> {
+    let day = time(day_us).get(..10).unwrap_or_default().to_string();
+    let seconds = if text.matches(':').count() == 1 {
+        ":00"
+    } else {
+        ""
+    };
+    let timestamp: Timestamp = format!("{day}T{text}{seconds}Z").parse().ok()?;
+    Some(timestamp.as_microsecond())
+}
