--- a/crates/records/src/index.rs
+++ b/crates/records/src/index.rs
@@ -1,163 +1,46 @@
-//! The index of a segment, made for one question: what happened between two times, to this server, of this kind? Blocks
-//! of a few hundred records with their span of time, the set of their kinds and a small Bloom filter of their servers;
-//! beside them sums of every ten seconds, and the intervals of which the segment itself tells that something is missing.
+//! The index of a segment, which answers what happened between two times, to a server, or of a kind.
+//!
+//! It summarizes blocks of a few hundred records by their interval, the set of their kinds and a small Bloom filter of their
+//! servers. Besides, it holds rollups of every ten seconds, and the intervals of which the segment itself shows that something
+//! is missing.
 
-use std::collections::BTreeMap;
+mod query;
+mod rollup;
 
-use hdrhistogram::Histogram;
+use crate::pb::{record::Kind, Block, ClockStepped, Hole, Index, Lost, Record};
+use crate::segment::{self, Item, SegmentId};
+use crate::{kind, text};
+use query::{kind_bit, server_bits, server_filter};
+use rollup::RollupBuilder;
 
-use crate::kind;
-use crate::pb::{record::Kind, Block, Hole, Index, Record, Rollup};
-use crate::segment::{Item, SegmentId};
+pub use query::Query;
 
 /// Records in a block: reading one costs some 10 KiB, and a day of a million records has 4,000 of them.
 pub const BLOCK_RECORDS: u32 = 256;
 /// Length of a rollup, in microseconds.
 pub const ROLLUP_US: i64 = 10_000_000;
-/// A supervisor that records nothing for so long stood still, in microseconds: the figures of the fleet come each second.
+/// A supervisor that records nothing for longer than this has stalled, in microseconds: it samples its metrics each second.
 pub const STALLED_US: i64 = 4_000_000;
-/// Largest count of waiting lines that the sketch tells apart.
-const WAITING_MOST: u64 = 10_000_000;
-/// Significant digits of the sketch: a hundredth is finer than a chart.
-const WAITING_DIGITS: u8 = 2;
 
-/// The two bits that a server's name sets in a block's filter.
-fn bits(server: &str) -> u128 {
-    let hash = crc32fast::hash(server.as_bytes());
-    (1 << (hash & 127)) | (1 << ((hash >> 7) & 127))
+/// Reasons of holes, as indexes store them.
+mod hole_reason {
+    pub const DAMAGED: &str = "damaged";
+    pub const STALLED: &str = "stalled";
+    pub const LOST: &str = "lost";
+    pub const CLOCK: &str = "clock";
 }
 
-fn filter(block: &Block) -> u128 {
-    (u128::from(block.servers_high) << 64) | u128::from(block.servers_low)
-}
-
-/// Which records are wanted. Nothing given stands for all.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Query {
-    /// Not before, in Unix microseconds.
-    pub from_us: Option<i64>,
-    /// Not after.
-    pub to_us: Option<i64>,
-    /// Of these kinds, by number.
-    pub kinds: Vec<u32>,
-    /// About this server.
-    pub server: Option<String>,
-}
-
-impl Query {
-    /// Records between two times.
-    pub fn between(from_us: i64, to_us: i64) -> Self {
-        Query {
-            from_us: Some(from_us),
-            to_us: Some(to_us),
-            ..Query::default()
-        }
-    }
-
-    /// Whether a span of time may hold wanted records.
-    pub fn spans(&self, min_us: i64, max_us: i64) -> bool {
-        self.from_us.is_none_or(|from| max_us >= from) && self.to_us.is_none_or(|to| min_us <= to)
-    }
-
-    /// Whether a block may hold wanted records.
-    pub fn may_hold(&self, block: &Block) -> bool {
-        let bit = |number: &u32| {
-            1u64.checked_shl(number.wrapping_sub(kind::FIRST))
-                .unwrap_or(0)
-        };
-        let kinds = self.kinds.is_empty()
-            || self
-                .kinds
-                .iter()
-                .any(|number| block.kinds & bit(number) != 0);
-        let servers = self.server.as_ref().map_or(0, |server| bits(server));
-        kinds && filter(block) & servers == servers && self.spans(block.min_at_us, block.max_at_us)
-    }
-
-    /// Whether a record is wanted.
-    pub fn holds(&self, record: &Record, number: u32) -> bool {
-        let server = |wanted: &String| record.kind.as_ref().and_then(kind::server) == Some(wanted);
-        self.spans(record.at_us, record.at_us)
-            && (self.kinds.is_empty() || self.kinds.contains(&number))
-            && self.server.as_ref().is_none_or(server)
-    }
-}
-
-/// Sums over ten seconds as they come in.
-struct Sums {
-    from_us: i64,
-    counts: BTreeMap<u32, u32>,
-    waiting: Histogram<u64>,
-    refused: (f64, f64, u32),
-    streams: Option<(u32, u32)>,
-    withdrawn: u32,
-    levels: Vec<f64>,
-}
-
-impl Sums {
-    fn new(from_us: i64) -> Option<Self> {
-        let waiting = Histogram::new_with_max(WAITING_MOST, WAITING_DIGITS).ok()?;
-        let (counts, refused, streams, withdrawn) = (BTreeMap::new(), (0.0, 0.0, 0), None, 0);
-        Some(Sums {
-            from_us,
-            counts,
-            waiting,
-            refused,
-            streams,
-            withdrawn,
-            levels: Vec::new(),
-        })
-    }
-
-    fn add(&mut self, number: u32, record: &Record) {
-        *self.counts.entry(number).or_default() += 1;
-        let Some(Kind::Gauge(gauge)) = &record.kind else {
-            return;
-        };
-        self.waiting
-            .saturating_record(gauge.waiting.max(0.0) as u64);
-        let (sum, most, count) = self.refused;
-        self.refused = (sum + gauge.refused, most.max(gauge.refused), count + 1);
-        let (least, most) = self.streams.unwrap_or((gauge.streams, gauge.streams));
-        self.streams = Some((least.min(gauge.streams), most.max(gauge.streams)));
-        self.withdrawn = self.withdrawn.max(gauge.withdrawn);
-        self.levels
-            .resize(self.levels.len().max(gauge.levels.len()), 1.0);
-        for (known, level) in self.levels.iter_mut().zip(&gauge.levels) {
-            *known = known.min(*level);
-        }
-    }
-
-    fn rollup(self) -> Rollup {
-        let (sum, most, count) = self.refused;
-        let (streams_least, streams_most) = self.streams.unwrap_or_default();
-        let quantile = |share: f64| self.waiting.value_at_quantile(share) as f64;
-        Rollup {
-            from_us: self.from_us,
-            counts: self.counts,
-            waiting_p50: quantile(0.5),
-            waiting_p95: quantile(0.95),
-            waiting_most: self.waiting.max() as f64,
-            refused_mean: sum / f64::from(count.max(1)),
-            refused_most: most,
-            streams_least,
-            streams_most,
-            withdrawn_most: self.withdrawn,
-            levels: self.levels,
-        }
-    }
-}
-
-/// Builds the index of a segment from its items, one at a time.
+/// Builds the index of a segment from its items.
 pub struct Builder {
     index: Index,
     block: Option<Block>,
-    sums: Option<Sums>,
-    damaged: bool,
+    rollup: Option<RollupBuilder>,
+    /// Whether damage precedes the next record.
+    follows_damage: bool,
 }
 
 impl Builder {
-    /// Begins the index of a segment that is so long.
+    /// The index of a segment of a length in bytes, without items.
     pub fn new(id: SegmentId, length: u64) -> Self {
         let index = Index {
             length,
@@ -168,143 +51,156 @@
         Builder {
             index,
             block: None,
-            sums: None,
-            damaged: false,
+            rollup: None,
+            follows_damage: false,
         }
     }
 
-    /// Takes in the next item.
+    /// Adds the next item.
     pub fn add(&mut self, item: &Item) {
         match item {
             Item::Header(header) => self.index.supervisor.clone_from(&header.supervisor),
             Item::Damaged(bytes) => {
                 self.index.damaged_bytes += bytes;
-                self.damaged = true;
+                self.follows_damage = true;
             }
             Item::Torn(bytes) => self.index.torn_bytes += bytes,
             Item::Record { at, bytes, read } => {
-                self.follows(&read.record);
-                self.holes(&read.record);
-                self.block(*at, *bytes, read.number, &read.record);
-                self.roll(read.number, &read.record);
+                let record = &read.record;
+                self.add_hole_before(record);
+                self.add_recorded_hole(record);
+                self.add_to_block(*at, *bytes, read.number, record);
+                self.add_to_rollup(read.number, record);
                 self.index.records += 1;
-                self.index.last_seq = read.record.seq;
-                self.index.last_us = read.record.learned_us;
-                self.index.stopped = matches!(read.record.kind, Some(Kind::Stopped(_)));
+                self.index.last_seq = record.seq;
+                self.index.last_us = record.learned_us;
+                self.index.stopped = matches!(record.kind, Some(Kind::Stopped(_)));
             }
         }
     }
 
-    /// Marks what is missing between the last record and this one.
-    fn follows(&mut self, record: &Record) {
+    /// Adds what is missing between the last record and this one.
+    fn add_hole_before(&mut self, record: &Record) {
         if self.index.records == 0 {
-            (self.index.first_seq, self.index.first_us) = (record.seq, record.learned_us);
-            self.damaged = false;
+            self.index.first_seq = record.seq;
+            self.index.first_us = record.learned_us;
+            self.follows_damage = false;
             return;
         }
-        let (from_us, to_us) = (self.index.last_us, record.learned_us);
-        let missing = record
-            .seq
-            .saturating_sub(self.index.last_seq)
-            .saturating_sub(1);
-        let hole = |reason: &str| Hole {
+        let from_us = self.index.last_us;
+        let to_us = record.learned_us;
+        let distance = record.seq.saturating_sub(self.index.last_seq);
+        let missing = distance.saturating_sub(1);
+        let reason = if missing > 0 || std::mem::take(&mut self.follows_damage) {
+            hole_reason::DAMAGED
+        } else if to_us.saturating_sub(from_us) > STALLED_US {
+            hole_reason::STALLED
+        } else {
+            return;
+        };
+        self.index.holes.push(Hole {
             from_us,
             to_us,
             missing,
             reason: reason.into(),
             detail: String::new(),
-        };
-        if missing > 0 || std::mem::take(&mut self.damaged) {
-            self.index.holes.push(hole("damaged"));
-        } else if to_us.saturating_sub(from_us) > STALLED_US {
-            self.index.holes.push(hole("stalled"));
-        }
+        });
     }
 
-    /// What a record itself tells of what is missing.
-    fn holes(&mut self, record: &Record) {
+    /// Adds what a record itself says of missing ones.
+    fn add_recorded_hole(&mut self, record: &Record) {
         let hole = match &record.kind {
-            Some(Kind::Lost(of)) => Hole {
-                from_us: of.from_us,
-                to_us: of.to_us,
-                missing: of.count,
-                reason: "lost".into(),
-                detail: of.reason.clone(),
-            },
-            Some(Kind::ClockStepped(of)) => Hole {
-                from_us: record.at_us,
-                to_us: record.at_us,
-                missing: 0,
-                reason: "clock".into(),
-                detail: crate::text::line(&Kind::ClockStepped(*of)),
-            },
+            Some(Kind::Lost(lost)) => lost_hole(lost),
+            Some(Kind::ClockStepped(step)) => clock_hole(record.at_us, *step),
             _ => return,
         };
         self.index.holes.push(hole);
     }
 
-    fn block(&mut self, at: u64, bytes: u64, number: u32, record: &Record) {
-        if self
+    fn add_to_block(&mut self, at: u64, bytes: u64, number: u32, record: &Record) {
+        let is_full = self
             .block
             .as_ref()
-            .is_some_and(|block| block.records >= BLOCK_RECORDS)
-        {
+            .is_some_and(|block| block.records >= BLOCK_RECORDS);
+        if is_full {
             self.index.blocks.extend(self.block.take());
         }
-        let fresh = || Block {
+        let block = self.block.get_or_insert_with(|| Block {
             offset: at,
             first_seq: record.seq,
             min_at_us: record.at_us,
             max_at_us: record.at_us,
             ..Block::default()
-        };
-        let block = self.block.get_or_insert_with(fresh);
+        });
         block.records += 1;
         block.bytes = at + bytes - block.offset;
         block.last_seq = record.seq;
         block.min_at_us = block.min_at_us.min(record.at_us);
         block.max_at_us = block.max_at_us.max(record.at_us);
-        block.kinds |= 1u64
-            .checked_shl(number.wrapping_sub(kind::FIRST))
-            .unwrap_or(0);
-        let servers = filter(block) | record.kind.as_ref().and_then(kind::server).map_or(0, bits);
-        (block.servers_low, block.servers_high) = (servers as u64, (servers >> 64) as u64);
+        block.kinds |= kind_bit(number);
+        let server = record.kind.as_ref().and_then(kind::server);
+        let filter = server_filter(block) | server.map_or(0, server_bits);
+        block.servers_low = filter as u64;
+        block.servers_high = (filter >> 64) as u64;
     }
 
-    /// Ten seconds are told by when records were learned, which never goes back.
-    fn roll(&mut self, number: u32, record: &Record) {
+    /// Rollups go by when records were learned, which never goes back.
+    fn add_to_rollup(&mut self, number: u32, record: &Record) {
         let from_us = record.learned_us.div_euclid(ROLLUP_US) * ROLLUP_US;
-        if self
-            .sums
+        let is_over = self
+            .rollup
             .as_ref()
-            .is_some_and(|sums| sums.from_us != from_us)
-        {
-            self.index
-                .rollups
-                .extend(self.sums.take().map(Sums::rollup));
+            .is_some_and(|rollup| rollup.from_us != from_us);
+        if is_over {
+            self.finish_rollup();
         }
-        if self.sums.is_none() {
-            self.sums = Sums::new(from_us);
+        if self.rollup.is_none() {
+            self.rollup = RollupBuilder::new(from_us);
         }
-        if let Some(sums) = &mut self.sums {
-            sums.add(number, record);
+        if let Some(rollup) = &mut self.rollup {
+            rollup.add(number, record);
         }
     }
 
+    fn finish_rollup(&mut self) {
+        let rollup = self.rollup.take().map(RollupBuilder::finish);
+        self.index.rollups.extend(rollup);
+    }
+
     /// The index.
     pub fn finish(mut self) -> Index {
         self.index.blocks.extend(self.block.take());
-        self.index
-            .rollups
-            .extend(self.sums.take().map(Sums::rollup));
+        self.finish_rollup();
         self.index
     }
 }
 
-/// The index of a whole segment's bytes.
+fn lost_hole(lost: &Lost) -> Hole {
+    Hole {
+        from_us: lost.from_us,
+        to_us: lost.to_us,
+        missing: lost.count,
+        reason: hole_reason::LOST.into(),
+        detail: lost.reason.clone(),
+    }
+}
+
+fn clock_hole(at_us: i64, step: ClockStepped) -> Hole {
+    Hole {
+        from_us: at_us,
+        to_us: at_us,
+        missing: 0,
+        reason: hole_reason::CLOCK.into(),
+        detail: text::line(&Kind::ClockStepped(step)),
+    }
+}
+
+/// The index of the bytes of a whole segment.
 pub fn build(id: SegmentId, bytes: &[u8]) -> Index {
     let mut builder = Builder::new(id, bytes.len() as u64);
-    crate::segment::items(bytes, 0).for_each(|(_, item)| builder.add(&item));
+    for (_, item) in segment::items(bytes, 0) {
+        builder.add(&item);
+    }
     builder.finish()
 }
 
--- a/crates/records/src/index/tests.rs
+++ b/crates/records/src/index/tests.rs
@@ -2,7 +2,9 @@
 use crate::pb;
 
 fn block(servers: &[&str], kinds: &[u32]) -> Block {
-    let servers = servers.iter().fold(0, |all, server| all | bits(server));
+    let servers = servers
+        .iter()
+        .fold(0, |all, server| all | server_bits(server));
     let kinds = kinds
         .iter()
         .fold(0, |all, number| all | 1u64 << (number - kind::FIRST));
@@ -17,7 +19,7 @@
 }
 
 #[test]
-fn a_block_is_passed_over_only_if_it_can_not_hold_what_is_wanted() {
+fn a_block_is_skipped_only_if_it_holds_no_wanted_record() {
     let block = block(&["s-1", "s-2"], &[20, 43]);
     let query = |from, to, kinds: &[u32], server: Option<&str>| Query {
         from_us: Some(from),
@@ -37,7 +39,7 @@
 }
 
 #[test]
-fn rollups_hold_what_the_seconds_told() {
+fn rollups_sum_up_the_samples_of_ten_seconds() {
     let mut builder = Builder::new(SegmentId::default(), 0);
     for (seq, second) in (0..25u64).enumerate() {
         let gauge = pb::Gauge {
