--- a/crates/records/src/course.rs
+++ b/crates/records/src/course.rs
@@ -1,27 +1,27 @@
-//! The course of an incident: what of all that was recorded was trouble, when it began, what came first, how far it went,
-//! and when it was over. Decided here, without I/O, from events in true order.
+//! Incident reconstruction: which of the recorded events were faults, when each incident began, what came first, how far it
+//! went, and when it was over. Without I/O, from events in order.
+
+mod extremes;
+mod follower;
+mod incidents;
+mod standings;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::pb::{record::Kind, Life, State};
-use crate::replay::Picture;
-use crate::timeline::{Event, Gap, GapReason, Window};
-
-/// Quiet for so long, in microseconds, means that one trouble is over and the next is another: servers return within
-/// twelve seconds at the latest, so that a failing one is not told as many.
-pub const APART_US: i64 = 30_000_000;
+pub use follower::{reconstruct, Follower};
+pub use incidents::APART_US;
 
-/// What a server was in a span of time.
+/// The status of a server over an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Requests go there as usual.
+    /// It serves requests without restrictions.
     Full,
-    /// It has less weight for its score.
+    /// Its weight is reduced because of its score.
     Reduced,
     /// It has no weight.
     Withdrawn,
-    /// The list says that it drains.
+    /// The endpoint list says that it is draining.
     Draining,
     /// It is warming up.
     Cold,
@@ -30,7 +30,7 @@
 }
 
 impl Standing {
-    /// The word for it.
+    /// The status as reports print it.
     pub fn word(self) -> &'static str {
         match self {
             Standing::Full => "full",
@@ -43,41 +43,56 @@
     }
 }
 
-/// A server's standing over a span of time, as one supervisor saw it.
+/// An interval of one status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// Its begin, in Unix microseconds.
+    /// The begin, in Unix microseconds.
     pub from_us: i64,
-    /// Its end.
+    /// The end, in Unix microseconds.
     pub to_us: i64,
-    /// What it was.
+    /// The status.
     pub standing: Standing,
 }
 
-/// The standings of all servers, by supervisor and server, without what was full all the time.
-pub type Standings = BTreeMap<(Arc<str>, String), (String, Vec<Span>)>;
+/// A server as one supervisor sees it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ObservedServer {
+    /// The name of the supervisor.
+    pub supervisor: Arc<str>,
+    /// The name of the server.
+    pub server: String,
+}
 
-/// What is wrong, of which there may be several at once.
+/// The status of a server over time.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ServerHistory {
+    /// The zone of the server.
+    pub zone: String,
+    /// The intervals, in order.
+    pub spans: Vec<Span>,
+}
+
+/// A fault; there may be several at once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trouble {
-    /// A server has less weight, or none.
+    /// A server has a reduced weight, or none.
     Server(String),
-    /// Reports tell that tries at a server fail.
+    /// Reports show that attempts at a server fail.
     Failing(String),
-    /// A zone is cut off.
+    /// A zone is partitioned.
     Zone(String),
-    /// Requests are refused.
+    /// Requests are rejected.
     Refusing,
-    /// Service is reduced to a level.
+    /// A reduced service level is in force.
     Reduced(String),
-    /// Discovery says nothing.
+    /// Discovery is unavailable.
     Discovery,
-    /// A supervisor died or recorded nothing.
+    /// A supervisor crashed or stalled.
     Supervisor(Arc<str>),
 }
 
 impl Trouble {
-    /// The trouble in words.
+    /// The fault in words.
     pub fn line(&self) -> String {
         match self {
             Trouble::Server(name) => format!("server {name} out or reduced"),
@@ -91,384 +106,67 @@
     }
 }
 
-/// One stretch of trouble.
+/// A fault and its begin.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TroubleBegin {
+    /// The time, in Unix microseconds.
+    pub at_us: i64,
+    /// The fault.
+    pub trouble: Trouble,
+}
+
+/// An incident: faults that overlap, or follow each other closely.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incident {
-    /// When it began.
+    /// The begin, in Unix microseconds.
     pub from_us: i64,
-    /// When the last trouble of it ended; none if it lasts on.
+    /// When its last fault ended, in Unix microseconds; `None` if it continues.
     pub over_us: Option<i64>,
-    /// What was first, in the words of its record.
+    /// The first event, in the words of its record.
     pub first: String,
-    /// All that was wrong, in the order in which it began.
-    pub troubles: Vec<(i64, Trouble)>,
+    /// All faults, in the order in which they began.
+    pub troubles: Vec<TroubleBegin>,
     /// Servers that had no weight at some time.
     pub withdrawn: BTreeSet<String>,
 }
 
-/// What the events between two times amount to.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Course {
-    /// Stretches of trouble, in order.
-    pub incidents: Vec<Incident>,
-    /// Servers that the list took out, in order: drains that were meant.
-    pub drains: Vec<(i64, String)>,
-    /// Lowest level by class, with when and where.
-    pub lowest: BTreeMap<String, (f64, i64, Arc<str>)>,
-    /// Most lines waiting, with when and where.
-    pub waiting: Option<(f64, i64, Arc<str>)>,
-    /// Largest share of requests refused, with when and where.
-    pub refused: Option<(f64, i64, Arc<str>)>,
-    /// Streams that ended, by reason.
-    pub ended: BTreeMap<String, u64>,
-    /// Standings of servers.
-    pub standings: Standings,
-}
-
-/// Follows events one by one, so that a day need not be in memory at once.
-pub struct Follower {
-    window: Window,
-    pictures: BTreeMap<Arc<str>, Picture>,
-    open: BTreeMap<(Arc<str>, Trouble), i64>,
-    /// Times at which supervisors were away, the next one last.
-    away: Vec<Gap>,
-    course: Course,
-}
-
-/// Tells the course of events, which begin some time before the window so that its begin is known, and of the gaps.
-pub fn tell(events: &[Event], gaps: &[Gap], window: Window) -> Course {
-    let mut follower = Follower::new(gaps, window);
-    events.iter().for_each(|event| follower.follow(event));
-    follower.finish()
-}
-
-impl Follower {
-    /// Follows what happens in a window with these gaps.
-    pub fn new(gaps: &[Gap], window: Window) -> Self {
-        let away = |gap: &&Gap| {
-            matches!(
-                gap.reason,
-                GapReason::Crashed | GapReason::Stalled | GapReason::Stopped
-            )
-        };
-        let mut away: Vec<Gap> = gaps.iter().filter(away).cloned().collect();
-        away.sort_by_key(|gap| std::cmp::Reverse(gap.from_us));
-        let (pictures, open, course) = (BTreeMap::new(), BTreeMap::new(), Course::default());
-        Follower {
-            window,
-            pictures,
-            open,
-            away,
-            course,
-        }
-    }
-
-    /// One supervisor's view after what was followed so far.
-    pub fn picture(&self, supervisor: &str) -> Option<&Picture> {
-        self.pictures.get(supervisor)
-    }
-
-    /// Takes in the next event; they come in true order.
-    pub fn follow(&mut self, event: &Event) {
-        while let Some(gap) = self.away.pop_if(|gap| gap.from_us <= event.at_us) {
-            self.gone(&gap);
-        }
-        let picture = self
-            .pictures
-            .entry(Arc::clone(&event.supervisor))
-            .or_default();
-        let before = picture.clone_light(event);
-        picture.apply(&event.record);
-        let after = picture.clone_light(event);
-        self.figures(event);
-        self.spans(event, before.as_ref(), after.as_ref());
-        self.troubles(event);
-    }
-
-    /// A supervisor was away: nothing is known of its servers, and what it held as trouble is not known to last. That it
-    /// stopped as asked is no trouble.
-    fn gone(&mut self, gap: &Gap) {
-        let by = Arc::clone(&gap.supervisor);
-        let known: Vec<(String, String)> = self
-            .course
-            .standings
-            .iter()
-            .filter(|((its, _), _)| *its == by)
-            .map(|((_, server), (zone, _))| (server.clone(), zone.clone()))
-            .collect();
-        for (server, zone) in known {
-            self.span(gap.from_us, &by, &server, &zone, Standing::Unknown);
-        }
-        if gap.reason != GapReason::Stopped {
-            let trouble = Trouble::Supervisor(Arc::clone(&by));
-            self.begin(gap.from_us, Arc::clone(&by), trouble.clone(), gap.line());
-            self.end(gap.to_us, &by, &trouble);
-        }
-    }
-
-    fn within(&self, at_us: i64) -> bool {
-        (self.window.from_us..=self.window.to_us).contains(&at_us)
-    }
-
-    fn figures(&mut self, event: &Event) {
-        let (at, by) = (event.at_us, &event.supervisor);
-        if !self.within(at) {
-            return;
-        }
-        let course = &mut self.course;
-        let more = |known: &Option<(f64, i64, Arc<str>)>, value: f64| {
-            known.as_ref().is_none_or(|k| value > k.0)
-        };
-        match &event.record.kind {
-            Some(Kind::Gauge(of)) => {
-                if more(&course.waiting, of.waiting) {
-                    course.waiting = Some((of.waiting, at, Arc::clone(by)));
-                }
-                if of.refused > 0.0 && more(&course.refused, of.refused) {
-                    course.refused = Some((of.refused, at, Arc::clone(by)));
-                }
-                let classes = self
-                    .pictures
-                    .get(by)
-                    .map(|picture| picture.classes.clone())
-                    .unwrap_or_default();
-                for (class, level) in classes.into_iter().zip(&of.levels) {
-                    let lowest = course
-                        .lowest
-                        .entry(class)
-                        .or_insert((1.0, at, Arc::clone(by)));
-                    if *level < lowest.0 {
-                        *lowest = (*level, at, Arc::clone(by));
-                    }
-                }
-            }
-            Some(Kind::StreamLeft(of)) => *course.ended.entry(of.reason.clone()).or_default() += 1,
-            Some(Kind::LifeChanged(of))
-                if of.life() == Life::Draining
-                    && !course.drains.iter().any(|(_, known)| *known == of.server) =>
-            {
-                course.drains.push((at, of.server.clone()));
-            }
-            _ => {}
-        }
-    }
-
-    fn spans(&mut self, event: &Event, before: Option<&Seen>, after: Option<&Seen>) {
-        if matches!(event.record.kind, Some(Kind::Fleet(_) | Kind::Started(_))) {
-            self.spans_of_all(event);
-            return;
-        }
-        if before == after {
-            return;
-        }
-        if let Some(Seen {
-            server,
-            zone,
-            standing,
-        }) = after
-        {
-            self.span(event.at_us, &event.supervisor, server, zone, *standing);
-        } else if let Some(Seen { server, zone, .. }) = before {
-            self.span(
-                event.at_us,
-                &event.supervisor,
-                server,
-                zone,
-                Standing::Unknown,
-            );
-        }
-    }
-
-    fn spans_of_all(&mut self, event: &Event) {
-        let Some(picture) = self.pictures.get(&event.supervisor) else {
-            return;
-        };
-        let seen: Vec<(String, String, Standing)> = picture
-            .servers
-            .iter()
-            .map(|(name, server)| (name.clone(), server.zone.clone(), standing(server)))
-            .collect();
-        for (name, zone, standing) in seen {
-            self.span(event.at_us, &event.supervisor, &name, &zone, standing);
-        }
-    }
-
-    fn span(&mut self, at_us: i64, by: &Arc<str>, server: &str, zone: &str, standing: Standing) {
-        let at_us = at_us.clamp(self.window.from_us, self.window.to_us);
-        let key = (Arc::clone(by), server.to_string());
-        let (_, spans) = self
-            .course
-            .standings
-            .entry(key)
-            .or_insert_with(|| (zone.to_string(), Vec::new()));
-        match spans.last_mut() {
-            Some(last) if last.standing == standing => {}
-            Some(last) => {
-                last.to_us = at_us;
-                spans.push(Span {
-                    from_us: at_us,
-                    to_us: at_us,
-                    standing,
-                });
-            }
-            None => spans.push(Span {
-                from_us: at_us,
-                to_us: at_us,
-                standing,
-            }),
-        }
-    }
-
-    fn troubles(&mut self, event: &Event) {
-        let (at, by) = (event.at_us, Arc::clone(&event.supervisor));
-        let mut set = |holds: bool, trouble: Trouble| {
-            if holds {
-                self.begin(at, Arc::clone(&by), trouble, event.line());
-            } else {
-                self.end(at, &by, &trouble);
-            }
-        };
-        match &event.record.kind {
-            Some(Kind::StateChanged(of)) => {
-                set(
-                    of.state() != State::Full,
-                    Trouble::Server(of.server.clone()),
-                );
-                if of.state() == State::Withdrawn {
-                    if let Some(incident) = self.course.incidents.last_mut() {
-                        incident.withdrawn.insert(of.server.clone());
-                    }
-                }
-            }
-            Some(Kind::LifeChanged(of)) if of.life() != Life::InService => {
-                // What leaves is no trouble any more, whatever it was.
-                set(false, Trouble::Server(of.server.clone()));
-                set(false, Trouble::Failing(of.server.clone()));
-            }
-            Some(Kind::Failing(of)) => set(of.failing, Trouble::Failing(of.server.clone())),
-            Some(Kind::ZoneCut(of)) => set(of.cut, Trouble::Zone(of.zone.clone())),
-            Some(Kind::Saturation(of)) => set(of.refused > 0.0, Trouble::Refusing),
-            Some(Kind::Gauge(of)) if of.refused <= 0.0 => set(false, Trouble::Refusing),
-            Some(Kind::ServiceLevel(of)) => {
-                set(of.number > 0, Trouble::Reduced(of.to.clone()));
-                set(false, Trouble::Reduced(of.from.clone()));
-            }
-            Some(Kind::Discovery(of)) => set(!of.tells, Trouble::Discovery),
-            Some(Kind::Fleet(of)) => {
-                for server in of
-                    .servers
-                    .iter()
-                    .filter(|server| server.state() == State::Full)
-                {
-                    self.end(at, &by, &Trouble::Server(server.name.clone()));
-                }
-            }
-            // A start holds nothing against anybody.
-            Some(Kind::Started(_)) => {
-                let own: Vec<Trouble> = self
-                    .open
-                    .keys()
-                    .filter(|(its, _)| *its == by)
-                    .map(|(_, trouble)| trouble.clone())
-                    .collect();
-                own.iter().for_each(|trouble| self.end(at, &by, trouble));
-            }
-            _ => {}
-        }
-    }
-
-    fn begin(&mut self, at_us: i64, by: Arc<str>, trouble: Trouble, words: String) {
-        if self.open.contains_key(&(Arc::clone(&by), trouble.clone())) {
-            return;
-        }
-        let lasting = self.course.incidents.last_mut().filter(|last| {
-            last.over_us
-                .is_none_or(|over| at_us.saturating_sub(over) < APART_US)
-        });
-        let first = format!("{by}: {words}");
-        match lasting {
-            Some(last) => {
-                last.over_us = None;
-                if !last.troubles.iter().any(|(_, known)| *known == trouble) {
-                    last.troubles.push((at_us, trouble.clone()));
-                }
-            }
-            None => self.course.incidents.push(Incident {
-                from_us: at_us,
-                over_us: None,
-                first,
-                troubles: vec![(at_us, trouble.clone())],
-                withdrawn: BTreeSet::new(),
-            }),
-        }
-        self.open.insert((by, trouble), at_us);
-    }
-
-    fn end(&mut self, at_us: i64, by: &Arc<str>, trouble: &Trouble) {
-        if self
-            .open
-            .remove(&(Arc::clone(by), trouble.clone()))
-            .is_none()
-            || !self.open.is_empty()
-        {
-            return;
-        }
-        if let Some(last) = self.course.incidents.last_mut() {
-            last.over_us = Some(at_us.max(last.from_us));
-        }
-    }
-
-    /// The course of it all.
-    pub fn finish(mut self) -> Course {
-        while let Some(gap) = self.away.pop() {
-            self.gone(&gap);
-        }
-        let to_us = self.window.to_us;
-        for (_, spans) in self.course.standings.values_mut() {
-            if let Some(last) = spans.last_mut() {
-                last.to_us = to_us;
-            }
-            spans.retain(|span| span.to_us > span.from_us || span.from_us == to_us);
-        }
-        // What was over before the window is not its trouble.
-        let from_us = self.window.from_us;
-        self.course
-            .incidents
-            .retain(|one| one.over_us.is_none_or(|over| over >= from_us) && one.from_us <= to_us);
-        self.course
-    }
+/// An extreme value, and where it occurred first.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Extreme {
+    /// The value.
+    pub value: f64,
+    /// The time, in Unix microseconds.
+    pub at_us: i64,
+    /// The name of the supervisor that recorded it.
+    pub supervisor: Arc<str>,
 }
 
-/// What one event shows of one server.
+/// A server that the endpoint list took out of service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Seen {
-    server: String,
-    zone: String,
-    standing: Standing,
+pub struct Drain {
+    /// When, in Unix microseconds.
+    pub at_us: i64,
+    /// The name of the server.
+    pub server: String,
 }
 
-fn standing(server: &crate::replay::Server) -> Standing {
-    match (server.life, server.state) {
-        (Life::Draining, _) => Standing::Draining,
-        (Life::Gone, _) => Standing::Unknown,
-        (_, State::Withdrawn) => Standing::Withdrawn,
-        _ if server.warmth < 1.0 => Standing::Cold,
-        (_, State::Reduced) => Standing::Reduced,
-        (_, State::Full) => Standing::Full,
-    }
-}
-
-impl Picture {
-    /// The one server that an event is about, as it stands.
-    fn clone_light(&self, event: &Event) -> Option<Seen> {
-        let name = event.record.kind.as_ref().and_then(crate::kind::server)?;
-        let server = self.servers.get(name)?;
-        Some(Seen {
-            server: name.to_string(),
-            zone: server.zone.clone(),
-            standing: standing(server),
-        })
-    }
+/// What the events of an interval amount to.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Course {
+    /// The incidents, in order.
+    pub incidents: Vec<Incident>,
+    /// The intended drains, in order.
+    pub drains: Vec<Drain>,
+    /// The lowest level, by class.
+    pub lowest: BTreeMap<String, Extreme>,
+    /// The most lines that waited in a channel.
+    pub waiting: Option<Extreme>,
+    /// The largest share of requests that was rejected.
+    pub refused: Option<Extreme>,
+    /// The number of streams that ended, by reason.
+    pub ended: BTreeMap<String, u64>,
+    /// The status of servers over time.
+    pub standings: BTreeMap<ObservedServer, ServerHistory>,
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/records/src/course/follower.rs
@@ -0,0 +1,175 @@
+//! Follows events one by one, so that a day need not be in memory at once.
+
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use super::incidents::IncidentTracker;
+use super::standings::{ServerStatus, StandingTracker};
+use super::{extremes, Course, Trouble};
+use crate::kind;
+use crate::pb::{self, record::Kind, Life, State};
+use crate::replay::Picture;
+use crate::timeline::{Event, Gap, GapReason, Window};
+
+/// Follows the events of several supervisors, and the gaps in their records.
+pub struct Follower {
+    window: Window,
+    /// The state of the fleet, by the supervisor that sees it.
+    pictures: BTreeMap<Arc<str>, Picture>,
+    /// Intervals in which supervisors were absent, the next one last.
+    absences: Vec<Gap>,
+    incidents: IncidentTracker,
+    standings: StandingTracker,
+    course: Course,
+}
+
+/// Reconstructs what happened in a window. The events should begin some time before it, so that the state at its begin is
+/// known.
+pub fn reconstruct(events: &[Event], gaps: &[Gap], window: Window) -> Course {
+    let mut follower = Follower::new(gaps, window);
+    for event in events {
+        follower.follow(event);
+    }
+    follower.finish()
+}
+
+impl Follower {
+    /// Follows what happens in a window, with the gaps in it.
+    pub fn new(gaps: &[Gap], window: Window) -> Self {
+        let mut absences: Vec<Gap> = gaps.iter().filter(|gap| is_absence(gap)).cloned().collect();
+        absences.sort_by_key(|gap| Reverse(gap.from_us));
+        Follower {
+            window,
+            pictures: BTreeMap::new(),
+            absences,
+            incidents: IncidentTracker::default(),
+            standings: StandingTracker::new(window),
+            course: Course::default(),
+        }
+    }
+
+    /// The state of the fleet after the events so far, as one supervisor sees it.
+    pub fn picture(&self, supervisor: &str) -> Option<&Picture> {
+        self.pictures.get(supervisor)
+    }
+
+    /// Follows the next event; events must come in order.
+    pub fn follow(&mut self, event: &Event) {
+        while let Some(gap) = self.absences.pop_if(|gap| gap.from_us <= event.at_us) {
+            self.follow_absence(&gap);
+        }
+        let supervisor = Arc::clone(&event.supervisor);
+        let picture = self.pictures.entry(supervisor).or_default();
+        let server = event.record.kind.as_ref().and_then(kind::server);
+        let before = server.and_then(|server| ServerStatus::of(picture, server));
+        picture.apply(&event.record);
+        let after = server.and_then(|server| ServerStatus::of(picture, server));
+        let changed_servers = match &event.record.kind {
+            Some(Kind::Fleet(_) | Kind::Started(_)) => ServerStatus::of_all(picture),
+            _ if before == after => Vec::new(),
+            _ => {
+                let status = after.or_else(|| before.map(ServerStatus::into_unknown));
+                status.into_iter().collect()
+            }
+        };
+        for status in changed_servers {
+            self.standings.set(event.at_us, &event.supervisor, status);
+        }
+        if (self.window.from_us..=self.window.to_us).contains(&event.at_us) {
+            extremes::add(&mut self.course, event, &picture.classes);
+        }
+        self.follow_troubles(event);
+    }
+
+    /// Nothing is known of the servers of an absent supervisor. The absence is a fault unless it was shut down.
+    fn follow_absence(&mut self, gap: &Gap) {
+        let supervisor = &gap.supervisor;
+        self.standings.set_unknown(gap.from_us, supervisor);
+        if gap.reason == GapReason::Stopped {
+            return;
+        }
+        let trouble = Trouble::Supervisor(Arc::clone(supervisor));
+        let description = gap.line();
+        self.incidents
+            .begin(gap.from_us, supervisor, trouble.clone(), &description);
+        self.incidents.end(gap.to_us, supervisor, trouble);
+    }
+
+    fn follow_troubles(&mut self, event: &Event) {
+        let Some(kind) = &event.record.kind else {
+            return;
+        };
+        match kind {
+            Kind::StateChanged(of) => self.follow_state(event, of),
+            Kind::LifeChanged(of) if of.life() != Life::InService => {
+                // A server that leaves is no fault any more.
+                self.set(event, false, Trouble::Server(of.server.clone()));
+                self.set(event, false, Trouble::Failing(of.server.clone()));
+            }
+            Kind::Failing(of) => {
+                self.set(event, of.failing, Trouble::Failing(of.server.clone()));
+            }
+            Kind::ZoneCut(of) => self.set(event, of.cut, Trouble::Zone(of.zone.clone())),
+            Kind::Saturation(of) => self.set(event, of.refused > 0.0, Trouble::Refusing),
+            Kind::Gauge(of) if of.refused <= 0.0 => self.set(event, false, Trouble::Refusing),
+            Kind::ServiceLevel(of) => {
+                self.set(event, of.number > 0, Trouble::Reduced(of.to.clone()));
+                self.set(event, false, Trouble::Reduced(of.from.clone()));
+            }
+            Kind::Discovery(of) => self.set(event, !of.tells, Trouble::Discovery),
+            Kind::Fleet(of) => self.follow_fleet(event, of),
+            // A new incarnation knows of no faults.
+            Kind::Started(_) => self.incidents.end_all(event.at_us, &event.supervisor),
+            _ => {}
+        }
+    }
+
+    fn follow_state(&mut self, event: &Event, of: &pb::StateChanged) {
+        let trouble = Trouble::Server(of.server.clone());
+        self.set(event, of.state() != State::Full, trouble);
+        if of.state() == State::Withdrawn {
+            self.incidents.add_withdrawn(&of.server);
+        }
+    }
+
+    /// A record of all servers ends the faults of those that are healthy again, where an event was lost.
+    fn follow_fleet(&mut self, event: &Event, fleet: &pb::Fleet) {
+        for server in &fleet.servers {
+            if server.state() == State::Full {
+                self.set(event, false, Trouble::Server(server.name.clone()));
+            }
+        }
+    }
+
+    /// Begins or ends a fault with an event.
+    fn set(&mut self, event: &Event, is_present: bool, trouble: Trouble) {
+        let (at_us, supervisor) = (event.at_us, &event.supervisor);
+        if is_present {
+            self.incidents
+                .begin(at_us, supervisor, trouble, &event.line());
+        } else {
+            self.incidents.end(at_us, supervisor, trouble);
+        }
+    }
+
+    /// What happened in the window.
+    pub fn finish(mut self) -> Course {
+        while let Some(gap) = self.absences.pop() {
+            self.follow_absence(&gap);
+        }
+        Course {
+            incidents: self.incidents.finish(self.window),
+            standings: self.standings.finish(),
+            ..self.course
+        }
+    }
+}
+
+/// Whether nothing is known of a supervisor's servers within a gap.
+fn is_absence(gap: &Gap) -> bool {
+    matches!(
+        gap.reason,
+        GapReason::Crashed | GapReason::Stalled | GapReason::Stopped
+    )
+}
--- /dev/null
+++ b/crates/records/src/course/incidents.rs
@@ -0,0 +1,116 @@
+//! Incidents: faults that overlap, or follow each other closely.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+use super::{Incident, Trouble, TroubleBegin};
+use crate::timeline::Window;
+
+/// Time without a fault after which the next one is another incident, in microseconds. Ejected servers return within twelve
+/// seconds, so that a server which keeps failing is one incident.
+pub const APART_US: i64 = 30_000_000;
+
+/// A fault that a supervisor has seen begin and not end.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct OpenTrouble {
+    supervisor: Arc<str>,
+    trouble: Trouble,
+}
+
+/// All incidents so far, and the faults that continue.
+#[derive(Default)]
+pub(super) struct IncidentTracker {
+    incidents: Vec<Incident>,
+    open: BTreeSet<OpenTrouble>,
+}
+
+impl IncidentTracker {
+    /// A supervisor sees a fault begin. `description` is the event in words.
+    pub fn begin(
+        &mut self,
+        at_us: i64,
+        supervisor: &Arc<str>,
+        trouble: Trouble,
+        description: &str,
+    ) {
+        let begin = TroubleBegin {
+            at_us,
+            trouble: trouble.clone(),
+        };
+        let is_new = self.open.insert(OpenTrouble {
+            supervisor: Arc::clone(supervisor),
+            trouble,
+        });
+        if !is_new {
+            return;
+        }
+        let Some(incident) = self.continuing_incident(at_us) else {
+            self.incidents.push(Incident {
+                from_us: at_us,
+                over_us: None,
+                first: format!("{supervisor}: {description}"),
+                troubles: vec![begin],
+                withdrawn: BTreeSet::new(),
+            });
+            return;
+        };
+        incident.over_us = None;
+        let mut known = incident.troubles.iter();
+        if !known.any(|known| known.trouble == begin.trouble) {
+            incident.troubles.push(begin);
+        }
+    }
+
+    /// The last incident, if it continues or has ended just before.
+    fn continuing_incident(&mut self, at_us: i64) -> Option<&mut Incident> {
+        let last = self.incidents.last_mut()?;
+        let is_continuing = last
+            .over_us
+            .is_none_or(|over_us| at_us.saturating_sub(over_us) < APART_US);
+        is_continuing.then_some(last)
+    }
+
+    /// A supervisor sees a fault end.
+    pub fn end(&mut self, at_us: i64, supervisor: &Arc<str>, trouble: Trouble) {
+        let was_open = self.open.remove(&OpenTrouble {
+            supervisor: Arc::clone(supervisor),
+            trouble,
+        });
+        if !was_open || !self.open.is_empty() {
+            return;
+        }
+        if let Some(last) = self.incidents.last_mut() {
+            last.over_us = Some(at_us.max(last.from_us));
+        }
+    }
+
+    /// All faults that a supervisor sees end.
+    pub fn end_all(&mut self, at_us: i64, supervisor: &Arc<str>) {
+        let open = self.open.iter();
+        let own: Vec<Trouble> = open
+            .filter(|open| open.supervisor == *supervisor)
+            .map(|open| open.trouble.clone())
+            .collect();
+        for trouble in own {
+            self.end(at_us, supervisor, trouble);
+        }
+    }
+
+    /// A server has no weight in the last incident.
+    pub fn add_withdrawn(&mut self, server: &str) {
+        if let Some(incident) = self.incidents.last_mut() {
+            incident.withdrawn.insert(server.to_string());
+        }
+    }
+
+    /// The incidents that overlap a window.
+    pub fn finish(mut self, window: Window) -> Vec<Incident> {
+        self.incidents.retain(|incident| {
+            let ends_late_enough = incident
+                .over_us
+                .is_none_or(|over_us| over_us >= window.from_us);
+            ends_late_enough && incident.from_us <= window.to_us
+        });
+        self.incidents
+    }
+}
--- /dev/null
+++ b/crates/records/src/course/standings.rs
@@ -0,0 +1,129 @@
+//! The status of servers over time.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use super::{ObservedServer, ServerHistory, Span, Standing};
+use crate::pb::{Life, State};
+use crate::replay::{Picture, Server};
+use crate::timeline::Window;
+
+/// The status of a server at one moment.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct ServerStatus {
+    pub server: String,
+    pub zone: String,
+    pub standing: Standing,
+}
+
+impl ServerStatus {
+    /// The status of a server in the state of a fleet; `None` if it has no such server.
+    pub fn of(picture: &Picture, server: &str) -> Option<Self> {
+        let state = picture.servers.get(server)?;
+        Some(ServerStatus {
+            server: server.to_string(),
+            zone: state.zone.clone(),
+            standing: standing(state),
+        })
+    }
+
+    /// The status of all servers in the state of a fleet.
+    pub fn of_all(picture: &Picture) -> Vec<Self> {
+        let names = picture.servers.keys();
+        names
+            .filter_map(|name| ServerStatus::of(picture, name))
+            .collect()
+    }
+
+    /// The same server, of which nothing is known any more.
+    pub fn into_unknown(self) -> Self {
+        ServerStatus {
+            standing: Standing::Unknown,
+            ..self
+        }
+    }
+}
+
+fn standing(server: &Server) -> Standing {
+    match (server.life, server.state) {
+        (Life::Draining, _) => Standing::Draining,
+        (Life::Gone, _) => Standing::Unknown,
+        (_, State::Withdrawn) => Standing::Withdrawn,
+        _ if server.warmth < 1.0 => Standing::Cold,
+        (_, State::Reduced) => Standing::Reduced,
+        (_, State::Full) => Standing::Full,
+    }
+}
+
+/// The status of all servers over the time of a window.
+pub(super) struct StandingTracker {
+    window: Window,
+    histories: BTreeMap<ObservedServer, ServerHistory>,
+}
+
+impl StandingTracker {
+    pub fn new(window: Window) -> Self {
+        StandingTracker {
+            window,
+            histories: BTreeMap::new(),
+        }
+    }
+
+    /// Sets the status of a server from a time on.
+    pub fn set(&mut self, at_us: i64, supervisor: &Arc<str>, status: ServerStatus) {
+        let at_us = at_us.clamp(self.window.from_us, self.window.to_us);
+        let observed = ObservedServer {
+            supervisor: Arc::clone(supervisor),
+            server: status.server,
+        };
+        let history = self
+            .histories
+            .entry(observed)
+            .or_insert_with(|| ServerHistory {
+                zone: status.zone,
+                spans: Vec::new(),
+            });
+        if let Some(last) = history.spans.last_mut() {
+            if last.standing == status.standing {
+                return;
+            }
+            last.to_us = at_us;
+        }
+        history.spans.push(Span {
+            from_us: at_us,
+            to_us: at_us,
+            standing: status.standing,
+        });
+    }
+
+    /// Nothing is known of the servers of a supervisor from a time on.
+    pub fn set_unknown(&mut self, at_us: i64, supervisor: &Arc<str>) {
+        let known: Vec<ServerStatus> = self
+            .histories
+            .iter()
+            .filter(|(observed, _)| observed.supervisor == *supervisor)
+            .map(|(observed, history)| ServerStatus {
+                server: observed.server.clone(),
+                zone: history.zone.clone(),
+                standing: Standing::Unknown,
+            })
+            .collect();
+        for status in known {
+            self.set(at_us, supervisor, status);
+        }
+    }
+
+    /// The histories until the end of the window, without empty intervals before it.
+    pub fn finish(mut self) -> BTreeMap<ObservedServer, ServerHistory> {
+        let to_us = self.window.to_us;
+        for history in self.histories.values_mut() {
+            if let Some(last) = history.spans.last_mut() {
+                last.to_us = to_us;
+            }
+            history
+                .spans
+                .retain(|span| span.to_us > span.from_us || span.from_us == to_us);
+        }
+        self.histories
+    }
+}
--- a/crates/records/src/course/tests.rs
+++ b/crates/records/src/course/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::pb::{self, Record};
+use crate::pb::{self, record::Kind, Record, State};
+use crate::timeline::{Event, Gap, GapReason, Window};
 
 const SECOND: i64 = 1_000_000;
 
@@ -31,13 +32,24 @@
     })
 }
 
+fn observed(supervisor: &str, server: &str) -> ObservedServer {
+    ObservedServer {
+        supervisor: supervisor.into(),
+        server: server.to_string(),
+    }
+}
+
+fn standings(history: &ServerHistory) -> Vec<Standing> {
+    history.spans.iter().map(|span| span.standing).collect()
+}
+
 const WINDOW: Window = Window {
     from_us: 0,
     to_us: 300 * SECOND,
 };
 
 #[test]
-fn an_incident_has_a_begin_a_first_and_an_end() {
+fn an_incident_has_a_begin_a_first_event_and_an_end() {
     let events = [
         event("n0", 10, state("s-1", State::Reduced)),
         event("n1", 11, state("s-1", State::Withdrawn)),
@@ -47,7 +59,7 @@
         event("n0", 28, state("s-2", State::Full)),
         event("n0", 200, state("s-3", State::Reduced)),
     ];
-    let course = tell(&events, &[], WINDOW);
+    let course = reconstruct(&events, &[], WINDOW);
     let [first, second] = &course.incidents[..] else {
         panic!("{:?}", course.incidents)
     };
@@ -62,16 +74,13 @@
     );
     assert_eq!(first.withdrawn, BTreeSet::from(["s-1".to_string()]));
     assert_eq!((second.from_us, second.over_us), (200 * SECOND, None));
-    let (_, spans) = &course.standings[&("n0".into(), "s-1".to_string())];
-    assert_eq!(
-        spans.iter().map(|span| span.standing).collect::<Vec<_>>(),
-        [Standing::Reduced, Standing::Full]
-    );
+    let history = &course.standings[&observed("n0", "s-1")];
+    assert_eq!(standings(history), [Standing::Reduced, Standing::Full]);
 }
 
-/// Danger: what a supervisor held against a server before it died would last for good.
+/// The faults that a supervisor saw before it crashed must not last for good.
 #[test]
-fn a_supervisors_death_ends_what_it_held_and_is_trouble_itself() {
+fn a_crash_of_a_supervisor_ends_its_faults_and_is_a_fault_itself() {
     let gap = Gap {
         supervisor: "n0".into(),
         from_us: 12 * SECOND,
@@ -85,20 +94,17 @@
         event("n0", 10, state("s-1", State::Reduced)),
         event("n0", 18, started),
     ];
-    let course = tell(&events, &[gap], WINDOW);
+    let course = reconstruct(&events, &[gap], WINDOW);
     let [only] = &course.incidents[..] else {
         panic!("{:?}", course.incidents)
     };
     assert_eq!((only.over_us, only.troubles.len()), (Some(18 * SECOND), 2));
-    let (_, spans) = &course.standings[&("n0".into(), "s-1".to_string())];
-    assert_eq!(
-        spans.iter().map(|span| span.standing).collect::<Vec<_>>(),
-        [Standing::Reduced, Standing::Unknown]
-    );
+    let history = &course.standings[&observed("n0", "s-1")];
+    assert_eq!(standings(history), [Standing::Reduced, Standing::Unknown]);
 }
 
 #[test]
-fn figures_tell_how_far_it_went() {
+fn metrics_show_how_far_an_incident_went() {
     let started = pb::Started {
         classes: vec!["lookup".into(), "order".into()],
         ..Default::default()
@@ -117,11 +123,18 @@
         event("n0", 3, gauge(50.0, 0.4, 0.3)),
         event("n0", 4, gauge(7.0, 0.1, 0.9)),
     ];
-    let course = tell(&events, &[], WINDOW);
-    assert_eq!(course.waiting, Some((50.0, 3 * SECOND, "n0".into())));
-    assert_eq!(course.refused.map(|refused| refused.0), Some(0.4));
+    let course = reconstruct(&events, &[], WINDOW);
+    assert_eq!(
+        course.waiting,
+        Some(Extreme {
+            value: 50.0,
+            at_us: 3 * SECOND,
+            supervisor: "n0".into(),
+        })
+    );
+    assert_eq!(course.refused.map(|refused| refused.value), Some(0.4));
     assert_eq!(
-        (course.lowest["order"].0, course.lowest["lookup"].0),
+        (course.lowest["order"].value, course.lowest["lookup"].value),
         (0.3, 1.0)
     );
 }
--- a/crates/records/src/index.rs
+++ b/crates/records/src/index.rs
@@ -23,10 +23,14 @@
 pub const STALLED_US: i64 = 4_000_000;
 
 /// Reasons of holes, as indexes store them.
-mod hole_reason {
+pub(crate) mod hole_reason {
+    /// Bytes or sequence numbers are missing.
     pub const DAMAGED: &str = "damaged";
+    /// Nothing was recorded for longer than [`super::STALLED_US`].
     pub const STALLED: &str = "stalled";
+    /// Records did not reach the disk.
     pub const LOST: &str = "lost";
+    /// The system clock stepped.
     pub const CLOCK: &str = "clock";
 }
 
--- a/crates/records/src/timeline/gap.rs
+++ b/crates/records/src/timeline/gap.rs
@@ -2,6 +2,8 @@
 
 use std::sync::Arc;
 
+use crate::index::hole_reason;
+
 /// Why not everything is known of an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GapReason {
@@ -41,9 +43,9 @@
     /// The reason that an index stores.
     pub(super) fn from_stored(reason: &str) -> Self {
         match reason {
-            "lost" => GapReason::Lost,
-            "stalled" => GapReason::Stalled,
-            "clock" => GapReason::ClockStep,
+            hole_reason::LOST => GapReason::Lost,
+            hole_reason::STALLED => GapReason::Stalled,
+            hole_reason::CLOCK => GapReason::ClockStep,
             _ => GapReason::Damaged,
         }
     }
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use chutegrade_records::course::{Course, Incident, Standing};
+use chutegrade_records::course::{Course, Incident, ObservedServer, ServerHistory, Standing};
 use chutegrade_records::{kind, text, Event, Gap, Kind, Window};
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 
@@ -101,7 +101,7 @@
         }
         (extremes(course))
         @if !course.drains.is_empty() {
-            p { "The list took out " (names(course.drains.iter().map(|(_, name)| name.as_str()))) ", as drains that were meant." }
+            p { "The list took out " (names(course.drains.iter().map(|drain| drain.server.as_str()))) ", as drains that were meant." }
         }
         @if !course.ended.is_empty() {
             @let ended: Vec<String> = course.ended.iter().map(|(why, count)| format!("{count} {why}")).collect();
@@ -125,7 +125,7 @@
     let kinds: BTreeSet<String> = incident
         .troubles
         .iter()
-        .map(|(_, trouble)| trouble.line())
+        .map(|begin| begin.trouble.line())
         .collect();
     html! {
         p {
@@ -148,19 +148,20 @@
     let lowered = course
         .lowest
         .iter()
-        .filter(|(_, (level, _, _))| *level < 1.0);
+        .filter(|(_, lowest)| lowest.value < 1.0);
     let lowered: Vec<String> = lowered
-        .map(|(class, (level, at, by))| {
-            format!("{class} to {} at {} ({by})", percent(*level), short(*at))
+        .map(|(class, lowest)| {
+            let (level, time) = (percent(lowest.value), short(lowest.at_us));
+            format!("{class} to {level} at {time} ({})", lowest.supervisor)
         })
         .collect();
     html! {
-        @if let Some((refused, at, by)) = &course.refused {
-            p { "At most " b { (percent(*refused)) } " of all requests were refused, at " (short(*at)) " (" (by) ")." }
+        @if let Some(refused) = &course.refused {
+            p { "At most " b { (percent(refused.value)) } " of all requests were refused, at " (short(refused.at_us)) " (" (refused.supervisor) ")." }
         }
         @if lowered.is_empty() { p { "No level fell." } } @else { p { "Levels fell: " (lowered.join(", ")) "." } }
-        @if let Some((waiting, at, by)) = course.waiting.as_ref().filter(|waiting| waiting.0 > 0.0) {
-            p { "At most " (format!("{waiting:.0}")) " lines waited in a channel, at " (short(*at)) " (" (by) ")." }
+        @if let Some(waiting) = course.waiting.as_ref().filter(|waiting| waiting.value > 0.0) {
+            p { "At most " (format!("{:.0}", waiting.value)) " lines waited in a channel, at " (short(waiting.at_us)) " (" (waiting.supervisor) ")." }
         }
     }
 }
@@ -188,7 +189,9 @@
         .collect();
     let mut rows = Vec::new();
     let mut full = 0;
-    for ((supervisor, server), (_, spans)) in &found.course.standings {
+    for (ObservedServer { supervisor, server }, ServerHistory { spans, .. }) in
+        &found.course.standings
+    {
         if spans
             .iter()
             .all(|span| matches!(span.standing, Standing::Full | Standing::Unknown))
