--- a/crates/records/benches/store.rs
+++ b/crates/records/benches/store.rs
@@ -1,6 +1,6 @@
 #![allow(missing_docs)]
-//! The store: what a record costs on the ticking thread, how fast it is appended and recovered, and a window of eight
-//! minutes out of a day, by the index and by a plain scan; the same day in two libraries beside it.
+//! The store: what a record costs the thread that makes decisions, how fast records are appended and recovered, and a query
+//! for eight minutes of a day, by the index and by a full scan; two database libraries for comparison.
 
 use std::hint::black_box;
 use std::path::Path;
@@ -10,7 +10,7 @@
 use chutegrade_records::maintenance::{self, ActiveSegment, Retention};
 use chutegrade_records::pb::{self, Record};
 use chutegrade_records::recorder::{begin, Options};
-use chutegrade_records::segment;
+use chutegrade_records::segment::{self, Item, SegmentId};
 use chutegrade_records::store::Store;
 use chutegrade_records::timeline::Timeline;
 use chutegrade_records::{frame, Kind};
@@ -25,7 +25,7 @@
     bytes: 1 << 40,
     age: Duration::from_secs(1 << 30),
 };
-const FREELY: Cost = Cost {
+const UNLIMITED: Cost = Cost {
     time: Duration::from_secs(10),
     bytes: 1 << 40,
 };
@@ -81,10 +81,10 @@
         directory: directory.path().to_path_buf(),
         supervisor: "n0".into(),
         retention: KEEP,
-        budget: FREELY,
+        budget: UNLIMITED,
     };
     let (recorder, recording) = begin(options, || 0).expect("threads");
-    // Batches that fit the queue, with pauses for the writer, as turns of the decisions are.
+    // Batches that fit into the queue, with pauses for the writer.
     c.bench_function("note 2,000 records", |b| {
         b.iter_batched(
             || {
@@ -92,86 +92,83 @@
                 (0..2000).map(state).collect::<Vec<_>>()
             },
             |kinds| {
-                kinds
-                    .into_iter()
-                    .for_each(|kind| recorder.note(1, 1, black_box(kind)))
+                for kind in kinds {
+                    recorder.note(1, 1, black_box(kind));
+                }
             },
             BatchSize::PerIteration,
-        )
+        );
     });
     recording.close();
 }
 
+const TABLE: redb::TableDefinition<u64, &[u8]> = redb::TableDefinition::new("records");
+
+fn append_to_segments(directory: &Path) {
+    let mut store = Store::open(directory, "n0").expect("a store");
+    for batch in 0..50 {
+        let frames = framed(batch * 2000..(batch + 1) * 2000);
+        store.append(&frames, 1, 0).expect("an append");
+    }
+    store.commit().expect("a commit");
+}
+
+/// Inserts records by a key, and returns the database.
+fn insert_into_redb(directory: &Path, count: u64, key: impl Fn(u64) -> u64) -> redb::Database {
+    let database = redb::Database::create(directory.join("r")).expect("a database");
+    let write = database.begin_write().expect("a transaction");
+    {
+        let mut table = write.open_table(TABLE).expect("a table");
+        for n in 0..count {
+            let value = record(n).encode_to_vec();
+            table.insert(key(n), value.as_slice()).expect("an insert");
+        }
+    }
+    write.commit().expect("a commit");
+    database
+}
+
+fn insert_into_fjall(directory: &Path) {
+    let keyspace = fjall::Config::new(directory).open().expect("a keyspace");
+    let records = keyspace
+        .open_partition("r", fjall::PartitionCreateOptions::default())
+        .expect("a partition");
+    for n in 0..100_000u64 {
+        records
+            .insert(n.to_be_bytes(), record(n).encode_to_vec())
+            .expect("an insert");
+    }
+    keyspace
+        .persist(fjall::PersistMode::SyncData)
+        .expect("a commit");
+}
+
 fn append(c: &mut Criterion) {
     let mut group = c.benchmark_group("append and commit 100,000 records");
     group
         .sample_size(10)
         .throughput(Throughput::Elements(100_000));
-    group.bench_function("segments", |b| {
-        b.iter_batched(
-            || tempfile::tempdir().expect("a directory"),
-            |directory| {
-                let mut store = Store::open(directory.path(), "n0").expect("a store");
-                for batch in 0..50 {
-                    let frames = framed(batch * 2000..(batch + 1) * 2000);
-                    store.append(&frames, 1, 0).expect("an append");
-                }
-                store.commit().expect("a commit");
-                directory
-            },
-            BatchSize::PerIteration,
-        )
-    });
-    group.bench_function("redb", |b| {
-        b.iter_batched(
-            || tempfile::tempdir().expect("a directory"),
-            |directory| {
-                let database =
-                    redb::Database::create(directory.path().join("r")).expect("a database");
-                let write = database.begin_write().expect("a transaction");
-                {
-                    let mut table = write.open_table(TABLE).expect("a table");
-                    for n in 0..100_000 {
-                        table
-                            .insert(n, record(n).encode_to_vec().as_slice())
-                            .expect("an insert");
-                    }
-                }
-                write.commit().expect("a commit");
-                directory
-            },
-            BatchSize::PerIteration,
-        )
-    });
-    group.bench_function("fjall", |b| {
-        b.iter_batched(
-            || tempfile::tempdir().expect("a directory"),
-            |directory| {
-                let keyspace = fjall::Config::new(directory.path())
-                    .open()
-                    .expect("a keyspace");
-                let records = keyspace
-                    .open_partition("r", Default::default())
-                    .expect("a partition");
-                for n in 0..100_000u64 {
-                    records
-                        .insert(n.to_be_bytes(), record(n).encode_to_vec())
-                        .expect("an insert");
-                }
-                keyspace
-                    .persist(fjall::PersistMode::SyncData)
-                    .expect("a commit");
-                directory
-            },
-            BatchSize::PerIteration,
-        )
+    let mut bench = |name: &str, run: &dyn Fn(&Path)| {
+        group.bench_function(name, |b| {
+            b.iter_batched(
+                || tempfile::tempdir().expect("a directory"),
+                |directory| {
+                    run(directory.path());
+                    directory
+                },
+                BatchSize::PerIteration,
+            );
+        });
+    };
+    bench("segments", &append_to_segments);
+    bench("redb", &|directory| {
+        insert_into_redb(directory, 100_000, |n| n);
     });
+    bench("fjall", &insert_into_fjall);
     group.finish();
 }
 
-const TABLE: redb::TableDefinition<u64, &[u8]> = redb::TableDefinition::new("records");
-
-/// Opening after a crash: a look at the last segment; the whole day is what a reader without indexes does.
+/// Opening after a crash reads the last segment; a reader without indexes scans the whole day.
 fn recover(c: &mut Criterion) {
     let directory = tempfile::tempdir().expect("a directory");
     write_day(directory.path());
@@ -179,80 +176,75 @@
     group.sample_size(10);
     group.bench_function("next start of the writer", |b| {
         b.iter(|| {
-            Store::open(directory.path(), "n0")
-                .expect("a store")
-                .recovered()
-                .expect("a look")
-        })
+            let store = Store::open(directory.path(), "n0").expect("a store");
+            store.recovered().expect("a readable segment")
+        });
     });
     group.bench_function("every segment scanned", |b| {
         b.iter(|| {
-            let listed = segment::list(directory.path()).expect("a list");
-            listed
-                .into_iter()
-                .map(|id| {
-                    let bytes =
-                        segment::bytes(&id.path(directory.path()), 0, u64::MAX).expect("its bytes");
-                    index::build(id, &bytes).records
-                })
-                .sum::<u64>()
-        })
+            let ids = segment::list(directory.path()).expect("a list");
+            let records = ids.into_iter().map(|id| {
+                let bytes = read_segment(directory.path(), id);
+                index::build(id, &bytes).records
+            });
+            records.sum::<u64>()
+        });
     });
     group.finish();
 }
 
+fn read_segment(directory: &Path, id: SegmentId) -> Vec<u8> {
+    segment::bytes(&id.path(directory), 0, u64::MAX).expect("a readable segment")
+}
+
+/// The number of wanted records, by a scan of all segments.
+fn scan(directory: &Path, query: &Query) -> usize {
+    let is_wanted = |item: &Item| match item {
+        Item::Record { read, .. } => query.holds(&read.record, read.number),
+        _ => false,
+    };
+    let ids = segment::list(directory).expect("a list");
+    let counts = ids.into_iter().map(|id| {
+        let bytes = read_segment(directory, id);
+        let items = segment::items(&bytes, 0);
+        items.filter(|(_, item)| is_wanted(item)).count()
+    });
+    counts.sum()
+}
+
+/// The number of records between two times in a database that is keyed by time.
+fn query_redb(database: &redb::Database, from_us: i64, to_us: i64) -> usize {
+    let read = database.begin_read().expect("a transaction");
+    let table = read.open_table(TABLE).expect("a table");
+    let range = table.range(from_us as u64..=to_us as u64).expect("a range");
+    let records = range.map(|row| Record::decode(row.expect("a row").1.value()).expect("a record"));
+    records.count()
+}
+
 fn window(c: &mut Criterion) {
     let directory = tempfile::tempdir().expect("a directory");
     write_day(directory.path());
-    let from = 9 * 60 * MINUTE_US + 12 * MINUTE_US;
-    let query = Query::between(from, from + 8 * MINUTE_US);
-    let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("a timeline");
+    let from_us = 9 * 60 * MINUTE_US + 12 * MINUTE_US;
+    let to_us = from_us + 8 * MINUTE_US;
+    let query = Query::between(from_us, to_us);
+    let open = || Timeline::open(&[directory.path().to_path_buf()]).expect("a timeline");
+    let timeline = open();
     let wanted = timeline.read(&query).0.len();
     let mut group = c.benchmark_group("8 minutes of a day");
     group.sample_size(10);
     group.bench_function("index", |b| {
-        b.iter(|| assert_eq!(timeline.read(&query).0.len(), wanted))
+        b.iter(|| assert_eq!(timeline.read(&query).0.len(), wanted));
     });
     group.bench_function("index, opened each time", |b| {
-        b.iter(|| {
-            let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("a timeline");
-            assert_eq!(timeline.read(&query).0.len(), wanted);
-        })
+        b.iter(|| assert_eq!(open().read(&query).0.len(), wanted));
     });
     group.bench_function("scan", |b| {
-        b.iter(|| {
-            let listed = segment::list(directory.path()).expect("a list");
-            let found: usize = listed.into_iter().map(|id| {
-                let bytes = segment::bytes(&id.path(directory.path()), 0, u64::MAX).expect("its bytes");
-                let items = segment::items(&bytes, 0);
-                items.filter(|(_, item)| matches!(item, segment::Item::Record { read, .. } if query.holds(&read.record, read.number))).count()
-            }).sum();
-            assert_eq!(found, wanted);
-        })
+        b.iter(|| assert_eq!(scan(directory.path(), &query), wanted));
     });
-    let database = redb::Database::create(directory.path().join("r")).expect("a database");
-    let write = database.begin_write().expect("a transaction");
-    {
-        // Keyed by time, which here is that of the event, so that a range is a window.
-        let mut table = write.open_table(TABLE).expect("a table");
-        for n in 0..DAY {
-            table
-                .insert(record(n).at_us as u64, record(n).encode_to_vec().as_slice())
-                .expect("an insert");
-        }
-    }
-    write.commit().expect("a commit");
+    // Here the time of a record is that of the event, so that a range of keys is a window.
+    let database = insert_into_redb(directory.path(), DAY, |n| record(n).at_us as u64);
     group.bench_function("redb, keyed by time", |b| {
-        b.iter(|| {
-            let read = database.begin_read().expect("a transaction");
-            let table = read.open_table(TABLE).expect("a table");
-            let range = table
-                .range(from as u64..=(from + 8 * MINUTE_US) as u64)
-                .expect("a range");
-            let decoded =
-                range.map(|row| Record::decode(row.expect("a row").1.value()).expect("a record"));
-            assert_eq!(decoded.count(), wanted);
-        })
+        b.iter(|| assert_eq!(query_redb(&database, from_us, to_us), wanted));
     });
     group.finish();
 }
--- a/crates/records/src/replay.rs
+++ b/crates/records/src/replay.rs
@@ -120,7 +120,7 @@
             Kind::ServerStarted(of) => self.start_server(of, record.at_us),
             Kind::Withdrawn(of) => self.update_server(&of.server, |server| server.shut = of.out),
             Kind::Failing(of) => {
-                self.update_server(&of.server, |server| server.failing = of.failing)
+                self.update_server(&of.server, |server| server.failing = of.failing);
             }
             Kind::ColdHeld(of) => self.cold_held = of.held,
             Kind::ZoneCut(of) => self.change_partition(of),
--- a/crates/records/tests/damage.rs
+++ b/crates/records/tests/damage.rs
@@ -1,5 +1,5 @@
-//! Records on a real directory, and what is left of them after crashes, damage, full disks and trims: everything that is
-//! left is told in true order, nothing is invented, and what is missing is marked.
+//! Records in a real directory after crashes, damage, failing disks and trims: what remains is read in order, nothing is
+//! invented, and what is missing is marked.
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use chutegrade_records::segment::{self, SegmentId};
 use chutegrade_records::store::Store;
 use chutegrade_records::timeline::{verify, Event, Gap, GapReason, Timeline};
-use chutegrade_records::{frame, Kind};
+use chutegrade_records::{frame, kind, Kind};
 use chutegrade_scheduler::{Cost, JobState};
 use proptest::prelude::*;
 use prost::Message;
@@ -22,7 +22,7 @@
     bytes: 1 << 40,
     age: Duration::from_secs(1 << 30),
 };
-const FREELY: Cost = Cost {
+const UNLIMITED: Cost = Cost {
     time: Duration::from_secs(10),
     bytes: 1 << 40,
 };
@@ -46,7 +46,7 @@
     })
 }
 
-/// Records of one start: a figure each second from a time on, with these others in between.
+/// Records of one incarnation: a sample each second from a time on, with others in between.
 fn start(from_s: i64, seconds: i64, others: &[(i64, Kind)]) -> Vec<Record> {
     let started = pb::Started {
         classes: vec!["lookup".into()],
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_crash_and_a_stop_are_told_apart() {
+fn a_crash_and_a_shutdown_are_distinguished() {
     let directory = tempfile::tempdir().expect("a directory");
     write(directory.path(), "n0", &start(100, 10, &[]));
     let mut second = start(120, 10, &[]);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_supervisor_that_stood_still_and_records_that_were_lost_leave_marks() {
+fn a_stall_and_lost_records_are_marked_as_gaps() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut records = start(0, 5, &[]);
     let lost = pb::Lost {
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn what_was_trimmed_is_marked_and_the_segment_being_written_stays() {
+fn trimmed_records_are_marked_and_the_active_segment_stays() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut last = SegmentId::default();
     for at in 0..4 {
@@ -215,7 +215,7 @@
     }
     let ids = segment::list(directory.path()).expect("a list");
     assert_eq!(ids.len(), 3);
-    fs::remove_file(ids[1].path(directory.path())).expect("its end");
+    fs::remove_file(ids[1].path(directory.path())).expect("a removed file");
     let (events, gaps) = read(directory.path());
     let missing: Vec<u64> = gaps
         .iter()
@@ -225,48 +225,55 @@
     assert_eq!((events.len(), missing), (all.len() - 15, vec![15]));
 }
 
-/// The index answers as the whole scan does, also for records that tell of the past.
+/// The records of a directory that a query wants.
+fn find(directory: &Path, query: &Query) -> Vec<Record> {
+    let timeline = Timeline::open(&[directory.to_path_buf()]).expect("a timeline");
+    let (events, _) = timeline.read(query);
+    events.into_iter().map(|event| event.record).collect()
+}
+
+/// The same by a look at each of them.
+fn scan(records: &[Record], query: &Query) -> Vec<Record> {
+    let is_wanted = |record: &&Record| {
+        let number = record.kind.as_ref().map_or(0, kind::number);
+        query.holds(record, number)
+    };
+    let mut wanted: Vec<Record> = records.iter().filter(is_wanted).cloned().collect();
+    wanted.sort_by_key(|record| (record.at_us, record.learned_us, record.seq));
+    wanted
+}
+
+/// The index answers as a full scan does, also for records on the past.
 #[test]
 fn the_index_finds_what_a_scan_finds() {
     let directory = tempfile::tempdir().expect("a directory");
-    let others: Vec<(i64, Kind)> = (0..3000)
+    let state_changes: Vec<(i64, Kind)> = (0..3000)
         .map(|n| {
-            (
-                n * SECOND,
-                state(&format!("s-{}", n % 40), pb::State::Reduced),
-            )
+            let server = format!("s-{}", n % 40);
+            (n * SECOND, state(&server, pb::State::Reduced))
         })
         .collect();
-    let mut records = start(0, 3000, &others);
+    let mut records = start(0, 3000, &state_changes);
     for record in records.iter_mut().skip(100).step_by(7) {
         record.at_us -= 5 * SECOND;
     }
     let first = write(directory.path(), "n0", &records);
+    let about = |server: &str| Query {
+        server: Some(server.into()),
+        ..Query::default()
+    };
     let queries = [
         Query::between(1000 * SECOND, 1480 * SECOND),
         Query {
             kinds: vec![20],
             ..Query::between(5 * SECOND, 900 * SECOND)
         },
-        Query {
-            server: Some("s-7".into()),
-            ..Query::default()
-        },
-        Query {
-            server: Some("nobody".into()),
-            ..Query::default()
-        },
+        about("s-7"),
+        about("nobody"),
     ];
-    let find = |query: &Query| {
-        let (events, _) = Timeline::open(&[directory.path().to_path_buf()])
-            .expect("a timeline")
-            .read(query);
-        events
-            .into_iter()
-            .map(|event| event.record)
-            .collect::<Vec<_>>()
-    };
-    let before: Vec<_> = queries.iter().map(find).collect();
+    let before = queries
+        .each_ref()
+        .map(|query| find(directory.path(), query));
     let writing = write(directory.path(), "n0", &start(9000, 1, &[]));
     seal(directory.path(), writing);
     assert!(
@@ -274,27 +281,14 @@
         "it was indexed"
     );
     for (query, before) in queries.iter().zip(&before) {
-        let found: Vec<_> = find(query)
-            .into_iter()
-            .filter(|record| record.at_us < 9000 * SECOND)
-            .collect();
-        let mut scanned: Vec<Record> = records
-            .iter()
-            .filter(|r| {
-                query.holds(
-                    r,
-                    r.kind.as_ref().map_or(0, chutegrade_records::kind::number),
-                )
-            })
-            .cloned()
-            .collect();
-        scanned.sort_by_key(|record| (record.at_us, record.learned_us, record.seq));
-        assert_eq!(found, scanned, "{query:?}");
+        let mut found = find(directory.path(), query);
+        found.retain(|record| record.at_us < 9000 * SECOND);
+        assert_eq!(found, scan(&records, query), "{query:?}");
         assert_eq!(&found, before, "{query:?}");
     }
 }
 
-/// Danger: an index made before the damage vouches for records that are gone.
+/// An index that was made before the damage must not vouch for records that are gone.
 #[test]
 fn damage_behind_an_index_is_found_when_it_is_read() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -318,7 +312,7 @@
         !verdict.sound() && verdict.missing == 1 && verdict.wrong_indexes == 1,
         "{verdict:?}"
     );
-    // A damaged index is none.
+    // A damaged index is ignored.
     let index = id.index_path(directory.path());
     let mut bytes = fs::read(&index).expect("its bytes");
     bytes[20] ^= 1;
@@ -326,59 +320,50 @@
     assert_eq!(read(directory.path()).0.len(), events.len());
 }
 
+fn draining(server: &str) -> Kind {
+    Kind::LifeChanged(pb::LifeChanged {
+        server: server.to_string(),
+        zone: "a".to_string(),
+        life: pb::Life::Draining.into(),
+    })
+}
+
 #[test]
-fn two_supervisors_are_one_course_and_a_clock_that_is_off_is_told() {
+fn two_supervisors_are_merged_and_a_clock_difference_is_corrected() {
     let directory = tempfile::tempdir().expect("a directory");
-    let life = |server: &str| {
-        let (server, zone) = (server.to_string(), "a".to_string());
-        Kind::LifeChanged(pb::LifeChanged {
-            server,
-            zone,
-            life: pb::Life::Draining.into(),
-        })
-    };
-    let news: Vec<(i64, Kind)> = (0..5)
-        .map(|n| ((10 + 7 * n) * SECOND, life(&format!("s-{n}"))))
+    let ahead_us = 3 * SECOND + 20_000;
+    let changes: Vec<(i64, Kind)> = (0..5)
+        .map(|n| ((10 + 7 * n) * SECOND, draining(&format!("s-{n}"))))
         .collect();
-    let late: Vec<(i64, Kind)> = news
+    let shifted: Vec<(i64, Kind)> = changes
         .iter()
-        .map(|(at, kind)| (at + 3 * SECOND + 20_000, kind.clone()))
+        .map(|(at_us, kind)| (at_us + ahead_us, kind.clone()))
         .collect();
-    write(&directory.path().join("n0"), "n0", &start(0, 60, &news));
-    write(&directory.path().join("n1"), "n1", &start(3, 60, &late));
+    write(&directory.path().join("n0"), "n0", &start(0, 60, &changes));
+    write(&directory.path().join("n1"), "n1", &start(3, 60, &shifted));
     let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("a timeline");
-    assert_eq!(
-        (
-            timeline.supervisors[1].ahead_us,
-            timeline.supervisors[1].ahead_by
-        ),
-        (3 * SECOND + 20_000, 5)
-    );
+    let second = &timeline.supervisors[1];
+    assert_eq!((second.ahead_us, second.ahead_by), (ahead_us, 5));
     let (events, _) = timeline.read(&Query {
         kinds: vec![21],
         ..Query::default()
     });
     let order: Vec<&str> = events
         .iter()
-        .filter_map(|e| {
-            e.record
-                .kind
-                .as_ref()
-                .and_then(chutegrade_records::kind::server)
-        })
+        .filter_map(|event| event.record.kind.as_ref().and_then(kind::server))
         .collect();
     assert_eq!(
         order,
         ["s-0", "s-0", "s-1", "s-1", "s-2", "s-2", "s-3", "s-3", "s-4", "s-4"]
     );
     assert!(events.windows(2).all(|pair| pair[0].at_us <= pair[1].at_us));
-    let late: Vec<i64> = events
+    let delays: Vec<i64> = events
         .iter()
         .map(|event| event.learned_us() - event.at_us)
         .collect();
     assert!(
-        late.iter().all(|late| *late == 0),
-        "what was learned at once is not told as late: {late:?}"
+        delays.iter().all(|delay| *delay == 0),
+        "what was learned at once has no delay: {delays:?}"
     );
 }
 
@@ -387,23 +372,23 @@
         directory: directory.to_path_buf(),
         supervisor: "n0".into(),
         retention: KEEP,
-        budget: FREELY,
+        budget: UNLIMITED,
     }
 }
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !holds() {
+fn wait_until(what: &str, mut is_reached: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !is_reached() {
         assert!(
-            begun.elapsed() < Duration::from_secs(60),
-            "never came: {what}"
+            started_at.elapsed() < Duration::from_secs(60),
+            "not reached: {what}"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn what_is_noted_is_written_in_order_and_the_end_waits_for_it() {
+fn records_are_written_in_order_and_closing_waits_for_them() {
     let directory = tempfile::tempdir().expect("a directory");
     let (recorder, recording) = begin(options(directory.path()), || 0).expect("threads");
     (0..5000).for_each(|n| recorder.note(n, n, gauge(n as f64)));
@@ -418,19 +403,19 @@
     assert_eq!(reasons(&gaps), [GapReason::Open]);
 }
 
-/// Danger: a burst beyond the queue blocks the ticking thread, or vanishes.
+/// A burst beyond the queue must neither block the caller nor vanish.
 #[test]
-fn what_does_not_fit_is_counted_and_marked() {
+fn records_beyond_the_queue_are_counted_and_marked() {
     let directory = tempfile::tempdir().expect("a directory");
     let (recorder, recording) = begin(options(directory.path()), || 0).expect("threads");
     let sent = 60_000;
     (0..sent).for_each(|n| recorder.note(n, n, gauge(0.0)));
-    until("the queue's end", || recording.written() > 10_000);
+    wait_until("the end of the queue", || recording.written() > 10_000);
     std::thread::sleep(Duration::from_millis(200));
     recorder.note(sent, sent, gauge(1.0));
     assert!(recording.close());
     let (events, gaps) = read(directory.path());
-    let kept = events
+    let written = events
         .iter()
         .filter(|event| matches!(event.record.kind, Some(Kind::Gauge(_))))
         .count() as u64;
@@ -440,28 +425,28 @@
         .map(|gap| gap.missing)
         .sum();
     assert!(
-        lost > 0 && kept + lost == sent as u64 + 1,
-        "kept {kept} lost {lost}"
+        lost > 0 && written + lost == sent as u64 + 1,
+        "written {written} lost {lost}"
     );
 }
 
-/// A disk that takes nothing, here a file where the directory should be, stops recording and nothing else; what was lost
-/// meanwhile is marked once it can be.
+/// A disk that accepts nothing, here a file where the directory should be, stops recording and nothing else; what was lost
+/// meanwhile is marked once that is possible.
 #[test]
-fn a_disk_that_fails_is_tried_again_and_leaves_a_marked_gap() {
+fn a_failing_disk_is_retried_and_leaves_a_marked_gap() {
     let directory = tempfile::tempdir().expect("a directory");
-    let place = directory.path().join("n0");
-    fs::write(&place, "in the way").expect("a file");
-    let (recorder, recording) = begin(options(&place), || 0).expect("threads");
+    let path = directory.path().join("n0");
+    fs::write(&path, "in the way").expect("a file");
+    let (recorder, recording) = begin(options(&path), || 0).expect("threads");
     (1..=40).for_each(|n| recorder.note(n * SECOND, n * SECOND, gauge(0.0)));
     std::thread::sleep(Duration::from_millis(300));
-    fs::remove_file(&place).expect("its end");
-    until("records again", || {
+    fs::remove_file(&path).expect("a removed file");
+    wait_until("records again", || {
         recorder.note(50 * SECOND, 50 * SECOND, gauge(0.0));
         recording.written() > 0
     });
     assert!(recording.close());
-    let (_, gaps) = read(&place);
+    let (_, gaps) = read(&path);
     let lost = gaps
         .iter()
         .find(|gap| gap.reason == GapReason::Lost)
@@ -473,7 +458,7 @@
 }
 
 #[test]
-fn a_second_supervisor_of_the_same_name_records_once_the_first_is_gone() {
+fn a_second_supervisor_of_the_same_name_waits_for_the_lock() {
     let directory = tempfile::tempdir().expect("a directory");
     let first = Store::open(directory.path(), "n0").expect("a store");
     let (recorder, recording) = begin(options(directory.path()), || 0).expect("threads");
@@ -481,7 +466,7 @@
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(recording.written(), 0);
     drop(first);
-    until("its turn", || {
+    wait_until("the lock", || {
         recorder.note(0, 0, gauge(0.0));
         recording.written() > 0
     });
@@ -504,8 +489,8 @@
         let id = write(directory.path(), "n0", &all);
         let path = id.path(directory.path());
         let mut bytes = fs::read(&path).expect("its bytes");
-        for (place, value, length) in &hits {
-            let from = place.index(bytes.len());
+        for (position, value, length) in &hits {
+            let from = position.index(bytes.len());
             bytes.iter_mut().skip(from).take(*length).for_each(|byte| *byte ^= value);
         }
         if let Some(cut) = cut {
@@ -526,7 +511,7 @@
     }
 }
 
-/// A directory a supervisor, as many as a fleet may have: none is passed over, whatever the order the disk tells them in.
+/// A directory for each supervisor, as many as a fleet may have: none is missed, in whatever order the disk lists them.
 #[test]
 fn the_records_of_a_thousand_supervisors_are_read_together() {
     let directory = tempfile::tempdir().expect("a directory");
