--- a/crates/records/src/course.rs
+++ b/crates/records/src/incidents.rs
@@ -2,19 +2,19 @@
 //! went, and when it was over. Without I/O, from events in order.
 
 mod extremes;
-mod follower;
-mod incidents;
-mod standings;
+mod faults;
+mod reconstruction;
+mod server_history;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-pub use follower::{reconstruct, Follower};
-pub use incidents::APART_US;
+pub use faults::APART_US;
+pub use reconstruction::{reconstruct, Reconstructor};
 
 /// The status of a server over an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerStatus {
     /// It serves requests without restrictions.
     Full,
     /// Its weight is reduced because of its score.
@@ -29,16 +29,16 @@
     Unknown,
 }
 
-impl Standing {
+impl ServerStatus {
     /// The status as reports print it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Standing::Full => "full",
-            Standing::Reduced => "reduced",
-            Standing::Withdrawn => "withdrawn",
-            Standing::Draining => "draining",
-            Standing::Cold => "cold",
-            Standing::Unknown => "unknown",
+            ServerStatus::Full => "full",
+            ServerStatus::Reduced => "reduced",
+            ServerStatus::Withdrawn => "withdrawn",
+            ServerStatus::Draining => "draining",
+            ServerStatus::Cold => "cold",
+            ServerStatus::Unknown => "unknown",
         }
     }
 }
@@ -51,7 +51,7 @@
     /// The end, in Unix microseconds.
     pub to_us: i64,
     /// The status.
-    pub standing: Standing,
+    pub status: ServerStatus,
 }
 
 /// A server as one supervisor sees it.
@@ -74,7 +74,7 @@
 
 /// A fault; there may be several at once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Trouble {
+pub enum Fault {
     /// A server has a reduced weight, or none.
     Server(String),
     /// Reports show that attempts at a server fail.
@@ -91,28 +91,28 @@
     Supervisor(Arc<str>),
 }
 
-impl Trouble {
+impl Fault {
     /// The fault in words.
     pub fn line(&self) -> String {
         match self {
-            Trouble::Server(name) => format!("server {name} out or reduced"),
-            Trouble::Failing(name) => format!("tries at {name} fail"),
-            Trouble::Zone(name) => format!("zone {name} cut off"),
-            Trouble::Refusing => "requests refused".to_string(),
-            Trouble::Reduced(level) => format!("service reduced to {level}"),
-            Trouble::Discovery => "discovery silent".to_string(),
-            Trouble::Supervisor(name) => format!("supervisor {name} away"),
+            Fault::Server(name) => format!("server {name} out or reduced"),
+            Fault::Failing(name) => format!("tries at {name} fail"),
+            Fault::Zone(name) => format!("zone {name} cut off"),
+            Fault::Refusing => "requests refused".to_string(),
+            Fault::Reduced(level) => format!("service reduced to {level}"),
+            Fault::Discovery => "discovery silent".to_string(),
+            Fault::Supervisor(name) => format!("supervisor {name} away"),
         }
     }
 }
 
 /// A fault and its begin.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TroubleBegin {
+pub struct FaultBegin {
     /// The time, in Unix microseconds.
     pub at_us: i64,
     /// The fault.
-    pub trouble: Trouble,
+    pub fault: Fault,
 }
 
 /// An incident: faults that overlap, or follow each other closely.
@@ -121,11 +121,11 @@
     /// The begin, in Unix microseconds.
     pub from_us: i64,
     /// When its last fault ended, in Unix microseconds; `None` if it continues.
-    pub over_us: Option<i64>,
+    pub ended_us: Option<i64>,
     /// The first event, in the words of its record.
-    pub first: String,
+    pub first_event: String,
     /// All faults, in the order in which they began.
-    pub troubles: Vec<TroubleBegin>,
+    pub faults: Vec<FaultBegin>,
     /// Servers that had no weight at some time.
     pub withdrawn: BTreeSet<String>,
 }
@@ -152,21 +152,21 @@
 
 /// What the events of an interval amount to.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Course {
+pub struct Reconstruction {
     /// The incidents, in order.
     pub incidents: Vec<Incident>,
     /// The intended drains, in order.
     pub drains: Vec<Drain>,
     /// The lowest level, by class.
-    pub lowest: BTreeMap<String, Extreme>,
+    pub lowest_levels: BTreeMap<String, Extreme>,
     /// The most lines that waited in a channel.
-    pub waiting: Option<Extreme>,
+    pub most_waiting: Option<Extreme>,
     /// The largest share of requests that was rejected.
-    pub refused: Option<Extreme>,
+    pub most_refused: Option<Extreme>,
     /// The number of streams that ended, by reason.
-    pub ended: BTreeMap<String, u64>,
+    pub ended_streams: BTreeMap<String, u64>,
     /// The status of servers over time.
-    pub standings: BTreeMap<ObservedServer, ServerHistory>,
+    pub server_histories: BTreeMap<ObservedServer, ServerHistory>,
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/records/src/incidents/extremes.rs
@@ -0,0 +1,84 @@
+//! Extreme values, drains and ends of streams.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use super::{Drain, Extreme, Reconstruction};
+use crate::pb::{record::Kind, Gauge, Life};
+use crate::timeline::Event;
+
+/// Adds an event within the window. `classes` are the classes that its supervisor knows.
+pub(super) fn add(reconstruction: &mut Reconstruction, event: &Event, classes: &[String]) {
+    match &event.record.kind {
+        Some(Kind::Gauge(of)) => add_sample(reconstruction, event, of, classes),
+        Some(Kind::StreamLeft(of)) => {
+            let count = reconstruction.ended_streams.entry(of.reason.clone());
+            *count.or_default() += 1;
+        }
+        Some(Kind::LifeChanged(of)) if of.life() == Life::Draining => {
+            add_drain(reconstruction, event.at_us, &of.server);
+        }
+        _ => {}
+    }
+}
+
+fn add_sample(
+    reconstruction: &mut Reconstruction,
+    event: &Event,
+    gauge: &Gauge,
+    classes: &[String],
+) {
+    let extreme = |value| Extreme {
+        value,
+        at_us: event.at_us,
+        supervisor: Arc::clone(&event.supervisor),
+    };
+    keep_greater(&mut reconstruction.most_waiting, extreme(gauge.waiting));
+    if gauge.refused > 0.0 {
+        keep_greater(&mut reconstruction.most_refused, extreme(gauge.refused));
+    }
+    for (class, level) in classes.iter().zip(&gauge.levels) {
+        keep_lower(
+            &mut reconstruction.lowest_levels,
+            class,
+            extreme(*level),
+            extreme(1.0),
+        );
+    }
+}
+
+fn keep_greater(greatest: &mut Option<Extreme>, extreme: Extreme) {
+    let is_greater = greatest
+        .as_ref()
+        .is_none_or(|greatest| extreme.value > greatest.value);
+    if is_greater {
+        *greatest = Some(extreme);
+    }
+}
+
+/// Keeps the lower level of a class, which is compared with an initial one where none is known.
+fn keep_lower(
+    lowest_levels: &mut BTreeMap<String, Extreme>,
+    class: &str,
+    extreme: Extreme,
+    initial: Extreme,
+) {
+    let lowest_levels = lowest_levels.entry(class.to_string()).or_insert(initial);
+    if extreme.value < lowest_levels.value {
+        *lowest_levels = extreme;
+    }
+}
+
+fn add_drain(reconstruction: &mut Reconstruction, at_us: i64, server: &str) {
+    if reconstruction
+        .drains
+        .iter()
+        .any(|drain| drain.server == server)
+    {
+        return;
+    }
+    reconstruction.drains.push(Drain {
+        at_us,
+        server: server.to_string(),
+    });
+}
--- a/crates/records/src/course/incidents.rs
+++ b/crates/records/src/incidents/faults.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::{Incident, Trouble, TroubleBegin};
+use super::{Fault, FaultBegin, Incident};
 use crate::timeline::Window;
 
 /// Time without a fault after which the next one is another incident, in microseconds. Ejected servers return within twelve
@@ -12,34 +12,28 @@
 
 /// A fault that a supervisor has seen begin and not end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct OpenTrouble {
+struct OpenFault {
     supervisor: Arc<str>,
-    trouble: Trouble,
+    fault: Fault,
 }
 
 /// All incidents so far, and the faults that continue.
 #[derive(Default)]
-pub(super) struct IncidentTracker {
+pub(super) struct FaultTracker {
     incidents: Vec<Incident>,
-    open: BTreeSet<OpenTrouble>,
+    open: BTreeSet<OpenFault>,
 }
 
-impl IncidentTracker {
+impl FaultTracker {
     /// A supervisor sees a fault begin. `description` is the event in words.
-    pub fn begin(
-        &mut self,
-        at_us: i64,
-        supervisor: &Arc<str>,
-        trouble: Trouble,
-        description: &str,
-    ) {
-        let begin = TroubleBegin {
+    pub fn begin(&mut self, at_us: i64, supervisor: &Arc<str>, fault: Fault, description: &str) {
+        let begin = FaultBegin {
             at_us,
-            trouble: trouble.clone(),
+            fault: fault.clone(),
         };
-        let is_new = self.open.insert(OpenTrouble {
+        let is_new = self.open.insert(OpenFault {
             supervisor: Arc::clone(supervisor),
-            trouble,
+            fault,
         });
         if !is_new {
             return;
@@ -47,17 +41,17 @@
         let Some(incident) = self.continuing_incident(at_us) else {
             self.incidents.push(Incident {
                 from_us: at_us,
-                over_us: None,
-                first: format!("{supervisor}: {description}"),
-                troubles: vec![begin],
+                ended_us: None,
+                first_event: format!("{supervisor}: {description}"),
+                faults: vec![begin],
                 withdrawn: BTreeSet::new(),
             });
             return;
         };
-        incident.over_us = None;
-        let mut known = incident.troubles.iter();
-        if !known.any(|known| known.trouble == begin.trouble) {
-            incident.troubles.push(begin);
+        incident.ended_us = None;
+        let mut known = incident.faults.iter();
+        if !known.any(|known| known.fault == begin.fault) {
+            incident.faults.push(begin);
         }
     }
 
@@ -65,34 +59,34 @@
     fn continuing_incident(&mut self, at_us: i64) -> Option<&mut Incident> {
         let last = self.incidents.last_mut()?;
         let is_continuing = last
-            .over_us
-            .is_none_or(|over_us| at_us.saturating_sub(over_us) < APART_US);
+            .ended_us
+            .is_none_or(|ended_us| at_us.saturating_sub(ended_us) < APART_US);
         is_continuing.then_some(last)
     }
 
     /// A supervisor sees a fault end.
-    pub fn end(&mut self, at_us: i64, supervisor: &Arc<str>, trouble: Trouble) {
-        let was_open = self.open.remove(&OpenTrouble {
+    pub fn end(&mut self, at_us: i64, supervisor: &Arc<str>, fault: Fault) {
+        let was_open = self.open.remove(&OpenFault {
             supervisor: Arc::clone(supervisor),
-            trouble,
+            fault,
         });
         if !was_open || !self.open.is_empty() {
             return;
         }
         if let Some(last) = self.incidents.last_mut() {
-            last.over_us = Some(at_us.max(last.from_us));
+            last.ended_us = Some(at_us.max(last.from_us));
         }
     }
 
     /// All faults that a supervisor sees end.
     pub fn end_all(&mut self, at_us: i64, supervisor: &Arc<str>) {
         let open = self.open.iter();
-        let own: Vec<Trouble> = open
+        let own: Vec<Fault> = open
             .filter(|open| open.supervisor == *supervisor)
-            .map(|open| open.trouble.clone())
+            .map(|open| open.fault.clone())
             .collect();
-        for trouble in own {
-            self.end(at_us, supervisor, trouble);
+        for fault in own {
+            self.end(at_us, supervisor, fault);
         }
     }
 
@@ -107,8 +101,8 @@
     pub fn finish(mut self, window: Window) -> Vec<Incident> {
         self.incidents.retain(|incident| {
             let ends_late_enough = incident
-                .over_us
-                .is_none_or(|over_us| over_us >= window.from_us);
+                .ended_us
+                .is_none_or(|ended_us| ended_us >= window.from_us);
             ends_late_enough && incident.from_us <= window.to_us
         });
         self.incidents
--- a/crates/records/src/course/follower.rs
+++ b/crates/records/src/incidents/reconstruction.rs
@@ -4,48 +4,48 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::incidents::IncidentTracker;
-use super::standings::{ServerStatus, StandingTracker};
-use super::{extremes, Course, Trouble};
+use super::faults::FaultTracker;
+use super::server_history::{ObservedStatus, ServerHistoryTracker};
+use super::{extremes, Fault, Reconstruction};
 use crate::kind;
 use crate::pb::{self, record::Kind, Life, State};
 use crate::replay::Picture;
 use crate::timeline::{Event, Gap, GapReason, Window};
 
 /// Follows the events of several supervisors, and the gaps in their records.
-pub struct Follower {
+pub struct Reconstructor {
     window: Window,
     /// The state of the fleet, by the supervisor that sees it.
     pictures: BTreeMap<Arc<str>, Picture>,
     /// Intervals in which supervisors were absent, the next one last.
     absences: Vec<Gap>,
-    incidents: IncidentTracker,
-    standings: StandingTracker,
-    course: Course,
+    incidents: FaultTracker,
+    server_histories: ServerHistoryTracker,
+    reconstruction: Reconstruction,
 }
 
 /// Reconstructs what happened in a window. The events should begin some time before it, so that the state at its begin is
 /// known.
-pub fn reconstruct(events: &[Event], gaps: &[Gap], window: Window) -> Course {
-    let mut follower = Follower::new(gaps, window);
+pub fn reconstruct(events: &[Event], gaps: &[Gap], window: Window) -> Reconstruction {
+    let mut reconstructor = Reconstructor::new(gaps, window);
     for event in events {
-        follower.follow(event);
+        reconstructor.follow(event);
     }
-    follower.finish()
+    reconstructor.finish()
 }
 
-impl Follower {
+impl Reconstructor {
     /// Follows what happens in a window, with the gaps in it.
     pub fn new(gaps: &[Gap], window: Window) -> Self {
         let mut absences: Vec<Gap> = gaps.iter().filter(|gap| is_absence(gap)).cloned().collect();
         absences.sort_by_key(|gap| Reverse(gap.from_us));
-        Follower {
+        Reconstructor {
             window,
             pictures: BTreeMap::new(),
             absences,
-            incidents: IncidentTracker::default(),
-            standings: StandingTracker::new(window),
-            course: Course::default(),
+            incidents: FaultTracker::default(),
+            server_histories: ServerHistoryTracker::new(window),
+            reconstruction: Reconstruction::default(),
         }
     }
 
@@ -62,41 +62,42 @@
         let supervisor = Arc::clone(&event.supervisor);
         let picture = self.pictures.entry(supervisor).or_default();
         let server = event.record.kind.as_ref().and_then(kind::server);
-        let before = server.and_then(|server| ServerStatus::of(picture, server));
+        let before = server.and_then(|server| ObservedStatus::of(picture, server));
         picture.apply(&event.record);
-        let after = server.and_then(|server| ServerStatus::of(picture, server));
+        let after = server.and_then(|server| ObservedStatus::of(picture, server));
         let changed_servers = match &event.record.kind {
-            Some(Kind::Fleet(_) | Kind::Started(_)) => ServerStatus::of_all(picture),
+            Some(Kind::Fleet(_) | Kind::Started(_)) => ObservedStatus::of_all(picture),
             _ if before == after => Vec::new(),
             _ => {
-                let status = after.or_else(|| before.map(ServerStatus::into_unknown));
+                let status = after.or_else(|| before.map(ObservedStatus::into_unknown));
                 status.into_iter().collect()
             }
         };
         for status in changed_servers {
-            self.standings.set(event.at_us, &event.supervisor, status);
+            self.server_histories
+                .set(event.at_us, &event.supervisor, status);
         }
         if (self.window.from_us..=self.window.to_us).contains(&event.at_us) {
-            extremes::add(&mut self.course, event, &picture.classes);
+            extremes::add(&mut self.reconstruction, event, &picture.classes);
         }
-        self.follow_troubles(event);
+        self.follow_faults(event);
     }
 
     /// Nothing is known of the servers of an absent supervisor. The absence is a fault unless it was shut down.
     fn follow_absence(&mut self, gap: &Gap) {
         let supervisor = &gap.supervisor;
-        self.standings.set_unknown(gap.from_us, supervisor);
+        self.server_histories.set_unknown(gap.from_us, supervisor);
         if gap.reason == GapReason::Stopped {
             return;
         }
-        let trouble = Trouble::Supervisor(Arc::clone(supervisor));
+        let fault = Fault::Supervisor(Arc::clone(supervisor));
         let description = gap.line();
         self.incidents
-            .begin(gap.from_us, supervisor, trouble.clone(), &description);
-        self.incidents.end(gap.to_us, supervisor, trouble);
+            .begin(gap.from_us, supervisor, fault.clone(), &description);
+        self.incidents.end(gap.to_us, supervisor, fault);
     }
 
-    fn follow_troubles(&mut self, event: &Event) {
+    fn follow_faults(&mut self, event: &Event) {
         let Some(kind) = &event.record.kind else {
             return;
         };
@@ -104,20 +105,20 @@
             Kind::StateChanged(of) => self.follow_state(event, of),
             Kind::LifeChanged(of) if of.life() != Life::InService => {
                 // A server that leaves is no fault any more.
-                self.set(event, false, Trouble::Server(of.server.clone()));
-                self.set(event, false, Trouble::Failing(of.server.clone()));
+                self.set(event, false, Fault::Server(of.server.clone()));
+                self.set(event, false, Fault::Failing(of.server.clone()));
             }
             Kind::Failing(of) => {
-                self.set(event, of.failing, Trouble::Failing(of.server.clone()));
+                self.set(event, of.failing, Fault::Failing(of.server.clone()));
             }
-            Kind::ZoneCut(of) => self.set(event, of.cut, Trouble::Zone(of.zone.clone())),
-            Kind::Saturation(of) => self.set(event, of.refused > 0.0, Trouble::Refusing),
-            Kind::Gauge(of) if of.refused <= 0.0 => self.set(event, false, Trouble::Refusing),
+            Kind::ZoneCut(of) => self.set(event, of.cut, Fault::Zone(of.zone.clone())),
+            Kind::Saturation(of) => self.set(event, of.refused > 0.0, Fault::Refusing),
+            Kind::Gauge(of) if of.refused <= 0.0 => self.set(event, false, Fault::Refusing),
             Kind::ServiceLevel(of) => {
-                self.set(event, of.number > 0, Trouble::Reduced(of.to.clone()));
-                self.set(event, false, Trouble::Reduced(of.from.clone()));
+                self.set(event, of.number > 0, Fault::Reduced(of.to.clone()));
+                self.set(event, false, Fault::Reduced(of.from.clone()));
             }
-            Kind::Discovery(of) => self.set(event, !of.tells, Trouble::Discovery),
+            Kind::Discovery(of) => self.set(event, !of.tells, Fault::Discovery),
             Kind::Fleet(of) => self.follow_fleet(event, of),
             // A new incarnation knows of no faults.
             Kind::Started(_) => self.incidents.end_all(event.at_us, &event.supervisor),
@@ -126,8 +127,8 @@
     }
 
     fn follow_state(&mut self, event: &Event, of: &pb::StateChanged) {
-        let trouble = Trouble::Server(of.server.clone());
-        self.set(event, of.state() != State::Full, trouble);
+        let fault = Fault::Server(of.server.clone());
+        self.set(event, of.state() != State::Full, fault);
         if of.state() == State::Withdrawn {
             self.incidents.add_withdrawn(&of.server);
         }
@@ -137,31 +138,31 @@
     fn follow_fleet(&mut self, event: &Event, fleet: &pb::Fleet) {
         for server in &fleet.servers {
             if server.state() == State::Full {
-                self.set(event, false, Trouble::Server(server.name.clone()));
+                self.set(event, false, Fault::Server(server.name.clone()));
             }
         }
     }
 
     /// Begins or ends a fault with an event.
-    fn set(&mut self, event: &Event, is_present: bool, trouble: Trouble) {
+    fn set(&mut self, event: &Event, is_present: bool, fault: Fault) {
         let (at_us, supervisor) = (event.at_us, &event.supervisor);
         if is_present {
             self.incidents
-                .begin(at_us, supervisor, trouble, &event.line());
+                .begin(at_us, supervisor, fault, &event.line());
         } else {
-            self.incidents.end(at_us, supervisor, trouble);
+            self.incidents.end(at_us, supervisor, fault);
         }
     }
 
     /// What happened in the window.
-    pub fn finish(mut self) -> Course {
+    pub fn finish(mut self) -> Reconstruction {
         while let Some(gap) = self.absences.pop() {
             self.follow_absence(&gap);
         }
-        Course {
+        Reconstruction {
             incidents: self.incidents.finish(self.window),
-            standings: self.standings.finish(),
-            ..self.course
+            server_histories: self.server_histories.finish(),
+            ..self.reconstruction
         }
     }
 }
--- a/crates/records/src/course/standings.rs
+++ b/crates/records/src/incidents/server_history.rs
@@ -3,27 +3,27 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::{ObservedServer, ServerHistory, Span, Standing};
+use super::{ObservedServer, ServerHistory, ServerStatus, Span};
 use crate::pb::{Life, State};
 use crate::replay::{Picture, Server};
 use crate::timeline::Window;
 
 /// The status of a server at one moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct ServerStatus {
+pub(super) struct ObservedStatus {
     pub server: String,
     pub zone: String,
-    pub standing: Standing,
+    pub status: ServerStatus,
 }
 
-impl ServerStatus {
+impl ObservedStatus {
     /// The status of a server in the state of a fleet; `None` if it has no such server.
     pub fn of(picture: &Picture, server: &str) -> Option<Self> {
         let state = picture.servers.get(server)?;
-        Some(ServerStatus {
+        Some(ObservedStatus {
             server: server.to_string(),
             zone: state.zone.clone(),
-            standing: standing(state),
+            status: status(state),
         })
     }
 
@@ -31,46 +31,46 @@
     pub fn of_all(picture: &Picture) -> Vec<Self> {
         let names = picture.servers.keys();
         names
-            .filter_map(|name| ServerStatus::of(picture, name))
+            .filter_map(|name| ObservedStatus::of(picture, name))
             .collect()
     }
 
     /// The same server, of which nothing is known any more.
     pub fn into_unknown(self) -> Self {
-        ServerStatus {
-            standing: Standing::Unknown,
+        ObservedStatus {
+            status: ServerStatus::Unknown,
             ..self
         }
     }
 }
 
-fn standing(server: &Server) -> Standing {
+fn status(server: &Server) -> ServerStatus {
     match (server.life, server.state) {
-        (Life::Draining, _) => Standing::Draining,
-        (Life::Gone, _) => Standing::Unknown,
-        (_, State::Withdrawn) => Standing::Withdrawn,
-        _ if server.warmth < 1.0 => Standing::Cold,
-        (_, State::Reduced) => Standing::Reduced,
-        (_, State::Full) => Standing::Full,
+        (Life::Draining, _) => ServerStatus::Draining,
+        (Life::Gone, _) => ServerStatus::Unknown,
+        (_, State::Withdrawn) => ServerStatus::Withdrawn,
+        _ if server.warmth < 1.0 => ServerStatus::Cold,
+        (_, State::Reduced) => ServerStatus::Reduced,
+        (_, State::Full) => ServerStatus::Full,
     }
 }
 
 /// The status of all servers over the time of a window.
-pub(super) struct StandingTracker {
+pub(super) struct ServerHistoryTracker {
     window: Window,
     histories: BTreeMap<ObservedServer, ServerHistory>,
 }
 
-impl StandingTracker {
+impl ServerHistoryTracker {
     pub fn new(window: Window) -> Self {
-        StandingTracker {
+        ServerHistoryTracker {
             window,
             histories: BTreeMap::new(),
         }
     }
 
     /// Sets the status of a server from a time on.
-    pub fn set(&mut self, at_us: i64, supervisor: &Arc<str>, status: ServerStatus) {
+    pub fn set(&mut self, at_us: i64, supervisor: &Arc<str>, status: ObservedStatus) {
         let at_us = at_us.clamp(self.window.from_us, self.window.to_us);
         let observed = ObservedServer {
             supervisor: Arc::clone(supervisor),
@@ -84,7 +84,7 @@
                 spans: Vec::new(),
             });
         if let Some(last) = history.spans.last_mut() {
-            if last.standing == status.standing {
+            if last.status == status.status {
                 return;
             }
             last.to_us = at_us;
@@ -92,20 +92,20 @@
         history.spans.push(Span {
             from_us: at_us,
             to_us: at_us,
-            standing: status.standing,
+            status: status.status,
         });
     }
 
     /// Nothing is known of the servers of a supervisor from a time on.
     pub fn set_unknown(&mut self, at_us: i64, supervisor: &Arc<str>) {
-        let known: Vec<ServerStatus> = self
+        let known: Vec<ObservedStatus> = self
             .histories
             .iter()
             .filter(|(observed, _)| observed.supervisor == *supervisor)
-            .map(|(observed, history)| ServerStatus {
+            .map(|(observed, history)| ObservedStatus {
                 server: observed.server.clone(),
                 zone: history.zone.clone(),
-                standing: Standing::Unknown,
+                status: ServerStatus::Unknown,
             })
             .collect();
         for status in known {
--- a/crates/records/src/course/tests.rs
+++ b/crates/records/src/incidents/tests.rs
@@ -39,8 +39,8 @@
     }
 }
 
-fn standings(history: &ServerHistory) -> Vec<Standing> {
-    history.spans.iter().map(|span| span.standing).collect()
+fn statuses(history: &ServerHistory) -> Vec<ServerStatus> {
+    history.spans.iter().map(|span| span.status).collect()
 }
 
 const WINDOW: Window = Window {
@@ -59,23 +59,26 @@
         event("n0", 28, state("s-2", State::Full)),
         event("n0", 200, state("s-3", State::Reduced)),
     ];
-    let course = reconstruct(&events, &[], WINDOW);
-    let [first, second] = &course.incidents[..] else {
-        panic!("{:?}", course.incidents)
+    let reconstruction = reconstruct(&events, &[], WINDOW);
+    let [first, second] = &reconstruction.incidents[..] else {
+        panic!("{:?}", reconstruction.incidents)
     };
     assert_eq!(
-        (first.from_us, first.over_us),
+        (first.from_us, first.ended_us),
         (10 * SECOND, Some(28 * SECOND))
     );
     assert!(
-        first.first.starts_with("n0: s-1 reduced"),
+        first.first_event.starts_with("n0: s-1 reduced"),
         "{}",
-        first.first
+        first.first_event
     );
     assert_eq!(first.withdrawn, BTreeSet::from(["s-1".to_string()]));
-    assert_eq!((second.from_us, second.over_us), (200 * SECOND, None));
-    let history = &course.standings[&observed("n0", "s-1")];
-    assert_eq!(standings(history), [Standing::Reduced, Standing::Full]);
+    assert_eq!((second.from_us, second.ended_us), (200 * SECOND, None));
+    let history = &reconstruction.server_histories[&observed("n0", "s-1")];
+    assert_eq!(
+        statuses(history),
+        [ServerStatus::Reduced, ServerStatus::Full]
+    );
 }
 
 /// The faults that a supervisor saw before it crashed must not last for good.
@@ -94,13 +97,16 @@
         event("n0", 10, state("s-1", State::Reduced)),
         event("n0", 18, started),
     ];
-    let course = reconstruct(&events, &[gap], WINDOW);
-    let [only] = &course.incidents[..] else {
-        panic!("{:?}", course.incidents)
+    let reconstruction = reconstruct(&events, &[gap], WINDOW);
+    let [only] = &reconstruction.incidents[..] else {
+        panic!("{:?}", reconstruction.incidents)
     };
-    assert_eq!((only.over_us, only.troubles.len()), (Some(18 * SECOND), 2));
-    let history = &course.standings[&observed("n0", "s-1")];
-    assert_eq!(standings(history), [Standing::Reduced, Standing::Unknown]);
+    assert_eq!((only.ended_us, only.faults.len()), (Some(18 * SECOND), 2));
+    let history = &reconstruction.server_histories[&observed("n0", "s-1")];
+    assert_eq!(
+        statuses(history),
+        [ServerStatus::Reduced, ServerStatus::Unknown]
+    );
 }
 
 #[test]
@@ -123,18 +129,24 @@
         event("n0", 3, gauge(50.0, 0.4, 0.3)),
         event("n0", 4, gauge(7.0, 0.1, 0.9)),
     ];
-    let course = reconstruct(&events, &[], WINDOW);
+    let reconstruction = reconstruct(&events, &[], WINDOW);
     assert_eq!(
-        course.waiting,
+        reconstruction.most_waiting,
         Some(Extreme {
             value: 50.0,
             at_us: 3 * SECOND,
             supervisor: "n0".into(),
         })
     );
-    assert_eq!(course.refused.map(|refused| refused.value), Some(0.4));
     assert_eq!(
-        (course.lowest["order"].value, course.lowest["lookup"].value),
+        reconstruction.most_refused.map(|refused| refused.value),
+        Some(0.4)
+    );
+    assert_eq!(
+        (
+            reconstruction.lowest_levels["order"].value,
+            reconstruction.lowest_levels["lookup"].value
+        ),
         (0.3, 1.0)
     );
 }
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -1,12 +1,14 @@
-//! Records of what a supervisor did, typed and crash-safe. The ticking thread hands values to a [`Recorder`] and never
-//! waits for a disk; a writer thread frames them into segments; readers merge the segments of several supervisors into
-//! true order and mark every interval of which nothing is known. No sockets and no async here.
+//! Typed, crash-safe records of what a supervisor did.
 //!
-//! The format and the ways weighed are in `docs/records.md`, the schema in `proto/records.proto`.
+//! The thread that makes decisions passes records to a [`Recorder`] and never waits for a disk; a writer thread frames them into
+//! segments. Readers merge the segments of several supervisors by time, and mark every interval of which not everything is
+//! known. No sockets and no async here.
+//!
+//! `docs/records.md` describes the format and its alternatives, `proto/records.proto` is the schema.
 
 pub mod clock;
-pub mod course;
 pub mod frame;
+pub mod incidents;
 pub mod index;
 pub mod kind;
 pub mod maintenance;
--- a/crates/report/src/chart.rs
+++ b/crates/report/src/chart.rs
@@ -1,7 +1,7 @@
 //! Charts as inline SVG, drawn with the page's own colours so that they follow light, dark and print. A library draws
 //! with colours of its own and knows no hatching over another series; these are three forms with one axis.
 
-use chutegrade_records::course::{Span, Standing};
+use chutegrade_records::incidents::{ServerStatus, Span};
 use chutegrade_records::{text, Gap, GapReason, Window};
 use maud::{html, Markup};
 
@@ -110,11 +110,11 @@
             @for (at, row) in rows.iter().enumerate() {
                 @let top = TITLE + at as f64 * ROW;
                 text.label x=(r(LABELS - 6.0)) y=(r(top + ROW - 4.0)) { (row.label) " · " (row.supervisor) }
-                @for span in row.spans.iter().filter(|span| span.standing != Standing::Unknown) {
+                @for span in row.spans.iter().filter(|span| span.status != ServerStatus::Unknown) {
                     @let (from, to) = (axis.x(span.from_us), axis.x(span.to_us));
-                    rect class=(format!("state {}", span.standing.word())) x=(r(from)) y=(r(top + 2.0))
+                    rect class=(format!("state {}", span.status.as_str())) x=(r(from)) y=(r(top + 2.0))
                         width=(r((to - from).max(0.5))) height=(r(ROW - 4.0)) {
-                        title { (row.label) " " (span.standing.word()) " from " (text::clock(span.from_us)) " to " (text::clock(span.to_us)) }
+                        title { (row.label) " " (span.status.as_str()) " from " (text::clock(span.from_us)) " to " (text::clock(span.to_us)) }
                     }
                 }
                 @for gap in gaps.iter().filter(hides).filter(|gap| *gap.supervisor == *row.supervisor) {
--- a/crates/report/src/gather.rs
+++ b/crates/report/src/gather.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use chutegrade_records::course::{Course, Follower};
+use chutegrade_records::incidents::{Reconstruction, Reconstructor};
 use chutegrade_records::index::{Query, STALLED_US};
 use chutegrade_records::replay::LOOK_BACK_US;
 use chutegrade_records::timeline::{in_order, is_event};
@@ -167,8 +167,8 @@
     pub supervisors: Vec<(Arc<str>, i64, usize)>,
     /// Versions that were started, by supervisor.
     pub versions: BTreeMap<Arc<str>, String>,
-    /// The course.
-    pub course: Course,
+    /// The incidents, and what else happened.
+    pub incidents: Reconstruction,
     /// Figures.
     pub columns: Columns,
     /// Names of the classes.
@@ -188,7 +188,7 @@
 struct Gatherer {
     window: Window,
     limits: Limits,
-    follower: Follower,
+    reconstructor: Reconstructor,
     columns: Columns,
     troubles: Vec<Event>,
     others: Vec<Event>,
@@ -204,7 +204,7 @@
     let mut gatherer = Gatherer {
         window,
         limits,
-        follower: Follower::new(&gaps, window),
+        reconstructor: Reconstructor::new(&gaps, window),
         columns: Columns::new(window),
         troubles: Vec::new(),
         others: Vec::new(),
@@ -250,7 +250,7 @@
     }
 
     fn take(&mut self, event: Event) {
-        self.follower.follow(&event);
+        self.reconstructor.follow(&event);
         if event.at_us < self.window.from_us {
             return;
         }
@@ -294,7 +294,7 @@
             window: self.window,
             supervisors: timeline.supervisors.iter().map(clock).collect(),
             versions: self.versions,
-            course: self.follower.finish(),
+            incidents: self.reconstructor.finish(),
             columns: self.columns,
             classes: self.classes,
             events,
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use chutegrade_records::course::{Course, Incident, ObservedServer, ServerHistory, Standing};
+use chutegrade_records::incidents::{
+    Incident, ObservedServer, Reconstruction, ServerHistory, ServerStatus,
+};
 use chutegrade_records::{kind, text, Event, Gap, Kind, Window};
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 
@@ -89,22 +91,22 @@
 }
 
 fn summary(found: &Findings) -> Markup {
-    let course = &found.course;
+    let incidents = &found.incidents;
     html! {
-        @match course.incidents.len() {
+        @match incidents.incidents.len() {
             0 => p { "No trouble was recorded: no server lost weight, nothing was refused, and no supervisor was away." }
             1 => {}
             more => p { (more) " stretches of trouble lie in this time." }
         }
-        @for (number, incident) in course.incidents.iter().enumerate() {
+        @for (number, incident) in incidents.incidents.iter().enumerate() {
             (one(number, incident, found.window))
         }
-        (extremes(course))
-        @if !course.drains.is_empty() {
-            p { "The list took out " (names(course.drains.iter().map(|drain| drain.server.as_str()))) ", as drains that were meant." }
+        (extremes(incidents))
+        @if !incidents.drains.is_empty() {
+            p { "The list took out " (names(incidents.drains.iter().map(|drain| drain.server.as_str()))) ", as drains that were meant." }
         }
-        @if !course.ended.is_empty() {
-            @let ended: Vec<String> = course.ended.iter().map(|(why, count)| format!("{count} {why}")).collect();
+        @if !incidents.ended_streams.is_empty() {
+            @let ended: Vec<String> = incidents.ended_streams.iter().map(|(why, count)| format!("{count} {why}")).collect();
             p { "Streams that ended: " (ended.join(", ")) "." }
         }
         @match found.gaps.len() {
@@ -123,20 +125,20 @@
 
 fn one(number: usize, incident: &Incident, window: Window) -> Markup {
     let kinds: BTreeSet<String> = incident
-        .troubles
+        .faults
         .iter()
-        .map(|begin| begin.trouble.line())
+        .map(|begin| begin.fault.line())
         .collect();
     html! {
         p {
             @if incident.from_us < window.from_us { "Trouble had begun before, at " } @else { "Trouble began at " }
             b { (text::clock(incident.from_us)) }
             @if number > 0 { " again" }
-            ". First was: " (incident.first) ". "
+            ". First was: " (incident.first_event) ". "
             "In all: " (names(kinds.iter().map(String::as_str))) ". "
             @if incident.withdrawn.is_empty() { "No server was shut out for its failures. " }
             @else { "Shut out for a time: " b { (names(incident.withdrawn.iter().map(String::as_str))) } ". " }
-            @match incident.over_us {
+            @match incident.ended_us {
                 Some(over) => { "It was over at " b { (text::clock(over)) } ", after " (text::length(over - incident.from_us)) "." }
                 None => b { "It was not over at the end of this time." }
             }
@@ -144,9 +146,9 @@
     }
 }
 
-fn extremes(course: &Course) -> Markup {
-    let lowered = course
-        .lowest
+fn extremes(incidents: &Reconstruction) -> Markup {
+    let lowered = incidents
+        .lowest_levels
         .iter()
         .filter(|(_, lowest)| lowest.value < 1.0);
     let lowered: Vec<String> = lowered
@@ -156,11 +158,11 @@
         })
         .collect();
     html! {
-        @if let Some(refused) = &course.refused {
+        @if let Some(refused) = &incidents.most_refused {
             p { "At most " b { (percent(refused.value)) } " of all requests were refused, at " (short(refused.at_us)) " (" (refused.supervisor) ")." }
         }
         @if lowered.is_empty() { p { "No level fell." } } @else { p { "Levels fell: " (lowered.join(", ")) "." } }
-        @if let Some(waiting) = course.waiting.as_ref().filter(|waiting| waiting.value > 0.0) {
+        @if let Some(waiting) = incidents.most_waiting.as_ref().filter(|waiting| waiting.value > 0.0) {
             p { "At most " (format!("{:.0}", waiting.value)) " lines waited in a channel, at " (short(waiting.at_us)) " (" (waiting.supervisor) ")." }
         }
     }
@@ -190,11 +192,11 @@
     let mut rows = Vec::new();
     let mut full = 0;
     for (ObservedServer { supervisor, server }, ServerHistory { spans, .. }) in
-        &found.course.standings
+        &found.incidents.server_histories
     {
         if spans
             .iter()
-            .all(|span| matches!(span.standing, Standing::Full | Standing::Unknown))
+            .all(|span| matches!(span.status, ServerStatus::Full | ServerStatus::Unknown))
         {
             full += 1;
         } else {
@@ -231,8 +233,8 @@
             @if rows.is_empty() { p { "Every server was full all the time, as far as is known." } }
             @else { (chart::servers(axis, &rows, &found.gaps)) }
             p.legend {
-                @for standing in [Standing::Full, Standing::Reduced, Standing::Withdrawn, Standing::Draining, Standing::Cold] {
-                    span { i class=(format!("key {}", standing.word())) {} (standing.word()) }
+                @for status in [ServerStatus::Full, ServerStatus::Reduced, ServerStatus::Withdrawn, ServerStatus::Draining, ServerStatus::Cold] {
+                    span { i class=(format!("key {}", status.as_str())) {} (status.as_str()) }
                 }
                 span { i class="key hatched" {} "not known" }
             }
