--- a/crates/policy/benches/tick.rs
+++ b/crates/policy/benches/tick.rs
@@ -1,9 +1,11 @@
 #![allow(missing_docs)]
-//! What the decisions cost at size: a tick of a fleet that stands, and the joining of all its proxies, one batch each two
-//! milliseconds, as while the streams of lost supervisors come over.
+//! The cost of the decisions at size: a tick of a steady fleet, and the joining of all its proxies, one batch each two
+//! milliseconds, as after the loss of other instances.
 
-use chutegrade_policy::Policy;
-use chutegrade_policy::*;
+use chutegrade_policy::{
+    Action, AdmissionUnit, Class, Endpoint, EndpointUpdateKind, Event, Idempotency, LoadReport,
+    Micros, Policy, ProxyId, ServerId, Settings, ZoneId,
+};
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 
 const ZONES: u16 = 3;
@@ -11,11 +13,11 @@
 const AT_ONCE: u32 = 10;
 
 fn settings(proxies: u32) -> Settings {
-    let class = |effect| Class {
+    let class = |idempotency| Class {
         latency_objective: Micros(600_000),
         deadline: Micros(2_000_000),
         priority_weight: 2.0,
-        idempotency: effect,
+        idempotency,
         zone_local: false,
     };
     Settings {
@@ -42,19 +44,19 @@
     }
 }
 
-fn joins(from: u32, to: u32) -> Vec<Event> {
-    let joined = |id: u32| Event::ProxyJoined {
+fn join_events(from: u32, to: u32) -> Vec<Event> {
+    let proxy_joined = |id: u32| Event::ProxyJoined {
         proxy: ProxyId(id),
         zone: ZoneId((id % u32::from(ZONES)) as u16),
         request_rate: 2.0 + f64::from(id % 5),
         has_previous_table: true,
     };
-    (from..to).map(joined).collect()
+    (from..to).map(proxy_joined).collect()
 }
 
-/// An instance that knows its list.
-fn begun(servers: u32, proxies: u32) -> Policy {
-    let entry = |id: u32| Endpoint {
+/// An instance with its endpoint list.
+fn started_policy(servers: u32, proxies: u32) -> Policy {
+    let endpoint = |id: u32| Endpoint {
         server: ServerId(id),
         zone: ZoneId((id % u32::from(ZONES)) as u16),
         weight: 4.0,
@@ -65,52 +67,53 @@
         Micros(0),
         &[Event::EndpointList(
             EndpointUpdateKind::CachedSnapshot,
-            (0..servers).map(entry).collect(),
+            (0..servers).map(endpoint).collect(),
         )],
     );
     policy
 }
 
-/// All proxies join, batch by batch; every mark is answered at once.
-fn join(policy: &mut Policy, proxies: u32) {
+/// All proxies join, batch by batch; each turn is acknowledged at once.
+fn join_all(policy: &mut Policy, proxies: u32) {
     for batch in 0..proxies / AT_ONCE {
         let now = Micros(1_000_000 + 2000 * i64::from(batch));
-        let actions = policy.handle_events(now, &joins(batch * AT_ONCE, (batch + 1) * AT_ONCE));
-        answer(policy, now, &actions);
+        let actions =
+            policy.handle_events(now, &join_events(batch * AT_ONCE, (batch + 1) * AT_ONCE));
+        acknowledge(policy, now, &actions);
     }
 }
 
-fn answer(policy: &mut Policy, now: Micros, actions: &[Action]) {
-    let mark = actions.iter().find_map(|action| match action {
-        Action::RequestAcknowledgement { sequence: mark, .. } => Some(*mark),
+fn acknowledge(policy: &mut Policy, now: Micros, actions: &[Action]) {
+    let sequence = actions.iter().find_map(|action| match action {
+        Action::RequestAcknowledgement { sequence, .. } => Some(*sequence),
         _ => None,
     });
-    let bound = actions.iter().filter_map(|action| match action {
+    let assigned_tables = actions.iter().filter_map(|action| match action {
         Action::AssignTable { proxy, .. } => Some(*proxy),
         _ => None,
     });
-    let took = Micros(1000);
-    let receipts = mark
+    let elapsed = Micros(1000);
+    let acknowledgements = sequence
         .into_iter()
-        .flat_map(|mark| bound.clone().map(move |proxy| (proxy, mark)));
-    let receipts: Vec<_> = receipts
-        .map(|(proxy, mark)| Event::Acknowledged {
+        .flat_map(|sequence| assigned_tables.clone().map(move |proxy| (proxy, sequence)));
+    let acknowledgements: Vec<_> = acknowledgements
+        .map(|(proxy, sequence)| Event::Acknowledged {
             proxy,
-            sequence: mark,
-            elapsed: took,
+            sequence,
+            elapsed,
         })
         .collect();
-    policy.handle_events(now, &receipts);
+    policy.handle_events(now, &acknowledgements);
 }
 
 fn tick(c: &mut Criterion) {
     let mut group = c.benchmark_group("tick");
     group.sample_size(10);
     for (servers, proxies) in [(200, 500), (200, 2500), (512, 2500), (1024, 2500)] {
-        let mut policy = begun(servers, proxies);
-        join(&mut policy, proxies);
+        let mut policy = started_policy(servers, proxies);
+        join_all(&mut policy, proxies);
         let mut now = Micros(60_000_000);
-        let heard = |id: u32| Event::ServerOutcomes {
+        let server_outcomes = |id: u32| Event::ServerOutcomes {
             zone: ZoneId(0),
             server: ServerId(id),
             attempts: 8.0,
@@ -122,7 +125,7 @@
                 ..LoadReport::default()
             },
         };
-        let mut events: Vec<Event> = (0..servers).map(heard).collect();
+        let mut events: Vec<Event> = (0..servers).map(server_outcomes).collect();
         events.push(Event::Timer(1));
         let size = format!("{servers} servers, {proxies} proxies");
         group.bench_function(BenchmarkId::new("stands", &size), |b| {
@@ -133,8 +136,8 @@
         });
         group.bench_function(BenchmarkId::new("all join", &size), |b| {
             b.iter_batched(
-                || begun(servers, proxies),
-                |mut policy| join(&mut policy, proxies),
+                || started_policy(servers, proxies),
+                |mut policy| join_all(&mut policy, proxies),
                 BatchSize::LargeInput,
             );
         });
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Levels follow the fleet's saturation; nothing is refused while headroom remains.
+//! Admission levels follow the fleet's saturation; no load is shed while headroom remains.
 
 mod common;
 use chutegrade_policy::*;
@@ -11,8 +11,8 @@
     settings
 }
 
-/// A second of a fleet whose servers report this queue, with demand of both classes.
-fn queued(servers: u32, queue: f64) -> Vec<Event> {
+/// One second of a fleet whose servers report this queue, with demand of both classes.
+fn fleet_with_queue(servers: u32, queue: f64) -> Vec<Event> {
     let mut events: Vec<Event> = (0..servers)
         .map(|id| {
             let load = LoadReport {
@@ -43,24 +43,24 @@
 }
 
 #[test]
-fn a_saturated_fleet_refuses_the_class_of_least_worth_first_and_lets_it_in_again() {
+fn a_saturated_fleet_sheds_the_class_of_lowest_priority_weight_first_and_recovers() {
     let mut world = World::new(two_classes(), 8, 4);
-    world.run(5, &queued(8, 0.0));
+    world.run(5, &fleet_with_queue(8, 0.0));
     assert_eq!((world.levels[&0], world.levels[&1]), (1.0, 1.0));
-    world.run(2, &queued(8, 3.0));
+    world.run(2, &fleet_with_queue(8, 3.0));
     assert!(
         world.levels[&0] < 1.0,
         "refused within two seconds: {:?}",
         world.levels
     );
     assert_eq!(world.levels[&1], 1.0);
-    world.run(10, &queued(8, 30.0));
+    world.run(10, &fleet_with_queue(8, 30.0));
     assert!(
         world.levels[&0] <= 0.2 && world.levels[&1] < 0.5,
         "{:?}",
         world.levels
     );
-    world.run(8, &queued(8, 0.0));
+    world.run(8, &fleet_with_queue(8, 0.0));
     assert_eq!(
         (world.levels[&0], world.levels[&1]),
         (1.0, 1.0),
@@ -69,9 +69,9 @@
 }
 
 #[test]
-fn one_saturated_server_is_no_reason_to_refuse() {
+fn one_saturated_server_sheds_no_load() {
     let mut world = World::new(two_classes(), 8, 4);
-    let mut events = queued(8, 0.0);
+    let mut events = fleet_with_queue(8, 0.0);
     let load = LoadReport {
         queued: Some(40.0),
         ..LoadReport::default()
@@ -91,11 +91,11 @@
 }
 
 #[test]
-fn where_levels_are_ignored_none_is_lowered() {
+fn unsupported_levels_are_never_lowered() {
     let mut silent = two_classes();
     silent.admission_unit = AdmissionUnit::Unsupported;
     let mut world = World::new(silent, 8, 4);
-    world.run(10, &queued(8, 30.0));
+    world.run(10, &fleet_with_queue(8, 30.0));
     assert_eq!((world.levels[&0], world.levels[&1]), (1.0, 1.0));
     assert!(!world
         .actions
@@ -104,30 +104,34 @@
 }
 
 #[test]
-fn without_load_reports_failing_and_late_tries_tell_and_timely_ones_refuse_nobody() {
+fn without_load_reports_failed_and_late_attempts_shed_load_and_timely_ones_do_not() {
     let mut world = World::new(two_classes(), 8, 4);
-    let timely: Vec<Event> = (0..8).map(|id| heard(id, 8.0, 0.0, 300.0)).collect();
+    let timely: Vec<Event> = (0..8)
+        .map(|id| server_outcomes(id, 8.0, 0.0, 300.0))
+        .collect();
     world.run(8, &timely);
     assert_eq!((world.levels[&0], world.levels[&1]), (1.0, 1.0));
-    let jammed: Vec<Event> = (0..8).map(|id| heard(id, 8.0, 5.0, 1500.0)).collect();
+    let jammed: Vec<Event> = (0..8)
+        .map(|id| server_outcomes(id, 8.0, 5.0, 1500.0))
+        .collect();
     world.run(8, &jammed);
     assert!(world.levels[&0] < 0.5, "{:?}", world.levels);
 }
 
 #[test]
-fn where_levels_are_rates_all_is_let_in_until_the_fleet_is_saturated() {
+fn rate_levels_admit_all_until_the_fleet_is_saturated() {
     let mut rates = two_classes();
     rates.admission_unit = AdmissionUnit::RequestsPerSecond;
     let mut world = World::new(rates, 8, 4);
-    world.run(5, &queued(8, 0.0));
+    world.run(5, &fleet_with_queue(8, 0.0));
     assert!(
         world.levels.values().all(|level| *level > 1000.0),
         "{:?}",
         world.levels
     );
-    world.run(8, &queued(8, 30.0));
+    world.run(8, &fleet_with_queue(8, 30.0));
     assert!(world.levels[&0] < 50.0, "{:?}", world.levels);
-    world.run(8, &queued(8, 0.0));
+    world.run(8, &fleet_with_queue(8, 0.0));
     assert!(
         world.levels.values().all(|level| *level > 1000.0),
         "{:?}",
@@ -135,35 +139,38 @@
     );
 }
 
-/// Found by hunting: servers with many slots took in four times what their cores could do before a queue was told.
+/// Servers with many slots take in a multiple of what their cores can do before they report a queue.
 #[test]
-fn probes_that_take_longer_everywhere_tell_of_saturation_before_a_queue_does() {
+fn slow_health_checks_everywhere_show_saturation_before_queues_do() {
     let mut world = World::new(two_classes(), 8, 4);
-    world.run(8, &queued(8, 0.0));
+    world.run(8, &fleet_with_queue(8, 0.0));
     assert_eq!(world.levels[&0], 1.0);
-    world.slow_probes.extend(0..8);
+    world.slow_health_checks.extend(0..8);
     world.slowness = 4;
-    world.run(4, &queued(8, 0.0));
+    world.run(4, &fleet_with_queue(8, 0.0));
     assert!(world.levels[&0] < 0.8, "{:?}", world.levels);
-    world.slow_probes.clear();
-    world.run(10, &queued(8, 0.0));
+    world.slow_health_checks.clear();
+    world.run(10, &fleet_with_queue(8, 0.0));
     assert_eq!(world.levels[&0], 1.0);
 }
 
-/// Found by hunting: levels that moved each tick used up the messages for ordinary updates, and servers that were
-/// well again kept the weight of their trouble for ten seconds and more.
+/// Levels that change at each tick must not use up the messages for ordinary updates, or servers that recovered would keep
+/// the weight of their fault.
 #[test]
-fn restored_weights_ride_along_while_levels_move() {
+fn restored_weights_are_sent_while_levels_change() {
     let mut world = World::new(two_classes(), 8, 4);
-    world.slow_probes.insert(2);
+    world.slow_health_checks.insert(2);
     world.slowness = 6;
-    world.run(12, &queued(8, 0.0));
+    world.run(12, &fleet_with_queue(8, 0.0));
     assert!(world.weight(2) < 2.0, "weight {}", world.weight(2));
-    world.slow_probes.clear();
+    world.slow_health_checks.clear();
     let mut ordered = 0;
     for second in 0..16 {
         world.actions.clear();
-        world.run(1, &queued(8, if second % 4 < 2 { 30.0 } else { 0.0 }));
+        world.run(
+            1,
+            &fleet_with_queue(8, if second % 4 < 2 { 30.0 } else { 0.0 }),
+        );
         ordered += world
             .actions
             .iter()
@@ -184,49 +191,49 @@
     }
 }
 
-/// Seen in an incident: half of the probes waited behind requests until they timed out, while reported core use, which
-/// cannot pass the whole, left the level where it was.
+/// Health checks that wait behind requests until they time out show a saturation that utilization, which ends at 1, does
+/// not.
 #[test]
-fn probes_that_time_out_at_many_servers_tell_of_saturation() {
+fn health_checks_that_time_out_at_many_servers_show_saturation() {
     let mut world = World::new(two_classes(), 8, 4);
-    world.run(5, &queued(8, 0.0));
-    world.mute.extend(0..5);
-    world.run(6, &queued(8, 0.0));
+    world.run(5, &fleet_with_queue(8, 0.0));
+    world.unresponsive.extend(0..5);
+    world.run(6, &fleet_with_queue(8, 0.0));
     assert!(world.levels[&0] < 0.8, "{:?}", world.levels);
-    world.mute.clear();
-    world.run(10, &queued(8, 0.0));
+    world.unresponsive.clear();
+    world.run(10, &fleet_with_queue(8, 0.0));
     assert_eq!(world.levels[&0], 1.0);
 }
 
-/// A second of servers that report no queue and the time of their answers.
-fn unqueued(ids: std::ops::Range<u32>) -> Vec<Event> {
+/// One second of servers that report an empty queue and differing service times.
+fn fleet_without_queue(ids: std::ops::Range<u32>) -> Vec<Event> {
     let load = |id: u32| LoadReport {
         queued: Some(0.0),
         latency_ms: Some(f64::from(id)),
         ..LoadReport::default()
     };
-    ids.map(|id| reporting(heard(id, 8.0, 0.0, 200.0), load(id)))
+    ids.map(|id| with_load(server_outcomes(id, 8.0, 0.0, 200.0), load(id)))
         .collect()
 }
 
-/// Seen on sockets: during a release the new servers were probed while they idled; as they took the work over, each probe
-/// took twice as long and a third of the requests was refused though no queue stood anywhere.
+/// Health checks of servers without work are fast. Once such servers take over the work, a duration twice as long is not
+/// saturation.
 #[test]
-fn new_servers_that_idled_do_not_pass_for_a_saturated_fleet_once_they_have_work() {
+fn new_servers_that_idled_are_not_saturated_once_they_have_work() {
     let mut world = World::new(settings(), 8, 4);
-    world.run(6, &unqueued(0..8));
-    let list = |gone: u32, until: u32| {
+    world.run(6, &fleet_without_queue(0..8));
+    let list = |removed: u32, until: u32| {
         Event::EndpointList(
             EndpointUpdateKind::Snapshot,
-            (gone..until).map(entry).collect(),
+            (removed..until).map(endpoint).collect(),
         )
     };
     world.send(&[list(0, 20)]);
-    world.run(6, &unqueued(0..8));
+    world.run(6, &fleet_without_queue(0..8));
     world.send(&[list(8, 20)]);
-    world.slow_probes.extend(8..20);
+    world.slow_health_checks.extend(8..20);
     for _ in 0..8 {
-        world.run(1, &unqueued(8..20));
+        world.run(1, &fleet_without_queue(8..20));
         assert!(
             world.levels.values().all(|level| *level == 1.0),
             "{:?}",
@@ -235,16 +242,15 @@
     }
 }
 
-/// Seen on sockets: twelve of thirty machines got slow one after the other, lost weight for it, and a third of all
-/// requests was refused while the others answered in time.
+/// Slow servers lose weight for their own faults. That must not pass for saturation while the others respond in time.
 #[test]
-fn machines_reduced_for_their_own_trouble_are_no_saturated_fleet() {
+fn servers_reduced_for_their_own_faults_do_not_saturate_the_fleet() {
     let mut world = World::new(settings(), 16, 4);
-    world.run(10, &unqueued(0..16));
+    world.run(10, &fleet_without_queue(0..16));
     world.slowness = 6;
     for first in [0, 3, 6] {
-        world.slow_probes.extend(first..first + 3);
-        world.run(5, &unqueued(0..16));
+        world.slow_health_checks.extend(first..first + 3);
+        world.run(5, &fleet_without_queue(0..16));
         assert!(
             world.levels.values().all(|level| *level == 1.0),
             "{:?}",
@@ -253,8 +259,8 @@
     }
 }
 
-/// A fleet whose proxies avoid failing servers: twelve of its twenty servers were replaced by cold ones.
-fn mostly_replaced() -> World {
+/// A fleet whose proxies eject failing servers, and of whose twenty servers twelve were replaced by ones that warm up.
+fn mostly_replaced_fleet() -> World {
     let mut world = World::new(
         Settings {
             proxy_ejection_threshold: 3,
@@ -263,46 +269,45 @@
         20,
         4,
     );
-    world.run(8, &unqueued(0..20));
+    world.run(8, &fleet_without_queue(0..20));
     let started = Some(world.now);
     let mut changes: Vec<Endpoint> = (0..12)
         .map(|id| Endpoint {
             lifecycle: Lifecycle::Removed,
-            ..entry(id)
+            ..endpoint(id)
         })
         .collect();
     changes.extend((20..32).map(|id| Endpoint {
         started_at: started,
-        ..entry(id)
+        ..endpoint(id)
     }));
     world.send(&[Event::EndpointList(EndpointUpdateKind::Delta, changes)]);
     world
 }
 
-/// Seen on days of mass replacement: cold servers were held out of tables and idled, and the mean queue of all told of
-/// headroom while each server that took work had twenty requests waiting.
+/// Servers that warm up are withheld and idle. Their empty queues must not hide that the others are saturated.
 #[test]
-fn cold_servers_that_idle_do_not_hide_the_queues_of_those_that_work() {
-    let mut world = mostly_replaced();
+fn idle_warming_servers_do_not_hide_the_queues_of_working_ones() {
+    let mut world = mostly_replaced_fleet();
     let full = LoadReport {
         queued: Some(20.0),
         latency_ms: Some(100.0),
         ..LoadReport::default()
     };
-    let tallies: Vec<Event> = (12..20)
-        .map(|id| reporting(heard(id, 8.0, 2.0, 900.0), full))
+    let outcomes: Vec<Event> = (12..20)
+        .map(|id| with_load(server_outcomes(id, 8.0, 2.0, 900.0), full))
         .collect();
-    world.run(6, &[tallies, unqueued(20..32)].concat());
+    world.run(6, &[outcomes, fleet_without_queue(20..32)].concat());
     assert!(world.levels[&0] <= 0.2, "{:?}", world.levels);
 }
 
-/// The same by the time of probes, which tells before a queue does: the median of all was that of the idle ones.
+/// The same by the duration of health checks.
 #[test]
-fn cold_servers_that_idle_do_not_hide_that_probes_of_the_others_wait() {
-    let mut world = mostly_replaced();
-    world.run(5, &unqueued(12..32));
-    world.slow_probes.extend(12..20);
+fn idle_warming_servers_do_not_hide_slow_health_checks_of_working_ones() {
+    let mut world = mostly_replaced_fleet();
+    world.run(5, &fleet_without_queue(12..32));
+    world.slow_health_checks.extend(12..20);
     world.slowness = 4;
-    world.run(4, &unqueued(12..32));
+    world.run(4, &fleet_without_queue(12..32));
     assert!(world.levels[&0] <= 0.5, "{:?}", world.levels);
 }
--- a/crates/policy/tests/advice.rs
+++ b/crates/policy/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Advice: it lowers and moves, and whatever it says the rules hold.
+//! Advice of plug-ins: it lowers weights and moves traffic, and the rules hold whatever it says.
 
 mod common;
 use std::collections::BTreeSet;
@@ -7,14 +7,14 @@
 use common::*;
 use proptest::prelude::*;
 
-fn long() -> Advice {
+fn far_future_advice() -> Advice {
     Advice {
         expires_at: ms(i64::from(u32::MAX)),
         ..Advice::default()
     }
 }
 
-/// The same for all zones.
+/// The same factors for the proxies of all zones.
 fn factors(of: &[(u32, Option<u8>, f64)]) -> Vec<WeightFactor> {
     let zones = [ZoneId(0), ZoneId(1)];
     let each = zones
@@ -29,25 +29,25 @@
     .collect()
 }
 
-/// Seconds in which advice is given each second, as a host does.
-fn advised(world: &mut World, seconds: u32, advice: &Advice, also: &[Event]) {
-    let mut events = also.to_vec();
+/// Seconds in which advice is renewed each second, as the plug-in host does.
+fn run_with_advice(world: &mut World, seconds: u32, advice: &Advice, each_second: &[Event]) {
+    let mut events = each_second.to_vec();
     events.push(Event::Advice(advice.clone()));
     world.run(seconds, &events);
 }
 
 #[test]
-fn advice_lowers_a_server_and_lets_it_back_when_it_ends() {
+fn advice_lowers_a_weight_until_it_expires() {
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let advice = Advice {
         factors: factors(&[(2, None, 0.25)]),
-        ..long()
+        ..far_future_advice()
     };
-    advised(&mut world, 8, &advice, &healthy(8, &[]));
+    run_with_advice(&mut world, 8, &advice, &healthy(8, &[]));
     let share = world.weight(2) / world.weight(3);
     assert!((share - 0.25).abs() < 0.06, "{share}");
-    // The host says nothing any more: within the time that advice stands, all is as before.
+    // The advice is not renewed: all is as before once it expires.
     world.run(20, &healthy(8, &[]));
     assert!(
         (world.weight(2) / world.weight(3) - 1.0).abs() < 0.06,
@@ -65,11 +65,11 @@
             server: ServerId(5),
             until: world.now + ms(9000),
         }],
-        ..long()
+        ..far_future_advice()
     };
-    advised(&mut world, 6, &advice, &healthy(8, &[]));
+    run_with_advice(&mut world, 6, &advice, &healthy(8, &[]));
     assert_eq!(world.weight(5), 0.0);
-    advised(&mut world, 10, &advice, &healthy(8, &[]));
+    run_with_advice(&mut world, 10, &advice, &healthy(8, &[]));
     assert!(
         world.weight(5) > 0.0,
         "the advice says it still, but its time is over"
@@ -77,20 +77,20 @@
 }
 
 #[test]
-fn a_class_that_is_steered_apart_leaves_the_others_as_they_are() {
+fn separate_tables_leave_other_classes_unchanged() {
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
-    let apart = ClassSet::default().with(1);
+    let separate_tables = ClassSet::default().with(1);
     let advice = Advice {
         factors: factors(&[(2, Some(1), 0.0)]),
-        separate_tables: apart,
-        ..long()
+        separate_tables,
+        ..far_future_advice()
     };
-    advised(&mut world, 8, &advice, &healthy(8, &[]));
+    run_with_advice(&mut world, 8, &advice, &healthy(8, &[]));
     for proxy in 0..4u32 {
-        let bound = &world.bound[&ProxyId(proxy)];
+        let assigned_tables = &world.assigned_tables[&ProxyId(proxy)];
         let table = |class| {
-            bound
+            assigned_tables
                 .iter()
                 .rev()
                 .find(|(_, classes)| classes.has(class))
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn caps_and_tries_only_narrow() {
+fn caps_and_retry_bans_only_narrow() {
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
     let caps = vec![
@@ -134,9 +134,9 @@
     let advice = Advice {
         caps,
         no_retry: ClassSet::default().with(1),
-        ..long()
+        ..far_future_advice()
     };
-    advised(&mut world, 7, &advice, &healthy(8, &[]));
+    run_with_advice(&mut world, 7, &advice, &healthy(8, &[]));
     assert_eq!(
         (world.levels[&0], world.levels[&1]),
         (0.4, 0.1),
@@ -153,19 +153,19 @@
     );
 }
 
-/// Danger: a rule that vetoes everything leaves nobody to pick, or one server for all.
+/// Advice that excludes every server would leave proxies without one, or send all requests to the last.
 #[test]
-fn advice_that_leaves_too_little_is_void_and_told() {
+fn advice_that_leaves_too_little_capacity_is_overruled_and_reported() {
     for vetoed in [8, 7, 5] {
         let mut world = World::new(settings(), 8, 4);
         world.run(3, &healthy(8, &[]));
         let all: Vec<(u32, Option<u8>, f64)> = (0..vetoed).map(|id| (id, None, 0.0)).collect();
-        advised(
+        run_with_advice(
             &mut world,
             8,
             &Advice {
                 factors: factors(&all),
-                ..long()
+                ..far_future_advice()
             },
             &healthy(8, &[]),
         );
@@ -173,7 +173,7 @@
             (0..8).all(|id| world.weight(id) == 4.0),
             "{vetoed} of 8 vetoed"
         );
-        let void = world.actions.iter().any(|a| {
+        let overruled = world.actions.iter().any(|a| {
             matches!(
                 a,
                 Action::Emit(DecisionEvent::AdviceOverruled {
@@ -182,13 +182,13 @@
                 })
             )
         });
-        assert!(void, "{vetoed} of 8 vetoed");
+        assert!(overruled, "{vetoed} of 8 vetoed");
     }
 }
 
-/// Danger: a rule that swings each second takes the channel from servers that fail.
+/// A rule that changes each second would take the channel from servers that fail.
 #[test]
-fn swinging_advice_takes_few_lines() {
+fn oscillating_advice_takes_few_lines() {
     let lines = |swings: bool| {
         let mut world = World::new(settings(), 8, 4);
         world.run(3, &healthy(8, &[]));
@@ -199,7 +199,7 @@
                 (of..of + 3).map(|id| (id, None, 0.0)).collect();
             let advice = Advice {
                 factors: factors(&down),
-                ..long()
+                ..far_future_advice()
             };
             let mut events = healthy(8, &[]);
             events.extend(swings.then_some(Event::Advice(advice)));
@@ -212,7 +212,7 @@
             .count()
     };
     let (still, swinging) = (lines(false), lines(true));
-    // Two tables; at most a change each five seconds, of six lines each.
+    // Two tables with at most one change in five seconds, of six lines each.
     assert!(
         swinging - still <= 2 * 6 * 7,
         "{swinging} lines against {still}"
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_saturated_fleet_is_not_made_smaller() {
+fn advice_excludes_no_server_of_a_saturated_fleet() {
     let mut world = World::new(settings(), 8, 4);
     let full = LoadReport {
         queued: Some(30.0),
@@ -228,14 +228,14 @@
     };
     let busy: Vec<Event> = healthy(8, &[])
         .into_iter()
-        .map(|tally| reporting(tally, full))
+        .map(|outcome| with_load(outcome, full))
         .collect();
     world.run(8, &busy);
     let advice = Advice {
         factors: factors(&[(0, None, 0.0), (1, None, 0.0)]),
-        ..long()
+        ..far_future_advice()
     };
-    advised(&mut world, 8, &advice, &busy);
+    run_with_advice(&mut world, 8, &advice, &busy);
     assert!((0..8).all(|id| world.weight(id) > 0.0));
 }
 
@@ -250,11 +250,11 @@
                     EndpointUpdateKind::Delta,
                     vec![Endpoint {
                         started_at: Some(world.now),
-                        ..entry(round % 8)
+                        ..endpoint(round % 8)
                     }],
                 ));
             }
-            events.extend(advice.then(|| Event::Advice(long())));
+            events.extend(advice.then(|| Event::Advice(far_future_advice())));
             world.run(1, &events);
         }
         world.actions
@@ -276,7 +276,7 @@
     let caps = prop::collection::vec((0..3u8, factor), 0..4);
     let excluded = prop::collection::vec((0..10u32, 0..100i64), 0..9);
     (factors, caps, excluded, 0..8u32, 0..8u32, 0..100i64).prop_map(
-        |(factors, caps, excluded, never, apart, until)| Advice {
+        |(factors, caps, excluded, no_retry, separate_tables, until)| Advice {
             factors: factors
                 .into_iter()
                 .map(|(id, zone, class, factor)| WeightFactor {
@@ -293,7 +293,7 @@
                     share,
                 })
                 .collect(),
-            no_retry: ClassSet(never),
+            no_retry: ClassSet(no_retry),
             excluded: excluded
                 .into_iter()
                 .map(|(id, until)| ServerExclusion {
@@ -301,14 +301,14 @@
                     until: ms(1_000_000 + 1000 * until),
                 })
                 .collect(),
-            separate_tables: ClassSet(apart),
+            separate_tables: ClassSet(separate_tables),
             expires_at: ms(1_000_000 + 1000 * until),
         },
     )
 }
 
 fn event_strategy() -> impl Strategy<Value = Event> {
-    let life = prop_oneof![
+    let lifecycle = prop_oneof![
         Just(Lifecycle::InService),
         Just(Lifecycle::Draining),
         Just(Lifecycle::Removed)
@@ -318,14 +318,14 @@
         Just(HealthCheckOutcome::TimedOut)
     ];
     prop_oneof![
-        3 => (0..8u32, 0.0..20.0f64, 0.0..1.0f64).prop_map(|(id, tries, bad)| heard(id, tries, tries * bad, 200.0)),
-        1 => (0..6u32).prop_map(joined),
+        3 => (0..8u32, 0.0..20.0f64, 0.0..1.0f64).prop_map(|(id, attempts, failing)| server_outcomes(id, attempts, attempts * failing, 200.0)),
+        1 => (0..6u32).prop_map(proxy_joined),
         1 => (0..6u32).prop_map(|id| Event::ProxyLeft(ProxyId(id))),
-        1 => (0..8u32, life, proptest::bool::ANY).prop_map(|(id, life, fresh)| {
+        1 => (0..8u32, lifecycle, proptest::bool::ANY).prop_map(|(id, lifecycle, fresh)| {
             let started = fresh.then_some(ms(1_003_000));
-            Event::EndpointList(EndpointUpdateKind::Delta, vec![Endpoint { lifecycle: life, started_at: started, ..entry(id) }])
+            Event::EndpointList(EndpointUpdateKind::Delta, vec![Endpoint { lifecycle, started_at: started, ..endpoint(id) }])
         }),
-        1 => (0..8u32, end).prop_map(|(id, end)| probed(ServerId(id), end)),
+        1 => (0..8u32, end).prop_map(|(id, end)| health_checked(ServerId(id), end)),
         2 => advice_strategy().prop_map(Event::Advice),
     ]
 }
@@ -333,8 +333,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever plug-ins advise, every rule holds: nobody without a server, no try again beyond proof, drains kept, cold
-    /// servers' parts as small as ever, few messages and a short queue.
+    /// Whatever plug-ins advise, the rules hold: no proxy without a server, no unsafe retry, no weight for leaving servers,
+    /// little weight for servers that warm up, few messages and a short queue.
     #[test]
     fn rules_hold_under_arbitrary_advice(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
         let settings = settings();
@@ -345,29 +345,29 @@
             world.send(&events);
             world.run(1, &[]);
             let age = world.now - ms(1_003_000);
-            let is_cold = |id: &u32| listed.cold.contains(id) && age < settings.slow_start_period + ms(500);
+            let is_cold = |id: &u32| listed.warming.contains(id) && age < settings.slow_start_period + ms(500);
             let warm: Vec<u32> = listed.open.iter().copied().filter(|id| !is_cold(id)).collect();
-            // The tables in use: for each class of each proxy, the one that it was bound to last.
-            let last = |bound: &Vec<(TableId, ClassSet)>, class| bound.iter().rev().find(|(_, of)| of.has(class)).map(|b| b.0);
+            // The tables in use: for each class of each proxy the one that was assigned last.
+            let last = |assigned_tables: &Vec<(TableId, ClassSet)>, class| assigned_tables.iter().rev().find(|(_, of)| of.has(class)).map(|b| b.0);
             let tables: BTreeSet<TableId> =
-                world.bound.values().flat_map(|bound| [last(bound, 0), last(bound, 1)]).flatten().collect();
+                world.assigned_tables.values().flat_map(|assigned_tables| [last(assigned_tables, 0), last(assigned_tables, 1)]).flatten().collect();
             for table in &tables {
                 let none = Default::default();
                 let lines = world.tables.get(table).unwrap_or(&none);
                 prop_assert!(lines.values().all(|weight| weight.is_finite() && *weight > 0.0));
-                let usable = |id: &ServerId| !world.shut.contains(id);
+                let usable = |id: &ServerId| !world.suspended.contains(id);
                 prop_assert!(warm.is_empty() || lines.keys().any(usable), "nobody to pick in {table:?}");
                 for id in lines.keys().filter(|id| usable(id)) {
                     prop_assert!(listed.open.contains(&id.0), "{id:?} left and keeps weight");
                 }
-                // A cold server's part: far under what makes it fall, with all of the fleet's work as demand.
+                // Far below what overloads a server that warms up, with the capacity of the complete fleet as demand.
                 let all: f64 = lines.iter().filter(|(id, _)| usable(id)).map(|line| line.1).sum();
                 let warm_sum: f64 = lines.iter().filter(|(id, _)| usable(id) && warm.contains(&id.0)).map(|line| line.1).sum();
                 if warm_sum > 0.0 {
                     for (id, weight) in lines.iter().filter(|(id, _)| usable(id) && is_cold(&id.0)) {
-                        let warmth = 0.2 + 0.8 * (age + ms(2500)).secs().max(0.0) / 16.0;
+                        let warm_up_share = 0.2 + 0.8 * (age + ms(2500)).secs().max(0.0) / 16.0;
                         let load = weight / all * 8.0;
-                        prop_assert!(load <= 3.0 * warmth.min(1.0), "{id:?} bears {load} at warmth {warmth}");
+                        prop_assert!(load <= 3.0 * warm_up_share.min(1.0), "{id:?} bears {load} at warmth {warm_up_share}");
                     }
                 }
             }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,22 +1,30 @@
-//! Settings, entries and small drivers for the tests of the module.
+//! Settings, endpoints, events and small fleets for the tests.
 #![allow(dead_code)]
 
-use std::collections::{BTreeMap, BTreeSet};
+pub mod site;
+mod world;
 
-use chutegrade_policy::Policy;
-use chutegrade_policy::*;
+use std::collections::BTreeSet;
+
+use chutegrade_policy::{
+    Action, AdmissionUnit, Class, Endpoint, Event, HealthCheckOutcome, Idempotency, Lifecycle,
+    ListedWeight, LoadReport, Micros, PickPolicy, ProxyId, ReportSource, Retry, ServerId, Settings,
+    ZoneId,
+};
+
+pub use world::World;
 
 pub fn ms(ms: i64) -> Micros {
     Micros(ms * 1000)
 }
 
-pub fn class(effect: Idempotency, home_only: bool) -> Class {
+pub fn class(idempotency: Idempotency, zone_local: bool) -> Class {
     Class {
         latency_objective: ms(800),
         deadline: ms(2400),
         priority_weight: 2.0,
-        idempotency: effect,
-        zone_local: home_only,
+        idempotency,
+        zone_local,
     }
 }
 
@@ -64,7 +72,7 @@
     }
 }
 
-pub fn entry(id: u32) -> Endpoint {
+pub fn endpoint(id: u32) -> Endpoint {
     Endpoint {
         server: ServerId(id),
         zone: ZoneId((id % 2) as u16),
@@ -76,7 +84,7 @@
     }
 }
 
-pub fn joined(id: u32) -> Event {
+pub fn proxy_joined(id: u32) -> Event {
     Event::ProxyJoined {
         proxy: ProxyId(id),
         zone: ZoneId((id % 2) as u16),
@@ -85,36 +93,36 @@
     }
 }
 
-pub fn heard(server: u32, tries: f64, failed: f64, mean_ms: f64) -> Event {
+pub fn server_outcomes(server: u32, attempts: f64, failed: f64, mean_latency_ms: f64) -> Event {
     let load = LoadReport::default();
     Event::ServerOutcomes {
         zone: ZoneId(0),
         server: ServerId(server),
-        attempts: tries,
+        attempts,
         failed,
-        mean_latency_ms: mean_ms,
+        mean_latency_ms,
         period: ms(1000),
         load,
     }
 }
 
-/// The same tally with a load report.
-pub fn reporting(tally: Event, report: LoadReport) -> Event {
-    match tally {
+/// The same outcomes with a load report.
+pub fn with_load(outcome: Event, report: LoadReport) -> Event {
+    match outcome {
         Event::ServerOutcomes {
             zone,
             server,
-            attempts: tries,
+            attempts,
             failed,
-            mean_latency_ms: mean_ms,
+            mean_latency_ms,
             period,
             ..
         } => Event::ServerOutcomes {
             zone,
             server,
-            attempts: tries,
+            attempts,
             failed,
-            mean_latency_ms: mean_ms,
+            mean_latency_ms,
             period,
             load: report,
         },
@@ -122,265 +130,49 @@
     }
 }
 
-pub fn probed(server: ServerId, end: HealthCheckOutcome) -> Event {
-    probed_in(server, end, ms(5))
+pub fn health_checked(server: ServerId, end: HealthCheckOutcome) -> Event {
+    health_checked_after(server, end, ms(5))
 }
 
-pub fn probed_in(server: ServerId, end: HealthCheckOutcome, took: Micros) -> Event {
+pub fn health_checked_after(server: ServerId, end: HealthCheckOutcome, elapsed: Micros) -> Event {
     Event::HealthChecked {
         server,
         outcome: end,
-        elapsed: took,
+        elapsed,
         load: LoadReport::default(),
     }
 }
 
-/// A module under test: delivers its timers, answers its probes and keeps what proxies would hold.
-pub struct World {
-    pub policy: Policy,
-    pub now: Micros,
-    timers: BTreeMap<Micros, Vec<u32>>,
-    pub tables: BTreeMap<TableId, BTreeMap<ServerId, f64>>,
-    pub retries: BTreeMap<usize, Retry>,
-    pub levels: BTreeMap<usize, f64>,
-    pub shut: BTreeSet<ServerId>,
-    pub bound: BTreeMap<ProxyId, Vec<(TableId, ClassSet)>>,
-    pub actions: Vec<Action>,
-    /// Servers that answer no probe.
-    pub mute: BTreeSet<u32>,
-    /// Servers at which a probe takes `slowness` times as long.
-    pub slow_probes: BTreeSet<u32>,
-    pub slowness: i64,
-    probes: Vec<ServerId>,
-    /// When messages were written to each proxy since it joined.
-    pub messages: BTreeMap<ProxyId, Vec<Micros>>,
-    /// Whether proxies confirm what they receive, at the next timer.
-    pub confirms: bool,
-    unconfirmed: Vec<u16>,
-}
-
-impl World {
-    /// A fleet of `servers` long-running servers and `proxies` joined proxies.
-    pub fn new(settings: Settings, servers: u32, proxies: u32) -> World {
-        let mut world = World {
-            policy: Policy::new(settings, 7),
-            now: ms(1_000_000),
-            timers: BTreeMap::new(),
-            tables: BTreeMap::new(),
-            retries: BTreeMap::new(),
-            levels: BTreeMap::new(),
-            shut: BTreeSet::new(),
-            bound: BTreeMap::new(),
-            actions: Vec::new(),
-            mute: BTreeSet::new(),
-            slow_probes: BTreeSet::new(),
-            slowness: 2,
-            probes: Vec::new(),
-            messages: BTreeMap::new(),
-            confirms: true,
-            unconfirmed: Vec::new(),
-        };
-        let mut events = vec![Event::EndpointList(
-            EndpointUpdateKind::CachedSnapshot,
-            (0..servers).map(entry).collect(),
-        )];
-        events.extend((0..proxies).map(joined));
-        world.send(&events);
-        world
-    }
-
-    pub fn send(&mut self, events: &[Event]) -> Vec<Action> {
-        for event in events {
-            if let Event::ProxyJoined { proxy, .. } | Event::ProxyLeft(proxy) = event {
-                self.messages.remove(proxy);
-            }
-        }
-        let actions = self.policy.handle_events(self.now, events);
-        let mut reached = BTreeSet::new();
-        for action in &actions {
-            self.reaches(action, &mut reached);
-            self.apply(action);
-        }
-        for proxy in reached {
-            self.messages.entry(proxy).or_default().push(self.now);
-        }
-        self.actions.extend(actions.iter().cloned());
-        actions
-    }
-
-    /// The proxies that an order becomes part of a message for.
-    fn reaches(&self, action: &Action, reached: &mut BTreeSet<ProxyId>) {
-        let on = |table: &TableId| {
-            let bound = self
-                .bound
-                .iter()
-                .filter(|(_, on)| on.iter().any(|(its, _)| its == table));
-            bound.map(|(proxy, _)| *proxy).collect::<Vec<ProxyId>>()
-        };
-        match action {
-            Action::SetWeight { table, .. }
-            | Action::ClearTable(table)
-            | Action::SetAdmission {
-                table: Some(table), ..
-            } => {
-                reached.extend(on(table));
-            }
-            Action::AssignTable { proxy, .. } => {
-                reached.insert(*proxy);
-            }
-            Action::SetSuspended { server, .. } => {
-                let names = |table: &TableId| {
-                    self.tables
-                        .get(table)
-                        .is_some_and(|t| t.contains_key(server))
-                };
-                reached.extend(self.tables.keys().filter(|table| names(table)).flat_map(on));
-            }
-            _ => {}
-        }
-    }
-
-    fn apply(&mut self, action: &Action) {
-        match action {
-            Action::SetWeight {
-                table,
-                server,
-                weight,
-            } if *weight > 0.0 => {
-                self.tables
-                    .entry(*table)
-                    .or_default()
-                    .insert(*server, *weight);
-            }
-            Action::SetWeight { table, server, .. } => {
-                self.tables.entry(*table).or_default().remove(server);
-            }
-            Action::ClearTable(table) => {
-                self.tables.remove(table);
-            }
-            Action::AssignTable {
-                proxy,
-                table,
-                classes,
-            } => {
-                self.bound
-                    .entry(*proxy)
-                    .or_default()
-                    .push((*table, *classes));
-            }
-            Action::SetSuspended {
-                server,
-                suspended: true,
-            } => {
-                self.shut.insert(*server);
-            }
-            Action::SetSuspended { server, .. } => {
-                self.shut.remove(server);
-            }
-            Action::SetAdmission {
-                classes,
-                retry,
-                level,
-                ..
-            } => {
-                for class in (0..32).filter(|class| classes.has(*class)) {
-                    self.retries.insert(class, *retry);
-                    self.levels.insert(class, *level);
-                }
-            }
-            Action::SetTimer { id, delay: after } => {
-                self.timers.entry(self.now + *after).or_default().push(*id)
-            }
-            Action::RequestAcknowledgement { sequence: mark, .. } => self.unconfirmed.push(*mark),
-            Action::HealthCheck(server) => self.probes.push(*server),
-            _ => {}
-        }
-    }
-
-    /// Lets time pass; each second every event of `each_second` is delivered.
-    pub fn run(&mut self, seconds: u32, each_second: &[Event]) {
-        for _ in 0..seconds {
-            let end = self.now + ms(1000);
-            self.send(each_second);
-            while let Some((at, ids)) = self.timers.pop_first() {
-                if at > end {
-                    self.timers.insert(at, ids);
-                    break;
-                }
-                self.now = self.now.max(at);
-                let mut events: Vec<Event> = ids.into_iter().map(Event::Timer).collect();
-                for mark in std::mem::take(&mut self.unconfirmed)
-                    .into_iter()
-                    .filter(|_| self.confirms)
-                {
-                    let receipt = |proxy: &ProxyId| Event::Acknowledged {
-                        proxy: *proxy,
-                        sequence: mark,
-                        elapsed: ms(200),
-                    };
-                    events.extend(self.bound.keys().map(receipt));
-                }
-                for server in std::mem::take(&mut self.probes) {
-                    let end = if self.mute.contains(&server.0) {
-                        HealthCheckOutcome::TimedOut
-                    } else {
-                        HealthCheckOutcome::Passed
-                    };
-                    let slowness = if self.slow_probes.contains(&server.0) {
-                        self.slowness
-                    } else {
-                        1
-                    };
-                    events.push(probed_in(server, end, Micros(5000 * slowness)));
-                }
-                self.send(&events);
-            }
-            self.now = end;
-        }
-    }
-
-    pub fn weight(&self, server: u32) -> f64 {
-        if self.shut.contains(&ServerId(server)) {
-            return 0.0;
-        }
-        self.tables
-            .get(&TableId(0))
-            .and_then(|table| table.get(&ServerId(server)))
-            .copied()
-            .unwrap_or(0.0)
-    }
-}
-
-/// A second's tallies of a healthy fleet, without the servers in `but`.
-pub fn healthy(servers: u32, but: &[u32]) -> Vec<Event> {
+/// One second's outcomes of a healthy fleet, without the servers in `except`.
+pub fn healthy(servers: u32, except: &[u32]) -> Vec<Event> {
     (0..servers)
-        .filter(|id| !but.contains(id))
-        .map(|id| heard(id, 8.0, 0.0, 200.0))
+        .filter(|id| !except.contains(id))
+        .map(|id| server_outcomes(id, 8.0, 0.0, 200.0))
         .collect()
 }
 
-/// What the test itself knows of the list: servers in service, and those that have started anew.
+/// What the test itself knows of the endpoint list: the servers in service, and those that started anew.
 pub struct Roster {
     pub open: BTreeSet<u32>,
-    pub cold: BTreeSet<u32>,
+    pub warming: BTreeSet<u32>,
 }
 
 impl Roster {
-    /// So many servers, all of them long running.
+    /// So many servers, all of them long in service.
     pub fn new(servers: u32) -> Self {
         Roster {
             open: (0..servers).collect(),
-            cold: BTreeSet::new(),
+            warming: BTreeSet::new(),
         }
     }
 
-    /// Takes in what is sent to a world, whose proxies that join or leave hold no table.
+    /// Takes in the events that are sent to a fleet. Its proxies that join or leave hold no table.
     pub fn take(&mut self, events: &[Event], world: &mut World) {
         for event in events {
             match event {
                 Event::EndpointList(_, entries) => {
-                    for entry in entries {
-                        let id = entry.server.0;
+                    for endpoint in entries {
+                        let id = endpoint.server.0;
                         let set = |set: &mut BTreeSet<u32>, holds: bool| {
                             if holds {
                                 set.insert(id)
@@ -388,15 +180,23 @@
                                 set.remove(&id)
                             }
                         };
-                        set(&mut self.open, entry.lifecycle == Lifecycle::InService);
-                        set(&mut self.cold, entry.started_at.is_some());
+                        set(&mut self.open, endpoint.lifecycle == Lifecycle::InService);
+                        set(&mut self.warming, endpoint.started_at.is_some());
                     }
                 }
                 Event::ProxyJoined { proxy, .. } | Event::ProxyLeft(proxy) => {
-                    world.bound.remove(proxy);
+                    world.assigned_tables.remove(proxy);
                 }
                 _ => {}
             }
         }
     }
 }
+
+/// The sequence number whose acknowledgement these actions request, if they do.
+pub fn requested_sequence(actions: &[Action]) -> Option<u16> {
+    actions.iter().find_map(|action| match action {
+        Action::RequestAcknowledgement { sequence, .. } => Some(*sequence),
+        _ => None,
+    })
+}
--- /dev/null
+++ b/crates/policy/tests/common/site.rs
@@ -0,0 +1,380 @@
+//! A fleet of proxies behind a channel that sends in order and more slowly than stated.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use chutegrade_policy::*;
+
+use super::{class, endpoint, health_checked, ms, settings};
+
+/// Proxies that follow their tables. Each message is counted against the limits when it is written.
+pub struct Site {
+    policy: Policy,
+    pub settings: Settings,
+    pub now: Micros,
+    /// Lines per second that the channel sends.
+    pub pace: f64,
+    pub tables: BTreeMap<TableId, BTreeMap<ServerId, f64>>,
+    /// How often the level of each table was set.
+    pub level_changes: BTreeMap<TableId, usize>,
+    pub assigned_tables: BTreeMap<ProxyId, BTreeMap<ClassSet, TableId>>,
+    pub request_rates: BTreeMap<ProxyId, f64>,
+    pub suspended: BTreeSet<ServerId>,
+    queue: VecDeque<QueuedMessage>,
+    acknowledgements: VecDeque<Acknowledgement>,
+    /// When each proxy's first message of this stream had taken effect.
+    pub first_applied: BTreeMap<ProxyId, Micros>,
+    written: BTreeMap<ProxyId, VecDeque<Micros>>,
+    timers: BTreeMap<Micros, u32>,
+    pending_health_checks: Vec<ServerId>,
+    pub max_queued_lines: f64,
+    /// Number of actions so far.
+    pub action_count: usize,
+}
+
+/// A message that the channel has not sent.
+struct QueuedMessage {
+    proxy: ProxyId,
+    sequence: u16,
+    lines: f64,
+}
+
+/// An acknowledgement under way.
+struct Acknowledgement {
+    at: Micros,
+    proxy: ProxyId,
+    sequence: u16,
+}
+
+/// Time from the sending of a message to its acknowledgement.
+const ACKNOWLEDGEMENT_DELAY: Micros = Micros(400_000);
+
+pub fn large(classes: Vec<Class>) -> Settings {
+    let (backlog, lines_per_s) = (20_000.0, 12_000.0);
+    Settings {
+        instances: 1,
+        zone_crossing_cost: 0.0,
+        proxies: 1000,
+        classes,
+        channel_backlog: backlog,
+        channel_lines_per_second: lines_per_s,
+        ..settings()
+    }
+}
+
+/// Few requests a second at each of very many proxies.
+pub fn sparse() -> Settings {
+    large(vec![
+        class(Idempotency::Idempotent, false),
+        class(Idempotency::NotIdempotent, false),
+    ])
+}
+
+impl Site {
+    pub fn new(settings: Settings, pace: f64) -> Site {
+        Site {
+            policy: Policy::new(settings.clone(), 11),
+            pace: pace * settings.channel_lines_per_second,
+            settings,
+            now: ms(1_000_000),
+            tables: BTreeMap::new(),
+            level_changes: BTreeMap::new(),
+            assigned_tables: BTreeMap::new(),
+            request_rates: BTreeMap::new(),
+            suspended: BTreeSet::new(),
+            queue: VecDeque::new(),
+            acknowledgements: VecDeque::new(),
+            first_applied: BTreeMap::new(),
+            written: BTreeMap::new(),
+            timers: BTreeMap::new(),
+            pending_health_checks: Vec::new(),
+            max_queued_lines: 0.0,
+            action_count: 0,
+        }
+    }
+
+    pub fn started(settings: Settings, pace: f64, servers: u32, proxies: u32) -> Site {
+        let mut site = Site::new(settings, pace);
+        let mut events = vec![Event::EndpointList(
+            EndpointUpdateKind::CachedSnapshot,
+            (0..servers).map(endpoint).collect(),
+        )];
+        events.extend((0..proxies).map(|id| joined_with_rate(id, 1.0 + f64::from(id % 10))));
+        site.send(&events);
+        site
+    }
+
+    pub fn holders(&self, names: impl Fn(&TableId) -> bool) -> Vec<ProxyId> {
+        self.assigned_tables
+            .iter()
+            .filter(|(_, tables)| tables.values().any(&names))
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    pub fn send(&mut self, events: &[Event]) -> Vec<Action> {
+        for event in events {
+            self.follow_stream(event);
+        }
+        let actions = self.policy.handle_events(self.now, events);
+        self.action_count += actions.len();
+        let mut lines_by_proxy = BTreeMap::new();
+        let mut sequence = 0;
+        for action in &actions {
+            if let Action::RequestAcknowledgement {
+                sequence: requested,
+                ..
+            } = action
+            {
+                sequence = *requested;
+            }
+            for proxy in self.apply(action) {
+                *lines_by_proxy.entry(proxy).or_default() += 1.0;
+            }
+            if let Action::AssignTable { proxy, table, .. } = action {
+                let servers = self.tables.get(table).map_or(0, BTreeMap::len);
+                *lines_by_proxy.entry(*proxy).or_default() += 1.0 + servers as f64;
+            }
+        }
+        self.write(lines_by_proxy, sequence);
+        actions
+    }
+
+    /// Takes in the beginning and end of streams.
+    fn follow_stream(&mut self, event: &Event) {
+        match event {
+            Event::ProxyJoined {
+                proxy,
+                request_rate,
+                ..
+            } => {
+                self.assigned_tables.remove(proxy);
+                self.written.remove(proxy);
+                self.first_applied.remove(proxy);
+                self.request_rates.insert(*proxy, *request_rate);
+            }
+            Event::ProxyLeft(proxy) => {
+                self.assigned_tables.remove(proxy);
+                self.request_rates.remove(proxy);
+                self.queue.retain(|message| message.proxy != *proxy);
+            }
+            _ => {}
+        }
+    }
+
+    /// Applies an action and returns the proxies at which it takes a line.
+    fn apply(&mut self, action: &Action) -> Vec<ProxyId> {
+        match action {
+            Action::SetWeight {
+                table,
+                server,
+                weight,
+            } => {
+                let weights = self.tables.entry(*table).or_default();
+                weights.insert(*server, *weight);
+                weights.retain(|_, weight| *weight > 0.0);
+                self.holders(|held| held == table)
+            }
+            Action::SetAdmission {
+                table: Some(table), ..
+            } => {
+                *self.level_changes.entry(*table).or_default() += 1;
+                self.holders(|held| held == table)
+            }
+            Action::SetSuspended { server, suspended } => {
+                self.set_suspended(*server, *suspended);
+                self.holders(|table| {
+                    self.tables
+                        .get(table)
+                        .is_some_and(|weights| weights.contains_key(server))
+                })
+            }
+            Action::AssignTable {
+                proxy,
+                table,
+                classes,
+            } => {
+                let tables = self.assigned_tables.entry(*proxy).or_default();
+                tables.insert(*classes, *table);
+                vec![]
+            }
+            Action::SetTimer { id, delay } => {
+                self.timers.insert(self.now + *delay, *id);
+                vec![]
+            }
+            Action::HealthCheck(server) => {
+                self.pending_health_checks.push(*server);
+                vec![]
+            }
+            _ => vec![],
+        }
+    }
+
+    fn set_suspended(&mut self, server: ServerId, suspended: bool) {
+        if suspended {
+            self.suspended.insert(server);
+        } else {
+            self.suspended.remove(&server);
+        }
+    }
+
+    /// Queues a message for each proxy and checks the limits of the channel.
+    fn write(&mut self, lines_by_proxy: BTreeMap<ProxyId, f64>, sequence: u16) {
+        for (proxy, lines) in lines_by_proxy {
+            self.queue.push_back(QueuedMessage {
+                proxy,
+                sequence,
+                lines: lines + 1.0 + self.settings.message_overhead,
+            });
+            let written = self.written.entry(proxy).or_default();
+            written.push_back(self.now);
+            let window_start = self.now - self.settings.message_window;
+            written.retain(|at| *at > window_start);
+            assert!(
+                written.len() <= self.settings.max_messages,
+                "messages to {proxy:?}"
+            );
+        }
+        let queued_lines: f64 = self.queue.iter().map(|message| message.lines).sum();
+        assert!(
+            queued_lines <= self.settings.channel_backlog,
+            "{queued_lines} lines queued at {:?}",
+            self.now
+        );
+        self.max_queued_lines = self.max_queued_lines.max(queued_lines);
+    }
+
+    /// Lets time pass in steps of a tenth of a second; each second these events are delivered.
+    pub fn run(
+        &mut self,
+        seconds: u32,
+        each_second: &[Event],
+        is_unresponsive: &dyn Fn(ServerId) -> bool,
+    ) {
+        for step in 0..10 * seconds {
+            self.now = self.now + ms(100);
+            self.send_queued();
+            let mut events = self.due_acknowledgements();
+            events.extend(self.health_check_results(is_unresponsive));
+            events.extend(self.due_timers());
+            if step % 10 == 0 {
+                events.extend(each_second.iter().cloned());
+            }
+            if !events.is_empty() {
+                self.send(&events);
+            }
+        }
+    }
+
+    /// Sends what the channel can send in a tenth of a second.
+    fn send_queued(&mut self) {
+        let mut capacity = self.pace / 10.0;
+        while let Some(message) = self.queue.front_mut() {
+            if message.lines > capacity {
+                message.lines -= capacity;
+                break;
+            }
+            capacity -= message.lines;
+            self.acknowledgements.push_back(Acknowledgement {
+                at: self.now + ACKNOWLEDGEMENT_DELAY,
+                proxy: message.proxy,
+                sequence: message.sequence,
+            });
+            self.queue.pop_front();
+        }
+    }
+
+    fn due_acknowledgements(&mut self) -> Vec<Event> {
+        let mut events = Vec::new();
+        while self
+            .acknowledgements
+            .front()
+            .is_some_and(|acknowledgement| acknowledgement.at <= self.now)
+        {
+            let due = self.acknowledgements.pop_front().expect("seen");
+            self.first_applied.entry(due.proxy).or_insert(due.at);
+            events.push(Event::Acknowledged {
+                proxy: due.proxy,
+                sequence: due.sequence,
+                elapsed: ACKNOWLEDGEMENT_DELAY,
+            });
+        }
+        events
+    }
+
+    fn health_check_results(&mut self, is_unresponsive: &dyn Fn(ServerId) -> bool) -> Vec<Event> {
+        let checked = std::mem::take(&mut self.pending_health_checks);
+        let result = |server| {
+            let outcome = if is_unresponsive(server) {
+                HealthCheckOutcome::TimedOut
+            } else {
+                HealthCheckOutcome::Passed
+            };
+            health_checked(server, outcome)
+        };
+        checked.into_iter().map(result).collect()
+    }
+
+    fn due_timers(&mut self) -> Vec<Event> {
+        let mut events = Vec::new();
+        while self
+            .timers
+            .first_key_value()
+            .is_some_and(|(at, _)| *at <= self.now)
+        {
+            let (_, id) = self.timers.pop_first().expect("seen");
+            events.push(Event::Timer(id));
+        }
+        events
+    }
+
+    /// The servers in a proxy's tables that are not suspended.
+    pub fn visible_servers(&self, proxy: u32) -> BTreeSet<ServerId> {
+        let tables = self
+            .assigned_tables
+            .get(&ProxyId(proxy))
+            .into_iter()
+            .flat_map(BTreeMap::values);
+        let lines = tables
+            .filter_map(|table| self.tables.get(table))
+            .flat_map(BTreeMap::keys)
+            .copied();
+        lines
+            .filter(|server| !self.suspended.contains(server))
+            .collect()
+    }
+
+    pub fn assigned_count(&self) -> usize {
+        self.assigned_tables.len()
+    }
+}
+
+pub fn joined_with_rate(id: u32, rate: f64) -> Event {
+    Event::ProxyJoined {
+        proxy: ProxyId(id),
+        zone: ZoneId((id % 2) as u16),
+        request_rate: rate,
+        has_previous_table: false,
+    }
+}
+
+pub fn all_respond(_: ServerId) -> bool {
+    false
+}
+
+pub fn warming(id: u32, now: Micros) -> Endpoint {
+    Endpoint {
+        started_at: Some(now),
+        ..endpoint(id)
+    }
+}
+
+/// A fleet all of which joins one instance whose channel sends little.
+pub fn joining_one_instance(lines_per_s: f64, drain_grace: Micros) -> Site {
+    let settings = Settings {
+        channel_lines_per_second: lines_per_s,
+        channel_backlog: 60_000.0,
+        drain_grace,
+        ..sparse()
+    };
+    Site::started(settings, 1.0, 500, 1000)
+}
--- a/crates/policy/tests/states.rs
+++ b/crates/policy/tests/health.rs
@@ -1,15 +1,15 @@
-//! The design's ordinary path: score, states, dwell, fail-open silence, returns.
+//! Health states: scores, dwell, servers without outcomes, returns.
 
 mod common;
 use chutegrade_policy::*;
 use common::*;
 
-/// A calm fleet of eight that lost its server 3 to failing tries.
+/// A healthy fleet of eight whose server 3 was withdrawn for failed attempts.
 fn without_server_3() -> World {
     let mut world = World::new(settings(), 8, 4);
     world.run(5, &healthy(8, &[]));
     let mut events = healthy(8, &[3]);
-    events.push(heard(3, 8.0, 8.0, 0.0));
+    events.push(server_outcomes(3, 8.0, 8.0, 0.0));
     world.run(4, &events);
     assert_eq!(world.weight(3), 0.0);
     world
@@ -32,7 +32,7 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(5, &healthy(8, &[]));
     let mut events = healthy(8, &[3]);
-    events.push(heard(3, 8.0, 7.0, 200.0));
+    events.push(server_outcomes(3, 8.0, 7.0, 200.0));
     world.run(4, &events);
     assert_eq!(world.weight(3), 0.0);
     assert!((0..8)
@@ -41,18 +41,18 @@
 }
 
 #[test]
-fn one_failed_try_among_few_does_not_withdraw() {
+fn one_failed_attempt_among_few_does_not_withdraw() {
     let mut world = World::new(settings(), 8, 4);
     world.run(5, &healthy(8, &[]));
     let mut events = healthy(8, &[3]);
-    events.push(heard(3, 4.0, 1.0, 200.0));
+    events.push(server_outcomes(3, 4.0, 1.0, 200.0));
     world.run(1, &events);
     world.run(5, &healthy(8, &[]));
     assert!(world.weight(3) >= 2.0, "weight {}", world.weight(3));
 }
 
 #[test]
-fn silence_counts_as_healthy() {
+fn a_server_without_outcomes_counts_as_healthy() {
     let mut world = World::new(settings(), 8, 4);
     world.run(20, &healthy(8, &[5]));
     assert_eq!(world.weight(5), 4.0);
@@ -63,14 +63,14 @@
     let mut world = World::new(settings(), 8, 4);
     world.run(5, &healthy(8, &[]));
     let mut events = healthy(8, &[3]);
-    events.push(heard(3, 8.0, 0.0, 3000.0));
+    events.push(server_outcomes(3, 8.0, 0.0, 3000.0));
     world.run(10, &events);
     let weight = world.weight(3);
     assert!(weight > 0.0 && weight < 2.0, "weight {weight}");
 }
 
 #[test]
-fn a_withdrawn_server_returns_small_and_climbs_on_good_reports() {
+fn a_withdrawn_server_returns_with_little_weight_and_recovers_with_successes() {
     let mut world = without_server_3();
     world.actions.clear();
     world.run(8, &healthy(8, &[3]));
@@ -95,10 +95,10 @@
 }
 
 #[test]
-fn a_server_that_answers_no_probe_goes_before_its_tries_time_out() {
+fn a_server_that_fails_health_checks_is_withdrawn_before_its_attempts_time_out() {
     let mut world = World::new(settings(), 8, 4);
     world.run(5, &healthy(8, &[]));
-    world.mute.insert(3);
+    world.unresponsive.insert(3);
     world.run(4, &healthy(8, &[3]));
     assert_eq!(world.weight(3), 0.0);
     world.run(20, &healthy(8, &[3]));
@@ -106,25 +106,27 @@
 }
 
 #[test]
-fn a_trouble_of_all_blames_no_server() {
+fn a_common_fault_blames_no_server() {
     let mut world = World::new(settings(), 8, 4);
     world.run(5, &healthy(8, &[]));
-    let stalled: Vec<Event> = (0..8).map(|id| heard(id, 8.0, 4.0, 1400.0)).collect();
+    let stalled: Vec<Event> = (0..8)
+        .map(|id| server_outcomes(id, 8.0, 4.0, 1400.0))
+        .collect();
     world.run(15, &stalled);
     assert!((0..8).all(|id| world.weight(id) >= 3.0));
 }
 
 #[test]
-fn probes_that_all_fail_blame_no_server() {
+fn health_checks_that_all_fail_blame_no_server() {
     let mut world = World::new(settings(), 8, 4);
-    world.mute.extend(0..8);
+    world.unresponsive.extend(0..8);
     world.run(10, &healthy(8, &[]));
     assert!((0..8).all(|id| world.weight(id) == 4.0));
 }
 
 fn with_service_time(id: u32, ms: f64) -> Event {
-    reporting(
-        heard(id, 8.0, 0.0, 200.0),
+    with_load(
+        server_outcomes(id, 8.0, 0.0, 200.0),
         LoadReport {
             latency_ms: Some(ms),
             ..LoadReport::default()
@@ -133,11 +135,11 @@
 }
 
 #[test]
-fn a_server_twice_as_slow_for_its_size_gets_about_half_by_reports_alone() {
+fn a_server_twice_as_slow_for_its_size_gets_about_half_by_load_reports_alone() {
     let mut unprobed = settings();
     unprobed.health_checks_allowed = false;
     let mut world = World::new(unprobed, 8, 4);
-    // Each second's report differs a little: one that repeats the last is no news.
+    // The reports differ a little, since a repeated one shows nothing new.
     for second in 0..20 {
         let events: Vec<Event> = (0..8)
             .map(|id| {
@@ -154,19 +156,19 @@
 }
 
 #[test]
-fn a_server_that_takes_twice_the_time_for_a_probe_gets_about_half_at_once() {
+fn a_server_whose_health_checks_take_twice_as_long_gets_about_half_at_once() {
     let mut world = World::new(settings(), 8, 4);
-    world.slow_probes.insert(2);
+    world.slow_health_checks.insert(2);
     world.run(3, &healthy(8, &[]));
     let weight = world.weight(2);
     assert!((1.6..=2.8).contains(&weight), "weight {weight}");
 }
 
 #[test]
-fn a_machine_that_slows_is_reduced_before_its_answers_tell() {
+fn a_server_that_slows_down_is_reduced_before_its_responses_show_it() {
     let mut world = World::new(settings(), 8, 4);
     world.run(10, &healthy(8, &[]));
-    world.slow_probes.insert(2);
+    world.slow_health_checks.insert(2);
     world.slowness = 8;
     world.run(6, &healthy(8, &[]));
     let weight = world.weight(2);
@@ -174,7 +176,7 @@
 }
 
 #[test]
-fn a_saturated_server_that_fails_tries_is_not_withdrawn() {
+fn a_saturated_server_with_failed_attempts_is_not_withdrawn() {
     let mut world = World::new(settings(), 8, 4);
     world.run(5, &healthy(8, &[]));
     for second in 0..8 {
@@ -183,7 +185,7 @@
             queued: Some(20.0 + f64::from(second)),
             ..LoadReport::default()
         };
-        events.push(reporting(heard(3, 8.0, 5.0, 900.0), load));
+        events.push(with_load(server_outcomes(3, 8.0, 5.0, 900.0), load));
         world.run(1, &events);
         assert!(
             world.weight(3) > 0.4,
@@ -193,24 +195,24 @@
     }
 }
 
-/// Seen in an incident: a returned server had so small a weight that less than one answer a tick came back, and its
-/// ceiling stayed at a tenth while the others were jammed.
+/// A returned server's weight may be so small that it gets less than one attempt in a tick. Its ceiling must grow all the
+/// same.
 #[test]
-fn a_returned_server_climbs_on_few_answers_too() {
+fn a_returned_server_recovers_with_few_successes() {
     let mut world = without_server_3();
     let mut few = healthy(8, &[3]);
-    few.push(heard(3, 0.4, 0.0, 200.0));
+    few.push(server_outcomes(3, 0.4, 0.0, 200.0));
     world.run(30, &few);
     assert!(world.weight(3) >= 3.6, "weight {}", world.weight(3));
 }
 
-/// Seen in the same incident: under a common overload slow probes took the weight from servers that still had room.
+/// Under a common overload, slow health checks must not take the weight from servers with headroom left.
 #[test]
-fn while_the_whole_fleet_is_saturated_no_server_is_reduced_for_slowness() {
+fn no_server_is_reduced_for_slowness_while_the_complete_fleet_is_saturated() {
     let mut world = World::new(settings(), 8, 4);
     world.run(10, &healthy(8, &[]));
     let before = world.weight(2);
-    world.slow_probes.insert(2);
+    world.slow_health_checks.insert(2);
     world.slowness = 20;
     for second in 0..6 {
         let load = LoadReport {
@@ -219,7 +221,7 @@
         };
         let jammed: Vec<Event> = healthy(8, &[])
             .into_iter()
-            .map(|tally| reporting(tally, load))
+            .map(|outcome| with_load(outcome, load))
             .collect();
         world.run(1, &jammed);
     }
@@ -230,14 +232,13 @@
     );
 }
 
-/// Seen on sockets: machines that took three to four times their usual kept half of their weight and more for seconds,
-/// since a score of 0.3 over 0.55 leaves that much, and a quarter of the answers were late.
+/// The score alone would leave a server at a quarter of its speed half of its weight, and its responses would be late.
 #[test]
-fn a_slowed_machine_keeps_no_more_weight_than_it_has_speed_left() {
+fn a_slowed_server_keeps_no_more_weight_than_its_remaining_speed() {
     let mut world = World::new(settings(), 8, 4);
     world.run(10, &healthy(8, &[]));
     let before = world.weight(2);
-    world.slow_probes.insert(2);
+    world.slow_health_checks.insert(2);
     world.slowness = 5;
     world.run(6, &healthy(8, &[]));
     assert!(
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on service: what they decide is composed with health, guards and pace, ends by itself, and breaks no rule.
+//! Overload limits: they combine with health, guards and pacing, expire, and break no rule.
 
 mod common;
 use common::*;
@@ -6,18 +6,18 @@
 
 use chutegrade_policy::*;
 
-fn standing(world: &World, limits: Limits) -> Event {
+fn renewed(world: &World, limits: Limits) -> Event {
     Event::Limits(Limits {
         expires_at: world.now + ms(4000),
         ..limits
     })
 }
 
-/// Seconds in which the same limits are said each second, as their maker does.
-fn limited(world: &mut World, seconds: u32, limits: &Limits, also: &[Event]) {
+/// Seconds in which the same limits are renewed each second, as the overload manager does.
+fn run_with_limits(world: &mut World, seconds: u32, limits: &Limits, each_second: &[Event]) {
     for _ in 0..seconds {
-        let mut events = also.to_vec();
-        events.push(standing(world, limits.clone()));
+        let mut events = each_second.to_vec();
+        events.push(renewed(world, limits.clone()));
         world.run(1, &events);
     }
 }
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn what_is_kept_of_a_class_is_a_most_and_ends_by_itself() {
+fn the_admitted_share_of_a_class_is_an_upper_bound_and_expires() {
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
-    let keep = vec![
+    let admitted = vec![
         ClassShare {
             class: ClassId(0),
             share: 0.5,
@@ -51,11 +51,11 @@
             share: 0.0,
         },
     ];
-    limited(
+    run_with_limits(
         &mut world,
         5,
         &Limits {
-            admitted: keep,
+            admitted,
             ..Limits::default()
         },
         &healthy(8, &[]),
@@ -70,22 +70,22 @@
 }
 
 #[test]
-fn a_limit_adds_to_what_saturation_tells_and_lifts_no_level() {
+fn a_shed_share_limit_adds_to_saturation_and_raises_no_level() {
     let full = LoadReport {
         queued: Some(30.0),
         ..LoadReport::default()
     };
     let busy: Vec<Event> = healthy(8, &[])
         .into_iter()
-        .map(|tally| reporting(tally, full))
+        .map(|outcome| with_load(outcome, full))
         .collect();
-    let lowest = |refuse: Option<f64>, events: &[Event]| {
+    let lowest = |min_shed_share: Option<f64>, events: &[Event]| {
         let mut world = World::new(settings(), 8, 4);
-        limited(
+        run_with_limits(
             &mut world,
             10,
             &Limits {
-                min_shed_share: refuse,
+                min_shed_share,
                 ..Limits::default()
             },
             events,
@@ -107,17 +107,17 @@
     assert_eq!(lowest(Some(9.0), &calm), lowest(Some(0.9), &calm));
 }
 
-/// Danger: a maker that stands still, or speaks of a far future, refuses for good.
+/// An overload manager that stands still, or names a time far ahead, must not shed load for good.
 #[test]
-fn limits_without_a_near_end_do_not_stand() {
+fn limits_that_expire_too_late_are_ignored() {
     let mut world = World::new(settings(), 8, 4);
     world.run(3, &healthy(8, &[]));
-    let keep = vec![ClassShare {
+    let admitted = vec![ClassShare {
         class: ClassId(0),
         share: 0.5,
     }];
     let forever = Event::Limits(Limits {
-        admitted: keep,
+        admitted,
         expires_at: Micros(i64::MAX),
         ..Limits::default()
     });
@@ -127,36 +127,34 @@
     assert_eq!(world.levels[&0], 1.0);
 }
 
-#[test]
-fn ways_of_trying_again_widen_only_where_a_second_run_changes_nothing() {
-    let once = |settings: Settings, also: &[Event]| {
-        let mut world = World::new(settings, 8, 4);
-        world.run(3, &healthy(8, &[]));
-        let again = (0..3)
-            .map(|class| ClassRetry {
-                class: ClassId(class),
-                retry: Retry::Twice,
-            })
-            .collect();
-        limited(
-            &mut world,
-            6,
-            &Limits {
-                retries: again,
-                ..Limits::default()
-            },
-            also,
-        );
-        (world.retries[&0], world.retries[&1], world.retries[&2])
+/// The retry policies of three classes under limits that ask for as many retries as possible.
+fn widest_retries(settings: Settings, each_second: &[Event]) -> (Retry, Retry, Retry) {
+    let mut world = World::new(settings, 8, 4);
+    world.run(3, &healthy(8, &[]));
+    let retries = (0..3)
+        .map(|class| ClassRetry {
+            class: ClassId(class),
+            retry: Retry::Twice,
+        })
+        .collect();
+    let limits = Limits {
+        retries,
+        ..Limits::default()
     };
+    run_with_limits(&mut world, 6, &limits, each_second);
+    (world.retries[&0], world.retries[&1], world.retries[&2])
+}
+
+#[test]
+fn retries_widen_only_for_idempotent_classes() {
     let calm = healthy(8, &[]);
-    // The client waits 2.4 s: a key must hold twice as long.
+    // The client waits 2.4 s: a key must be kept twice as long.
     assert_eq!(
-        once(keyed(10_000), &calm),
+        widest_retries(keyed(10_000), &calm),
         (Retry::Once, Retry::IfNotExecuted, Retry::Once)
     );
     assert_eq!(
-        once(keyed(4000), &calm),
+        widest_retries(keyed(4000), &calm),
         (Retry::Once, Retry::IfNotExecuted, Retry::IfNotExecuted)
     );
     let zone = Class {
@@ -166,21 +164,21 @@
     let mut own = keyed(10_000);
     own.classes[2] = zone;
     assert_eq!(
-        once(own, &calm).2,
+        widest_retries(own, &calm).2,
         Retry::IfNotExecuted,
         "another zone does not know the key"
     );
-    // Nothing widens in a fleet that is short of room.
+    // No retry policy widens in a saturated fleet.
     let full = LoadReport {
         queued: Some(30.0),
         ..LoadReport::default()
     };
     let busy: Vec<Event> = calm
         .into_iter()
-        .map(|tally| reporting(tally, full))
+        .map(|outcome| with_load(outcome, full))
         .collect();
     assert_eq!(
-        once(keyed(10_000), &busy),
+        widest_retries(keyed(10_000), &busy),
         (
             Retry::IfNotExecuted,
             Retry::IfNotExecuted,
@@ -190,10 +188,10 @@
 }
 
 #[test]
-fn ways_of_trying_again_are_narrowed_and_plug_ins_narrow_further() {
+fn limits_narrow_retries_and_plug_ins_narrow_them_further() {
     let mut world = World::new(keyed(10_000), 8, 4);
     world.run(3, &healthy(8, &[]));
-    let again = vec![
+    let retries = vec![
         ClassRetry {
             class: ClassId(0),
             retry: Retry::Never,
@@ -204,29 +202,29 @@
         },
     ];
     let limits = Limits {
-        retries: again,
+        retries,
         ..Limits::default()
     };
-    limited(&mut world, 4, &limits, &healthy(8, &[]));
+    run_with_limits(&mut world, 4, &limits, &healthy(8, &[]));
     assert_eq!(
         (world.retries[&0], world.retries[&1], world.retries[&2]),
         (Retry::Never, Retry::IfNotExecuted, Retry::Once)
     );
-    let never = ClassSet::default().with(2);
+    let no_retry = ClassSet::default().with(2);
     let advice = Event::Advice(Advice {
-        no_retry: never,
+        no_retry,
         expires_at: world.now + ms(14_000),
         ..Advice::default()
     });
     let mut events = healthy(8, &[]);
     events.push(advice);
-    limited(&mut world, 3, &limits, &events);
+    run_with_limits(&mut world, 3, &limits, &events);
     assert_eq!(world.retries[&2], Retry::Never);
 }
 
-/// Danger: one heavy proxy takes from all what only it should lose.
+/// One heavy proxy must not take from all others what only itself should lose.
 #[test]
-fn heavy_proxies_with_tables_of_their_own_are_refused_first() {
+fn heavy_proxies_with_separate_tables_are_shed_first() {
     let sparse = Settings {
         proxies: 40,
         idle_timeout: ms(2000),
@@ -251,11 +249,11 @@
         }),
         ..Limits::default()
     };
-    limited(&mut world, 6, &limits, &events);
+    run_with_limits(&mut world, 6, &limits, &events);
     // The level of each proxy's table is what was ordered for it last.
     let level = |proxy: u32| {
-        let bound = &world.bound[&ProxyId(proxy)];
-        let table = bound
+        let assigned_tables = &world.assigned_tables[&ProxyId(proxy)];
+        let table = assigned_tables
             .iter()
             .rev()
             .find(|(_, classes)| classes.has(0))
@@ -280,12 +278,12 @@
 }
 
 #[test]
-fn limits_that_say_nothing_change_nothing() {
+fn empty_limits_change_nothing() {
     let run = |said: bool| {
         let mut world = World::new(settings(), 8, 6);
         for round in 0..40 {
             let mut events = healthy(8, &[round % 9]);
-            events.extend(said.then(|| standing(&world, Limits::default())));
+            events.extend(said.then(|| renewed(&world, Limits::default())));
             world.run(1, &events);
         }
         world.actions
@@ -310,40 +308,42 @@
         Just(Retry::Once),
         Just(Retry::Twice)
     ];
-    let keep = prop::collection::vec((0..4u8, figure()), 0..5);
-    let again = prop::collection::vec((0..4u8, retry), 0..5);
-    let refuse = prop::option::of(figure());
+    let admitted = prop::collection::vec((0..4u8, figure()), 0..5);
+    let retries = prop::collection::vec((0..4u8, retry), 0..5);
+    let min_shed_share = prop::option::of(figure());
     let heavy = prop::option::of(
         (figure(), figure()).prop_map(|(ordinary, heavy)| ShedShares { ordinary, heavy }),
     );
-    (refuse, heavy, keep, again, 0..100i64).prop_map(|(refuse, heavy, keep, again, until)| Limits {
-        min_shed_share: refuse,
-        shed_shares: heavy,
-        admitted: keep
-            .into_iter()
-            .map(|(class, share)| ClassShare {
-                class: ClassId(class),
-                share,
-            })
-            .collect(),
-        retries: again
-            .into_iter()
-            .map(|(class, retry)| ClassRetry {
-                class: ClassId(class),
-                retry,
-            })
-            .collect(),
-        expires_at: ms(1_000_000 + 1000 * until),
-    })
+    (min_shed_share, heavy, admitted, retries, 0..100i64).prop_map(
+        |(min_shed_share, heavy, admitted, retries, until)| Limits {
+            min_shed_share,
+            shed_shares: heavy,
+            admitted: admitted
+                .into_iter()
+                .map(|(class, share)| ClassShare {
+                    class: ClassId(class),
+                    share,
+                })
+                .collect(),
+            retries: retries
+                .into_iter()
+                .map(|(class, retry)| ClassRetry {
+                    class: ClassId(class),
+                    retry,
+                })
+                .collect(),
+            expires_at: ms(1_000_000 + 1000 * until),
+        },
+    )
 }
 
 fn event_strategy() -> impl Strategy<Value = Event> {
-    let life = prop_oneof![Just(Lifecycle::InService), Just(Lifecycle::Draining)];
+    let lifecycle = prop_oneof![Just(Lifecycle::InService), Just(Lifecycle::Draining)];
     prop_oneof![
-        3 => (0..8u32, 0.0..20.0f64, 0.0..1.0f64, prop::option::of(0.0..40.0f64)).prop_map(|(id, tries, bad, queue)| {
-            reporting(heard(id, tries, tries * bad, 200.0), LoadReport { queued: queue, ..LoadReport::default() })
+        3 => (0..8u32, 0.0..20.0f64, 0.0..1.0f64, prop::option::of(0.0..40.0f64)).prop_map(|(id, attempts, failing, queue)| {
+            with_load(server_outcomes(id, attempts, attempts * failing, 200.0), LoadReport { queued: queue, ..LoadReport::default() })
         }),
-        1 => (0..8u32, life).prop_map(|(id, life)| Event::EndpointList(EndpointUpdateKind::Delta, vec![Endpoint { lifecycle: life, ..entry(id) }])),
+        1 => (0..8u32, lifecycle).prop_map(|(id, lifecycle)| Event::EndpointList(EndpointUpdateKind::Delta, vec![Endpoint { lifecycle, ..endpoint(id) }])),
         3 => limits_strategy().prop_map(Event::Limits),
     ]
 }
@@ -351,8 +351,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever limits say: no order of a repeat that could run twice, levels between a tenth and all, messages within their
-    /// number, and somebody to pick.
+    /// Whatever the limits, the rules hold: no unsafe retry, levels between a tenth and all, messages within their limit, and a
+    /// server for each proxy.
     #[test]
     fn rules_hold_under_arbitrary_limits(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
         let settings = keyed(4000);
@@ -364,10 +364,10 @@
             prop_assert!(world.retries.get(&2).is_none_or(|retry| *retry <= Retry::IfNotExecuted), "its key is gone too soon");
             prop_assert!(world.retries.values().all(|retry| *retry <= Retry::Once));
             prop_assert!(world.levels.values().all(|level| (0.05..=1.0).contains(level)), "{:?}", world.levels);
-            let leaves = |id: u32| world.shut.contains(&ServerId(id));
+            let leaves = |id: u32| world.suspended.contains(&ServerId(id));
             let open = (0..8).any(|id| !leaves(id));
-            for bound in world.bound.values() {
-                let table = bound.last().expect("bound").0;
+            for assigned_tables in world.assigned_tables.values() {
+                let table = assigned_tables.last().expect("bound").0;
                 let lines = world.tables.get(&table);
                 let some = lines.is_some_and(|lines| lines.keys().any(|id| !leaves(id.0)));
                 prop_assert!(!open || some, "nobody to pick");
