--- a/crates/policy/src/decisions/assignment.rs
+++ b/crates/policy/src/decisions/assignment.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     proxy: ProxyId,
-    holds_tables: bool,
+    has_tables: bool,
     is_assigned: bool,
     request_rate: f64,
 }
@@ -73,7 +73,7 @@
     pub sharding: &'a Sharding,
     /// The published tables.
     pub tables: &'a Tables,
-    /// Whether the turn is a tick.
+    /// Whether the round is a tick.
     pub is_tick: bool,
 }
 
@@ -89,7 +89,7 @@
                 continue;
             };
             let group = self.group(proxy.zone);
-            let placement = self.place(proxy, group, &balance);
+            let placement = self.choose_shard(proxy, group, &balance);
             let own_shard = ZoneShard {
                 zone: group,
                 shard: proxy.shard,
@@ -148,34 +148,35 @@
     }
 
     /// The proxies to look at: new ones, then those on old tables, then, at ticks alone, those that are assigned; the
-    /// busiest first. While a fleet joins, all proxies at each turn would be too many.
+    /// busiest first. While a fleet joins, all proxies at each round would be too many.
     fn candidates(&self, proxies: &Proxies) -> Vec<Candidate> {
         let mut candidates: Vec<Candidate> = proxies
             .iter()
             .filter(|(_, proxy)| !proxy.is_assigned || self.is_tick)
             .map(|(id, proxy)| Candidate {
                 proxy: *id,
-                holds_tables: proxy.holds_tables(),
+                has_tables: proxy.has_tables(),
                 is_assigned: proxy.is_assigned,
                 request_rate: proxy.request_rate(),
             })
             .collect();
+        let stage = |candidate: &Candidate| (candidate.has_tables, candidate.is_assigned);
         candidates.sort_by(|a, b| {
-            let order = (a.holds_tables, a.is_assigned).cmp(&(b.holds_tables, b.is_assigned));
-            order.then(b.request_rate.total_cmp(&a.request_rate))
+            let by_stage = stage(a).cmp(&stage(b));
+            by_stage.then(b.request_rate.total_cmp(&a.request_rate))
         });
         candidates
     }
 
     /// The best shard for a proxy. A heavy one uses all shards, or the servers of its shard would be overloaded.
-    fn place(&self, proxy: &Proxy, group: ZoneId, balance: &ShardBalance) -> Placement {
+    fn choose_shard(&self, proxy: &Proxy, group: ZoneId, balance: &ShardBalance) -> Placement {
         let all_shards = self.sharding.shards;
         let hysteresis = if proxy.shard == all_shards {
             HEAVY_HYSTERESIS
         } else {
             1.0
         };
-        let is_sharded = all_shards > 1 && self.sharding.is_usual();
+        let is_sharded = all_shards > 1 && self.sharding.is_at_baseline();
         let request_rate = proxy.request_rate();
         let heavy_from = hysteresis * balance.group_demand.get(&group).unwrap_or(&1.0);
         let is_heavy =
@@ -232,9 +233,9 @@
         let lines = plans
             .iter()
             .filter_map(|plan| self.tables.get(plan.table))
-            .map(|table| self.lines_of(table, candidate.holds_tables) as f64)
+            .map(|table| self.lines_of(table, candidate.has_tables) as f64)
             .sum::<f64>();
-        let budget = if candidate.holds_tables {
+        let budget = if candidate.has_tables {
             &ORDINARY_BUDGET
         } else {
             &JOIN_BUDGET
@@ -260,11 +261,11 @@
 
     /// Lines of a complete table. With the first one a proxy is notified of the servers that left here, with a further
     /// one of all servers in it.
-    fn lines_of(&self, table: &Table, holds_tables: bool) -> usize {
+    fn lines_of(&self, table: &Table, has_tables: bool) -> usize {
         let notified = table
             .weights
             .keys()
-            .filter(|id| holds_tables || self.registry.get(**id).is_some_and(Server::has_left))
+            .filter(|id| has_tables || self.registry.get(**id).is_some_and(Server::has_left))
             .count();
         1 + table.weights.len() + table.levels.len() + notified
     }
--- a/crates/policy/src/decisions/channel.rs
+++ b/crates/policy/src/decisions/channel.rs
@@ -16,9 +16,9 @@
 /// Lower bound on the time over which acknowledged lines are counted, in seconds.
 const MIN_ELAPSED_SECONDS: f64 = 1e-3;
 
-/// The orders of one turn that are not acknowledged by all receivers.
+/// The orders of one round that are not acknowledged by all receivers.
 #[derive(Clone, Debug)]
-struct UnacknowledgedTurn {
+struct UnacknowledgedRound {
     written_at: Micros,
     sequence: u16,
     lines_by_proxy: BTreeMap<ProxyId, f64>,
@@ -27,7 +27,7 @@
 /// The channel, in which messages leave in the order in which they were written.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Channel {
-    turns: VecDeque<UnacknowledgedTurn>,
+    rounds: VecDeque<UnacknowledgedRound>,
     last_sequence: u16,
     last_acknowledged_at: Micros,
     /// Lines acknowledged since the pace was updated.
@@ -51,33 +51,33 @@
         self.pace
     }
 
-    /// The sequence number of the next turn.
+    /// The sequence number of the next round.
     pub fn next_sequence(&self) -> u16 {
         (self.last_sequence + 1) % u16::MAX
     }
 
-    /// Records a turn that is written.
-    pub fn record_turn(
+    /// Records a round that is written.
+    pub fn record_round(
         &mut self,
         now: Micros,
         sequence: u16,
         lines_by_proxy: BTreeMap<ProxyId, f64>,
     ) {
         self.last_sequence = sequence;
-        self.turns.push_back(UnacknowledgedTurn {
+        self.rounds.push_back(UnacknowledgedRound {
             written_at: now,
             sequence,
             lines_by_proxy,
         });
     }
 
-    /// Takes in an acknowledgement, which shows that all earlier turns have left. One whose sequence number was not
+    /// Takes in an acknowledgement, which shows that all earlier rounds have left. One whose sequence number was not
     /// written to the proxy shows nothing.
     pub fn acknowledge(&mut self, now: Micros, proxy: ProxyId, sequence: u16, elapsed: Micros) {
-        let is_acknowledged = |turn: &UnacknowledgedTurn| {
-            turn.sequence == sequence && turn.lines_by_proxy.contains_key(&proxy)
+        let is_acknowledged = |round: &UnacknowledgedRound| {
+            round.sequence == sequence && round.lines_by_proxy.contains_key(&proxy)
         };
-        let Some(position) = self.turns.iter().position(is_acknowledged) else {
+        let Some(position) = self.rounds.iter().position(is_acknowledged) else {
             return;
         };
         self.last_acknowledged_at = now;
@@ -86,25 +86,25 @@
             .map_or(elapsed, |fastest| fastest.min(elapsed));
         self.fastest_acknowledgement = Some(fastest);
         self.acknowledged_lines += self
-            .turns
+            .rounds
             .drain(..position)
-            .flat_map(|turn| turn.lines_by_proxy.into_values())
+            .flat_map(|round| round.lines_by_proxy.into_values())
             .sum::<f64>();
         let lines = self
-            .turns
+            .rounds
             .front_mut()
-            .and_then(|turn| turn.lines_by_proxy.remove(&proxy));
+            .and_then(|round| round.lines_by_proxy.remove(&proxy));
         self.acknowledged_lines += lines.unwrap_or(0.0);
     }
 
     /// Drops what is queued for a proxy whose stream broke.
     pub fn drop_queued(&mut self, proxy: ProxyId) {
-        for turn in &mut self.turns {
-            turn.lines_by_proxy.remove(&proxy);
+        for round in &mut self.rounds {
+            round.lines_by_proxy.remove(&proxy);
         }
     }
 
-    /// Drops the turns that must have left by now. What is not acknowledged counts as queued, however slow the channel,
+    /// Drops the rounds that must have left by now. What is not acknowledged counts as queued, however slow the channel,
     /// until there was silence for long.
     pub fn drop_expired(&mut self, now: Micros, settings: &Settings) {
         let slowest_pace = MIN_PACE_SHARE * settings.channel_lines_per_second;
@@ -113,17 +113,17 @@
         let silent_since =
             now - delivery_delay - delivery_delay - SILENCE_TIMEOUT - largest_message;
         let last_acknowledged_at = self.last_acknowledged_at;
-        self.turns.retain(|turn| {
-            let last_sign = turn.written_at.max(last_acknowledged_at);
-            !turn.lines_by_proxy.is_empty() && last_sign >= silent_since
+        self.rounds.retain(|round| {
+            let last_sign = round.written_at.max(last_acknowledged_at);
+            !round.lines_by_proxy.is_empty() && last_sign >= silent_since
         });
     }
 
     /// Lines that are queued.
     pub fn queued_lines(&self) -> f64 {
-        self.turns
+        self.rounds
             .iter()
-            .flat_map(|turn| turn.lines_by_proxy.values())
+            .flat_map(|round| round.lines_by_proxy.values())
             .sum()
     }
 
@@ -144,9 +144,9 @@
 
     /// Lines of the largest message that is queued.
     fn largest_message(&self) -> f64 {
-        self.turns
+        self.rounds
             .iter()
-            .flat_map(|turn| turn.lines_by_proxy.values())
+            .flat_map(|round| round.lines_by_proxy.values())
             .copied()
             .fold(0.0, f64::max)
     }
--- a/crates/policy/src/decisions/channel/tests.rs
+++ b/crates/policy/src/decisions/channel/tests.rs
@@ -10,8 +10,8 @@
             .map(|id| (ProxyId(*id), 4.0))
             .collect::<BTreeMap<_, _>>()
     };
-    channel.record_turn(Micros(1), 1, lines(&[1, 2]));
-    channel.record_turn(Micros(2), 2, lines(&[2]));
+    channel.record_round(Micros(1), 1, lines(&[1, 2]));
+    channel.record_round(Micros(2), 2, lines(&[2]));
     channel.acknowledge(Micros(3), ProxyId(1), 2, Micros(1));
     channel.acknowledge(Micros(3), ProxyId(2), 77, Micros(1));
     assert_eq!(
--- a/crates/policy/src/decisions/evidence.rs
+++ b/crates/policy/src/decisions/evidence.rs
@@ -6,7 +6,7 @@
 use crate::statistics::{clamp_to_unit, DecayingMean, Ramp};
 
 /// Half-life of outcomes and health checks, in seconds: a few report periods, since one holds few attempts.
-const OUTCOME_HALF_LIFE_SECONDS: f64 = 1.5;
+pub(super) const OUTCOME_HALF_LIFE_SECONDS: f64 = 1.5;
 /// Half-life of what shows speeds and arrival rates, in seconds: reports are noisy.
 pub(super) const RATE_HALF_LIFE_SECONDS: f64 = 12.0;
 /// Half-life of the arrivals of each class, in seconds.
@@ -150,12 +150,14 @@
 
     /// How many times longer health checks take now than they usually do.
     pub fn slowdown(&self) -> Option<f64> {
-        Some(self.speed.checks.positive_mean()? / self.recent_check_speed.positive_mean()?)
+        let usual_speed = self.speed.checks.positive_mean()?;
+        Some(usual_speed / self.recent_check_speed.positive_mean()?)
     }
 
     /// How many times longer health checks take now than they usually do while the server has work.
     pub fn slowdown_at_work(&self) -> Option<f64> {
-        Some(self.speed.checks_at_work.positive_mean()? / self.recent_check_speed.positive_mean()?)
+        let usual_speed = self.speed.checks_at_work.positive_mean()?;
+        Some(usual_speed / self.recent_check_speed.positive_mean()?)
     }
 
     /// Lets time pass.
--- a/crates/policy/src/decisions/health_checks.rs
+++ b/crates/policy/src/decisions/health_checks.rs
@@ -3,6 +3,7 @@
 use crate::interface::{HealthCheckOutcome, Micros};
 use crate::statistics::decay_factor;
 
+use super::evidence::OUTCOME_HALF_LIFE_SECONDS;
 use super::tick::TICK_INTERVAL;
 
 /// Interval between the health checks of a server that answers.
@@ -11,8 +12,6 @@
 const CHECK_LOSS_TIMEOUT: Micros = Micros(3_000_000);
 /// A failed health check counts as so many failed attempts, times the number of consecutive failures.
 const ATTEMPTS_PER_FAILED_CHECK: f64 = 2.0;
-/// Half-life of failed health checks, in seconds.
-const FAILURE_HALF_LIFE_SECONDS: f64 = 1.5;
 
 /// The health checks of a server.
 #[derive(Clone, Copy, Debug, Default)]
@@ -66,6 +65,6 @@
 
     /// Lets time pass.
     pub fn decay(&mut self, elapsed_seconds: f64) {
-        self.failed_attempts *= decay_factor(elapsed_seconds, FAILURE_HALF_LIFE_SECONDS);
+        self.failed_attempts *= decay_factor(elapsed_seconds, OUTCOME_HALF_LIFE_SECONDS);
     }
 }
--- a/crates/policy/src/decisions/mod.rs
+++ b/crates/policy/src/decisions/mod.rs
@@ -18,6 +18,7 @@
 mod orders;
 mod proxies;
 mod publication;
+mod publish;
 mod registry;
 mod retry_policy;
 mod scoring;
@@ -31,7 +32,6 @@
 mod table_layout;
 mod tables;
 mod tick;
-mod turn;
 mod warm_up;
 mod weights;
 mod zone_affinity;
@@ -57,8 +57,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
     settings: Settings,
+    /// Differs between the instances of a deployment.
     seed: u64,
+    /// Whether the first events were handled.
     started: bool,
+    /// The time of the last tick.
     ticked_at: Micros,
     registry: Registry,
     proxies: Proxies,
@@ -151,8 +154,8 @@
         let reachability = self.links.detect_partitions(&self.registry, actions);
         let references = self.links.update(&mut self.registry, &self.settings);
         self.detect_common_failures(now, &references, &reachability);
-        Scoring::new(&self.registry, &self.settings, &references, &reachability)
-            .score_servers(&mut self.registry, actions);
+        let scoring = Scoring::new(&self.registry, &self.settings, &references, &reachability);
+        scoring.score_servers(&mut self.registry, actions);
         self.decay(elapsed_seconds);
         let inputs = AdmissionInputs {
             settings: &self.settings,
--- a/crates/policy/src/decisions/orders.rs
+++ b/crates/policy/src/decisions/orders.rs
@@ -1,4 +1,4 @@
-//! The orders of one turn and the account of the channel that each of them must fit.
+//! The orders of one round and the account of the channel that each of them must fit.
 
 use std::collections::BTreeMap;
 
@@ -62,7 +62,7 @@
     is_urgent: false,
 };
 
-/// What the channel can take, at the time of the turn.
+/// What the channel can take, at the time of the round.
 #[derive(Clone, Copy, Debug)]
 struct ChannelCapacity {
     stated_pace: f64,
@@ -74,16 +74,16 @@
     max_messages: usize,
 }
 
-/// The orders of one turn.
+/// The orders of one round.
 #[derive(Debug)]
 pub(super) struct Orders {
-    /// The time of the turn.
+    /// The time of the round.
     pub at: Micros,
     /// The actions, in the order in which they are given.
     pub actions: Vec<Action>,
     /// Lines of the message to each proxy, header included.
     pub lines_by_proxy: BTreeMap<ProxyId, f64>,
-    /// Lines queued in the channel, this turn's included.
+    /// Lines queued in the channel, this round's included.
     queued_lines: f64,
     /// Lines of a message beyond its orders.
     header_lines: f64,
@@ -91,7 +91,7 @@
 }
 
 impl Orders {
-    /// A turn without orders.
+    /// A round without orders.
     pub fn new(now: Micros, channel: &Channel, settings: &Settings) -> Self {
         let capacity = ChannelCapacity {
             stated_pace: settings.channel_lines_per_second,
@@ -132,7 +132,7 @@
         self.queued_lines += cost;
     }
 
-    /// Whether all these proxies get a message in this turn already.
+    /// Whether all these proxies get a message in this round already.
     pub fn reaches_all(&self, proxies: &[ProxyId]) -> bool {
         proxies
             .iter()
@@ -170,7 +170,7 @@
             && self.queued_lines <= sent_in_time
     }
 
-    /// The largest share of the message limit in use at any recipient, this turn's message included.
+    /// The largest share of the message limit in use at any recipient, this round's message included.
     fn message_share(&self, proxies: &Proxies, recipients: &[ProxyId]) -> f64 {
         if self.capacity.max_messages == 0 {
             return 0.0;
@@ -185,7 +185,7 @@
             .sum()
     }
 
-    /// Lines of the header, for a proxy that gets no message in this turn yet.
+    /// Lines of the header, for a proxy that gets no message in this round yet.
     fn header_lines_for(&self, proxy: ProxyId) -> f64 {
         if self.lines_by_proxy.contains_key(&proxy) {
             0.0
--- a/crates/policy/src/decisions/proxies.rs
+++ b/crates/policy/src/decisions/proxies.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether it holds tables of this instance.
-    pub fn holds_tables(&self) -> bool {
+    pub fn has_tables(&self) -> bool {
         !self.tables.is_empty()
     }
 
--- a/crates/policy/src/decisions/publication.rs
+++ b/crates/policy/src/decisions/publication.rs
@@ -49,7 +49,7 @@
     pub tables: &'a mut Tables,
     /// The joined proxies.
     pub proxies: &'a Proxies,
-    /// The orders of the turn.
+    /// The orders of the round.
     pub orders: &'a mut Orders,
 }
 
--- a/crates/policy/src/decisions/turn.rs
+++ b/crates/policy/src/decisions/publish.rs
@@ -1,4 +1,4 @@
-//! One turn of publication: the phases by which decisions become orders, and the acknowledgement that is asked for them.
+//! One round of publication: the phases by which decisions become orders, and the acknowledgement that is asked for them.
 
 use std::collections::BTreeMap;
 
@@ -220,7 +220,7 @@
         assignment.assign(&mut self.proxies, orders);
     }
 
-    /// Asks the proxies that this turn's orders reach for an acknowledgement.
+    /// Asks the proxies that this round's orders reach for an acknowledgement.
     fn request_acknowledgement(&mut self, now: Micros, orders: &mut Orders) {
         if orders.lines_by_proxy.is_empty() {
             return;
@@ -234,6 +234,6 @@
             self.proxies.record_written(*proxy, now);
         }
         let lines_by_proxy = std::mem::take(&mut orders.lines_by_proxy);
-        self.channel.record_turn(now, sequence, lines_by_proxy);
+        self.channel.record_round(now, sequence, lines_by_proxy);
     }
 }
--- a/crates/policy/src/decisions/scoring.rs
+++ b/crates/policy/src/decisions/scoring.rs
@@ -31,7 +31,7 @@
     references: &'a References,
     reachability: &'a Reachability,
     /// By zone, the usual slowdown of health checks.
-    usual_slowdown: ByZone,
+    baseline_slowdown: ByZone,
     /// Headroom of the fleet, by which terms count: traffic moved off a server of a saturated fleet jams the next.
     headroom: f64,
 }
@@ -44,7 +44,7 @@
         references: &'a References,
         reachability: &'a Reachability,
     ) -> Self {
-        let usual_slowdown = zones(settings)
+        let baseline_slowdown = zones(settings)
             .filter_map(|zone| {
                 let slowdown = registry.median(Some(zone), |server| server.evidence.slowdown())?;
                 Some((zone, slowdown))
@@ -55,7 +55,7 @@
         Scoring {
             references,
             reachability,
-            usual_slowdown,
+            baseline_slowdown,
             headroom: 1.0 - saturation.unwrap_or(0.0),
         }
     }
@@ -108,7 +108,7 @@
 
     /// Duration of health checks over the usual one of the zone: it shows a slow machine of any kind.
     fn check_latency_ratio(&self, server: &Server) -> Option<f64> {
-        let usual = self.usual_slowdown.get(&server.endpoint.zone);
+        let usual = self.baseline_slowdown.get(&server.endpoint.zone);
         let slowdown = server.evidence.slowdown()?;
         Some(slowdown / usual.copied().unwrap_or(1.0))
     }
--- a/crates/policy/src/decisions/sharding.rs
+++ b/crates/policy/src/decisions/sharding.rs
@@ -35,7 +35,7 @@
     /// The tables of the present layout.
     pub plans: Vec<TablePlan>,
     /// Number of shards while attempts don't fail everywhere; 0 until the first proxies joined.
-    usual_shards: usize,
+    baseline_shards: usize,
     /// When attempts last failed everywhere although the servers had headroom.
     failed_at: Option<Micros>,
 }
@@ -51,9 +51,9 @@
     pub proxies: &'a Proxies,
     /// Classes with tables of their own.
     pub separate_classes: ClassSet,
-    /// The time of the turn.
+    /// The time of the round.
     pub now: Micros,
-    /// Whether the turn is a tick.
+    /// Whether the round is a tick.
     pub is_tick: bool,
 }
 
@@ -65,9 +65,9 @@
 }
 
 impl Sharding {
-    /// Whether tables are narrower than usual.
-    pub fn is_usual(&self) -> bool {
-        self.shards == self.usual_shards
+    /// Whether tables have their baseline width, which they lose while attempts fail everywhere.
+    pub fn is_at_baseline(&self) -> bool {
+        self.shards == self.baseline_shards
     }
 
     /// Whether each zone has shards of its own.
@@ -94,16 +94,16 @@
             return None;
         }
         let size = inputs.fleet_size();
-        if self.usual_shards == 0 {
-            self.usual_shards = inputs.usual_shards(size);
+        if self.baseline_shards == 0 {
+            self.baseline_shards = inputs.baseline_shards(size);
         }
         let narrowed = self
             .failed_at
             .is_some_and(|at| inputs.now - at < NARROW_PERIOD);
         let shards = if narrowed {
-            size.narrowed_shards().max(self.usual_shards)
+            size.narrowed_shards().max(self.baseline_shards)
         } else {
-            self.usual_shards
+            self.baseline_shards
         };
         let separate_classes = self.plans.first().map(|plan| plan.separate_classes);
         let has_other_classes =
@@ -170,7 +170,7 @@
     }
 
     /// Number of shards in which a usual proxy keeps its connections and tables arrive in time.
-    fn usual_shards(&self, size: FleetSize) -> usize {
+    fn baseline_shards(&self, size: FleetSize) -> usize {
         let joined = self.proxies.len() as f64;
         let rate = self.proxies.request_rates().sum::<f64>() / joined;
         let requests_per_timeout = rate * self.settings.idle_timeout.secs();
--- a/crates/policy/src/decisions/slices.rs
+++ b/crates/policy/src/decisions/slices.rs
@@ -45,7 +45,7 @@
     pub proxies: &'a Proxies,
     /// The weights of all servers; those above 0 may own slices.
     pub usable: &'a Weights,
-    /// Sequence number of the turn.
+    /// Sequence number of the round.
     pub sequence: u16,
 }
 
--- a/crates/policy/src/decisions/suspension.rs
+++ b/crates/policy/src/decisions/suspension.rs
@@ -89,8 +89,8 @@
     proxies
         .iter()
         .filter(|(_, proxy)| {
-            let mut held = proxy.tables.iter();
-            held.any(|table| tables.names(*table, server))
+            let mut own_tables = proxy.tables.iter();
+            own_tables.any(|table| tables.names(*table, server))
         })
         .map(|(id, _)| *id)
         .collect()
--- a/crates/policy/src/decisions/zone_links.rs
+++ b/crates/policy/src/decisions/zone_links.rs
@@ -51,10 +51,10 @@
 impl Observed {
     /// The median over the servers of a zone, or over all, as the proxies of a zone see them.
     fn median(registry: &Registry, proxy_zone: ZoneId, server_zone: Option<ZoneId>) -> Self {
-        let median = |part_of: fn(&ZoneEvidence) -> DecayingMean| {
+        let median = |select: fn(&ZoneEvidence) -> DecayingMean| {
             registry.median(server_zone, |server| {
                 let evidence = server.evidence.by_proxy_zone.get(&proxy_zone)?;
-                let mean = part_of(evidence);
+                let mean = select(evidence);
                 (mean.weight >= MIN_SAMPLES).then(|| mean.sum / mean.weight)
             })
         };
@@ -105,7 +105,7 @@
         observed.or(Reference::default())
     }
 
-    /// What is seen of the same servers, or else of others, without a link between.
+    /// What is seen within the servers' own zone, or else within the proxies' zone: outcomes without the link.
     fn local(&self, pair: ZonePair) -> Observed {
         let within = |zone: ZoneId| {
             self.by_pair.get(&ZonePair {
@@ -211,12 +211,12 @@
                 next_score(previous, link, local)
             };
             self.scores.insert(pair, score);
-            // Beside a degraded link the median of the fleet would pass for usual everywhere.
-            let stands_apart =
+            // Beside a degraded link the fleet's median would hide what the servers of other links lack.
+            let has_own_reference =
                 score < RESTORE_ABOVE || zones_with_degraded_link.contains(&pair.proxies);
-            references.insert(pair, if stands_apart { link } else { fleet });
-            let was_degraded = previous < RESTORE_ABOVE && score >= RESTORE_ABOVE;
-            if !is_partitioned && (previous <= 0.0 || was_degraded) {
+            references.insert(pair, if has_own_reference { link } else { fleet });
+            let is_restored = previous < RESTORE_ABOVE && score >= RESTORE_ABOVE;
+            if !is_partitioned && (previous <= 0.0 || is_restored) {
                 discard_evidence(registry, pair);
             }
         }
--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -53,7 +53,7 @@
         /// The retry policy.
         retry: Retry,
     },
-    /// Asks each proxy that this turn's orders reach for an acknowledgement.
+    /// Asks each proxy that this round's orders reach for an acknowledgement.
     RequestAcknowledgement {
         /// The sequence number to echo.
         sequence: u16,
--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -25,7 +25,7 @@
     pub machine_kind: u32,
     /// Its cell.
     pub cell: u32,
-    /// Its new lifecycle.
+    /// Its lifecycle.
     pub lifecycle: Lifecycle,
     /// Its listed weight.
     pub weight: f64,
--- a/crates/policy/src/interface/ids.rs
+++ b/crates/policy/src/interface/ids.rs
@@ -26,6 +26,7 @@
     pub fn with(self, class: usize) -> Self {
         ClassSet(self.0 | 1u32.checked_shl(class as u32).unwrap_or(0))
     }
+
     /// Whether the class is in the set.
     pub fn has(self, class: usize) -> bool {
         self.0 & 1u32.checked_shl(class as u32).unwrap_or(0) != 0
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -20,7 +20,7 @@
     /// At random, by weight.
     #[default]
     Random,
-    /// In turn, by weight.
+    /// In round, by weight.
     WeightedRoundRobin,
     /// Of two drawn by weight, the one with fewer requests of this proxy in flight.
     PowerOfTwoChoices,
--- a/crates/policy/src/interface/time.rs
+++ b/crates/policy/src/interface/time.rs
@@ -9,6 +9,7 @@
     pub fn from_ms(ms: f64) -> Self {
         Micros((ms * 1000.0) as i64)
     }
+
     /// The length of time in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
@@ -17,6 +18,8 @@
 
 impl std::ops::Add for Micros {
     type Output = Micros;
+
+    /// The sum, which saturates.
     fn add(self, other: Micros) -> Micros {
         Micros(self.0.saturating_add(other.0))
     }
@@ -24,6 +27,8 @@
 
 impl std::ops::Sub for Micros {
     type Output = Micros;
+
+    /// The difference, which saturates.
     fn sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -21,9 +21,9 @@
 
     /// Lets time pass; both sums halve with each half-life.
     pub fn decay(&mut self, elapsed_seconds: f64, half_life_seconds: f64) {
-        let kept_share = decay_factor(elapsed_seconds, half_life_seconds);
-        self.sum *= kept_share;
-        self.weight *= kept_share;
+        let remaining_share = decay_factor(elapsed_seconds, half_life_seconds);
+        self.sum *= remaining_share;
+        self.weight *= remaining_share;
     }
 
     /// The mean of values that can't be 0; none while there is no value.
