--- a/crates/policy/src/decisions/assignment.rs
+++ b/crates/policy/src/decisions/assignment.rs
@@ -1,13 +1,12 @@
 //! Assignment of proxies to shards and their tables, as far as the channel takes them.
 
-use std::collections::BTreeMap;
-
 use crate::interface::{Action, ProxyId, Settings, ZoneId};
 
 use super::orders::{Orders, JOIN_BUDGET, ORDINARY_BUDGET};
 use super::proxies::{Proxies, Proxy};
-use super::registry::{ByZone, Registry};
+use super::registry::Registry;
 use super::server::Server;
+use super::shard_balance::{Placement, ShardBalance, ShardGroups};
 use super::sharding::Sharding;
 use super::table_layout::{TablePlan, ZoneShard};
 use super::tables::{Table, Tables};
@@ -17,40 +16,14 @@
 const REBALANCE_RATIO: f64 = 1.3;
 /// A proxy that uses all shards goes back to one below this share of the demand from which it uses all.
 const HEAVY_HYSTERESIS: f64 = 0.5;
-/// Lower bound on a shard's weight, by which its load is divided.
-const MIN_SHARD_WEIGHT: f64 = 1e-6;
-
-/// The load of a shard.
-#[derive(Clone, Copy, Debug, Default)]
-struct ShardLoad {
-    /// Sum of its servers' weights.
-    weight: f64,
-    /// Demand of its proxies, in requests per second.
-    request_rate: f64,
-}
-
-impl ShardLoad {
-    /// Demand against weight, with so much more demand.
-    fn with_more(&self, request_rate: f64) -> f64 {
-        (self.request_rate + request_rate) / self.weight.max(MIN_SHARD_WEIGHT)
-    }
-}
 
-/// A shard for a proxy, and the load that it would have.
-#[derive(Clone, Copy, Debug, Default)]
-struct Placement {
-    shard: usize,
-    load: f64,
-}
-
-/// How the demand is spread over the shards.
-#[derive(Debug)]
-struct ShardBalance {
-    loads: BTreeMap<ZoneShard, ShardLoad>,
-    /// Share of each group of zones in the demand.
-    group_demand: ByZone,
-    /// Demand of all proxies, in requests per second.
-    total_rate: f64,
+/// A move of a proxy to another shard, or to its first one.
+#[derive(Clone, Copy, Debug)]
+struct Move {
+    from: ZoneShard,
+    to: ZoneShard,
+    /// Whether it balances the load enough to move a proxy that is assigned.
+    is_worthwhile: bool,
 }
 
 /// A proxy that may be assigned to a shard.
@@ -83,67 +56,30 @@
         if self.sharding.shards == 0 {
             return;
         }
-        let mut balance = self.balance(proxies);
+        let mut balance = ShardBalance::new(self.registry, proxies, &self.groups());
         for candidate in self.candidates(proxies) {
             let Some(proxy) = proxies.get(candidate.proxy) else {
                 continue;
             };
-            let group = self.group(proxy.zone);
-            let placement = self.choose_shard(proxy, group, &balance);
-            let own_shard = ZoneShard {
-                zone: group,
-                shard: proxy.shard,
-            };
-            let own_load = *balance.loads.entry(own_shard).or_default();
-            let stays = placement.shard == proxy.shard
-                || own_load.with_more(0.0) < REBALANCE_RATIO * placement.load;
-            if candidate.is_assigned && stays {
+            let step = self.plan_move(proxy, &mut balance);
+            if candidate.is_assigned && !step.is_worthwhile {
                 self.reconcile(candidate.proxy, proxies, orders);
                 continue;
             }
-            if !self.assign_tables(&candidate, placement.shard, proxies, orders) {
+            if !self.assign_tables(&candidate, step.to.shard, proxies, orders) {
                 break;
             }
             if candidate.is_assigned {
-                balance.add(own_shard, -candidate.request_rate);
+                balance.add(step.from, -candidate.request_rate);
             }
-            let new_shard = ZoneShard {
-                zone: group,
-                shard: placement.shard,
-            };
-            balance.add(new_shard, candidate.request_rate);
+            balance.add(step.to, candidate.request_rate);
         }
     }
 
-    /// The group of zones that share shards.
-    fn group(&self, zone: ZoneId) -> ZoneId {
-        if prefers_own_zone(self.settings) {
-            zone
-        } else {
-            ZoneId::default()
-        }
-    }
-
-    fn balance(&self, proxies: &Proxies) -> ShardBalance {
-        let mut loads: BTreeMap<ZoneShard, ShardLoad> = BTreeMap::new();
-        for (_, server) in self.registry.in_service() {
-            let shard = ZoneShard {
-                zone: self.group(server.endpoint.zone),
-                shard: server.ordinal % self.sharding.shards,
-            };
-            loads.entry(shard).or_default().weight += server.weight;
-        }
-        for (_, proxy) in proxies.iter().filter(|(_, proxy)| proxy.is_assigned) {
-            let shard = ZoneShard {
-                zone: self.group(proxy.zone),
-                shard: proxy.shard,
-            };
-            loads.entry(shard).or_default().request_rate += proxy.request_rate();
-        }
-        ShardBalance {
-            loads,
-            group_demand: proxies.demand_shares(|zone| self.group(zone)),
-            total_rate: proxies.request_rates().sum::<f64>(),
+    fn groups(&self) -> ShardGroups {
+        ShardGroups {
+            shards: self.sharding.shards,
+            by_zone: prefers_own_zone(self.settings),
         }
     }
 
@@ -168,29 +104,54 @@
         candidates
     }
 
-    /// The best shard for a proxy. A heavy one uses all shards, or the servers of its shard would be overloaded.
-    fn choose_shard(&self, proxy: &Proxy, group: ZoneId, balance: &ShardBalance) -> Placement {
-        let all_shards = self.sharding.shards;
-        let hysteresis = if proxy.shard == all_shards {
-            HEAVY_HYSTERESIS
-        } else {
-            1.0
+    /// The best shard for a proxy, and whether it should move there from its own.
+    fn plan_move(&self, proxy: &Proxy, balance: &mut ShardBalance) -> Move {
+        let group = self.groups().group(proxy.zone);
+        let placement = self.best_placement(proxy, group, balance);
+        let from = ZoneShard {
+            zone: group,
+            shard: proxy.shard,
+        };
+        let to = ZoneShard {
+            zone: group,
+            shard: placement.shard,
         };
-        let is_sharded = all_shards > 1 && self.sharding.is_at_baseline();
-        let request_rate = proxy.request_rate();
-        let heavy_from = hysteresis * balance.group_demand.get(&group).unwrap_or(&1.0);
-        let is_heavy =
-            is_sharded && request_rate * all_shards as f64 > heavy_from * balance.total_rate;
-        if is_heavy {
+        let own_load = balance.load(from).with_more(0.0);
+        let keeps_shard = from == to || own_load < REBALANCE_RATIO * placement.load;
+        Move {
+            from,
+            to,
+            is_worthwhile: !keeps_shard,
+        }
+    }
+
+    /// The best shard for a proxy. A heavy one uses all shards, or the servers of its shard would be overloaded.
+    fn best_placement(&self, proxy: &Proxy, group: ZoneId, balance: &ShardBalance) -> Placement {
+        if self.is_heavy(proxy, group, balance) {
             Placement {
-                shard: all_shards,
+                shard: self.sharding.shards,
                 load: 0.0,
             }
         } else {
-            balance.least_loaded(group, request_rate)
+            balance.least_loaded(group, proxy.request_rate())
         }
     }
 
+    /// Whether the demand of a proxy exceeds what a shard can serve.
+    fn is_heavy(&self, proxy: &Proxy, group: ZoneId, balance: &ShardBalance) -> bool {
+        let shards = self.sharding.shards;
+        if shards <= 1 || !self.sharding.is_at_baseline() {
+            return false;
+        }
+        let hysteresis = if proxy.shard == shards {
+            HEAVY_HYSTERESIS
+        } else {
+            1.0
+        };
+        let heavy_from = hysteresis * balance.demand_share(group);
+        proxy.request_rate() * shards as f64 > heavy_from * balance.total_rate()
+    }
+
     /// Corrects the suspensions that a proxy may hold from another instance, for all servers of its tables. That waits
     /// until the channel is free: with the first table it would double the time of a join.
     fn reconcile(&self, id: ProxyId, proxies: &mut Proxies, orders: &mut Orders) {
@@ -270,29 +231,3 @@
         1 + table.weights.len() + table.levels.len() + notified
     }
 }
-
-impl ShardBalance {
-    /// The shard of a group with the least load, with so much more demand.
-    fn least_loaded(&self, group: ZoneId, request_rate: f64) -> Placement {
-        let first = ZoneShard {
-            zone: group,
-            shard: 0,
-        };
-        let last = ZoneShard {
-            zone: group,
-            shard: usize::MAX,
-        };
-        self.loads
-            .range(first..=last)
-            .map(|(shard, load)| Placement {
-                shard: shard.shard,
-                load: load.with_more(request_rate),
-            })
-            .min_by(|a, b| a.load.total_cmp(&b.load))
-            .unwrap_or_default()
-    }
-
-    fn add(&mut self, shard: ZoneShard, request_rate: f64) {
-        self.loads.entry(shard).or_default().request_rate += request_rate;
-    }
-}
--- a/crates/policy/src/decisions/mod.rs
+++ b/crates/policy/src/decisions/mod.rs
@@ -23,6 +23,7 @@
 mod retry_policy;
 mod scoring;
 mod server;
+mod shard_balance;
 mod sharding;
 mod slices;
 mod smoothing;
