--- a/crates/records/src/text.rs
+++ b/crates/records/src/text.rs
@@ -39,11 +39,11 @@
 pub fn cause(cause: Cause) -> &'static str {
     match cause {
         Cause::Score => "its score",
-        Cause::Errors => "tries fail",
-        Cause::Latency => "it got slower",
-        Cause::Probes => "probes fail",
-        Cause::TriedAgain => "its time out is over",
-        Cause::GoodTicks => "good for long enough",
+        Cause::Errors => "attempts failed",
+        Cause::Latency => "latency regression",
+        Cause::Probes => "health checks failed",
+        Cause::TriedAgain => "ejection period elapsed",
+        Cause::GoodTicks => "recovered",
     }
 }
 
@@ -51,7 +51,7 @@
 pub fn retry(retry: u32) -> &'static str {
     match retry {
         0 => "never",
-        1 => "once, after proof that it did not run",
+        1 => "once, if not executed",
         2 => "once",
         _ => "twice",
     }
--- a/crates/records/src/text/kinds.rs
+++ b/crates/records/src/text/kinds.rs
@@ -33,7 +33,7 @@
         Kind::ReportsDropped(of) => format!("{} reports dropped, the last: {}", of.count, of.last),
         Kind::Discovery(of) => discovery(of),
         Kind::Reloaded(of) => reloaded(of),
-        Kind::Fleet(of) => format!("{} servers as they stand", of.servers.len()),
+        Kind::Fleet(of) => format!("status of {} servers", of.servers.len()),
     }
 }
 
@@ -56,9 +56,9 @@
 
 fn recovered(of: &pb::Recovered) -> String {
     let end = if of.stopped {
-        "ended as asked"
+        "shut down cleanly"
     } else {
-        "ended without a last word"
+        "ended without a shutdown record"
     };
     let mut text = format!(
         "start {} {end}, {} records kept",
@@ -87,43 +87,46 @@
 
 fn withdrawn(of: &pb::Withdrawn) -> String {
     let change = if of.out {
-        "shut out of all tables"
+        "suspended in all tables"
     } else {
-        "let in again"
+        "resumed"
     };
-    format!("{} {change}, {} streams told", of.server, of.streams)
+    format!("{} {change}, {} streams notified", of.server, of.streams)
 }
 
 fn cold_held(of: pb::ColdHeld) -> String {
     let change = if of.held {
-        "held out of tables"
+        "withheld from tables"
     } else {
-        "let in again"
+        "re-admitted"
     };
-    format!("cold servers {change}: {:.1} tries an answer", of.tries)
+    format!(
+        "warming servers {change}: {:.1} attempts per response",
+        of.tries
+    )
 }
 
 fn zone_cut(of: &pb::ZoneCut) -> String {
     if !of.cut {
-        return format!("zone {} answers again", of.zone);
+        return format!("zone {} reachable again", of.zone);
     }
     let unanswered_percent = 100.0 * of.mute;
     format!(
-        "zone {} cut off from here: {unanswered_percent:.0} % answer no probe",
+        "zone {} partitioned from here: {unanswered_percent:.0} % of its servers answer no health check",
         of.zone
     )
 }
 
 fn saturation(of: pb::Saturation) -> String {
     format!(
-        "refuses {:.1}, saturated {:.2}: queues {:.2} probes {:.2} mute {:.2}",
+        "sheds {:.1}, saturation {:.2}: queues {:.2} health checks {:.2} unanswered {:.2}",
         of.refused, of.strain, of.queues, of.probes, of.mute
     )
 }
 
 fn level(of: &pb::Level) -> String {
     format!(
-        "level of {} {} in table {}, tries again {}, saturated {:.2}",
+        "admission level of {} {} in table {}, retries {}, saturation {:.2}",
         of.class,
         figure(of.level),
         of.table,
@@ -135,11 +138,11 @@
 fn advice_void(of: &pb::AdviceVoid) -> String {
     if of.void {
         format!(
-            "advice on table {} is void: it would leave too little",
+            "advice on table {} overruled: it would leave too little",
             of.table
         )
     } else {
-        format!("advice on table {} holds again", of.table)
+        format!("advice on table {} in force again", of.table)
     }
 }
 
@@ -183,19 +186,19 @@
 
 fn parts(of: pb::Parts) -> String {
     let narrowed = if of.narrowed {
-        ", narrowed: tries fail everywhere"
+        ", narrowed: attempts fail everywhere"
     } else {
         ""
     };
-    format!("fleet dealt into {} parts{narrowed}", of.parts)
+    format!("fleet divided into {} shards{narrowed}", of.parts)
 }
 
 fn failing(of: &pb::Failing) -> String {
     if !of.failing {
-        return format!("{} answers tries from {} again", of.server, of.zone);
+        return format!("{} answers attempts from {} again", of.server, of.zone);
     }
     format!(
-        "{} fails {:.0} of {:.0} tries from {}",
+        "{} fails {:.0} of {:.0} attempts from {}",
         of.server, of.failed, of.tries, of.zone
     )
 }
@@ -222,23 +225,23 @@
 
 fn published(of: pb::Published) -> String {
     format!(
-        "{} lines, {} bindings, {} withdrawals to {} streams",
+        "{} weights, {} assignments, {} suspensions to {} streams",
         of.lines, of.binds, of.withdrawals, of.streams
     )
 }
 
 fn gauge(of: &pb::Gauge) -> String {
     format!(
-        "{:.0} lines wait, refuses {:.2}, {} streams, {} full {} reduced {} withdrawn {} cold",
+        "{:.0} lines queued, sheds {:.2}, {} streams, {} full {} reduced {} withdrawn {} warming",
         of.waiting, of.refused, of.streams, of.full, of.reduced, of.withdrawn, of.cold
     )
 }
 
 fn discovery(of: &pb::Discovery) -> String {
     if of.tells {
-        "discovery tells again".to_string()
+        "discovery available again".to_string()
     } else {
-        format!("discovery does not tell: {}", of.reason)
+        format!("discovery unavailable: {}", of.reason)
     }
 }
 
@@ -246,7 +249,7 @@
     if of.taken {
         format!("configuration reloaded: {}", of.detail)
     } else {
-        format!("the new configuration is not taken: {}", of.detail)
+        format!("the new configuration is rejected: {}", of.detail)
     }
 }
 
