--- a/crates/records/src/frame.rs
+++ b/crates/records/src/frame.rs
@@ -4,11 +4,11 @@
 //! hits.
 
 /// Begins each frame: no byte of it occurs twice, and it is no valid text.
-pub const MARK: [u8; 4] = [0xC4, 0x75, 0x7E, 0x9D];
+pub const MAGIC: [u8; 4] = [0xC4, 0x75, 0x7E, 0x9D];
 /// Length of the magic number, the length and the checksum, in bytes.
-pub const HEAD: usize = 12;
+pub const HEADER_BYTES: usize = 12;
 /// Longest content of a frame, in bytes: a fleet of 10,000 servers in one record.
-pub const CONTENT_MOST: usize = 1 << 20;
+pub const MAX_CONTENT_BYTES: usize = 1 << 20;
 /// Offset of the length in a frame.
 const LENGTH_OFFSET: usize = 4;
 /// Offset of the checksum in a frame.
@@ -26,11 +26,11 @@
 
 /// Appends a frame. Returns false, and appends nothing, if the content is too long.
 pub fn put(out: &mut Vec<u8>, content: &[u8]) -> bool {
-    if content.len() > CONTENT_MOST {
+    if content.len() > MAX_CONTENT_BYTES {
         return false;
     }
     let length = (content.len() as u32).to_le_bytes();
-    out.extend_from_slice(&MARK);
+    out.extend_from_slice(&MAGIC);
     out.extend_from_slice(&length);
     out.extend_from_slice(&checksum(length, content).to_le_bytes());
     out.extend_from_slice(content);
@@ -78,7 +78,7 @@
 
 fn parse(bytes: &[u8], at: usize) -> Parsed<'_> {
     let invalid = Parsed::Invalid { checked_bytes: 0 };
-    let Some(head) = bytes.get(at..at + HEAD) else {
+    let Some(head) = bytes.get(at..at + HEADER_BYTES) else {
         return invalid;
     };
     let (Some(length), Some(stored_checksum)) =
@@ -87,10 +87,10 @@
         return invalid;
     };
     let content_bytes = u32::from_le_bytes(length) as usize;
-    if !head.starts_with(&MARK) || content_bytes > CONTENT_MOST {
+    if !head.starts_with(&MAGIC) || content_bytes > MAX_CONTENT_BYTES {
         return invalid;
     }
-    let start = at + HEAD;
+    let start = at + HEADER_BYTES;
     let Some(content) = bytes.get(start..start + content_bytes) else {
         return invalid;
     };
@@ -121,7 +121,9 @@
         let mut checked_bytes = 0;
         while checked_bytes <= MAX_SEARCH_BYTES {
             let rest = self.bytes.get(at..)?;
-            at += rest.windows(MARK.len()).position(|window| window == MARK)?;
+            at += rest
+                .windows(MAGIC.len())
+                .position(|window| window == MAGIC)?;
             match parse(self.bytes, at) {
                 Parsed::Frame(_) => return Some(at),
                 Parsed::Invalid {
@@ -143,7 +145,7 @@
             return None;
         }
         if let Parsed::Frame(content) = parse(self.bytes, at) {
-            self.at = at + HEAD + content.len();
+            self.at = at + HEADER_BYTES + content.len();
             return Some(Piece::Whole { at, content });
         }
         if let Some(next) = self.find_next_frame() {
--- a/crates/records/src/frame/tests.rs
+++ b/crates/records/src/frame/tests.rs
@@ -26,7 +26,7 @@
 #[test]
 fn content_that_is_too_long_is_rejected() {
     let mut out = Vec::new();
-    assert!(!put(&mut out, &vec![0; CONTENT_MOST + 1]));
+    assert!(!put(&mut out, &vec![0; MAX_CONTENT_BYTES + 1]));
     assert!(out.is_empty());
 }
 
@@ -35,8 +35,8 @@
 fn the_search_in_a_file_of_marks_alone_ends() {
     let mut bytes = Vec::new();
     for _ in 0..200_000 {
-        bytes.extend_from_slice(&MARK);
-        bytes.extend_from_slice(&(CONTENT_MOST as u32 / 2).to_le_bytes());
+        bytes.extend_from_slice(&MAGIC);
+        bytes.extend_from_slice(&(MAX_CONTENT_BYTES as u32 / 2).to_le_bytes());
     }
     let started_at = std::time::Instant::now();
     assert_eq!(Pieces::new(&bytes, 0).count(), 1);
@@ -77,7 +77,7 @@
         remaining.remove(damaged);
         prop_assert_eq!(whole(&bytes), remaining);
         let all: usize = Pieces::new(&bytes, 0).map(|piece| match piece {
-            Piece::Whole { content, .. } => HEAD + content.len(),
+            Piece::Whole { content, .. } => HEADER_BYTES + content.len(),
             Piece::Damaged { bytes, .. } | Piece::Torn { bytes, .. } => bytes,
         }).sum();
         prop_assert_eq!(all, bytes.len(), "every byte is in one piece");
@@ -89,7 +89,7 @@
         let mut next = from.min(bytes.len());
         for piece in Pieces::new(&bytes, from) {
             let (at, length) = match piece {
-                Piece::Whole { at, content } => (at, HEAD + content.len()),
+                Piece::Whole { at, content } => (at, HEADER_BYTES + content.len()),
                 Piece::Damaged { at, bytes } | Piece::Torn { at, bytes } => (at, bytes),
             };
             prop_assert_eq!(at, next);
--- a/crates/records/src/incidents.rs
+++ b/crates/records/src/incidents.rs
@@ -9,7 +9,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-pub use faults::APART_US;
 pub use reconstruction::{reconstruct, Reconstructor};
 
 /// The status of a server over an interval.
--- a/crates/records/src/incidents/faults.rs
+++ b/crates/records/src/incidents/faults.rs
@@ -8,7 +8,7 @@
 
 /// Time without a fault after which the next one is another incident, in microseconds. Ejected servers return within twelve
 /// seconds, so that a server which keeps failing is one incident.
-pub const APART_US: i64 = 30_000_000;
+const MIN_INCIDENT_GAP_US: i64 = 30_000_000;
 
 /// A fault that a supervisor has seen begin and not end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -60,7 +60,7 @@
         let last = self.incidents.last_mut()?;
         let is_continuing = last
             .ended_us
-            .is_none_or(|ended_us| at_us.saturating_sub(ended_us) < APART_US);
+            .is_none_or(|ended_us| at_us.saturating_sub(ended_us) < MIN_INCIDENT_GAP_US);
         is_continuing.then_some(last)
     }
 
--- a/crates/records/src/maintenance/indexing.rs
+++ b/crates/records/src/maintenance/indexing.rs
@@ -15,7 +15,7 @@
 /// Bytes of a segment that one step reads and indexes: some ten milliseconds, and enough for any frame.
 const STEP_BYTES: u64 = 2 << 20;
 /// Longest frame, in bytes.
-const MAX_FRAME_BYTES: u64 = (frame::HEAD + frame::CONTENT_MOST) as u64;
+const MAX_FRAME_BYTES: u64 = (frame::HEADER_BYTES + frame::MAX_CONTENT_BYTES) as u64;
 /// The greatest cost of a step.
 const STEP_COST_BOUND: Cost = Cost {
     time: Duration::from_millis(100),
@@ -66,7 +66,7 @@
     }
 
     /// Reads the next part of a segment and indexes its complete frames; returns the bytes that were read.
-    fn index_part(&self, index: &mut IndexInProgress) -> io::Result<u64> {
+    fn index_next_range(&self, index: &mut IndexInProgress) -> io::Result<u64> {
         let start = index.indexed_bytes;
         let bytes = segment::bytes(&index.id.path(&self.directory), start, STEP_BYTES)?;
         let read_bytes = bytes.len() as u64;
@@ -110,7 +110,7 @@
         let Some(mut index) = self.in_progress.take().or_else(|| self.start()) else {
             return idle;
         };
-        let Ok(read_bytes) = self.index_part(&mut index) else {
+        let Ok(read_bytes) = self.index_next_range(&mut index) else {
             return idle;
         };
         if index.indexed_bytes < index.segment_bytes {
--- a/crates/records/src/recorder.rs
+++ b/crates/records/src/recorder.rs
@@ -23,8 +23,6 @@
 use missing::MissingRecords;
 use writer::Writer;
 
-pub use writer::{COMMIT_EVERY, LOOK_EVERY};
-
 /// Capacity of the queue, in records: a burst of two for each of 8,000 proxies; some 3 MiB once it was full.
 const QUEUE_CAPACITY: usize = 16_384;
 /// Longest time that a shutdown waits for the last records.
--- a/crates/records/src/recorder/writer.rs
+++ b/crates/records/src/recorder/writer.rs
@@ -16,9 +16,9 @@
 use crate::text;
 
 /// Time between two polls of the queue: what a killed process may lose.
-pub const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between commits: what a power failure may lose, besides the time of the commit itself.
-pub const COMMIT_EVERY: Duration = Duration::from_secs(1);
+const COMMIT_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between attempts while the disk accepts nothing.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Bytes that are written at once, roughly.
@@ -77,13 +77,13 @@
             self.is_closing = stop.load(Ordering::Acquire);
             self.open(now_us());
             while self.write_batch(queue, now_us()) {}
-            if self.is_closing || self.committed_at.elapsed() >= COMMIT_EVERY {
+            if self.is_closing || self.committed_at.elapsed() >= COMMIT_INTERVAL {
                 self.commit();
             }
             if self.is_closing {
                 return;
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
--- a/crates/records/src/segment.rs
+++ b/crates/records/src/segment.rs
@@ -7,7 +7,7 @@
 
 use prost::Message;
 
-use crate::frame::{Piece, Pieces, HEAD};
+use crate::frame::{Piece, Pieces, HEADER_BYTES};
 use crate::kind::{self, Read};
 use crate::pb::{Index, SegmentHeader};
 
@@ -117,7 +117,7 @@
     Pieces::new(bytes, 0).map(move |piece| match piece {
         Piece::Whole { at, content } => {
             let at = from + at as u64;
-            let bytes = (HEAD + content.len()) as u64;
+            let bytes = (HEADER_BYTES + content.len()) as u64;
             (at + bytes, frame_item(at, bytes, content))
         }
         Piece::Damaged { at, bytes } => (from + (at + bytes) as u64, Item::Damaged(bytes as u64)),
