--- a/crates/policy/src/decisions/slices.rs
+++ b/crates/policy/src/decisions/slices.rs
@@ -96,46 +96,76 @@
                 continue;
             }
             let table = tables.entry(slice);
-            let former_owners = former_owners(table, inputs.usable);
-            let Some(owner) = highest_hash(slice, inputs.usable) else {
+            let Some(change) = OwnerChange::needed(slice, table, inputs.usable) else {
                 continue;
             };
-            if former_owners.is_empty() && !table.weights.is_empty() {
+            if !inputs.settings.exclusive_ownership {
+                change.publish_owner(table, &recipients, orders);
+                change.publish_removals(table, &recipients, orders);
                 continue;
             }
-            if inputs.settings.exclusive_ownership {
-                table.weights.clear();
-                let pending = hand_over.get_or_insert_with(|| {
-                    orders.push_to(&recipients, 1.0, Action::ClearTable(slice));
-                    HandOver::begin(&recipients, inputs, orders.at)
-                });
-                if !pending.is_complete(orders.at, inputs.settings) {
-                    continue;
-                }
+            table.weights.clear();
+            let pending = hand_over
+                .get_or_insert_with(|| change.begin_hand_over(&recipients, inputs, orders));
+            if pending.is_complete(orders.at, inputs.settings) {
                 *hand_over = None;
-            }
-            table.weights.insert(owner, OWNER_WEIGHT);
-            orders.push_to(&recipients, 1.0, set_weight(slice, owner, OWNER_WEIGHT));
-            if inputs.settings.exclusive_ownership {
-                continue;
-            }
-            for server in former_owners {
-                table.weights.remove(&server);
-                orders.push_to(&recipients, 1.0, set_weight(slice, server, 0.0));
+                change.publish_owner(table, &recipients, orders);
             }
         }
     }
 }
 
-impl HandOver {
-    fn begin(recipients: &[ProxyId], inputs: &SliceInputs, now: Micros) -> Self {
+/// A slice that needs another owner.
+#[derive(Debug)]
+struct OwnerChange {
+    slice: TableId,
+    owner: ServerId,
+    former_owners: Vec<ServerId>,
+}
+
+impl OwnerChange {
+    /// The change that a slice needs, if it does and a server is usable.
+    fn needed(slice: TableId, table: &Table, usable: &Weights) -> Option<Self> {
+        let former_owners = former_owners(table, usable);
+        let owner = highest_hash(slice, usable)?;
+        let has_usable_owner = former_owners.is_empty() && !table.weights.is_empty();
+        (!has_usable_owner).then_some(OwnerChange {
+            slice,
+            owner,
+            former_owners,
+        })
+    }
+
+    /// Takes the slice from its former owner, as far as proxies can be reached.
+    fn begin_hand_over(
+        &self,
+        recipients: &[ProxyId],
+        inputs: &SliceInputs,
+        orders: &mut Orders,
+    ) -> HandOver {
+        orders.push_to(recipients, 1.0, Action::ClearTable(self.slice));
         HandOver {
             waits_for: recipients.iter().copied().collect(),
             sequence: inputs.sequence,
-            not_before: now + inputs.settings.lease,
+            not_before: orders.at + inputs.settings.lease,
         }
     }
 
+    fn publish_owner(&self, table: &mut Table, recipients: &[ProxyId], orders: &mut Orders) {
+        table.weights.insert(self.owner, OWNER_WEIGHT);
+        let order = set_weight(self.slice, self.owner, OWNER_WEIGHT);
+        orders.push_to(recipients, 1.0, order);
+    }
+
+    fn publish_removals(&self, table: &mut Table, recipients: &[ProxyId], orders: &mut Orders) {
+        for server in &self.former_owners {
+            table.weights.remove(server);
+            orders.push_to(recipients, 1.0, set_weight(self.slice, *server, 0.0));
+        }
+    }
+}
+
+impl HandOver {
     /// Whether no write can reach the former owner any more.
     fn is_complete(&self, now: Micros, settings: &Settings) -> bool {
         self.waits_for.is_empty() && now >= self.not_before + settings.write_settle_time
