--- a/crates/supervisor/src/commands/error.rs
+++ b/crates/supervisor/src/commands/error.rs
@@ -5,9 +5,9 @@
 use std::path::{Path, PathBuf};
 
 use crate::config;
-use crate::server::TextFileError;
+use crate::text_file::TextFileError;
 
-/// Separates several faults in one message, so that each stands on a line of its own behind the program's name.
+/// Separates several faults in one message, so that each is on its own line after the program's name.
 const FAULT_SEPARATOR: &str = "\nchutegrade: ";
 
 /// Why a command failed.
@@ -36,7 +36,7 @@
     /// `check` was given no file.
     #[error("nothing to check: give --config FILE, --operator FILE, or both")]
     NothingToCheck,
-    /// The output lists so many faults.
+    /// The output lists faults, as many as this.
     #[error("{}", fault_count(*.0))]
     FaultsListed(usize),
     /// All faults of a file.
@@ -89,10 +89,10 @@
         /// The first diagnostic.
         diagnostic: String,
     },
-    /// A plug-in does not compile, and no diagnostic tells why.
+    /// A plug-in does not compile, and no diagnostic explains why.
     #[error("{0} cannot be read")]
     PluginUnreadable(String),
-    /// The plug-ins do not load, and no diagnostic tells why.
+    /// The plug-ins do not load, and no diagnostic explains why.
     #[error("the plug-ins cannot be loaded")]
     PluginsNotLoaded,
     /// Some test cases failed.
--- a/crates/supervisor/src/commands/files.rs
+++ b/crates/supervisor/src/commands/files.rs
@@ -5,7 +5,7 @@
 use chutegrade_records::text::printable;
 
 use super::CommandError;
-use crate::server::plugins;
+use crate::text_file;
 
 /// A text that a person wrote, with the file that it was read from.
 pub struct SourceText {
@@ -17,7 +17,7 @@
 
 /// Reads a text that a person wrote: an experiment, a scenario or a plug-in.
 pub fn read_text(path: &Path) -> Result<String, CommandError> {
-    Ok(plugins::read_one(path)?)
+    Ok(text_file::read(path)?)
 }
 
 /// Reads the texts of plug-ins, in their order.
@@ -35,14 +35,10 @@
 
 /// Reads the texts of plug-ins as pairs of name and text, the form in which plug-in hosts load them.
 pub fn read_plugins(paths: &[PathBuf]) -> Result<Vec<(String, String)>, CommandError> {
-    let sources = read_texts(paths)?;
-    Ok(sources
-        .into_iter()
-        .map(|source| (source.name, source.text))
-        .collect())
+    Ok(text_file::read_all(paths)?)
 }
 
-/// Replaces a file at once: other programs see its former content or this one, never a part.
+/// Replaces a file atomically: other programs see either its former content or the new one, never a part.
 pub fn write_atomically(path: &Path, text: &str) -> Result<(), CommandError> {
     let draft = path.with_extension("draft");
     let written = std::fs::write(&draft, text).and_then(|()| std::fs::rename(&draft, path));
--- a/crates/supervisor/src/commands/plugin/dry_run.rs
+++ b/crates/supervisor/src/commands/plugin/dry_run.rs
@@ -11,6 +11,7 @@
 use chutegrade_records::text::{self, printable};
 use chutegrade_records::timeline::Timeline;
 
+use super::recorded_fleet::replay;
 use crate::commands::arguments::DryRunArguments;
 use crate::commands::files::read_plugins;
 use crate::commands::time_window::resolve_time;
@@ -63,11 +64,7 @@
 fn fleet_at(timeline: &Timeline, now_us: i64) -> Picture {
     let query = Query::between(now_us.saturating_sub(LOOK_BACK_US), now_us);
     let (events, _) = timeline.read(&query);
-    let mut fleet = Picture::default();
-    for event in &events {
-        fleet.apply(&event.record);
-    }
-    fleet
+    replay(&events)
 }
 
 /// The zones of all servers, sorted, each once.
--- a/crates/supervisor/src/commands/plugin/explain.rs
+++ b/crates/supervisor/src/commands/plugin/explain.rs
@@ -4,11 +4,12 @@
 use std::io::Write;
 
 use chutegrade_records::index::Query;
-use chutegrade_records::replay::{Picture, Server};
+use chutegrade_records::replay::Server;
 use chutegrade_records::text::printable;
 use chutegrade_records::timeline::{Event, Timeline};
 use chutegrade_records::{kind, pb, text, Kind};
 
+use super::recorded_fleet::replay;
 use crate::commands::arguments::ExplainServerArguments;
 use crate::commands::time_window::resolve_time;
 use crate::commands::CommandError;
@@ -34,7 +35,7 @@
             .iter()
             .filter(|event| event.supervisor == supervisor.name)
             .collect();
-        let fleet = replay(&own_events);
+        let fleet = replay(own_events.iter().copied());
         let Some(status) = fleet.servers.get(&arguments.server) else {
             continue;
         };
@@ -51,14 +52,6 @@
     Ok(())
 }
 
-fn replay(events: &[&Event]) -> Picture {
-    let mut fleet = Picture::default();
-    for event in events {
-        fleet.apply(&event.record);
-    }
-    fleet
-}
-
 fn write_status(
     supervisor: &str,
     name: &str,
--- a/crates/supervisor/src/commands/plugin/mod.rs
+++ b/crates/supervisor/src/commands/plugin/mod.rs
@@ -4,6 +4,7 @@
 mod dry_run;
 mod explain;
 mod format;
+mod recorded_fleet;
 mod test;
 
 use std::io::Write;
--- a/crates/supervisor/src/commands/records/json_rows.rs
+++ b/crates/supervisor/src/commands/records/json_rows.rs
@@ -1,4 +1,4 @@
-//! Events and gaps as JSON objects, one a line. Keys stand in alphabetical order, on which scripts may rely.
+//! Events and gaps as JSON objects, one a line. Keys are in alphabetical order, on which scripts may rely.
 
 use std::io::Write;
 
@@ -7,6 +7,8 @@
 use serde::Serialize;
 use serde_json::Value;
 
+use crate::hexadecimal;
+
 #[derive(Serialize)]
 struct EventRow<'a> {
     at: String,
@@ -42,7 +44,7 @@
         kind: kind::name(event.number),
         learned: text::time(event.learned_us()),
         number: event.number,
-        record_hex: event.newer.as_deref().map(hexadecimal),
+        record_hex: event.newer.as_deref().map(hexadecimal::encode),
         seq: event.record.seq,
         start: event.incarnation,
         supervisor: &event.supervisor,
@@ -80,7 +82,3 @@
         .next()
         .map_or(Value::Null, |(_, fields)| fields)
 }
-
-fn hexadecimal(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
--- a/crates/supervisor/src/config/error.rs
+++ b/crates/supervisor/src/config/error.rs
@@ -21,7 +21,7 @@
     Open {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
     /// The file holds no configuration.
--- a/crates/supervisor/src/main.rs
+++ b/crates/supervisor/src/main.rs
@@ -3,12 +3,14 @@
 
 mod commands;
 mod config;
+mod hexadecimal;
 mod peers;
 mod protocol;
 mod server;
 mod shared;
 #[cfg(test)]
 mod tests;
+mod text_file;
 
 use std::io::stdout;
 use std::path::PathBuf;
@@ -20,7 +22,7 @@
 use crate::commands::{check, console, lab, levels, plugin, records, report, CommandError};
 
 fn main() -> ExitCode {
-    // Without arguments it serves, and saves the memory that parsing a command line takes.
+    // The common case, serving without arguments, does without the memory that parsing a command line takes.
     if std::env::args_os().len() <= 1 {
         return server::run(operator_path_from_env().as_deref());
     }
@@ -44,7 +46,7 @@
     }
 }
 
-/// The operators' file that the environment names; an empty name is like none.
+/// The path of the operators' file in the environment; an empty path counts as none.
 fn operator_path_from_env() -> Option<PathBuf> {
     std::env::var_os("CHUTEGRADE_OPERATOR")
         .filter(|path| !path.is_empty())
--- a/crates/supervisor/src/server/errors.rs
+++ b/crates/supervisor/src/server/errors.rs
@@ -1,9 +1,8 @@
-//! Why the server cannot start or go on, and why a file cannot be used.
+//! Why the server cannot start, or has stopped.
 
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
 
 use crate::config::ConfigError;
 
@@ -27,7 +26,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
     /// The address that was bound is not known.
@@ -81,26 +80,3 @@
         OperatorConfigErrors(errors)
     }
 }
-
-/// Why a text that people write cannot be read.
-#[derive(Debug, thiserror::Error)]
-pub enum TextFileError {
-    /// It cannot be opened or read, or is no UTF-8.
-    #[error("{}: {error}", path.display())]
-    Io {
-        /// The file.
-        path: PathBuf,
-        /// What the system says.
-        error: io::Error,
-    },
-    /// It is too long.
-    #[error("{}: {bytes} bytes are too long, at most {max_bytes} are read", path.display())]
-    TooLong {
-        /// The file.
-        path: PathBuf,
-        /// Its length.
-        bytes: u64,
-        /// The longest length that is read.
-        max_bytes: u64,
-    },
-}
--- a/crates/supervisor/src/server/mod.rs
+++ b/crates/supervisor/src/server/mod.rs
@@ -6,7 +6,7 @@
 mod logging;
 mod overload_control;
 mod parameters;
-pub mod plugins;
+mod plugins;
 mod reload;
 mod shutdown;
 mod signals;
@@ -14,5 +14,4 @@
 mod tasks;
 mod tick_loop;
 
-pub use errors::TextFileError;
 pub use startup::run;
--- a/crates/supervisor/src/server/plugins.rs
+++ b/crates/supervisor/src/server/plugins.rs
@@ -1,24 +1,22 @@
 //! Plug-ins: their texts are read at the start and at SIGHUP, they are evaluated once a second, and their advice goes to the
-//! engine as a report. A text that is wrong changes nothing; whether the supervisor serves does not depend on any.
+//! engine as a report. If a text is invalid, the plug-ins that were loaded stay; the supervisor serves in any case.
 
 use std::cell::RefCell;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 use chutegrade_plugin_advisor::PluginAdvisor;
 use chutegrade_plugins::host::{Refused, Word};
 use chutegrade_records::{pb, Kind};
 
-use crate::server::errors::TextFileError;
+use crate::hexadecimal;
 use crate::shared::clock::Clock;
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::event_recorder::EventRecorder;
-
-/// Longest text that is read, in bytes; the language takes far shorter ones.
-const MAX_TEXT_BYTES: u64 = 1 << 20;
+use crate::text_file;
 
 /// What plug-ins use.
 pub struct PluginContext {
-    /// Takes advice, and gives what it is based on.
+    /// Gives plug-ins their inputs and takes their advice.
     pub engine: EngineHandle,
     /// Records what plug-ins do.
     pub recorder: EventRecorder,
@@ -42,39 +40,6 @@
     rejection: String,
 }
 
-/// Reads one text that people write.
-///
-/// # Errors
-///
-/// If the file cannot be read, is too long or no UTF-8.
-pub fn read_one(path: &Path) -> Result<String, TextFileError> {
-    let io_error = |error| TextFileError::Io {
-        path: path.to_path_buf(),
-        error,
-    };
-    let bytes = std::fs::metadata(path).map_err(io_error)?.len();
-    if bytes > MAX_TEXT_BYTES {
-        return Err(TextFileError::TooLong {
-            path: path.to_path_buf(),
-            bytes,
-            max_bytes: MAX_TEXT_BYTES,
-        });
-    }
-    std::fs::read_to_string(path).map_err(io_error)
-}
-
-/// Reads texts, each with the name of its file.
-///
-/// # Errors
-///
-/// If one of them cannot be read.
-pub fn read(files: &[PathBuf]) -> Result<Vec<(String, String)>, TextFileError> {
-    files
-        .iter()
-        .map(|path| Ok((path.display().to_string(), read_one(path)?)))
-        .collect()
-}
-
 impl Plugins {
     /// Plug-ins from these files; none is loaded yet.
     pub fn new(context: PluginContext, files: Vec<PathBuf>) -> Self {
@@ -85,12 +50,12 @@
         }
     }
 
-    /// Loads all texts anew, complete or not at all. Does nothing if the operators named none.
+    /// Reloads all texts, or none if any of them is invalid. Does nothing if the operators named none.
     pub fn load(&self) {
         if self.files.is_empty() {
             return;
         }
-        let texts = match read(&self.files) {
+        let texts = match text_file::read_all(&self.files) {
             Ok(texts) => texts,
             Err(error) => {
                 tracing::error!(fault = %error, "plug-ins rejected, those that were loaded stay");
@@ -117,7 +82,7 @@
         }
     }
 
-    /// Evaluates all plug-ins if it is time, and hands their advice on.
+    /// Evaluates all plug-ins if they are due, and reports their advice to the engine.
     pub fn evaluate(&self) {
         let now = self.context.clock.now();
         let mut advisor = self.advisor.borrow_mut();
@@ -128,7 +93,7 @@
     }
 
     fn log_loaded(&self, name: String, version: u32, digest: &[u8]) {
-        let digest = hexadecimal(digest);
+        let digest = hexadecimal::encode(digest);
         tracing::info!(plugin = name, version, digest, "plug-in loaded");
         self.record_load(LoadRecord {
             name,
@@ -165,33 +130,28 @@
         if let Word::Paused(turns) = event {
             tracing::warn!(plugin = %name, "{}", pause_text(turns));
         }
-        let (what, text) = describe(event);
-        self.context
-            .recorder
-            .record(Kind::PluginSaid(pb::PluginSaid {
-                name: name.to_string(),
-                what: what.to_string(),
-                text,
-            }));
+        let record = event_record(name.to_string(), event);
+        self.context.recorder.record(Kind::PluginSaid(record));
     }
 }
 
-/// An event's code and text, as they are recorded.
-fn describe(event: Word) -> (&'static str, String) {
-    match event {
+/// The record of an event, with its code and text.
+fn event_record(name: String, event: Word) -> pb::PluginSaid {
+    let (what, text) = match event {
         Word::Noted(text) => ("note", text),
         Word::Faulted(stopped) => ("fault", stopped.to_string()),
         Word::Advises(text, line) => ("advises", format!("{text}, by line {line}")),
         Word::Ends(text) => ("ends", text),
         Word::Paused(turns) => ("paused", pause_text(turns)),
         Word::Differs(text) => ("differs", text),
+    };
+    pb::PluginSaid {
+        name,
+        what: what.to_string(),
+        text,
     }
 }
 
 fn pause_text(turns: u64) -> String {
     format!("left alone for {turns} turns after faults")
 }
-
-fn hexadecimal(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
