--- a/crates/supervisor/src/peers/collector_stream.rs
+++ b/crates/supervisor/src/peers/collector_stream.rs
@@ -16,6 +16,7 @@
 use crate::protocol::encode::PROBE_REPLY;
 use crate::protocol::line_reader::send;
 use crate::protocol::malformed::MalformedMessage;
+use crate::protocol::peer_kind::PeerKind;
 use crate::shared::engine_handle::EngineHandle;
 
 /// How long a collector may send nothing; one without news merely dials again.
@@ -88,7 +89,9 @@
                 Message::Malformed(error) => Err(error),
                 Message::CollectorHello { .. }
                 | Message::ProxyHello(_)
-                | Message::Acknowledgement { .. } => Err(MalformedMessage::Unexpected("collector")),
+                | Message::Acknowledgement { .. } => {
+                    Err(MalformedMessage::Unexpected(PeerKind::Collector))
+                }
             };
             malformed.account(handled)?;
         }
--- a/crates/supervisor/src/peers/discovery.rs
+++ b/crates/supervisor/src/peers/discovery.rs
@@ -21,6 +21,7 @@
 use crate::protocol::endpoint_delivery::{decode_delivery, EndpointDelivery, KnownList};
 use crate::protocol::http::{self, Destination};
 use crate::protocol::line_reader::LineReader;
+use crate::protocol::peer_kind::PeerKind;
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::event_recorder::EventRecorder;
 use crate::shared::shutdown::Shutdown;
@@ -166,7 +167,7 @@
         let address = *self.address.borrow();
         let host = address.to_string();
         let destination = Destination {
-            peer_kind: "discovery",
+            peer_kind: PeerKind::Discovery,
             peer_name: path.to_string(),
             address,
         };
--- a/crates/supervisor/src/peers/health_check/connection_pool.rs
+++ b/crates/supervisor/src/peers/health_check/connection_pool.rs
@@ -9,6 +9,7 @@
 
 use crate::protocol::disconnect::DisconnectReason;
 use crate::protocol::http::{self, Destination, RequestSender};
+use crate::protocol::peer_kind::PeerKind;
 use crate::shared::shutdown::Shutdown;
 
 /// A server that refused connections and was not dialled again for so long is forgotten: many times the pause between
@@ -118,7 +119,7 @@
         let connected = loop {
             *dialled_at = Instant::now();
             let destination = Destination {
-                peer_kind: "server",
+                peer_kind: PeerKind::Server,
                 peer_name: name.to_string(),
                 address,
             };
--- a/crates/supervisor/src/peers/listener.rs
+++ b/crates/supervisor/src/peers/listener.rs
@@ -1,12 +1,12 @@
 //! The supervisor's own address: accepts connections, lets peers identify themselves, and keeps unidentified connections
 //! from taking the descriptors that proxies, collectors, discovery and health checks need.
 
-use chutegrade_engine::DeploymentSize;
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
+use chutegrade_engine::DeploymentSize;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{sleep, timeout};
@@ -19,34 +19,35 @@
 use crate::peers::proxy_stream::{self, ProxyStreamContext};
 use crate::protocol::disconnect::{ConnectionLog, Disconnect, DisconnectReason};
 use crate::protocol::encode::encode_error;
+use crate::protocol::peer_kind::PeerKind;
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::shutdown::Shutdown;
 
-/// The least connections that the system holds until they are accepted: all proxies of a fleet may dial at once, and
-/// as many others. It is a bound for the system, which reserves nothing.
+/// Minimum length of the listen backlog: all proxies of a fleet may dial at once, and as many others. The system reserves
+/// nothing for it.
 const MIN_BACKLOG: usize = 1024;
 /// Longest first message, in bytes: `hello` with the longest names has a fraction of it.
 const MAX_FIRST_LINE_BYTES: usize = 1024;
 /// Longest line of an identified peer, in bytes: no message has a form that comes near it, and a thousand such buffers fit
 /// the memory that a supervisor has.
 const MAX_LINE_BYTES: usize = 64 * 1024;
-/// How long a connection may go without identifying itself, from when it was accepted and whatever it asks meanwhile: a
-/// peer has 1 s for it, and any other must hear of its end within 3 s.
+/// How long a connection may stay unidentified after it was accepted; probes do not extend the time. The protocol gives a
+/// peer 1 s, and has any other connection rejected within 3 s.
 const IDENTIFICATION_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long a rejected connection is still read: what stays unread turns a close into a reset, and the `error` message is
 /// lost with it.
 const REJECTION_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 /// How much of a rejected connection is still read, in bytes.
 const REJECTION_DRAIN_BYTES: usize = 64 * 1024;
-/// Descriptors that are not for peers: the runtime's own, standard streams, the listener, the watch of discovery and the
-/// one that replaces it, one to accept with.
+/// Descriptors that are not for peers: the runtime's own, standard streams, the listener, the watch of discovery, the watch
+/// that replaces it, and one to accept with.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// The least unidentified connections that may be open, however few descriptors there are.
+/// Minimum number of unidentified connections that may be open, however few descriptors there are.
 const MIN_UNIDENTIFIED_CONNECTIONS: usize = 8;
-/// Pause before accepting again when no descriptor is left: long enough not to spin, short for a proxy.
+/// Pause before accepting again when no descriptor is left: long enough not to spin, short enough for a waiting proxy.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Binds the address, for so many proxies.
+/// Binds the address, with a backlog for this number of proxies.
 ///
 /// # Errors
 ///
@@ -64,7 +65,8 @@
 }
 
 /// How many unidentified connections may be open: half of what remains once each proxy and collector that the settings
-/// hold has its descriptor; the other half is for servers, whose number only the endpoint list tells.
+/// hold has its descriptor; the other half is for servers, whose number only the endpoint list
+/// has.
 fn max_unidentified_connections(descriptors: usize, proxies: usize, zones: usize) -> usize {
     let peers = RESERVED_DESCRIPTORS + proxies + zones * MAX_COLLECTORS_PER_ZONE;
     (descriptors.saturating_sub(peers) / 2).max(MIN_UNIDENTIFIED_CONNECTIONS)
@@ -80,7 +82,7 @@
 }
 
 impl ConnectionHandler {
-    /// A handler for a process that may have so many descriptors.
+    /// A handler for a process with a limit of `descriptors`.
     pub fn new(shutdown: Shutdown, proxy_streams: ProxyStreamContext, descriptors: usize) -> Self {
         let engine = proxy_streams.engine.clone();
         let DeploymentSize { proxies, zones } = engine.borrow_mut().deployment_size();
@@ -95,7 +97,7 @@
     }
 
     /// Accepts connections until the supervisor stops. When no descriptor is left, half of the idle connections to servers
-    /// are closed: health checks open them anew each second, and a proxy that dials would find no descriptor for good.
+    /// are closed: health checks reopen them each second, and without that a proxy that dials would never find a descriptor.
     pub async fn accept_connections(
         self: Rc<Self>,
         listener: TcpListener,
@@ -124,9 +126,9 @@
 
     /// One connection, from its first message to its end.
     async fn handle(&self, stream: TcpStream, remote: SocketAddr) {
-        let mut log = ConnectionLog::open("stranger", remote.to_string());
+        let mut log = ConnectionLog::open(PeerKind::Unidentified, remote.to_string());
         let connection = PeerConnection::new(stream, MAX_FIRST_LINE_BYTES);
-        // The shutdown first: whoever sends `probe` once the supervisor stops must not get an answer.
+        // `biased`, with the shutdown first: a `probe` that arrives once the supervisor stops must not be answered.
         let Err(disconnect) = tokio::select! {
             biased;
             () = self.shutdown.requested() => Err(DisconnectReason::ShuttingDown.into()),
@@ -169,19 +171,19 @@
         connection.reader.set_max_line_bytes(MAX_LINE_BYTES);
         match peer {
             IdentifiedPeer::Proxy(hello) => {
-                log.identify("proxy", format!("{}@{}", hello.proxy, hello.zone));
+                log.identify(PeerKind::Proxy, format!("{}@{}", hello.proxy, hello.zone));
                 proxy_stream::serve(&self.proxy_streams, connection, hello).await
             }
             IdentifiedPeer::Collector { zone } => {
-                log.identify("collector", zone.clone());
+                log.identify(PeerKind::Collector, zone.clone());
                 self.collector_streams.serve(connection, zone).await
             }
         }
     }
 }
 
-/// Tells a connection that was not identified why it is closed, and reads on for a moment so that the message arrives.
-/// Nothing waits for a client that reads nothing.
+/// Sends an unidentified connection the reason for which it is closed, and reads on for a moment so that the message
+/// arrives. Never blocks on a client that does not read.
 async fn reject(connection: PeerConnection, disconnect: &Disconnect, slot: &ConnectionSlot<'_>) {
     let is_closed = matches!(
         disconnect.reason,
--- a/crates/supervisor/src/peers/proxy_stream.rs
+++ b/crates/supervisor/src/peers/proxy_stream.rs
@@ -18,6 +18,7 @@
 use crate::protocol::encode::{encode_order, PROBE_REPLY};
 use crate::protocol::line_reader::{send, LineReader};
 use crate::protocol::malformed::MalformedMessage;
+use crate::protocol::peer_kind::PeerKind;
 use crate::shared::clock::{to_micros, Clock};
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::event_recorder::EventRecorder;
@@ -124,7 +125,7 @@
         let _ = context.engine.try_report(ended);
     }
 
-    /// Records the end of the stream; one that fell silent ended when it was last heard.
+    /// Records the end of the stream; an idle timeout is dated back to when the stream fell silent.
     fn record_end(self, reason: DisconnectReason) {
         let observed_at = self.context.clock.now();
         let ended_at = if reason == DisconnectReason::IdleTimeout {
@@ -142,33 +143,42 @@
         self.context.recorder.record_at(ended_at, observed_at, left);
     }
 
-    /// Handles what the proxy sends; never waits for what is written to it.
+    /// Handles what the proxy sends; never blocks on what is written to it.
     async fn receive_reports(
         &self,
         reader: &mut LineReader<OwnedReadHalf>,
     ) -> Result<Infallible, Disconnect> {
         let mut malformed = MalformedCounter::new(self.context.engine.clone());
         loop {
-            let message = timeout(self.context.idle_timeout, reader.next_message()).await;
-            let timed_out = message.is_err();
-            let is_acknowledgement = matches!(message, Ok(Ok(Message::Acknowledgement { .. })));
-            self.check_liveness(timed_out, is_acknowledgement)?;
-            let Ok(message) = message else { continue };
-            let handled = self.handle_message(message?);
+            let received = timeout(self.context.idle_timeout, reader.next_message()).await;
+            let now = self.context.clock.now();
+            let Ok(received) = received else {
+                self.check_demand(now)?;
+                self.check_acknowledgement(now)?;
+                continue;
+            };
+            let is_acknowledgement = matches!(received, Ok(Message::Acknowledgement { .. }));
+            if !is_acknowledgement {
+                // Other messages do not count: a proxy that reports but applies no order would keep its old tables forever.
+                self.check_acknowledgement(now)?;
+            }
+            let handled = self.handle_message(received?);
             malformed.account(handled)?;
         }
     }
 
-    /// Closes a stream on which something is overdue.
-    fn check_liveness(&self, timed_out: bool, is_acknowledgement: bool) -> Result<(), Disconnect> {
-        let now = self.context.clock.now();
-        if timed_out && self.liveness.is_demand_overdue(now) {
+    /// Closes a stream on which a demand report is overdue.
+    fn check_demand(&self, now: Micros) -> Result<(), Disconnect> {
+        if self.liveness.is_demand_overdue(now) {
             return Err(DisconnectReason::IdleTimeout.with_detail("no demand reports"));
         }
-        // Whatever else it sends: a proxy that goes on with reports but applies no order keeps its old tables for good.
+        Ok(())
+    }
+
+    /// Closes a stream on which an acknowledgement is overdue.
+    fn check_acknowledgement(&self, now: Micros) -> Result<(), Disconnect> {
         let queue_delay = || self.context.engine.borrow_mut().fleet_status().queue_delay;
-        let is_overdue = || self.liveness.is_acknowledgement_overdue(now, queue_delay);
-        if !is_acknowledgement && is_overdue() {
+        if self.liveness.is_acknowledgement_overdue(now, queue_delay) {
             return Err(DisconnectReason::IdleTimeout.with_detail("no acknowledgement"));
         }
         Ok(())
@@ -204,7 +214,7 @@
             Message::Acknowledgement { .. }
             | Message::Report(_)
             | Message::CollectorHello { .. }
-            | Message::ProxyHello(_) => Err(MalformedMessage::Unexpected("proxy")),
+            | Message::ProxyHello(_) => Err(MalformedMessage::Unexpected(PeerKind::Proxy)),
         }
     }
 
--- a/crates/supervisor/src/protocol/disconnect.rs
+++ b/crates/supervisor/src/protocol/disconnect.rs
@@ -1,8 +1,10 @@
-//! Why a connection ended: a closed list of codes, each explained in docs/on-call.md, and the log line that carries one.
+//! Why a connection ended: a fixed set of codes, each explained in docs/on-call.md, and the log line that carries one.
 
 use std::fmt;
 use std::time::Instant;
 
+use crate::protocol::peer_kind::PeerKind;
+
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectReason {
@@ -14,13 +16,13 @@
     Reset,
     /// It could not be opened: refused or unreachable.
     Refused,
-    /// It could not be opened for want of a descriptor or port on this machine.
+    /// It could not be opened because this machine lacks a descriptor or port.
     ResourcesExhausted,
-    /// Nothing arrived for longer than a live peer would be quiet.
+    /// Nothing arrived for longer than a live peer is ever idle.
     IdleTimeout,
     /// An answer or a connection did not come in time.
     TimedOut,
-    /// It brought what can't be read.
+    /// It delivered what can't be read.
     Malformed,
     /// A line or an answer was longer than allowed.
     TooLong,
@@ -28,7 +30,7 @@
     UnknownPeer,
     /// It did not identify itself in time.
     NotIdentified,
-    /// It was the oldest of its sort, and its slot was needed for a newer one.
+    /// It was the oldest connection of its group, and a newer one needed its slot.
     Evicted,
     /// A newer stream of the same proxy replaced it.
     Replaced,
@@ -108,7 +110,7 @@
 pub struct Disconnect {
     /// The reason.
     pub reason: DisconnectReason,
-    /// What was wrong; empty where the reason is all there is to say.
+    /// What was wrong; empty if the reason alone is sufficient.
     pub detail: String,
 }
 
@@ -121,17 +123,17 @@
     }
 }
 
-/// What the log line at a connection's end says of the connection.
+/// The fields of the log line that is written when a connection ends.
 #[derive(Debug)]
 pub struct ConnectionLog {
-    peer_kind: &'static str,
+    peer_kind: PeerKind,
     peer_name: String,
     opened_at: Instant,
 }
 
 impl ConnectionLog {
-    /// A connection to a peer of this kind that is open from now on.
-    pub fn open(peer_kind: &'static str, peer_name: String) -> Self {
+    /// Starts the log of a connection that has just been opened.
+    pub fn open(peer_kind: PeerKind, peer_name: String) -> Self {
         ConnectionLog {
             peer_kind,
             peer_name,
@@ -139,8 +141,8 @@
         }
     }
 
-    /// The peer has identified itself.
-    pub fn identify(&mut self, peer_kind: &'static str, peer_name: String) {
+    /// Sets the kind and name with which the peer has identified itself.
+    pub fn identify(&mut self, peer_kind: PeerKind, peer_name: String) {
         self.peer_kind = peer_kind;
         self.peer_name = peer_name;
     }
@@ -149,7 +151,7 @@
     pub fn close(self, disconnect: impl Into<Disconnect>) {
         let Disconnect { reason, detail } = disconnect.into();
         let ms = self.opened_at.elapsed().as_millis() as u64;
-        tracing::info!(peer = self.peer_kind, name = %self.peer_name, ms, %reason, detail, "connection ended");
+        tracing::info!(peer = self.peer_kind.name(), name = %self.peer_name, ms, %reason, detail, "connection ended");
     }
 }
 
--- a/crates/supervisor/src/protocol/http.rs
+++ b/crates/supervisor/src/protocol/http.rs
@@ -7,22 +7,26 @@
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::body::Incoming;
-use hyper::client::conn::http1::{self, SendRequest};
+use hyper::client::conn::http1::{self, Connection, SendRequest};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 use crate::protocol::disconnect::{ConnectionLog, DisconnectReason};
+use crate::protocol::peer_kind::PeerKind;
 use crate::shared::shutdown::Shutdown;
 
 /// Sends requests without a body on one connection.
 pub type RequestSender = SendRequest<Empty<Bytes>>;
 
+/// The part of a connection that does its I/O while it is polled.
+type ClientConnection = Connection<TokioIo<TcpStream>, Empty<Bytes>>;
+
 /// A peer to connect to, and how the log names it.
 pub struct Destination {
     /// The kind of peer.
-    pub peer_kind: &'static str,
+    pub peer_kind: PeerKind,
     /// The name of the peer, or of what is requested there.
     pub peer_name: String,
     /// Where it listens.
@@ -40,14 +44,9 @@
     destination: Destination,
     connect_timeout: Duration,
 ) -> Result<RequestSender, DisconnectReason> {
-    let connecting = TcpStream::connect(destination.address);
-    let stream = match timeout(connect_timeout, connecting).await {
-        Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return Err(connect_failure(error.kind())),
-        Err(_) => return Err(DisconnectReason::TimedOut),
-    };
+    let stream = open_stream(destination.address, connect_timeout).await?;
     let log = ConnectionLog::open(destination.peer_kind, destination.peer_name);
-    // Without it requests are merely slower.
+    // If this fails, requests are merely slower.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = match http1::handshake(TokioIo::new(stream)).await {
         Ok(opened) => opened,
@@ -57,21 +56,34 @@
             return Err(reason);
         }
     };
-    let shutdown_signal = shutdown.clone();
-    shutdown.spawn_connection(async move {
-        let reason = tokio::select! {
-            biased;
-            () = shutdown_signal.requested() => DisconnectReason::ShuttingDown,
-            result = connection => match result {
-                Ok(()) => DisconnectReason::Closed,
-                Err(error) => disconnect_reason(&error),
-            },
-        };
-        log.close(reason);
-    });
+    shutdown.spawn_connection(drive(connection, shutdown.clone(), log));
     Ok(sender)
 }
 
+async fn open_stream(
+    address: SocketAddr,
+    connect_timeout: Duration,
+) -> Result<TcpStream, DisconnectReason> {
+    match timeout(connect_timeout, TcpStream::connect(address)).await {
+        Ok(Ok(stream)) => Ok(stream),
+        Ok(Err(error)) => Err(connect_failure(error.kind())),
+        Err(_) => Err(DisconnectReason::TimedOut),
+    }
+}
+
+/// Drives a connection until its end or the shutdown, then logs it.
+async fn drive(connection: ClientConnection, shutdown: Shutdown, log: ConnectionLog) {
+    let reason = tokio::select! {
+        biased;
+        () = shutdown.requested() => DisconnectReason::ShuttingDown,
+        result = connection => match result {
+            Ok(()) => DisconnectReason::Closed,
+            Err(error) => disconnect_reason(&error),
+        },
+    };
+    log.close(reason);
+}
+
 /// Why a connection could not be opened: because of the peer or the network, or else of this machine.
 fn connect_failure(kind: ErrorKind) -> DisconnectReason {
     match kind {
--- a/crates/supervisor/src/protocol/malformed.rs
+++ b/crates/supervisor/src/protocol/malformed.rs
@@ -1,4 +1,6 @@
-//! Messages that can't be read, and how many of them in a row a connection may bring.
+//! Malformed messages, and how many of them in a row a connection may deliver.
+
+use crate::protocol::peer_kind::PeerKind;
 
 /// Why a message could not be read. Only [`MalformedMessage::NoMessage`] means that what follows can't be trusted either.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -19,9 +21,9 @@
         /// The field.
         field: &'static str,
     },
-    /// A message that such a peer does not send, or not again.
+    /// A message that a peer of this kind does not send, or sends only once.
     #[error("unexpected message from a {0}")]
-    Unexpected(&'static str),
+    Unexpected(PeerKind),
     /// The kind has characters that no kind has.
     #[error("no message")]
     NoMessage,
@@ -34,8 +36,8 @@
 /// malformed, and such a row then occurs once in millions.
 const MAX_CONSECUTIVE_ERRORS: u32 = 24;
 
-/// Counts a connection's malformed messages in a row. A connection that brings nothing else is of no use, and keeps its
-/// peer's next one out.
+/// Counts a connection's malformed messages in a row. A connection that delivers nothing else is useless, and its peer does
+/// not open another one while it lasts.
 #[derive(Debug, Default)]
 pub struct ErrorBudget {
     consecutive_errors: u32,
@@ -47,7 +49,7 @@
         self.consecutive_errors = 0;
     }
 
-    /// Spends the budget on one malformed message, which is given back.
+    /// Spends the budget on one malformed message, and returns the message.
     ///
     /// # Errors
     ///
--- a/crates/supervisor/src/server/overload_control.rs
+++ b/crates/supervisor/src/server/overload_control.rs
@@ -1,11 +1,12 @@
-//! Overload control: the operators' service levels, limits and budgets are evaluated once a second; what they decide goes to
-//! the engine as a report, what changes into the log and the records. They are read anew at SIGHUP, complete or not at all.
+//! Overload control: the operators' service levels, limits and budgets are evaluated once a second. Decisions go to the engine
+//! as a report, changes of the level to the log and the records. SIGHUP reloads the operators' file; an invalid one is rejected.
 
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 
 use chutegrade_engine::Micros;
-use chutegrade_limits::{pb as limits, Class, OverloadConfig};
+use chutegrade_limits::pb::Saved;
+use chutegrade_limits::{Class, OverloadConfig};
 use chutegrade_operator_config::OperatorConfig;
 use chutegrade_overload_control::{overload_classes, transition_record, OverloadController};
 use chutegrade_records::index::Query;
@@ -40,7 +41,7 @@
 }
 
 impl OverloadControl {
-    /// What the operators' file, read from this path, switches on.
+    /// Overload control as the operators' file at this path configures it; without a configuration it does nothing.
     pub fn new(
         context: OverloadContext,
         path: Option<&Path>,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Restores the level in force at the end of the records, if they are kept and it is not too old.
+    /// Restores the level that was in force at the end of the records, if there are records and they are recent enough.
     pub fn restore_level(&self) {
         let Some(directory) = self.context.recorder.directory() else {
             return;
@@ -82,21 +83,16 @@
         }
     }
 
-    /// Reads the operators' file anew; one that is wrong changes nothing.
+    /// Rereads the operators' file; an invalid one changes nothing.
     pub fn reload(&self) {
         let Some(path) = &self.path else { return };
-        let config = match load_config(path, &self.classes) {
-            Ok(config) => config,
-            Err(errors) => {
-                let fault = errors.to_string();
-                tracing::error!(fault, "limits rejected, those in force stay");
-                self.context.recorder.record(Kind::Reloaded(pb::Reloaded {
-                    taken: false,
-                    detail: fault,
-                }));
-                return;
-            }
-        };
+        match load_config(path, &self.classes) {
+            Ok(config) => self.apply(config),
+            Err(errors) => self.reject(&errors),
+        }
+    }
+
+    fn apply(&self, config: Option<OverloadConfig>) {
         let mut controller = self.controller.borrow_mut();
         match (controller.as_mut(), config) {
             (Some(controller), config) => {
@@ -115,7 +111,16 @@
         }
     }
 
-    /// Evaluates the levels, limits and budgets if it is time.
+    fn reject(&self, errors: &OperatorConfigErrors) {
+        let fault = errors.to_string();
+        tracing::error!(fault, "limits rejected, those in force stay");
+        self.context.recorder.record(Kind::Reloaded(pb::Reloaded {
+            taken: false,
+            detail: fault,
+        }));
+    }
+
+    /// Evaluates the levels, limits and budgets if they are due.
     pub fn evaluate(&self) {
         let mut controller = self.controller.borrow_mut();
         let Some(controller) = controller.as_mut() else {
@@ -128,7 +133,7 @@
         }
     }
 
-    /// Adds what is known to the metrics of one moment.
+    /// Adds the metrics of overload control to those of the fleet.
     pub fn add_metrics(&self, metrics: &mut pb::Gauge, now: Micros) {
         if let Some(controller) = self.controller.borrow().as_ref() {
             controller.add_metrics(metrics, now);
@@ -186,14 +191,14 @@
 }
 
 /// The level that was in force at the end of the records, and when that was.
-fn last_recorded_level(directory: &Path, now: Micros) -> Option<limits::Saved> {
+fn last_recorded_level(directory: &Path, now: Micros) -> Option<Saved> {
     let timeline = Timeline::open(&[directory.to_path_buf()]).ok()?;
     let window = Query::between(now.0.saturating_sub(RESTORE_WINDOW_US), now.0);
     let (events, _) = timeline.read(&window);
     events.iter().rev().find_map(|event| {
         let gauge = gauge(event)?;
         let level = gauge.service_level.clone()?;
-        Some(limits::Saved {
+        Some(Saved {
             level,
             since_us: gauge.level_since_us,
             at_us: event.at_us,
