--- a/crates/supervisor/src/commands/lab/experiment.rs
+++ b/crates/supervisor/src/commands/lab/experiment.rs
@@ -15,7 +15,7 @@
 /// Digits of the hash that identifies a build.
 const BUILD_ID_DIGITS: usize = 12;
 
-/// Plays an experiment, going on where it was stopped, and writes its comparisons and report.
+/// Runs an experiment, resuming where it was stopped, and writes its comparisons and report.
 ///
 /// # Errors
 ///
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Writes the report anew.
+/// Rewrites the report.
 ///
 /// # Errors
 ///
@@ -67,7 +67,7 @@
         .map_err(|faults| CommandError::from_file_faults(path, &faults))
 }
 
-/// Identifies this build of the program: results of another build are never taken for its own.
+/// Identifies this build of the program, so that results of other builds are not mixed with its own.
 fn build_id() -> Result<String, CommandError> {
     let program = std::env::current_exe()
         .and_then(std::fs::read)
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// Each look asks for more runs, so the time that is left is estimated anew.
+/// Shows the progress. Each look, an interim analysis, requests more runs, so the remaining time is estimated from scratch.
 fn show_progress(bar: &ProgressBar, progress: Progress, shown_look: &mut usize) {
     let (look, most_looks) = progress.look;
     if look != *shown_look {
--- a/crates/supervisor/src/commands/lab/play.rs
+++ b/crates/supervisor/src/commands/lab/play.rs
@@ -16,7 +16,7 @@
 use crate::commands::CommandError;
 
 const US_PER_SECOND: f64 = 1e6;
-/// Least time that a speed is taken over, in seconds.
+/// Minimum duration that a speed is computed over, in seconds: avoids a division by zero.
 const MIN_SECONDS: f64 = 1e-9;
 
 /// Figures of the whole run, in the order in which they are written.
@@ -78,7 +78,7 @@
         None => None,
     };
     Ok(Setup {
-        control: control(arguments.control),
+        control: arguments.control.into(),
         plugins: read_plugins(&arguments.plugins)?,
         other: None,
         limits,
@@ -86,12 +86,14 @@
     })
 }
 
-fn control(control_plane: ControlPlane) -> Control {
-    match control_plane {
-        ControlPlane::Module => Control::Module,
-        ControlPlane::Fixed => Control::Fixed,
-        ControlPlane::Nobody => Control::Nobody,
-        ControlPlane::Ideal => Control::Ideal(IDEAL_LATE_MS),
+impl From<ControlPlane> for Control {
+    fn from(control_plane: ControlPlane) -> Self {
+        match control_plane {
+            ControlPlane::Module => Control::Module,
+            ControlPlane::Fixed => Control::Fixed,
+            ControlPlane::Nobody => Control::Nobody,
+            ControlPlane::Ideal => Control::Ideal(IDEAL_LATE_MS),
+        }
     }
 }
 
--- a/crates/supervisor/src/commands/levels/show.rs
+++ b/crates/supervisor/src/commands/levels/show.rs
@@ -9,7 +9,7 @@
 use crate::commands::arguments::LevelsSource;
 use crate::commands::CommandError;
 
-/// Writes all levels, from the mildest on, and how missing signals are taken.
+/// Writes all levels, the mildest first, and how missing signals are handled.
 ///
 /// # Errors
 ///
--- a/crates/supervisor/src/commands/levels/simulate.rs
+++ b/crates/supervisor/src/commands/levels/simulate.rs
@@ -16,7 +16,7 @@
 use crate::commands::CommandError;
 
 const US_PER_HOUR: f64 = 3.6e9;
-/// Least time that a rate is taken over, in hours: one record alone spans none.
+/// Minimum duration that a rate is computed over, in hours: a single record spans none.
 const MIN_HOURS: f64 = 1e-9;
 
 /// Simulates the levels over what each supervisor recorded.
--- a/crates/supervisor/src/commands/plugin/format.rs
+++ b/crates/supervisor/src/commands/plugin/format.rs
@@ -8,14 +8,23 @@
 use crate::commands::files::{read_texts, write_atomically, SourceText};
 use crate::commands::CommandError;
 
-/// Formats all files, or with `check_only` names those that formatting would change.
+/// What to do with files that are not in the canonical format.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FormatMode {
+    /// Rewrite them.
+    Rewrite,
+    /// Only name them.
+    CheckOnly,
+}
+
+/// Formats all files, or names those that formatting would change.
 ///
 /// # Errors
 ///
-/// If a file cannot be read, parsed or written, or with `check_only` formatting would change one.
+/// If a file cannot be read, parsed or written, or in [`FormatMode::CheckOnly`] formatting would change one.
 pub fn run(
     files: &[PathBuf],
-    check_only: bool,
+    mode: FormatMode,
     output: &mut impl Write,
 ) -> Result<(), CommandError> {
     let mut unformatted = 0;
@@ -25,14 +34,15 @@
             continue;
         }
         unformatted += 1;
-        if check_only {
-            writeln!(output, "{} is written otherwise", source.name)?;
-        } else {
-            write_atomically(path, &formatted)?;
-            writeln!(output, "{} formatted", source.name)?;
+        match mode {
+            FormatMode::CheckOnly => writeln!(output, "{} is written otherwise", source.name)?,
+            FormatMode::Rewrite => {
+                write_atomically(path, &formatted)?;
+                writeln!(output, "{} formatted", source.name)?;
+            }
         }
     }
-    if check_only && unformatted > 0 {
+    if mode == FormatMode::CheckOnly && unformatted > 0 {
         return Err(CommandError::Unformatted {
             unformatted,
             total: files.len(),
--- a/crates/supervisor/src/commands/plugin/mod.rs
+++ b/crates/supervisor/src/commands/plugin/mod.rs
@@ -11,6 +11,7 @@
 
 use super::arguments::{PluginArguments, PluginCommand};
 use super::CommandError;
+use format::FormatMode;
 
 /// Runs one of the commands on plug-ins.
 ///
@@ -21,7 +22,14 @@
     match &arguments.command {
         PluginCommand::Check { files } => check::run(files, output),
         PluginCommand::Test { files } => test::run(files, output),
-        PluginCommand::Format { files, check } => format::run(files, *check, output),
+        PluginCommand::Format { files, check } => {
+            let mode = if *check {
+                FormatMode::CheckOnly
+            } else {
+                FormatMode::Rewrite
+            };
+            format::run(files, mode, output)
+        }
         PluginCommand::Explain(arguments) => explain::run(arguments, output),
         PluginCommand::Run(arguments) => dry_run::run(arguments, output),
     }
--- a/crates/supervisor/src/commands/records/csv_rows.rs
+++ b/crates/supervisor/src/commands/records/csv_rows.rs
@@ -38,7 +38,7 @@
     write_row(&cells, output)
 }
 
-/// Writes a gap: its begin and end stand where an event has its time and when that was learned.
+/// Writes a gap, with its begin and end in the columns `at` and `learned`.
 pub fn write_gap(gap: &Gap, output: &mut impl Write) -> std::io::Result<()> {
     let cells = [
         text::time(gap.from_us),
--- a/crates/supervisor/src/commands/report.rs
+++ b/crates/supervisor/src/commands/report.rs
@@ -9,7 +9,7 @@
 use super::time_window::resolve_window;
 use super::CommandError;
 
-/// Writes the page, and tells its file and time window.
+/// Writes the page, and prints its file and time window.
 ///
 /// # Errors
 ///
--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration: the environment and the configuration file, at the start and when the file is replaced.
 //!
-//! At the start the environment takes precedence over the file. At a reload the environment still says what it said at the
-//! start, so what the file changed since it was last read takes precedence, and what it did not change stays as it is.
+//! At the start the environment takes precedence over the file. The environment of a running process never changes, so at a
+//! reload the values that changed in the file take precedence, and the others stay as they are.
 
 mod error;
 mod file;
@@ -18,7 +18,7 @@
 pub use error::ConfigError;
 pub use source::{ConfigSource, ReloadedConfig};
 
-/// How long opening a connection to a server may take where the settings do not tell, in milliseconds: far beyond any
+/// How long opening a connection to a server may take if the settings have no timeout, in milliseconds: far beyond any
 /// network delay.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1000.0;
 
@@ -33,7 +33,7 @@
     pub discovery: SocketAddr,
     /// The seed of random numbers.
     pub seed: u64,
-    /// What the machine allows.
+    /// Resource limits of the machine.
     pub limits: MachineLimits,
     /// The endpoint list as it was last delivered.
     pub known: Option<KnownList>,
@@ -41,13 +41,13 @@
     pub settings: Settings,
     /// The names that reports use.
     pub names: DeploymentNames,
-    /// The least time between two ticks for reports, in milliseconds.
+    /// Minimum time between two ticks that are caused by reports, in milliseconds.
     pub min_tick_interval_ms: f64,
     /// How long opening a connection to a server may take, in milliseconds.
     pub connect_timeout_ms: f64,
 }
 
-/// The configuration at a start, and the file to read it anew from.
+/// The configuration at a start, and the file to reload it from.
 #[derive(Debug)]
 pub struct LoadedConfig {
     /// The configuration.
@@ -69,11 +69,11 @@
     Ok(LoadedConfig { config, source })
 }
 
-/// Checks a configuration, as a start without an environment would. Returns what it contradicts or leaves open.
+/// Checks a configuration as a start without an environment would. Returns warnings on inconsistent or incomplete settings.
 ///
 /// # Errors
 ///
-/// If it is incomplete or cannot be read; faults of JSON tell line and column.
+/// If it is incomplete or cannot be read; JSON errors have line and column.
 pub fn check(path: &str) -> Result<Vec<String>, ConfigError> {
     let config = load_without_env(path)?;
     Ok(config.consistency_warnings())
@@ -96,7 +96,7 @@
     Config::new(file, |_| None)
 }
 
-/// A variable of the environment; an empty one is like none.
+/// A variable of the environment; an empty one counts as unset.
 fn env_variable(key: &str) -> Option<String> {
     std::env::var(key).ok().filter(|value| !value.is_empty())
 }
@@ -127,15 +127,15 @@
         })
     }
 
-    /// What the settings contradict or leave open: a sentence each, for the log at a start and for `check`.
+    /// Warnings on inconsistent or incomplete settings, a sentence each, for the log at a start and for `check`.
     pub fn consistency_warnings(&self) -> Vec<String> {
         let servers = self.known.as_ref().map_or(0, |list| list.endpoints.len());
         chutegrade_settings::consistency_warnings(&self.settings, servers)
     }
 }
 
-/// A list in the file that cannot be read is like none: discovery delivers the rest. Of one that can be read in part
-/// discovery delivers all that came since the first version.
+/// Reads the known list; an unreadable one counts as none, since discovery delivers the complete list then. A list with
+/// unreadable endpoints gets version 0, so that discovery delivers all changes since the first version.
 fn parse_known_list(json: serde_json::Value) -> Option<KnownList> {
     let EndpointDelivery {
         version,
@@ -156,7 +156,7 @@
     Some(KnownList { version, endpoints })
 }
 
-/// Seeds are 16 hexadecimal digits; whatever else is given is hashed, so that it still tells supervisors apart.
+/// Seeds are 16 hexadecimal digits; any other value is hashed, so that supervisors still have different seeds.
 fn parse_seed(json: &serde_json::Value) -> u64 {
     let text = match json.as_str() {
         Some(text) => text.to_string(),
--- a/crates/supervisor/src/config/file.rs
+++ b/crates/supervisor/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file as it is written.
+//! The configuration file, as it is deserialized.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::config::error::ConfigError;
 
-/// Descriptors that a process may have where the file does not say.
+/// Limit of file descriptors if the file has none.
 const DEFAULT_DESCRIPTORS: usize = 1024;
 
 /// The configuration file.
@@ -23,7 +23,7 @@
     pub discovery: Option<String>,
     /// The seed of random numbers.
     pub seed: Value,
-    /// What the machine allows.
+    /// Resource limits of the machine.
     pub limits: MachineLimits,
     /// The endpoint list as it was last delivered.
     pub known: Option<Value>,
@@ -31,7 +31,7 @@
     pub settings: Value,
 }
 
-/// What the machine allows.
+/// Resource limits of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct MachineLimits {
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// If it cannot be opened or is no JSON of its form.
+    /// If it cannot be opened, or is not JSON of the expected form.
     pub fn load(path: &str) -> Result<Self, ConfigError> {
         let text = std::fs::read(path).map_err(|error| ConfigError::Open {
             path: path.to_string(),
--- a/crates/supervisor/src/config/source.rs
+++ b/crates/supervisor/src/config/source.rs
@@ -1,11 +1,11 @@
-//! The configuration file of a running supervisor, and what a reload takes from it.
+//! The configuration file of a running supervisor, and what a reload applies of it.
 
 use std::net::SocketAddr;
 
 use crate::config::error::ConfigError;
 use crate::config::file::{parse_address, ConfigFile};
 
-/// The configuration file, and what it said when it was last read.
+/// The configuration file, with its content when it was last read.
 #[derive(Debug)]
 pub struct ConfigSource {
     path: String,
@@ -13,7 +13,7 @@
     discovery: SocketAddr,
 }
 
-/// What a reload brings.
+/// What changes with a reload.
 #[derive(Debug, PartialEq)]
 pub struct ReloadedConfig {
     /// Where discovery answers from now on.
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Reads the file anew. The list that it holds as known is older than what discovery has delivered, and the seed is for
-    /// a start: neither is looked at.
+    /// Rereads the file, except for the known list and the seed: discovery has delivered a newer list, and the seed counts
+    /// only at a start.
     ///
     /// # Errors
     ///
@@ -53,7 +53,7 @@
             self.discovery = address;
         }
         let restart_required_for = self.changes_that_require_a_restart(&file);
-        // The other keys stay as they were at the start: those that wait for a restart are named at each reload until then.
+        // The other keys are compared with the start, so that each reload names all that still require a restart.
         self.last_read.discovery = file.discovery;
         Ok(ReloadedConfig {
             discovery: self.discovery,
--- a/crates/supervisor/src/peers/collector_stream.rs
+++ b/crates/supervisor/src/peers/collector_stream.rs
@@ -1,4 +1,4 @@
-//! Collectors: reports on a zone's servers and on demand. Nothing is written to them but answers to `probe`.
+//! Collectors: they report on a zone's servers and on demand, and get nothing but answers to `probe`.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,14 +19,14 @@
 use crate::protocol::peer_kind::PeerKind;
 use crate::shared::engine_handle::EngineHandle;
 
-/// How long a collector may send nothing; one without news merely dials again.
+/// How long a collector may send nothing; a live one that had nothing to report simply reconnects.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Collectors of a zone at a time: one serves it, the others fell silent and dial again.
+/// Maximum number of connected collectors of a zone: one is in use, the others are stale connections of earlier ones.
 pub const MAX_COLLECTORS_PER_ZONE: usize = 4;
 
-/// The collectors that are connected, by zone. When a zone has too many, the oldest is evicted: it is the likeliest to have
-/// fallen silent.
+/// The collectors that are connected, by zone. When a zone has too many, the oldest is evicted: it is the most
+/// likely to be stale.
 pub struct CollectorStreams {
     engine: EngineHandle,
     slots_by_zone: RefCell<HashMap<String, Rc<ConnectionSlots>>>,
--- a/crates/supervisor/src/peers/connection.rs
+++ b/crates/supervisor/src/peers/connection.rs
@@ -14,9 +14,9 @@
 }
 
 impl PeerConnection {
-    /// Takes over an accepted stream, with lines of at most so many bytes.
+    /// Takes over an accepted stream, with lines of at most `max_line_bytes` bytes.
     pub fn new(stream: TcpStream, max_line_bytes: usize) -> Self {
-        // An order is a message of its own and must not wait for the next one.
+        // Without Nagle's algorithm: an order must not wait until more is written.
         let _ = stream.set_nodelay(true);
         let (read_half, writer) = stream.into_split();
         PeerConnection {
--- a/crates/supervisor/src/peers/connection_slots.rs
+++ b/crates/supervisor/src/peers/connection_slots.rs
@@ -1,4 +1,4 @@
-//! A bounded number of connections of one sort, where a newer one evicts the oldest.
+//! A bounded number of connections of one group, in which a newer connection evicts the oldest.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -6,20 +6,20 @@
 
 use tokio::sync::Notify;
 
-/// Slots for connections of one sort, oldest first.
+/// Slots for the connections of one group, oldest first.
 pub struct ConnectionSlots {
     capacity: usize,
     occupied: RefCell<VecDeque<Rc<Notify>>>,
 }
 
-/// The slot of one connection, until it is dropped.
+/// The slot of one connection; dropping it releases the slot.
 pub struct ConnectionSlot<'a> {
     slots: &'a ConnectionSlots,
     evicted: Rc<Notify>,
 }
 
 impl ConnectionSlots {
-    /// So many slots.
+    /// A group of at most `capacity` connections.
     pub fn new(capacity: usize) -> Self {
         ConnectionSlots {
             capacity,
--- a/crates/supervisor/src/peers/discovery.rs
+++ b/crates/supervisor/src/peers/discovery.rs
@@ -29,17 +29,18 @@
 
 use endpoint_cache::EndpointCache;
 
-/// A watch that has brought nothing for so long is replaced: an empty line comes every 2 s, and news may take 6 s.
+/// A watch on which nothing arrives for this long is replaced: agents send an empty line every 2 s, and changes may take
+/// 6 s to arrive.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(3000);
 /// How long the body of the complete list may take.
 const BODY_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long opening a connection to discovery, or the head of its answer, may take: it is on this machine.
+/// How long opening a connection to discovery, or the head of its response, may take: the agent is on this machine.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Longest list, in bytes: far beyond the largest fleet, within the memory that a supervisor has.
+/// Longest endpoint list, in bytes: far beyond the largest fleet, and within the memory of a supervisor.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
-/// The first pause before discovery is asked again; it doubles with each failure.
+/// The first backoff after a failed call; it doubles with each further failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest pause before discovery is asked again.
+/// The longest backoff after a failed call.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// What the client uses.
@@ -50,25 +51,25 @@
     pub shutdown: Shutdown,
     /// Records when discovery becomes unavailable and available.
     pub recorder: EventRecorder,
-    /// What the engine wants of the list.
+    /// The discovery subscription that the engine requests.
     pub subscriptions: Rc<SubscriptionChannel>,
 }
 
 /// Follows the endpoint list and reports it to the engine.
 pub struct DiscoveryClient {
     context: DiscoveryContext,
-    /// Where discovery answers; a new configuration may name another address.
+    /// The address of discovery, which a reload may change.
     address: watch::Receiver<SocketAddr>,
-    /// Whether the engine asks for each call one by one.
+    /// Whether the engine requests each call separately.
     is_on_request: bool,
     cache: EndpointCache,
     backoff: Duration,
     is_unavailable: bool,
-    /// The complete list is requested before anything else, until it has come: discovery has moved, and endpoints may have
-    /// other addresses there, or the engine asked for it.
+    /// Whether the complete list has to be fetched before anything else: discovery has moved and endpoints may have other
+    /// addresses there, or the engine requested it.
     needs_snapshot: bool,
-    /// The last watch fell silent: the complete list is requested once. Where watches open and say nothing, one after the
-    /// other, news would be later than the rules allow.
+    /// Whether the last watch fell silent, so that the complete list is fetched once: with one silent watch after the other,
+    /// changes would arrive later than the rules allow.
     watch_was_silent: bool,
 }
 
@@ -92,28 +93,28 @@
         }
     }
 
-    /// Runs until the supervisor stops. Once discovery has moved, whatever was under way at the old address is left at
-    /// once; the list stays as it is until the new address delivers.
+    /// Runs until the supervisor stops. When discovery moves, requests in flight at the old address are dropped at once; the
+    /// list stays as it is until the new address delivers.
     pub async fn run(mut self) {
         let mut subscription = self.context.subscriptions.subscribe();
         let mut address = self.address.clone();
         loop {
             tokio::select! {
                 () = self.follow_subscription(&mut subscription) => {}
-                Ok(()) = address.changed() => self.start_anew(),
+                Ok(()) = address.changed() => self.handle_move(),
             }
         }
     }
 
-    /// Discovery has moved to another address.
-    fn start_anew(&mut self) {
+    /// Resets the state that depends on the agent, as discovery has moved to another address.
+    fn handle_move(&mut self) {
         self.backoff = MIN_BACKOFF;
         self.needs_snapshot = true;
         self.is_unavailable = false;
         self.cache.reset_staleness();
     }
 
-    /// Does what the engine wants until it is done, fails, or something else is wanted; backs off after a failure.
+    /// Makes the call that the engine requests, until it completes, fails, or another is requested; backs off after a failure.
     async fn follow_subscription(
         &mut self,
         subscription: &mut watch::Receiver<DiscoverySubscription>,
@@ -132,7 +133,7 @@
         self.watch_was_silent = reason == DisconnectReason::IdleTimeout && !self.is_on_request;
         self.mark_unavailable(reason);
         if self.is_on_request {
-            // The engine says when to try again.
+            // The engine decides when to retry.
             let unavailable = EndpointUpdateKind::Unavailable;
             self.context
                 .engine
@@ -143,19 +144,19 @@
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    /// Makes the call that is due: a fetch, a check of a silent discovery, or a watch.
+    /// Makes the call that is due: a fetch, a fetch after a silent watch, or a watch.
     async fn call(
         &mut self,
         wanted: DiscoverySubscription,
         subscription: &mut watch::Receiver<DiscoverySubscription>,
     ) -> Result<(), DisconnectReason> {
-        // Where the engine asks for each call, one that failed is over, and the engine is notified of it.
+        // If the engine requests each call separately, a failed fetch is reported to it and not repeated here.
         self.needs_snapshot |= wanted.fetch && !self.is_on_request;
         let watch_was_silent = std::mem::take(&mut self.watch_was_silent);
         if wanted.fetch || self.needs_snapshot {
             self.fetch().await
         } else if watch_was_silent {
-            // An answer does not yet show that watches bring news: discovery stays marked as unavailable.
+            // A fetched list does not show that watches deliver changes: discovery stays marked as unavailable.
             self.fetch_list().await
         } else {
             self.watch(subscription).await
@@ -202,7 +203,7 @@
         self.handle_delivery(text)
     }
 
-    /// Follows changes until the watch ends, is no longer wanted, or the complete list is.
+    /// Follows changes until the watch ends, another subscription is requested, or the complete list is needed.
     async fn watch(
         &mut self,
         subscription: &mut watch::Receiver<DiscoverySubscription>,
@@ -230,7 +231,7 @@
         Ok(())
     }
 
-    /// Discovery has delivered: the next failure is a new one.
+    /// Resets the backoff, and logs the recovery if discovery was unavailable.
     fn mark_available(&mut self) {
         self.backoff = MIN_BACKOFF;
         let was_unavailable = std::mem::take(&mut self.is_unavailable);
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Discovery has failed; only the first failure in a row is logged.
+    /// Logs and records a failure, unless discovery was unavailable already.
     fn mark_unavailable(&mut self, reason: DisconnectReason) {
         let was_unavailable = std::mem::replace(&mut self.is_unavailable, true);
         if !was_unavailable {
--- a/crates/supervisor/src/peers/discovery/endpoint_cache.rs
+++ b/crates/supervisor/src/peers/discovery/endpoint_cache.rs
@@ -7,10 +7,10 @@
 
 use crate::protocol::endpoint_delivery::{EndpointDelivery, KnownList};
 
-/// A list whose version is older than a known one for so long has restarted its count: news is nowhere later than this.
+/// If versions stay older than the known one for this long, the list has restarted its count: no agent lags by more.
 const STALE_TIMEOUT: Duration = Duration::from_secs(6);
-/// A delivery with unreadable endpoints is requested again until it came so many times in a row; then it holds without
-/// them. The backoff between takes a second in all, and news may take 6 s.
+/// After this many deliveries in a row with unreadable endpoints, the last is accepted without them; until then it is
+/// requested again. The backoff in between takes a second in total, and changes may take 6 s to arrive.
 const MAX_UNREADABLE_DELIVERIES: u32 = 5;
 
 /// The list as it was last delivered.
@@ -53,13 +53,13 @@
         self.version
     }
 
-    /// Another agent answers from now on: for how long the last one was stale says nothing of it.
+    /// Forgets for how long deliveries were stale, as another agent answers from now on.
     pub fn reset_staleness(&mut self) {
         self.stale_since = None;
     }
 
-    /// Whether a delivery is to be ignored, as it is older than the known version. An agent that lags, as one at a new address
-    /// may, reports a draining server as in service.
+    /// Whether a delivery has to be ignored because it is older than the known version. An agent that lags behind, perhaps
+    /// one at a new address, would report a draining server as in service.
     pub fn should_ignore(&mut self, delivery: &EndpointDelivery) -> bool {
         let version = delivery.version;
         let Some(known) = self.version.filter(|known| version < *known) else {
@@ -78,8 +78,8 @@
         !has_restarted || !delivery.is_snapshot
     }
 
-    /// Forgets the version if discovery has been stale for so long that its count has restarted; returns whether it has.
-    /// The complete list is requested then: changes alone lack those that came before and were ignored.
+    /// Forgets the version if discovery has been stale for `STALE_TIMEOUT`, since its count has restarted then; returns
+    /// whether it has. The complete list is requested next: changes alone would lack those that were ignored as stale.
     pub fn forget_version_if_restarted(&mut self) -> bool {
         let has_restarted = self
             .stale_since
@@ -91,8 +91,8 @@
         has_restarted
     }
 
-    /// Applies a delivery that is not stale. What an unreadable endpoint said, a drain perhaps, is never delivered again to
-    /// whoever requests what came after it: the version advances only if the delivery need not be repeated.
+    /// Applies a delivery that is not stale. The version advances only if the delivery need not be repeated: a watch from a
+    /// newer version would never deliver the content of an unreadable endpoint, perhaps a drain.
     pub fn apply(&mut self, delivery: EndpointDelivery) -> AppliedDelivery {
         let version = delivery.version;
         if delivery.unreadable > 0 {
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Merges a delivery into the cached endpoints. In a snapshot, an endpoint of which only the name can be read stays as
-    /// it was; where not even the names can be read, the rest counts as changes, so that none reads as a removal.
+    /// Merges a delivery into the cached endpoints. In a snapshot, an endpoint of which only the name can be read keeps its
+    /// cached state; if not all names can be read, the snapshot is applied as a delta, so that it removes no server.
     fn merge(&mut self, delivery: EndpointDelivery) -> Report {
         let names_are_complete = delivery.unreadable_names.len() == delivery.unreadable;
         let replaces_list = delivery.is_complete() || (delivery.is_snapshot && names_are_complete);
--- a/crates/supervisor/src/peers/health_check.rs
+++ b/crates/supervisor/src/peers/health_check.rs
@@ -20,15 +20,15 @@
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::shutdown::Shutdown;
 
-/// The response timeout as a share of the shortest latency objective of any class: a server that takes longer for so little
-/// serves that class too late.
+/// The response timeout as a share of the shortest latency objective of any class: a server that takes longer for a trivial
+/// request cannot meet that objective.
 const RESPONSE_TIMEOUT_SHARE: f64 = 0.5;
-/// The longest response timeout, where objectives are long or none: the next health check is due then.
+/// Maximum response timeout, for long latency objectives or none: the next health check is due then.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest body of an answer, in bytes: a load report is one short line.
 const MAX_BODY_BYTES: usize = 16 * 1024;
-/// Health checks that are scheduled or under way at most, each a task of its own. The engine checks a server once at a
-/// time, so that a list four times the largest fleet never has as many. What is due beyond is reported as inconclusive.
+/// Maximum number of health checks that are scheduled or in flight, each a task of its own; any beyond it are reported as
+/// inconclusive. The engine runs one check per server at a time, and the largest fleet is a quarter of this.
 const MAX_PENDING_CHECKS: usize = 4096;
 
 /// How servers are checked.
@@ -39,7 +39,7 @@
     pub connect_timeout: Duration,
     /// How long an answer may take.
     pub response_timeout: Duration,
-    /// How long a connection is kept without a request.
+    /// How long an idle connection is kept.
     pub idle_timeout: Duration,
 }
 
@@ -105,8 +105,8 @@
         })
     }
 
-    /// Schedules these health checks evenly over a time; each result is reported. Sent at once, the answers of hundreds of
-    /// servers would arrive together, and the time that the last of them wait in this process would pass for slow servers.
+    /// Schedules health checks evenly over `spread`; each result is reported to the engine. Sent all at once, hundreds of
+    /// responses would arrive together, and the time that some wait in this process would count as latency of their servers.
     pub fn schedule(self: &Rc<Self>, checks: Vec<HealthCheck>, spread: Duration) {
         let count = u32::try_from(checks.len().max(1)).unwrap_or(u32::MAX);
         let interval = spread / count;
@@ -135,7 +135,7 @@
         self.pending.set(self.pending.get() + 1);
         let checker = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            // Nothing is sent once the supervisor stops.
+            // Only the timeout, not the shutdown, makes the check due: nothing is sent once the supervisor stops.
             let is_due = timeout(delay, checker.shutdown.requested()).await.is_err();
             if is_due {
                 checker.check_and_report(check).await;
@@ -158,17 +158,17 @@
         });
     }
 
-    /// Checks the server at an address.
-    async fn check(&self, name: &str) -> CheckResult {
+    /// Checks the server at an address, as the endpoint list has it.
+    async fn check(&self, host: &str) -> CheckResult {
         let mut sent_at = Instant::now();
-        let Ok(address) = name.parse::<SocketAddr>() else {
+        let Ok(address) = host.parse::<SocketAddr>() else {
             return CheckResult {
                 outcome: HealthCheckOutcome::Inconclusive,
                 load: LoadReport::default(),
                 sent_at,
             };
         };
-        let (outcome, load) = match self.request(address, name, &mut sent_at).await {
+        let (outcome, load) = match self.request(address, host, &mut sent_at).await {
             Ok(response) => (outcome_of_status(response.status), response.load),
             Err(reason) => (outcome_of_disconnect(reason), LoadReport::default()),
         };
@@ -182,13 +182,13 @@
     async fn request(
         &self,
         address: SocketAddr,
-        name: &str,
+        host: &str,
         sent_at: &mut Instant,
     ) -> Result<CheckResponse, DisconnectReason> {
         if let Some(sender) = self.pool.take_idle(address) {
-            // A server may close an idle connection just as the next request is sent: that says nothing of the server,
-            // and a new connection does.
-            match self.request_on(sender, address, name).await {
+            // A server may close an idle connection just as the next request is sent, which is no failure of the server: the
+            // request is retried on a new connection.
+            match self.request_on(sender, address, host).await {
                 Err(
                     DisconnectReason::Closed
                     | DisconnectReason::Truncated
@@ -197,10 +197,9 @@
                 result => return result,
             }
         }
-        // From here on `sent_at` counts anew: with the time that a broken connection took, a fast server would pass for a
-        // slow one.
-        let sender = self.pool.connect(address, name, sent_at).await?;
-        self.request_on(sender, address, name).await
+        // `connect` resets `sent_at`: with the time spent on a broken connection, a fast server would seem slow.
+        let sender = self.pool.connect(address, host, sent_at).await?;
+        self.request_on(sender, address, host).await
     }
 
     /// Sends the request on a connection, which is kept if it is answered in time.
@@ -208,9 +207,9 @@
         &self,
         mut sender: RequestSender,
         address: SocketAddr,
-        name: &str,
+        host: &str,
     ) -> Result<CheckResponse, DisconnectReason> {
-        let exchange = exchange(&mut sender, name, self.path);
+        let exchange = exchange(&mut sender, host, self.path);
         let response = timeout(self.response_timeout, exchange)
             .await
             .unwrap_or(Err(DisconnectReason::TimedOut))?;
@@ -241,7 +240,7 @@
         return HealthCheckOutcome::Passed;
     }
     match status {
-        // The answer of a server that drains or has too many health checks; it is alive.
+        // A server that drains or gets too many health checks responds so; it is alive.
         StatusCode::SERVICE_UNAVAILABLE => HealthCheckOutcome::Rejected,
         _ => HealthCheckOutcome::Error,
     }
--- a/crates/supervisor/src/peers/health_check/connection_pool.rs
+++ b/crates/supervisor/src/peers/health_check/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: opened within a time, kept while they are idle, and closed when descriptors run out.
+//! Pooled connections to servers: opened with a timeout, kept while idle, and closed when descriptors run out.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,10 +12,10 @@
 use crate::protocol::peer_kind::PeerKind;
 use crate::shared::shutdown::Shutdown;
 
-/// A server that refused connections and was not dialled again for so long is forgotten: many times the pause between
+/// A server that refused connections is forgotten if it was not dialled again for this long: many times the interval of
 /// health checks.
 const UNREACHABLE_RETENTION: Duration = Duration::from_secs(60);
-/// Pause before a descriptor is tried for again: other health checks are answered in less.
+/// Pause before dialling again when no descriptor is left: other health checks complete in less.
 const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Connections to servers, at most one idle connection to each.
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Frees descriptors: closes half of the idle connections, and keeps no more for as long as one may be idle.
+    /// Frees descriptors: closes half of the idle connections, and keeps the pool at that size for the idle timeout.
     pub fn release_idle(&self) {
         let max_idle = self.idle.borrow().len() / 2;
         self.reduced.set(Some(ReducedCapacity {
@@ -102,9 +102,7 @@
         }
     }
 
-    /// Opens a connection; `dialled_at` becomes the time of the last attempt. Where no descriptor is left, idle connections
-    /// are closed and it is tried again for as long as a connection may take: where there are more servers than
-    /// descriptors, some would never be checked otherwise.
+    /// Opens a connection; `dialled_at` becomes the time of the last attempt. The first failure in a row is logged.
     ///
     /// # Errors
     ///
@@ -114,9 +112,27 @@
         address: SocketAddr,
         name: &str,
         dialled_at: &mut Instant,
+    ) -> Result<RequestSender, DisconnectReason> {
+        let connected = self.dial(address, name, dialled_at).await;
+        match &connected {
+            Ok(_) => {
+                self.unreachable.borrow_mut().remove(&address);
+            }
+            Err(reason) => self.record_unreachable(address, name, *reason),
+        }
+        connected
+    }
+
+    /// Opens a connection. While no descriptor is left, closes idle connections and retries until the connect timeout: where
+    /// there are more servers than descriptors, some would never be checked otherwise.
+    async fn dial(
+        &self,
+        address: SocketAddr,
+        name: &str,
+        dialled_at: &mut Instant,
     ) -> Result<RequestSender, DisconnectReason> {
         let started_at = Instant::now();
-        let connected = loop {
+        loop {
             *dialled_at = Instant::now();
             let destination = Destination {
                 peer_kind: PeerKind::Server,
@@ -126,18 +142,11 @@
             let connected = http::connect(&self.shutdown, destination, self.connect_timeout).await;
             let is_exhausted = matches!(connected, Err(DisconnectReason::ResourcesExhausted));
             if !is_exhausted || started_at.elapsed() >= self.connect_timeout {
-                break connected;
+                return connected;
             }
             self.release_idle();
             sleep(DESCRIPTOR_RETRY_DELAY).await;
-        };
-        match &connected {
-            Ok(_) => {
-                self.unreachable.borrow_mut().remove(&address);
-            }
-            Err(reason) => self.record_unreachable(address, name, *reason),
         }
-        connected
     }
 
     /// Logs the first failure to connect to a server; forgets servers that are not dialled any more, as after a removal.
--- a/crates/supervisor/src/peers/identification.rs
+++ b/crates/supervisor/src/peers/identification.rs
@@ -7,7 +7,7 @@
 use crate::protocol::line_reader::send;
 use crate::shared::engine_handle::EngineHandle;
 
-/// A peer that has identified itself, as the settings know it.
+/// A peer that has identified itself and is in the settings.
 pub enum IdentifiedPeer {
     /// A proxy, which opens a stream.
     Proxy(ProxyHello),
@@ -18,12 +18,12 @@
     },
 }
 
-/// Waits for the message that identifies the peer; `probe` may come any number of times before. Whoever gets an answer
-/// finds a supervisor that decides already: the first tick comes before the first connection is accepted.
+/// Waits for the message that identifies the peer, and answers any `probe` before it. Such an answer means that the engine
+/// decides already, since it ticks before the first connection is accepted.
 ///
 /// # Errors
 ///
-/// If the connection ends, brings anything else, or names a peer that the settings do not hold.
+/// If the connection ends, sends anything else, or names a peer that is not in the settings.
 pub async fn identify(
     engine: &EngineHandle,
     connection: &mut PeerConnection,
--- a/crates/supervisor/src/peers/malformed_counter.rs
+++ b/crates/supervisor/src/peers/malformed_counter.rs
@@ -1,17 +1,17 @@
-//! Accounts for malformed messages: each is counted as a dropped report, and too many in a row end the connection.
+//! Counts malformed messages: each counts as a dropped report, and too many in a row end the connection.
 
 use crate::protocol::disconnect::{Disconnect, DisconnectReason};
 use crate::protocol::malformed::{ErrorBudget, MalformedMessage};
 use crate::shared::engine_handle::EngineHandle;
 
-/// The account of one connection.
+/// Counts the malformed messages of one connection.
 pub struct MalformedCounter {
     engine: EngineHandle,
     budget: ErrorBudget,
 }
 
 impl MalformedCounter {
-    /// The account of a new connection.
+    /// The counter of a new connection.
     pub fn new(engine: EngineHandle) -> Self {
         MalformedCounter {
             engine,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Accounts for one message that was handled.
+    /// Counts the result of handling one message.
     ///
     /// # Errors
     ///
--- a/crates/supervisor/src/peers/proxy_stream.rs
+++ b/crates/supervisor/src/peers/proxy_stream.rs
@@ -37,7 +37,7 @@
     pub recorder: EventRecorder,
     /// The time base.
     pub clock: Clock,
-    /// How long a proxy that is due to send something may be quiet.
+    /// How long a proxy that has something due may send nothing.
     pub idle_timeout: Duration,
 }
 
@@ -121,7 +121,7 @@
             Report::StreamLost(self.id)
         };
         self.record_end(disconnect.reason);
-        // A stream that was replaced has left the engine already: its late end changes nothing.
+        // The engine has dropped a replaced stream already, and refuses the report of its end.
         let _ = context.engine.try_report(ended);
     }
 
@@ -222,7 +222,7 @@
         matches!(report, Report::ProxyDemand { proxy, .. } if *proxy == self.proxy)
     }
 
-    /// Writes orders, a message at a time; what is ordered meanwhile becomes one later message.
+    /// Writes orders, one message at a time; orders that arise during a write are merged into the next message.
     async fn send_orders(&self, writer: &mut OwnedWriteHalf) -> Result<Infallible, Disconnect> {
         loop {
             self.signal.write_pending().await;
--- a/crates/supervisor/src/peers/proxy_stream/liveness.rs
+++ b/crates/supervisor/src/peers/proxy_stream/liveness.rs
@@ -1,4 +1,4 @@
-//! Whether a proxy's stream still lives: its reports on demand and its acknowledgements arrive in time.
+//! Whether a proxy's stream is alive: its demand reports and its acknowledgements arrive in time.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,19 +7,19 @@
 
 use crate::shared::clock::to_micros;
 
-/// Report periods after which a quiet stream counts as dead. A live one, of a proxy that stood still for 2 s too, is never
-/// quiet for over 1.7 periods, and closing one that lives takes its proxy off its newest tables. Where few requests
-/// arrive at each proxy, streams are quiet for longer: then it is so many times the longest pause on the stream.
+/// The idle timeout of a stream, in report periods. The stream of a live proxy, even one that stalled for 2 s, is idle for
+/// at most 1.7 periods, and closing it would cut the proxy off from new tables. Where few requests arrive at each proxy,
+/// streams are idle for longer: the timeout is then this multiple of the longest pause on the stream.
 const IDLE_TIMEOUT_PERIODS: u32 = 10;
-/// The shortest idle timeout, where reports are gathered more often.
+/// Minimum idle timeout, for short report periods.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a proxy that is due to send something may be quiet, by the period of its reports.
+/// How long a proxy that has something due may send nothing, by the period of its reports.
 pub fn stream_idle_timeout(report_period: Duration) -> Duration {
     (report_period * IDLE_TIMEOUT_PERIODS).max(MIN_IDLE_TIMEOUT)
 }
 
-/// What a stream is expected to bring.
+/// The messages that are expected on a stream, and when the last ones arrived.
 pub struct StreamLiveness {
     idle_timeout: Micros,
     opened_at: Micros,
@@ -27,7 +27,7 @@
     unacknowledged: Cell<Option<Unacknowledged>>,
 }
 
-/// The reports on demand that a stream has brought.
+/// The demand reports that have arrived on a stream.
 #[derive(Clone, Copy)]
 struct DemandReports {
     last_at: Micros,
@@ -43,7 +43,7 @@
 }
 
 impl StreamLiveness {
-    /// Nothing is expected yet of a stream that was opened at this time.
+    /// The state of a stream that was just opened, on which nothing is expected yet.
     pub fn new(opened_at: Micros, idle_timeout: Duration) -> Self {
         StreamLiveness {
             idle_timeout: to_micros(idle_timeout),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A report on demand has arrived.
+    /// Records that a demand report has arrived.
     pub fn record_demand(&self, now: Micros) {
         let previous = self.demand.get().unwrap_or(DemandReports {
             last_at: self.opened_at,
@@ -65,8 +65,8 @@
         }));
     }
 
-    /// Whether a report on demand is overdue. A proxy at which few requests arrive has none in most periods, and must not
-    /// lose its stream for it.
+    /// Whether a demand report is overdue. A proxy at which few requests arrive has nothing to report in most periods, and
+    /// must not lose its stream for it.
     pub fn is_demand_overdue(&self, now: Micros) -> bool {
         let Some(demand) = self.demand.get() else {
             return false;
@@ -75,7 +75,7 @@
         now - demand.last_at >= self.idle_timeout.max(many_pauses)
     }
 
-    /// An order with this sequence number has been written.
+    /// Records that an order with this sequence number was written.
     pub fn record_order(&self, sequence: u16, now: Micros) {
         let waiting_since = match self.unacknowledged.get() {
             Some(earlier) => earlier.waiting_since,
@@ -87,8 +87,7 @@
         }));
     }
 
-    /// An order is acknowledged. The acknowledgement of an older order says nothing of the newest one, which is awaited
-    /// from here on.
+    /// Records an acknowledgement. If it is for an older order, the newest one is still awaited, with a timeout that restarts.
     pub fn record_acknowledgement(&self, sequence: u16, now: Micros) {
         let Some(awaited) = self.unacknowledged.get() else {
             return;
@@ -101,8 +100,8 @@
         self.unacknowledged.set((!is_newest).then_some(remaining));
     }
 
-    /// Whether an acknowledgement is overdue. An order reaches the proxy after all that waits in the channel: one whose
-    /// table waits behind those of many others must not lose its stream before it has any.
+    /// Whether an acknowledgement is overdue. An order arrives after everything that is queued before it in the channel, so
+    /// the delay of that queue extends the timeout.
     pub fn is_acknowledgement_overdue(
         &self,
         now: Micros,
--- a/crates/supervisor/src/protocol/decode.rs
+++ b/crates/supervisor/src/protocol/decode.rs
@@ -30,7 +30,7 @@
     },
     /// A proxy introduces itself: `hello`.
     ProxyHello(ProxyHello),
-    /// A report that means the same on every connection: `outcomes` or `demand`.
+    /// A report that is independent of its connection: `outcomes` or `demand`.
     Report(Report),
     /// A proxy has applied all orders up to a sequence number: `ack`.
     Acknowledgement {
@@ -43,8 +43,8 @@
     },
     /// A kind that this version does not know.
     Unknown,
-    /// A message of a known kind that can't be read. It says nothing, and its connection goes on: where the line ends is
-    /// certain, so the messages around it are good.
+    /// A message of a known kind that can't be read. It is skipped and its connection stays open: the framing is intact, so
+    /// the messages around it are good.
     Malformed(MalformedMessage),
 }
 
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// If the framing is lost: the line is no message at all, and what follows on its connection is of no use.
+/// If the line is no message at all: the framing is lost, and the rest of the connection cannot be read.
 pub fn decode_message(line: &str) -> Result<Message, MalformedMessage> {
     let kind = line.split(' ').next().unwrap_or_default();
     let is_kind = !kind.is_empty() && kind.bytes().all(|byte| byte.is_ascii_lowercase());
--- a/crates/supervisor/src/protocol/encode.rs
+++ b/crates/supervisor/src/protocol/encode.rs
@@ -7,7 +7,7 @@
 
 /// The answer to `probe`.
 pub const PROBE_REPLY: &[u8] = b"alive\r\n";
-/// Length beyond which a line ends and its message goes on in another part, in bytes: well below the protocol's 1 MiB.
+/// Length from which the rest of a message moves to another line, in bytes: well below the protocol's limit of 1 MiB.
 const LINE_SPLIT_BYTES: usize = 512 * 1024;
 
 /// The message to a peer whose connection is closed, with the reason's code.
@@ -28,12 +28,13 @@
         let _ = write!(last_line, " stamp={sequence}");
     }
     lines.push(last_line);
+    // `part=1` marks a line whose message continues on the next one.
     let mut text = lines.join(" part=1\r\n");
     text.push_str("\r\n");
     text
 }
 
-/// Appends the lines of one update; a table beyond the length of a line goes on in lines that add to the first one.
+/// Appends the lines of one update. A table that is too long for one line is split; the further lines add to the first.
 fn encode_update(update: &TableUpdate, lines: &mut Vec<String>) {
     let mut head = "push".to_string();
     if !update.classes.is_empty() {
@@ -58,7 +59,7 @@
     lines.push(line);
 }
 
-/// Appends a list of names behind a field's name, unless it is empty.
+/// Appends a field with a list of names, unless the list is empty.
 fn append_names(field: &str, names: &[Rc<str>], line: &mut String) {
     let mut separator = field;
     for name in names {
--- a/crates/supervisor/src/protocol/endpoint_delivery.rs
+++ b/crates/supervisor/src/protocol/endpoint_delivery.rs
@@ -18,9 +18,9 @@
     pub endpoints: Vec<NamedEndpoint>,
     /// How many endpoints could not be read.
     pub unreadable: usize,
-    /// The names of those, as far as the names could be read.
+    /// The names of the unreadable endpoints whose names could be read.
     pub unreadable_names: Vec<String>,
-    /// How many endpoints were dropped, since a later one has the same name.
+    /// How many endpoints were dropped because a later one has the same name.
     pub duplicates: usize,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The list as it was last delivered to an earlier run.
+/// The endpoint list as it was last delivered to an earlier run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownList {
     /// The list's version.
@@ -78,23 +78,23 @@
     1.0
 }
 
-/// Decodes a delivery. An endpoint that can't be read leaves the rest in force, but a snapshot that lacks one is no longer
-/// complete: its absence must not read as the server's removal.
+/// Decodes a delivery. The readable endpoints are used even if others are not, but such a snapshot is not complete: the
+/// absence of an unreadable endpoint must not count as the server's removal.
 ///
 /// # Errors
 ///
-/// If the text is no JSON of the form of a delivery.
+/// If the text is not JSON of the form of a delivery.
 pub fn decode_delivery(text: &str) -> Result<EndpointDelivery, MalformedMessage> {
     serde_json::from_str::<RawDelivery>(text)
         .map(EndpointDelivery::from)
         .map_err(malformed_list)
 }
 
-/// Decodes a delivery that was a part of a larger JSON text.
+/// Decodes a delivery that is part of a larger JSON document.
 ///
 /// # Errors
 ///
-/// If the value has not the form of a delivery.
+/// If the value does not have the form of a delivery.
 pub fn decode_delivery_value(
     json: serde_json::Value,
 ) -> Result<EndpointDelivery, MalformedMessage> {
--- a/crates/supervisor/src/protocol/fields.rs
+++ b/crates/supervisor/src/protocol/fields.rs
@@ -6,9 +6,9 @@
 
 use crate::protocol::malformed::MalformedMessage;
 
-/// Largest count that a report may hold: more than any proxy meets in a day.
+/// Largest count that a report may have: more requests than any proxy gets in a day.
 const MAX_COUNT: f64 = 1e9;
-/// Longest time that a message may name, in milliseconds: a day.
+/// Longest time that a message may have, in milliseconds: a day.
 const MAX_TIME_MS: f64 = 86_400_000.0;
 
 /// The fields of a line; the first one of a name counts.
@@ -53,7 +53,7 @@
         self.number(name, MAX_COUNT)
     }
 
-    /// How many of so many requests failed; none if the line does not say.
+    /// How many of `total` requests failed; zero if the line has no such field.
     pub fn failures(&self, total: f64) -> Result<f64, MalformedMessage> {
         match self.find("fail") {
             Some(_) => self.number("fail", total),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The mean latency, in milliseconds; zero if the line does not say.
+    /// The mean latency, in milliseconds; zero if the line has no such field.
     pub fn mean_latency_ms(&self) -> Result<f64, MalformedMessage> {
         match self.find("mean") {
             Some(_) => self.number("mean", MAX_TIME_MS),
@@ -74,7 +74,7 @@
         self.number(name, MAX_TIME_MS).map(Micros::from_ms)
     }
 
-    /// The time over which something was counted, longer than zero.
+    /// The period over which the report counted, longer than zero.
     pub fn period(&self) -> Result<Micros, MalformedMessage> {
         let period = self.time("over")?;
         if period > Micros(0) {
--- a/crates/supervisor/src/protocol/http.rs
+++ b/crates/supervisor/src/protocol/http.rs
@@ -1,4 +1,4 @@
-//! Client connections to peers that speak HTTP: opened, driven on their own, and logged at their end.
+//! HTTP/1 client connections to peers: each is driven by a task of its own, and logged at its end.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -33,8 +33,8 @@
     pub address: SocketAddr,
 }
 
-/// Opens a connection. It is driven on its own until its end or the shutdown, and then logged; one that could not be
-/// opened is not.
+/// Opens a connection. A task of its own drives it until its end or the shutdown, and logs it then; a connection that could
+/// not be opened is not logged.
 ///
 /// # Errors
 ///
@@ -84,7 +84,8 @@
     log.close(reason);
 }
 
-/// Why a connection could not be opened: because of the peer or the network, or else of this machine.
+/// Why a connection could not be opened. Any error that neither the peer nor the network explains counts as a shortage on
+/// this machine, so that it is not held against the peer.
 fn connect_failure(kind: ErrorKind) -> DisconnectReason {
     match kind {
         ErrorKind::TimedOut => DisconnectReason::TimedOut,
@@ -97,11 +98,11 @@
     }
 }
 
-/// Requests a path, and waits for the head of the answer.
+/// Requests a path, and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// If the connection ends before, or the answer can't be read.
+/// If the connection ends before the response, or the response can't be read.
 pub async fn get(
     sender: &mut RequestSender,
     host: &str,
@@ -128,7 +129,7 @@
     }
 }
 
-/// The reason that an error of the connection amounts to.
+/// The reason that describes an error of the connection.
 fn disconnect_reason(error: &hyper::Error) -> DisconnectReason {
     if error.is_parse() {
         DisconnectReason::Malformed
--- a/crates/supervisor/src/protocol/line_reader.rs
+++ b/crates/supervisor/src/protocol/line_reader.rs
@@ -1,4 +1,4 @@
-//! The framing: lines out of a byte stream, in a buffer of bounded size, and complete writes.
+//! The framing: splits a byte stream into lines with a bounded buffer, and writes messages.
 
 use bytes::{Buf, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -6,7 +6,7 @@
 use crate::protocol::decode::{self, Message};
 use crate::protocol::disconnect::{Disconnect, DisconnectReason};
 
-/// Bytes read from a connection at a time: a few dozen reports, and little for each idle connection.
+/// Bytes read from a connection at a time: enough for a few dozen reports, and little memory for an idle connection.
 const READ_BYTES: usize = 4096;
 
 /// Writes all bytes.
@@ -31,7 +31,7 @@
 }
 
 impl<R: AsyncRead + Unpin> LineReader<R> {
-    /// A reader of lines of at most so many bytes.
+    /// A reader of lines of at most `max_line_bytes` bytes.
     pub fn new(source: R, max_line_bytes: usize) -> Self {
         LineReader {
             source,
@@ -41,23 +41,23 @@
         }
     }
 
-    /// Limits lines to so many bytes from now on.
+    /// Changes the maximum length of the lines that follow.
     pub fn set_max_line_bytes(&mut self, max_line_bytes: usize) {
         self.max_line_bytes = max_line_bytes;
     }
 
-    /// The next line, decoded. Cancel safe: a call that is dropped while it waits loses nothing.
+    /// The next line, decoded. Cancel safe: dropping the future loses no bytes.
     ///
     /// # Errors
     ///
-    /// If the connection ends, or what it brings is no message at all.
+    /// If the connection ends, or the line is no message at all.
     pub async fn next_message(&mut self) -> Result<Message, Disconnect> {
         let line = self.next_line().await?;
         decode::decode_message(&line)
             .map_err(|malformed| DisconnectReason::Malformed.with_detail(malformed))
     }
 
-    /// Reads and discards at most so many bytes, until the source ends.
+    /// Reads and discards bytes until the source ends or `max_bytes` are read.
     pub async fn discard(mut self, max_bytes: usize) {
         let mut remaining = max_bytes;
         while remaining > 0 {
@@ -70,11 +70,11 @@
         }
     }
 
-    /// The next line, without its end. Cancel safe: a call that is dropped while it waits loses nothing.
+    /// The next line, without its line end. Cancel safe: dropping the future loses no bytes.
     ///
     /// # Errors
     ///
-    /// If the connection ends, or the line is too long or no UTF-8.
+    /// If the connection ends, or the line is too long or not UTF-8.
     pub async fn next_line(&mut self) -> Result<String, DisconnectReason> {
         loop {
             if let Some(line) = self.take_buffered_line()? {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes the first line out of the buffer, if it is there completely.
+    /// Takes the first line out of the buffer, if the buffer holds all of it.
     fn take_buffered_line(&mut self) -> Result<Option<String>, DisconnectReason> {
         let unsearched = self.buffer.get(self.searched..).unwrap_or_default();
         let Some(offset) = unsearched.iter().position(|byte| *byte == b'\n') else {
--- a/crates/supervisor/src/protocol/load_report.rs
+++ b/crates/supervisor/src/protocol/load_report.rs
@@ -1,4 +1,4 @@
-//! Decodes the load report in the answer to a health check.
+//! Decodes the load report in the response to a health check.
 
 use chutegrade_engine::LoadReport;
 
--- a/crates/supervisor/src/server/errors.rs
+++ b/crates/supervisor/src/server/errors.rs
@@ -21,7 +21,7 @@
     /// The configuration is missing or wrong.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The address cannot be listened at.
+    /// The supervisor cannot listen at its address.
     #[error("cannot listen at {address}: {error}")]
     Listen {
         /// The address.
@@ -29,13 +29,13 @@
         /// The error of the operating system.
         error: io::Error,
     },
-    /// The address that was bound is not known.
+    /// The local address of the listener cannot be determined.
     #[error("no address: {0}")]
     LocalAddress(io::Error),
     /// The writer of the records cannot be started.
     #[error("no thread for the records: {0}")]
     Recorder(io::Error),
-    /// A task that never ends has ended: the supervisor would only seem to serve.
+    /// A task that runs as long as the server has ended: the supervisor would only seem to serve.
     #[error(transparent)]
     TaskStopped(#[from] TaskStopped),
 }
--- a/crates/supervisor/src/server/fleet_series.rs
+++ b/crates/supervisor/src/server/fleet_series.rs
@@ -1,4 +1,4 @@
-//! Records the fleet in figures at regular intervals, and steps of the system's clock.
+//! Records fleet metrics and server snapshots at regular intervals, and steps of the system's clock.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,12 +12,12 @@
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::event_recorder::EventRecorder;
 
-/// Time between two records of the fleet's metrics: charts have a point a second, and a reader knows by it that a
-/// supervisor stood still.
+/// Time between two records of the fleet's metrics: charts have a point per second, and a missing one shows that the
+/// supervisor stalled.
 const METRICS_INTERVAL: Micros = Micros(1_000_000);
-/// Time between two records of all servers: where a reader begins, some 70 bytes a server.
+/// Time between two snapshots of all servers, from which readers start; a snapshot takes some 70 bytes per server.
 const SNAPSHOT_INTERVAL: Micros = Micros(10_000_000);
-/// The least step of the system's clock that is recorded: beyond what slewing does in a second.
+/// Smallest step of the system's clock that is recorded: more than slewing changes in a second.
 const MIN_CLOCK_STEP: Micros = Micros(250_000);
 
 /// The series of one supervisor, and when the next record of each is due.
--- a/crates/supervisor/src/server/handles.rs
+++ b/crates/supervisor/src/server/handles.rs
@@ -1,4 +1,4 @@
-//! The handles that the server's tasks share, and the selection that each of them uses.
+//! The handles that the server's tasks share, and the subset that each task uses.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     pub shutdown: Shutdown,
     /// The proxies' open streams.
     pub streams: Rc<StreamRegistry>,
-    /// What the engine wants of the endpoint list.
+    /// The discovery subscription that the engine requests.
     pub subscriptions: Rc<SubscriptionChannel>,
 }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The fleet in figures, if records are kept.
+    /// The recorder of fleet metrics, if records are kept.
     pub fn fleet_series(&self, overload: &Rc<OverloadControl>) -> Option<FleetSeries> {
         if !self.recorder.is_enabled() {
             return None;
--- a/crates/supervisor/src/server/parameters.rs
+++ b/crates/supervisor/src/server/parameters.rs
@@ -1,4 +1,4 @@
-//! What the configuration says on the server's own parts.
+//! Parameters of the server's own parts, derived from the configuration.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 pub struct ServerParameters {
     /// The period in which proxies and collectors report.
     pub report_period: Micros,
-    /// How long a proxy that is due to send something may be quiet.
+    /// How long a proxy that has something due may send nothing.
     pub stream_idle_timeout: Duration,
     /// How servers are checked.
     pub health_check: HealthCheckConfig,
     /// Whether the engine asks for the endpoint list call by call.
     pub endpoints_on_request: bool,
-    /// The least time between two ticks for reports.
+    /// Minimum time between two ticks that are caused by reports.
     pub min_tick_interval: Duration,
     /// How many descriptors the process may have.
     pub max_descriptors: usize,
--- a/crates/supervisor/src/server/reload.rs
+++ b/crates/supervisor/src/server/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration, the plug-ins and the operators' file anew at SIGHUP.
+//! Reloads the configuration, the plug-ins and the operators' file at SIGHUP.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use crate::server::plugins::Plugins;
 use crate::shared::event_recorder::EventRecorder;
 
-/// What is read anew, and where it goes.
+/// What is reloaded, and the receivers of the new configuration.
 pub struct Reloader {
     /// The configuration file.
     pub source: ConfigSource,
@@ -27,7 +27,7 @@
 }
 
 impl Reloader {
-    /// Reloads at each signal; signals that come while it reads count as one more.
+    /// Reloads at each signal; signals that arrive during a reload cause one more reload.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match self.source.reload() {
--- a/crates/supervisor/src/server/shutdown.rs
+++ b/crates/supervisor/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the server: connections log their ends, and the last records are written.
+//! The shutdown of the server: connections end and are logged, and the last records are written.
 
 use std::time::{Duration, Instant};
 
@@ -7,9 +7,9 @@
 use crate::shared::event_recorder::EventRecorder;
 use crate::shared::shutdown::Shutdown;
 
-/// How long connections may take to log their ends once the supervisor stops.
+/// How long connections may take to end and log it once the supervisor stops.
 const CONNECTION_DRAIN_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long the end may take in all, with the last records: SIGKILL follows no sooner than 0.7 s after SIGTERM.
+/// How long the shutdown may take in total, including the last records: SIGKILL follows no sooner than 0.7 s after SIGTERM.
 const SHUTDOWN_DEADLINE: Duration = Duration::from_millis(600);
 
 /// Ends all connections and writes the last records.
--- a/crates/supervisor/src/server/signals.rs
+++ b/crates/supervisor/src/server/signals.rs
@@ -8,7 +8,7 @@
 pub struct Signals {
     /// SIGTERM: shut down.
     pub terminate: Signal,
-    /// SIGHUP: read the configuration anew.
+    /// SIGHUP: reload the configuration.
     pub hangup: Signal,
 }
 
--- a/crates/supervisor/src/server/startup.rs
+++ b/crates/supervisor/src/server/startup.rs
@@ -29,10 +29,10 @@
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::event_recorder::EventRecorder;
 
-/// Serves until SIGTERM, with the operators' file at this path; a failure is one sentence in the log and code 1.
+/// Serves until SIGTERM, with the operators' file at this path. A failure is logged as one sentence, with exit code 1.
 pub fn run(operator_path: Option<&Path>) -> ExitCode {
-    // The signals before all else: SIGHUP may come to a process that has only begun to read its configuration, and a
-    // signal that is not handled ends the program.
+    // Signal handlers are installed first: SIGHUP may arrive while the configuration is being read, and an unhandled signal
+    // ends the program.
     let runtime = ServerRuntime::new();
     let operator = OperatorFile::load(operator_path);
     logging::init(
@@ -50,7 +50,7 @@
     }
 }
 
-/// The runtime of the one thread, with its signal handlers.
+/// The single-threaded runtime, with its signal handlers.
 struct ServerRuntime {
     runtime: Runtime,
     signals: Signals,
@@ -83,7 +83,7 @@
 }
 
 impl<'a> OperatorFile<'a> {
-    /// Reads the file; without a path nothing is switched on.
+    /// Reads the file; without a path, all optional features are off.
     fn load(path: Option<&'a Path>) -> Result<Self, OperatorConfigErrors> {
         let config = match path {
             Some(path) => chutegrade_operator_config::load(path)?,
@@ -106,7 +106,8 @@
     } = signals;
     let listener = bind(&config)?;
     let listen = listener.local_addr().map_err(ServerError::LocalAddress)?;
-    let (name, discovery) = (config.name.clone(), config.discovery);
+    let name = config.name.clone();
+    let discovery = config.discovery;
     let parts = prepare(config, operator, listen)?;
     let handles = parts.handles.clone();
     let tasks = parts.spawn(listener, source, hangup);
@@ -115,14 +116,14 @@
     tasks.run_until(&mut terminate).await?;
     tracing::info!("stopping");
     let requested_at = Instant::now();
-    // From here on nothing is decided, requested, read anew or accepted: an order that nobody gets would stand in the
-    // records, and a health check would cost its server work for nothing.
+    // Nothing is decided, requested, reloaded or accepted from here on: records would hold orders that no proxy gets, and
+    // health checks would cost servers work for nothing.
     abort_handles.iter().for_each(AbortHandle::abort);
     shut_down(&handles.shutdown, &handles.recorder, requested_at).await;
     Ok(())
 }
 
-/// Makes the parts, and hands the engine the list it last had.
+/// Creates the parts, and reports the known endpoint list to the engine.
 fn prepare(
     config: Config,
     operator: &OperatorFile<'_>,
@@ -185,7 +186,7 @@
     }
 }
 
-/// Starts overload control, with the level that the records tell of.
+/// Starts overload control at the level that the records hold.
 fn start_overload_control(
     handles: &SharedHandles,
     path: Option<&Path>,
--- a/crates/supervisor/src/server/tasks.rs
+++ b/crates/supervisor/src/server/tasks.rs
@@ -21,11 +21,11 @@
 use crate::server::reload::Reloader;
 use crate::server::tick_loop::TickLoop;
 
-/// What the tasks are made of.
+/// The parts that the tasks are built from.
 pub struct ServerParts {
-    /// What they share.
+    /// The handles that they share.
     pub handles: SharedHandles,
-    /// What the configuration says on them.
+    /// Their configured parameters.
     pub parameters: ServerParameters,
     /// Overload control.
     pub overload: Rc<OverloadControl>,
@@ -38,9 +38,8 @@
 }
 
 impl ServerParts {
-    /// Spawns the tasks, with the supervisor's own address, the configuration file, and the signal to read it anew. The first
-    /// tick comes before the first connection is accepted: whoever gets an answer finds a supervisor that has begun with the
-    /// list it last had.
+    /// Spawns the tasks; `hangup` is the signal to reload `source`. The tick loop is spawned first, so that the engine has
+    /// ticked with the known list before the first connection is accepted.
     pub fn spawn(self, listener: TcpListener, source: ConfigSource, hangup: Signal) -> ServerTasks {
         let handles = self.handles;
         let parameters = self.parameters;
@@ -93,7 +92,7 @@
 pub struct ServerTasks {
     /// Ticks the decisions.
     pub tick_loop: JoinHandle<()>,
-    /// Reads new configurations.
+    /// Reloads the configuration.
     pub reload: JoinHandle<()>,
     /// Follows the endpoint list.
     pub discovery: JoinHandle<()>,
@@ -116,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// If a task ends before: the supervisor would only seem to serve.
+    /// If a task ends earlier: the supervisor would only seem to serve.
     pub async fn run_until(self, terminate: &mut Signal) -> Result<(), TaskStopped> {
         tokio::select! {
             biased;
--- a/crates/supervisor/src/server/tick_loop.rs
+++ b/crates/supervisor/src/server/tick_loop.rs
@@ -1,4 +1,4 @@
-//! Ticks the engine and hands out what it orders.
+//! Ticks the engine, and passes on its orders, health checks, subscription and log events.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,9 +17,9 @@
 use crate::shared::stream_registry::StreamRegistry;
 use crate::shared::subscription_channel::SubscriptionChannel;
 
-/// Time between two log lines on dropped reports: a peer that names what is not known may do so a thousand times a second.
+/// Minimum time between two log lines on dropped reports: a misconfigured peer may cause a thousand drops a second.
 const DROPPED_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Pause until the next tick where no timer is due.
+/// Time until the next tick if no timer is set.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(1);
 /// Health checks are spread over this share of the time to the next timer, so that their answers are there when it is due.
 const HEALTH_CHECK_SPREAD: f64 = 0.5;
@@ -30,11 +30,11 @@
     pub engine: EngineHandle,
     /// The time base.
     pub clock: Clock,
-    /// Streams that get orders.
+    /// Notified of orders.
     pub streams: Rc<StreamRegistry>,
-    /// Gets the subscription that the engine wants.
+    /// Receives the discovery subscription that the engine requests.
     pub subscriptions: Rc<SubscriptionChannel>,
-    /// Gets health checks.
+    /// Runs the health checks that the engine requests.
     pub health_checker: Rc<HealthChecker>,
     /// Evaluated before each tick, which carries their advice to the decisions.
     pub plugins: Rc<Plugins>,
@@ -42,14 +42,14 @@
     pub overload: Rc<OverloadControl>,
     /// Records the log events of the engine.
     pub recorder: EventRecorder,
-    /// The fleet in figures, if records are kept.
+    /// Records fleet metrics, if records are kept.
     pub series: Option<FleetSeries>,
-    /// The least time between two ticks for reports.
+    /// Minimum time between two ticks that are caused by reports.
     pub min_tick_interval: Duration,
 }
 
 impl TickLoop {
-    /// Ticks when a timer is due or reports wait, no denser than the settings allow.
+    /// Ticks when a timer is due or reports are pending, no more often than the settings allow.
     pub async fn run(self) {
         let mut dropped_logged_at = Instant::now();
         loop {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// One tick; returns when the next timer is due.
+    /// Runs one tick; returns when the next timer is due.
     fn tick(&self) -> Option<Micros> {
         let now = self.clock.now();
         self.plugins.evaluate();
--- a/crates/supervisor/src/shared/engine_handle.rs
+++ b/crates/supervisor/src/shared/engine_handle.rs
@@ -1,4 +1,4 @@
-//! The engine as the tasks share it: reports go in, and the tick loop wakes up for them.
+//! The engine as the tasks share it: they hand in reports, which wake the tick loop.
 
 use std::cell::{RefCell, RefMut};
 use std::rc::Rc;
@@ -14,17 +14,17 @@
 
 struct SharedEngine {
     engine: RefCell<Engine>,
-    /// Notified when a report waits for the next tick.
+    /// Notified when a report is pending for the next tick.
     report_pending: Notify,
     dropped: RefCell<DroppedReports>,
 }
 
-/// Reports that were dropped since this was last taken.
+/// Reports that were dropped since [`EngineHandle::take_dropped`] was last called.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DroppedReports {
     /// How many were dropped.
     pub count: u64,
-    /// Why the last one was.
+    /// Why the last one was dropped.
     pub last_reason: String,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Borrows the engine, for one statement and never across an await.
+    /// Borrows the engine. The borrow must end with the statement, and never be held across an await.
     ///
     /// # Panics
     ///
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// If the report names what the engine does not know, or too many reports wait.
+    /// If the report names something that the engine does not know, or too many reports are pending.
     pub fn try_report(&self, report: Report) -> Result<(), ReportError> {
         self.borrow_mut().report(report)?;
         self.shared.report_pending.notify_one();
@@ -79,7 +79,7 @@
         self.shared.dropped.take()
     }
 
-    /// Waits until a report waits for the next tick.
+    /// Waits until a report is pending for the next tick.
     pub async fn report_pending(&self) {
         self.shared.report_pending.notified().await;
     }
--- a/crates/supervisor/src/shared/event_recorder.rs
+++ b/crates/supervisor/src/shared/event_recorder.rs
@@ -1,4 +1,4 @@
-//! Records what happens, where the operators' file asks for records; without them nothing is made.
+//! Records events, if the operators' file configures records; otherwise does nothing.
 
 use std::cell::Cell;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 
 use crate::shared::clock::Clock;
 
-/// Longest part of a supervisor's name that its directory of records is named by, in characters.
+/// Maximum length of a directory name, in characters; the rest of the supervisor's name is cut off.
 const MAX_DIRECTORY_NAME_CHARS: usize = 100;
 
 /// A handle to the recorder; clones refer to the same one.
@@ -36,7 +36,7 @@
         EventRecorder::default()
     }
 
-    /// Begins to record for a supervisor. Whatever is wrong with the directory, the supervisor serves on.
+    /// Begins to record for a supervisor. An unusable directory is no error here: the supervisor serves without records.
     ///
     /// # Errors
     ///
@@ -85,14 +85,14 @@
         active.recorder.note(now.0, now.0, kind);
     }
 
-    /// Records an event that occurred at one time and was observed at another.
+    /// Records an event with the times at which it occurred and was observed.
     pub fn record_at(&self, occurred_at: Micros, observed_at: Micros, kind: Kind) {
         if let Some(active) = &self.active {
             active.recorder.note(occurred_at.0, observed_at.0, kind);
         }
     }
 
-    /// Writes what waits; a disk that hangs is awaited for no longer than this.
+    /// Writes pending records, waiting for the disk for at most `within`.
     pub fn close(&self, within: Duration) {
         let recording = self
             .active
@@ -105,7 +105,7 @@
     }
 }
 
-/// A directory name made of a supervisor's name. The name comes from the environment: nothing in it leads elsewhere.
+/// The directory name for a supervisor. The supervisor's name comes from the environment, so it must not act as a path.
 fn directory_name(supervisor: &str) -> String {
     let name: String = supervisor
         .chars()
@@ -118,7 +118,7 @@
     }
 }
 
-/// The character that stands for this one in a directory name.
+/// Replaces a character that is not plain in a directory name.
 fn directory_character(character: char) -> char {
     let is_plain = character.is_ascii_alphanumeric() || matches!(character, '-' | '_' | '.');
     if is_plain {
--- a/crates/supervisor/src/shared/mod.rs
+++ b/crates/supervisor/src/shared/mod.rs
@@ -1,5 +1,5 @@
-//! Handles that the server's tasks share on their one thread. Each handle has one job and knows nothing of peers,
-//! protocols or the server's wiring, which stand above it.
+//! Handles that the server's tasks share on their one thread. Each handle has one job, and does not depend on
+//! `peers`, `protocol` or `server`, which use it.
 
 pub mod clock;
 pub mod engine_handle;
--- a/crates/supervisor/src/shared/shutdown.rs
+++ b/crates/supervisor/src/shared/shutdown.rs
@@ -15,7 +15,7 @@
 }
 
 impl Shutdown {
-    /// A signal that is not given yet, without connections.
+    /// A shutdown that is not requested yet, without connections.
     pub fn new() -> Self {
         Shutdown {
             requested: watch::channel(false).0,
@@ -23,23 +23,23 @@
         }
     }
 
-    /// Gives the signal.
+    /// Requests the shutdown.
     pub fn request(&self) {
         self.requested.send_replace(true);
     }
 
-    /// Waits until the signal is given.
+    /// Waits until the shutdown is requested.
     pub async fn requested(&self) {
         let mut requested = self.requested.subscribe();
         let _ = requested.wait_for(|requested| *requested).await;
     }
 
-    /// Runs a connection on its own, until its end.
+    /// Spawns a connection as a task that [`Shutdown::drain_connections`] waits for.
     pub fn spawn_connection(&self, connection: impl Future<Output = ()> + 'static) {
         tokio::task::spawn_local(self.connections.track_future(connection));
     }
 
-    /// Waits until all connections have ended, at most for so long.
+    /// Waits until all connections have ended, or for at most `within`.
     pub async fn drain_connections(&self, within: Duration) {
         self.connections.close();
         let _ = timeout(within, self.connections.wait()).await;
--- a/crates/supervisor/src/shared/stream_registry.rs
+++ b/crates/supervisor/src/shared/stream_registry.rs
@@ -16,7 +16,7 @@
 }
 
 impl WriteSignal {
-    /// Asks the writer to answer a `probe`; probes that are not answered yet count as one.
+    /// Asks the writer to answer a `probe`; several probes before the answer get one answer.
     pub fn request_probe_reply(&self) {
         self.probe_pending.set(true);
         self.write_pending.notify_one();
@@ -27,7 +27,7 @@
         self.write_pending.notified().await;
     }
 
-    /// Whether a `probe` waits for its answer; the caller answers it.
+    /// Whether a `probe` is unanswered; the caller has to answer it.
     pub fn take_probe(&self) -> bool {
         self.probe_pending.take()
     }
@@ -38,7 +38,7 @@
     }
 }
 
-/// A stream that was entered into the registry.
+/// A stream that was added to the registry.
 pub struct RegisteredStream {
     /// Its number, which is never used twice.
     pub id: StreamId,
@@ -54,7 +54,7 @@
 }
 
 impl StreamRegistry {
-    /// Enters a new stream.
+    /// Adds a new stream.
     pub fn open(&self) -> RegisteredStream {
         let id = StreamId(self.next_id.get());
         self.next_id.set(id.0 + 1);
@@ -68,7 +68,7 @@
         self.signals.borrow_mut().remove(&stream);
     }
 
-    /// Notifies a stream that an order waits for it.
+    /// Notifies a stream that an order is pending for it.
     pub fn notify_order(&self, stream: StreamId) {
         if let Some(signal) = self.signals.borrow().get(&stream) {
             signal.write_pending.notify_one();
--- a/crates/supervisor/src/tests/rules/conditions.rs
+++ b/crates/supervisor/src/tests/rules/conditions.rs
@@ -20,7 +20,7 @@
     pub pace: f64,
     /// Share of acknowledgements that are lost.
     pub lost_acknowledgements: f64,
-    /// The channel may stand still for up to so many steps.
+    /// Maximum number of steps for which the channel stalls.
     pub max_stall_steps: u32,
     /// Servers beyond the first ones that the channel is made for.
     pub added_servers: u32,
@@ -49,7 +49,7 @@
 pub enum Disturbance {
     /// So many servers drain; those that drained before are removed.
     Drain(u32),
-    /// So many of those that drain or are removed are back in service, started anew.
+    /// So many of those that drain or are removed restart, and are back in service.
     ReturnToService(u32),
     /// So many servers are new.
     AddServers(u32),
@@ -57,19 +57,19 @@
     BreakStreams { percent: u32, as_new: bool },
     /// This side closes a stream that lives.
     CloseStream(u32),
-    /// Queues of so many at every server.
+    /// Every server has a queue of so many requests.
     SetQueues(u32),
-    /// The channel stands still.
+    /// The channel stalls.
     Stall,
     /// A proxy joins on two further streams in one turn, before its older one's end is seen, or after it.
     Rejoin(u32),
-    /// So many servers in service start anew at other addresses, in one delivery.
+    /// So many servers in service restart at other addresses, in one delivery.
     Restart(u32),
-    /// The complete list, as it stands.
+    /// The complete current list is delivered.
     Snapshot,
     /// A proxy acknowledges a sequence number that it was never sent, and one that is long past.
     StaleAcknowledgement(u32),
-    /// Health checks are not answered from now on; or all that wait fail, whatever the list has said since.
+    /// Health checks are held back from now on; or, if they are already, all that were held back fail.
     HoldHealthChecks,
     /// Overload limits ask for two more attempts of every class.
     RequestRetries,
--- a/crates/supervisor/src/tests/rules/mod.rs
+++ b/crates/supervisor/src/tests/rules/mod.rs
@@ -14,7 +14,7 @@
 use conditions::{
     any_conditions, any_crossing_disturbances, Conditions, Disturbance, ScheduledDisturbance,
 };
-use simulation::Simulation;
+use simulation::{Checks, Simulation};
 
 /// Conditions under which the channel could carry two complete fleets of tables within the drain grace.
 fn with_a_fast_channel(conditions: Conditions, pace: f64) -> Conditions {
@@ -29,6 +29,24 @@
     }
 }
 
+/// Conditions under which the channel takes seconds for a complete fleet of tables, but loses nothing.
+fn slow_lossless_channel() -> Conditions {
+    Conditions {
+        seed: 3,
+        proxies: 60,
+        servers: 24,
+        head_lines: 4,
+        max_messages: 0,
+        backlog: 3.0,
+        fleets_per_s: 0.115,
+        pace: 1.0,
+        lost_acknowledgements: 0.0,
+        max_stall_steps: 0,
+        added_servers: 0,
+        disturbances: vec![],
+    }
+}
+
 /// Whether a proxy's tables have a weight for a server.
 fn has_weight(proxy: &ProxyState, server: &str) -> bool {
     proxy
@@ -42,28 +60,15 @@
     proxy.tables.dropped.contains(server) && has_weight(proxy, server)
 }
 
-/// A supervisor that starts anew knows nothing of servers that are gone by then: complete tables alone take them from the
-/// proxies that join it at once, so that these must all leave within the grace. The channel here sends 60 of them in
-/// 2.3 s, with each server resumed in 3.9 s; the grace and the slack allow 2.8. What is put off comes with the capacity for
-/// it.
+/// A restarted supervisor does not know servers that were removed before its start: only complete tables remove them from
+/// the proxies that join it at once, so all tables must be sent within the grace. The channel here sends 60 of them in
+/// 2.3 s, with each server resumed in 3.9 s; the grace and the slack allow 2.8. The rest follows as capacity allows.
 #[test]
 fn all_proxies_of_another_supervisor_join_within_the_grace() {
-    let conditions = Conditions {
-        seed: 3,
-        proxies: 60,
-        servers: 24,
-        head_lines: 4,
-        max_messages: 0,
-        backlog: 3.0,
-        fleets_per_s: 0.115,
-        pace: 1.0,
-        lost_acknowledgements: 0.0,
-        max_stall_steps: 0,
-        added_servers: 0,
-        disturbances: vec![],
-    };
-    let mut simulation = Simulation::new(conditions);
-    simulation.run(true).expect("the rules");
+    let mut simulation = Simulation::new(slow_lossless_channel());
+    simulation
+        .run(Checks::ChannelAndProxies)
+        .expect("the rules");
     for proxy in &mut simulation.proxies {
         proxy
             .tables
@@ -82,7 +87,9 @@
         disturbance,
     })
     .to_vec();
-    simulation.run(true).expect("the rules");
+    simulation
+        .run(Checks::ChannelAndProxies)
+        .expect("the rules");
     for server in ["s20", "s21"] {
         let mut proxies = simulation.proxies.iter();
         assert!(
@@ -104,7 +111,7 @@
     /// may wait, nor beyond what one proxy may get.
     #[test]
     fn the_channel_never_holds_more_than_it_may(conditions in any_conditions()) {
-        Simulation::new(conditions).run(false)?;
+        Simulation::new(conditions).run(Checks::Channel)?;
     }
 
     /// Where the channel could carry two complete fleets of tables within the grace, drains are kept and no proxy is left
@@ -114,7 +121,7 @@
         conditions in any_conditions(),
         pace in 0.2..1.0f64,
     ) {
-        Simulation::new(with_a_fast_channel(conditions, pace)).run(true)?;
+        Simulation::new(with_a_fast_channel(conditions, pace)).run(Checks::ChannelAndProxies)?;
     }
 
     /// The five rules, whatever happens in one turn and in whatever order: streams that replace one another, drains and
@@ -130,6 +137,6 @@
         let added_servers = disturbances.iter().map(ScheduledDisturbance::added_servers).sum();
         let conditions = with_a_fast_channel(conditions, pace);
         let conditions = Conditions { added_servers, disturbances, ..conditions };
-        Simulation::new(conditions).run(true)?;
+        Simulation::new(conditions).run(Checks::ChannelAndProxies)?;
     }
 }
--- a/crates/supervisor/src/tests/rules/simulation.rs
+++ b/crates/supervisor/src/tests/rules/simulation.rs
@@ -46,6 +46,15 @@
 /// How long a health check takes.
 const HEALTH_CHECK_TIME: Micros = Micros(5000);
 
+/// What a run checks.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Checks {
+    /// Only the limits of the channel.
+    Channel,
+    /// Also what proxies hold, where the channel is fast enough for the rules on time.
+    ChannelAndProxies,
+}
+
 pub const ZONES: [&str; 2] = ["a", "b"];
 
 /// A server, as it was last reported.
@@ -90,7 +99,7 @@
     pub queued: f64,
     /// Health checks that are held back, while they are.
     pub held_checks: Option<Vec<HealthCheck>>,
-    /// How often each server has started anew.
+    /// How often each server has restarted.
     pub restarts: BTreeMap<String, u16>,
     /// What arrived at warming servers since proxies had to know of their start.
     pub warm_up_samples: BTreeMap<String, VecDeque<WarmUpSample>>,
@@ -112,7 +121,7 @@
     names.iter().map(|name| name.to_string()).collect()
 }
 
-/// Settings for these conditions, with so many lines that may wait and are sent in a second.
+/// Settings for these conditions; at most `backlog` lines wait, and `lines_per_s` are sent in a second.
 fn settings(conditions: &Conditions, backlog: f64, lines_per_s: f64) -> Settings {
     let classes = CLASSES.map(|name| {
         json!({"name": name, "aimMs": 600, "hardLimitMs": 2000, "worth": 2,
@@ -197,7 +206,7 @@
     }
 
     pub fn report(&mut self, report: Report) {
-        // What names a stream that has ended is of no concern.
+        // The engine refuses reports on streams that have ended, as it should.
         let _ = self.engine.report(report);
     }
 
@@ -250,7 +259,7 @@
         self.change_servers(names, Lifecycle::InService, started_at);
     }
 
-    /// At most so many servers of these lifecycles, drawn.
+    /// At most `max` servers of these lifecycles, drawn at random.
     pub fn draw_servers(&mut self, max: u32, lifecycles: &[Lifecycle]) -> Vec<String> {
         let mut names: Vec<String> = self
             .servers
@@ -352,8 +361,8 @@
         });
     }
 
-    /// Runs all steps; what proxies hold is checked only where the channel is fast enough for the rules on time.
-    pub fn run(&mut self, checks_proxies: bool) -> Result<(), TestCaseError> {
+    /// Runs all steps, with these checks.
+    pub fn run(&mut self, checks: Checks) -> Result<(), TestCaseError> {
         let mut disturbances = self.conditions.disturbances.clone().into_iter();
         let mut next_disturbance_step = FIRST_DISTURBANCE_STEP;
         for step in 0..STEPS {
@@ -373,7 +382,7 @@
                 self.report_traffic();
             }
             self.tick()?;
-            if checks_proxies && step % CHECK_STEPS == 0 {
+            if checks == Checks::ChannelAndProxies && step % CHECK_STEPS == 0 {
                 self.check_proxies()?;
                 self.check_warming_servers()?;
                 self.mark_served_proxies();
--- a/crates/supervisor/tests/arrivals.rs
+++ b/crates/supervisor/tests/arrivals.rs
@@ -1,4 +1,4 @@
-//! How bytes arrive: one at a time, many messages in one segment, and on connections that end at once.
+//! Patterns of arriving bytes: one at a time, many messages in one segment, and connections that end at once.
 
 mod common;
 
@@ -9,12 +9,12 @@
 /// Writes bytes one at a time, each in a segment of its own.
 async fn trickle(peer: &mut Peer, text: &str) {
     for byte in text.as_bytes() {
-        assert!(peer.raw(&[*byte]).await, "the connection stands");
+        assert!(peer.raw(&[*byte]).await, "the connection is open");
         tokio::task::yield_now().await;
     }
 }
 
-/// The next line that is no order.
+/// The next line that is not an order.
 async fn next_answer(peer: &mut Peer) -> Option<String> {
     loop {
         let line = soon("an answer", peer.line()).await;
@@ -31,7 +31,7 @@
     trickle(&mut proxy, "hello id=0 site=a rps=20.0 new=1\r\n").await;
     let table = soon("a table", proxy.line())
         .await
-        .expect("the stream stands");
+        .expect("the stream is open");
     assert!(table.contains("replace=1"), "{table}");
     let sequence = table.split("stamp=").nth(1).expect("a sequence number");
     trickle(
@@ -73,7 +73,7 @@
         lines.push(
             soon("a line", peer.line())
                 .await
-                .expect("the stream stands"),
+                .expect("the stream is open"),
         );
     }
     assert!(lines.iter().any(|line| line == "alive"), "{lines:?}");
@@ -83,7 +83,7 @@
     );
 }
 
-/// Connections that are reset before they are read must not use up descriptors, or end the accepting of others.
+/// Connections that are reset before they are read must not use up descriptors, or stop the listener.
 #[tokio::test]
 async fn connections_reset_right_after_they_were_accepted_harm_nobody() {
     let (_discovery, _servers, supervisor) = serving().await;
@@ -94,7 +94,7 @@
     assert!(supervisor.alive().await);
 }
 
-/// A proxy that resets its stream right behind its hello can join again, and gets its complete table.
+/// A proxy that resets its stream right after its hello can join again, and gets its complete table.
 #[tokio::test]
 async fn a_stream_reset_right_after_its_hello_can_be_opened_again() {
     let (_discovery, _servers, supervisor) = serving().await;
--- a/crates/supervisor/tests/commands/main.rs
+++ b/crates/supervisor/tests/commands/main.rs
@@ -1,4 +1,4 @@
-//! The command line as a person or a script uses it: exit codes, one sentence for each fault, and the output.
+//! The command line: exit codes, one sentence for each fault, and the output.
 
 mod lab;
 mod operator_config;
@@ -17,7 +17,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_chutegrade");
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// What a command has left.
+/// The exit code and output of a command.
 struct Outcome {
     code: Option<i32>,
     output: String,
--- a/crates/supervisor/tests/commands/operator_config.rs
+++ b/crates/supervisor/tests/commands/operator_config.rs
@@ -55,7 +55,7 @@
     );
 }
 
-/// A start that failed for want of a disk would leave proxies without a supervisor.
+/// If a missing disk prevented the start, proxies would be without a supervisor.
 #[tokio::test]
 async fn without_a_usable_directory_it_serves_and_logs_that_once() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -98,7 +98,7 @@
     );
 }
 
-/// With a wrong operators' file it would start without what they want.
+/// With an invalid operators' file it would start without the configured features.
 #[tokio::test]
 async fn a_wrong_operators_file_prevents_the_start() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -116,7 +116,7 @@
     );
 }
 
-/// The log as JSON lines, with the fields that plain lines have.
+/// The JSON lines of the log have the same fields as the plain lines.
 #[tokio::test]
 async fn the_log_can_be_json() {
     let directory = tempfile::tempdir().expect("a directory");
--- a/crates/supervisor/tests/common/mod.rs
+++ b/crates/supervisor/tests/common/mod.rs
@@ -1,5 +1,4 @@
-//! A program, three servers and a proxy, for the tests that speak to a supervisor over sockets.
-//! Each test target uses a part of it.
+//! A program, three servers and a proxy, for the tests of a supervisor over sockets. Not every test target uses all of it.
 #![allow(dead_code)]
 
 use chutegrade_emulators::{config, Discovery, Manner, Program, Proxy, Server, Supervisor};
@@ -33,7 +32,7 @@
     (discovery, servers)
 }
 
-/// A supervisor that serves such a fleet from the list that it knows at its start.
+/// A supervisor that serves three servers from its known list.
 pub async fn serving() -> (Discovery, Vec<Server>, Supervisor) {
     let (discovery, servers) = fleet().await;
     let supervisor = program()
--- a/crates/supervisor/tests/crossings/connections.rs
+++ b/crates/supervisor/tests/crossings/connections.rs
@@ -4,7 +4,7 @@
 
 use crate::common::{fleet, program, NAMES};
 
-/// Connections to servers are opened anew each second; a proxy that dials must not lack a descriptor for good.
+/// Connections to servers are reopened each second; a proxy that dials must still get a descriptor.
 #[tokio::test]
 async fn idle_connections_are_closed_for_proxies() {
     let discovery = Discovery::start().await;
--- a/crates/supervisor/tests/crossings/discovery.rs
+++ b/crates/supervisor/tests/crossings/discovery.rs
@@ -12,7 +12,7 @@
 /// The first part of a delivery.
 const PARTIAL_DELIVERY: &str =
     r#"{"index":42,"snapshot":false,"endpoints":[{"name":"s-1","status":"draining""#;
-/// How long a list with an older version is ignored, and a little more.
+/// A little more than the time for which a list with an older version is ignored.
 const STALE_TIMEOUT: Duration = Duration::from_millis(6100);
 
 /// A server as discovery delivers it.
@@ -20,7 +20,7 @@
     entry(server.name, server.address, status, 0)
 }
 
-/// What an unreadable endpoint said is never delivered again to whoever requests what came after it.
+/// The content of an unreadable endpoint would not be delivered again on a watch from a newer version.
 #[tokio::test]
 async fn a_delivery_with_an_unreadable_endpoint_is_requested_again() {
     let ScriptedFleet {
@@ -39,7 +39,7 @@
     watch
         .tell(&delivery(42, false, &[malformed, removed.clone()]))
         .await;
-    // What could be read holds at once.
+    // The readable endpoint is applied at once.
     applies_picks(&mut proxy, &["s-1", "s-2"]).await;
     let mut second_watch = script.asked_for(WATCH_PATH).await;
     second_watch.begin().await;
@@ -105,7 +105,7 @@
     applies_picks(&mut proxy, &["s-1", "s-2"]).await;
 }
 
-/// What the unreadable endpoint of a known list said came before the version that the list names.
+/// The content of an unreadable endpoint is older than the version of the known list, so the watch starts from 0.
 #[tokio::test]
 async fn a_partially_read_known_list_is_watched_from_the_first_version() {
     let (script, servers) = (Scripted::start().await, servers().await);
@@ -121,7 +121,7 @@
     script.asked_for("/api/targets?watch=1&from=0").await;
 }
 
-/// Where the count of versions restarts, the changes that are accepted at last lack those that were ignored before.
+/// When the version count restarts, the changes that are finally accepted lack those that were ignored as stale.
 #[tokio::test]
 async fn a_list_whose_version_count_restarts_is_fetched_completely() {
     let ScriptedFleet {
@@ -155,7 +155,7 @@
     applies_picks(&mut proxy, &["s-3"]).await;
 }
 
-/// Where watches open and say nothing, one after the other, news would take longer than the 6 s that it may take.
+/// With one silent watch after the other, changes would take longer than the 6 s that they may take.
 #[tokio::test]
 async fn the_complete_list_is_fetched_after_a_silent_watch() {
     let ScriptedFleet {
@@ -213,7 +213,7 @@
     applies_picks(&mut proxy, &["s-1", "s-2"]).await;
     let mut watch = third.asked_for("/api/targets?watch=1&from=42").await;
     watch.begin().await;
-    // An older complete list after newer changes undoes nothing.
+    // An older complete list after newer changes reverts nothing.
     let draining = endpoint(&servers[0], "draining");
     watch.tell(&delivery(44, false, &[draining])).await;
     applies_picks(&mut proxy, &["s-2"]).await;
--- a/crates/supervisor/tests/crossings/main.rs
+++ b/crates/supervisor/tests/crossings/main.rs
@@ -1,5 +1,5 @@
-//! Two events at once, each crossing forced: the process stands still while both come, or a peer of the test holds the
-//! one until the other has happened. `docs/crossings.md` names what has to hold in each.
+//! Races between two events, each forced: the process is stopped while both arrive, or a peer of the test holds one back
+//! until the other has happened. `docs/crossings.md` lists what has to hold in each.
 
 mod connections;
 mod discovery;
@@ -17,12 +17,12 @@
 
 use common::{program, servers};
 
-/// The path of a watch from the version that a scripted fleet knows.
+/// The path of a watch from the known version of a scripted fleet.
 const WATCH_PATH: &str = "/api/targets?watch=1&from=41";
 /// The path of the complete list.
 const LIST_PATH: &str = "/api/targets";
 
-/// Discovery as the test plays it, three servers, and a supervisor that knows them as version 41.
+/// A scripted discovery, three servers, and a supervisor whose known list has them as version 41.
 struct ScriptedFleet {
     script: Scripted,
     servers: Vec<Server>,
@@ -60,11 +60,11 @@
         .await;
 }
 
-/// The next line on a stream, which acknowledges nothing.
+/// The next line on a stream, without acknowledging it.
 async fn next_line(peer: &mut Peer) -> String {
     soon("an order", peer.line())
         .await
-        .expect("the stream stands")
+        .expect("the stream is open")
 }
 
 /// The sequence number that an order asks to acknowledge.
--- a/crates/supervisor/tests/crossings/settings.rs
+++ b/crates/supervisor/tests/crossings/settings.rs
@@ -6,7 +6,7 @@
 use crate::applies_picks;
 use crate::common::{fleet, joined, program};
 
-/// A reload that changes what takes effect at a start only says so and changes nothing.
+/// A reload of keys that take effect only at a start logs that, and changes nothing.
 #[tokio::test]
 async fn a_reload_of_settings_requires_a_restart() {
     let (discovery, servers) = fleet().await;
@@ -28,7 +28,7 @@
         .await;
 }
 
-/// Whether it is killed or ends, a run leaves no files that the next one could read.
+/// Killed or terminated, a run leaves no files that the next one could read.
 #[tokio::test]
 async fn a_run_leaves_nothing_behind() {
     let scratch = tempfile::tempdir().expect("a directory");
--- a/crates/supervisor/tests/crossings/shutdown.rs
+++ b/crates/supervisor/tests/crossings/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals that cross with the start, with peers and with requests in flight.
+//! Signals that race with the start, with peers and with requests in flight.
 
 use chutegrade_emulators::{config, delivery, entry, until, Discovery, Peer, Scripted, Supervisor};
 use serde_json::{json, Value};
@@ -6,7 +6,7 @@
 use crate::common::{fleet, joined, program, serving};
 use crate::{next_line, LIST_PATH};
 
-/// A signal that is not handled yet would end the program, and SIGHUP may come to one that has only begun to read.
+/// An unhandled signal would end the program, and SIGHUP may arrive while the configuration is being read.
 #[tokio::test]
 async fn a_reload_while_the_configuration_is_read_waits_for_the_start() {
     let (discovery, _servers) = fleet().await;
@@ -55,7 +55,7 @@
     peers
 }
 
-/// Connections that have sent `probe` to a process that stands still: the system takes them for it.
+/// Connections that have sent `probe` to a stopped process, which are established but not accepted.
 async fn connections_not_accepted(supervisor: &Supervisor) -> Vec<Peer> {
     let mut peers = Vec::new();
     for _ in 0..4 {
@@ -66,7 +66,7 @@
     peers
 }
 
-/// Whoever hears from a supervisor that shuts down that it is alive would send its proxies there.
+/// An answered probe means that proxies may be sent to the supervisor, which would be wrong while it shuts down.
 #[tokio::test]
 async fn probes_are_not_answered_after_sigterm() {
     let (discovery, servers, mut supervisor) = serving().await;
@@ -104,7 +104,7 @@
     assert_eq!(
         supervisor.logged(&["reloaded"]),
         0,
-        "no configuration is read anew"
+        "no configuration is reloaded"
     );
     assert_eq!(
         supervisor.logged(&["s-2 draining"]),
@@ -113,7 +113,7 @@
     );
 }
 
-/// A proxy that reads nothing has a part of an order; it ends within a line, which is no message.
+/// A proxy that does not read gets a part of an order. It ends within a line, so it does not count as a message.
 #[tokio::test]
 async fn a_partially_written_order_ends_with_its_connection() {
     let (discovery, script) = (Discovery::start().await, Scripted::start().await);
@@ -129,7 +129,7 @@
     let mut supervisor = program().start(&configuration).await;
     let mut unresponsive = Peer::connect_narrow(supervisor.address).await;
     unresponsive.send("hello id=1 site=a rps=20.0 new=1").await;
-    // A second stream whose first table has arrived shows that the first one's was ordered in an earlier turn.
+    // Once the first table of a second stream has arrived, that of the first stream was ordered in an earlier tick.
     let mut other = Peer::connect(supervisor.address).await;
     other.send("hello id=2 site=a rps=10.0 new=1").await;
     while !next_line(&mut other).await.contains("server-1023") {}
--- a/crates/supervisor/tests/crossings/streams.rs
+++ b/crates/supervisor/tests/crossings/streams.rs
@@ -9,7 +9,7 @@
 use crate::common::{fleet, has_all, joined, program, serving};
 use crate::{applies_picks, next_line, sequence_number};
 
-/// A proxy that goes on with reports but applies no order would keep its old tables, and servers that have left, for good.
+/// A proxy that still reports but applies no order would keep its old tables, and removed servers, forever.
 #[tokio::test]
 async fn demand_reports_do_not_replace_acknowledgements() {
     let (_discovery, _servers, supervisor) = serving().await;
@@ -37,7 +37,7 @@
     );
 }
 
-/// The acknowledgement of an older order must not stand for the newest one, which is never acknowledged.
+/// The acknowledgement of an older order must not count for the newest one, which is never acknowledged.
 #[tokio::test]
 async fn acknowledging_an_older_order_does_not_acknowledge_a_newer_one() {
     let (discovery, servers, supervisor) = serving().await;
@@ -59,7 +59,7 @@
         .await;
 }
 
-/// Several streams of one proxy and a drain in one turn, the older ones reset or left open.
+/// Several streams of one proxy and a drain arrive in one tick; the older streams are reset or left open.
 #[tokio::test]
 async fn the_newest_of_several_streams_wins_and_gets_the_drain() {
     let (discovery, servers, supervisor) = serving().await;
@@ -136,7 +136,7 @@
         .await;
 }
 
-/// No effect twice: each complete table says how the unsafe class may be retried, whatever was requested before.
+/// To execute nothing twice, each complete table carries the retry policy of the unsafe class.
 #[tokio::test]
 async fn a_complete_table_always_has_the_retry_policy() {
     let (discovery, _servers) = fleet().await;
--- a/crates/supervisor/tests/incident.rs
+++ b/crates/supervisor/tests/incident.rs
@@ -1,4 +1,4 @@
-//! The scripted incident against the program: records and report show what was done, in true order, and nothing else.
+//! The scripted incident against the program: records and report show what happened, in true order, and nothing else.
 
 use std::path::Path;
 
@@ -16,7 +16,7 @@
     timeline.span().expect("records")
 }
 
-/// What was done, as the report should show it.
+/// What happened, as the report should show it.
 fn report_text(truth: &Truth) -> Option<String> {
     match &truth.deed {
         Deed::Drains { server } => Some(format!("{server} draining")),
@@ -31,14 +31,14 @@
     }
 }
 
-/// The records agree with what was done, and the order of events is true.
+/// Asserts that the records agree with what happened, in the true order.
 fn assert_agrees(timeline: &Timeline, truth: &[Truth]) {
     let (events, gaps) = timeline.read(&Query::default());
     let faults = compare(truth, &events, &gaps, &SUPERVISORS);
     assert!(faults.is_empty(), "{faults:#?}");
 }
 
-/// The same records with one clock 3 s ahead: the offset is found, and the order stays true.
+/// Shifts the clock of one supervisor's records by 3 s, and asserts that the offset is found and the order stays true.
 fn assert_agrees_with_a_shifted_clock(records: &Path, directory: &Path, truth: &[Truth]) {
     let shifted = directory.join("shifted");
     std::fs::create_dir(&shifted).expect("a directory");
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -18,10 +18,10 @@
     leave { all { signal: SATURATION below: 0.3 for_s: 2 } } least_stay_s: 4 tell: \"desk\" } }\n\
     adaptive { rule: CAPACITY } repeats {} fairness {} }";
 
-/// Demand that enters the level, as a multiple of the usual one.
+/// Demand that enters the level, as a multiple of the normal one.
 const HIGH_DEMAND: f64 = 6.0;
 /// Demand that leaves the level.
-const USUAL_DEMAND: f64 = 1.0;
+const NORMAL_DEMAND: f64 = 1.0;
 
 /// What a supervisor has recorded.
 fn recorded_kinds(stage: &Stage, supervisor: &str) -> Vec<Kind> {
@@ -45,7 +45,7 @@
         .collect()
 }
 
-/// Whether a supervisor has entered the first level at least so many times.
+/// Whether a supervisor has entered the first level at least `times` times.
 fn has_entered(stage: &Stage, supervisor: &str, times: usize) -> bool {
     let changes = recorded_changes(stage, supervisor);
     let entries = changes.iter().filter(|change| change.to == "fewer lookups");
@@ -66,7 +66,7 @@
     })
 }
 
-/// Load rises and falls; one of the supervisors is killed while a level is in force, and restores it from its records.
+/// Raises and lowers the load; a supervisor that is killed while a level is in force restores it from its records.
 async fn restart_while_a_level_is_in_force(stage: &mut Stage) {
     sleep(Duration::from_secs(3)).await;
     stage.fleet.demand(HIGH_DEMAND);
@@ -86,7 +86,7 @@
             .any(|change| change.reason == "restored")
     })
     .await;
-    stage.fleet.demand(USUAL_DEMAND);
+    stage.fleet.demand(NORMAL_DEMAND);
     until("both serve in full", || {
         has_left(stage, "n0") && has_left(stage, "n1")
     })
@@ -94,7 +94,7 @@
     assert!(stage.alive().await);
 }
 
-/// The ladder is replaced by one that is wrong, then by one without the level in force.
+/// Replaces the ladder by an invalid one, then by one without the level in force.
 async fn replace_the_ladder(stage: &mut Stage, operator: &Path) {
     stage.fleet.demand(HIGH_DEMAND);
     until("reduced again", || has_entered(stage, "n0", 2)).await;
@@ -115,7 +115,7 @@
             .any(|change| change.to == "few lookups" && change.reason == "ladder replaced")
     })
     .await;
-    stage.fleet.demand(USUAL_DEMAND);
+    stage.fleet.demand(NORMAL_DEMAND);
     until("the level is left", || has_left(stage, "n0")).await;
 }
 
@@ -127,14 +127,14 @@
             !change.condition.is_empty(),
             "a change without its cause: {change:?}"
         );
-        // After a restart nothing is known yet, and the record says so.
+        // Right after a restart the values of signals are unknown, and recorded as such.
         let all_known = change.signals.iter().all(|signal| signal.value.is_some());
         assert!(all_known || change.reason == "restored", "{change:?}");
         assert!(change.number == 0 || change.tell == ["desk"], "{change:?}");
     }
 }
 
-/// What the level sheds reached the tables, the class of more weight later than the other.
+/// The shedding of the level reached the tables, for the class of higher priority weight no more than for the other.
 fn assert_shedding_reached_the_tables(stage: &Stage) {
     let lowest = |class: &str| {
         let level = |kind| match kind {
@@ -150,7 +150,7 @@
     assert!(lookup <= 0.3 && order >= lookup, "{lookup} {order}");
 }
 
-/// Runs a command that succeeds, and finds these texts in its output.
+/// Asserts that a command succeeds with these texts in its output.
 async fn assert_output_contains(tools: &Program, arguments: &[&str], texts: &[&str]) {
     let (code, output, _) = tools.tool(arguments).await;
     assert_eq!(code, Some(0), "{output}");
@@ -213,7 +213,7 @@
     assert_commands_explain_the_levels(directory.path(), &stage.records(), &operator).await;
 }
 
-/// The default ladder derives from the classes of the configuration; without it the program says what is missing.
+/// The default ladder derives from the classes of the configuration; without one, the error names the missing option.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_default_ladder_needs_the_classes() {
     let directory = tempfile::tempdir().expect("a directory");
--- a/crates/supervisor/tests/plugins.rs
+++ b/crates/supervisor/tests/plugins.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_chutegrade");
-/// Plug-ins that can be loaded at most.
+/// Maximum number of plug-ins that can be loaded.
 const MAX_PLUGINS: usize = 32;
 
 fn write_plugin(directory: &Path, name: &str, text: &str) -> PathBuf {
@@ -65,8 +65,8 @@
     hook factor(server, class, zone) { if class.name == \"order\" and server.name == \"s-a2\" { return 0 } return 1 }";
 
 /// One class is routed around a server, the others are not, until the plug-in is replaced at SIGHUP; a wrong text is
-/// rejected. Health checks are off here: advice on servers is void while health checks take so long that the fleet passes for
-/// saturated, as they may where the machine is shared.
+/// rejected. Health checks are off: on a shared machine they may take so long that the fleet counts as saturated, and then
+/// advice on servers is void.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_class_is_routed_around_a_server_until_the_plugin_is_replaced() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -104,7 +104,7 @@
     assert_commands_show_the_advice(directory.path(), &stage, &file).await;
 }
 
-/// Each of the two supervisors has loaded both versions and rejected the wrong text.
+/// Asserts that each of the two supervisors has loaded both versions and rejected the invalid text.
 fn assert_loads_are_recorded(stage: &Stage) {
     let load = |kind| match kind {
         Kind::PluginLoaded(load) => {
@@ -128,7 +128,7 @@
     );
 }
 
-/// What the plug-in would advise is found in the records, and can be tried without a supervisor.
+/// Asserts that the commands find the advice in the records, and can try the plug-in without a supervisor.
 async fn assert_commands_show_the_advice(directory: &Path, stage: &Stage, file: &Path) {
     let tools = Program::new(PROGRAM, directory);
     let file = file.display().to_string();
@@ -170,7 +170,7 @@
     );
 }
 
-/// Every hostile plug-in that compiles, as many as can be loaded.
+/// Writes the hostile plug-ins that compile, at most as many as can be loaded.
 fn write_hostile_plugins(directory: &Path) -> Vec<PathBuf> {
     let bodies = corpus::ADVISED.iter().chain(&corpus::STOPPED);
     bodies
@@ -186,7 +186,7 @@
         .collect()
 }
 
-/// Drains, failures, a restart and a reload, while the supervisors have to answer each second.
+/// Drains, fails and restarts servers, and reloads, while the supervisors have to answer each second.
 async fn disturb_the_fleet(stage: &Stage) {
     for second in 0..24 {
         match second {
@@ -237,7 +237,7 @@
     );
 }
 
-/// Hostile plug-ins in one supervisor: all rules hold, the program answers, its ticks keep their pace, and nothing is lost.
+/// With hostile plug-ins loaded, all rules hold, the supervisors answer and tick in time, and no report is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn hostile_plugins_break_no_rule() {
     let directory = tempfile::tempdir().expect("a directory");
--- a/crates/supervisor/tests/recorded.rs
+++ b/crates/supervisor/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Records written by an earlier build (4813afa, `make incident`) read the same today: what `records verify`, `list` and
-//! `export` print of them is compared with what that build printed.
+//! Records written by an earlier build (4813afa, `make incident`) are still read correctly: the output of `records verify`,
+//! `list` and `export` is compared with that of the earlier build.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/supervisor/tests/serving/connections.rs
+++ b/crates/supervisor/tests/serving/connections.rs
@@ -26,7 +26,7 @@
     joined(&supervisor, 0).await;
 }
 
-/// Where no descriptor is left, a supervisor that spins, or gives up accepting, would serve nobody afterwards.
+/// A supervisor that spins or stops accepting when no descriptor is left would serve nobody afterwards.
 #[tokio::test]
 async fn it_recovers_from_running_out_of_descriptors() {
     let (discovery, _servers) = fleet().await;
@@ -65,7 +65,7 @@
     assert_eq!(collectors[4].line().await.as_deref(), Some("alive"));
 }
 
-/// Half a line, nothing, or probes without end: whoever does not identify itself gets the reason and is disconnected.
+/// With half a line, nothing, or endless probes, an unidentified connection gets the reason and is closed.
 #[tokio::test]
 async fn an_unidentified_connection_is_rejected_in_time() {
     let (_discovery, _servers, supervisor) = serving().await;
@@ -95,7 +95,7 @@
     assert!(supervisor.alive().await);
 }
 
-/// The message must have left before the close: what is still on its way here would turn the close into a reset.
+/// The message must be sent before the close: unread input would turn the close into a reset, which may discard it.
 #[tokio::test]
 async fn a_rejected_connection_gets_the_reason() {
     let (_discovery, _servers, supervisor) = serving().await;
--- a/crates/supervisor/tests/serving/discovery.rs
+++ b/crates/supervisor/tests/serving/discovery.rs
@@ -50,7 +50,7 @@
         .await;
 }
 
-/// Where the list is requested, the engine subscribes, is notified of the failure, and subscribes anew.
+/// Where the list is requested, the engine subscribes, is notified of the failure, and subscribes again.
 #[tokio::test]
 async fn a_broken_subscription_is_renewed_where_the_list_is_requested() {
     let (discovery, servers) = fleet().await;
@@ -69,7 +69,7 @@
         .await;
 }
 
-/// Two reloads with different agents while the process stands still: the last file counts.
+/// Reloads twice, with different agents, while the process is stopped: the last file counts.
 async fn reload_twice_at_once(
     supervisor: &Supervisor,
     configuration: &mut Value,
@@ -92,7 +92,7 @@
     until("a watch at the last address", || last.opened() == 1).await;
 }
 
-/// Reloads what can't be read, and what takes effect at a start only.
+/// Reloads a file that can't be read, and one with a change that takes effect only at a start.
 async fn reload_without_effect(supervisor: &Supervisor, configuration: &mut Value) {
     supervisor
         .reload("{\"discovery\": \"127.0.0.1:9\", \"settings\"")
@@ -103,7 +103,7 @@
     supervisor.logs(1, &["reloaded", "limits"]).await;
 }
 
-/// SIGHUP would end a program that has no handler, and the environment names the old address for good.
+/// SIGHUP would end a program without a handler, and the environment keeps the old address.
 #[tokio::test]
 async fn a_reload_moves_it_to_another_discovery_agent() {
     let (discovery, servers) = fleet().await;
@@ -165,14 +165,14 @@
     supervisor.reload(&configuration.to_string()).await;
     until("a watch there", || stale_agent.opened() == 1).await;
     supervisor.logs(1, &["discovery is behind"]).await;
-    // It catches up: what is old comes before the first change that is new here.
+    // The agent catches up: old changes come before the first new one.
     stale_agent.set("s-2", servers[1].address, "draining");
     stale_agent.set("s-3", servers[2].address, "draining");
     proxy
         .applies("the change", |proxy| proxy.picks("lookup") == ["s-1"])
         .await;
     assert_eq!(supervisor.logged(&["s-2 in service"]), 0);
-    // Where the count of versions restarts for good, its deliveries are accepted in the end.
+    // If the version count has really restarted, the deliveries are accepted after a while.
     stale_agent.count_from(1);
     stale_agent.set("s-2", servers[1].address, "up");
     proxy
--- a/crates/supervisor/tests/serving/main.rs
+++ b/crates/supervisor/tests/serving/main.rs
@@ -1,4 +1,4 @@
-//! The program over sockets: it is started, spoken to as by its peers, and asked what it logged.
+//! The program over sockets: the tests start it, act as its peers, and check its log.
 
 mod connections;
 mod discovery;
--- a/crates/supervisor/tests/serving/malformed_input.rs
+++ b/crates/supervisor/tests/serving/malformed_input.rs
@@ -60,7 +60,7 @@
     ]
 }
 
-/// Sends input that ends its connection each time, and finds each end in the log.
+/// Asserts that each input closes its connection, with the reason in the log.
 async fn assert_each_closes_its_connection(supervisor: &Supervisor, inputs: Vec<MalformedInput>) {
     let mut counts = BTreeMap::<(&str, &str), usize>::new();
     for input in inputs {
@@ -89,7 +89,7 @@
     truncated.raw(b"agent si").await;
     drop(truncated);
     supervisor.logs(1, &["reason=cut-short"]).await;
-    // What is merely unknown is dropped, and the connection stays open.
+    // Well-formed messages with unknown names are dropped, and the connection stays open.
     let mut collector = Peer::connect(supervisor.address).await;
     for line in [
         "agent site=a",
@@ -104,11 +104,11 @@
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
     assert!(supervisor.runs());
     proxy.peer.send("probe").await;
-    while proxy.peer.line().await.expect("the first stream stands") != "alive" {}
+    while proxy.peer.line().await.expect("the first stream is open") != "alive" {}
     assert_eq!(supervisor.logged(&["connection ended", "0@a"]), 0);
 }
 
-/// A stream or collector closed for one bad field would take all that is good with it, and its proxy's newest tables.
+/// Closing a connection for one bad field would lose its good messages, and cut a proxy off from new tables.
 #[tokio::test]
 async fn a_malformed_message_is_skipped_and_its_connection_stays() {
     let (discovery, servers, supervisor) = serving().await;
--- a/crates/supervisor/tests/serving/streams.rs
+++ b/crates/supervisor/tests/serving/streams.rs
@@ -31,7 +31,7 @@
         .await;
     collector.send("probe").await;
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
-    // Health checks go on over one connection each.
+    // Health checks use one connection per server.
     until("several health checks of each", || {
         servers.iter().all(|server| server.probed() >= 3)
     })
@@ -72,7 +72,7 @@
         .await;
 }
 
-/// Suspensions stay with a proxy across streams; one of another supervisor would stay for good.
+/// Suspensions stay with a proxy across streams; those of another supervisor would otherwise stay forever.
 #[tokio::test]
 async fn servers_withheld_by_another_supervisor_are_resumed() {
     let (_discovery, _servers, supervisor) = serving().await;
@@ -141,7 +141,7 @@
 }
 
 /// Where few requests arrive at each of many proxies, most have none to report in most periods, and must not lose their
-/// streams for it. After a pause of 2 s here, 7 s are no silence: after 5 s a busy proxy's stream is closed.
+/// streams for it. After a pause of 2 s, this stream may be idle for 7 s; that of a busy proxy is closed after 5 s.
 #[tokio::test]
 async fn a_proxy_with_few_requests_keeps_its_stream() {
     let (_discovery, _servers, supervisor) = serving().await;
@@ -159,8 +159,8 @@
     assert_eq!(line.as_deref(), Some("alive"), "its stream stays open");
 }
 
-/// A proxy with little to do reports nothing before its table has arrived, and must not lose its stream while the table waits
-/// in a slow channel: the time limits on its old table would run on. Here it takes some ten seconds by the settings.
+/// A proxy with few requests reports nothing before its table has arrived, and must not lose its stream while the table is
+/// queued in a slow channel, here for some ten seconds.
 #[tokio::test]
 async fn an_acknowledgement_is_not_due_before_the_order_has_arrived() {
     let (discovery, _servers) = fleet().await;
