--- a/crates/supervisor/src/peers/discovery.rs
+++ b/crates/supervisor/src/peers/discovery.rs
@@ -114,7 +114,7 @@
         self.cache.reset_staleness();
     }
 
-    /// Makes the call that the engine requests, until it completes, fails, or another is requested; backs off after a failure.
+    /// Makes the call that the engine requests, until it completes, fails or is superseded; backs off after a failure.
     async fn follow_subscription(
         &mut self,
         subscription: &mut watch::Receiver<DiscoverySubscription>,
--- a/crates/supervisor/src/peers/listener.rs
+++ b/crates/supervisor/src/peers/listener.rs
@@ -65,8 +65,7 @@
 }
 
 /// How many unidentified connections may be open: half of what remains once each proxy and collector that the settings
-/// hold has its descriptor; the other half is for servers, whose number is known only from the
-/// endpoint list.
+/// hold has its descriptor; the other half is for servers, whose number the settings lack.
 fn max_unidentified_connections(descriptors: usize, proxies: usize, zones: usize) -> usize {
     let peers = RESERVED_DESCRIPTORS + proxies + zones * MAX_COLLECTORS_PER_ZONE;
     (descriptors.saturating_sub(peers) / 2).max(MIN_UNIDENTIFIED_CONNECTIONS)
--- a/crates/supervisor/src/peers/proxy_stream/liveness.rs
+++ b/crates/supervisor/src/peers/proxy_stream/liveness.rs
@@ -87,7 +87,7 @@
         }));
     }
 
-    /// Records an acknowledgement. If it is for an older order, the newest one is still awaited, with a timeout that restarts.
+    /// Records an acknowledgement. If it is for an older order, the newest one is still awaited, and its timeout restarts.
     pub fn record_acknowledgement(&self, sequence: u16, now: Micros) {
         let Some(awaited) = self.unacknowledged.get() else {
             return;
--- a/crates/supervisor/src/server/overload_control.rs
+++ b/crates/supervisor/src/server/overload_control.rs
@@ -1,5 +1,6 @@
-//! Overload control: the operators' service levels, limits and budgets are evaluated once a second. Decisions go to the engine
-//! as a report, changes of the level to the log and the records. SIGHUP reloads the operators' file; an invalid one is rejected.
+//! Overload control: the operators' service levels, limits and budgets are evaluated once a second. Decisions go to the
+//! engine as a report, changes of the level to the log and the records. SIGHUP reloads the operators' file; an invalid one
+//! is rejected.
 
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
