--- a/crates/supervisor/src/commands/plugin/mod.rs
+++ b/crates/supervisor/src/commands/plugin/mod.rs
@@ -4,12 +4,14 @@
 mod dry_run;
 mod explain;
 mod format;
+mod recorded_fleet;
 mod test;
 
 use std::io::Write;
 
 use super::arguments::{PluginArguments, PluginCommand};
 use super::CommandError;
+use format::FormatMode;
 
 /// Runs one of the commands on plug-ins.
 ///
@@ -20,7 +22,14 @@
     match &arguments.command {
         PluginCommand::Check { files } => check::run(files, output),
         PluginCommand::Test { files } => test::run(files, output),
-        PluginCommand::Format { files, check } => format::run(files, *check, output),
+        PluginCommand::Format { files, check } => {
+            let mode = if *check {
+                FormatMode::CheckOnly
+            } else {
+                FormatMode::Rewrite
+            };
+            format::run(files, mode, output)
+        }
         PluginCommand::Explain(arguments) => explain::run(arguments, output),
         PluginCommand::Run(arguments) => dry_run::run(arguments, output),
     }
