--- a/crates/adapter/src/overload.rs
+++ b/crates/adapter/src/overload.rs
@@ -50,21 +50,12 @@
             return None;
         }
         self.next_evaluation = Some(now + EVALUATION_INTERVAL);
-        let sample = self.take_sample();
+        let sample = self.sample.take();
         let inputs = manager_inputs(now, self.report_period, sample, policy.fleet_status());
         let evaluation = self.manager.evaluate(&inputs);
         Some(limits(&evaluation.decision, now))
     }
 
-    /// Returns the sample and starts a new one, which retains the time of the last report.
-    fn take_sample(&mut self) -> TrafficSample {
-        let next = TrafficSample {
-            last_report_at: self.sample.last_report_at,
-            ..TrafficSample::default()
-        };
-        std::mem::replace(&mut self.sample, next)
-    }
-
     fn sample_event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::ProxyDemand {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -7,8 +7,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 use chutegrade_policy::{
-    Class, Event, FleetStatus, Idempotency, Micros, Policy, ProxyId, ServerId, ServerStatus,
-    Settings,
+    Class, Event, FleetStatus, Micros, Policy, ProxyId, ServerId, ServerStatus, Settings,
 };
 use chutegrade_records::pb;
 use chutegrade_settings::DeploymentNames;
@@ -30,22 +29,14 @@
 pub struct ClassInfo {
     /// Its name.
     pub name: String,
-    /// Whether a repeated request is harmless: `safe` (idempotent), `keyed` (with an idempotency key) or `unsafe`.
-    pub idempotency: &'static str,
     /// Its settings.
     pub class: Class,
 }
 
 impl ClassInfo {
     fn new(name: &str, class: &Class) -> Self {
-        let idempotency = match class.idempotency {
-            Idempotency::Idempotent => "safe",
-            Idempotency::Keyed(..) => "keyed",
-            Idempotency::NotIdempotent => "unsafe",
-        };
         ClassInfo {
             name: name.to_string(),
-            idempotency,
             class: *class,
         }
     }
@@ -79,7 +70,7 @@
     events: Vec<Event>,
     timers: BTreeSet<Timer>,
     due_health_checks: VecDeque<ServerId>,
-    /// Servers that the decisions have forgotten, until no table and no order that waits names them.
+    /// Servers that the decisions have forgotten, until no table and no pending order references them.
     forgotten_servers: BTreeSet<ServerId>,
     subscription: DiscoverySubscription,
     log_events: LogEvents,
@@ -174,7 +165,7 @@
         })
     }
 
-    /// What the decisions require of service discovery; a request to fetch the list is returned once.
+    /// What the decisions require of service discovery. Each request to fetch the list is returned once.
     pub fn take_subscription(&mut self) -> DiscoverySubscription {
         let subscription = self.subscription;
         self.subscription.fetch = false;
@@ -191,7 +182,7 @@
         self.traffic_sampler.take()
     }
 
-    /// Makes log events for the records too from now on.
+    /// Makes events for the records too from now on, not only those for the log.
     pub fn enable_recording(&mut self) {
         self.log_events.enable_recording();
     }
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -13,7 +13,7 @@
 /// Shortest delay of a timer.
 const MIN_TIMER_DELAY: Micros = Micros(1);
 
-/// What the actions of one batch add up to.
+/// The sum of the actions of one batch.
 #[derive(Default)]
 struct BatchSummary {
     acknowledgement: Option<AcknowledgementRequest>,
@@ -29,11 +29,16 @@
         }
         self.streams.end_batch(batch.acknowledgement);
         self.remove_forgotten_servers();
-        if batch.published != PublishedCounts::default() {
-            let streams = self.streams.with_orders_count();
-            let record = records::published_record(batch.published, streams);
-            self.log_events.record(now, record);
+        self.record_published(now, batch.published);
+    }
+
+    fn record_published(&mut self, now: Micros, counts: PublishedCounts) {
+        if counts == PublishedCounts::default() {
+            return;
         }
+        let streams = self.streams.with_orders_count();
+        let record = records::published_record(counts, streams);
+        self.log_events.record(now, record);
     }
 
     fn carry_out_action(&mut self, now: Micros, action: Action, batch: &mut BatchSummary) {
@@ -181,16 +186,16 @@
         self.log_events.log(now, record);
     }
 
-    /// Removes the forgotten servers that no table and no order names. An order that waits needs the name, or the
-    /// message that removes the server would be lost.
+    /// Removes the forgotten servers that no table and no pending order references. A pending order needs the name of a
+    /// server: without it, the changes of that server would be left out of the message.
     fn remove_forgotten_servers(&mut self) {
         let forgotten = std::mem::take(&mut self.forgotten_servers);
-        let (named, unnamed): (BTreeSet<_>, BTreeSet<_>) =
+        let (referenced, unreferenced): (BTreeSet<_>, BTreeSet<_>) =
             forgotten.into_iter().partition(|server| {
-                self.tables.names_server(*server) || self.streams.names_server(*server)
+                self.tables.references_server(*server) || self.streams.references_server(*server)
             });
-        self.forgotten_servers = named;
-        for server in unnamed {
+        self.forgotten_servers = referenced;
+        for server in unreferenced {
             self.remove_server(server);
         }
     }
--- a/crates/engine/src/engine/tests/orders.rs
+++ b/crates/engine/src/engine/tests/orders.rs
@@ -132,7 +132,7 @@
 
 /// A server that is removed from a complete table before that is written costs no line.
 #[test]
-fn a_complete_table_never_names_a_removed_server() {
+fn a_complete_table_never_contains_a_removed_server() {
     let mut engine = serving();
     assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
     let table = TableId(900);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! [`Engine::report`] takes in what happened, [`Engine::tick`] hands it to the decision module as one batch and returns
 //! when to tick next, and the `take_*` calls return what is due: orders, health checks, discovery requests, log events.
-//! No event or action of the module is visible outside. The engine carries out decisions and makes none: it stores
-//! tables, admission levels and suspensions as ordered, and translates between names and numeric ids.
+//! Only an alternative [`DecisionPolicy`] sees the events and actions of the module. The engine carries out decisions and
+//! makes none: it stores tables, admission levels and suspensions as ordered, and translates between names and numeric
+//! ids.
 
 mod endpoint;
 mod engine;
@@ -40,6 +41,6 @@
 
 /// The types that reports share with the decision module.
 pub use chutegrade_policy::{
-    AdmissionLevel, Class, EndpointUpdateKind, FleetStatus, HealthCheckOutcome, Lifecycle,
-    LoadReport, Micros, ReportSource, Retry, Settings, ShedShares,
+    AdmissionLevel, Class, EndpointUpdateKind, FleetStatus, HealthCheckOutcome, Idempotency,
+    Lifecycle, LoadReport, Micros, ReportSource, Retry, Settings, ShedShares,
 };
--- a/crates/engine/src/log_events.rs
+++ b/crates/engine/src/log_events.rs
@@ -12,7 +12,7 @@
 use crate::records::{self, DroppedEvents};
 use crate::report::OutcomeReport;
 
-/// Events that wait to be taken; the oldest beyond it are dropped and counted.
+/// Most events that wait to be taken; beyond that, the oldest are dropped and counted.
 pub(crate) const MAX_QUEUED_EVENTS: usize = 16_384;
 
 /// Something that happened, for the log or the records.
@@ -24,21 +24,21 @@
     pub observed_at: Micros,
     /// What happened.
     pub kind: Kind,
-    /// Whether it is for the log as well as for the records.
+    /// Whether it is for the log as well as for the records, or for the records alone.
     pub logged: bool,
 }
 
-/// When an observation began.
-enum Begin {
+/// When something that is observed began.
+enum ObservationStart {
     /// At this time.
     At(Micros),
-    /// So long before the tick that learns of it.
+    /// This long before the tick that learns of it.
     Before(Micros),
 }
 
 /// Something that the next tick learns of.
 struct Observation {
-    begin: Begin,
+    start: ObservationStart,
     kind: Kind,
 }
 
@@ -46,11 +46,14 @@
 #[derive(Default)]
 pub(crate) struct LogEvents {
     queue: VecDeque<LogEvent>,
+    /// Events that were dropped since the last call of [`LogEvents::take`].
     dropped: Option<DroppedEvents>,
+    /// What the next tick learns of.
     observations: Vec<Observation>,
     is_recording: bool,
     observer: Observer,
-    starts: HashMap<ServerId, Micros>,
+    /// The latest start of each server that the endpoint list named one for.
+    latest_starts: HashMap<ServerId, Micros>,
 }
 
 impl LogEvents {
@@ -124,7 +127,7 @@
         );
         if let Some(failing) = failing {
             self.observations.push(Observation {
-                begin: Begin::Before(outcomes.period),
+                start: ObservationStart::Before(outcomes.period),
                 kind: Kind::Failing(failing),
             });
         }
@@ -139,34 +142,34 @@
         let Some(started_at) = endpoint.started_at else {
             return;
         };
-        let previous = self.starts.insert(server, started_at);
+        let previous = self.latest_starts.insert(server, started_at);
         if previous.is_some_and(|previous| previous >= started_at) {
             return;
         }
         self.observations.push(Observation {
-            begin: Begin::At(started_at),
+            start: ObservationStart::At(started_at),
             kind: records::server_started_record(&endpoint.name, &endpoint.zone),
         });
     }
 
     /// Removes a server that nothing refers to any more.
     pub fn forget(&mut self, server: ServerId, name: &str) {
-        self.starts.remove(&server);
+        self.latest_starts.remove(&server);
         self.observer.forget(name);
     }
 
     /// Turns the observations since the last tick into events.
     pub fn tick(&mut self, now: Micros) {
         for observation in std::mem::take(&mut self.observations) {
-            let begin = match observation.begin {
-                Begin::At(time) => time,
-                Begin::Before(length) => now - length,
+            let started_at = match observation.start {
+                ObservationStart::At(time) => time,
+                ObservationStart::Before(length) => now - length,
             };
-            self.record_occurrence(begin.min(now), now, observation.kind);
+            self.record_occurrence(started_at.min(now), now, observation.kind);
         }
     }
 
-    /// The next event; before all others, how many were dropped.
+    /// The next event. If some were dropped, an event with their number comes first.
     pub fn take(&mut self, now: Micros) -> Option<LogEvent> {
         if let Some(dropped) = self.dropped.take() {
             return Some(LogEvent {
--- a/crates/engine/src/pending_order.rs
+++ b/crates/engine/src/pending_order.rs
@@ -1,7 +1,7 @@
 //! The order that waits for one proxy.
 //!
-//! It has the newest value for each class, server and sequence number. What could not be written yet merges with what
-//! follows, so a stream never has more than one message waiting.
+//! It has the newest value for each class and server and the newest sequence number. Changes merge into it until it is
+//! written, so a stream never has more than one message waiting.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,6 +17,7 @@
 /// What waits for one class of one stream.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct PendingUpdate {
+    /// Whether the weights are the complete table rather than changes of it.
     replace: bool,
     weights: Weights,
     admission: Option<AdmissionLevel>,
@@ -40,7 +41,9 @@
     updates: BTreeMap<usize, PendingUpdate>,
     /// Servers to suspend (`true`) or to resume (`false`).
     suspensions: BTreeMap<ServerId, bool>,
+    /// Sequence number to acknowledge.
     acknowledge: Option<u16>,
+    /// Whether the current batch of actions changed this order.
     changed_in_batch: bool,
 }
 
@@ -95,8 +98,8 @@
         std::mem::take(&mut self.changed_in_batch)
     }
 
-    /// Whether the order refers to a server.
-    pub fn names_server(&self, server: ServerId) -> bool {
+    /// Whether the order has a weight or a suspension of a server.
+    pub fn references_server(&self, server: ServerId) -> bool {
         if self.suspensions.contains_key(&server) {
             return true;
         }
--- a/crates/engine/src/streams.rs
+++ b/crates/engine/src/streams.rs
@@ -19,7 +19,7 @@
 pub(crate) struct AcknowledgementRequest {
     /// The sequence number to acknowledge.
     pub sequence: u16,
-    /// Whether it is for all joined proxies, or only for those that the batch changed something for.
+    /// Whether it is for all joined proxies, rather than only for those whose orders the batch changed.
     pub all_proxies: bool,
 }
 
@@ -30,7 +30,7 @@
     by_stream: HashMap<StreamId, ProxyId>,
     /// Proxies by table: most orders change one table, which few of many proxies use.
     by_table: BTreeMap<TableId, BTreeSet<ProxyId>>,
-    /// Proxies that the current batch of actions may have changed something for.
+    /// Proxies whose orders the current batch of actions may have changed.
     changed_in_batch: BTreeSet<ProxyId>,
     /// Streams with an order to write.
     with_orders: BTreeSet<StreamId>,
@@ -110,7 +110,7 @@
         self.changed_in_batch.insert(proxy);
     }
 
-    /// Informs a proxy of the suspension of each server that its tables name.
+    /// Informs a proxy of the suspension of each server in its tables.
     pub fn reconcile(&mut self, proxy: ProxyId, tables: &Tables) {
         if let Some(joined) = self.proxies.get_mut(&proxy) {
             joined.reconcile(tables);
@@ -142,13 +142,13 @@
         concerned
     }
 
-    /// Whether any order that waits to be written refers to a server.
-    pub fn names_server(&self, server: ServerId) -> bool {
+    /// Whether any order that waits to be written references a server.
+    pub fn references_server(&self, server: ServerId) -> bool {
         let mut proxies = self.proxies.values();
-        proxies.any(|joined| joined.pending.names_server(server))
+        proxies.any(|joined| joined.pending.references_server(server))
     }
 
-    /// Removes a server that no order names.
+    /// Removes a server that no order references.
     pub fn forget(&mut self, server: ServerId) {
         for joined in self.proxies.values_mut() {
             joined.forget(server);
--- a/crates/engine/src/streams/joined_proxy.rs
+++ b/crates/engine/src/streams/joined_proxy.rs
@@ -14,12 +14,12 @@
     pub stream: StreamId,
     /// The order that waits to be written.
     pub pending: PendingOrder,
-    /// It has tables from an earlier stream, and suspensions that may be another supervisor's.
+    /// Whether it has tables from an earlier stream, and suspensions that may be another supervisor's.
     has_previous_table: bool,
-    /// It was informed of the suspension of each server that its tables name.
+    /// Whether it was informed of the suspension of each server in its tables.
     is_reconciled: bool,
     tables: BTreeMap<usize, TableId>,
-    /// The suspensions of which it was informed on this stream.
+    /// The servers that it was ordered to suspend (`true`) or to resume (`false`) on this stream.
     notified_suspensions: BTreeMap<ServerId, bool>,
 }
 
@@ -57,10 +57,10 @@
         assigned.map(|(class, _)| *class).collect()
     }
 
-    /// Informs the proxy of the suspension of a server that one of its tables names, unless it already is.
+    /// Informs the proxy whether a server in one of its tables is suspended, unless it knows.
     ///
-    /// A proxy retains suspensions across streams. What it has from before is corrected with the first weight of a
-    /// server that was ever suspended here, and for all other servers once reconciliation is ordered.
+    /// A proxy retains suspensions across streams. An outdated one is corrected with the first weight of a server that
+    /// was ever suspended here, and for all other servers once reconciliation is ordered.
     fn notify_suspension(&mut self, server: ServerId, tables: &Tables) {
         let suspended = tables.is_suspended(server);
         if self.assumed_suspension(server, tables) != Some(suspended) {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Informs the proxy of the suspension of each server that its tables name.
+    /// Informs the proxy of the suspension of each server in its tables.
     pub fn reconcile(&mut self, tables: &Tables) {
         self.is_reconciled = true;
         let assigned: BTreeSet<TableId> = self.assigned_tables().collect();
@@ -143,11 +143,13 @@
 
     /// Suspends or resumes a server, if that concerns the proxy; returns whether it does.
     ///
-    /// It does not if the proxy's tables do not name the server, nor while it has none of this supervisor's tables.
-    /// Weights that follow bring the suspension with them.
+    /// It does if the server is in one of the proxy's tables. While only some classes have a table of this supervisor,
+    /// the others may still use tables of another one, so a suspension concerns the proxy in any case. A proxy without
+    /// any table of this supervisor is informed with its first weights instead.
     pub fn set_suspended(&mut self, server: ServerId, suspended: bool, tables: &Tables) -> bool {
-        let has_foreign_table = self.has_some_tables_only(tables);
-        let is_concerned = self.names_server(server, tables) || (suspended && has_foreign_table);
+        let may_have_foreign_table = self.is_partly_assigned(tables);
+        let is_concerned =
+            self.references_server(server, tables) || (suspended && may_have_foreign_table);
         if is_concerned {
             self.notified_suspensions.insert(server, suspended);
             self.pending.set_suspended(server, suspended);
@@ -155,13 +157,13 @@
         is_concerned
     }
 
-    fn names_server(&self, server: ServerId, tables: &Tables) -> bool {
+    fn references_server(&self, server: ServerId, tables: &Tables) -> bool {
         let mut assigned = self.tables.values().filter_map(|id| tables.get(*id));
         assigned.any(|table| table.weights.contains_key(&server))
     }
 
     /// Whether some classes but not all have a table of this supervisor.
-    fn has_some_tables_only(&self, tables: &Tables) -> bool {
+    fn is_partly_assigned(&self, tables: &Tables) -> bool {
         !self.tables.is_empty() && self.tables.len() < tables.class_count()
     }
 
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Removes a server that no table and no order names.
+    /// Removes a server that no table and no order references.
     pub fn forget(&mut self, server: ServerId) {
         self.notified_suspensions.remove(&server);
     }
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -12,7 +12,7 @@
     admission_levels: BTreeMap<usize, AdmissionLevel>,
 }
 
-/// Everything that is in force.
+/// All tables, admission levels and suspensions in force.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tables {
     tables: BTreeMap<TableId, Table>,
@@ -109,7 +109,7 @@
         self.suspended.contains(&server)
     }
 
-    /// Notes that a forgotten server returned, so that proxies may still have it as suspended.
+    /// Marks a server that returned after it was forgotten: proxies may still have it as suspended.
     pub fn mark_returned(&mut self, server: ServerId) {
         self.returned.insert(server);
     }
@@ -125,12 +125,12 @@
     }
 
     /// Whether any table has a weight for a server.
-    pub fn names_server(&self, server: ServerId) -> bool {
+    pub fn references_server(&self, server: ServerId) -> bool {
         let mut tables = self.tables.values();
         tables.any(|table| table.weights.contains_key(&server))
     }
 
-    /// Removes a server that no table names.
+    /// Removes a server that no table references.
     pub fn forget(&mut self, server: ServerId) {
         self.suspended.remove(&server);
         self.returned.remove(&server);
--- a/crates/engine/src/traffic_sampling.rs
+++ b/crates/engine/src/traffic_sampling.rs
@@ -17,6 +17,17 @@
     pub outcomes: Vec<Outcome>,
 }
 
+impl TrafficSample {
+    /// Returns the sample and starts a new one, which retains the time of the last report.
+    pub fn take(&mut self) -> Self {
+        let next = TrafficSample {
+            last_report_at: self.last_report_at,
+            ..TrafficSample::default()
+        };
+        std::mem::replace(self, next)
+    }
+}
+
 /// Collects a [`TrafficSample`] once enabled.
 #[derive(Debug, Default)]
 pub(crate) struct TrafficSampler {
@@ -59,10 +70,6 @@
 
     /// Returns the sample and starts a new one, which retains the time of the last report.
     pub fn take(&mut self) -> TrafficSample {
-        let next = TrafficSample {
-            last_report_at: self.sample.last_report_at,
-            ..TrafficSample::default()
-        };
-        std::mem::replace(&mut self.sample, next)
+        self.sample.take()
     }
 }
--- a/crates/plugin-advisor/src/inputs.rs
+++ b/crates/plugin-advisor/src/inputs.rs
@@ -3,7 +3,7 @@
 use std::iter;
 use std::sync::Arc;
 
-use chutegrade_engine::{ClassInfo, Engine};
+use chutegrade_engine::{ClassInfo, Engine, Idempotency};
 use chutegrade_plugins::inputs::{Class, Fleet, Inputs, Server};
 use chutegrade_records::replay::{Picture, Server as RecordedServer};
 use chutegrade_records::{pb, text};
@@ -50,12 +50,21 @@
 fn class_from_engine(class: &ClassInfo, admitted_share: f64) -> Class {
     Class {
         name: class.name.as_str().into(),
-        effect: class.idempotency.into(),
+        effect: effect(class.class.idempotency).into(),
         worth: class.class.priority_weight,
         level: admitted_share,
     }
 }
 
+/// The word of the hook language for what a repeated request does.
+fn effect(idempotency: Idempotency) -> &'static str {
+    match idempotency {
+        Idempotency::Idempotent => "safe",
+        Idempotency::Keyed(..) => "keyed",
+        Idempotency::NotIdempotent => "unsafe",
+    }
+}
+
 fn class_from_records(name: &str, admitted_share: f64) -> Class {
     Class {
         level: admitted_share,
