--- a/crates/adapter/src/codec.rs
+++ b/crates/adapter/src/codec.rs
@@ -1,7 +1,7 @@
-//! Lines of the simulator's wire to messages, and actions to lines; and the reverse for a policy in another process.
+//! Lines of the simulator's wire to messages, and actions to lines; and the reverse for the decision module of another build.
 //!
-//! A line is a tag and `key=value` fields, separated by tabs. Unknown tags and fields are skipped; what is malformed is an
-//! error. The words of the wire are mapped to the decision module's terms here and nowhere else.
+//! A line is a tag and `key=value` fields, separated by tabs. Unknown tags and fields are skipped; a malformed line is
+//! an error. The keywords of the wire are mapped to the decision module's terms here and nowhere else.
 
 mod decode_action;
 mod decode_event;
--- a/crates/adapter/src/codec/decode_action.rs
+++ b/crates/adapter/src/codec/decode_action.rs
@@ -1,4 +1,4 @@
-//! Lines to actions, as a policy in another process writes them.
+//! Lines to actions, as an adapter of another build writes them.
 
 use chutegrade_policy::{Action, ClassSet, Micros, Retry};
 
@@ -9,6 +9,8 @@
 /// Characters of an unknown tag that its error shows.
 const MAX_SHOWN_TAG: usize = 80;
 
+const US_PER_MS: f64 = 1000.0;
+
 /// The action of a line; `None` if the line does not concern the fleet model.
 pub(crate) fn decode_action(line: &str) -> Result<Option<Action>, CodecError> {
     let fields = Fields::new(line);
@@ -40,7 +42,7 @@
         "source" | "write_log" | "notify" => return Ok(None),
         unknown => {
             let shown = unknown.chars().take(MAX_SHOWN_TAG).collect();
-            return Err(CodecError::MissingField(shown, "action of that name"));
+            return Err(CodecError::UnknownAction(shown));
         }
     };
     Ok(Some(action))
@@ -50,27 +52,23 @@
     fields.parse("classBits").map(ClassSet)
 }
 
+fn retry(fields: &Fields) -> Result<Retry, CodecError> {
+    let number: u8 = fields.parse("secondTry")?;
+    Ok(chutegrade_settings::retry_from_number(i64::from(number)))
+}
+
 fn set_admission(fields: &Fields) -> Result<Action, CodecError> {
     let table = fields.table()?;
     Ok(Action::SetAdmission {
         table: (table.0 != ALL_PROXIES_TABLE).then_some(table),
         classes: classes(fields)?,
         level: fields.amount("allowance")?,
-        retry: retry(fields.parse("secondTry")?),
+        retry: retry(fields)?,
     })
 }
 
-fn retry(number: u8) -> Retry {
-    match number {
-        1 => Retry::IfNotExecuted,
-        2 => Retry::Once,
-        3 => Retry::Twice,
-        _ => Retry::Never,
-    }
-}
-
 fn set_timer(fields: &Fields) -> Result<Action, CodecError> {
-    let delay_us = (fields.amount("fromNowMs")? * 1000.0).round();
+    let delay_us = (fields.amount("fromNowMs")? * US_PER_MS).round();
     Ok(Action::SetTimer {
         id: fields.parse("handle")?,
         delay: Micros(delay_us as i64),
--- a/crates/adapter/src/codec/decode_event.rs
+++ b/crates/adapter/src/codec/decode_event.rs
@@ -6,10 +6,7 @@
 
 use super::error::CodecError;
 use super::fields::Fields;
-use super::vocabulary::HEALTH_CHECK_OUTCOMES;
-
-/// An empty payload, which as base64 would be an empty field.
-const EMPTY_PAYLOAD: &str = "-";
+use super::vocabulary::{EMPTY_PAYLOAD, HEALTH_CHECK_OUTCOMES};
 
 /// The event of a line; `None` if the tag is unknown.
 pub(super) fn decode_event(fields: &Fields) -> Result<Option<Event>, CodecError> {
@@ -59,7 +56,7 @@
 }
 
 fn health_checked(fields: &Fields) -> Result<Event, CodecError> {
-    let outcome = fields.word("ending", &HEALTH_CHECK_OUTCOMES);
+    let outcome = fields.keyword("ending", &HEALTH_CHECK_OUTCOMES);
     Ok(Event::HealthChecked {
         server: fields.server()?,
         outcome: outcome.unwrap_or(HealthCheckOutcome::Inconclusive),
@@ -100,7 +97,7 @@
         proxy: fields.proxy()?,
         zone: fields.zone()?,
         request_rate: fields.amount("weight")?,
-        // On this wire a proxy obeys the suspensions of one instance only: it has none that would cost a line.
+        // On this wire a proxy gets suspensions from one instance only, so it has none of another one to correct.
         has_previous_table: false,
     })
 }
--- a/crates/adapter/src/codec/encode_action.rs
+++ b/crates/adapter/src/codec/encode_action.rs
@@ -5,9 +5,11 @@
 use chutegrade_policy::{Action, ClassSet, DecisionEvent, Micros, Retry, ServerId, TableId};
 
 use super::error::CodecError;
-use super::vocabulary::ALL_PROXIES_TABLE;
+use super::vocabulary::{ALL_PROXIES_TABLE, EMPTY_PAYLOAD};
 
-/// Writes one action as a line, without its end.
+const US_PER_MS: f64 = 1000.0;
+
+/// Writes one action as a line, without a line break.
 ///
 /// # Errors
 ///
@@ -51,7 +53,7 @@
         Action::SetTimer { id, delay } => Ok(set_timer(*id, *delay)),
         Action::SendToPeer { peer, data } => Ok(send_to_peer(*peer, data)),
         Action::ForgetServer(_) | Action::Reconcile(_) => Err(CodecError::UnsendableAction(
-            format!("nothing is said of {action:?}"),
+            format!("no line for {action:?}"),
         )),
         Action::Emit(event) => Ok(emit(event)),
     }
@@ -81,14 +83,14 @@
 }
 
 fn set_timer(id: u32, delay: Micros) -> String {
-    let delay_ms = delay.0.max(0) as f64 / 1000.0;
+    let delay_ms = delay.0.max(0) as f64 / US_PER_MS;
     format!("arm\thandle={id}\tfromNowMs={delay_ms}")
 }
 
 fn send_to_peer(peer: Option<u32>, data: &[u8]) -> String {
     let recipient = peer.map_or("all".to_string(), |peer| peer.to_string());
     let contents = if data.is_empty() {
-        "-".to_string()
+        EMPTY_PAYLOAD.to_string()
     } else {
         STANDARD.encode(data)
     };
--- a/crates/adapter/src/codec/encode_event.rs
+++ b/crates/adapter/src/codec/encode_event.rs
@@ -1,21 +1,23 @@
-//! Events to lines, for a policy in another process.
+//! Events to lines, as an adapter of another build reads them.
 
 use chutegrade_policy::{Endpoint, EndpointUpdateKind, Event, LoadReport, Micros};
 
 use super::vocabulary::{
-    word_for, ENDPOINT_UPDATE_KINDS, HEALTH_CHECK_OUTCOMES, INCONCLUSIVE_OUTCOME, LIFECYCLES,
+    keyword_for, ENDPOINT_UPDATE_KINDS, HEALTH_CHECK_OUTCOMES, INCONCLUSIVE_OUTCOME, LIFECYCLES,
 };
 
 /// Added to written times, in milliseconds: a reader that truncates to microseconds then gets the same time.
 const TIME_ROUNDING_MS: f64 = 0.000_25;
 
+const US_PER_MS: f64 = 1000.0;
+
 /// A time in milliseconds.
 pub(crate) fn encode_time(time: Micros) -> f64 {
-    time.0 as f64 / 1000.0 + TIME_ROUNDING_MS
+    time.0 as f64 / US_PER_MS + TIME_ROUNDING_MS
 }
 
-/// Writes an event as lines with their ends. `list_number` numbers endpoint lists. Empty for an event that the wire has no
-/// line for; none of these occurs on the fleet model.
+/// Writes an event as lines with line breaks. `list_number` numbers endpoint lists. Returns an empty text for an event that
+/// has no line; none of these occurs on the fleet model.
 pub(crate) fn encode_event(event: &Event, list_number: u64) -> String {
     match event {
         Event::EndpointList(kind, endpoints) => endpoint_list(*kind, endpoints, list_number),
@@ -88,7 +90,8 @@
             elapsed,
             load,
         } => {
-            let ending = word_for(&HEALTH_CHECK_OUTCOMES, outcome).unwrap_or(INCONCLUSIVE_OUTCOME);
+            let ending =
+                keyword_for(&HEALTH_CHECK_OUTCOMES, outcome).unwrap_or(INCONCLUSIVE_OUTCOME);
             let elapsed_ms = encode_time(*elapsed);
             let load = load_field(load);
             format!(
@@ -101,7 +104,7 @@
 }
 
 fn endpoint_list(kind: EndpointUpdateKind, endpoints: &[Endpoint], list_number: u64) -> String {
-    let how = word_for(&ENDPOINT_UPDATE_KINDS, &kind).unwrap_or("");
+    let how = keyword_for(&ENDPOINT_UPDATE_KINDS, &kind).unwrap_or("");
     let rows: String = endpoints.iter().map(endpoint).collect();
     let count = endpoints.len();
     format!("discovery\tgen={list_number}\thow={how}\trows={count}\n{rows}")
@@ -117,7 +120,7 @@
         weight,
         started_at,
     } = endpoint;
-    let lifecycle = word_for(&LIFECYCLES, lifecycle).unwrap_or("");
+    let lifecycle = keyword_for(&LIFECYCLES, lifecycle).unwrap_or("");
     let started_at = match started_at {
         Some(time) => format!("\tupSinceMs={}", encode_time(*time)),
         None => String::new(),
@@ -129,7 +132,7 @@
     )
 }
 
-/// The field with a load report; empty if the report is.
+/// The field with a load report, preceded by its separator; an empty text for an empty report.
 fn load_field(load: &LoadReport) -> String {
     let values = [
         load.in_flight.map(|value| format!("inflight:{value}")),
--- a/crates/adapter/src/codec/error.rs
+++ b/crates/adapter/src/codec/error.rs
@@ -1,15 +1,30 @@
 //! Errors of reading and writing lines.
 
-/// Why a line could not be read, or an action not be written.
+/// Why a line could not be read, or an action could not be written.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum CodecError {
-    /// A field that the message requires is absent: the tag, and the field's key.
-    #[error("{0}: no {1}")]
-    MissingField(String, &'static str),
-    /// A field has a value that it can't have: the tag, the field's key and the value.
-    #[error("{0}: bad {1} {2:?}")]
-    InvalidField(String, &'static str, String),
-    /// The settings can't be read.
+    /// A field that the message requires is absent.
+    #[error("{tag}: no {key}")]
+    MissingField {
+        /// Tag of the line.
+        tag: String,
+        /// Key of the field.
+        key: &'static str,
+    },
+    /// A field has an invalid value.
+    #[error("{tag}: bad {key} {value:?}")]
+    InvalidField {
+        /// Tag of the line.
+        tag: String,
+        /// Key of the field.
+        key: &'static str,
+        /// The value, cut off if it is long.
+        value: String,
+    },
+    /// No action has this tag.
+    #[error("{0}: no action of that name")]
+    UnknownAction(String),
+    /// The settings could not be read.
     #[error("settings: {0}")]
     Settings(#[from] chutegrade_settings::SettingsError),
     /// The wire has no form for an action or for a number in it.
--- a/crates/adapter/src/codec/fields.rs
+++ b/crates/adapter/src/codec/fields.rs
@@ -5,7 +5,7 @@
 use chutegrade_policy::{LoadReport, Micros, ProxyId, ServerId, TableId, ZoneId};
 
 use super::error::CodecError;
-use super::vocabulary::{value_of, Word};
+use super::vocabulary::{value_of, Keyword};
 
 /// Characters of an invalid value that its error shows.
 const MAX_SHOWN_VALUE: usize = 40;
@@ -17,13 +17,13 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Those of a line.
+    /// The tag and the fields of a line.
     pub fn new(line: &'a str) -> Self {
         let tag = line.split('\t').next().unwrap_or("");
         Fields { line, tag }
     }
 
-    /// The tag.
+    /// The tag of the line.
     pub fn tag(&self) -> &'a str {
         self.tag
     }
@@ -45,13 +45,19 @@
 
     /// The error of an absent field.
     pub fn missing(&self, key: &'static str) -> CodecError {
-        CodecError::MissingField(self.tag.to_string(), key)
+        CodecError::MissingField {
+            tag: self.tag.to_string(),
+            key,
+        }
     }
 
     /// The error of an invalid value.
     pub fn invalid(&self, key: &'static str, value: &str) -> CodecError {
-        let shown = value.chars().take(MAX_SHOWN_VALUE).collect();
-        CodecError::InvalidField(self.tag.to_string(), key, shown)
+        CodecError::InvalidField {
+            tag: self.tag.to_string(),
+            key,
+            value: value.chars().take(MAX_SHOWN_VALUE).collect(),
+        }
     }
 
     /// The value of a field.
@@ -89,21 +95,25 @@
         }
     }
 
-    /// A time in milliseconds.
+    /// A time, which the wire has in milliseconds.
     pub fn milliseconds(&self, key: &'static str) -> Result<Micros, CodecError> {
         self.number(key).map(Micros::from_ms)
     }
 
-    /// A truth value: 0 or another number.
+    /// A Boolean: 0 for false, any other number for true.
     pub fn flag(&self, key: &'static str) -> Result<bool, CodecError> {
         let value: u8 = self.parse(key)?;
         Ok(value != 0)
     }
 
-    /// The value of a word.
-    pub fn word<T: Copy>(&self, key: &'static str, words: &[Word<T>]) -> Result<T, CodecError> {
+    /// The value of a field that is a keyword.
+    pub fn keyword<T: Copy>(
+        &self,
+        key: &'static str,
+        keywords: &[Keyword<T>],
+    ) -> Result<T, CodecError> {
         let text = self.text(key)?;
-        value_of(words, text).ok_or_else(|| self.invalid(key, text))
+        value_of(keywords, text).ok_or_else(|| self.invalid(key, text))
     }
 
     /// The load report; empty if there is none.
@@ -112,22 +122,22 @@
         chutegrade_settings::parse_load_report(text)
     }
 
-    /// The server.
+    /// The id of the server.
     pub fn server(&self) -> Result<ServerId, CodecError> {
         self.parse("server").map(ServerId)
     }
 
-    /// The proxy.
+    /// The id of the proxy.
     pub fn proxy(&self) -> Result<ProxyId, CodecError> {
         self.parse("clientLb").map(ProxyId)
     }
 
-    /// The zone.
+    /// The id of the zone.
     pub fn zone(&self) -> Result<ZoneId, CodecError> {
         self.parse("locality").map(ZoneId)
     }
 
-    /// The table.
+    /// The id of the table.
     pub fn table(&self) -> Result<TableId, CodecError> {
         self.parse("mapId").map(TableId)
     }
--- a/crates/adapter/src/codec/message.rs
+++ b/crates/adapter/src/codec/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the simulator.
+//! Lines to messages of the simulator.
 
 use chutegrade_policy::{Endpoint, EndpointUpdateKind, Event, Micros, Settings, ZoneId};
 
@@ -10,7 +10,7 @@
 /// Weight of an endpoint whose line names none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Begin of the field with the settings, which extends to the end of the line.
+/// Start of the field with the settings, which extends to the end of the line.
 const SETTINGS_FIELD: &str = "\tenv=";
 
 /// One line of a batch.
@@ -92,7 +92,7 @@
     } else {
         0
     };
-    let kind = fields.word("how", &ENDPOINT_UPDATE_KINDS)?;
+    let kind = fields.keyword("how", &ENDPOINT_UPDATE_KINDS)?;
     Ok(Message::EndpointListStart { kind, entries })
 }
 
@@ -103,7 +103,7 @@
         zone: ZoneId(fields.amount_or("locality", 0.0)? as u16),
         machine_kind: fields.amount_or("familyType", 0.0)? as u32,
         cell: fields.amount_or("cluster", 0.0)? as u32,
-        lifecycle: fields.word("lifecycle", &LIFECYCLES)?,
+        lifecycle: fields.keyword("lifecycle", &LIFECYCLES)?,
         weight: fields.amount_or("weight", DEFAULT_WEIGHT)?,
         started_at: (started_at_ms > 0.0).then(|| Micros::from_ms(started_at_ms)),
     })
--- a/crates/adapter/src/codec/tests.rs
+++ b/crates/adapter/src/codec/tests.rs
@@ -1,4 +1,4 @@
-//! What one direction of the codec writes, the other reads.
+//! Each direction of the codec reads what the other writes.
 
 use chutegrade_policy::{
     Action, ClassId, ClassSet, Event, HealthCheckOutcome, LoadReport, Micros, ProxyId, Retry,
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Runs the instances and hands each batch to them. Instances in one process share nothing.
+//! Runs instances of the decision module and hands each batch to them. Instances in one process share nothing.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,7 +9,7 @@
 use crate::codec::{decode_message, encode_action, CodecError, Message};
 use crate::overload::OverloadController;
 
-/// Begin of a line with an entry of an endpoint list.
+/// Start of a line with an entry of an endpoint list.
 const ENDPOINT_LINE_PREFIX: &str = "row\t";
 
 /// One instance of the decision module.
@@ -20,8 +20,8 @@
     events: Vec<Event>,
 }
 
-/// An endpoint list whose entries are being received.
-struct OpenList {
+/// An endpoint list of which not all entries have been received.
+struct IncomingList {
     instance: u32,
     kind: EndpointUpdateKind,
     missing_entries: usize,
@@ -35,7 +35,7 @@
     now: Micros,
     batch_number: u64,
     selected: Option<u32>,
-    open_list: Option<OpenList>,
+    incoming_list: Option<IncomingList>,
     limits: Option<pb::Limits>,
 }
 
@@ -66,7 +66,7 @@
             self.add_list_entry(endpoint);
             return Ok(None);
         }
-        self.close_list();
+        self.finish_list();
         Ok(self.handle_message(message?))
     }
 
@@ -77,7 +77,7 @@
             Message::SelectInstance(instance) => self.selected = Some(instance),
             Message::StartInstance { seed, settings } => self.start_instance(seed, *settings),
             Message::StopInstance => self.stop_instance(),
-            Message::EndpointListStart { kind, entries } => self.open_list(kind, entries),
+            Message::EndpointListStart { kind, entries } => self.start_list(kind, entries),
             Message::Event(event) => self.push_event(self.selected, event),
             Message::EndpointListEntry(_) | Message::Unknown => {}
         }
@@ -122,20 +122,20 @@
         }
     }
 
-    fn open_list(&mut self, kind: EndpointUpdateKind, entries: usize) {
-        self.open_list = self.selected.map(|instance| OpenList {
+    fn start_list(&mut self, kind: EndpointUpdateKind, entries: usize) {
+        self.incoming_list = self.selected.map(|instance| IncomingList {
             instance,
             kind,
             missing_entries: entries,
             entries: Vec::new(),
         });
         if entries == 0 {
-            self.close_list();
+            self.finish_list();
         }
     }
 
     fn add_list_entry(&mut self, endpoint: Endpoint) {
-        let Some(list) = &mut self.open_list else {
+        let Some(list) = &mut self.incoming_list else {
             return;
         };
         if list.missing_entries > 0 {
@@ -144,9 +144,9 @@
         }
     }
 
-    /// Ends an endpoint list. One that lost entries on the way is no longer complete, only a delta of those that arrived.
-    fn close_list(&mut self) {
-        let Some(list) = self.open_list.take() else {
+    /// Ends an endpoint list. One with missing entries is only a delta of those that arrived, whatever its kind.
+    fn finish_list(&mut self) {
+        let Some(list) = self.incoming_list.take() else {
             return;
         };
         let kind = if list.missing_entries > 0 {
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -3,6 +3,7 @@
 use std::io::{self, BufRead, BufWriter, Write};
 
 use chutegrade_adapter::host::Host;
+use chutegrade_operator_config::ConfigError;
 
 /// The limits of the operators' file that `--operator FILE` names; `None` without that option.
 fn operator_limits() -> io::Result<Option<chutegrade_limits::pb::Limits>> {
@@ -10,16 +11,19 @@
     match (arguments.next(), arguments.next()) {
         (None, _) => Ok(None),
         (Some(option), Some(path)) if option == "--operator" => {
-            let operator = chutegrade_operator_config::load(path.as_ref()).map_err(|errors| {
-                let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
-                io::Error::other(texts.join("; "))
-            })?;
+            let operator = chutegrade_operator_config::load(path.as_ref());
+            let operator = operator.map_err(|errors| invalid_configuration(&errors))?;
             Ok(operator.limits.map(|limits| limits.declaration().clone()))
         }
         _ => Err(io::Error::other("give nothing, or --operator FILE")),
     }
 }
 
+fn invalid_configuration(errors: &[ConfigError]) -> io::Error {
+    let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
+    io::Error::other(texts.join("; "))
+}
+
 fn main() -> io::Result<()> {
     let mut input = io::stdin().lock();
     let mut output = BufWriter::new(io::stdout().lock());
--- a/crates/adapter/src/overload.rs
+++ b/crates/adapter/src/overload.rs
@@ -1,4 +1,4 @@
-//! The overload manager on the simulator's wire: its input is taken from events, its decision is one more event.
+//! The overload manager of an instance in the simulator: its input is taken from events, its decision is one more event.
 //!
 //! Classes have no names on the wire; they are numbered, `c0` being the first.
 
--- a/crates/adapter/src/remote_policy.rs
+++ b/crates/adapter/src/remote_policy.rs
@@ -1,4 +1,4 @@
-//! The decision module of another build as a child process: another adapter, asked over the simulator's wire. For
+//! The decision module of another build: its adapter runs as a child process and is called over the simulator's wire. For
 //! comparison on the fleet model only.
 
 use std::io::{self, BufRead as _, BufReader, Write as _};
@@ -11,13 +11,13 @@
 
 use crate::codec::{decode_action, encode_event, encode_time};
 
-/// Begin of the last line of a reply.
+/// Start of the last line of a reply.
 const REPLY_END_PREFIX: &str = "end\t";
 
 /// Characters of an invalid reply that its error shows.
 const MAX_SHOWN_REPLY: usize = 80;
 
-/// Why the other build can't be asked any more.
+/// Why the other build can't be called any more.
 #[derive(Debug, thiserror::Error)]
 enum RemoteError {
     /// It did not start, or has ended.
@@ -68,6 +68,7 @@
     input: ChildStdin,
     output: BufReader<ChildStdout>,
     batch_number: u64,
+    /// Number of the last event, which an endpoint list has as its own number.
     list_number: u64,
     /// The line that starts the instance, until it is written.
     start_line: Option<String>,
@@ -76,10 +77,10 @@
 
 impl RemotePolicy {
     fn spawn(config: &RemotePolicyConfig, faults: Faults) -> Result<Self, RemoteError> {
-        let mut words = config.command.split_whitespace();
-        let program = words.next().unwrap_or_default();
+        let mut arguments = config.command.split_whitespace();
+        let program = arguments.next().unwrap_or_default();
         let mut child = Command::new(program)
-            .args(words)
+            .args(arguments)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
--- a/crates/adapter/tests/codec.rs
+++ b/crates/adapter/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The forms of the wire, in the project's own numbers.
+//! Each line of the wire is decoded or encoded as expected.
 
 use chutegrade_adapter::codec::{decode_message, encode_action, CodecError, Message};
 use chutegrade_policy::{
@@ -191,10 +191,10 @@
     }
     assert_eq!(
         decode_message("lost_stream"),
-        Err(CodecError::MissingField(
-            "lost_stream".to_string(),
-            "clientLb"
-        ))
+        Err(CodecError::MissingField {
+            tag: "lost_stream".to_string(),
+            key: "clientLb"
+        })
     );
 }
 
--- a/crates/settings/src/consistency.rs
+++ b/crates/settings/src/consistency.rs
@@ -2,7 +2,7 @@
 
 use chutegrade_policy::{Settings, NO_LIMIT};
 
-/// Lines of a message with a complete table, beside the table: the acknowledgement request and `replace`.
+/// Lines of a message with a complete table, in addition to the table: the acknowledgement request and `replace`.
 const TABLE_MESSAGE_LINES: f64 = 2.0;
 
 /// Lines of a message that suspends one server: the acknowledgement request and the suspension.
@@ -11,8 +11,8 @@
 /// Lines for each server of a complete table: its weight and its suspension.
 const LINES_PER_SERVER: f64 = 2.0;
 
-/// What the settings contradict or leave open, for an endpoint list of a number of servers, a sentence each. The
-/// decisions continue all the same and observe the rules as far as they can be observed.
+/// Warnings about the settings, one sentence each, for an endpoint list with this number of servers. The decisions still
+/// follow contradictory settings as far as possible.
 pub fn consistency_warnings(settings: &Settings, servers: usize) -> Vec<String> {
     let warnings = [
         no_backlog_limit(settings),
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -11,6 +11,7 @@
     NotAnObject,
 }
 
+/// [`serde_json::Error`] can't be compared; its text can.
 impl PartialEq for SettingsError {
     fn eq(&self, other: &Self) -> bool {
         self.to_string() == other.to_string()
--- a/crates/settings/src/json_reader.rs
+++ b/crates/settings/src/json_reader.rs
@@ -21,7 +21,7 @@
         value.and_then(Value::as_f64).unwrap_or(0.0)
     }
 
-    /// A limit; numbers that are not above 0 stand for none.
+    /// A limit; numbers that are not above 0 stand for no limit.
     pub fn limit(&self, path: &str) -> f64 {
         let number = self.number(path);
         if number > 0.0 {
@@ -36,7 +36,7 @@
         Micros::from_ms(self.number(path))
     }
 
-    /// A truth value.
+    /// A Boolean.
     pub fn flag(&self, path: &str) -> bool {
         let value = self.object.pointer(path);
         value.and_then(Value::as_bool).unwrap_or(false)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads and writes what every protocol before the decision module shares: the settings, a JSON object, and load
+//! Reads and writes what all protocols in front of the decision module share: the settings, a JSON object, and load
 //! reports.
 //!
-//! The simulator's adapter and the real supervisor use the same parser. The keys and words of the JSON object are mapped
+//! The simulator's adapter and the real supervisor use the same parser. The keys and values of the JSON object are mapped
 //! to the decision module's terms here and nowhere else.
 
 mod consistency;
@@ -17,7 +17,7 @@
 pub use error::SettingsError;
 pub use load_report::parse_load_report;
 pub use names::{names, DeploymentNames};
-pub use read::{from_json, from_text};
+pub use read::{from_json, from_text, retry_from_number};
 pub use timing::{connect_ms, tick_ms};
 pub use write::to_json;
 
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -18,7 +18,8 @@
     from_json(&serde_json::from_str(text)?)
 }
 
-/// Reads the settings from a JSON object. A key that is absent or of another type reads as 0, no limit or not allowed.
+/// Reads the settings from a JSON object. A value that is absent or of another type reads as 0, no limit, `false` or the
+/// empty text.
 ///
 /// # Errors
 ///
@@ -63,7 +64,7 @@
 
 fn read_proxies(reader: &JsonReader, settings: &mut Settings) {
     settings.admission_unit = admission_unit(reader.text("/familyInfo/levelKind"));
-    settings.default_retry = retry(reader.number("/familyInfo/usualHow"));
+    settings.default_retry = retry_from_number(reader.number("/familyInfo/usualHow") as i64);
     settings.attempt_timeout_factor = reader.number("/familyInfo/firstWait");
     settings.pick_policy = pick_policy(reader.text("/familyInfo/pick"));
     settings.proxy_ejection_threshold = reader.number("/familyInfo/outlierAfter") as u32;
@@ -167,8 +168,9 @@
     }
 }
 
-fn retry(number: f64) -> Retry {
-    match number as i64 {
+/// The retry policy of a number, as the settings and the wire have it; unknown numbers stand for no retries.
+pub fn retry_from_number(number: i64) -> Retry {
+    match number {
         1 => Retry::IfNotExecuted,
         2 => Retry::Once,
         3 => Retry::Twice,
--- a/crates/settings/src/timing.rs
+++ b/crates/settings/src/timing.rs
@@ -1,4 +1,4 @@
-//! Times of the settings that concern the program around the decision module.
+//! Times of the settings that the program around the decision module uses.
 
 use serde_json::Value;
 
@@ -7,7 +7,7 @@
     positive_number(json, "/tickMs").unwrap_or(0.0)
 }
 
-/// The timeout of connecting to a server, in milliseconds, if the settings have one.
+/// The timeout for connecting to a server, in milliseconds, if the settings have one.
 pub fn connect_ms(json: &Value) -> Option<f64> {
     positive_number(json, "/limits/connectTimeoutMs")
 }
--- a/crates/settings/src/write.rs
+++ b/crates/settings/src/write.rs
@@ -8,6 +8,8 @@
 
 use crate::names::DeploymentNames;
 
+const US_PER_MS: f64 = 1000.0;
+
 /// Writes settings as the JSON object that [`from_json`](crate::from_json) reads, for a program of another build.
 pub fn to_json(settings: &Settings, names: &DeploymentNames) -> Value {
     json!({
@@ -94,7 +96,7 @@
 }
 
 fn milliseconds(time: Micros) -> f64 {
-    time.0 as f64 / 1000.0
+    time.0 as f64 / US_PER_MS
 }
 
 fn deduplication_scope(scope: DeduplicationScope) -> &'static str {
