--- a/crates/overload-control/src/classes.rs
+++ b/crates/overload-control/src/classes.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// A retry may reach any server, so keys that only a zone or a cell recognises protect for no time at all.
+/// A retry may reach any server, so keys that only a zone or a cell recognizes don't make it safe: their window is 0.
 fn idempotency(idempotency: policy::Idempotency) -> Idempotency {
     match idempotency {
         policy::Idempotency::Idempotent => Idempotency::Idempotent,
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -15,22 +15,22 @@
 pub struct OverloadController {
     manager: OverloadManager,
     next_evaluation: Micros,
-    period: Micros,
-    /// The engine holds a decision that the next report replaces or withdraws.
+    report_period: Micros,
+    /// Whether the engine has a decision that is not empty, which the next report replaces or withdraws.
     has_reported_decision: bool,
 }
 
 impl OverloadController {
-    /// A controller with this configuration; the engine samples traffic from now on. `period` is the time over which reports
-    /// count.
-    pub fn new(config: OverloadConfig, engine: &mut Engine, period: Micros) -> Self {
+    /// A controller with this configuration; the engine samples traffic from now on. `report_period` is the time over
+    /// which reports count.
+    pub fn new(config: OverloadConfig, engine: &mut Engine, report_period: Micros) -> Self {
         engine.enable_traffic_sampling();
         let classes = overload_classes(engine);
         let proxies = engine.deployment_size().proxies;
         OverloadController {
             manager: OverloadManager::new(config, classes, proxies),
             next_evaluation: Micros(i64::MIN),
-            period: period.max(EVALUATION_INTERVAL),
+            report_period: report_period.max(EVALUATION_INTERVAL),
             has_reported_decision: false,
         }
     }
@@ -46,7 +46,8 @@
         Some(transition_record(&transition))
     }
 
-    /// Restores the level from before a restart. Returns the record of the transition, or of why the level was left.
+    /// Restores the level from before a restart. Returns the record of the transition, or of the reason why the
+    /// level was not restored.
     pub fn restore(&mut self, now: Micros, saved: &limits::Saved) -> Option<Kind> {
         match self.manager.restore(now.0, saved) {
             Ok(transition) => transition.map(|transition| transition_record(&transition)),
@@ -62,13 +63,13 @@
         }
         self.next_evaluation = now + EVALUATION_INTERVAL;
         let sample = engine.take_traffic_sample();
-        let inputs = manager_inputs(now, self.period, sample, engine.fleet_status());
+        let inputs = manager_inputs(now, self.report_period, sample, engine.fleet_status());
         let evaluation = self.manager.evaluate(&inputs);
         self.report(&evaluation.decision, now, engine);
         evaluation.transition
     }
 
-    /// A decision replaces what was reported before, so an empty one is reported only where there was some.
+    /// A decision replaces the one that was reported before, so an empty decision is reported only to withdraw another.
     fn report(&mut self, decision: &Decision, now: Micros, engine: &mut Engine) {
         let has_decision = *decision != Decision::default();
         if has_decision || self.has_reported_decision {
@@ -79,7 +80,7 @@
         self.has_reported_decision = has_decision;
     }
 
-    /// Adds the signals, the limit and the level to the metrics of one moment.
+    /// Adds the signals, the limit and the service level to the metrics.
     pub fn add_metrics(&self, gauge: &mut pb::Gauge, now: Micros) {
         gauge.signals = self.known_signals(now);
         let limit = self.manager.limit().admitted_share;
--- a/crates/overload-control/src/decision.rs
+++ b/crates/overload-control/src/decision.rs
@@ -47,7 +47,7 @@
     Some(class.name.clone())
 }
 
-/// How a class may be retried, as the policy has it.
+/// A retry allowance as the retry policy of a class.
 pub fn retry_order(allowance: RetryAllowance) -> Retry {
     match allowance {
         RetryAllowance::Never => Retry::Never,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Shares of requests to shed, as the policy has them.
+/// Shares of requests to shed, as the type of the policy.
 pub fn shed_shares(shares: chutegrade_limits::ShedShares) -> policy::ShedShares {
     policy::ShedShares {
         ordinary: shares.ordinary,
--- a/crates/overload-control/src/inputs.rs
+++ b/crates/overload-control/src/inputs.rs
@@ -1,19 +1,20 @@
-//! What the overload manager sees of an engine.
+//! The input of the overload manager, from what an engine measures.
 
 use chutegrade_engine::{FleetStatus, Micros, TrafficSample};
 use chutegrade_limits::manager::Inputs;
 
-/// What was reported since the last evaluation, and the state of the fleet. `period` is the time over which reports count.
+/// What was reported since the last evaluation, and the state of the fleet. `report_period` is the time over which reports
+/// count.
 pub fn manager_inputs(
     now: Micros,
-    period: Micros,
+    report_period: Micros,
     sample: TrafficSample,
     status: FleetStatus,
 ) -> Inputs {
     Inputs {
         now_us: now.0,
         last_report_at_us: sample.last_report_at.map(|at| at.0),
-        report_period_us: period.0,
+        report_period_us: report_period.0,
         saturation: status.saturation,
         admitted_shares: status.admitted_shares,
         warm_weight: status.warm_weight,
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -1,7 +1,7 @@
 //! Runs the overload manager of a supervisor on what its engine measures, and hands its decisions to the engine as a report
 //! that names classes; level transitions become records.
 //!
-//! There is no I/O, no clock and no decision here: the policy decides what becomes of limits.
+//! There is no I/O and no clock here. The policy decides how the limits take effect.
 
 mod classes;
 mod controller;
@@ -19,5 +19,5 @@
 
 /// Time between two evaluations: load reports arrive no more often.
 pub const EVALUATION_INTERVAL: Micros = Micros(1_000_000);
-/// How long a decision holds without being reported again: an evaluation that is late, or two.
+/// How long a decision holds unless it is renewed, so that one or two late evaluations do not end it.
 pub const DECISION_LIFETIME: Micros = Micros(4_000_000);
--- a/crates/overload-control/src/records.rs
+++ b/crates/overload-control/src/records.rs
@@ -20,7 +20,7 @@
     })
 }
 
-/// The record of a saved level that was not restored after a restart: service is full, for this reason.
+/// The record of a saved level that was not restored after a restart, for this reason: service is full instead.
 pub fn not_restored_record(level: &str, reason: String) -> Kind {
     Kind::ServiceLevel(pb::ServiceLevel {
         from: level.to_string(),
@@ -31,7 +31,7 @@
     })
 }
 
-/// A signal as it was at the moment of a record.
+/// A signal as a record.
 pub fn signal_record(reading: &SignalReading) -> pb::Signal {
     pb::Signal {
         name: reading.signal.name().to_string(),
--- a/crates/plugin-advisor/benches/tick.rs
+++ b/crates/plugin-advisor/benches/tick.rs
@@ -9,17 +9,19 @@
     Class, EndpointUpdateKind, Idempotency, LoadReport, ReportSource, Retry, Settings,
 };
 
+/// Plug-ins of a run that has any.
+const PLUGINS: usize = 8;
 const SERVERS: usize = 320;
 const PROXIES: u32 = 500;
 const ZONES: [&str; 2] = ["a", "b"];
-/// Seconds that are measured, after as many that settle.
+/// Seconds that are measured, after as many for the fleet to settle.
 const SECONDS: i64 = 40;
-/// Days of each kind.
+/// Runs with each set of plug-ins.
 const ROUNDS: usize = 5;
-/// Ticks a second: reports come in this many lots.
-const TICKS: i64 = 20;
+/// Each tick has the reports of its part of the servers.
+const TICKS_PER_SECOND: i64 = 20;
 /// Time between two ticks, in microseconds.
-const TICK_US: i64 = 1_000_000 / TICKS;
+const TICK_US: i64 = 1_000_000 / TICKS_PER_SECOND;
 
 const AUDIT: &str = include_str!("../../../plugins/audit.chute");
 const ENDLESS: &str =
@@ -110,7 +112,7 @@
 
 /// Reports on the servers whose turn it is in this tick of a second.
 fn report_outcomes(engine: &mut Engine, tick: i64) {
-    for number in (0..SERVERS).filter(|number| *number as i64 % TICKS == tick) {
+    for number in (0..SERVERS).filter(|number| *number as i64 % TICKS_PER_SECOND == tick) {
         for zone in ZONES {
             let outcomes = Report::ServerOutcomes {
                 zone: zone.to_string(),
@@ -149,7 +151,7 @@
     orders
 }
 
-/// What the ticks of a run cost, plug-ins and all.
+/// What the ticks of a run cost, including the plug-ins.
 #[derive(Clone, Copy)]
 struct Cost {
     mean: Duration,
@@ -165,23 +167,25 @@
         .map(|(number, text)| (number.to_string(), text.clone()))
         .collect();
     advisor.load(&named).expect("plug-ins");
-    let (mut sum, mut longest, mut orders) = (Duration::ZERO, Duration::ZERO, 0);
-    for tick in 0..2 * SECONDS * TICKS {
+    let mut sum = Duration::ZERO;
+    let mut longest = Duration::ZERO;
+    let mut orders = 0;
+    for tick in 0..2 * SECONDS * TICKS_PER_SECOND {
         let now = Micros(1_000_000 + tick * TICK_US);
-        report_outcomes(&mut engine, tick % TICKS);
+        report_outcomes(&mut engine, tick % TICKS_PER_SECOND);
         let start = Instant::now();
         advisor.evaluate(now, &mut engine);
         engine.tick(now);
         let elapsed = start.elapsed();
         orders += drain_orders(&mut engine);
         while engine.take_log_event(now).is_some() {}
-        if tick >= SECONDS * TICKS {
+        if tick >= SECONDS * TICKS_PER_SECOND {
             sum += elapsed;
             longest = longest.max(elapsed);
         }
     }
     Cost {
-        mean: sum / (SECONDS * TICKS) as u32,
+        mean: sum / (SECONDS * TICKS_PER_SECOND) as u32,
         longest,
         orders,
     }
@@ -200,27 +204,27 @@
     format!("plugin \"hostile-{number}\" version 1 host 1\n{body}")
 }
 
-fn eight(text: fn(usize) -> String) -> Vec<String> {
-    (0..8).map(text).collect()
+fn plugins(text: fn(usize) -> String) -> Vec<String> {
+    (0..PLUGINS).map(text).collect()
 }
 
-/// Measures under `cargo bench` alone.
+/// Measures only under `cargo bench`, not when the tests run.
 fn main() {
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
     let kinds = [
         ("none", Vec::new()),
-        ("eight audit rules", eight(audit)),
-        ("eight endless ones", eight(endless)),
-        ("eight endless, swinging and vetoing", eight(hostile)),
+        ("eight audit rules", plugins(audit)),
+        ("eight endless ones", plugins(endless)),
+        ("eight endless, swinging and vetoing", plugins(hostile)),
     ];
     let unmeasured = Cost {
         mean: Duration::MAX,
         longest: Duration::MAX,
         orders: 0,
     };
-    // In turns, and the best of each, so that what else the machine does falls on all alike.
+    // The kinds take turns and the best run of each counts, so that other load on the machine affects all alike.
     let mut best = [unmeasured; 4];
     for _ in 0..ROUNDS {
         for (best, (_, texts)) in best.iter_mut().zip(&kinds) {
@@ -231,7 +235,7 @@
         }
     }
     println!(
-        "{SERVERS} servers, {PROXIES} front ends, {SECONDS} s of {TICKS} ticks a second, best of {ROUNDS}"
+        "{SERVERS} servers, {PROXIES} front ends, {SECONDS} s of {TICKS_PER_SECOND} ticks a second, best of {ROUNDS}"
     );
     for ((name, _), cost) in kinds.iter().zip(best) {
         let ratio = cost.mean.as_secs_f64() / best[0].mean.as_secs_f64();
--- a/crates/plugin-advisor/src/advice.rs
+++ b/crates/plugin-advisor/src/advice.rs
@@ -7,7 +7,7 @@
 
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Advice by names. What the inputs do not hold at its position is left out.
+/// Advice by names. Entries with positions that the inputs do not have are left out.
 pub fn advice_by_name(advice: &Advice, inputs: &Inputs, now: Micros) -> PluginAdvice {
     PluginAdvice {
         factors: weight_factors(advice, inputs),
--- a/crates/plugin-advisor/src/advisor.rs
+++ b/crates/plugin-advisor/src/advisor.rs
@@ -13,13 +13,13 @@
 pub struct PluginAdvisor {
     host: Host,
     next_evaluation: Micros,
-    /// The engine holds advice that the next report replaces or withdraws.
+    /// Whether the engine has advice that is not empty, which the next report replaces or withdraws.
     has_reported_advice: bool,
 }
 
 impl PluginAdvisor {
-    /// Replaces the loaded plug-ins with these, given as pairs of name and text. If any is refused, those that were loaded
-    /// stay.
+    /// Replaces the loaded plug-ins with these, given as pairs of name and text. If any is refused, the loaded ones
+    /// remain.
     ///
     /// # Errors
     ///
@@ -50,7 +50,7 @@
         self.host.is_empty() && !self.has_reported_advice
     }
 
-    /// Advice replaces what was reported before, so empty advice is reported only where there was some.
+    /// Advice replaces what was reported before, so empty advice is reported only to withdraw other advice.
     fn report(&mut self, advice: PluginAdvice, engine: &mut Engine) {
         let has_advice = !is_empty(&advice);
         if has_advice || self.has_reported_advice {
