--- a/crates/operator-config/src/checks.rs
+++ b/crates/operator-config/src/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of each section that does not depend on the classes, and the defaults of what the file does not mention.
+//! Checks of everything that does not depend on the classes, and the defaults of what the file does not mention.
 
 use std::fmt::Debug;
 use std::ops::RangeInclusive;
@@ -9,25 +9,25 @@
 
 use crate::{pb, ConfigError, LogFormat, OperatorConfig, RecordingConfig};
 
-/// Least size that records may be held to, in MiB: the segment being written and a sealed one.
+/// Smallest limit on the size of records, in MiB: enough for the segment being written and a sealed one.
 const MIN_RECORDS_MIB: u64 = 24;
-/// Most hours that records may be kept: ten years.
+/// Longest retention of records, in hours: ten years.
 const MAX_RECORDS_HOURS: u64 = 87_600;
-/// Processor time that background work may be given, in milliseconds in any ten seconds: the index of a segment is made in
-/// steps of some ten, and one core has 10,000.
+/// Limits on the processor time of background work, in milliseconds in any ten seconds: a step of building the index of a
+/// segment takes some 10 ms, and one core has 10,000 ms.
 const CPU_MS_RANGE: RangeInclusive<u64> = 200..=10_000;
-/// Least bytes for background work, in MiB in any ten seconds: a step of the index takes four.
+/// Smallest limit on the bytes of background work, in MiB in any ten seconds: a step of building the index takes 4 MiB.
 const MIN_BACKGROUND_MIB: u64 = 8;
-/// Most plug-ins, as the host of plug-ins takes them.
+/// Most plug-ins that the host of plug-ins loads.
 const MAX_PLUGINS: usize = 32;
 
-/// Size that records are held to where the file names none, in MiB.
+/// Limit on the size of records if the file has none, in MiB.
 const DEFAULT_RECORDS_MIB: u64 = 1024;
-/// Hours that records are kept where the file names none.
+/// Retention of records if the file has none, in hours.
 const DEFAULT_RECORDS_HOURS: u64 = 168;
-/// Processor time for background work where the file names none, in milliseconds in any ten seconds.
+/// Processor time for background work if the file has none, in milliseconds in any ten seconds.
 const DEFAULT_CPU_MS: u64 = 500;
-/// Bytes for background work where the file names none, in MiB in any ten seconds.
+/// Bytes for background work if the file has none, in MiB in any ten seconds.
 const DEFAULT_BACKGROUND_MIB: u64 = 64;
 
 const BYTES_PER_MIB: u64 = 1 << 20;
@@ -55,7 +55,7 @@
         self.errors
     }
 
-    /// The configuration that the file declares, all but its limits. It holds only if there are no errors.
+    /// The configuration that the file declares, without its limits. It is valid only if there are no errors.
     pub fn check(&mut self, file: &pb::Operator) -> OperatorConfig {
         let plugins = file.plugins.as_ref();
         let plugins = plugins.map(|plugins| self.check_plugins(plugins));
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Adds an error at the first place where the field's name stands.
+    /// Adds an error at the first occurrence of the field's name.
     fn error(&mut self, field: &str, message: String) {
         self.errors.push(ConfigError {
             path: self.path.to_path_buf(),
@@ -171,7 +171,7 @@
     }
 }
 
-/// A number of the file; 0 is how the format says that it is not given.
+/// A number of the file. The format does not distinguish 0 from an absent field.
 fn or_default(value: u64, default: u64) -> u64 {
     if value == 0 {
         default
--- a/crates/operator-config/src/config.rs
+++ b/crates/operator-config/src/config.rs
@@ -1,43 +1,43 @@
-//! What the operators switched on, checked and with defaults filled in.
+//! The checked configuration, with defaults filled in.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use crate::LimitsSection;
 
-/// Where records go, and what they may cost.
+/// Where records are stored, and what they may cost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordingConfig {
-    /// The directory in which each supervisor has its own.
+    /// The directory, in which each supervisor has a subdirectory.
     pub directory: PathBuf,
-    /// Bytes that are kept of each supervisor.
+    /// Most bytes that are kept for each supervisor.
     pub max_bytes: u64,
-    /// How long they are kept.
+    /// How long records are kept.
     pub max_age: Duration,
     /// Processor time that background work may take in any ten seconds.
     pub background_time: Duration,
-    /// Bytes that it may read and write in any ten seconds.
+    /// Bytes that background work may read and write in any ten seconds.
     pub background_bytes: u64,
 }
 
-/// How the log is written.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Lines of text.
     #[default]
     Plain,
-    /// One JSON object a line.
+    /// One JSON object in each line.
     Json,
 }
 
-/// What the operators switched on.
+/// The checked configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// Records, if wanted.
+    /// Recording, if it is enabled.
     pub records: Option<RecordingConfig>,
     /// The log's format.
     pub log: LogFormat,
-    /// Files of plug-ins, in their order.
+    /// Files of plug-ins, in the order of the file.
     pub plugins: Vec<PathBuf>,
     /// Service levels, limits and retry budgets as declared; what depends on the classes is checked by
     /// [`LimitsSection::overload_config`].
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,18 +1,18 @@
-//! What is wrong with the operators' file.
+//! Errors of the operators' file.
 
 use std::fmt;
 use std::path::PathBuf;
 
 use chutegrade_textproto::Place;
 
-/// One thing that is wrong with the file. Displays as `path:line:column: message`, or `path: message` without a position.
+/// One error of the file. Displays as `path:line:column: message`, or `path: message` without a position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// The file.
     pub path: PathBuf,
-    /// Where it is, if it has a position.
+    /// Position of the error, if it has one.
     pub position: Option<Place>,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and what would be valid.
     pub message: String,
 }
 
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' own file, in protobuf text format after `proto/operator.proto`.
+//! The operators' configuration file, in protobuf text format with the schema `proto/operator.proto`.
 //!
-//! It is read completely or not at all; each error names its line and what would be right. What the file does not mention
-//! is off.
+//! A file with any error is rejected; each error has its position and says what would be valid. What the file does not
+//! mention is off.
 
 mod checks;
 mod config;
--- a/crates/operator-config/src/limits_section.rs
+++ b/crates/operator-config/src/limits_section.rs
@@ -1,5 +1,5 @@
-//! The `limits` part of the file. What it amounts to depends on the classes, which stand elsewhere, so it is kept as
-//! declared, with the text that its errors point into.
+//! The `limits` section of the file. Its meaning depends on the classes, which the file does not have, so it is stored as
+//! declared, with the text of the file for the positions of errors.
 
 use std::path::{Path, PathBuf};
 
@@ -7,7 +7,7 @@
 
 use crate::ConfigError;
 
-/// Limits as declared, with the text that they stand in.
+/// Limits as declared, with the text of their file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitsSection {
     path: PathBuf,
--- a/crates/operator-config/src/read.rs
+++ b/crates/operator-config/src/read.rs
@@ -1,14 +1,16 @@
-//! Reading: from a file or a text to a checked configuration.
+//! Reads a checked configuration from a file or a text.
 
 use std::path::Path;
 
 use crate::checks::Checker;
 use crate::{pb, ConfigError, LimitsSection, OperatorConfig};
 
+/// The compiled schema.
 const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
+/// Name of the schema's message for the file.
 const MESSAGE: &str = "chutegrade.operator.v1.Operator";
 
-/// Longest file that is read, in bytes: far beyond any that a person writes.
+/// Longest file that is read, in bytes: far longer than any written by hand.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Reads the file.
@@ -17,23 +19,23 @@
 ///
 /// If the file cannot be read, or all errors of its content at once.
 pub fn load(path: &Path) -> Result<OperatorConfig, Vec<ConfigError>> {
-    let text = read_file(path).map_err(|message| vec![unlocated(path, message)])?;
+    let text = read_file(path).map_err(|error| vec![error])?;
     parse(path, &text)
 }
 
-/// The file's text, or why it cannot be read, in one sentence.
-fn read_file(path: &Path) -> Result<String, String> {
-    let metadata = std::fs::metadata(path).map_err(|error| format!("cannot be opened: {error}"))?;
+fn read_file(path: &Path) -> Result<String, ConfigError> {
+    let metadata = std::fs::metadata(path)
+        .map_err(|error| without_position(path, format!("cannot be opened: {error}")))?;
     let length = metadata.len();
     if length > MAX_FILE_BYTES {
-        return Err(format!(
-            "{length} bytes are too long, at most {MAX_FILE_BYTES} are read"
-        ));
+        let message = format!("{length} bytes are too long, at most {MAX_FILE_BYTES} are read");
+        return Err(without_position(path, message));
     }
-    std::fs::read_to_string(path).map_err(|error| format!("cannot be read: {error}"))
+    std::fs::read_to_string(path)
+        .map_err(|error| without_position(path, format!("cannot be read: {error}")))
 }
 
-fn unlocated(path: &Path, message: String) -> ConfigError {
+fn without_position(path: &Path, message: String) -> ConfigError {
     ConfigError {
         path: path.to_path_buf(),
         position: None,
@@ -41,20 +43,13 @@
     }
 }
 
-/// Reads a text, as of a file with this name.
+/// Reads a text as the content of the file at this path.
 ///
 /// # Errors
 ///
 /// All errors of the text at once.
 pub fn parse(path: &Path, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
-    let file: pb::Operator =
-        chutegrade_textproto::parse(SCHEMA, MESSAGE, text).map_err(|wrong| {
-            vec![ConfigError {
-                path: path.to_path_buf(),
-                position: wrong.place,
-                message: wrong.text,
-            }]
-        })?;
+    let file = parse_schema(path, text).map_err(|error| vec![error])?;
     let mut checker = Checker::new(path, text);
     let config = checker.check(&file);
     let mut errors = checker.into_errors();
@@ -69,3 +64,12 @@
     }
     Ok(OperatorConfig { limits, ..config })
 }
+
+/// Reads a text by the schema alone.
+fn parse_schema(path: &Path, text: &str) -> Result<pb::Operator, ConfigError> {
+    chutegrade_textproto::parse(SCHEMA, MESSAGE, text).map_err(|error| ConfigError {
+        path: path.to_path_buf(),
+        position: error.place,
+        message: error.text,
+    })
+}
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -1,3 +1,5 @@
+//! Configurations and errors from the text of a file.
+
 use std::path::Path;
 
 use proptest::prelude::*;
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn each_error_has_its_position_and_tells_what_is_valid() {
+fn each_error_has_its_position_and_says_what_is_valid() {
     assert_errors("records {\n  directry: \"/x\"\n}", &["2:3: "]);
     assert_errors("records {\n  directory: 7\n}", &["2:"]);
     assert_errors("records {\n", &["2:1: "]);
