--- a/crates/scheduler/src/cost.rs
+++ b/crates/scheduler/src/cost.rs
@@ -1,8 +1,8 @@
-//! What work costs.
+//! Cost of background work.
 
 use std::time::Duration;
 
-/// The cost of steps.
+/// The cost of one or several steps, or a budget for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
     /// Processor time.
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -1,4 +1,4 @@
-//! What a job is.
+//! Jobs, and what the scheduler has to know of them.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 /// The priority class of a job; lower values run first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Other work depends on it.
+    /// Work that other work depends on.
     Urgent,
     /// Maintenance.
     Normal,
-    /// May be late.
+    /// Work that may be delayed.
     Idle,
 }
 
@@ -35,7 +35,8 @@
     pub state: JobState,
 }
 
-/// Work in steps of a few milliseconds. Any step may be the last one: what it did must be of use, or repeatable without harm.
+/// Work in steps of a few milliseconds. The program may stop after any step, so what a step did must be of use by itself, or
+/// harmless to repeat.
 pub trait Job {
     /// Runs one step.
     fn step(&mut self) -> StepReport;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -17,9 +17,9 @@
 const MAX_TIMES_PASSED_OVER: u32 = 8;
 /// Longest wait while nothing is due.
 const IDLE_WAIT: Duration = Duration::from_secs(1);
-/// Added to the wait for the budget, as an expense counts until the window has fully passed.
+/// Added to the wait for the budget, because an expense exactly as old as the window still counts.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(1);
-/// Most expenses that are remembered; further ones are merged with the newest, which counts that one as later than it was.
+/// Most expenses that are stored. Further ones are merged with the newest, so that part of their cost counts for longer.
 const MAX_EXPENSES: usize = 4096;
 
 /// A job of the scheduler, numbered in the order in which jobs were added.
@@ -31,7 +31,7 @@
 pub enum Decision {
     /// Run a step of this job.
     Run(JobId),
-    /// Ask again after this time at the latest.
+    /// Call [`Scheduler::next`] again after this time at the latest.
     Wait(Duration),
 }
 
@@ -133,7 +133,7 @@
         let Some(index) = self.first_due(now) else {
             return Decision::Wait(self.wait_for_due_job(now));
         };
-        // The first in turn waits for the budget: a smaller job of a lower class must not starve it.
+        // The first job in turn waits for the budget: smaller jobs of lower classes must not starve it.
         let expected = spent.plus(self.jobs[index].max_step_cost);
         if !expected.is_within(self.budget) {
             return Decision::Wait(self.wait_for_budget(now));
--- a/crates/scheduler/src/scheduler/tests.rs
+++ b/crates/scheduler/src/scheduler/tests.rs
@@ -1,3 +1,5 @@
+//! Fairness between jobs, and the budget.
+
 use proptest::prelude::*;
 
 use super::*;
