--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -20,7 +20,7 @@
     events: Vec<Event>,
 }
 
-/// An endpoint list of which not all entries have been received.
+/// An endpoint list that is being received.
 struct IncomingList {
     instance: u32,
     kind: EndpointUpdateKind,
--- a/crates/adapter/tests/stdio.rs
+++ b/crates/adapter/tests/stdio.rs
@@ -1,4 +1,4 @@
-//! The real binary on its standard input and output, and its library on mangled input.
+//! The binary on its standard input and output, and the library on malformed input.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
--- a/crates/engine/src/engine/tests/forgotten_servers.rs
+++ b/crates/engine/src/engine/tests/forgotten_servers.rs
@@ -8,6 +8,9 @@
 const TICK: Micros = Micros(500_000);
 const TICKS_PER_SECOND: usize = 2;
 
+/// Servers that are replaced at a time: all that [`serving`] has.
+const BATCH: u32 = 4;
+
 /// Names of servers in the orders to the only proxy.
 #[derive(Debug, Default, PartialEq)]
 struct OrderedSuspensions {
@@ -47,9 +50,9 @@
         ordered
     }
 
-    /// Adds the four servers that follow some others, and then drains and removes those.
+    /// Adds the servers that follow these by number, and then drains and removes these.
     fn replace(&mut self, servers: Range<u32>) {
-        let next = servers.end..servers.end + 4;
+        let next = servers.end..servers.end + BATCH;
         self.update(next.map(listed).collect(), 30);
         let with_lifecycle = |lifecycle| {
             servers.clone().map(move |server| NamedEndpoint {
@@ -66,14 +69,14 @@
     }
 }
 
-/// Servers are replaced over and over, as over months: a removed one leaves nothing behind, and no id is reused. One that
-/// returns under its name after that is resumed at proxies that may still have it as suspended.
+/// Servers are replaced many times: a removed one leaves nothing behind, and no id is reused. One that returns under its
+/// name is resumed at proxies, which may still have it as suspended.
 #[test]
 fn a_removed_server_is_forgotten_and_resumed_on_its_return() {
     let mut deployment = Deployment::new();
     let mut ids = BTreeSet::new();
     for round in 0..20 {
-        let servers = 4 * round..4 + 4 * round;
+        let servers = BATCH * round..BATCH * (round + 1);
         ids.extend(
             servers
                 .clone()
@@ -89,7 +92,7 @@
     assert_eq!(engine.forgotten_servers.len(), 0);
     assert!(
         (0..80).all(|id| !engine.tables.is_suspended(ServerId(id))),
-        "nor as suspended"
+        "no removed server is suspended"
     );
     let ordered = deployment.update(vec![listed(3), listed(99)], 30);
     let expected = OrderedSuspensions {
--- a/crates/engine/src/engine/tests/order_properties.rs
+++ b/crates/engine/src/engine/tests/order_properties.rs
@@ -1,4 +1,4 @@
-//! Whatever is ordered, a proxy that applies its orders ends up with what the actions say.
+//! A proxy that applies its orders has the tables, admission levels and suspensions that the actions set.
 
 use super::*;
 
@@ -17,9 +17,11 @@
     suspended: BTreeSet<String>,
     /// Tables by proxy and class.
     assigned: BTreeMap<(u32, usize), TableId>,
-    /// Servers that were suspended while a proxy with some of our tables still used others that nobody here knows. A proxy
-    /// without any learns of suspensions with its first tables: informed at once, a whole fleet that joins while a release
-    /// drains would fill the channel with what the tables on their way correct.
+    /// By proxy, the servers that were suspended while only some of its classes had a table of this supervisor. Its other
+    /// tables are unknown here and may reference the server, so it must be informed at once.
+    ///
+    /// A proxy without any table of this supervisor is informed with its first ones instead: many proxies that join during
+    /// a rollout would otherwise fill the channel with suspensions that these tables make superfluous.
     suspended_in_unknown_tables: BTreeMap<u32, BTreeSet<String>>,
 }
 
@@ -189,9 +191,9 @@
     expected: ExpectedState,
     proxies: BTreeMap<u32, ProxyState>,
     joined: OpenStreams,
-    /// Proxies with suspensions from before that were not reconciled yet.
+    /// Proxies with suspensions by another supervisor that were not reconciled yet.
     unreconciled: BTreeSet<u32>,
-    /// The sequence number that each proxy must have got.
+    /// The sequence number that each proxy must have received.
     expected_sequence: BTreeMap<u32, u16>,
     last_stream: u64,
     last_sequence: u16,
@@ -306,7 +308,7 @@
         for name in suspended.into_iter().flatten() {
             prop_assert!(
                 state.suspended.contains(name),
-                "{name} drains, and tables from before name it"
+                "{name} is suspended, and tables of another supervisor may reference it"
             );
         }
         for class in 0..CLASSES {
@@ -338,8 +340,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is ordered, merged while a stream could not be written, and brought along from other supervisors: once
-    /// everything is written, a proxy picks by the tables, admission levels and suspensions that the actions say.
+    /// This holds for any sequence of actions, for orders that merged while a stream could not be written, and for proxies
+    /// with tables and suspensions of another supervisor.
     #[test]
     fn orders_leave_a_proxy_with_what_the_actions_say(steps in proptest::collection::vec(step(), 1..40)) {
         let mut comparison = Comparison::new();
--- a/crates/plugin-advisor/src/advisor.rs
+++ b/crates/plugin-advisor/src/advisor.rs
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     ///
-    /// The plug-ins that do not compile or cannot be loaded beside the others, with their diagnostics.
+    /// The plug-ins that do not compile or cannot be loaded together with the others, with their diagnostics.
     pub fn load(&mut self, texts: &[(String, String)]) -> Result<Vec<Taken>, Vec<Refused>> {
         self.host.load(texts)
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -13,7 +13,7 @@
 /// Length of the interval over which budgets hold.
 pub const WINDOW: Duration = Duration::from_secs(10);
 /// Decisions in a row that may pass over a job that is due before it runs first once. The lowest class thus gets at least one
-/// step in nine even beside a job that never ends.
+/// step in nine even while another job never ends.
 const MAX_TIMES_PASSED_OVER: u32 = 8;
 /// Longest wait while nothing is due.
 const IDLE_WAIT: Duration = Duration::from_secs(1);
@@ -138,14 +138,19 @@
         if !expected.is_within(self.budget) {
             return Decision::Wait(self.wait_for_budget(now));
         }
-        for (other, job) in self.jobs.iter_mut().enumerate() {
-            if other == index {
+        self.count_passed_over(index, now);
+        Decision::Run(JobId(index))
+    }
+
+    /// Counts for each job that is due that the one at this index runs before it.
+    fn count_passed_over(&mut self, running: usize, now: Instant) {
+        for (index, job) in self.jobs.iter_mut().enumerate() {
+            if index == running {
                 job.times_passed_over = 0;
             } else if job.is_due(now) {
                 job.times_passed_over += 1;
             }
         }
-        Decision::Run(JobId(index))
     }
 
     /// The first job in turn: by class, then by its last step, then by its number.
