--- a/crates/adapter/src/codec/decode_action.rs
+++ b/crates/adapter/src/codec/decode_action.rs
@@ -4,13 +4,11 @@
 
 use super::error::CodecError;
 use super::fields::Fields;
-use super::vocabulary::ALL_PROXIES_TABLE;
+use super::vocabulary::{ALL_PROXIES_TABLE, US_PER_MS};
 
 /// Characters of an unknown tag that its error shows.
 const MAX_SHOWN_TAG: usize = 80;
 
-const US_PER_MS: f64 = 1000.0;
-
 /// The action of a line; `None` if the line does not concern the fleet model.
 pub(crate) fn decode_action(line: &str) -> Result<Option<Action>, CodecError> {
     let fields = Fields::new(line);
--- a/crates/adapter/src/codec/encode_action.rs
+++ b/crates/adapter/src/codec/encode_action.rs
@@ -5,9 +5,7 @@
 use chutegrade_policy::{Action, ClassSet, DecisionEvent, Micros, Retry, ServerId, TableId};
 
 use super::error::CodecError;
-use super::vocabulary::{ALL_PROXIES_TABLE, EMPTY_PAYLOAD};
-
-const US_PER_MS: f64 = 1000.0;
+use super::vocabulary::{ALL_PROXIES_TABLE, EMPTY_PAYLOAD, US_PER_MS};
 
 /// Writes one action as a line, without a line break.
 ///
--- a/crates/adapter/src/codec/encode_event.rs
+++ b/crates/adapter/src/codec/encode_event.rs
@@ -4,13 +4,12 @@
 
 use super::vocabulary::{
     keyword_for, ENDPOINT_UPDATE_KINDS, HEALTH_CHECK_OUTCOMES, INCONCLUSIVE_OUTCOME, LIFECYCLES,
+    US_PER_MS,
 };
 
 /// Added to written times, in milliseconds: a reader that truncates to microseconds then gets the same time.
 const TIME_ROUNDING_MS: f64 = 0.000_25;
 
-const US_PER_MS: f64 = 1000.0;
-
 /// A time in milliseconds.
 pub(crate) fn encode_time(time: Micros) -> f64 {
     time.0 as f64 / US_PER_MS + TIME_ROUNDING_MS
--- a/crates/adapter/src/codec/vocabulary.rs
+++ b/crates/adapter/src/codec/vocabulary.rs
@@ -1,7 +1,10 @@
-//! Keywords of the wire and the values that they stand for.
+//! Keywords of the wire, the values that they stand for, and units.
 
 use chutegrade_policy::{EndpointUpdateKind, HealthCheckOutcome, Lifecycle};
 
+/// Microseconds, the unit of the decision module, in a millisecond, the unit of the wire.
+pub(super) const US_PER_MS: f64 = 1000.0;
+
 /// The table number of an admission level that stands for all joined proxies.
 pub(super) const ALL_PROXIES_TABLE: u16 = 65535;
 
--- a/crates/adapter/src/overload.rs
+++ b/crates/adapter/src/overload.rs
@@ -11,7 +11,8 @@
 };
 use chutegrade_policy::{ClassId, ClassRetry, ClassShare, Event, Limits, Micros, Policy, Settings};
 
-/// The overload manager of one instance.
+/// The overload manager of one instance: the counterpart, for events and without an engine, of
+/// [`chutegrade_overload_control::OverloadController`].
 pub(crate) struct OverloadController {
     manager: OverloadManager,
     report_period: Micros,
--- a/crates/engine/src/engine/report_handling.rs
+++ b/crates/engine/src/engine/report_handling.rs
@@ -11,8 +11,8 @@
 use crate::report::{DemandReport, OutcomeReport, Report, ReportError};
 use crate::streams::StreamId;
 
-/// Events that wait for a tick, beyond which reports of outcomes and demand are dropped: a minute of the largest
-/// deployments, which only a flood can bring between two ticks.
+/// Most events that wait for a tick; beyond that, reports of outcomes and demand are dropped. The largest deployments
+/// report as many in a minute, so only a flood reaches the limit between two ticks.
 pub(super) const MAX_QUEUED_EVENTS: usize = 50_000;
 
 impl Engine {
--- a/crates/engine/src/streams.rs
+++ b/crates/engine/src/streams.rs
@@ -10,7 +10,7 @@
 use crate::tables::Tables;
 use joined_proxy::JoinedProxy;
 
-/// A stream of a proxy, numbered by whoever accepts it; a number is never reused.
+/// A stream of a proxy, numbered by the caller that accepts it; a number is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(pub u64);
 
--- a/crates/engine/src/traffic_sampling.rs
+++ b/crates/engine/src/traffic_sampling.rs
@@ -3,7 +3,7 @@
 use chutegrade_limits::manager::{Demand, Outcome};
 use chutegrade_policy::Micros;
 
-/// Reports of each sort in one sample at most: a few seconds of the largest deployments.
+/// Most reports of each kind in one sample: a few seconds of the largest deployments.
 const MAX_SAMPLED_REPORTS: usize = 50_000;
 
 /// Traffic that was reported since the last sample.
