--- a/crates/adapter/src/overload.rs
+++ b/crates/adapter/src/overload.rs
@@ -1,4 +1,4 @@
-//! The overload manager on the simulator's wire: its input is taken from events, its decision is one more event.
+//! The overload manager of an instance in the simulator: its input is taken from events, its decision is one more event.
 //!
 //! Classes have no names on the wire; they are numbered, `c0` being the first.
 
@@ -11,7 +11,8 @@
 };
 use chutegrade_policy::{ClassId, ClassRetry, ClassShare, Event, Limits, Micros, Policy, Settings};
 
-/// The overload manager of one instance.
+/// The overload manager of one instance: the counterpart, for events and without an engine, of
+/// [`chutegrade_overload_control::OverloadController`].
 pub(crate) struct OverloadController {
     manager: OverloadManager,
     report_period: Micros,
@@ -50,21 +51,12 @@
             return None;
         }
         self.next_evaluation = Some(now + EVALUATION_INTERVAL);
-        let sample = self.take_sample();
+        let sample = self.sample.take();
         let inputs = manager_inputs(now, self.report_period, sample, policy.fleet_status());
         let evaluation = self.manager.evaluate(&inputs);
         Some(limits(&evaluation.decision, now))
     }
 
-    /// Returns the sample and starts a new one, which retains the time of the last report.
-    fn take_sample(&mut self) -> TrafficSample {
-        let next = TrafficSample {
-            last_report_at: self.sample.last_report_at,
-            ..TrafficSample::default()
-        };
-        std::mem::replace(&mut self.sample, next)
-    }
-
     fn sample_event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::ProxyDemand {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -13,13 +13,13 @@
 /// Length of the interval over which budgets hold.
 pub const WINDOW: Duration = Duration::from_secs(10);
 /// Decisions in a row that may pass over a job that is due before it runs first once. The lowest class thus gets at least one
-/// step in nine even beside a job that never ends.
+/// step in nine even while another job never ends.
 const MAX_TIMES_PASSED_OVER: u32 = 8;
 /// Longest wait while nothing is due.
 const IDLE_WAIT: Duration = Duration::from_secs(1);
-/// Added to the wait for the budget, as an expense counts until the window has fully passed.
+/// Added to the wait for the budget, because an expense exactly as old as the window still counts.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(1);
-/// Most expenses that are remembered; further ones are merged with the newest, which counts that one as later than it was.
+/// Most expenses that are stored. Further ones are merged with the newest, so that part of their cost counts for longer.
 const MAX_EXPENSES: usize = 4096;
 
 /// A job of the scheduler, numbered in the order in which jobs were added.
@@ -31,7 +31,7 @@
 pub enum Decision {
     /// Run a step of this job.
     Run(JobId),
-    /// Ask again after this time at the latest.
+    /// Call [`Scheduler::next`] again after this time at the latest.
     Wait(Duration),
 }
 
@@ -133,19 +133,24 @@
         let Some(index) = self.first_due(now) else {
             return Decision::Wait(self.wait_for_due_job(now));
         };
-        // The first in turn waits for the budget: a smaller job of a lower class must not starve it.
+        // The first job in turn waits for the budget: smaller jobs of lower classes must not starve it.
         let expected = spent.plus(self.jobs[index].max_step_cost);
         if !expected.is_within(self.budget) {
             return Decision::Wait(self.wait_for_budget(now));
         }
-        for (other, job) in self.jobs.iter_mut().enumerate() {
-            if other == index {
+        self.count_passed_over(index, now);
+        Decision::Run(JobId(index))
+    }
+
+    /// Counts for each job that is due that the one at this index runs before it.
+    fn count_passed_over(&mut self, running: usize, now: Instant) {
+        for (index, job) in self.jobs.iter_mut().enumerate() {
+            if index == running {
                 job.times_passed_over = 0;
             } else if job.is_due(now) {
                 job.times_passed_over += 1;
             }
         }
-        Decision::Run(JobId(index))
     }
 
     /// The first job in turn: by class, then by its last step, then by its number.
