--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -10,7 +10,7 @@
 use chutegrade_model::scenario::{changed, digest, parse, pb as model, Scenario};
 use chutegrade_model::{Control, Other, Setup, IDEAL_LATE_MS};
 use chutegrade_settings::DeploymentNames;
-use chutegrade_textproto::{find, Wrong};
+use chutegrade_textproto::{find_field, TextError};
 use chutegrade_traffic::Traffic;
 use prost::Message as _;
 use prost_reflect::{DynamicMessage, ReflectMessage as _, Value};
@@ -113,14 +113,14 @@
 }
 
 /// Reads and checks an experiment; paths in it count from a directory. All faults at once.
-pub fn read(text: &str, directory: &Path) -> Result<Plan, Vec<Wrong>> {
+pub fn read(text: &str, directory: &Path) -> Result<Plan, Vec<TextError>> {
     let written: pb::Experiment =
         chutegrade_textproto::parse(SCHEMA, MESSAGE, text).map_err(|wrong| vec![wrong])?;
-    let mut faults: Vec<Wrong> = Vec::new();
+    let mut faults: Vec<TextError> = Vec::new();
     let mut fault = |field: &str, said: String| {
-        faults.push(Wrong {
-            place: find(text, field),
-            text: said,
+        faults.push(TextError {
+            position: find_field(text, field),
+            message: said,
         })
     };
     let precision = written.precision.unwrap_or_default();
@@ -379,11 +379,11 @@
 
 /// A scenario with one field set, by its path.
 pub fn set(scenario: &model::Scenario, path: &str, value: f64) -> Result<model::Scenario, String> {
-    let schema = chutegrade_textproto::describe(
+    let schema = chutegrade_textproto::message_descriptor(
         chutegrade_model::scenario::SCHEMA,
         "chutegrade.model.v1.Scenario",
     );
-    let mut whole = DynamicMessage::new(schema.map_err(|wrong| wrong.text)?);
+    let mut whole = DynamicMessage::new(schema.map_err(|wrong| wrong.message)?);
     whole
         .transcode_from(scenario)
         .map_err(|fault| fault.to_string())?;
--- a/crates/lab/src/experiment/tests.rs
+++ b/crates/lab/src/experiment/tests.rs
@@ -46,11 +46,11 @@
         );
     }
     assert!(read("", Path::new(".")).expect_err("nothing")[0]
-        .text
+        .message
         .contains("no scenario"));
     let impossible =
         format!("{CASE} variant {{ name: 'v' change {{ rules {{ fall_multiple: 0 }} }} }}");
     assert!(read(&impossible, Path::new(".")).expect_err("a fault")[0]
-        .text
+        .message
         .contains("c with v: fall_multiple"));
 }
--- a/crates/limits/src/config_error.rs
+++ b/crates/limits/src/config_error.rs
@@ -1,6 +1,6 @@
 //! Faults in the operators' configuration of overload control, with their place in the text.
 
-use chutegrade_textproto::{find, find_within, Place};
+use chutegrade_textproto::{find_field, find_field_in_block, Position};
 
 use crate::condition::ConditionError;
 
@@ -18,11 +18,12 @@
 
 impl ConfigError {
     /// The place of the fault in the text from which the configuration was read.
-    pub fn place(&self, text: &str) -> Option<Place> {
+    pub fn place(&self, text: &str) -> Option<Position> {
         let Some(level) = self.level else {
-            return find(text, self.field);
+            return find_field(text, self.field);
         };
-        find_within(text, "level", level, self.field).or_else(|| find(text, self.field))
+        find_field_in_block(text, "level", level, self.field)
+            .or_else(|| find_field(text, self.field))
     }
 }
 
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -2,7 +2,7 @@
 //! every figure is given. Where the figures that hold for what is not said come from is told in docs/model.md.
 
 use chutegrade_policy::{self as policy, Micros};
-use chutegrade_textproto::{find, Wrong};
+use chutegrade_textproto::{find_field, TextError};
 use prost::Message as _;
 
 /// The types of the schema, as generated.
@@ -158,19 +158,19 @@
 }
 
 /// Reads a scenario as written; only the form is checked.
-pub fn parse(text: &str) -> Result<pb::Scenario, Wrong> {
+pub fn parse(text: &str) -> Result<pb::Scenario, TextError> {
     chutegrade_textproto::parse(SCHEMA, MESSAGE, text)
 }
 
 /// Reads and checks a scenario; all faults at once.
-pub fn read(text: &str) -> Result<Scenario, Vec<Wrong>> {
+pub fn read(text: &str) -> Result<Scenario, Vec<TextError>> {
     let written = parse(text).map_err(|wrong| vec![wrong])?;
     Scenario::try_from(&written).map_err(|faults| {
         faults
             .into_iter()
-            .map(|(field, said)| Wrong {
-                place: find(text, field),
-                text: said,
+            .map(|(field, said)| TextError {
+                position: find_field(text, field),
+                message: said,
             })
             .collect()
     })
--- a/crates/model/src/scenario/tests.rs
+++ b/crates/model/src/scenario/tests.rs
@@ -52,8 +52,10 @@
         "{faults:?}"
     );
     let wrong = read("kind { cores: two }").expect_err("a fault");
-    assert_eq!(wrong[0].place.map(|place| place.line), Some(1));
-    assert!(read("").expect_err("nothing")[0].text.contains("0 servers"));
+    assert_eq!(wrong[0].position.map(|place| place.line), Some(1));
+    assert!(read("").expect_err("nothing")[0]
+        .message
+        .contains("0 servers"));
 }
 
 #[test]
--- a/crates/operator-config/src/checks.rs
+++ b/crates/operator-config/src/checks.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use chutegrade_textproto::find;
+use chutegrade_textproto::find_field;
 
 use crate::{pb, ConfigError, LogFormat, OperatorConfig, RecordingConfig};
 
@@ -73,7 +73,7 @@
     fn error(&mut self, field: &str, message: String) {
         self.errors.push(ConfigError {
             path: self.path.to_path_buf(),
-            position: find(self.text, field),
+            position: find_field(self.text, field),
             message,
         });
     }
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::path::PathBuf;
 
-use chutegrade_textproto::Place;
+use chutegrade_textproto::Position;
 
 /// One thing that is wrong with the file. Displays as `path:line:column: message`, or `path: message` without a position.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -11,7 +11,7 @@
     /// The file.
     pub path: PathBuf,
     /// Where it is, if it has a position.
-    pub position: Option<Place>,
+    pub position: Option<Position>,
     /// What is wrong, and what would be right.
     pub message: String,
 }
@@ -19,7 +19,7 @@
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.path.display())?;
-        if let Some(Place { line, column }) = self.position {
+        if let Some(Position { line, column }) = self.position {
             write!(f, ":{line}:{column}")?;
         }
         write!(f, ": {}", self.message)
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -15,7 +15,7 @@
     include!(concat!(env!("OUT_DIR"), "/chutegrade.operator.v1.rs"));
 }
 
-pub use chutegrade_textproto::Place;
+pub use chutegrade_textproto::Position;
 pub use config::{LogFormat, OperatorConfig, RecordingConfig};
 pub use error::ConfigError;
 pub use limits_section::LimitsSection;
--- a/crates/operator-config/src/read.rs
+++ b/crates/operator-config/src/read.rs
@@ -51,8 +51,8 @@
         chutegrade_textproto::parse(SCHEMA, MESSAGE, text).map_err(|wrong| {
             vec![ConfigError {
                 path: path.to_path_buf(),
-                position: wrong.place,
-                message: wrong.text,
+                position: wrong.position,
+                message: wrong.message,
             }]
         })?;
     let mut checker = Checker::new(path, text);
--- /dev/null
+++ b/crates/textproto/src/codec.rs
@@ -0,0 +1,57 @@
+//! Conversion between text and messages of a schema.
+
+use miette::Diagnostic as _;
+use prost::Message;
+use prost_reflect::text_format::{FormatOptions, ParseError};
+use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
+
+use crate::error::{Position, TextError};
+
+/// The descriptor of a message in an encoded file descriptor set.
+///
+/// # Errors
+///
+/// If the set cannot be decoded or does not have the message.
+pub fn message_descriptor(schema: &[u8], message: &str) -> Result<MessageDescriptor, TextError> {
+    DescriptorPool::decode(schema)
+        .ok()
+        .and_then(|pool| pool.get_message_by_name(message))
+        .ok_or_else(|| TextError::without_position(format!("the schema of {message} is missing")))
+}
+
+/// Parses a text as the named message of a schema.
+///
+/// # Errors
+///
+/// If the schema lacks the message, or the text is not a message of it; the latter has a position.
+pub fn parse<M: Message + Default>(
+    schema: &[u8],
+    message: &str,
+    text: &str,
+) -> Result<M, TextError> {
+    let descriptor = message_descriptor(schema, message)?;
+    let parsed = DynamicMessage::parse_text_format(descriptor, text)
+        .map_err(|error| TextError::at(error_position(&error, text), error))?;
+    parsed.transcode_to().map_err(TextError::without_position)
+}
+
+/// The position of the first label of an error. A text that ends too early has no label: the error is at its end.
+fn error_position(error: &ParseError, text: &str) -> Position {
+    let first_label = error.labels().and_then(|mut labels| labels.next());
+    let offset = first_label.map_or(text.len(), |label| label.offset());
+    Position::of_offset(text, offset)
+}
+
+/// Writes a message as text, one field a line.
+///
+/// # Errors
+///
+/// If the schema lacks the named message, or the value is not one.
+pub fn write<M: Message>(schema: &[u8], message: &str, value: &M) -> Result<String, TextError> {
+    let mut dynamic = DynamicMessage::new(message_descriptor(schema, message)?);
+    dynamic
+        .transcode_from(value)
+        .map_err(TextError::without_position)?;
+    let options = FormatOptions::new().pretty(true);
+    Ok(dynamic.to_text_format_with_options(&options) + "\n")
+}
