--- a/crates/model/tests/levels.rs
+++ b/crates/model/tests/levels.rs
@@ -150,7 +150,7 @@
         ));
     }
     let traffic = read(lines.join("\n").as_bytes()).expect("traffic");
-    assert!(traffic.out_of_order > 900 && traffic.repeats(10_000_000) > 0);
+    assert!(traffic.out_of_order > 900 && traffic.count_retries(10_000_000) > 0);
     let setup = Setup {
         traffic: Some(Arc::new(traffic)),
         ..Setup::default()
