--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -1,218 +1,197 @@
-//! What the user has chosen: where the cursor is, how far back is shown, which events pass, which panel is in front.
+//! The state of the console: the cursor in time, the span, the filter of events, the panel in front.
+
+mod keys;
 
 use std::path::PathBuf;
 
 use chutegrade_records::timeline::{Fault, Timeline};
-use ratatui::crossterm::event::{KeyCode, KeyEvent, KeyModifiers};
+use chutegrade_records::Window;
 
-use crate::view::{Sort, View};
+use crate::view::{RowKind, View};
 
-/// Spans of time that can be shown, in seconds.
-const SPANS: [i64; 8] = [30, 60, 300, 900, 3600, 14_400, 43_200, 86_400];
-/// Characters of a filter at most.
-const FILTER_MOST: usize = 200;
+pub use keys::KeyOutcome;
 
-/// What follows from a key.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flow {
-    /// Draw again.
-    On,
-    /// Read again, then draw.
-    Changed,
-    /// End.
-    End,
-}
+/// Spans of time that can be shown, in seconds.
+const SPANS_S: [i64; 8] = [30, 60, 300, 900, 3600, 14_400, 43_200, 86_400];
+/// Index of the span that is shown at first.
+const DEFAULT_SPAN_INDEX: usize = 2;
+/// Microseconds in a second.
+const US_PER_SECOND: i64 = 1_000_000;
 
-/// Panels, of which a small terminal shows one.
+/// Panels; a small terminal shows one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Panel {
     /// Servers by zone.
     Fleet,
-    /// Figures over time.
-    Figures,
+    /// Charts of samples over time.
+    Charts,
     /// Events.
     Events,
 }
 
-/// The console's state.
+impl Panel {
+    fn next(self) -> Self {
+        match self {
+            Panel::Fleet => Panel::Charts,
+            Panel::Charts => Panel::Events,
+            Panel::Events => Panel::Fleet,
+        }
+    }
+}
+
+/// The state of the console.
 pub struct App {
     timeline: Timeline,
     /// What is shown.
     pub view: View,
-    /// The moment that is shown; none: the newest.
+    /// The moment that is shown, in Unix microseconds; none follows the present.
     pub cursor: Option<i64>,
-    /// The moment that was read last.
+    /// The moment of [`App::view`], in Unix microseconds.
     pub at_us: i64,
-    /// How far back is shown, as a place in the list of spans.
-    span: usize,
-    /// Words that events must hold.
+    /// Index into [`SPANS_S`].
+    span_index: usize,
+    /// Words that shown events contain.
     pub filter: String,
-    /// The filter is being typed.
-    pub typing: bool,
+    /// Whether the filter is being edited.
+    pub is_editing_filter: bool,
     /// The panel in front.
     pub panel: Panel,
-    /// Rows of events passed, counted from the newest.
+    /// Rows of events scrolled by, from the newest.
     pub scroll: usize,
-    /// The help page is shown.
-    pub help: bool,
-    /// What can't be read now.
-    pub fault: Option<String>,
+    /// Whether the help is shown.
+    pub shows_help: bool,
+    /// The error of the last refresh.
+    pub refresh_error: Option<String>,
 }
 
 impl App {
-    /// Opens records at a moment, or at the newest.
+    /// Opens records at a moment in Unix microseconds, or at the present.
+    ///
+    /// # Errors
+    ///
+    /// If the records cannot be read.
     pub fn open(directories: &[PathBuf], at_us: Option<i64>) -> Result<Self, Fault> {
-        let timeline = Timeline::open(directories)?;
         Ok(App {
-            timeline,
+            timeline: Timeline::open(directories)?,
             view: View::default(),
             cursor: at_us,
             at_us: at_us.unwrap_or_default(),
-            span: 2,
+            span_index: DEFAULT_SPAN_INDEX,
             filter: String::new(),
-            typing: false,
+            is_editing_filter: false,
             panel: Panel::Fleet,
             scroll: 0,
-            help: false,
-            fault: None,
+            shows_help: false,
+            refresh_error: None,
         })
     }
 
-    /// How far back is shown, in microseconds.
+    /// The span of time that is shown, in microseconds.
     pub fn span_us(&self) -> i64 {
-        SPANS.get(self.span).copied().unwrap_or(300) * 1_000_000
+        let span_s = SPANS_S.get(self.span_index).copied().unwrap_or(300);
+        span_s * US_PER_SECOND
     }
 
-    /// Reads what was written since, and what is to be shown. A directory that is gone leaves what was known.
-    pub fn look(&mut self, now_us: i64) {
-        self.fault = self.timeline.refresh().err().map(|fault| fault.to_string());
-        // Live is now, so that a supervisor that says nothing any more is seen to say nothing.
+    /// Reads what was written since, and the view. If a directory is gone, what was read before stays.
+    pub fn refresh(&mut self, now_us: i64) {
+        let result = self.timeline.refresh();
+        self.refresh_error = result.err().map(|error| error.to_string());
+        // The present, not the newest record: a supervisor that stopped writing is shown as silent.
         self.at_us = self.cursor.unwrap_or(now_us);
-        self.view = View::read(&self.timeline, self.at_us, self.span_us(), &self.filter);
-        self.scroll = self.scroll.min(self.view.rows.len().saturating_sub(1));
+        self.view = View::read(&self.timeline, self.window(), &self.filter);
+        self.scroll = self.scroll.min(self.last_row());
+    }
+
+    fn window(&self) -> Window {
+        Window {
+            from_us: self.at_us.saturating_sub(self.span_us()),
+            to_us: self.at_us,
+        }
     }
 
-    fn span_all(&self) -> (i64, i64) {
-        self.timeline
-            .span()
-            .map_or((self.at_us, self.at_us), |span| (span.from_us, span.to_us))
+    fn last_row(&self) -> usize {
+        self.view.rows.len().saturating_sub(1)
     }
 
-    fn move_to(&mut self, at_us: i64) -> Flow {
-        let (first, last) = self.span_all();
-        self.cursor = Some(at_us.clamp(first, last));
+    /// The time that all records cover.
+    fn recorded_window(&self) -> Window {
+        self.timeline.span().unwrap_or(Window {
+            from_us: self.at_us,
+            to_us: self.at_us,
+        })
+    }
+
+    fn move_cursor(&mut self, at_us: i64) -> KeyOutcome {
+        let recorded = self.recorded_window();
+        self.cursor = Some(at_us.clamp(recorded.from_us, recorded.to_us));
         self.scroll = 0;
-        Flow::Changed
+        KeyOutcome::Refresh
     }
 
-    /// Moves to the next or the last trouble or gap that is shown or lies before.
-    fn jump(&mut self, forward: bool) -> Flow {
-        let from = self.at_us;
-        let (first, last) = self.span_all();
-        let (window, span) = if forward {
-            (last, last.saturating_sub(from))
-        } else {
-            (from.saturating_sub(1), from.saturating_sub(first))
+    fn follow_present(&mut self) -> KeyOutcome {
+        self.cursor = None;
+        self.scroll = 0;
+        KeyOutcome::Refresh
+    }
+
+    fn toggle_pause(&mut self) -> KeyOutcome {
+        self.cursor = match self.cursor {
+            None => Some(self.at_us),
+            Some(_) => None,
         };
-        let found = View::read(&self.timeline, window, span, &self.filter);
-        let mut wanted = found
-            .rows
-            .iter()
-            .filter(|row| row.sort != Sort::Plain)
-            .map(|row| row.at_us);
-        let at = if forward {
-            wanted.find(|at| *at > from)
-        } else {
-            wanted.rfind(|at| *at < from)
+        KeyOutcome::Refresh
+    }
+
+    /// Moves to the next fault or gap.
+    fn move_to_next_fault(&mut self) -> KeyOutcome {
+        let current_us = self.at_us;
+        let window = Window {
+            from_us: current_us,
+            to_us: self.recorded_window().to_us,
         };
-        at.map_or(Flow::On, |at| self.move_to(at))
+        let next_us = self
+            .fault_times(window)
+            .into_iter()
+            .find(|at_us| *at_us > current_us);
+        next_us.map_or(KeyOutcome::Redraw, |at_us| self.move_cursor(at_us))
     }
 
-    /// Takes a key.
-    pub fn key(&mut self, key: KeyEvent) -> Flow {
-        if key.modifiers.contains(KeyModifiers::CONTROL) && key.code == KeyCode::Char('c') {
-            return Flow::End;
-        }
-        if self.typing {
-            return self.type_key(key.code);
-        }
-        if self.help {
-            self.help = false;
-            return Flow::On;
-        }
-        let step = self.span_us() / 20;
-        let far = key.modifiers.contains(KeyModifiers::SHIFT);
-        let step = if far { step * 10 } else { step };
-        match key.code {
-            KeyCode::Char('q') | KeyCode::Esc => Flow::End,
-            KeyCode::Char('?' | 'h') => {
-                self.help = true;
-                Flow::On
-            }
-            KeyCode::Left => self.move_to(self.at_us.saturating_sub(step)),
-            KeyCode::Right => self.move_to(self.at_us.saturating_add(step)),
-            KeyCode::Home => self.move_to(i64::MIN),
-            KeyCode::End | KeyCode::Char('l') => {
-                (self.cursor, self.scroll) = (None, 0);
-                Flow::Changed
-            }
-            KeyCode::Char(' ') => {
-                self.cursor = if self.cursor.is_none() {
-                    Some(self.at_us)
-                } else {
-                    None
-                };
-                Flow::Changed
-            }
-            KeyCode::Char('n') => self.jump(true),
-            KeyCode::Char('p') => self.jump(false),
-            KeyCode::Char('+' | '=') => {
-                self.span = self.span.saturating_sub(1);
-                Flow::Changed
-            }
-            KeyCode::Char('-') => {
-                self.span = (self.span + 1).min(SPANS.len() - 1);
-                Flow::Changed
-            }
-            KeyCode::Char('/') => {
-                self.typing = true;
-                Flow::On
-            }
-            KeyCode::Tab => {
-                self.panel = match self.panel {
-                    Panel::Fleet => Panel::Figures,
-                    Panel::Figures => Panel::Events,
-                    Panel::Events => Panel::Fleet,
-                };
-                Flow::On
-            }
-            KeyCode::Up => self.scroll_by(1),
-            KeyCode::Down => self.scroll_by(-1),
-            KeyCode::PageUp => self.scroll_by(10),
-            KeyCode::PageDown => self.scroll_by(-10),
-            _ => Flow::On,
-        }
+    /// Moves to the previous fault or gap.
+    fn move_to_previous_fault(&mut self) -> KeyOutcome {
+        let current_us = self.at_us;
+        let to_us = current_us.saturating_sub(1);
+        let span_us = current_us.saturating_sub(self.recorded_window().from_us);
+        let window = Window {
+            from_us: to_us.saturating_sub(span_us),
+            to_us,
+        };
+        let previous_us = self
+            .fault_times(window)
+            .into_iter()
+            .rfind(|at_us| *at_us < current_us);
+        previous_us.map_or(KeyOutcome::Redraw, |at_us| self.move_cursor(at_us))
     }
 
-    fn scroll_by(&mut self, rows: isize) -> Flow {
-        let most = self.view.rows.len().saturating_sub(1);
-        self.scroll = self.scroll.saturating_add_signed(rows).min(most);
-        Flow::On
+    /// Times of the faults and gaps in a window that pass the filter.
+    fn fault_times(&self, window: Window) -> Vec<i64> {
+        let view = View::read(&self.timeline, window, &self.filter);
+        let faults = view.rows.iter().filter(|row| row.kind != RowKind::Event);
+        faults.map(|row| row.at_us).collect()
     }
 
-    fn type_key(&mut self, code: KeyCode) -> Flow {
-        match code {
-            KeyCode::Enter => self.typing = false,
-            KeyCode::Esc => {
-                (self.typing, self.filter) = (false, String::new());
-            }
-            KeyCode::Backspace => {
-                self.filter.pop();
-            }
-            KeyCode::Char(c) if self.filter.chars().count() < FILTER_MOST => self.filter.push(c),
-            _ => {}
-        }
-        self.scroll = 0;
-        Flow::Changed
+    fn shorten_span(&mut self) -> KeyOutcome {
+        self.span_index = self.span_index.saturating_sub(1);
+        KeyOutcome::Refresh
+    }
+
+    fn lengthen_span(&mut self) -> KeyOutcome {
+        self.span_index = (self.span_index + 1).min(SPANS_S.len() - 1);
+        KeyOutcome::Refresh
+    }
+
+    fn scroll_by(&mut self, rows: isize) -> KeyOutcome {
+        let scroll = self.scroll.saturating_add_signed(rows);
+        self.scroll = scroll.min(self.last_row());
+        KeyOutcome::Redraw
     }
 }
--- /dev/null
+++ b/crates/console/src/draw/fleet.rs
@@ -0,0 +1,220 @@
+//! The panel of the fleet: service level, admitted shares, servers by zone, and those in the worst state.
+
+use std::cmp::Ordering;
+use std::sync::Arc;
+
+use chutegrade_records::pb::{Life, State};
+use chutegrade_records::replay::{Picture, Server};
+use chutegrade_records::{text, Gap, GapReason};
+use ratatui::layout::Rect;
+use ratatui::style::{Color, Style};
+use ratatui::text::{Line, Span};
+use ratatui::widgets::Paragraph;
+use ratatui::Frame;
+
+use super::level_band::service_level_lines;
+use super::style::{colored, dimmed, titled_block, Columns, HATCH};
+use crate::app::App;
+use crate::view::SupervisorView;
+
+/// Columns of a zone's line that are not for its servers.
+const ZONE_LABEL_WIDTH: usize = 14;
+/// Longest name of a server, in characters.
+const MAX_NAME_LENGTH: usize = 12;
+/// Lines before the hatching of a gap.
+const GAP_LINES: u16 = 3;
+
+/// Draws the fleet as each supervisor sees it.
+pub(super) fn draw_fleet(frame: &mut Frame, app: &App, area: Rect) {
+    let columns = Columns::new(app, area);
+    let last = columns.areas.len().saturating_sub(1);
+    let supervisors = columns.areas.iter().zip(&app.view.supervisors);
+    for (index, (area, (name, supervisor))) in supervisors.enumerate() {
+        let hidden = if index == last { columns.hidden } else { 0 };
+        let block = titled_block(title(name, supervisor, hidden));
+        let inner = block.inner(*area);
+        frame.render_widget(block, *area);
+        let lines = match &supervisor.gap {
+            Some(gap) => gap_lines(gap, inner),
+            None => fleet_lines(app, supervisor, inner),
+        };
+        frame.render_widget(Paragraph::new(lines), inner);
+    }
+}
+
+fn title(name: &Arc<str>, supervisor: &SupervisorView, hidden: usize) -> String {
+    let incarnation = supervisor.incarnation;
+    if hidden > 0 {
+        format!(" {name} · start {incarnation} (and {hidden} more) ")
+    } else {
+        format!(" {name} · start {incarnation} ")
+    }
+}
+
+/// The reason and the start of a gap, hatched.
+fn gap_lines(gap: &Gap, area: Rect) -> Vec<Line<'static>> {
+    let reason = match gap.reason {
+        GapReason::Stopped => "stopped as asked".to_string(),
+        reason => format!("not known: {}", reason.word()),
+    };
+    let start = if gap.from_us == i64::MIN {
+        String::new()
+    } else {
+        format!("since {}", text::clock(gap.from_us))
+    };
+    let hatching = Line::styled(HATCH.repeat(area.width.into()), dimmed());
+    let mut lines = vec![
+        hatching.clone(),
+        Line::styled(reason, colored(Color::Yellow)),
+        Line::raw(start),
+    ];
+    lines.extend((GAP_LINES..area.height).map(|_| hatching.clone()));
+    lines
+}
+
+fn fleet_lines(app: &App, supervisor: &SupervisorView, area: Rect) -> Vec<Line<'static>> {
+    let picture = &supervisor.picture;
+    let mut lines = notices(picture);
+    lines.extend(service_level_lines(app, supervisor, area.width));
+    lines.push(admitted_line(picture));
+    lines.extend(zone_lines(picture, area.width));
+    let free_lines = usize::from(area.height).saturating_sub(lines.len() + 1);
+    if free_lines > 0 && !picture.servers.is_empty() {
+        lines.push(Line::styled(
+            "server         state      score err lat weight warm",
+            dimmed(),
+        ));
+        lines.extend(worst_server_lines(picture, free_lines));
+    }
+    lines
+}
+
+fn notices(picture: &Picture) -> Vec<Line<'static>> {
+    let mut lines = Vec::new();
+    if picture.stopped {
+        lines.push(Line::styled("stopped as asked", colored(Color::Yellow)));
+    }
+    if picture.discovery_silent {
+        let notice = "discovery is silent: the list may be old";
+        lines.push(Line::styled(notice, colored(Color::Red)));
+    }
+    if picture.cold_held {
+        let notice = "cold servers are held out of tables";
+        lines.push(Line::styled(notice, colored(Color::Yellow)));
+    }
+    lines
+}
+
+/// Streams, and the admitted share of each class.
+fn admitted_line(picture: &Picture) -> Line<'static> {
+    let Some(gauge) = &picture.gauge else {
+        return Line::styled("no figures yet", dimmed());
+    };
+    let mut spans = vec![Span::raw(format!("{} streams  ", gauge.streams))];
+    for (index, level) in gauge.levels.iter().enumerate() {
+        let known = picture.classes.get(index).cloned();
+        let class = known.unwrap_or_else(|| format!("class {index}"));
+        let style = if *level < 1.0 {
+            colored(Color::Yellow)
+        } else {
+            dimmed()
+        };
+        let admitted = format!("{class} {:.0}%  ", 100.0 * level);
+        spans.push(Span::styled(admitted, style));
+    }
+    Line::from(spans)
+}
+
+fn zone_lines(picture: &Picture, width: u16) -> Vec<Line<'static>> {
+    let servers = picture.servers.values();
+    let mut zones: Vec<&str> = servers.map(|server| server.zone.as_str()).collect();
+    zones.sort_unstable();
+    zones.dedup();
+    let max_servers = usize::from(width).saturating_sub(ZONE_LABEL_WIDTH).max(1);
+    zones
+        .into_iter()
+        .map(|zone| zone_line(picture, zone, max_servers))
+        .collect()
+}
+
+/// A zone with a symbol for each server, and the number of those beyond `max_servers`.
+fn zone_line(picture: &Picture, zone: &str, max_servers: usize) -> Line<'static> {
+    let (label, style) = if picture.cut.contains(zone) {
+        (format!("zone {zone} CUT"), colored(Color::Red))
+    } else {
+        (format!("zone {zone}"), Style::new())
+    };
+    let mut spans = vec![Span::styled(format!("{label:<12} "), style)];
+    let mut count = 0;
+    for server in picture
+        .servers
+        .values()
+        .filter(|server| server.zone == zone)
+    {
+        if count < max_servers {
+            spans.push(symbol(server));
+        }
+        count += 1;
+    }
+    if count > max_servers {
+        let hidden = format!("+{}", count - max_servers);
+        spans.push(Span::styled(hidden, dimmed()));
+    }
+    Line::from(spans)
+}
+
+fn symbol(server: &Server) -> Span<'static> {
+    let (symbol, color) = match (server.life, server.state) {
+        (Life::Draining | Life::Gone, _) => ("▷", Color::Blue),
+        (_, State::Withdrawn) => ("✕", Color::Red),
+        _ if server.failing => ("!", Color::Red),
+        _ if server.warmth < 1.0 => ("❄", Color::Cyan),
+        (_, State::Reduced) => ("▼", Color::Yellow),
+        (_, State::Full) => ("■", Color::Green),
+    };
+    Span::styled(symbol, colored(color))
+}
+
+/// The servers in the worst state, at most `max_lines`.
+fn worst_server_lines(picture: &Picture, max_lines: usize) -> Vec<Line<'static>> {
+    let mut servers: Vec<(&String, &Server)> = picture.servers.iter().collect();
+    servers.sort_by(|(name, server), (other_name, other)| {
+        compare_state(server, other).then(name.cmp(other_name))
+    });
+    servers
+        .into_iter()
+        .take(max_lines)
+        .map(|(name, server)| server_line(name, server))
+        .collect()
+}
+
+/// Orders unhealthy servers before healthy ones, then by score.
+fn compare_state(server: &Server, other: &Server) -> Ordering {
+    let state = (server.is_well(), server.score);
+    let other_state = (other.is_well(), other.score);
+    state.partial_cmp(&other_state).unwrap_or(Ordering::Equal)
+}
+
+fn server_line(name: &str, server: &Server) -> Line<'static> {
+    let printable = name.chars().filter(|character| !character.is_control());
+    let name: String = printable.take(MAX_NAME_LENGTH).collect();
+    let state = state_word(server);
+    let score = server.score;
+    let errors = server.errors;
+    let latency = server.latency;
+    let weight = server.weight;
+    Line::from(vec![
+        symbol(server),
+        Span::raw(format!(" {name:<12} {state:<10} {score:>5.2} ")),
+        Span::raw(format!("{errors:>3.1} {latency:>3.1} {weight:>6.2} ")),
+        Span::styled(format!("{:>3.0}%", 100.0 * server.warmth), dimmed()),
+    ])
+}
+
+fn state_word(server: &Server) -> &'static str {
+    match (server.life, server.state) {
+        (Life::InService, State::Full) if server.warmth < 1.0 => "cold",
+        (Life::InService, state) => text::state(state),
+        (life, _) => text::life(life),
+    }
+}
--- a/crates/console/src/view.rs
+++ b/crates/console/src/view.rs
@@ -1,4 +1,5 @@
-//! What one frame shows, read from the records: each supervisor's picture at the cursor, its figures before, the events.
+//! What one frame shows, read from the records: the state of each supervisor at the cursor, its samples and the events
+//! before.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,162 +8,180 @@
 use chutegrade_records::replay::{Picture, LOOK_BACK_US};
 use chutegrade_records::text::printable;
 use chutegrade_records::timeline::{gauge, is_event};
-use chutegrade_records::{kind, text, Event, Gap, Timeline, Window};
+use chutegrade_records::{kind, pb, text, Event, Gap, Timeline, Window};
 
-/// Events that a frame may show, newest last.
-const EVENTS_MOST: usize = 2000;
+/// Most rows of events, of which the newest are kept.
+const MAX_ROWS: usize = 2000;
+/// Least delay between an event and its record that is shown, in microseconds.
+const MIN_SHOWN_DELAY_US: i64 = 1_000_000;
 
-/// What was measured at one time.
+/// Measurements at one time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figure {
-    /// When.
+pub struct Sample {
+    /// When, in Unix microseconds.
     pub at_us: i64,
     /// Lines waiting in the channel.
     pub waiting: f64,
-    /// Share of requests refused.
+    /// Share of requests rejected.
     pub refused: f64,
-    /// Lowest level of any class.
+    /// Lowest admitted share of any class.
     pub admitted: f64,
-    /// The level of service, where there are levels.
+    /// The service level, if any is configured.
     pub service_level: Option<String>,
 }
 
+impl Sample {
+    fn new(at_us: i64, gauge: &pb::Gauge) -> Self {
+        Sample {
+            at_us,
+            waiting: gauge.waiting,
+            refused: gauge.refused,
+            admitted: gauge.levels.iter().copied().fold(1.0, f64::min),
+            service_level: gauge.service_level.clone(),
+        }
+    }
+}
+
 /// One supervisor at the cursor.
 #[derive(Clone, Debug, Default)]
-pub struct Side {
-    /// Its picture.
+pub struct SupervisorView {
+    /// The state that its records give.
     pub picture: Picture,
-    /// Its start.
+    /// The number of its start.
     pub incarnation: u64,
-    /// Its figures.
-    pub figures: Vec<Figure>,
-    /// The gap in which the cursor lies, if it lies in one.
+    /// Its samples in the window, by time.
+    pub samples: Vec<Sample>,
+    /// The gap in which the cursor is, if it is in one.
     pub gap: Option<Gap>,
 }
 
 /// One row of the list of events.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// When it happened.
+    /// When it happened, in Unix microseconds.
     pub at_us: i64,
-    /// Whose record it is.
+    /// The supervisor that recorded it.
     pub supervisor: Arc<str>,
     /// What happened.
     pub text: String,
-    /// What it is: an event, trouble, or a gap.
-    pub sort: Sort,
+    /// What the row is about.
+    pub kind: RowKind,
 }
 
-/// What a row is.
+/// What a row is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sort {
-    /// An event.
-    Plain,
-    /// An event that is trouble.
-    Trouble,
-    /// An interval of which not all is known.
+pub enum RowKind {
+    /// An ordinary event.
+    Event,
+    /// A fault.
+    Fault,
+    /// An interval of which records are missing.
     Gap,
 }
 
+impl Row {
+    fn of_event(event: &Event) -> Self {
+        let is_fault = event.record.kind.as_ref().is_some_and(kind::is_trouble);
+        let delay_us = event.learned_us().saturating_sub(event.at_us);
+        let mut text = printable(&event.line());
+        if delay_us >= MIN_SHOWN_DELAY_US {
+            text += &format!(" (learned {} later)", text::length(delay_us));
+        }
+        Row {
+            at_us: event.at_us,
+            supervisor: Arc::clone(&event.supervisor),
+            text,
+            kind: if is_fault {
+                RowKind::Fault
+            } else {
+                RowKind::Event
+            },
+        }
+    }
+
+    fn of_gap(gap: &Gap) -> Self {
+        Row {
+            at_us: gap.from_us,
+            supervisor: Arc::clone(&gap.supervisor),
+            text: format!("--- {}", printable(&gap.line())),
+            kind: RowKind::Gap,
+        }
+    }
+
+    /// Whether the time, the supervisor's name or the text contain each of the words, which are in lower case.
+    fn contains_all(&self, words: &[String]) -> bool {
+        let time = text::clock(self.at_us);
+        let searched = format!("{time} {} {}", self.supervisor, self.text).to_lowercase();
+        words.iter().all(|word| searched.contains(word.as_str()))
+    }
+}
+
 /// All that a frame shows.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The supervisors, by name.
-    pub sides: BTreeMap<Arc<str>, Side>,
-    /// Events before the cursor that pass the filter, in true order.
+    pub supervisors: BTreeMap<Arc<str>, SupervisorView>,
+    /// Events and gaps before the cursor that pass the filter, by time.
     pub rows: Vec<Row>,
-    /// Gaps before the cursor.
-    pub gaps: Vec<Gap>,
-}
-
-fn row(event: &Event) -> Row {
-    let trouble = event.record.kind.as_ref().is_some_and(kind::is_trouble);
-    let late = event.learned_us().saturating_sub(event.at_us);
-    let mut text = printable(&event.line());
-    if late >= 1_000_000 {
-        text += &format!(" (learned {} later)", text::length(late));
-    }
-    let sort = if trouble { Sort::Trouble } else { Sort::Plain };
-    Row {
-        at_us: event.at_us,
-        supervisor: Arc::clone(&event.supervisor),
-        text,
-        sort,
-    }
 }
 
 impl View {
-    /// Reads what lies before a moment, as far as the span, and lets pass the events that hold the filter's words.
-    pub fn read(timeline: &Timeline, at_us: i64, span_us: i64, filter: &str) -> Self {
-        let window = Window {
-            from_us: at_us.saturating_sub(span_us),
-            to_us: at_us,
-        };
-        let from = window.from_us.min(at_us.saturating_sub(LOOK_BACK_US));
-        let (events, gaps) = timeline.read(&Query::between(from, at_us));
-        let mut view = View {
-            gaps,
-            ..View::default()
-        };
+    /// Reads the state at the end of a window, and the samples and events in it. The filter is a list of words that shown
+    /// events contain.
+    pub fn read(timeline: &Timeline, window: Window, filter: &str) -> Self {
+        let cursor_us = window.to_us;
+        // The state at the cursor follows from records before the window.
+        let from_us = window.from_us.min(cursor_us.saturating_sub(LOOK_BACK_US));
+        let (events, gaps) = timeline.read(&Query::between(from_us, cursor_us));
+        let mut view = View::default();
         for supervisor in &timeline.supervisors {
-            view.sides
-                .insert(Arc::clone(&supervisor.name), Side::default());
+            let name = Arc::clone(&supervisor.name);
+            view.supervisors.insert(name, SupervisorView::default());
         }
-        let words: Vec<String> = filter.split_whitespace().map(str::to_lowercase).collect();
         for event in &events {
-            let side = view.sides.entry(Arc::clone(&event.supervisor)).or_default();
-            side.picture.apply(&event.record);
-            side.incarnation = event.incarnation;
-            if event.at_us < window.from_us {
-                continue;
-            }
-            if let Some(gauge) = gauge(event) {
-                let lowest = gauge.levels.iter().copied().fold(1.0, f64::min);
-                let (at_us, waiting, refused) = (event.at_us, gauge.waiting, gauge.refused);
-                let service_level = gauge.service_level.clone();
-                side.figures.push(Figure {
-                    at_us,
-                    waiting,
-                    refused,
-                    admitted: lowest,
-                    service_level,
-                });
-            }
-            if is_event(event) {
-                view.rows.push(row(event));
-            }
+            view.add_event(event, window);
         }
-        for gap in view.gaps.clone() {
-            view.mark(gap, at_us);
+        for gap in gaps {
+            view.add_gap(gap, cursor_us);
         }
-        view.rows.retain(|row| passes(row, &words));
-        view.rows.sort_by_key(|row| row.at_us);
-        let excess = view.rows.len().saturating_sub(EVENTS_MOST);
-        view.rows.drain(..excess);
+        view.finish_rows(filter);
         view
     }
 
-    /// A gap is a row of its own, and where the cursor lies in it nothing is shown as if it were known.
-    fn mark(&mut self, gap: Gap, at_us: i64) {
-        let text = format!("--- {}", printable(&gap.line()));
-        let supervisor = Arc::clone(&gap.supervisor);
-        self.rows.push(Row {
-            at_us: gap.from_us,
-            supervisor,
-            text,
-            sort: Sort::Gap,
-        });
-        if let Some(side) = self.sides.get_mut(&gap.supervisor) {
-            if gap.to_us >= at_us && at_us.saturating_sub(gap.from_us) > STALLED_US {
-                side.gap = Some(gap);
-            }
+    fn add_event(&mut self, event: &Event, window: Window) {
+        let name = Arc::clone(&event.supervisor);
+        let supervisor = self.supervisors.entry(name).or_default();
+        supervisor.picture.apply(&event.record);
+        supervisor.incarnation = event.incarnation;
+        if event.at_us < window.from_us {
+            return;
+        }
+        if let Some(gauge) = gauge(event) {
+            supervisor.samples.push(Sample::new(event.at_us, gauge));
+        }
+        if is_event(event) {
+            self.rows.push(Row::of_event(event));
+        }
+    }
+
+    /// Adds a row for a gap. Of a supervisor with the cursor in a gap, no state is shown.
+    fn add_gap(&mut self, gap: Gap, cursor_us: i64) {
+        self.rows.push(Row::of_gap(&gap));
+        let Some(supervisor) = self.supervisors.get_mut(&gap.supervisor) else {
+            return;
+        };
+        let is_long = cursor_us.saturating_sub(gap.from_us) > STALLED_US;
+        if gap.to_us >= cursor_us && is_long {
+            supervisor.gap = Some(gap);
         }
     }
-}
 
-/// Whether a row holds all words, in its time, its supervisor's name or its text.
-fn passes(row: &Row, words: &[String]) -> bool {
-    let whole =
-        format!("{} {} {}", text::clock(row.at_us), row.supervisor, row.text).to_lowercase();
-    words.iter().all(|word| whole.contains(word.as_str()))
+    /// Filters and sorts the rows, and keeps the newest.
+    fn finish_rows(&mut self, filter: &str) {
+        let words: Vec<String> = filter.split_whitespace().map(str::to_lowercase).collect();
+        self.rows.retain(|row| row.contains_all(&words));
+        self.rows.sort_by_key(|row| row.at_us);
+        let excess = self.rows.len().saturating_sub(MAX_ROWS);
+        self.rows.drain(..excess);
+    }
 }
--- a/crates/console/tests/frames.rs
+++ b/crates/console/tests/frames.rs
@@ -1,10 +1,10 @@
-//! Frames of the console over real directories: what is known is shown, what is not is hatched, at every size and after
-//! every key.
+//! Frames of the console over directories of records, at all sizes and after all keys: what is known is shown, gaps are
+//! hatched.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use chutegrade_console::{frame, App, Flow};
+use chutegrade_console::{frame_lines, App, KeyOutcome};
 use chutegrade_records::pb::{self, Record};
 use chutegrade_records::store::Store;
 use chutegrade_records::{frame as framing, Kind};
@@ -14,10 +14,9 @@
 const SECOND: i64 = 1_000_000;
 
 fn server(name: &str, zone: &str, state: pb::State, warmth: f64) -> pb::Server {
-    let (name, zone) = (name.to_string(), zone.to_string());
     pb::Server {
-        name,
-        zone,
+        name: name.to_string(),
+        zone: zone.to_string(),
         state: state.into(),
         score: 0.4,
         warmth,
@@ -26,77 +25,88 @@
     }
 }
 
-/// A minute of a start: a server that is shut out from the 20th to the 40th second, a zone cut from the 30th.
+/// The records of a minute: a server is withdrawn from the 20th to the 40th second, a zone cut from the 30th on.
 fn minute(from_s: i64) -> Vec<Record> {
-    let classes = vec!["lookup".to_string()];
-    let mut kinds = vec![(
-        0,
-        Kind::Started(pb::Started {
-            classes,
-            ..pb::Started::default()
-        }),
-    )];
+    let mut kinds = vec![(0, started())];
     for second in 0..60 {
-        let refused = if (30..40).contains(&second) { 0.5 } else { 0.0 };
-        let gauge = pb::Gauge {
-            waiting: 40.0,
-            refused,
-            streams: 3,
-            levels: vec![1.0 - refused],
-            ..pb::Gauge::default()
-        };
-        kinds.push((second, Kind::Gauge(gauge)));
-        let state = |state: pb::State| {
-            let (server, zone) = ("s-b1".to_string(), "b".to_string());
-            Kind::StateChanged(pb::StateChanged {
-                server,
-                zone,
-                state: state.into(),
-                ..pb::StateChanged::default()
-            })
-        };
-        match second {
-            20 => kinds.push((second, state(pb::State::Withdrawn))),
-            30 => kinds.push((
-                second,
-                Kind::ZoneCut(pb::ZoneCut {
-                    zone: "b".into(),
-                    cut: true,
-                    mute: 1.0,
-                }),
-            )),
-            40 => kinds.push((second, state(pb::State::Full))),
-            _ => {}
-        }
+        kinds.push((second, gauge(second)));
+        kinds.extend(change(second).map(|kind| (second, kind)));
         if second % 10 == 0 {
-            let out = if (20..40).contains(&second) {
-                pb::State::Withdrawn
-            } else {
-                pb::State::Full
-            };
-            let servers = vec![
-                server("s-a1", "a", pb::State::Full, 1.0),
-                server("s-a2", "a", pb::State::Reduced, 1.0),
-                server("s-b1", "b", out, 1.0),
-                server("s-b2", "b", pb::State::Full, 0.5),
-            ];
-            kinds.push((
-                second,
-                Kind::Fleet(pb::Fleet {
-                    servers,
-                    ..pb::Fleet::default()
-                }),
-            ));
+            kinds.push((second, fleet(second)));
         }
     }
-    let at = |second| (from_s + second) * SECOND;
-    let record = |((second, kind), seq)| Record {
+    let numbered = kinds.into_iter().zip(1..);
+    numbered
+        .map(|((second, kind), seq)| record(seq, from_s + second, kind))
+        .collect()
+}
+
+fn record(seq: u64, second: i64, kind: Kind) -> Record {
+    Record {
         seq,
-        at_us: at(second),
-        learned_us: at(second),
+        at_us: second * SECOND,
+        learned_us: second * SECOND,
         kind: Some(kind),
+    }
+}
+
+fn started() -> Kind {
+    Kind::Started(pb::Started {
+        classes: vec!["lookup".to_string()],
+        ..pb::Started::default()
+    })
+}
+
+fn gauge(second: i64) -> Kind {
+    let refused = if (30..40).contains(&second) { 0.5 } else { 0.0 };
+    Kind::Gauge(pb::Gauge {
+        waiting: 40.0,
+        refused,
+        streams: 3,
+        levels: vec![1.0 - refused],
+        ..pb::Gauge::default()
+    })
+}
+
+/// What changes in a second of the minute.
+fn change(second: i64) -> Option<Kind> {
+    match second {
+        20 => Some(state_changed(pb::State::Withdrawn)),
+        30 => Some(Kind::ZoneCut(pb::ZoneCut {
+            zone: "b".into(),
+            cut: true,
+            mute: 1.0,
+        })),
+        40 => Some(state_changed(pb::State::Full)),
+        _ => None,
+    }
+}
+
+fn state_changed(state: pb::State) -> Kind {
+    Kind::StateChanged(pb::StateChanged {
+        server: "s-b1".to_string(),
+        zone: "b".to_string(),
+        state: state.into(),
+        ..pb::StateChanged::default()
+    })
+}
+
+fn fleet(second: i64) -> Kind {
+    let changing = if (20..40).contains(&second) {
+        pb::State::Withdrawn
+    } else {
+        pb::State::Full
     };
-    kinds.into_iter().zip(1..).map(record).collect()
+    let servers = vec![
+        server("s-a1", "a", pb::State::Full, 1.0),
+        server("s-a2", "a", pb::State::Reduced, 1.0),
+        server("s-b1", "b", changing, 1.0),
+        server("s-b2", "b", pb::State::Full, 0.5),
+    ];
+    Kind::Fleet(pb::Fleet {
+        servers,
+        ..pb::Fleet::default()
+    })
 }
 
 fn write(directory: &Path, name: &str, records: &[Record]) {
@@ -108,36 +118,36 @@
     store.append(&frames, 1, 0).expect("an append");
 }
 
-/// Two supervisors; the first died after its minute and began again 30 s later.
+/// Two supervisors; the first crashed after its minute and started again 30 s later.
 fn records() -> (tempfile::TempDir, Vec<PathBuf>) {
     let directory = tempfile::tempdir().expect("a directory");
     write(&directory.path().join("n0"), "n0", &minute(1000));
     write(&directory.path().join("n0"), "n0", &minute(1090));
     write(&directory.path().join("n1"), "n1", &minute(1000));
-    let given = vec![directory.path().to_path_buf()];
-    (directory, given)
+    let directories = vec![directory.path().to_path_buf()];
+    (directory, directories)
 }
 
-fn at(given: &[PathBuf], second: i64) -> App {
-    let mut app = App::open(given, Some(second * SECOND)).expect("records");
-    app.look(0);
+fn at(directories: &[PathBuf], second: i64) -> App {
+    let mut app = App::open(directories, Some(second * SECOND)).expect("records");
+    app.refresh(0);
     app
 }
 
 fn text(app: &App, width: u16, height: u16) -> String {
-    frame(app, width, height).join("\n")
+    frame_lines(app, width, height).join("\n")
 }
 
-fn press(app: &mut App, code: KeyCode) -> Flow {
-    let flow = app.key(KeyEvent::new(code, KeyModifiers::NONE));
-    app.look(0);
-    flow
+fn press(app: &mut App, code: KeyCode) -> KeyOutcome {
+    let outcome = app.handle_key(KeyEvent::new(code, KeyModifiers::NONE));
+    app.refresh(0);
+    outcome
 }
 
 #[test]
-fn the_fleet_is_shown_as_it_stood() {
-    let (_kept, given) = records();
-    let shown = text(&at(&given, 1035), 160, 40);
+fn the_fleet_is_shown_as_of_the_cursor() {
+    let (_directory, directories) = records();
+    let shown = text(&at(&directories, 1035), 160, 40);
     for wanted in [
         "PAST",
         "n0 · start 1",
@@ -156,33 +166,33 @@
         shown.contains("s-b1 withdrawn, score"),
         "the event\n{shown}"
     );
-    let before = text(&at(&given, 1015), 160, 40);
+    let before = text(&at(&directories, 1015), 160, 40);
     assert!(!before.contains('✕') && !before.contains("CUT"), "{before}");
 }
 
 #[test]
-fn a_gap_is_seen_as_a_gap() {
-    let (_kept, given) = records();
-    let within = text(&at(&given, 1080), 160, 40);
+fn a_gap_is_hatched_and_listed() {
+    let (_directory, directories) = records();
+    let within = text(&at(&directories, 1080), 160, 40);
     assert!(
         within.contains("not known: crash") && within.contains('░'),
         "{within}"
     );
     assert!(within.contains("--- crash for"), "{within}");
-    let after = text(&at(&given, 1120), 160, 40);
+    let after = text(&at(&directories, 1120), 160, 40);
     assert!(
         after.contains("n0 · start 2") && !after.contains("not known: crash"),
         "{after}"
     );
-    // The other supervisor's records have ended: what it held then is not shown as if it held now.
+    // The other supervisor's records have ended: its last state is not shown as current.
     assert!(after.contains("not known: no record since"), "{after}");
 }
 
 #[test]
-fn every_size_and_key_leaves_a_frame() {
-    let (_kept, given) = records();
+fn all_sizes_and_keys_draw_a_frame() {
+    let (_directory, directories) = records();
     for (width, height) in [(1, 1), (10, 3), (40, 12), (80, 24), (84, 26), (300, 90)] {
-        let mut app = at(&given, 1045);
+        let mut app = at(&directories, 1045);
         let keys = [
             KeyCode::Tab,
             KeyCode::Up,
@@ -204,15 +214,15 @@
             KeyCode::Char(' '),
             KeyCode::End,
         ]) {
-            assert_ne!(press(&mut app, code), Flow::End);
+            assert_ne!(press(&mut app, code), KeyOutcome::Quit);
             assert_eq!(
-                frame(&app, width, height).len(),
+                frame_lines(&app, width, height).len(),
                 usize::from(height),
                 "{width}x{height} {code:?}"
             );
         }
     }
-    let small = text(&at(&given, 1035), 40, 12);
+    let small = text(&at(&directories, 1035), 40, 12);
     assert!(
         small.contains("zone b CUT") && small.contains("? help"),
         "{small}"
@@ -220,11 +230,11 @@
 }
 
 #[test]
-fn keys_move_through_time_and_filter_events() {
-    let (_kept, given) = records();
-    let mut app = at(&given, 1010);
+fn keys_move_the_cursor_and_filter_events() {
+    let (_directory, directories) = records();
+    let mut app = at(&directories, 1010);
     press(&mut app, KeyCode::Char('n'));
-    assert_eq!(app.cursor, Some(1020 * SECOND), "the first trouble");
+    assert_eq!(app.cursor, Some(1020 * SECOND), "the first fault");
     press(&mut app, KeyCode::Char('n'));
     assert_eq!(app.cursor, Some(1030 * SECOND));
     press(&mut app, KeyCode::Char('p'));
@@ -237,12 +247,12 @@
     );
     press(&mut app, KeyCode::Home);
     assert_eq!(app.cursor, Some(1000 * SECOND));
-    app = at(&given, 1055);
+    app = at(&directories, 1055);
     let all = app.view.rows.len();
     press(&mut app, KeyCode::Char('/'));
     "cut n1"
         .chars()
-        .for_each(|c| assert_ne!(press(&mut app, KeyCode::Char(c)), Flow::End));
+        .for_each(|c| assert_ne!(press(&mut app, KeyCode::Char(c)), KeyOutcome::Quit));
     press(&mut app, KeyCode::Enter);
     assert_eq!(
         (app.view.rows.len(), all > 1),
@@ -250,45 +260,40 @@
         "{:?}",
         app.view.rows
     );
-    assert_eq!(press(&mut app, KeyCode::Char('q')), Flow::End);
+    assert_eq!(press(&mut app, KeyCode::Char('q')), KeyOutcome::Quit);
 }
 
-/// Danger: a console left open over a night ends when the records below it are trimmed or moved.
+/// A console that stays open while records are trimmed or moved goes on.
 #[test]
-fn a_directory_that_grows_or_goes_is_followed() {
-    let (kept, given) = records();
-    let mut app = at(&given, 1200);
+fn a_growing_or_removed_directory_is_followed() {
+    let (directory, directories) = records();
+    let mut app = at(&directories, 1200);
     let before = app.view.rows.len();
-    write(&kept.path().join("n1"), "n1", &minute(1120));
-    app.look(0);
-    assert!(app.view.rows.len() > before, "it grew");
-    fs::remove_dir_all(kept.path().join("n0")).expect("its end");
-    app.look(0);
+    write(&directory.path().join("n1"), "n1", &minute(1120));
+    app.refresh(0);
+    assert!(app.view.rows.len() > before, "more rows");
+    fs::remove_dir_all(directory.path().join("n0")).expect("removed");
+    app.refresh(0);
     assert!(text(&app, 120, 40).contains("n1 · start 2"));
 }
 
 #[test]
-fn text_from_records_moves_no_cursor() {
+fn control_characters_in_records_are_not_drawn() {
     let directory = tempfile::tempdir().expect("a directory");
     let life = pb::LifeChanged {
         server: "s\u{1b}[2J\r\n1".into(),
         life: 1,
         ..pb::LifeChanged::default()
     };
-    let record = Record {
-        seq: 1,
-        at_us: SECOND,
-        learned_us: SECOND,
-        kind: Some(Kind::LifeChanged(life)),
-    };
+    let record = record(1, 1, Kind::LifeChanged(life));
     write(directory.path(), "n0", &[record]);
     let app = at(&[directory.path().to_path_buf()], 1);
     assert!(!text(&app, 120, 40).contains('\u{1b}'));
 }
 
-/// The level of service has its name, its time, its signals, and a band with the name once it has changed.
+/// A service level is shown with name, age and signals, and as a band once it has changed.
 #[test]
-fn levels_of_service_are_shown_with_names() {
+fn service_levels_are_shown_by_name() {
     let directory = tempfile::tempdir().expect("a directory");
     let level = |second: i64| {
         if (20..45).contains(&second) {
@@ -310,16 +315,11 @@
             ..pb::Gauge::default()
         })
     };
-    let record = |second: i64| Record {
-        seq: second as u64 + 1,
-        at_us: (1000 + second) * SECOND,
-        learned_us: (1000 + second) * SECOND,
-        kind: Some(gauge(second)),
-    };
+    let record = |second: i64| record(second as u64 + 1, 1000 + second, gauge(second));
     let all: Vec<Record> = (0..60).map(record).collect();
     write(&directory.path().join("n0"), "n0", &all);
-    let given = vec![directory.path().to_path_buf()];
-    let shown = text(&at(&given, 1040), 160, 40);
+    let directories = vec![directory.path().to_path_buf()];
+    let shown = text(&at(&directories, 1040), 160, 40);
     assert!(
         shown.contains("service fewer reads for 20.0 s  SATURATION 0.42 2.5 s ago"),
         "{shown}"
@@ -332,7 +332,7 @@
         band.contains('░') && band.contains('─') && band.contains("fewer"),
         "{band}"
     );
-    let calm = text(&at(&given, 1015), 160, 40);
+    let calm = text(&at(&directories, 1015), 160, 40);
     assert!(
         calm.contains("service full") && !calm.lines().any(|line| line.starts_with("levels ")),
         "{calm}"
--- a/crates/supervisor/src/commands/console.rs
+++ b/crates/supervisor/src/commands/console.rs
@@ -15,7 +15,7 @@
     let at_us = start_time(arguments)?;
     if arguments.once {
         let mut output = std::io::stdout().lock();
-        chutegrade_console::once(&arguments.directories, at_us, &mut output)?;
+        chutegrade_console::print_frame(&arguments.directories, at_us, &mut output)?;
     } else {
         chutegrade_console::run(&arguments.directories, at_us)?;
     }
--- a/crates/supervisor/src/commands/error.rs
+++ b/crates/supervisor/src/commands/error.rs
@@ -80,7 +80,7 @@
     },
     /// The console failed.
     #[error(transparent)]
-    Console(chutegrade_console::Fault),
+    Console(chutegrade_console::ConsoleError),
     /// A plug-in does not compile; the message is its first diagnostic.
     #[error("{file}:{diagnostic}")]
     PluginRejected {
@@ -188,10 +188,12 @@
     }
 }
 
-impl From<chutegrade_console::Fault> for CommandError {
-    fn from(error: chutegrade_console::Fault) -> Self {
+impl From<chutegrade_console::ConsoleError> for CommandError {
+    fn from(error: chutegrade_console::ConsoleError) -> Self {
         match error {
-            chutegrade_console::Fault::Terminal(error) if error.kind() == ErrorKind::BrokenPipe => {
+            chutegrade_console::ConsoleError::Terminal(error)
+                if error.kind() == ErrorKind::BrokenPipe =>
+            {
                 CommandError::OutputClosed
             }
             error => CommandError::Console(error),
