--- a/crates/report/benches/day.rs
+++ b/crates/report/benches/day.rs
@@ -1,34 +1,39 @@
-#![allow(missing_docs)]
 //! The page of a day with a million records, most of them events.
+#![allow(missing_docs)] // `criterion_group` generates a public function.
 
 use std::path::Path;
 
 use chutegrade_records::pb::{self, Record};
 use chutegrade_records::store::Store;
 use chutegrade_records::{frame, Kind, Timeline};
-use chutegrade_report::{report, Limits};
+use chutegrade_report::{report, PageLimits};
 use criterion::{criterion_group, Criterion};
 use prost::Message;
 
-const DAY: i64 = 1_000_000;
+/// Records of the day.
+const RECORDS: i64 = 1_000_000;
+/// Records that are written at once.
+const BATCH: i64 = 2000;
+/// A day in microseconds.
 const DAY_US: i64 = 86_400_000_000;
 
-fn kind(n: i64) -> Kind {
-    let server = format!("s-{:03}", n % 325);
-    match n % 12 {
+/// A gauge, a state, or one of the events, in turn.
+fn kind(number: i64) -> Kind {
+    let server = format!("s-{:03}", number % 325);
+    match number % 12 {
         0 => Kind::Gauge(pb::Gauge {
-            waiting: (n % 700) as f64,
-            refused: (n % 50) as f64 / 100.0,
+            waiting: (number % 700) as f64,
+            refused: (number % 50) as f64 / 100.0,
             levels: vec![1.0; 3],
             ..pb::Gauge::default()
         }),
         1 => Kind::StateChanged(pb::StateChanged {
             server,
-            state: (n % 3) as i32,
+            state: (number % 3) as i32,
             ..pb::StateChanged::default()
         }),
         2..=6 => Kind::StreamJoined(pb::StreamJoined {
-            proxy: (n % 1057) as u32,
+            proxy: (number % 1057) as u32,
             zone: "a".into(),
             ..pb::StreamJoined::default()
         }),
@@ -42,15 +47,15 @@
 
 fn write(directory: &Path) {
     let mut store = Store::open(directory, "n0").expect("a store");
-    for batch in 0..DAY / 2000 {
+    for batch in 0..RECORDS / BATCH {
         let mut frames = Vec::new();
-        for n in batch * 2000..(batch + 1) * 2000 {
-            let at_us = n * (DAY_US / DAY);
+        for number in batch * BATCH..(batch + 1) * BATCH {
+            let at_us = number * (DAY_US / RECORDS);
             let record = Record {
-                seq: n as u64 + 1,
+                seq: number as u64 + 1,
                 at_us,
                 learned_us: at_us,
-                kind: Some(kind(n)),
+                kind: Some(kind(number)),
             };
             frame::put(&mut frames, &record.encode_to_vec());
         }
@@ -63,23 +68,22 @@
     write(directory.path());
     let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("records");
     let span = timeline.span().expect("records");
-    let page = report(&timeline, span, Limits::default());
+    let page = report(&timeline, span, PageLimits::default());
     println!(
-        "page of a day with {DAY} records: {} KiB",
+        "page of a day with {RECORDS} records: {} KiB",
         page.len() / 1024
     );
     let mut group = c.benchmark_group("report");
     group.sample_size(10);
     group.bench_function("page of a day of 1,000,000 records", |b| {
-        b.iter(|| report(&timeline, span, Limits::default()).len())
+        b.iter(|| report(&timeline, span, PageLimits::default()).len());
     });
     group.finish();
 }
 
 criterion_group!(benches, day);
 
-/// Measures under `cargo bench` alone: as one of the targets of `cargo test` it is compiled, and a day of records is not
-/// written.
+/// Measures under `cargo bench` only: `cargo test` compiles this target, and writing a day of records takes too long there.
 fn main() {
     if std::env::args().any(|argument| argument == "--bench") {
         benches();
--- /dev/null
+++ b/crates/report/src/chart/servers.rs
@@ -0,0 +1,61 @@
+//! The chart of servers: the state of each over time.
+
+use chutegrade_records::course::{Span, Standing};
+use chutegrade_records::{text, Gap};
+use maud::{html, Markup};
+
+use super::{
+    coordinate, hidden_intervals, row_top, Axis, AXIS_HEIGHT, LABELS_WIDTH, LABEL_MARGIN,
+    MIN_SPAN_WIDTH, ROW_HEIGHT, WIDTH,
+};
+
+/// A server as one supervisor sees it.
+pub(crate) struct ServerRow<'a> {
+    /// The name of the server.
+    pub(crate) server: &'a str,
+    /// The name of the supervisor.
+    pub(crate) supervisor: &'a str,
+    /// Its state over time.
+    pub(crate) spans: &'a [Span],
+}
+
+/// Draws the state of servers over time.
+pub(crate) fn server_chart(axis: Axis, rows: &[ServerRow], gaps: &[Gap]) -> Markup {
+    let bottom = row_top(rows.len());
+    let view_box = format!("0 0 {WIDTH} {}", coordinate(bottom + AXIS_HEIGHT));
+    html! {
+        svg viewBox=(view_box) role="img" aria-label="states of servers over time" {
+            (axis.draw_ticks(row_top(0), bottom))
+            @for (index, row) in rows.iter().enumerate() {
+                (draw_row(axis, row, row_top(index), gaps))
+            }
+        }
+    }
+}
+
+fn draw_row(axis: Axis, row: &ServerRow, top: f64, gaps: &[Gap]) -> Markup {
+    let is_known = |span: &&Span| span.standing != Standing::Unknown;
+    html! {
+        text.label x=(coordinate(LABELS_WIDTH - LABEL_MARGIN)) y=(coordinate(top + ROW_HEIGHT - 4.0)) {
+            (row.server) " · " (row.supervisor)
+        }
+        @for span in row.spans.iter().filter(is_known) {
+            (draw_span(axis, row.server, span, top))
+        }
+        @for gap in hidden_intervals(gaps, row.supervisor) {
+            (axis.draw_gap(gap, top + 1.0, ROW_HEIGHT - 2.0))
+        }
+    }
+}
+
+fn draw_span(axis: Axis, server: &str, span: &Span, top: f64) -> Markup {
+    let left = axis.x(span.from_us);
+    let width = (axis.x(span.to_us) - left).max(MIN_SPAN_WIDTH);
+    let state = span.standing.word();
+    html! {
+        rect class=(format!("state {state}")) x=(coordinate(left)) y=(coordinate(top + 2.0))
+            width=(coordinate(width)) height=(coordinate(ROW_HEIGHT - 4.0)) {
+            title { (server) " " (state) " from " (text::clock(span.from_us)) " to " (text::clock(span.to_us)) }
+        }
+    }
+}
--- /dev/null
+++ b/crates/report/src/page/summary.rs
@@ -0,0 +1,131 @@
+//! The sentences that say what happened.
+
+use std::collections::BTreeSet;
+
+use chutegrade_records::course::{Course, Incident};
+use chutegrade_records::{text, Window};
+use maud::{html, Markup};
+
+use super::short_time;
+use crate::findings::{Findings, SupervisorClock};
+
+/// Most names in a sentence; the others are counted.
+const MAX_NAMES: usize = 6;
+
+/// Incidents, extremes, drains, ended streams, gaps and clocks.
+pub(super) fn summary(findings: &Findings) -> Markup {
+    let course = &findings.course;
+    html! {
+        @match course.incidents.len() {
+            0 => p { "No trouble was recorded: no server lost weight, nothing was refused, and no supervisor was away." }
+            1 => {}
+            count => p { (count) " stretches of trouble lie in this time." }
+        }
+        @for (index, incident) in course.incidents.iter().enumerate() {
+            (incident_sentences(index, incident, findings.window))
+        }
+        (extremes(course))
+        (ends(course))
+        @match findings.gaps.len() {
+            0 => p { "The records have no gap." }
+            1 => p.mind { "One interval is not fully known; it is hatched in the charts and listed below." }
+            count => p.mind { (count) " intervals are not fully known; they are hatched in the charts and listed below." }
+        }
+        @for clock in findings.supervisors.iter().filter(|clock| clock.ahead_us != 0) {
+            (clock_sentence(clock))
+        }
+    }
+}
+
+/// The first names, and the number of the others.
+fn list_names<'a>(names: impl IntoIterator<Item = &'a str>) -> String {
+    let names: Vec<&str> = names.into_iter().collect();
+    let shown = names.len().min(MAX_NAMES);
+    let list = names[..shown].join(", ");
+    match names.len() - shown {
+        0 => list,
+        others => format!("{list} and {others} more"),
+    }
+}
+
+fn percent(share: f64) -> String {
+    format!("{:.0} %", 100.0 * share)
+}
+
+fn incident_sentences(index: usize, incident: &Incident, window: Window) -> Markup {
+    let troubles = incident.troubles.iter();
+    let kinds: BTreeSet<String> = troubles.map(|(_, trouble)| trouble.line()).collect();
+    html! {
+        p {
+            @if incident.from_us < window.from_us { "Trouble had begun before, at " } @else { "Trouble began at " }
+            b { (text::clock(incident.from_us)) }
+            @if index > 0 { " again" }
+            ". First was: " (incident.first) ". "
+            "In all: " (list_names(kinds.iter().map(String::as_str))) ". "
+            @if incident.withdrawn.is_empty() { "No server was shut out for its failures. " }
+            @else { "Shut out for a time: " b { (list_names(incident.withdrawn.iter().map(String::as_str))) } ". " }
+            @match incident.over_us {
+                Some(over_us) => { "It was over at " b { (text::clock(over_us)) } ", after " (text::length(over_us - incident.from_us)) "." }
+                None => b { "It was not over at the end of this time." }
+            }
+        }
+    }
+}
+
+/// The largest rejected share, the lowest levels, and the longest queue.
+fn extremes(course: &Course) -> Markup {
+    let lowered = lowered_levels(course);
+    html! {
+        @if let Some((refused, at_us, supervisor)) = &course.refused {
+            p { "At most " b { (percent(*refused)) } " of all requests were refused, at " (short_time(*at_us)) " (" (supervisor) ")." }
+        }
+        @if lowered.is_empty() { p { "No level fell." } } @else { p { "Levels fell: " (lowered.join(", ")) "." } }
+        @if let Some((waiting, at_us, supervisor)) = course.waiting.as_ref().filter(|(waiting, _, _)| *waiting > 0.0) {
+            p { "At most " (format!("{waiting:.0}")) " lines waited in a channel, at " (short_time(*at_us)) " (" (supervisor) ")." }
+        }
+    }
+}
+
+/// The lowest level of each class that was not fully admitted.
+fn lowered_levels(course: &Course) -> Vec<String> {
+    let mut lowered = Vec::new();
+    for (class, (level, at_us, supervisor)) in &course.lowest {
+        if *level < 1.0 {
+            let level = percent(*level);
+            let time = short_time(*at_us);
+            lowered.push(format!("{class} to {level} at {time} ({supervisor})"));
+        }
+    }
+    lowered
+}
+
+/// Servers that were drained, and streams that ended.
+fn ends(course: &Course) -> Markup {
+    let drained = course.drains.iter().map(|(_, server)| server.as_str());
+    let mut ended = Vec::new();
+    for (reason, count) in &course.ended {
+        ended.push(format!("{count} {reason}"));
+    }
+    html! {
+        @if !course.drains.is_empty() {
+            p { "The list took out " (list_names(drained)) ", as drains that were meant." }
+        }
+        @if !ended.is_empty() {
+            p { "Streams that ended: " (ended.join(", ")) "." }
+        }
+    }
+}
+
+fn clock_sentence(clock: &SupervisorClock) -> Markup {
+    let direction = if clock.ahead_us > 0 {
+        " ahead"
+    } else {
+        " behind"
+    };
+    html! {
+        p.mind {
+            "The clock of " (clock.name) " was " (text::length(clock.ahead_us.abs())) (direction)
+            ", by " (clock.shared_events) " pieces of news that all supervisors learn alike; its times are put right here."
+        }
+    }
+}
--- a/crates/report/tests/page.rs
+++ b/crates/report/tests/page.rs
@@ -1,11 +1,11 @@
-//! The page over real directories.
+//! The page over directories of records.
 
 use std::path::{Path, PathBuf};
 
 use chutegrade_records::pb::{self, Record};
 use chutegrade_records::store::Store;
 use chutegrade_records::{frame, Kind, Timeline, Window};
-use chutegrade_report::{gather, report, Limits};
+use chutegrade_report::{gather, report, PageLimits};
 use prost::Message;
 
 const SECOND: i64 = 1_000_000;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn every_event_stands_in_true_order_and_no_gap_is_unmarked() {
+fn events_are_ordered_by_time_and_gaps_are_listed() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut first = vec![(0, 0, started())];
     first.extend(seconds(0, 40));
@@ -100,7 +100,7 @@
         from_us: 0,
         to_us: 90 * SECOND,
     };
-    let page = report(&open(directory.path()), window, Limits::default());
+    let page = report(&open(directory.path()), window, PageLimits::default());
     let rows = rows(&page);
     let order: Vec<&str> = rows
         .iter()
@@ -130,9 +130,9 @@
     assert!(page.contains("--from 1970-01-01T00:00:00.000Z --to 1970-01-01T00:01:30.000Z"));
 }
 
-/// Danger: a name that a peer chose runs in the browser of whoever reads the report.
+/// Names that peers chose must not run as scripts in the browser.
 #[test]
-fn text_from_records_is_escaped_and_nothing_is_fetched() {
+fn text_from_records_is_escaped_and_nothing_is_loaded() {
     let directory = tempfile::tempdir().expect("a directory");
     let evil = "<script>alert(1)</script>\"'&</svg>";
     let kinds = vec![
@@ -154,7 +154,7 @@
             from_us: 0,
             to_us: 3 * SECOND,
         },
-        Limits::default(),
+        PageLimits::default(),
     );
     assert!(
         !page.contains("<script") && !page.contains("<b>n0") && page.contains("&lt;script&gt;")
@@ -164,9 +164,9 @@
     }
 }
 
-/// Danger: a page of a bad day is too large for a browser.
+/// The limits keep the page of a long day small enough for a browser.
 #[test]
-fn a_long_day_is_cut_and_says_so() {
+fn events_beyond_the_limits_are_counted() {
     let directory = tempfile::tempdir().expect("a directory");
     let joined = |proxy| {
         Kind::StreamJoined(pb::StreamJoined {
@@ -183,13 +183,17 @@
         from_us: 0,
         to_us: 30_000 * SECOND,
     };
-    let limits = Limits {
-        others: 100,
-        ..Limits::default()
+    let limits = PageLimits {
+        other_events: 100,
+        ..PageLimits::default()
     };
-    let found = gather(&open(directory.path()), window, limits);
+    let findings = gather(&open(directory.path()), window, limits);
     assert_eq!(
-        (found.events.len(), found.left_out["joined"], found.records),
+        (
+            findings.events.len(),
+            findings.omitted["joined"],
+            findings.records
+        ),
         (100, 29_900, 30_000)
     );
     let page = report(&open(directory.path()), window, limits);
@@ -201,7 +205,7 @@
 }
 
 #[test]
-fn a_quiet_time_is_said_to_be_quiet() {
+fn a_window_without_faults_says_so() {
     let directory = tempfile::tempdir().expect("a directory");
     write(directory.path(), "n0", seconds(0, 15));
     let page = report(
@@ -210,72 +214,79 @@
             from_us: 0,
             to_us: 14 * SECOND,
         },
-        Limits::default(),
+        PageLimits::default(),
     );
     assert!(page.contains("No trouble was recorded") && page.contains("The records have no gap."));
 }
 
-/// Levels of service are a band with names, and each change is an event with its cause.
-#[test]
-fn levels_of_service_are_a_band_with_names() {
-    let directory = tempfile::tempdir().expect("a directory");
-    let level = |second: i64| {
-        if (20..50).contains(&second) {
-            "fewer reads"
-        } else {
-            "full"
-        }
-    };
+/// The service level of a second.
+fn service_level(second: i64) -> &'static str {
+    if (20..50).contains(&second) {
+        "fewer reads"
+    } else {
+        "full"
+    }
+}
+
+fn service_level_change(second: i64) -> Kind {
+    let level = service_level(second);
+    Kind::ServiceLevel(pb::ServiceLevel {
+        from: service_level(second - 1).into(),
+        to: level.into(),
+        number: u32::from(level != "full"),
+        reason: "entered".into(),
+        condition: "SATURATION above 0.6 for 2 s".into(),
+        signals: vec![pb::Signal {
+            name: "SATURATION".into(),
+            value: Some(0.71),
+            age_ms: 1500,
+        }],
+        tell: vec!["desk <b>".into()],
+    })
+}
+
+/// A start, a gauge each second, and the changes of the service level.
+fn service_level_records() -> Vec<(i64, i64, Kind)> {
     let mut kinds = vec![(0, 0, started())];
     for second in 0..80 {
-        let at = second * SECOND;
-        if level(second) != level(second - 1) {
-            let of = pb::ServiceLevel {
-                from: level(second - 1).into(),
-                to: level(second).into(),
-                number: u32::from(level(second) != "full"),
-                reason: "entered".into(),
-                condition: "SATURATION above 0.6 for 2 s".into(),
-                signals: vec![pb::Signal {
-                    name: "SATURATION".into(),
-                    value: Some(0.71),
-                    age_ms: 1500,
-                }],
-                tell: vec!["desk <b>".into()],
-            };
-            kinds.push((at, at, Kind::ServiceLevel(of)));
+        let at_us = second * SECOND;
+        if service_level(second) != service_level(second - 1) {
+            kinds.push((at_us, at_us, service_level_change(second)));
         }
-        let service_level = Some(level(second).to_string());
-        kinds.push((
-            at,
-            at,
-            Kind::Gauge(pb::Gauge {
-                service_level,
-                levels: vec![1.0],
-                ..pb::Gauge::default()
-            }),
-        ));
+        let gauge = pb::Gauge {
+            service_level: Some(service_level(second).to_string()),
+            levels: vec![1.0],
+            ..pb::Gauge::default()
+        };
+        kinds.push((at_us, at_us, Kind::Gauge(gauge)));
     }
-    write(&directory.path().join("n0"), "n0", kinds);
+    kinds
+}
+
+/// Service levels are a chart with names, and each change is an event with its cause.
+#[test]
+fn service_levels_are_a_chart_with_names() {
+    let directory = tempfile::tempdir().expect("a directory");
+    write(&directory.path().join("n0"), "n0", service_level_records());
     let window = Window {
         from_us: 0,
         to_us: 80 * SECOND,
     };
-    let page = report(&open(directory.path()), window, Limits::default());
+    let page = report(&open(directory.path()), window, PageLimits::default());
     assert!(
         page.contains("Levels of service") && page.contains(">fewer reads</text>"),
         "no band"
     );
     let rows = rows(&page);
-    let told = rows
+    let change = rows
         .iter()
         .find(|row| row.contains("service level fewer reads after full"))
         .expect("the change");
     assert!(
-        told.contains(
+        change.contains(
             "SATURATION above 0.6 for 2 s; SATURATION 0.71 1.5 s ago; tell desk &lt;b&gt;"
         ),
-        "{told}"
+        "{change}"
     );
     assert!(
         page.contains("service reduced to fewer reads"),
