--- a/crates/report/tests/page.rs
+++ b/crates/report/tests/page.rs
@@ -10,14 +10,30 @@
 
 const SECOND: i64 = 1_000_000;
 
-fn write(directory: &Path, name: &str, kinds: Vec<(i64, i64, Kind)>) {
+/// An event and the delay after which it is recorded.
+struct Entry {
+    at_us: i64,
+    delay_us: i64,
+    kind: Kind,
+}
+
+/// An event that is recorded at once.
+fn entry(second: i64, kind: Kind) -> Entry {
+    Entry {
+        at_us: second * SECOND,
+        delay_us: 0,
+        kind,
+    }
+}
+
+fn write(directory: &Path, name: &str, entries: Vec<Entry>) {
     let mut frames = Vec::new();
-    for ((at_us, learned_us, kind), seq) in kinds.into_iter().zip(1..) {
+    for (entry, seq) in entries.into_iter().zip(1..) {
         let record = Record {
             seq,
-            at_us,
-            learned_us,
-            kind: Some(kind),
+            at_us: entry.at_us,
+            learned_us: entry.at_us + entry.delay_us,
+            kind: Some(entry.kind),
         };
         assert!(frame::put(&mut frames, &record.encode_to_vec()));
     }
@@ -53,7 +69,7 @@
     })
 }
 
-fn seconds(from: i64, to: i64) -> Vec<(i64, i64, Kind)> {
+fn seconds(from: i64, to: i64) -> Vec<Entry> {
     let kind = |second: i64| {
         if (20..30).contains(&second) {
             gauge(0.6)
@@ -62,7 +78,7 @@
         }
     };
     (from..to)
-        .map(|second| (second * SECOND, second * SECOND, kind(second)))
+        .map(|second| entry(second, kind(second)))
         .collect()
 }
 
@@ -84,16 +100,19 @@
 #[test]
 fn events_are_ordered_by_time_and_gaps_are_listed() {
     let directory = tempfile::tempdir().expect("a directory");
-    let mut first = vec![(0, 0, started())];
+    let mut first = vec![entry(0, started())];
     first.extend(seconds(0, 40));
-    first.push((25 * SECOND, 40 * SECOND, state("s-1", pb::State::Withdrawn)));
+    first.push(Entry {
+        delay_us: 15 * SECOND,
+        ..entry(25, state("s-1", pb::State::Withdrawn))
+    });
     write(&directory.path().join("n0"), "n0", first);
-    let mut second = vec![(60 * SECOND, 60 * SECOND, started())];
+    let mut second = vec![entry(60, started())];
     second.extend(seconds(60, 90));
     write(&directory.path().join("n0"), "n0", second);
     let other = vec![
-        (26 * SECOND, 26 * SECOND, state("s-2", pb::State::Reduced)),
-        (28 * SECOND, 28 * SECOND, state("s-2", pb::State::Full)),
+        entry(26, state("s-2", pb::State::Reduced)),
+        entry(28, state("s-2", pb::State::Full)),
     ];
     write(&directory.path().join("n1"), "n1", other);
     let window = Window {
@@ -135,19 +154,18 @@
 fn text_from_records_is_escaped_and_nothing_is_loaded() {
     let directory = tempfile::tempdir().expect("a directory");
     let evil = "<script>alert(1)</script>\"'&</svg>";
-    let kinds = vec![
-        (0, 0, started()),
-        (SECOND, SECOND, state(evil, pb::State::Withdrawn)),
-        (
-            2 * SECOND,
-            2 * SECOND,
+    let entries = vec![
+        entry(0, started()),
+        entry(1, state(evil, pb::State::Withdrawn)),
+        entry(
+            2,
             Kind::StreamLeft(pb::StreamLeft {
                 reason: evil.into(),
                 ..Default::default()
             }),
         ),
     ];
-    write(directory.path(), "<b>n0</b>", kinds);
+    write(directory.path(), "<b>n0</b>", entries);
     let page = report(
         &open(directory.path()),
         Window {
@@ -175,10 +193,10 @@
             ..Default::default()
         })
     };
-    let kinds = (0..30_000u32)
-        .map(|n| (i64::from(n) * SECOND, i64::from(n) * SECOND, joined(n)))
+    let entries = (0..30_000u32)
+        .map(|proxy| entry(proxy.into(), joined(proxy)))
         .collect();
-    write(directory.path(), "n0", kinds);
+    write(directory.path(), "n0", entries);
     let window = Window {
         from_us: 0,
         to_us: 30_000 * SECOND,
@@ -246,21 +264,20 @@
 }
 
 /// A start, a gauge each second, and the changes of the service level.
-fn service_level_records() -> Vec<(i64, i64, Kind)> {
-    let mut kinds = vec![(0, 0, started())];
+fn service_level_records() -> Vec<Entry> {
+    let mut entries = vec![entry(0, started())];
     for second in 0..80 {
-        let at_us = second * SECOND;
         if service_level(second) != service_level(second - 1) {
-            kinds.push((at_us, at_us, service_level_change(second)));
+            entries.push(entry(second, service_level_change(second)));
         }
         let gauge = pb::Gauge {
             service_level: Some(service_level(second).to_string()),
             levels: vec![1.0],
             ..pb::Gauge::default()
         };
-        kinds.push((at_us, at_us, Kind::Gauge(gauge)));
+        entries.push(entry(second, Kind::Gauge(gauge)));
     }
-    kinds
+    entries
 }
 
 /// Service levels are a chart with names, and each change is an event with its cause.
