--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -48,7 +48,7 @@
     pub cursor: Option<i64>,
     /// The moment of [`App::view`], in Unix microseconds.
     pub at_us: i64,
-    /// Index into [`SPANS_S`].
+    /// Index into `SPANS_S`.
     span_index: usize,
     /// Words that shown events contain.
     pub filter: String,
--- a/crates/textproto/src/lib.rs
+++ b/crates/textproto/src/lib.rs
@@ -1,6 +1,6 @@
 //! Protobuf text format with the position of each error: the format of the operators' file, scenarios and experiments.
 //!
-//! [`parse`] and [`write`] convert between text and messages of a schema. [`find_field`] and [`find_field_in_block`] give
+//! [`parse`] and [`write()`] convert between text and messages of a schema. [`find_field`] and [`find_field_in_block`] give
 //! the positions that checks of a parsed message report.
 
 mod codec;
