--- a/crates/operator-config/src/read.rs
+++ b/crates/operator-config/src/read.rs
@@ -69,7 +69,7 @@
 fn parse_schema(path: &Path, text: &str) -> Result<pb::Operator, ConfigError> {
     chutegrade_textproto::parse(SCHEMA, MESSAGE, text).map_err(|error| ConfigError {
         path: path.to_path_buf(),
-        position: error.place,
-        message: error.text,
+        position: error.position,
+        message: error.message,
     })
 }
