--- a/crates/supervisor/tests/incident.rs
+++ b/crates/supervisor/tests/incident.rs
@@ -22,7 +22,7 @@
         Deed::Drains { server } => Some(format!("{server} draining")),
         Deed::Removed { server } => Some(format!("{server} gone")),
         Deed::Started { server } => Some(format!("{server} started")),
-        Deed::Cut { zone, on: true } => Some(format!("zone {zone} cut off")),
+        Deed::Cut { zone, on: true } => Some(format!("zone {zone} partitioned")),
         Deed::Cut { zone, on: false } => Some(format!("zone {zone} reachable again")),
         Deed::Mute { on: true } => Some("discovery unavailable".to_string()),
         Deed::Mute { on: false } => Some("discovery available again".to_string()),
