--- a/crates/adapter/src/codec/encode_action.rs
+++ b/crates/adapter/src/codec/encode_action.rs
@@ -50,7 +50,7 @@
         Action::FetchEndpoints => Ok("list_all".to_string()),
         Action::SetTimer { id, delay } => Ok(set_timer(*id, *delay)),
         Action::SendToPeer { peer, data } => Ok(send_to_peer(*peer, data)),
-        Action::ForgetServer(_) | Action::Reconcile(_) => Err(CodecError::UnsendableAction(
+        Action::DropServerState(_) | Action::Reconcile(_) => Err(CodecError::UnsendableAction(
             format!("no line for {action:?}"),
         )),
         Action::Emit(event) => Ok(emit(event)),
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -204,9 +204,9 @@
 }
 
 /// Whether the wire has a line for an action. On the wire every server stays known, and proxies have no earlier
-/// suspensions: it needs neither [`Action::ForgetServer`] nor [`Action::Reconcile`].
+/// suspensions: it needs neither [`Action::DropServerState`] nor [`Action::Reconcile`].
 fn has_line(action: &Action) -> bool {
-    !matches!(action, Action::ForgetServer(_) | Action::Reconcile(_))
+    !matches!(action, Action::DropServerState(_) | Action::Reconcile(_))
 }
 
 fn write_action(action: &Action, reply: &mut String) {
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -78,7 +78,7 @@
             Action::FetchEndpoints => self.subscription.fetch = true,
             Action::SetTimer { id, delay } => self.set_timer(now, id, delay),
             Action::Emit(event) => self.emit(now, &event),
-            Action::ForgetServer(server) => {
+            Action::DropServerState(server) => {
                 self.forgotten_servers.insert(server);
             }
             // The protocol has no channel between instances, and the decisions do not request one.
--- a/crates/engine/src/engine/tests/forgotten_servers.rs
+++ b/crates/engine/src/engine/tests/forgotten_servers.rs
@@ -114,7 +114,7 @@
         server,
         suspended: true,
     };
-    let actions = vec![suspend, Action::ForgetServer(server)];
+    let actions = vec![suspend, Action::DropServerState(server)];
     engine.carry_out(Micros(20_000), actions);
     let order = engine.take_order(StreamId(1)).expect("an order");
     assert_eq!(texts(&order.suspended), ["s2"]);
--- a/crates/policy/src/decisions/suspension.rs
+++ b/crates/policy/src/decisions/suspension.rs
@@ -80,7 +80,7 @@
         .collect();
     for id in forgotten {
         registry.forget(id);
-        orders.push(Action::ForgetServer(id));
+        orders.push(Action::DropServerState(id));
     }
 }
 
--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -84,7 +84,7 @@
     /// suspensions of another instance. Its first table covers those servers only that this instance saw leave.
     Reconcile(ProxyId),
     /// A server left long ago and no table names it: its state can be dropped. It may be listed again, as a new one.
-    ForgetServer(ServerId),
+    DropServerState(ServerId),
     /// Reports a decision; nothing follows from it.
     Emit(DecisionEvent),
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -18,7 +18,7 @@
 pub use load_report::parse_load_report;
 pub use names::{names, DeploymentNames};
 pub use read::{from_json, from_text, retry_from_number};
-pub use timing::{connect_ms, tick_ms};
+pub use timing::{connect_timeout_ms, min_tick_interval_ms};
 pub use write::to_json;
 
 #[cfg(test)]
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -60,7 +60,7 @@
         machine_kinds: texts(&["m1", "m2"]),
     };
     assert_eq!(names(&example()), expected);
-    assert_eq!(tick_ms(&example()), 4.0);
+    assert_eq!(min_tick_interval_ms(&example()), 4.0);
 }
 
 /// Otherwise another build that is compared with this one would decide by other settings.
@@ -80,7 +80,10 @@
     assert!(!settings.health_checks_allowed);
     assert_eq!(settings.channel_backlog, NO_LIMIT);
     assert_eq!(names(&Value::Null), DeploymentNames::default());
-    assert_eq!(tick_ms(&serde_json::json!({"tickMs": -3})), 0.0);
+    assert_eq!(
+        min_tick_interval_ms(&serde_json::json!({"tickMs": -3})),
+        0.0
+    );
     assert!(from_text("[]").is_err() && from_text("").is_err());
 }
 
--- a/crates/settings/src/timing.rs
+++ b/crates/settings/src/timing.rs
@@ -3,12 +3,12 @@
 use serde_json::Value;
 
 /// The least time between two batches of events, in milliseconds; 0 if there is none.
-pub fn tick_ms(json: &Value) -> f64 {
+pub fn min_tick_interval_ms(json: &Value) -> f64 {
     positive_number(json, "/tickMs").unwrap_or(0.0)
 }
 
 /// The timeout for connecting to a server, in milliseconds, if the settings have one.
-pub fn connect_ms(json: &Value) -> Option<f64> {
+pub fn connect_timeout_ms(json: &Value) -> Option<f64> {
     positive_number(json, "/limits/connectTimeoutMs")
 }
 
--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -112,7 +112,7 @@
             parse_address(key, text.ok_or(ConfigError::Missing(key))?)
         };
         let settings = file.parse_settings()?;
-        let connect_timeout_ms = chutegrade_settings::connect_ms(&file.settings);
+        let connect_timeout_ms = chutegrade_settings::connect_timeout_ms(&file.settings);
         Ok(Config {
             name: variable("LB_NAME").or(file.name).unwrap_or_default(),
             listen: address("LB_LISTEN", file.listen)?,
@@ -122,7 +122,7 @@
             known: file.known.and_then(parse_known_list),
             settings,
             names: chutegrade_settings::names(&file.settings),
-            min_tick_interval_ms: chutegrade_settings::tick_ms(&file.settings),
+            min_tick_interval_ms: chutegrade_settings::min_tick_interval_ms(&file.settings),
             connect_timeout_ms: connect_timeout_ms.unwrap_or(DEFAULT_CONNECT_TIMEOUT_MS),
         })
     }
