--- a/crates/adapter/src/remote_policy.rs
+++ b/crates/adapter/src/remote_policy.rs
@@ -28,8 +28,8 @@
     InvalidReply(String),
 }
 
-/// The first error of all child processes that share it.
-pub type Faults = Arc<Mutex<Option<String>>>;
+/// The first error of the child processes that share this value; `None` while all of them work.
+pub type FirstError = Arc<Mutex<Option<String>>>;
 
 /// What a child process needs to start.
 pub struct RemotePolicyConfig<'a> {
@@ -45,20 +45,20 @@
 
 /// Starts a child process that speaks the wire on its standard input and output.
 ///
-/// One that does not start, or that fails later, returns no actions; the first error is stored in `faults`.
-pub fn spawn(config: &RemotePolicyConfig, faults: &Faults) -> Box<dyn DecisionPolicy> {
-    match RemotePolicy::spawn(config, Arc::clone(faults)) {
+/// One that does not start, or that fails later, returns no actions; the first error is stored in `first_error`.
+pub fn spawn(config: &RemotePolicyConfig, first_error: &FirstError) -> Box<dyn DecisionPolicy> {
+    match RemotePolicy::spawn(config, Arc::clone(first_error)) {
         Ok(policy) => Box::new(policy),
         Err(error) => {
-            store_first(faults, &error);
+            store_first_error(first_error, &error);
             Box::new(NoPolicy)
         }
     }
 }
 
-fn store_first(faults: &Faults, error: &RemoteError) {
-    if let Ok(mut first) = faults.lock() {
-        first.get_or_insert(error.to_string());
+fn store_first_error(first_error: &FirstError, error: &RemoteError) {
+    if let Ok(mut stored) = first_error.lock() {
+        stored.get_or_insert(error.to_string());
     }
 }
 
@@ -72,11 +72,11 @@
     list_number: u64,
     /// The line that starts the instance, until it is written.
     start_line: Option<String>,
-    faults: Faults,
+    first_error: FirstError,
 }
 
 impl RemotePolicy {
-    fn spawn(config: &RemotePolicyConfig, faults: Faults) -> Result<Self, RemoteError> {
+    fn spawn(config: &RemotePolicyConfig, first_error: FirstError) -> Result<Self, RemoteError> {
         let mut arguments = config.command.split_whitespace();
         let program = arguments.next().unwrap_or_default();
         let mut child = Command::new(program)
@@ -96,7 +96,7 @@
             batch_number: 0,
             list_number: 0,
             start_line: Some(format!("begin\tnonce64={seed}\tenv={settings}\n")),
-            faults,
+            first_error,
         })
     }
 
@@ -156,7 +156,7 @@
         match self.exchange(now, events) {
             Ok(actions) => actions,
             Err(error) => {
-                store_first(&self.faults, &error);
+                store_first_error(&self.first_error, &error);
                 Vec::new()
             }
         }
--- a/crates/adapter/tests/remote_policy.rs
+++ b/crates/adapter/tests/remote_policy.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use chutegrade_adapter::remote_policy::{spawn, Faults, RemotePolicyConfig};
+use chutegrade_adapter::remote_policy::{spawn, FirstError, RemotePolicyConfig};
 use chutegrade_engine::{DecisionPolicy, Settings};
 use chutegrade_model::{play, scenario, Setup};
 use chutegrade_settings::DeploymentNames;
@@ -13,10 +13,10 @@
     trouble { sort: REPLACE at_s: 5 length_s: 3 part: 0.2 size: 3 extra: 4 }";
 
 /// Decisions by a program that speaks the wire.
-fn remote_setup(command: &str, faults: &Faults) -> Setup {
+fn remote_setup(command: &str, first_error: &FirstError) -> Setup {
     let name = command.to_string();
     let command = command.to_string();
-    let faults = Arc::clone(faults);
+    let first_error = Arc::clone(first_error);
     let make = move |settings: &Settings, seed: u64| -> Box<dyn DecisionPolicy> {
         let names = DeploymentNames {
             zones: vec!["a".into(), "b".into()],
@@ -29,7 +29,7 @@
             names: &names,
             seed,
         };
-        spawn(&config, &faults)
+        spawn(&config, &first_error)
     };
     Setup {
         other: Some(chutegrade_model::Other {
@@ -43,29 +43,33 @@
 /// Otherwise a comparison of builds would judge the wire, not the decisions.
 #[test]
 fn the_same_build_over_the_wire_gives_the_same_figures_to_the_bit() {
-    let scenario = scenario::read(FLEET).unwrap_or_else(|faults| panic!("{faults:?}"));
-    let faults = Faults::default();
+    let scenario = scenario::read(FLEET).unwrap_or_else(|errors| panic!("{errors:?}"));
+    let first_error = FirstError::default();
     let direct = play(&scenario, &Setup::default(), 3);
     let over_the_wire = play(
         &scenario,
-        &remote_setup(env!("CARGO_BIN_EXE_chutegrade-adapter"), &faults),
+        &remote_setup(env!("CARGO_BIN_EXE_chutegrade-adapter"), &first_error),
         3,
     );
-    assert_eq!(faults.lock().expect("no panic").clone(), None);
+    assert_eq!(first_error.lock().expect("no panic").clone(), None);
     assert!(direct.figure("channel") > 0.0, "it orders");
     assert_eq!(direct, over_the_wire);
 }
 
 #[test]
 fn an_invalid_reply_and_an_early_exit_are_reported() {
-    let scenario = scenario::read(FLEET).unwrap_or_else(|faults| panic!("{faults:?}"));
+    let scenario = scenario::read(FLEET).unwrap_or_else(|errors| panic!("{errors:?}"));
     for (command, expected) in [
         ("/bin/cat", "the other build said"),
         ("/bin/true", "the other build: "),
     ] {
-        let faults = Faults::default();
-        play(&scenario, &remote_setup(command, &faults), 1);
-        let fault = faults.lock().expect("no panic").clone().unwrap_or_default();
-        assert!(fault.starts_with(expected), "{command}: {fault}");
+        let first_error = FirstError::default();
+        play(&scenario, &remote_setup(command, &first_error), 1);
+        let error = first_error
+            .lock()
+            .expect("no panic")
+            .clone()
+            .unwrap_or_default();
+        assert!(error.starts_with(expected), "{command}: {error}");
     }
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use chutegrade_adapter::remote_policy::{spawn, Faults, RemotePolicyConfig};
+use chutegrade_adapter::remote_policy::{spawn, FirstError, RemotePolicyConfig};
 use chutegrade_engine::{DecisionPolicy, Settings};
 
 use chutegrade_model::scenario::{changed, digest, parse, pb as model, Scenario};
@@ -37,7 +37,7 @@
     /// What decides, and by which rules.
     pub setup: Setup,
     change: model::Scenario,
-    faults: Faults,
+    faults: FirstError,
 }
 
 impl Variant {
@@ -169,7 +169,7 @@
             name: "as it is".into(),
             setup: Setup::default(),
             change: Default::default(),
-            faults: Faults::default(),
+            faults: FirstError::default(),
         });
     }
     for of in &written.sweep {
@@ -310,7 +310,7 @@
         .iter()
         .map(text)
         .collect::<Result<Vec<_>, String>>()?;
-    let faults = Faults::default();
+    let faults = FirstError::default();
     let other = of
         .sim
         .as_ref()
@@ -336,7 +336,7 @@
 }
 
 /// Another build by its command; its name holds a digest of the program, so that results of one are never taken for another's.
-fn other(command: &str, faults: &Faults) -> Result<Other, String> {
+fn other(command: &str, faults: &FirstError) -> Result<Other, String> {
     let program = command.split_whitespace().next().unwrap_or_default();
     let bytes = std::fs::read(program).map_err(|fault| format!("{program:?}: {fault}"))?;
     let name = format!("{command} {}", blake3::hash(&bytes).to_hex());
