--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -152,7 +152,7 @@
             None => Ok(()),
             Some(one) => {
                 let first = one
-                    .faults
+                    .diagnostics
                     .first()
                     .map(ToString::to_string)
                     .unwrap_or_default();
--- a/crates/plugin-advisor/src/advice.rs
+++ b/crates/plugin-advisor/src/advice.rs
@@ -12,7 +12,7 @@
     PluginAdvice {
         factors: weight_factors(advice, inputs),
         caps: class_caps(advice, inputs),
-        no_retry: class_names(&advice.never, inputs),
+        no_retry: class_names(&advice.no_retry, inputs),
         excluded: exclusions(advice, inputs, now),
         separate_tables: class_names(&advice.steered, inputs),
         expires_at: now + ADVICE_LIFETIME,
--- a/crates/plugin-advisor/src/advisor.rs
+++ b/crates/plugin-advisor/src/advisor.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use chutegrade_engine::{Engine, Micros, PluginAdvice, Report};
-use chutegrade_plugins::host::{Refused, Taken, Word};
+use chutegrade_plugins::host::{PluginEvent, PluginIdentity, RejectedPlugin};
 use chutegrade_plugins::Host;
 
 use crate::{advice_by_name, inputs_from_engine, EVALUATION_INTERVAL};
@@ -24,26 +24,29 @@
     /// # Errors
     ///
     /// The plug-ins that do not compile or cannot be loaded together with the others, with their diagnostics.
-    pub fn load(&mut self, texts: &[(String, String)]) -> Result<Vec<Taken>, Vec<Refused>> {
+    pub fn load(
+        &mut self,
+        texts: &[(String, String)],
+    ) -> Result<Vec<PluginIdentity>, Vec<RejectedPlugin>> {
         self.host.load(texts)
     }
 
     /// Evaluates all plug-ins if an interval has passed, reports their advice to the engine, and returns the messages that
     /// should be recorded, each with its plug-in's name.
-    pub fn evaluate(&mut self, now: Micros, engine: &mut Engine) -> Vec<(Arc<str>, Word)> {
+    pub fn evaluate(&mut self, now: Micros, engine: &mut Engine) -> Vec<(Arc<str>, PluginEvent)> {
         if now < self.next_evaluation || self.is_idle() {
             return Vec::new();
         }
         self.next_evaluation = now + EVALUATION_INTERVAL;
-        if self.host.rests() {
-            self.host.pass();
+        if self.host.all_suspended() {
+            self.host.skip_evaluation();
             self.report(no_advice(now), engine);
             return Vec::new();
         }
         let inputs = inputs_from_engine(engine);
-        let turn = self.host.turn(&inputs);
-        self.report(advice_by_name(&turn.advice, &inputs, now), engine);
-        turn.words
+        let evaluation = self.host.evaluate(&inputs);
+        self.report(advice_by_name(&evaluation.advice, &inputs, now), engine);
+        evaluation.events
     }
 
     fn is_idle(&self) -> bool {
--- a/crates/plugins/benches/machine.rs
+++ b/crates/plugins/benches/machine.rs
@@ -80,10 +80,10 @@
         .collect();
     let mut host = Host::default();
     host.load(&eight).expect("plug-ins");
-    let turn = host.turn(&inputs);
-    assert!(turn.words.is_empty(), "{:?}", turn.words);
+    let turn = host.evaluate(&inputs);
+    assert!(turn.events.is_empty(), "{:?}", turn.events);
     c.bench_function("turn of 320 servers, 3 classes, 8 plug-ins", |b| {
-        b.iter(|| host.turn(&inputs))
+        b.iter(|| host.evaluate(&inputs))
     });
     let hostile: Vec<(String, String)> = (0..8)
         .map(|n| {
@@ -99,7 +99,7 @@
                 host.load(&hostile).expect("plug-ins");
                 host
             },
-            |mut host| host.turn(&inputs),
+            |mut host| host.evaluate(&inputs),
             criterion::BatchSize::PerIteration,
         )
     });
--- a/crates/plugins/src/host.rs
+++ b/crates/plugins/src/host.rs
@@ -9,7 +9,7 @@
 use crate::compile::compile;
 use crate::diagnostics::Diagnostic;
 use crate::inputs::Inputs;
-use crate::machine::{Context, Machine, Memory, Stopped};
+use crate::machine::{Context, Fault, Machine, Memory};
 
 /// Plug-ins that may be loaded at once.
 pub const PLUGINS_MOST: usize = 32;
@@ -36,7 +36,7 @@
     /// The most of a class that is let in.
     pub caps: BTreeMap<u32, f64>,
     /// Classes that are not to be tried again.
-    pub never: Vec<u32>,
+    pub no_retry: Vec<u32>,
     /// Servers left out, with the reason and for how many seconds.
     pub excluded: BTreeMap<u32, (String, f64)>,
     /// Classes that are steered apart from the others.
@@ -45,30 +45,30 @@
 
 /// What came of one plug-in in a turn.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum PluginEvent {
     /// It noted something.
     Noted(String),
     /// It faulted; its advice of this turn is dropped.
-    Faulted(Stopped),
+    Faulted(Fault),
     /// It advises something that it did not advise in its last sound turn, and on which line.
-    Advises(String, u32),
+    AdviceStarted(String, u32),
     /// It does not advise that any more.
-    Ends(String),
+    AdviceEnded(String),
     /// It is left alone for so many turns.
-    Paused(u64),
+    Suspended(u64),
     /// Its advice differs from an earlier one's on the same thing; which of them holds.
-    Differs(String),
+    Conflicted(String),
 }
 
 /// What a turn gives.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Turn {
+pub struct Evaluation {
     /// The advice of all.
     pub advice: Advice,
     /// What is worth a record, by the plug-in's name.
-    pub words: Vec<(Arc<str>, Word)>,
+    pub events: Vec<(Arc<str>, PluginEvent)>,
     /// Operations that each plug-in took, one that faulted too.
-    pub spent: Vec<(Arc<str>, u64)>,
+    pub fuel_used: Vec<(Arc<str>, u64)>,
     /// Calls about the watched server, by plug-in, in words.
     pub traces: Vec<(Arc<str>, Vec<String>)>,
 }
@@ -98,21 +98,24 @@
 }
 
 /// The name, version and digest of a text that was taken.
-pub type Taken = (String, u32, [u8; 32]);
+pub type PluginIdentity = (String, u32, [u8; 32]);
 
 /// A text that is not taken, with all that is wrong with it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Refused {
+pub struct RejectedPlugin {
     /// The name under which it was given.
     pub name: String,
     /// What is wrong.
-    pub faults: Vec<Diagnostic>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 impl Host {
     /// Takes these texts in the place of those that are loaded, whole or not at all. What lives between calls goes on
     /// under the same plug-in's name, where its shape is the same.
-    pub fn load(&mut self, texts: &[(String, String)]) -> Result<Vec<Taken>, Vec<Refused>> {
+    pub fn load(
+        &mut self,
+        texts: &[(String, String)],
+    ) -> Result<Vec<PluginIdentity>, Vec<RejectedPlugin>> {
         let (mut loaded, mut refused) = (Vec::<Loaded>::new(), Vec::new());
         for (name, text) in texts {
             match compile(text) {
@@ -122,15 +125,15 @@
                         0..0,
                         format!("a plug-in named {:?} is loaded already", program.name),
                     );
-                    refused.push(Refused {
+                    refused.push(RejectedPlugin {
                         name: name.clone(),
-                        faults: vec![twice],
+                        diagnostics: vec![twice],
                     });
                 }
                 Ok(program) => loaded.push(self.carried(program)),
-                Err(faults) => refused.push(Refused {
+                Err(diagnostics) => refused.push(RejectedPlugin {
                     name: name.clone(),
-                    faults,
+                    diagnostics,
                 }),
             }
         }
@@ -143,9 +146,9 @@
                     texts.len()
                 ),
             );
-            refused.push(Refused {
+            refused.push(RejectedPlugin {
                 name: "all".to_string(),
-                faults: vec![many],
+                diagnostics: vec![many],
             });
         }
         if !refused.is_empty() {
@@ -199,24 +202,24 @@
     }
 
     /// From now on calls about this server leave a trace, operation by operation.
-    pub fn watch(&mut self, server: &str) {
+    pub fn trace_server(&mut self, server: &str) {
         self.watched = Some(server.to_string());
     }
 
     /// Whether the next turn asks nobody: all are left alone.
-    pub fn rests(&self) -> bool {
+    pub fn all_suspended(&self) -> bool {
         self.loaded.iter().all(|one| one.until > self.turn)
     }
 
     /// Lets a turn pass in which nobody is asked.
-    pub fn pass(&mut self) {
+    pub fn skip_evaluation(&mut self) {
         self.turn += 1;
     }
 
     /// Asks all plug-ins once.
-    pub fn turn(&mut self, inputs: &Inputs) -> Turn {
+    pub fn evaluate(&mut self, inputs: &Inputs) -> Evaluation {
         self.turn += 1;
-        let mut turn = Turn::default();
+        let mut turn = Evaluation::default();
         let place = |name: &String| {
             inputs
                 .servers
@@ -236,7 +239,7 @@
             let before = one.memory.clone();
             let mut spent = 0;
             let asked = ask(one, &mut self.machine, inputs, self.turn, &mut spent);
-            turn.spent.push((Arc::clone(&one.name), spent));
+            turn.fuel_used.push((Arc::clone(&one.name), spent));
             let traces = std::mem::take(&mut self.machine.traces);
             let told = traces
                 .iter()
@@ -248,10 +251,10 @@
                     if one.sound >= FORGIVEN_AFTER {
                         (one.faults, one.pause) = (0, PAUSE.0);
                     }
-                    turn.words.extend(
+                    turn.events.extend(
                         notes
                             .into_iter()
-                            .map(|note| (Arc::clone(&one.name), Word::Noted(note))),
+                            .map(|note| (Arc::clone(&one.name), PluginEvent::Noted(note))),
                     );
                     tell(&mut turn, one, said);
                     compose(&mut turn, &one.name, advice, inputs);
@@ -261,12 +264,12 @@
                     tell(&mut turn, one, Said::new());
                     one.sound = 0;
                     one.faults += 1;
-                    turn.words
-                        .push((Arc::clone(&one.name), Word::Faulted(stopped)));
+                    turn.events
+                        .push((Arc::clone(&one.name), PluginEvent::Faulted(stopped)));
                     if one.faults >= FAULTS_MOST {
                         one.until = self.turn + one.pause;
-                        turn.words
-                            .push((Arc::clone(&one.name), Word::Paused(one.pause)));
+                        turn.events
+                            .push((Arc::clone(&one.name), PluginEvent::Suspended(one.pause)));
                         one.pause = (one.pause * 2).min(PAUSE.1);
                         // After the pause a single fault is enough.
                         one.faults = FAULTS_MOST - 1;
@@ -279,20 +282,20 @@
 }
 
 /// Tells what is new in a plug-in's advice, and what has ended.
-fn tell(turn: &mut Turn, one: &mut Loaded, said: Said) {
+fn tell(turn: &mut Evaluation, one: &mut Loaded, said: Said) {
     let word = |word| (Arc::clone(&one.name), word);
     let new = said
         .iter()
         .filter(|(text, _)| !one.said.contains_key(*text));
-    turn.words.extend(
+    turn.events.extend(
         new.take(WORDS_MOST)
-            .map(|(text, line)| word(Word::Advises(text.clone(), *line))),
+            .map(|(text, line)| word(PluginEvent::AdviceStarted(text.clone(), *line))),
     );
     let ended = one.said.keys().filter(|text| !said.contains_key(*text));
-    turn.words.extend(
+    turn.events.extend(
         ended
             .take(WORDS_MOST)
-            .map(|text| word(Word::Ends(text.clone()))),
+            .map(|text| word(PluginEvent::AdviceEnded(text.clone()))),
     );
     one.said = said;
 }
@@ -304,7 +307,7 @@
     inputs: &Inputs,
     turn: u64,
     spent: &mut u64,
-) -> Result<(Advice, Vec<String>, Said), Stopped> {
+) -> Result<(Advice, Vec<String>, Said), Fault> {
     let Loaded {
         program, memory, ..
     } = one;
@@ -343,7 +346,7 @@
     inputs: &Inputs,
     (memory, fuel, turn): (&mut Memory, &mut u64, u64),
     (steered, groups, zones): (Vec<u32>, Vec<Option<u32>>, usize),
-) -> Result<(Advice, Vec<String>, Said), Stopped> {
+) -> Result<(Advice, Vec<String>, Said), Fault> {
     let mut context = Context::new(program, inputs, memory, fuel, turn);
     let (mut advice, mut said) = (Advice::default(), Said::new());
     if let Some(hook) = program.hooks.turn {
@@ -423,7 +426,7 @@
                     format!("{} is not tried again", class_name(inputs, class)),
                     machine.line,
                 );
-                advice.never.push(class);
+                advice.no_retry.push(class);
             }
         }
     }
@@ -499,7 +502,7 @@
 
 /// Adds one plug-in's advice to what those before it gave: factors multiply, the lower cap holds, whoever forbids a second
 /// try or leaves a server out is heard, and of two exclusions the longer one. Caps and exclusions that differ are told.
-fn compose(turn: &mut Turn, name: &Arc<str>, own: Advice, inputs: &Inputs) {
+fn compose(turn: &mut Evaluation, name: &Arc<str>, own: Advice, inputs: &Inputs) {
     let all = &mut turn.advice;
     for (of, factor) in own.factors {
         *all.factors.entry(of).or_insert(1.0) *= factor;
@@ -514,7 +517,8 @@
                 let words =
                     format!("the cap of {of} is {cap} here and {known} before: the lower holds");
                 *known = known.min(cap);
-                turn.words.push((Arc::clone(name), Word::Differs(words)));
+                turn.events
+                    .push((Arc::clone(name), PluginEvent::Conflicted(words)));
             }
             Some(_) => {}
             None => {
@@ -535,16 +539,17 @@
                 if seconds > *length {
                     (*known, *length) = (reason, seconds);
                 }
-                turn.words.push((Arc::clone(name), Word::Differs(words)));
+                turn.events
+                    .push((Arc::clone(name), PluginEvent::Conflicted(words)));
             }
             None => {
                 all.excluded.insert(server, (reason, seconds));
             }
         }
     }
-    all.never.extend(own.never);
-    all.never.sort_unstable();
-    all.never.dedup();
+    all.no_retry.extend(own.no_retry);
+    all.no_retry.sort_unstable();
+    all.no_retry.dedup();
     all.steered.extend(own.steered);
     all.steered.sort_unstable();
     all.steered.dedup();
--- a/crates/plugins/src/lib.rs
+++ b/crates/plugins/src/lib.rs
@@ -19,5 +19,5 @@
 pub use code::Program;
 pub use compile::compile;
 pub use diagnostics::Diagnostic;
-pub use host::{Advice, Host, Turn};
+pub use host::{Advice, Evaluation, Host};
 pub use inputs::Inputs;
--- a/crates/plugins/src/machine.rs
+++ b/crates/plugins/src/machine.rs
@@ -35,7 +35,7 @@
 /// A trap and where it was.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{trap} in {function}, line {line}")]
-pub struct Stopped {
+pub struct Fault {
     /// Why.
     pub trap: Trap,
     /// In which function.
@@ -439,7 +439,7 @@
     /// Operations beyond those.
     pub more: u64,
     /// How it ended.
-    pub answer: Option<Result<Value, Stopped>>,
+    pub answer: Option<Result<Value, Fault>>,
 }
 
 impl Trace {
@@ -530,7 +530,7 @@
         values: &[Value],
         context: &mut Context,
         fuel: u64,
-    ) -> Result<Value, Stopped> {
+    ) -> Result<Value, Fault> {
         self.stack.clear();
         self.locals.clear();
         self.loops.clear();
@@ -554,7 +554,7 @@
         };
         let ended = ran.map_err(|trap| {
             let stopped = program.functions.get(place.0);
-            Stopped {
+            Fault {
                 trap,
                 function: stopped
                     .map(|function| function.name.clone())
--- a/crates/plugins/tests/hostile.rs
+++ b/crates/plugins/tests/hostile.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use chutegrade_plugins::code::{Op, Program};
-use chutegrade_plugins::host::{Host, Word};
+use chutegrade_plugins::host::{Host, PluginEvent};
 use chutegrade_plugins::inputs::{Class, Fleet, Inputs, Server};
 use chutegrade_plugins::machine::{Context, Machine, Memory};
 use chutegrade_plugins::verify::verify;
-use chutegrade_plugins::{compile, Turn};
+use chutegrade_plugins::{compile, Evaluation};
 use corpus::{ADVISED, STOPPED};
 use proptest::prelude::*;
 
@@ -28,11 +28,11 @@
     corpus::text("h", body)
 }
 
-fn turn(text: &str) -> Turn {
+fn turn(text: &str) -> Evaluation {
     let mut host = Host::default();
     host.load(&[("h".to_string(), text.to_string())])
         .unwrap_or_else(|refused| panic!("{refused:?}"));
-    host.turn(&inputs())
+    host.evaluate(&inputs())
 }
 
 /// Texts that are refused.
@@ -146,10 +146,10 @@
         let turn = turn(&text(body));
         assert_eq!(turn.advice, Default::default(), "{body}");
         let stopped = turn
-            .words
+            .events
             .iter()
-            .any(|(_, word)| matches!(word, Word::Faulted(_)));
-        assert!(stopped, "{body}: {:?}", turn.words);
+            .any(|(_, word)| matches!(word, PluginEvent::Faulted(_)));
+        assert!(stopped, "{body}: {:?}", turn.events);
         assert!(begun.elapsed() < SOON, "{body}");
     }
 }
@@ -161,7 +161,7 @@
         host.load(&[("h".to_string(), text(body))])
             .expect("it compiles");
         for _ in 0..5 {
-            let advice = host.turn(&inputs()).advice;
+            let advice = host.evaluate(&inputs()).advice;
             assert!(
                 advice
                     .factors
@@ -177,7 +177,7 @@
                     .all(|(_, seconds)| (0.0..=3600.0).contains(seconds)),
                 "{body}"
             );
-            assert!(advice.never.is_empty(), "{body}");
+            assert!(advice.no_retry.is_empty(), "{body}");
         }
     }
 }
@@ -201,7 +201,7 @@
     host.load(&texts).expect("they compile");
     let begun = Instant::now();
     for _ in 0..10 {
-        let turn = host.turn(&inputs());
+        let turn = host.evaluate(&inputs());
         assert_eq!((turn.advice.caps.len(), turn.advice.factors.len()), (2, 0));
     }
     assert!(begun.elapsed() < SOON, "{:?}", begun.elapsed());
@@ -213,7 +213,7 @@
     let mut host = Host::default();
     host.load(&[("h".to_string(), text)]).expect("it compiles");
     let heard = (0..400)
-        .filter(|_| !host.turn(&inputs()).advice.caps.is_empty())
+        .filter(|_| !host.evaluate(&inputs()).advice.caps.is_empty())
         .count();
     assert_eq!(heard, 60);
 }
--- a/crates/plugins/tests/language.rs
+++ b/crates/plugins/tests/language.rs
@@ -1,6 +1,6 @@
 //! What texts mean, what is told of faults, and that the plug-ins of the repository do what they say.
 
-use chutegrade_plugins::host::{Host, Word};
+use chutegrade_plugins::host::{Host, PluginEvent};
 use chutegrade_plugins::inputs::{Class, Fleet, Inputs, Server};
 use chutegrade_plugins::{cases, compile};
 
@@ -54,11 +54,11 @@
          hook exclude(server) { if server.name == \"s-2\" { for n in range(0, 700) { } } }",
     );
     let (mut plain, mut watching) = (host(&[&text]), host(&[&text]));
-    watching.watch("s-2");
-    let (one, other) = (plain.turn(&inputs()), watching.turn(&inputs()));
+    watching.trace_server("s-2");
+    let (one, other) = (plain.evaluate(&inputs()), watching.evaluate(&inputs()));
     assert_eq!(
-        (&one.advice, &one.words, &one.spent),
-        (&other.advice, &other.words, &other.spent)
+        (&one.advice, &one.events, &one.fuel_used),
+        (&other.advice, &other.events, &other.fuel_used)
     );
     assert!(one.traces.is_empty());
     let told: Vec<&Vec<String>> = other.traces.iter().map(|(_, lines)| lines).collect();
@@ -82,8 +82,8 @@
         "{:?}",
         told[1].last()
     );
-    watching.watch("nobody");
-    assert!(watching.turn(&inputs()).traces.is_empty());
+    watching.trace_server("nobody");
+    assert!(watching.evaluate(&inputs()).traces.is_empty());
 }
 
 #[test]
@@ -210,7 +210,7 @@
 fn hooks_are_asked_and_their_advice_composed() {
     let first = "plugin \"one\" version 1 host 1\nhook factor(server, class, zone) { if server.zone == \"b\" { return 0.5 } return 1 }\nhook cap(class) { return 0.8 }";
     let second = "plugin \"two\" version 1 host 1\nsteers \"order\"\nhook factor(server, class, zone) { if class.name == \"order\" and zone == \"a\" { return 0.2 } return 1 }\nhook cap(class) { if class.name == \"order\" { return 0.3 } return 1 }\nhook retry(class) { return class.name != \"order\" }\nhook exclude(server) { if server.name == \"s-2\" { exclude(\"audit\", 60) } }";
-    let turn = host(&[first, second]).turn(&inputs());
+    let turn = host(&[first, second]).evaluate(&inputs());
     let factors: Vec<_> = turn
         .advice
         .factors
@@ -226,18 +226,17 @@
     assert_eq!(factors, wanted);
     assert_eq!((turn.advice.caps[&0], turn.advice.caps[&1]), (0.8, 0.3));
     assert_eq!(
-        (turn.advice.never.clone(), turn.advice.steered.clone()),
+        (turn.advice.no_retry.clone(), turn.advice.steered.clone()),
         (vec![1], vec![1])
     );
     assert_eq!(turn.advice.excluded[&1], ("audit".to_string(), 60.0));
-    let differs =
-        |word: &Word| matches!(word, Word::Differs(words) if words.contains("the cap of order"));
+    let differs = |word: &PluginEvent| matches!(word, PluginEvent::Conflicted(words) if words.contains("the cap of order"));
     assert!(
-        turn.words
+        turn.events
             .iter()
             .any(|(name, word)| &**name == "two" && differs(word)),
         "{:?}",
-        turn.words
+        turn.events
     );
 }
 
@@ -247,26 +246,29 @@
     let text = head("state n = 0\nhook turn() { n = n + 1 }\nhook cap(class) {\n    if n == 2 {\n        return 0.5\n    }\n    return 1\n}");
     let mut host = host(&[&text]);
     let mut words = || {
-        host.turn(&inputs())
-            .words
+        host.evaluate(&inputs())
+            .events
             .into_iter()
             .map(|(_, word)| word)
             .collect::<Vec<_>>()
     };
     assert_eq!(words(), []);
-    let told = |class: &str| Word::Advises(format!("{class} is capped at 50 %"), 6);
+    let told = |class: &str| PluginEvent::AdviceStarted(format!("{class} is capped at 50 %"), 6);
     assert_eq!(words(), [told("lookup"), told("order")]);
-    let ended = |class: &str| Word::Ends(format!("{class} is capped at 50 %"));
+    let ended = |class: &str| PluginEvent::AdviceEnded(format!("{class} is capped at 50 %"));
     assert_eq!(words(), [ended("lookup"), ended("order")]);
 }
 
 #[test]
 fn advice_never_favours() {
     let text = head("hook factor(server, class, zone) { return 50 }\nhook cap(class) { return 7 }\nhook retry(class) { return true }");
-    assert_eq!(host(&[&text]).turn(&inputs()).advice, Default::default());
+    assert_eq!(
+        host(&[&text]).evaluate(&inputs()).advice,
+        Default::default()
+    );
     let below =
         head("hook factor(server, class, zone) { return -3 }\nhook cap(class) { return -1 }");
-    let advice = host(&[&below]).turn(&inputs()).advice;
+    let advice = host(&[&below]).evaluate(&inputs()).advice;
     assert!(advice
         .factors
         .values()
@@ -282,12 +284,12 @@
     let mut host = host(&[&text]);
     let mut log = Vec::new();
     for turn in 1..=80 {
-        let given = host.turn(&inputs());
+        let given = host.evaluate(&inputs());
         let pauses: Vec<u64> = given
-            .words
+            .events
             .iter()
             .filter_map(|(_, word)| {
-                if let Word::Paused(n) = word {
+                if let PluginEvent::Suspended(n) = word {
                     Some(*n)
                 } else {
                     None
@@ -309,8 +311,8 @@
     let mut host = host(&[text]);
     let mut all = String::new();
     for _ in 0..3 {
-        for (_, word) in host.turn(&inputs()).words {
-            if let Word::Faulted(stopped) = word {
+        for (_, word) in host.evaluate(&inputs()).events {
+            if let PluginEvent::Faulted(stopped) = word {
                 all += &stopped.to_string();
             }
         }
@@ -324,7 +326,7 @@
         format!("plugin \"p\" version {version} host 1\nstate n = {state}\nstate m = mean(5)\nhook turn() {{ n = n + 1 }}\nhook cap(class) {{ return {cap} }}")
     };
     let mut host = host(&[&counts(1, "0", "0.9")]);
-    (0..3).for_each(|_| assert_eq!(host.turn(&inputs()).advice.caps[&0], 0.9));
+    (0..3).for_each(|_| assert_eq!(host.evaluate(&inputs()).advice.caps[&0], 0.9));
     let bad = [
         ("p".to_string(), counts(2, "0", "n +")),
         (
@@ -334,7 +336,7 @@
     ];
     assert_eq!(host.load(&bad).expect_err("one is wrong").len(), 1);
     assert_eq!(
-        (host.len(), host.turn(&inputs()).advice.caps[&0]),
+        (host.len(), host.evaluate(&inputs()).advice.caps[&0]),
         (1, 0.9),
         "the old one holds"
     );
@@ -342,7 +344,7 @@
     let told = host.load(&shares).expect("it is right");
     assert_eq!((told[0].0.as_str(), told[0].1), ("p", 3));
     assert_eq!(
-        host.turn(&inputs()).advice.caps[&0],
+        host.evaluate(&inputs()).advice.caps[&0],
         0.5,
         "it counted four turns before, and one now"
     );
@@ -351,7 +353,7 @@
         counts(4, "\"text\"", "0.1").replace("n = n + 1", "n = \"x\""),
     )];
     host.load(&other).expect("another shape begins anew");
-    assert_eq!(host.turn(&inputs()).advice.caps[&0], 0.1);
+    assert_eq!(host.evaluate(&inputs()).advice.caps[&0], 0.1);
 }
 
 #[test]
@@ -360,7 +362,9 @@
         head("state n = 0\nhook turn() { n = random() }\nhook cap(class) { return n * random() }");
     let play = || {
         let mut host = host(&[&text]);
-        (0..20).map(|_| host.turn(&inputs())).collect::<Vec<_>>()
+        (0..20)
+            .map(|_| host.evaluate(&inputs()))
+            .collect::<Vec<_>>()
     };
     let (one, two) = (play(), play());
     assert_eq!(one, two);
@@ -374,7 +378,7 @@
 fn means_fade_and_maps_hold() {
     let text = head("state m = mean(1)\nstate seen = map\nhook turn() { m = 8 for server in fleet.servers { seen[server.name] = seen[server.name] + 1 } }\nhook cap(class) { return seen[\"s-1\"] / 100 + len(seen) / 10 + m / 1000 }");
     let mut host = host(&[&text]);
-    host.turn(&inputs());
-    let cap = host.turn(&inputs()).advice.caps[&0];
+    host.evaluate(&inputs());
+    let cap = host.evaluate(&inputs()).advice.caps[&0];
     assert!((cap - (0.02 + 0.2 + 0.008)).abs() < 1e-9, "{cap}");
 }
--- a/crates/supervisor/src/commands/plugin/dry_run.rs
+++ b/crates/supervisor/src/commands/plugin/dry_run.rs
@@ -4,7 +4,7 @@
 
 use chutegrade_engine::{Micros, PluginAdvice};
 use chutegrade_plugin_advisor::{advice_by_name, inputs_from_records};
-use chutegrade_plugins::host::{Host, Refused, Turn, Word};
+use chutegrade_plugins::host::{Evaluation, Host, PluginEvent, RejectedPlugin};
 use chutegrade_plugins::Inputs;
 use chutegrade_records::index::Query;
 use chutegrade_records::replay::{Picture, LOOK_BACK_US};
@@ -34,7 +34,7 @@
         let fleet = fleet_at(&timeline, now_us);
         let inputs = inputs_from_records(&fleet, &zones(&fleet));
         check_traced_server(arguments.trace.as_deref(), &fleet, now_us)?;
-        let result = host.turn(&inputs);
+        let result = host.evaluate(&inputs);
         write_turn(now_us, &inputs, &result, output)?;
     }
     Ok(())
@@ -43,18 +43,18 @@
 fn load_host(arguments: &DryRunArguments) -> Result<Host, CommandError> {
     let mut host = Host::default();
     if let Some(server) = &arguments.trace {
-        host.watch(server);
+        host.trace_server(server);
     }
     host.load(&read_plugins(&arguments.files)?)
         .map_err(|refused| load_error(&refused))?;
     Ok(host)
 }
 
-fn load_error(refused: &[Refused]) -> CommandError {
+fn load_error(refused: &[RejectedPlugin]) -> CommandError {
     let Some(plugin) = refused.first() else {
         return CommandError::PluginsNotLoaded;
     };
-    let diagnostic = plugin.faults.first().map(ToString::to_string);
+    let diagnostic = plugin.diagnostics.first().map(ToString::to_string);
     CommandError::PluginRejected {
         file: plugin.name.clone(),
         diagnostic: diagnostic.unwrap_or_default(),
@@ -95,7 +95,7 @@
 fn write_turn(
     now_us: i64,
     inputs: &Inputs,
-    result: &Turn,
+    result: &Evaluation,
     output: &mut impl Write,
 ) -> std::io::Result<()> {
     let server_count = inputs.servers.len();
@@ -132,7 +132,7 @@
 
 fn write_exclusions(
     inputs: &Inputs,
-    result: &Turn,
+    result: &Evaluation,
     output: &mut impl Write,
 ) -> std::io::Result<()> {
     for (position, (reason, seconds)) in &result.advice.excluded {
@@ -144,33 +144,35 @@
     Ok(())
 }
 
-fn write_traces(result: &Turn, output: &mut impl Write) -> std::io::Result<()> {
+fn write_traces(result: &Evaluation, output: &mut impl Write) -> std::io::Result<()> {
     for (plugin, lines) in &result.traces {
         for line in lines {
             writeln!(output, "  {plugin} | {}", printable(line))?;
         }
     }
-    for (plugin, operations) in &result.spent {
+    for (plugin, operations) in &result.fuel_used {
         writeln!(output, "  {plugin} took {operations} operations")?;
     }
     Ok(())
 }
 
-fn write_messages(result: &Turn, output: &mut impl Write) -> std::io::Result<()> {
-    for (plugin, message) in &result.words {
+fn write_messages(result: &Evaluation, output: &mut impl Write) -> std::io::Result<()> {
+    for (plugin, message) in &result.events {
         let text = printable(&message_text(message));
         writeln!(output, "  {plugin} {text}")?;
     }
     Ok(())
 }
 
-fn message_text(message: &Word) -> String {
+fn message_text(message: &PluginEvent) -> String {
     match message {
-        Word::Advises(text, line) => format!("says from now on, by line {line}: {text}"),
-        Word::Ends(text) => format!("says no more: {text}"),
-        Word::Noted(text) => format!("notes: {text}"),
-        Word::Faulted(stopped) => format!("faulted: {stopped}"),
-        Word::Paused(turns) => format!("is left alone for {turns} turns"),
-        Word::Differs(text) => format!("differs: {text}"),
+        PluginEvent::AdviceStarted(text, line) => {
+            format!("says from now on, by line {line}: {text}")
+        }
+        PluginEvent::AdviceEnded(text) => format!("says no more: {text}"),
+        PluginEvent::Noted(text) => format!("notes: {text}"),
+        PluginEvent::Faulted(fault) => format!("faulted: {fault}"),
+        PluginEvent::Suspended(turns) => format!("is left alone for {turns} turns"),
+        PluginEvent::Conflicted(text) => format!("differs: {text}"),
     }
 }
--- a/crates/supervisor/src/server/plugins.rs
+++ b/crates/supervisor/src/server/plugins.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use chutegrade_plugin_advisor::PluginAdvisor;
-use chutegrade_plugins::host::{Refused, Word};
+use chutegrade_plugins::host::{PluginEvent, RejectedPlugin};
 use chutegrade_records::{pb, Kind};
 
 use crate::hexadecimal;
@@ -103,11 +103,11 @@
         });
     }
 
-    fn log_rejected(&self, rejected: Refused) {
-        for fault in &rejected.faults {
+    fn log_rejected(&self, rejected: RejectedPlugin) {
+        for fault in &rejected.diagnostics {
             tracing::error!(plugin = rejected.name, %fault, "plug-ins rejected, those that were loaded stay");
         }
-        let first_fault = rejected.faults.first();
+        let first_fault = rejected.diagnostics.first();
         self.record_load(LoadRecord {
             name: rejected.name,
             rejection: first_fault.map(ToString::to_string).unwrap_or_default(),
@@ -126,8 +126,8 @@
             }));
     }
 
-    fn record_event(&self, name: &str, event: Word) {
-        if let Word::Paused(turns) = event {
+    fn record_event(&self, name: &str, event: PluginEvent) {
+        if let PluginEvent::Suspended(turns) = event {
             tracing::warn!(plugin = %name, "{}", pause_text(turns));
         }
         let record = event_record(name.to_string(), event);
@@ -136,14 +136,14 @@
 }
 
 /// The record of an event, with its code and text.
-fn event_record(name: String, event: Word) -> pb::PluginSaid {
+fn event_record(name: String, event: PluginEvent) -> pb::PluginSaid {
     let (what, text) = match event {
-        Word::Noted(text) => ("note", text),
-        Word::Faulted(stopped) => ("fault", stopped.to_string()),
-        Word::Advises(text, line) => ("advises", format!("{text}, by line {line}")),
-        Word::Ends(text) => ("ends", text),
-        Word::Paused(turns) => ("paused", pause_text(turns)),
-        Word::Differs(text) => ("differs", text),
+        PluginEvent::Noted(text) => ("note", text),
+        PluginEvent::Faulted(fault) => ("fault", fault.to_string()),
+        PluginEvent::AdviceStarted(text, line) => ("advises", format!("{text}, by line {line}")),
+        PluginEvent::AdviceEnded(text) => ("ends", text),
+        PluginEvent::Suspended(turns) => ("paused", pause_text(turns)),
+        PluginEvent::Conflicted(text) => ("differs", text),
     };
     pb::PluginSaid {
         name,
