--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -12,7 +12,9 @@
 use chutegrade_engine::{Engine, Settings};
 use chutegrade_settings::DeploymentNames;
 
-use crate::protocol::endpoint_delivery::{decode_delivery_value, EndpointDelivery, KnownList};
+use crate::protocol::endpoint_delivery::{
+    decode_delivery_value, CachedEndpointList, EndpointDelivery,
+};
 use file::{parse_address, ConfigFile, MachineLimits};
 
 pub use error::ConfigError;
@@ -36,7 +38,7 @@
     /// Resource limits of the machine.
     pub limits: MachineLimits,
     /// The endpoint list as it was last delivered.
-    pub known: Option<KnownList>,
+    pub cached_endpoints: Option<CachedEndpointList>,
     /// The settings of the decisions.
     pub settings: Settings,
     /// The names that reports use.
@@ -119,7 +121,7 @@
             discovery: address("LB_DISCOVERY", file.discovery)?,
             seed: parse_seed(&file.seed),
             limits: file.limits,
-            known: file.known.and_then(parse_known_list),
+            cached_endpoints: file.known.and_then(parse_cached_endpoints),
             settings,
             names: chutegrade_settings::names(&file.settings),
             min_tick_interval_ms: chutegrade_settings::tick_ms(&file.settings),
@@ -129,14 +131,17 @@
 
     /// Warnings on inconsistent or incomplete settings, a sentence each, for the log at a start and for `check`.
     pub fn consistency_warnings(&self) -> Vec<String> {
-        let servers = self.known.as_ref().map_or(0, |list| list.endpoints.len());
+        let servers = self
+            .cached_endpoints
+            .as_ref()
+            .map_or(0, |list| list.endpoints.len());
         chutegrade_settings::consistency_warnings(&self.settings, servers)
     }
 }
 
 /// Reads the known list; an unreadable one counts as none, since discovery delivers the complete list then. A list with
 /// unreadable endpoints gets version 0, so that discovery delivers all changes since the first version.
-fn parse_known_list(json: serde_json::Value) -> Option<KnownList> {
+fn parse_cached_endpoints(json: serde_json::Value) -> Option<CachedEndpointList> {
     let EndpointDelivery {
         version,
         endpoints,
@@ -153,7 +158,7 @@
         tracing::warn!(unreadable, "endpoints of the known list can't be read");
     }
     let version = if unreadable > 0 { 0 } else { version };
-    Some(KnownList { version, endpoints })
+    Some(CachedEndpointList { version, endpoints })
 }
 
 /// Seeds are 16 hexadecimal digits; any other value is hashed, so that supervisors still have different seeds.
--- a/crates/supervisor/src/config/file.rs
+++ b/crates/supervisor/src/config/file.rs
@@ -9,7 +9,7 @@
 use crate::config::error::ConfigError;
 
 /// Limit of file descriptors if the file has none.
-const DEFAULT_DESCRIPTORS: usize = 1024;
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 
 /// The configuration file.
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -42,7 +42,7 @@
 impl Default for MachineLimits {
     fn default() -> Self {
         MachineLimits {
-            sockets: DEFAULT_DESCRIPTORS,
+            sockets: DEFAULT_MAX_DESCRIPTORS,
         }
     }
 }
--- a/crates/supervisor/src/config/source.rs
+++ b/crates/supervisor/src/config/source.rs
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub struct ConfigSource {
     path: String,
-    last_read: ConfigFile,
+    last_applied: ConfigFile,
     discovery: SocketAddr,
 }
 
@@ -27,7 +27,7 @@
     pub fn new(path: String, file: ConfigFile, discovery: SocketAddr) -> Self {
         ConfigSource {
             path,
-            last_read: file,
+            last_applied: file,
             discovery,
         }
     }
@@ -49,12 +49,12 @@
             .clone()
             .ok_or(ConfigError::Missing("LB_DISCOVERY"))?;
         let address = parse_address("LB_DISCOVERY", address_text)?;
-        if file.discovery != self.last_read.discovery {
+        if file.discovery != self.last_applied.discovery {
             self.discovery = address;
         }
         let restart_required_for = self.changes_that_require_a_restart(&file);
         // The other keys are compared with the start, so that each reload names all that still require a restart.
-        self.last_read.discovery = file.discovery;
+        self.last_applied.discovery = file.discovery;
         Ok(ReloadedConfig {
             discovery: self.discovery,
             restart_required_for,
@@ -62,7 +62,7 @@
     }
 
     fn changes_that_require_a_restart(&self, file: &ConfigFile) -> Vec<&'static str> {
-        let last = &self.last_read;
+        let last = &self.last_applied;
         let changes = [
             ("name", file.name != last.name),
             ("listen", file.listen != last.listen),
--- a/crates/supervisor/src/config/tests.rs
+++ b/crates/supervisor/src/config/tests.rs
@@ -28,9 +28,9 @@
         (4.0, 250.0)
     );
     assert_eq!(config.names.classes, ["lookup"]);
-    let known = config.known.expect("a known list");
-    assert_eq!(known.version, 41);
-    let Report::EndpointList(EndpointUpdateKind::CachedSnapshot, endpoints) = known.to_report()
+    let cached = config.cached_endpoints.expect("a cached endpoint list");
+    assert_eq!(cached.version, 41);
+    let Report::EndpointList(EndpointUpdateKind::CachedSnapshot, endpoints) = cached.to_report()
     else {
         panic!("no cached list")
     };
@@ -83,7 +83,7 @@
     let text = COMPLETE.replace("\"index\":41", "\"index\":\"x\"");
     assert!(read(text.as_bytes(), empty_environment)
         .expect("a configuration")
-        .known
+        .cached_endpoints
         .is_none());
 }
 
@@ -95,9 +95,9 @@
         "{\"name\":\"s-0\",\"status\":7},{\"name\":\"s-1\"",
     );
     let config = read(text.as_bytes(), empty_environment).expect("a configuration");
-    let known = config.known.expect("a known list");
-    assert_eq!(known.version, 0);
-    let Report::EndpointList(EndpointUpdateKind::CachedSnapshot, endpoints) = known.to_report()
+    let cached = config.cached_endpoints.expect("a cached endpoint list");
+    assert_eq!(cached.version, 0);
+    let Report::EndpointList(EndpointUpdateKind::CachedSnapshot, endpoints) = cached.to_report()
     else {
         panic!("no cached list")
     };
--- a/crates/supervisor/src/peers/collector_stream.rs
+++ b/crates/supervisor/src/peers/collector_stream.rs
@@ -93,7 +93,7 @@
                     Err(MalformedMessage::Unexpected(PeerKind::Collector))
                 }
             };
-            malformed.account(handled)?;
+            malformed.record_result(handled)?;
         }
     }
 }
--- a/crates/supervisor/src/peers/discovery.rs
+++ b/crates/supervisor/src/peers/discovery.rs
@@ -18,7 +18,7 @@
 use tokio_util::io::StreamReader;
 
 use crate::protocol::disconnect::DisconnectReason;
-use crate::protocol::endpoint_delivery::{decode_delivery, EndpointDelivery, KnownList};
+use crate::protocol::endpoint_delivery::{decode_delivery, CachedEndpointList, EndpointDelivery};
 use crate::protocol::http::{self, Destination};
 use crate::protocol::line_reader::LineReader;
 use crate::protocol::peer_kind::PeerKind;
@@ -70,7 +70,7 @@
     needs_snapshot: bool,
     /// Whether the last watch fell silent, so that the complete list is fetched once: with one silent watch after the other,
     /// changes would arrive later than the rules allow.
-    watch_was_silent: bool,
+    watch_timed_out: bool,
 }
 
 impl DiscoveryClient {
@@ -78,18 +78,18 @@
     pub fn new(
         context: DiscoveryContext,
         address: watch::Receiver<SocketAddr>,
-        known: Option<KnownList>,
+        cached: Option<CachedEndpointList>,
         is_on_request: bool,
     ) -> Self {
         DiscoveryClient {
             context,
             address,
             is_on_request,
-            cache: EndpointCache::new(known),
+            cache: EndpointCache::new(cached),
             backoff: MIN_BACKOFF,
             is_unavailable: false,
             needs_snapshot: false,
-            watch_was_silent: false,
+            watch_timed_out: false,
         }
     }
 
@@ -101,13 +101,13 @@
         loop {
             tokio::select! {
                 () = self.follow_subscription(&mut subscription) => {}
-                Ok(()) = address.changed() => self.handle_move(),
+                Ok(()) = address.changed() => self.handle_address_change(),
             }
         }
     }
 
     /// Resets the state that depends on the agent, as discovery has moved to another address.
-    fn handle_move(&mut self) {
+    fn handle_address_change(&mut self) {
         self.backoff = MIN_BACKOFF;
         self.needs_snapshot = true;
         self.is_unavailable = false;
@@ -119,18 +119,18 @@
         &mut self,
         subscription: &mut watch::Receiver<DiscoverySubscription>,
     ) {
-        let wanted = *subscription.borrow_and_update();
-        if !wanted.watch && !wanted.fetch {
+        let requested = *subscription.borrow_and_update();
+        if !requested.watch && !requested.fetch {
             let _ = subscription.changed().await;
             return;
         }
-        if wanted.fetch {
+        if requested.fetch {
             self.context.subscriptions.acknowledge_fetch();
         }
-        let Err(reason) = self.call(wanted, subscription).await else {
+        let Err(reason) = self.call(requested, subscription).await else {
             return;
         };
-        self.watch_was_silent = reason == DisconnectReason::IdleTimeout && !self.is_on_request;
+        self.watch_timed_out = reason == DisconnectReason::IdleTimeout && !self.is_on_request;
         self.mark_unavailable(reason);
         if self.is_on_request {
             // The engine decides when to retry.
@@ -147,15 +147,15 @@
     /// Makes the call that is due: a fetch, a fetch after a silent watch, or a watch.
     async fn call(
         &mut self,
-        wanted: DiscoverySubscription,
+        requested: DiscoverySubscription,
         subscription: &mut watch::Receiver<DiscoverySubscription>,
     ) -> Result<(), DisconnectReason> {
         // If the engine requests each call separately, a failed fetch is reported to it and not repeated here.
-        self.needs_snapshot |= wanted.fetch && !self.is_on_request;
-        let watch_was_silent = std::mem::take(&mut self.watch_was_silent);
-        if wanted.fetch || self.needs_snapshot {
+        self.needs_snapshot |= requested.fetch && !self.is_on_request;
+        let watch_timed_out = std::mem::take(&mut self.watch_timed_out);
+        if requested.fetch || self.needs_snapshot {
             self.fetch().await
-        } else if watch_was_silent {
+        } else if watch_timed_out {
             // A fetched list does not show that watches deliver changes: discovery stays marked as unavailable.
             self.fetch_list().await
         } else {
@@ -222,7 +222,7 @@
                 _ = subscription.changed() => return Ok(()),
             };
             if line.is_empty() {
-                self.cache.forget_version_if_restarted();
+                self.cache.clear_version_if_restarted();
             } else {
                 self.handle_delivery(&line)?;
             }
--- a/crates/supervisor/src/peers/discovery/endpoint_cache.rs
+++ b/crates/supervisor/src/peers/discovery/endpoint_cache.rs
@@ -5,7 +5,7 @@
 
 use chutegrade_engine::{EndpointUpdateKind, Lifecycle, NamedEndpoint, Report};
 
-use crate::protocol::endpoint_delivery::{EndpointDelivery, KnownList};
+use crate::protocol::endpoint_delivery::{CachedEndpointList, EndpointDelivery};
 
 /// If versions stay older than the known one for this long, the list has restarted its count: no agent lags by more.
 const STALE_TIMEOUT: Duration = Duration::from_secs(6);
@@ -34,9 +34,9 @@
 
 impl EndpointCache {
     /// A cache that starts from a known list, if there is one.
-    pub fn new(known: Option<KnownList>) -> Self {
-        let version = known.as_ref().map(|list| list.version);
-        let endpoints = known.map(|list| list.endpoints).unwrap_or_default();
+    pub fn new(cached: Option<CachedEndpointList>) -> Self {
+        let version = cached.as_ref().map(|list| list.version);
+        let endpoints = cached.map(|list| list.endpoints).unwrap_or_default();
         EndpointCache {
             version,
             endpoints: endpoints
@@ -62,25 +62,25 @@
     /// one at a new address, would report a draining server as in service.
     pub fn should_ignore(&mut self, delivery: &EndpointDelivery) -> bool {
         let version = delivery.version;
-        let Some(known) = self.version.filter(|known| version < *known) else {
+        let Some(known_version) = self.version.filter(|known| version < *known) else {
             self.stale_since = None;
             return false;
         };
         if self.stale_since.is_none() {
             tracing::warn!(
                 index = version,
-                known,
+                known = known_version,
                 "discovery is behind its earlier deliveries"
             );
             self.stale_since = Some(Instant::now());
         }
-        let has_restarted = self.forget_version_if_restarted();
+        let has_restarted = self.clear_version_if_restarted();
         !has_restarted || !delivery.is_snapshot
     }
 
     /// Forgets the version if discovery has been stale for `STALE_TIMEOUT`, since its count has restarted then; returns
     /// whether it has. The complete list is requested next: changes alone would lack those that were ignored as stale.
-    pub fn forget_version_if_restarted(&mut self) -> bool {
+    pub fn clear_version_if_restarted(&mut self) -> bool {
         let has_restarted = self
             .stale_since
             .is_some_and(|since| since.elapsed() >= STALE_TIMEOUT);
--- a/crates/supervisor/src/peers/health_check/connection_pool.rs
+++ b/crates/supervisor/src/peers/health_check/connection_pool.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Opens a connection; `dialled_at` becomes the time of the last attempt. The first failure in a row is logged.
+    /// Opens a connection; `attempted_at` becomes the time of the last attempt. The first failure in a row is logged.
     ///
     /// # Errors
     ///
@@ -111,9 +111,9 @@
         &self,
         address: SocketAddr,
         name: &str,
-        dialled_at: &mut Instant,
+        attempted_at: &mut Instant,
     ) -> Result<RequestSender, DisconnectReason> {
-        let connected = self.dial(address, name, dialled_at).await;
+        let connected = self.connect_with_retry(address, name, attempted_at).await;
         match &connected {
             Ok(_) => {
                 self.unreachable.borrow_mut().remove(&address);
@@ -125,15 +125,15 @@
 
     /// Opens a connection. While no descriptor is left, closes idle connections and retries until the connect timeout: where
     /// there are more servers than descriptors, some would never be checked otherwise.
-    async fn dial(
+    async fn connect_with_retry(
         &self,
         address: SocketAddr,
         name: &str,
-        dialled_at: &mut Instant,
+        attempted_at: &mut Instant,
     ) -> Result<RequestSender, DisconnectReason> {
         let started_at = Instant::now();
         loop {
-            *dialled_at = Instant::now();
+            *attempted_at = Instant::now();
             let destination = Destination {
                 peer_kind: PeerKind::Server,
                 peer_name: name.to_string(),
@@ -152,7 +152,7 @@
     /// Logs the first failure to connect to a server; forgets servers that are not dialled any more, as after a removal.
     fn record_unreachable(&self, address: SocketAddr, name: &str, reason: DisconnectReason) {
         let mut unreachable = self.unreachable.borrow_mut();
-        unreachable.retain(|_, dialled_at| dialled_at.elapsed() < UNREACHABLE_RETENTION);
+        unreachable.retain(|_, attempted_at| attempted_at.elapsed() < UNREACHABLE_RETENTION);
         let is_first_failure = unreachable.insert(address, Instant::now()).is_none();
         if is_first_failure {
             tracing::info!(server = name, %reason, "server refuses connections");
--- a/crates/supervisor/src/peers/health_check/connection_pool/tests.rs
+++ b/crates/supervisor/src/peers/health_check/connection_pool/tests.rs
@@ -5,7 +5,7 @@
 
 /// Over months of replaced servers, the addresses of those that are gone must not add up.
 #[test]
-fn servers_that_are_gone_are_forgotten() {
+fn servers_that_are_not_checked_any_more_are_removed() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/supervisor/src/peers/health_check/tests.rs
+++ b/crates/supervisor/src/peers/health_check/tests.rs
@@ -70,7 +70,7 @@
 
 /// A connection closed between two health checks must not be held against a healthy server.
 #[test]
-fn an_idle_connection_that_closes_is_no_failure() {
+fn an_idle_connection_that_closes_does_not_fail_the_check() {
     let load = LoadReport {
         queued: Some(3.0),
         ..LoadReport::default()
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn answers_become_outcomes() {
+fn answers_are_mapped_to_outcomes() {
     let outcome_of = |answers: &'static [&'static str]| results(answers, 1)[0].0;
     assert_eq!(
         outcome_of(&["HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n"]),
@@ -109,7 +109,7 @@
 }
 
 /// The outcome of a check whose answer breaks off after so many bytes, on a connection of its own.
-fn outcome_of_an_answer_cut_after(bytes: usize) -> HealthCheckOutcome {
+fn outcome_of_an_answer_truncated_after(bytes: usize) -> HealthCheckOutcome {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -127,9 +127,9 @@
 
 /// A server that dies within its answer must not pass for a healthy one.
 #[test]
-fn an_answer_truncated_at_any_point_does_not_pass() {
+fn a_truncated_answer_never_passes() {
     for bytes in 0..GOOD_ANSWER.len() {
-        let outcome = outcome_of_an_answer_cut_after(bytes);
+        let outcome = outcome_of_an_answer_truncated_after(bytes);
         assert!(
             matches!(
                 outcome,
@@ -139,7 +139,7 @@
         );
     }
     assert_eq!(
-        outcome_of_an_answer_cut_after(GOOD_ANSWER.len()),
+        outcome_of_an_answer_truncated_after(GOOD_ANSWER.len()),
         HealthCheckOutcome::Passed
     );
 }
@@ -265,7 +265,7 @@
 
 /// The engine of so many servers without a valid address and one joined proxy, and the health checks that its first tick
 /// orders.
-fn ordered_checks(servers: usize) -> (EngineHandle, Vec<HealthCheck>) {
+fn engine_with_due_checks(servers: usize) -> (EngineHandle, Vec<HealthCheck>) {
     let settings = json!({"classes": [{"name": "lookup", "aimMs": 600}], "zones": ["a"],
         "limits": {"probes": true}, "familyInfo": {"proxies": 1, "backlog": 9000, "linesPerS": 6000}});
     let settings = chutegrade_settings::from_json(&settings).expect("settings");
@@ -321,8 +321,8 @@
 
 /// Health checks sent at once wait for each other in this process, and a fast fleet would pass for a saturated one.
 #[test]
-fn the_checks_of_a_tick_are_spread_over_the_time_they_are_given() {
-    let (engine, checks) = ordered_checks(100);
+fn the_checks_of_a_tick_are_spread_over_the_given_time() {
+    let (engine, checks) = engine_with_due_checks(100);
     tokio::task::LocalSet::new().block_on(&paused_runtime(), async {
         let checker = checker_for(engine.clone(), Shutdown::new());
         checker.schedule(checks, Duration::from_millis(200));
@@ -344,7 +344,7 @@
 /// A health check sent after SIGTERM would cost its server work for nothing.
 #[test]
 fn pending_checks_are_not_sent_once_the_supervisor_stops() {
-    let (engine, mut checks) = ordered_checks(100);
+    let (engine, mut checks) = engine_with_due_checks(100);
     tokio::task::LocalSet::new().block_on(&paused_runtime(), async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener
@@ -360,11 +360,11 @@
         shutdown.request();
         advance(Duration::from_millis(300)).await;
         assert_eq!(checker.pending.get(), 0, "none waits any more");
-        let dialled = listener.accept().map_err(|error| error.kind());
+        let accepted = listener.accept().map_err(|error| error.kind());
         assert_eq!(
-            dialled.err(),
+            accepted.err(),
             Some(std::io::ErrorKind::WouldBlock),
-            "nobody dialled"
+            "no connection was opened"
         );
     });
 }
--- a/crates/supervisor/src/peers/malformed_counter.rs
+++ b/crates/supervisor/src/peers/malformed_counter.rs
@@ -24,7 +24,10 @@
     /// # Errors
     ///
     /// Once too many messages in a row were malformed.
-    pub fn account(&mut self, handled: Result<(), MalformedMessage>) -> Result<(), Disconnect> {
+    pub fn record_result(
+        &mut self,
+        handled: Result<(), MalformedMessage>,
+    ) -> Result<(), Disconnect> {
         let Err(malformed) = handled else {
             self.budget.restore();
             return Ok(());
--- a/crates/supervisor/src/peers/proxy_stream.rs
+++ b/crates/supervisor/src/peers/proxy_stream.rs
@@ -85,9 +85,9 @@
             request_rate: hello.request_rate,
             has_no_table: hello.has_no_table,
         };
-        if let Err(refused) = context.engine.try_report(opened) {
+        if let Err(rejected) = context.engine.try_report(opened) {
             context.streams.close(id);
-            return Err(DisconnectReason::UnknownPeer.with_detail(refused));
+            return Err(DisconnectReason::UnknownPeer.with_detail(rejected));
         }
         if let Some(older) = older {
             context.streams.notify_replaced(older);
@@ -163,7 +163,7 @@
                 self.check_acknowledgement(now)?;
             }
             let handled = self.handle_message(received?);
-            malformed.account(handled)?;
+            malformed.record_result(handled)?;
         }
     }
 
--- a/crates/supervisor/src/peers/proxy_stream/liveness.rs
+++ b/crates/supervisor/src/peers/proxy_stream/liveness.rs
@@ -24,7 +24,7 @@
     idle_timeout: Micros,
     opened_at: Micros,
     demand: Cell<Option<DemandReports>>,
-    unacknowledged: Cell<Option<Unacknowledged>>,
+    unacknowledged: Cell<Option<UnacknowledgedOrders>>,
 }
 
 /// The demand reports that have arrived on a stream.
@@ -32,12 +32,12 @@
 struct DemandReports {
     last_at: Micros,
     /// The longest time without one, up to the last one.
-    longest_pause: Micros,
+    longest_interval: Micros,
 }
 
 /// Orders that were written and are not acknowledged.
 #[derive(Clone, Copy)]
-struct Unacknowledged {
+struct UnacknowledgedOrders {
     newest_sequence: u16,
     waiting_since: Micros,
 }
@@ -57,11 +57,11 @@
     pub fn record_demand(&self, now: Micros) {
         let previous = self.demand.get().unwrap_or(DemandReports {
             last_at: self.opened_at,
-            longest_pause: Micros(0),
+            longest_interval: Micros(0),
         });
         self.demand.set(Some(DemandReports {
             last_at: now,
-            longest_pause: previous.longest_pause.max(now - previous.last_at),
+            longest_interval: previous.longest_interval.max(now - previous.last_at),
         }));
     }
 
@@ -71,8 +71,8 @@
         let Some(demand) = self.demand.get() else {
             return false;
         };
-        let many_pauses = Micros(demand.longest_pause.0 * i64::from(IDLE_TIMEOUT_PERIODS));
-        now - demand.last_at >= self.idle_timeout.max(many_pauses)
+        let interval_timeout = Micros(demand.longest_interval.0 * i64::from(IDLE_TIMEOUT_PERIODS));
+        now - demand.last_at >= self.idle_timeout.max(interval_timeout)
     }
 
     /// Records that an order with this sequence number was written.
@@ -81,7 +81,7 @@
             Some(earlier) => earlier.waiting_since,
             None => now,
         };
-        self.unacknowledged.set(Some(Unacknowledged {
+        self.unacknowledged.set(Some(UnacknowledgedOrders {
             newest_sequence: sequence,
             waiting_since,
         }));
@@ -92,7 +92,7 @@
         let Some(awaited) = self.unacknowledged.get() else {
             return;
         };
-        let remaining = Unacknowledged {
+        let remaining = UnacknowledgedOrders {
             newest_sequence: awaited.newest_sequence,
             waiting_since: now,
         };
--- a/crates/supervisor/src/protocol/decode.rs
+++ b/crates/supervisor/src/protocol/decode.rs
@@ -57,7 +57,7 @@
     let kind = line.split(' ').next().unwrap_or_default();
     let is_kind = !kind.is_empty() && kind.bytes().all(|byte| byte.is_ascii_lowercase());
     if !is_kind {
-        return Err(MalformedMessage::NoMessage);
+        return Err(MalformedMessage::NotAMessage);
     }
     let decoded = match kind {
         "probe" => Ok(Message::Probe),
--- a/crates/supervisor/src/protocol/decode/tests.rs
+++ b/crates/supervisor/src/protocol/decode/tests.rs
@@ -91,7 +91,7 @@
     ] {
         assert_eq!(
             decode_message(line),
-            Err(MalformedMessage::NoMessage),
+            Err(MalformedMessage::NotAMessage),
             "{line:?}"
         );
     }
@@ -102,7 +102,7 @@
 
     /// Whatever bytes arrive in place of a message, the decoder answers, and no number is out of range.
     #[test]
-    fn mangled_messages_never_panic_the_decoder(
+    fn corrupted_messages_never_panic_the_decoder(
         kind in 0..5usize,
         at in 0..80usize,
         with in proptest::collection::vec(any::<char>(), 0..6),
--- a/crates/supervisor/src/protocol/endpoint_delivery.rs
+++ b/crates/supervisor/src/protocol/endpoint_delivery.rs
@@ -33,14 +33,14 @@
 
 /// The endpoint list as it was last delivered to an earlier run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KnownList {
+pub struct CachedEndpointList {
     /// The list's version.
     pub version: u64,
     /// Its endpoints.
     pub endpoints: Vec<NamedEndpoint>,
 }
 
-impl KnownList {
+impl CachedEndpointList {
     /// The report of the list to the engine.
     pub fn to_report(&self) -> Report {
         Report::EndpointList(EndpointUpdateKind::CachedSnapshot, self.endpoints.clone())
--- a/crates/supervisor/src/protocol/endpoint_delivery/tests.rs
+++ b/crates/supervisor/src/protocol/endpoint_delivery/tests.rs
@@ -75,7 +75,7 @@
 
 /// A list that contradicts itself must not admit a draining server, whatever the order in which it is read.
 #[test]
-fn the_last_of_duplicate_endpoints_counts() {
+fn the_last_of_duplicate_endpoints_is_used() {
     let text = r#"{"index":2,"snapshot":true,"endpoints":[
         {"name":"s-1","status":"up","zone":"b"},{"name":"s-2","status":"up"},{"name":"s-1","status":"draining","zone":"a"}]}"#;
     let delivery = decode_delivery(text).expect("a delivery");
@@ -96,7 +96,7 @@
 
     /// A delivery cut or overwritten anywhere is decoded in part or rejected; it never holds a name that can't be encoded.
     #[test]
-    fn mangled_deliveries_never_panic_the_decoder(at in 0..400usize, with in proptest::collection::vec(any::<char>(), 0..6)) {
+    fn corrupted_deliveries_never_panic_the_decoder(at in 0..400usize, with in proptest::collection::vec(any::<char>(), 0..6)) {
         let mut chars: Vec<char> = DELIVERY.chars().collect();
         let at = at.min(chars.len());
         chars.splice(at..(at + with.len() / 2).min(chars.len()), with);
--- a/crates/supervisor/src/protocol/http/tests.rs
+++ b/crates/supervisor/src/protocol/http/tests.rs
@@ -2,7 +2,7 @@
 
 /// A supervisor that has run out of descriptors must not take all its servers for dead.
 #[test]
-fn a_local_shortage_is_not_held_against_the_peer() {
+fn a_local_resource_shortage_does_not_count_as_a_failure_of_the_peer() {
     assert_eq!(
         connect_failure(ErrorKind::ConnectionRefused),
         DisconnectReason::Refused
--- a/crates/supervisor/src/protocol/malformed.rs
+++ b/crates/supervisor/src/protocol/malformed.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::peer_kind::PeerKind;
 
-/// Why a message could not be read. Only [`MalformedMessage::NoMessage`] means that what follows can't be trusted either.
+/// Why a message could not be read. Only [`MalformedMessage::NotAMessage`] means that what follows can't be trusted either.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedMessage {
     /// A field that the message needs is absent.
@@ -26,7 +26,7 @@
     Unexpected(PeerKind),
     /// The kind has characters that no kind has.
     #[error("no message")]
-    NoMessage,
+    NotAMessage,
     /// An endpoint list is no JSON of its form.
     #[error("malformed endpoint list: {0}")]
     EndpointList(String),
--- a/crates/supervisor/src/server/startup.rs
+++ b/crates/supervisor/src/server/startup.rs
@@ -1,4 +1,4 @@
-//! The start: reads the configuration, wires the parts, and runs them until SIGTERM.
+//! The start: reads the configuration, wires the components, and runs them until SIGTERM.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -24,7 +24,7 @@
 use crate::server::plugins::Plugins;
 use crate::server::shutdown::shut_down;
 use crate::server::signals::Signals;
-use crate::server::tasks::ServerParts;
+use crate::server::tasks::ServerComponents;
 use crate::shared::clock::Clock;
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::event_recorder::EventRecorder;
@@ -93,7 +93,7 @@
     }
 }
 
-/// Wires the parts, and runs them until SIGTERM or until one of them fails.
+/// Wires the components, and runs them until SIGTERM or until one of them fails.
 async fn serve(
     configuration: LoadedConfig,
     operator: &OperatorFile<'_>,
@@ -108,9 +108,9 @@
     let listen = listener.local_addr().map_err(ServerError::LocalAddress)?;
     let name = config.name.clone();
     let discovery = config.discovery;
-    let parts = prepare(config, operator, listen)?;
-    let handles = parts.handles.clone();
-    let tasks = parts.spawn(listener, source, hangup);
+    let components = build_components(config, operator, listen)?;
+    let handles = components.handles.clone();
+    let tasks = components.spawn(listener, source, hangup);
     tracing::info!(name, %listen, %discovery, "started");
     let abort_handles = tasks.abort_handles();
     tasks.run_until(&mut terminate).await?;
@@ -123,12 +123,12 @@
     Ok(())
 }
 
-/// Creates the parts, and reports the known endpoint list to the engine.
-fn prepare(
+/// Creates the components, and reports the known endpoint list to the engine.
+fn build_components(
     config: Config,
     operator: &OperatorFile<'_>,
     listen: SocketAddr,
-) -> Result<ServerParts, ServerError> {
+) -> Result<ServerComponents, ServerError> {
     warn_of_inconsistencies(&config);
     let parameters = ServerParameters::from(&config);
     let engine = EngineHandle::new(Engine::new(config.settings, config.seed, config.names));
@@ -143,19 +143,19 @@
         parameters.report_period,
     );
     record_start(&handles, listen);
-    if let Some(known) = &config.known {
-        handles.engine.report(known.to_report());
+    if let Some(cached) = &config.cached_endpoints {
+        handles.engine.report(cached.to_report());
     }
     let plugin_files = operator.config.plugins.clone();
     let plugins = Rc::new(Plugins::new(handles.plugin_context(), plugin_files));
     plugins.load();
-    Ok(ServerParts {
+    Ok(ServerComponents {
         handles,
         parameters,
         overload,
         plugins,
         discovery: config.discovery,
-        known: config.known,
+        cached_endpoints: config.cached_endpoints,
     })
 }
 
--- a/crates/supervisor/src/server/tasks.rs
+++ b/crates/supervisor/src/server/tasks.rs
@@ -12,7 +12,7 @@
 use crate::peers::discovery::DiscoveryClient;
 use crate::peers::health_check::HealthChecker;
 use crate::peers::listener::ConnectionHandler;
-use crate::protocol::endpoint_delivery::KnownList;
+use crate::protocol::endpoint_delivery::CachedEndpointList;
 use crate::server::errors::TaskStopped;
 use crate::server::handles::SharedHandles;
 use crate::server::overload_control::OverloadControl;
@@ -22,7 +22,7 @@
 use crate::server::tick_loop::TickLoop;
 
 /// The parts that the tasks are built from.
-pub struct ServerParts {
+pub struct ServerComponents {
     /// The handles that they share.
     pub handles: SharedHandles,
     /// Their configured parameters.
@@ -34,10 +34,10 @@
     /// The address of discovery.
     pub discovery: SocketAddr,
     /// The endpoint list as it was last delivered.
-    pub known: Option<KnownList>,
+    pub cached_endpoints: Option<CachedEndpointList>,
 }
 
-impl ServerParts {
+impl ServerComponents {
     /// Spawns the tasks; `hangup` is the signal to reload `source`. The tick loop is spawned first, so that the engine has
     /// ticked with the known list before the first connection is accepted.
     pub fn spawn(self, listener: TcpListener, source: ConfigSource, hangup: Signal) -> ServerTasks {
@@ -71,7 +71,7 @@
         let discovery_client = DiscoveryClient::new(
             handles.discovery_context(),
             discovery_receiver,
-            self.known,
+            self.cached_endpoints,
             parameters.endpoints_on_request,
         );
         let connection_handler = Rc::new(ConnectionHandler::new(
--- a/crates/supervisor/src/shared/engine_handle.rs
+++ b/crates/supervisor/src/shared/engine_handle.rs
@@ -51,8 +51,8 @@
 
     /// Hands a report to the engine for the next tick; one that the engine refuses is dropped and counted.
     pub fn report(&self, report: Report) {
-        if let Err(refused) = self.try_report(report) {
-            self.count_dropped(refused);
+        if let Err(rejected) = self.try_report(report) {
+            self.count_dropped(rejected);
         }
     }
 
--- a/crates/supervisor/src/shared/event_recorder.rs
+++ b/crates/supervisor/src/shared/event_recorder.rs
@@ -120,8 +120,8 @@
 
 /// Replaces a character that is not plain in a directory name.
 fn directory_character(character: char) -> char {
-    let is_plain = character.is_ascii_alphanumeric() || matches!(character, '-' | '_' | '.');
-    if is_plain {
+    let is_allowed = character.is_ascii_alphanumeric() || matches!(character, '-' | '_' | '.');
+    if is_allowed {
         character
     } else {
         '_'
--- a/crates/supervisor/src/shared/event_recorder/tests.rs
+++ b/crates/supervisor/src/shared/event_recorder/tests.rs
@@ -2,7 +2,7 @@
 
 /// A name from the environment must not direct records elsewhere.
 #[test]
-fn a_directory_name_leads_nowhere_else() {
+fn a_directory_name_cannot_leave_the_records_directory() {
     let named: Vec<String> = ["n3", "../../etc", "a/b c", "..", "", "é"]
         .map(directory_name)
         .into();
--- a/crates/supervisor/src/shared/subscription_channel.rs
+++ b/crates/supervisor/src/shared/subscription_channel.rs
@@ -3,20 +3,20 @@
 use chutegrade_engine::DiscoverySubscription;
 use tokio::sync::watch;
 
-/// The subscription that is wanted now; a requested fetch stays until it is acknowledged.
+/// The subscription that is requested now; a requested fetch stays until it is acknowledged.
 #[derive(Debug, Default)]
 pub struct SubscriptionChannel {
-    wanted: watch::Sender<DiscoverySubscription>,
+    requested: watch::Sender<DiscoverySubscription>,
 }
 
 impl SubscriptionChannel {
-    /// Sets the subscription that is wanted from now on. Receivers are notified of a fetch and of a change of the watch.
+    /// Sets the subscription that is requested from now on. Receivers are notified of a fetch and of a change of the watch.
     pub fn request(&self, subscription: DiscoverySubscription) {
-        self.wanted.send_if_modified(|wanted| {
-            let modified = subscription.fetch || subscription.watch != wanted.watch;
-            *wanted = DiscoverySubscription {
+        self.requested.send_if_modified(|requested| {
+            let modified = subscription.fetch || subscription.watch != requested.watch;
+            *requested = DiscoverySubscription {
                 watch: subscription.watch,
-                fetch: wanted.fetch || subscription.fetch,
+                fetch: requested.fetch || subscription.fetch,
             };
             modified
         });
@@ -24,14 +24,14 @@
 
     /// The requested fetch is being carried out: forgets it without notifying receivers.
     pub fn acknowledge_fetch(&self) {
-        self.wanted.send_if_modified(|wanted| {
-            wanted.fetch = false;
+        self.requested.send_if_modified(|requested| {
+            requested.fetch = false;
             false
         });
     }
 
     /// A receiver that is notified of requests.
     pub fn subscribe(&self) -> watch::Receiver<DiscoverySubscription> {
-        self.wanted.subscribe()
+        self.requested.subscribe()
     }
 }
