--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration: the environment and the configuration file, at the start and when the file is replaced.
+//! The configuration, read from the environment and the configuration file at startup, and from the file at a reload.
 //!
-//! At the start the environment takes precedence over the file. The environment of a running process never changes, so at a
-//! reload the values that changed in the file take precedence, and the others stay as they are.
+//! At startup the environment takes precedence over the file. The environment of a running process never changes, so at a
+//! reload the values that changed in the file take precedence, and all others keep their current values.
 
 mod error;
 mod file;
@@ -20,45 +20,44 @@
 pub use error::ConfigError;
 pub use source::{ConfigSource, ReloadedConfig};
 
-/// How long opening a connection to a server may take if the settings have no timeout, in milliseconds: far beyond any
-/// network delay.
+/// Timeout for opening a connection to a server if the settings have none, in milliseconds: far beyond any network delay.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1000.0;
 
 /// The configuration of a supervisor.
 #[derive(Debug)]
 pub struct Config {
-    /// The supervisor's name.
+    /// Name of this supervisor in logs and records; empty if it is not set.
     pub name: String,
-    /// Where to listen.
+    /// Address at which proxies and collectors connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The seed of random numbers.
+    /// Seed of the engine's random numbers.
     pub seed: u64,
     /// Resource limits of the machine.
     pub limits: MachineLimits,
-    /// The endpoint list as it was last delivered.
+    /// Endpoint list that was last delivered to an earlier run, if the file has one.
     pub cached_endpoints: Option<CachedEndpointList>,
-    /// The settings of the decisions.
+    /// Settings of the engine.
     pub settings: Settings,
-    /// The names that reports use.
+    /// Names of zones, classes and machine kinds.
     pub names: DeploymentNames,
     /// Minimum time between two ticks that are caused by reports, in milliseconds.
     pub min_tick_interval_ms: f64,
-    /// How long opening a connection to a server may take, in milliseconds.
+    /// Timeout for opening a connection to a server, in milliseconds.
     pub connect_timeout_ms: f64,
 }
 
-/// The configuration at a start, and the file to reload it from.
+/// The configuration at startup, and the file that it is reloaded from.
 #[derive(Debug)]
 pub struct LoadedConfig {
-    /// The configuration.
+    /// The values in effect at startup.
     pub config: Config,
-    /// The file.
+    /// The file, with its content at startup.
     pub source: ConfigSource,
 }
 
-/// Reads the configuration that the environment points to.
+/// Reads the configuration file that `LB_CONFIG` names; other environment variables take precedence over it.
 ///
 /// # Errors
 ///
@@ -71,17 +70,17 @@
     Ok(LoadedConfig { config, source })
 }
 
-/// Checks a configuration as a start without an environment would. Returns warnings on inconsistent or incomplete settings.
+/// Checks a configuration file without the environment. Returns warnings on inconsistent or incomplete settings.
 ///
 /// # Errors
 ///
-/// If it is incomplete or cannot be read; JSON errors have line and column.
+/// If it is incomplete or cannot be read; JSON errors include line and column.
 pub fn check(path: &str) -> Result<Vec<String>, ConfigError> {
     let config = load_without_env(path)?;
     Ok(config.consistency_warnings())
 }
 
-/// The classes that a configuration holds, as limits need them.
+/// Returns the classes of a configuration file, in the form that limits refer to.
 ///
 /// # Errors
 ///
@@ -98,13 +97,13 @@
     Config::new(file, |_| None)
 }
 
-/// A variable of the environment; an empty one counts as unset.
+/// Returns an environment variable; an empty one counts as unset.
 fn env_variable(key: &str) -> Option<String> {
     std::env::var(key).ok().filter(|value| !value.is_empty())
 }
 
 impl Config {
-    /// The configuration of a file, in which the variables of the environment take precedence.
+    /// Builds the configuration from a file; environment variables take precedence.
     fn new(
         file: ConfigFile,
         variable: impl Fn(&str) -> Option<String>,
@@ -129,7 +128,7 @@
         })
     }
 
-    /// Warnings on inconsistent or incomplete settings, a sentence each, for the log at a start and for `check`.
+    /// Returns warnings on inconsistent or incomplete settings, one sentence each, for the log at startup and for `check`.
     pub fn consistency_warnings(&self) -> Vec<String> {
         let servers = self
             .cached_endpoints
@@ -139,8 +138,8 @@
     }
 }
 
-/// Reads the known list; an unreadable one counts as none, since discovery delivers the complete list then. A list with
-/// unreadable endpoints gets version 0, so that discovery delivers all changes since the first version.
+/// Decodes the cached endpoint list; a malformed one is ignored, since discovery then delivers the complete list. A list
+/// with unreadable endpoints gets version 0, so that discovery delivers all changes since the first version.
 fn parse_cached_endpoints(json: serde_json::Value) -> Option<CachedEndpointList> {
     let EndpointDelivery {
         version,
@@ -161,7 +160,7 @@
     Some(CachedEndpointList { version, endpoints })
 }
 
-/// Seeds are 16 hexadecimal digits; any other value is hashed, so that supervisors still have different seeds.
+/// Parses a seed of 16 hexadecimal digits; any other value is hashed, so that supervisors still have different seeds.
 fn parse_seed(json: &serde_json::Value) -> u64 {
     let text = match json.as_str() {
         Some(text) => text.to_string(),
@@ -170,7 +169,7 @@
     u64::from_str_radix(&text, 16).unwrap_or_else(|_| fnv1a(&text))
 }
 
-/// The 64-bit FNV-1a hash of a text.
+/// Returns the 64-bit FNV-1a hash of a text.
 fn fnv1a(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/supervisor/src/config/error.rs
+++ b/crates/supervisor/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! Errors of the configuration.
 
 use std::io;
 
@@ -8,29 +8,29 @@
     /// Neither the environment nor the file has this key.
     #[error("{0} is not set")]
     Missing(&'static str),
-    /// A value is no address.
+    /// A value is not an address and port.
     #[error("{key} is no address and port: {text:?}")]
     Address {
-        /// The key, as the environment has it.
+        /// Name of the key's environment variable.
         key: &'static str,
-        /// The value.
+        /// The invalid value.
         text: String,
     },
     /// The file cannot be opened.
     #[error("the configuration {path:?} cannot be opened: {error}")]
     Open {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The error of the operating system.
         error: io::Error,
     },
-    /// The file holds no configuration.
+    /// The file is not JSON of the expected form.
     #[error("the configuration cannot be read: {0}")]
     Json(#[from] serde_json::Error),
-    /// The settings cannot be read.
+    /// The settings are invalid.
     #[error("the settings cannot be read: {0}")]
     Settings(#[from] chutegrade_settings::SettingsError),
-    /// The settings require messages that the protocol lacks.
+    /// The settings enable slices, for which the protocol has no messages.
     #[error("the settings ask for slices, for which the protocol has no messages")]
     SlicesUnsupported,
 }
--- a/crates/supervisor/src/config/file.rs
+++ b/crates/supervisor/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file, as it is deserialized.
+//! Deserializes the configuration file.
 
 use std::net::SocketAddr;
 
@@ -8,26 +8,26 @@
 
 use crate::config::error::ConfigError;
 
-/// Limit of file descriptors if the file has none.
+/// Maximum number of file descriptors if the file does not set it.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 
-/// The configuration file.
+/// Content of the configuration file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ConfigFile {
-    /// The supervisor's name.
+    /// Name of this supervisor in logs and records.
     pub name: Option<String>,
-    /// Where to listen.
+    /// Address at which proxies and collectors connect.
     pub listen: Option<String>,
-    /// Where discovery answers.
+    /// Address of the discovery agent.
     pub discovery: Option<String>,
-    /// The seed of random numbers.
+    /// Seed of the engine's random numbers.
     pub seed: Value,
     /// Resource limits of the machine.
     pub limits: MachineLimits,
-    /// The endpoint list as it was last delivered.
+    /// Endpoint list that was last delivered to an earlier run.
     pub known: Option<Value>,
-    /// The settings of the decisions.
+    /// Settings of the engine.
     pub settings: Value,
 }
 
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct MachineLimits {
-    /// File descriptors, all processes together.
+    /// Maximum number of file descriptors, for all processes together.
     pub sockets: usize,
 }
 
@@ -61,11 +61,11 @@
         Ok(serde_json::from_slice(&text)?)
     }
 
-    /// The settings of the decisions.
+    /// Parses the settings of the engine.
     ///
     /// # Errors
     ///
-    /// If they cannot be read, or require messages that the protocol lacks.
+    /// If they are invalid, or enable slices, for which the protocol has no messages.
     pub fn parse_settings(&self) -> Result<Settings, ConfigError> {
         let settings = chutegrade_settings::from_json(&self.settings)?;
         if settings.slices > 0 {
@@ -75,11 +75,11 @@
     }
 }
 
-/// Reads the address that a key has, in the environment or the file.
+/// Parses the address that the environment or the file sets for a key.
 ///
 /// # Errors
 ///
-/// If the text is no address.
+/// If the text is not an address and port.
 pub fn parse_address(key: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
     match text.parse() {
         Ok(address) => Ok(address),
--- a/crates/supervisor/src/config/source.rs
+++ b/crates/supervisor/src/config/source.rs
@@ -1,11 +1,11 @@
-//! The configuration file of a running supervisor, and what a reload applies of it.
+//! Reloads the configuration file of a running supervisor.
 
 use std::net::SocketAddr;
 
 use crate::config::error::ConfigError;
 use crate::config::file::{parse_address, ConfigFile};
 
-/// The configuration file, with its content when it was last read.
+/// The configuration file, and the values of it that are in effect.
 #[derive(Debug)]
 pub struct ConfigSource {
     path: String,
@@ -13,17 +13,17 @@
     discovery: SocketAddr,
 }
 
-/// What changes with a reload.
+/// The result of a reload.
 #[derive(Debug, PartialEq)]
 pub struct ReloadedConfig {
-    /// Where discovery answers from now on.
+    /// Address of the discovery agent after the reload.
     pub discovery: SocketAddr,
-    /// Keys that the file changed and that take effect at the next start only.
+    /// Keys whose values changed in the file and take effect only at the next start.
     pub restart_required_for: Vec<&'static str>,
 }
 
 impl ConfigSource {
-    /// The file at a path, as it was read at the start, and the address of discovery that is in use.
+    /// Creates the source from the file's path, its content at startup and the discovery address in use.
     pub fn new(path: String, file: ConfigFile, discovery: SocketAddr) -> Self {
         ConfigSource {
             path,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Rereads the file, except for the known list and the seed: discovery has delivered a newer list, and the seed counts
-    /// only at a start.
+    /// Reloads the file, except for the cached endpoint list and the seed: discovery has delivered a newer list, and the
+    /// seed is used only at startup.
     ///
     /// # Errors
     ///
-    /// If it is incomplete or cannot be read; then nothing changes.
+    /// If it is incomplete or cannot be read; the values in effect then stay.
     pub fn reload(&mut self) -> Result<ReloadedConfig, ConfigError> {
         self.update(ConfigFile::load(&self.path)?)
     }
@@ -53,7 +53,7 @@
             self.discovery = address;
         }
         let restart_required_for = self.changes_that_require_a_restart(&file);
-        // The other keys are compared with the start, so that each reload names all that still require a restart.
+        // Other keys keep their values from startup, so that each reload lists all keys that still require a restart.
         self.last_applied.discovery = file.discovery;
         Ok(ReloadedConfig {
             discovery: self.discovery,
--- a/crates/supervisor/src/config/source/tests.rs
+++ b/crates/supervisor/src/config/source/tests.rs
@@ -5,19 +5,19 @@
     serde_json::from_str(text).expect("a file")
 }
 
-/// The file of a supervisor that was started with this address of discovery.
+/// Creates the source of a supervisor that was started with this discovery address.
 fn source(discovery: &str) -> ConfigSource {
     let discovery = discovery.parse().expect("an address");
     ConfigSource::new(String::new(), parse_file(COMPLETE), discovery)
 }
 
-/// The environment names the address of the start for good: a supervisor that believed it after a reload would ask an
-/// agent that is gone.
+/// The environment keeps the discovery address of startup: if it took precedence after a reload, the supervisor would
+/// connect to an agent that has been removed.
 #[test]
 fn what_the_file_changed_takes_precedence_over_the_environment() {
     let mut source = source("127.0.0.8:8500");
     let started = source.discovery;
-    // The file says what it said at the start: the environment's address stays.
+    // The file has not changed since startup, so the environment's address stays in use.
     assert_eq!(
         source
             .update(parse_file(COMPLETE))
@@ -46,7 +46,7 @@
     );
 }
 
-/// A reload that takes half of a file runs on what nobody wrote.
+/// A partly applied file would leave the supervisor with a configuration that no file contains.
 #[test]
 fn a_reload_is_applied_completely_or_not_at_all() {
     let mut source = source("127.0.0.1:8500");
@@ -68,7 +68,7 @@
         assert_eq!(
             reloaded.restart_required_for,
             ["name", "limits"],
-            "named until the program starts anew"
+            "listed until the next restart"
         );
     }
 }
--- a/crates/supervisor/src/config/tests.rs
+++ b/crates/supervisor/src/config/tests.rs
@@ -87,7 +87,7 @@
         .is_none());
 }
 
-/// What the unreadable endpoint said came before the version that the list names, and would never be delivered again.
+/// Discovery delivers only changes after the list's version, so the state of an unreadable endpoint would stay unknown.
 #[test]
 fn a_known_list_with_an_unreadable_endpoint_has_the_first_version() {
     let text = COMPLETE.replace(
--- a/crates/supervisor/src/hexadecimal.rs
+++ b/crates/supervisor/src/hexadecimal.rs
@@ -1,6 +1,6 @@
-//! Bytes as hexadecimal text.
+//! Hexadecimal encoding.
 
-/// Two lowercase hexadecimal digits for each byte.
+/// Encodes each byte as two lowercase hexadecimal digits.
 pub fn encode(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/supervisor/src/main.rs
+++ b/crates/supervisor/src/main.rs
@@ -1,5 +1,5 @@
-//! The program `chutegrade`: one supervisor on sockets, and the commands that read what it recorded. See
-//! docs/architecture.md for how the parts fit.
+//! The `chutegrade` binary: the supervisor server, and the commands for its configuration, records, plug-ins and
+//! experiments. See docs/architecture.md for an overview of the components.
 
 mod commands;
 mod config;
@@ -22,7 +22,7 @@
 use crate::commands::{check, console, lab, levels, plugin, records, report, CommandError};
 
 fn main() -> ExitCode {
-    // The common case, serving without arguments, does without the memory that parsing a command line takes.
+    // Serving without arguments is the common case; skipping the command-line parser saves its memory.
     if std::env::args_os().len() <= 1 {
         return server::run(operator_path_from_env().as_deref());
     }
@@ -46,7 +46,7 @@
     }
 }
 
-/// The path of the operators' file in the environment; an empty path counts as none.
+/// Returns the path of the operators' file from `CHUTEGRADE_OPERATOR`; an empty one counts as unset.
 fn operator_path_from_env() -> Option<PathBuf> {
     std::env::var_os("CHUTEGRADE_OPERATOR")
         .filter(|path| !path.is_empty())
--- a/crates/supervisor/src/peers/collector_stream.rs
+++ b/crates/supervisor/src/peers/collector_stream.rs
@@ -1,4 +1,4 @@
-//! Collectors: they report on a zone's servers and on demand, and get nothing but answers to `probe`.
+//! Collectors, which report on a zone's servers and on demand, and receive only replies to `probe`.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,21 +19,21 @@
 use crate::protocol::peer_kind::PeerKind;
 use crate::shared::engine_handle::EngineHandle;
 
-/// How long a collector may send nothing; a live one that had nothing to report simply reconnects.
+/// Idle timeout of a collector; a running collector that had nothing to report reconnects.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Maximum number of connected collectors of a zone: one is in use, the others are stale connections of earlier ones.
+/// Maximum number of collector connections of a zone: one is in use, the others are stale connections of earlier ones.
 pub const MAX_COLLECTORS_PER_ZONE: usize = 4;
 
-/// The collectors that are connected, by zone. When a zone has too many, the oldest is evicted: it is the most
-/// likely to be stale.
+/// The connected collectors by zone. When a zone has too many connections, the oldest is evicted, as it is the most likely
+/// to be stale.
 pub struct CollectorStreams {
     engine: EngineHandle,
     slots_by_zone: RefCell<HashMap<String, Rc<ConnectionSlots>>>,
 }
 
 impl CollectorStreams {
-    /// No collectors yet; their reports go to this engine.
+    /// Creates a handler of collectors that report to this engine.
     pub fn new(engine: EngineHandle) -> Self {
         CollectorStreams {
             engine,
@@ -41,11 +41,11 @@
         }
     }
 
-    /// Serves a collector of a known zone from its `agent` message on.
+    /// Serves a collector of a configured zone after its `agent` message.
     ///
     /// # Errors
     ///
-    /// Always, with why the connection ended.
+    /// Always; the error is the disconnect reason.
     pub async fn serve(
         &self,
         mut connection: PeerConnection,
--- a/crates/supervisor/src/peers/connection.rs
+++ b/crates/supervisor/src/peers/connection.rs
@@ -1,4 +1,4 @@
-//! An accepted connection, split into what is read from it and what is written to it.
+//! An accepted connection, split into a reader and a writer.
 
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
@@ -7,16 +7,16 @@
 
 /// An accepted connection.
 pub struct PeerConnection {
-    /// The lines that the peer sends.
+    /// Reads lines from the peer.
     pub reader: LineReader<OwnedReadHalf>,
-    /// What is written to the peer.
+    /// Writes bytes to the peer.
     pub writer: OwnedWriteHalf,
 }
 
 impl PeerConnection {
-    /// Takes over an accepted stream, with lines of at most `max_line_bytes` bytes.
+    /// Creates the connection of an accepted stream, with lines of at most `max_line_bytes` bytes.
     pub fn new(stream: TcpStream, max_line_bytes: usize) -> Self {
-        // Without Nagle's algorithm: an order must not wait until more is written.
+        // Disables Nagle's algorithm, which would delay orders.
         let _ = stream.set_nodelay(true);
         let (read_half, writer) = stream.into_split();
         PeerConnection {
--- a/crates/supervisor/src/peers/connection_slots.rs
+++ b/crates/supervisor/src/peers/connection_slots.rs
@@ -1,4 +1,4 @@
-//! A bounded number of connections of one group, in which a newer connection evicts the oldest.
+//! Limits the number of connections of a group; a new connection over the limit evicts the oldest.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -19,7 +19,7 @@
 }
 
 impl ConnectionSlots {
-    /// A group of at most `capacity` connections.
+    /// Creates slots for at most `capacity` connections.
     pub fn new(capacity: usize) -> Self {
         ConnectionSlots {
             capacity,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Occupies a slot; evicts the oldest connection if there are too many.
+    /// Occupies a slot; evicts the oldest connection if the capacity is exceeded.
     pub fn acquire(&self) -> ConnectionSlot<'_> {
         let evicted = Rc::new(Notify::new());
         let mut occupied = self.occupied.borrow_mut();
--- a/crates/supervisor/src/peers/discovery.rs
+++ b/crates/supervisor/src/peers/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: follows the endpoint list by a watch, or requests it where the settings say so.
+//! Discovery client: follows the endpoint list with a watch, or makes the calls that the engine requests one by one.
 
 mod endpoint_cache;
 
@@ -29,27 +29,26 @@
 
 use endpoint_cache::EndpointCache;
 
-/// A watch on which nothing arrives for this long is replaced: agents send an empty line every 2 s, and changes may take
-/// 6 s to arrive.
+/// Idle timeout of a watch: agents send an empty line every 2 s, and changes have to arrive within 6 s.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long the body of the complete list may take.
+/// Timeout for the body of the complete list.
 const BODY_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long opening a connection to discovery, or the head of its response, may take: the agent is on this machine.
+/// Timeout for opening a connection to discovery, and for the head of its response: the agent is on the same machine.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Longest endpoint list, in bytes: far beyond the largest fleet, and within the memory of a supervisor.
+/// Maximum length of an endpoint list, in bytes: far beyond the largest fleet, and within the memory of a supervisor.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
-/// The first backoff after a failed call; it doubles with each further failure.
+/// Backoff after the first failed call; it doubles with each further failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest backoff after a failed call.
+/// Maximum backoff after a failed call.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// What the client uses.
+/// Dependencies of the discovery client.
 pub struct DiscoveryContext {
-    /// Takes endpoint lists.
+    /// Receives endpoint lists.
     pub engine: EngineHandle,
-    /// Ends connections.
+    /// Ends connections at shutdown.
     pub shutdown: Shutdown,
-    /// Records when discovery becomes unavailable and available.
+    /// Records when discovery becomes unavailable or available.
     pub recorder: EventRecorder,
     /// The discovery subscription that the engine requests.
     pub subscriptions: Rc<SubscriptionChannel>,
@@ -58,23 +57,23 @@
 /// Follows the endpoint list and reports it to the engine.
 pub struct DiscoveryClient {
     context: DiscoveryContext,
-    /// The address of discovery, which a reload may change.
+    /// Address of the discovery agent, which a reload may change.
     address: watch::Receiver<SocketAddr>,
     /// Whether the engine requests each call separately.
     is_on_request: bool,
     cache: EndpointCache,
     backoff: Duration,
     is_unavailable: bool,
-    /// Whether the complete list has to be fetched before anything else: discovery has moved and endpoints may have other
-    /// addresses there, or the engine requested it.
+    /// Whether the complete list has to be fetched first: the address of discovery has changed and endpoints may have other
+    /// addresses there, or the engine requested a fetch.
     needs_snapshot: bool,
-    /// Whether the last watch fell silent, so that the complete list is fetched once: with one silent watch after the other,
-    /// changes would arrive later than the rules allow.
+    /// Whether the last watch reached its idle timeout. The complete list is then fetched once: with several such watches in
+    /// a row, changes would arrive later than the rules allow.
     watch_timed_out: bool,
 }
 
 impl DiscoveryClient {
-    /// A client that starts from a known list, if there is one.
+    /// Creates a client that starts from a cached endpoint list, if there is one.
     pub fn new(
         context: DiscoveryContext,
         address: watch::Receiver<SocketAddr>,
@@ -93,8 +92,8 @@
         }
     }
 
-    /// Runs until the supervisor stops. When discovery moves, requests in flight at the old address are dropped at once; the
-    /// list stays as it is until the new address delivers.
+    /// Runs until the supervisor stops. When the address of discovery changes, requests in flight are cancelled at once; the
+    /// list stays unchanged until the new agent delivers.
     pub async fn run(mut self) {
         let mut subscription = self.context.subscriptions.subscribe();
         let mut address = self.address.clone();
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Resets the state that depends on the agent, as discovery has moved to another address.
+    /// Resets the state that depends on the agent.
     fn handle_address_change(&mut self) {
         self.backoff = MIN_BACKOFF;
         self.needs_snapshot = true;
@@ -114,7 +113,7 @@
         self.cache.reset_staleness();
     }
 
-    /// Makes the call that the engine requests, until it completes, fails or is superseded; backs off after a failure.
+    /// Makes the call that the engine requests, until it completes, fails or is superseded. Backs off after a failure.
     async fn follow_subscription(
         &mut self,
         subscription: &mut watch::Receiver<DiscoverySubscription>,
@@ -144,7 +143,7 @@
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    /// Makes the call that is due: a fetch, a fetch after a silent watch, or a watch.
+    /// Makes the call that is due: a fetch, a fetch after a watch that timed out, or a watch.
     async fn call(
         &mut self,
         requested: DiscoverySubscription,
@@ -156,14 +155,14 @@
         if requested.fetch || self.needs_snapshot {
             self.fetch().await
         } else if watch_timed_out {
-            // A fetched list does not show that watches deliver changes: discovery stays marked as unavailable.
+            // A fetched list does not show that watches deliver changes, so discovery stays marked as unavailable.
             self.fetch_list().await
         } else {
             self.watch(subscription).await
         }
     }
 
-    /// Requests a path, and waits for the head of the answer.
+    /// Requests a path and waits for the head of the response.
     async fn request(&self, path: &str) -> Result<Response<Incoming>, DisconnectReason> {
         let address = *self.address.borrow();
         let host = address.to_string();
@@ -183,7 +182,7 @@
         }
     }
 
-    /// Requests the complete list, which shows that discovery is available.
+    /// Fetches the complete list, and marks discovery as available.
     async fn fetch(&mut self) -> Result<(), DisconnectReason> {
         self.fetch_list().await?;
         self.mark_available();
@@ -203,7 +202,7 @@
         self.handle_delivery(text)
     }
 
-    /// Follows changes until the watch ends, another subscription is requested, or the complete list is needed.
+    /// Watches for changes until the watch ends, another subscription is requested, or the complete list is needed.
     async fn watch(
         &mut self,
         subscription: &mut watch::Receiver<DiscoverySubscription>,
@@ -241,7 +240,7 @@
         }
     }
 
-    /// Logs and records a failure, unless discovery was unavailable already.
+    /// Logs and records a failure, unless discovery was already unavailable.
     fn mark_unavailable(&mut self, reason: DisconnectReason) {
         let was_unavailable = std::mem::replace(&mut self.is_unavailable, true);
         if !was_unavailable {
@@ -257,7 +256,7 @@
         }));
     }
 
-    /// Hands a delivery to the engine; one that can't be read changes nothing.
+    /// Reports a delivery to the engine; a malformed one changes nothing.
     fn handle_delivery(&mut self, text: &str) -> Result<(), DisconnectReason> {
         let delivery = decode_delivery(text).map_err(|malformed| {
             tracing::warn!(fault = %malformed, "discovery delivered a malformed list");
@@ -296,7 +295,7 @@
     );
 }
 
-/// The body of an answer as bytes to read.
+/// Returns a reader of the body of a response.
 fn body_reader(response: Response<Incoming>) -> impl AsyncRead + Unpin {
     let chunks = response
         .into_body()
--- a/crates/supervisor/src/peers/discovery/endpoint_cache.rs
+++ b/crates/supervisor/src/peers/discovery/endpoint_cache.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as it was last delivered: its version, its endpoints, and what a delivery changes.
+//! Caches the endpoint list that was last delivered, and applies deliveries to it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,33 +7,33 @@
 
 use crate::protocol::endpoint_delivery::{CachedEndpointList, EndpointDelivery};
 
-/// If versions stay older than the known one for this long, the list has restarted its count: no agent lags by more.
+/// If delivered versions stay older than the cached one for this long, the version count has restarted: no agent lags more.
 const STALE_TIMEOUT: Duration = Duration::from_secs(6);
-/// After this many deliveries in a row with unreadable endpoints, the last is accepted without them; until then it is
-/// requested again. The backoff in between takes a second in total, and changes may take 6 s to arrive.
+/// Number of consecutive deliveries with unreadable endpoints of which the last one is accepted without them; the earlier
+/// ones are requested again. The backoff in between takes a second in total, and changes have to arrive within 6 s.
 const MAX_UNREADABLE_DELIVERIES: u32 = 5;
 
-/// The list as it was last delivered.
+/// The endpoint list that was last delivered.
 pub struct EndpointCache {
     version: Option<u64>,
-    /// The last state of each server that is listed.
+    /// Last delivered state of each listed server.
     endpoints: HashMap<String, NamedEndpoint>,
-    /// Since when deliveries are older than the known version.
+    /// Time of the first of the consecutive deliveries that are older than `version`.
     stale_since: Option<Instant>,
-    /// How many deliveries in a row had unreadable endpoints.
+    /// Number of consecutive deliveries with unreadable endpoints.
     unreadable_deliveries: u32,
 }
 
-/// What a delivery means for the engine, and for what is requested next.
+/// The result of applying a delivery.
 pub struct AppliedDelivery {
-    /// The update to report.
+    /// The update to report to the engine.
     pub report: Report,
-    /// Whether the delivery has to be requested again, as some of its endpoints could not be read.
+    /// Whether the delivery has to be requested again because some of its endpoints could not be decoded.
     pub needs_repeat: bool,
 }
 
 impl EndpointCache {
-    /// A cache that starts from a known list, if there is one.
+    /// Creates a cache from the endpoint list of an earlier run, if there is one.
     pub fn new(cached: Option<CachedEndpointList>) -> Self {
         let version = cached.as_ref().map(|list| list.version);
         let endpoints = cached.map(|list| list.endpoints).unwrap_or_default();
@@ -48,18 +48,18 @@
         }
     }
 
-    /// The version from which changes can be watched; none if the complete list has to be requested.
+    /// Returns the version from which to watch changes; `None` if the complete list has to be requested.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Forgets for how long deliveries were stale, as another agent answers from now on.
+    /// Resets the time since when deliveries are stale; called when another agent is used.
     pub fn reset_staleness(&mut self) {
         self.stale_since = None;
     }
 
-    /// Whether a delivery has to be ignored because it is older than the known version. An agent that lags behind, perhaps
-    /// one at a new address, would report a draining server as in service.
+    /// Returns whether a delivery has to be ignored because it is older than the cached version. An agent that lags behind,
+    /// perhaps one at a new address, could report a draining server as in service.
     pub fn should_ignore(&mut self, delivery: &EndpointDelivery) -> bool {
         let version = delivery.version;
         let Some(known_version) = self.version.filter(|known| version < *known) else {
@@ -78,8 +78,8 @@
         !has_restarted || !delivery.is_snapshot
     }
 
-    /// Forgets the version if discovery has been stale for `STALE_TIMEOUT`, since its count has restarted then; returns
-    /// whether it has. The complete list is requested next: changes alone would lack those that were ignored as stale.
+    /// Clears the version if discovery has been stale for `STALE_TIMEOUT`, since the version count has then restarted; returns
+    /// whether it has. The complete list is requested next, as changes alone would lack those that were ignored as stale.
     pub fn clear_version_if_restarted(&mut self) -> bool {
         let has_restarted = self
             .stale_since
@@ -91,8 +91,8 @@
         has_restarted
     }
 
-    /// Applies a delivery that is not stale. The version advances only if the delivery need not be repeated: a watch from a
-    /// newer version would never deliver the content of an unreadable endpoint, perhaps a drain.
+    /// Applies a delivery that is not stale. The version advances only if the delivery need not be repeated: a watch from the
+    /// newer version would never deliver the state of an unreadable endpoint, which may be draining.
     pub fn apply(&mut self, delivery: EndpointDelivery) -> AppliedDelivery {
         let version = delivery.version;
         if delivery.unreadable > 0 {
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Merges a delivery into the cached endpoints. In a snapshot, an endpoint of which only the name can be read keeps its
-    /// cached state; if not all names can be read, the snapshot is applied as a delta, so that it removes no server.
+    /// Merges a delivery into the cached endpoints. In a snapshot, an endpoint of which only the name can be decoded keeps its
+    /// cached state; if not all names can be decoded, the snapshot is applied as a delta, so that it removes no server.
     fn merge(&mut self, delivery: EndpointDelivery) -> Report {
         let names_are_complete = delivery.unreadable_names.len() == delivery.unreadable;
         let replaces_list = delivery.is_complete() || (delivery.is_snapshot && names_are_complete);
--- a/crates/supervisor/src/peers/health_check.rs
+++ b/crates/supervisor/src/peers/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of the servers, over connections that are kept between them.
+//! Health checks of servers over pooled connections.
 
 mod connection_pool;
 
@@ -20,26 +20,26 @@
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::shutdown::Shutdown;
 
-/// The response timeout as a share of the shortest latency objective of any class: a server that takes longer for a trivial
-/// request cannot meet that objective.
+/// The response timeout as a share of the shortest latency objective of all classes: a server that takes longer for a
+/// trivial request cannot meet that objective.
 const RESPONSE_TIMEOUT_SHARE: f64 = 0.5;
-/// Maximum response timeout, for long latency objectives or none: the next health check is due then.
+/// Maximum response timeout, for long latency objectives or none: the next health check is due after this time.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest body of an answer, in bytes: a load report is one short line.
+/// Maximum length of a response body, in bytes: a load report is one short line.
 const MAX_BODY_BYTES: usize = 16 * 1024;
-/// Maximum number of health checks that are scheduled or in flight, each a task of its own; any beyond it are reported as
+/// Maximum number of health checks that are scheduled or in flight, each in a separate task; further ones are reported as
 /// inconclusive. The engine runs one check per server at a time, and the largest fleet is a quarter of this.
 const MAX_PENDING_CHECKS: usize = 4096;
 
-/// How servers are checked.
+/// Configuration of health checks.
 pub struct HealthCheckConfig {
-    /// Whether servers answer with load reports.
+    /// Whether load reports are requested rather than only the health.
     pub uses_load_reports: bool,
-    /// How long opening a connection may take.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// How long an answer may take.
+    /// Timeout for the complete response to a request.
     pub response_timeout: Duration,
-    /// How long an idle connection is kept.
+    /// How long an idle connection stays in the pool.
     pub idle_timeout: Duration,
 }
 
@@ -57,17 +57,17 @@
 struct CheckResult {
     outcome: HealthCheckOutcome,
     load: LoadReport,
-    /// When the request was sent that the result belongs to.
+    /// When the attempt started that led to the result.
     sent_at: Instant,
 }
 
-/// A server's answer to a health check.
+/// The response of a server to a health check.
 struct CheckResponse {
     status: StatusCode,
     load: LoadReport,
 }
 
-/// How long an answer to a health check may take, by the latency objectives of the classes.
+/// Returns the timeout of a health check response for the latency objectives of the classes.
 pub fn response_timeout(classes: &[Class]) -> Duration {
     let shortest_objective = classes
         .iter()
@@ -83,7 +83,7 @@
 }
 
 impl HealthChecker {
-    /// A checker without connections.
+    /// Creates a checker without connections.
     pub fn new(engine: EngineHandle, shutdown: Shutdown, config: HealthCheckConfig) -> Rc<Self> {
         let path = if config.uses_load_reports {
             "/-/load"
@@ -105,8 +105,8 @@
         })
     }
 
-    /// Schedules health checks evenly over `spread`; each result is reported to the engine. Sent all at once, hundreds of
-    /// responses would arrive together, and the time that some wait in this process would count as latency of their servers.
+    /// Schedules health checks evenly over `spread`; each result is reported to the engine. If all were sent at once, hundreds
+    /// of responses would arrive together, and their waiting time in this process would count as latency of the servers.
     pub fn schedule(self: &Rc<Self>, checks: Vec<HealthCheck>, spread: Duration) {
         let count = u32::try_from(checks.len().max(1)).unwrap_or(u32::MAX);
         let interval = spread / count;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Frees descriptors for other connections: closes half of the idle connections to servers.
+    /// Closes half of the idle connections to servers, to free descriptors for other connections.
     pub fn release_idle_connections(&self) {
         self.pool.release_idle();
     }
@@ -135,7 +135,7 @@
         self.pending.set(self.pending.get() + 1);
         let checker = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            // Only the timeout, not the shutdown, makes the check due: nothing is sent once the supervisor stops.
+            // The check is due once the delay has elapsed without a shutdown: nothing is sent while the supervisor stops.
             let is_due = timeout(delay, checker.shutdown.requested()).await.is_err();
             if is_due {
                 checker.check_and_report(check).await;
@@ -158,7 +158,7 @@
         });
     }
 
-    /// Checks the server at an address, as the endpoint list has it.
+    /// Checks the server at `host`, its address in the endpoint list.
     async fn check(&self, host: &str) -> CheckResult {
         let mut sent_at = Instant::now();
         let Ok(address) = host.parse::<SocketAddr>() else {
@@ -186,8 +186,8 @@
         sent_at: &mut Instant,
     ) -> Result<CheckResponse, DisconnectReason> {
         if let Some(sender) = self.pool.take_idle(address) {
-            // A server may close an idle connection just as the next request is sent, which is no failure of the server: the
-            // request is retried on a new connection.
+            // A server may close an idle connection just as the next request is sent. That is not a failure of the server, so
+            // the request is retried on a new connection.
             match self.request_on(sender, address, host).await {
                 Err(
                     DisconnectReason::Closed
@@ -197,12 +197,12 @@
                 result => return result,
             }
         }
-        // `connect` resets `sent_at`: with the time spent on a broken connection, a fast server would seem slow.
+        // `connect` resets `sent_at`, so that the time spent on a broken connection does not count as latency of the server.
         let sender = self.pool.connect(address, host, sent_at).await?;
         self.request_on(sender, address, host).await
     }
 
-    /// Sends the request on a connection, which is kept if it is answered in time.
+    /// Sends the request on a connection, which returns to the pool if the response arrives in time.
     async fn request_on(
         &self,
         mut sender: RequestSender,
@@ -218,7 +218,7 @@
     }
 }
 
-/// Requests a path, and waits for the complete answer.
+/// Requests a path and waits for the complete response.
 async fn exchange(
     sender: &mut RequestSender,
     host: &str,
@@ -240,7 +240,7 @@
         return HealthCheckOutcome::Passed;
     }
     match status {
-        // A server that drains or gets too many health checks responds so; it is alive.
+        // The response of a running server that is draining or receives too many health checks.
         StatusCode::SERVICE_UNAVAILABLE => HealthCheckOutcome::Rejected,
         _ => HealthCheckOutcome::Error,
     }
--- a/crates/supervisor/src/peers/health_check/connection_pool.rs
+++ b/crates/supervisor/src/peers/health_check/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Pooled connections to servers: opened with a timeout, kept while idle, and closed when descriptors run out.
+//! A pool of connections to servers, which closes idle connections when descriptors run out.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,10 +12,10 @@
 use crate::protocol::peer_kind::PeerKind;
 use crate::shared::shutdown::Shutdown;
 
-/// A server that refused connections is forgotten if it was not dialled again for this long: many times the interval of
+/// How long a server to which no connection could be opened stays listed after the last attempt: many times the interval of
 /// health checks.
 const UNREACHABLE_RETENTION: Duration = Duration::from_secs(60);
-/// Pause before dialling again when no descriptor is left: other health checks complete in less.
+/// Delay before a retry when no descriptor is free: other health checks complete in less time.
 const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Connections to servers, at most one idle connection to each.
@@ -25,7 +25,7 @@
     idle_timeout: Duration,
     idle: RefCell<HashMap<SocketAddr, IdleConnection>>,
     reduced: Cell<Option<ReducedCapacity>>,
-    /// Servers that refused connections, and when each was last dialled.
+    /// Servers to which no connection could be opened, with the time of the last attempt.
     unreachable: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
@@ -34,7 +34,7 @@
     last_used_at: Instant,
 }
 
-/// The capacity of the pool since the descriptors ran out.
+/// The reduced capacity of the pool after descriptors ran out.
 #[derive(Clone, Copy)]
 struct ReducedCapacity {
     max_idle: usize,
@@ -42,7 +42,7 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(shutdown: Shutdown, connect_timeout: Duration, idle_timeout: Duration) -> Self {
         ConnectionPool {
             shutdown,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes the idle connection to a server, if there is one; closes those that were idle for too long.
+    /// Takes the idle connection to a server, if there is one. Closes all connections that were idle for too long.
     pub fn take_idle(&self, address: SocketAddr) -> Option<RequestSender> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, connection| {
@@ -64,7 +64,7 @@
         idle.remove(&address).map(|connection| connection.sender)
     }
 
-    /// Keeps a connection for the next request.
+    /// Returns a connection to the pool for the next request.
     pub fn put_idle(&self, address: SocketAddr, sender: RequestSender) {
         let connection = IdleConnection {
             sender,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Frees descriptors: closes half of the idle connections, and keeps the pool at that size for the idle timeout.
+    /// Closes half of the idle connections to free descriptors, and limits the pool to that size for the idle timeout.
     pub fn release_idle(&self) {
         let max_idle = self.idle.borrow().len() / 2;
         self.reduced.set(Some(ReducedCapacity {
@@ -89,7 +89,7 @@
         self.limit_idle(max_idle);
     }
 
-    /// Closes the least recently used connections.
+    /// Closes the least recently used connections until at most `max_idle` are left.
     fn limit_idle(&self, max_idle: usize) {
         let mut idle = self.idle.borrow_mut();
         while idle.len() > max_idle {
@@ -102,11 +102,11 @@
         }
     }
 
-    /// Opens a connection; `attempted_at` becomes the time of the last attempt. The first failure in a row is logged.
+    /// Opens a connection, and sets `attempted_at` to the start of the last attempt. The first failure in a row is logged.
     ///
     /// # Errors
     ///
-    /// If no connection is established in time, or at all.
+    /// If no connection can be established within the timeout.
     pub async fn connect(
         &self,
         address: SocketAddr,
@@ -123,8 +123,8 @@
         connected
     }
 
-    /// Opens a connection. While no descriptor is left, closes idle connections and retries until the connect timeout: where
-    /// there are more servers than descriptors, some would never be checked otherwise.
+    /// Opens a connection. While no descriptor is free, closes idle connections and retries until the connect timeout: with
+    /// more servers than descriptors, some servers would otherwise never be checked.
     async fn connect_with_retry(
         &self,
         address: SocketAddr,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Logs the first failure to connect to a server; forgets servers that are not dialled any more, as after a removal.
+    /// Logs the first failure to connect to a server. Drops servers without recent attempts, such as removed ones.
     fn record_unreachable(&self, address: SocketAddr, name: &str, reason: DisconnectReason) {
         let mut unreachable = self.unreachable.borrow_mut();
         unreachable.retain(|_, attempted_at| attempted_at.elapsed() < UNREACHABLE_RETENTION);
--- a/crates/supervisor/src/peers/health_check/connection_pool/tests.rs
+++ b/crates/supervisor/src/peers/health_check/connection_pool/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::peers::health_check::tests::checker;
 
-/// Over months of replaced servers, the addresses of those that are gone must not add up.
+/// The addresses of removed servers must not accumulate as servers are replaced over months.
 #[test]
 fn servers_that_are_not_checked_any_more_are_removed() {
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/supervisor/src/peers/health_check/tests.rs
+++ b/crates/supervisor/src/peers/health_check/tests.rs
@@ -9,7 +9,7 @@
 use super::*;
 use crate::shared::clock::Clock;
 
-/// A checker that reports to this engine and asks for load reports.
+/// Creates a checker that reports to this engine and requests load reports.
 fn checker_for(engine: EngineHandle, shutdown: Shutdown) -> Rc<HealthChecker> {
     let config = HealthCheckConfig {
         uses_load_reports: true,
@@ -20,14 +20,14 @@
     HealthChecker::new(engine, shutdown, config)
 }
 
-/// A checker that reports to an engine without settings.
+/// Creates a checker that reports to an engine without settings.
 pub(super) fn checker() -> Rc<HealthChecker> {
     let engine = Engine::new(Settings::default(), 0, DeploymentNames::default());
     checker_for(EngineHandle::new(engine), Shutdown::new())
 }
 
 impl HealthChecker {
-    /// Checks the server at an address, without the time that it took.
+    /// Checks the server at an address, and returns the result without its duration.
     pub(super) async fn outcome_at(&self, name: &str) -> (HealthCheckOutcome, LoadReport) {
         let result = self.check(name).await;
         (result.outcome, result.load)
@@ -36,8 +36,8 @@
 
 const GOOD_ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\nTEXT queue=3";
 
-/// The results of so many checks of a server that gives these answers on each connection, then closes it at the next
-/// request.
+/// Returns the results of consecutive checks of a server that sends these answers on each connection, and closes it at the
+/// next request.
 fn results(
     answers: &'static [&'static str],
     checks: usize,
@@ -68,7 +68,7 @@
     })
 }
 
-/// A connection closed between two health checks must not be held against a healthy server.
+/// A server may close an idle connection between two health checks, which must not count as a failure.
 #[test]
 fn an_idle_connection_that_closes_does_not_fail_the_check() {
     let load = LoadReport {
@@ -108,7 +108,7 @@
     assert_eq!(outcome_of(&[]), HealthCheckOutcome::Unreachable);
 }
 
-/// The outcome of a check whose answer breaks off after so many bytes, on a connection of its own.
+/// Returns the outcome of a check on a new connection that ends after the first `bytes` bytes of the answer.
 fn outcome_of_an_answer_truncated_after(bytes: usize) -> HealthCheckOutcome {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -125,7 +125,7 @@
     })
 }
 
-/// A server that dies within its answer must not pass for a healthy one.
+/// A server that crashes while it answers must not be considered healthy.
 #[test]
 fn a_truncated_answer_never_passes() {
     for bytes in 0..GOOD_ANSWER.len() {
@@ -159,14 +159,14 @@
 /// The second of two checks of one server.
 struct SecondCheck {
     result: (HealthCheckOutcome, LoadReport),
-    /// How long it took by its own count.
+    /// How long its last attempt took.
     elapsed: Duration,
-    /// How long it took since it began.
+    /// How long it took in total.
     total: Duration,
 }
 
-/// Checks a server twice. The first check leaves an idle connection; the second one meets what `break_connection` does on
-/// it, then a good answer on a new connection.
+/// Checks a server twice. The first check leaves an idle connection. On it, the second check is subject to
+/// `break_connection` and a reset; on a new connection, it receives a valid answer.
 fn check_after_a_broken_connection(
     break_connection: impl AsyncFnOnce(&mut Peer) + 'static,
 ) -> SecondCheck {
@@ -204,7 +204,7 @@
     })
 }
 
-/// A partial answer on a connection that breaks must not pass for a bad answer of a healthy server.
+/// A partial answer on a connection that breaks must not count as an invalid answer of a healthy server.
 #[test]
 fn a_partial_answer_on_an_idle_connection_is_retried_on_a_new_one() {
     let answer_partially = async |peer: &mut Peer| {
@@ -225,7 +225,7 @@
     );
 }
 
-/// With the time that a broken connection took, a fast server would pass for a slow one.
+/// If the time spent on a broken connection counted, a fast server would seem slow.
 #[test]
 fn a_second_attempt_counts_only_its_own_time() {
     let delay = Duration::from_millis(100);
@@ -238,7 +238,7 @@
     assert!(elapsed + delay <= total, "{elapsed:?} of {total:?}");
 }
 
-/// A timeout that suits the objectives of one deployment would take another's servers for dead, or wait too long.
+/// A fixed timeout that suits one deployment would fail the healthy servers of another, or wait too long.
 #[test]
 fn the_response_timeout_follows_the_shortest_latency_objective() {
     let timeout_ms = |objectives_ms: &[i64]| {
@@ -263,8 +263,8 @@
     );
 }
 
-/// The engine of so many servers without a valid address and one joined proxy, and the health checks that its first tick
-/// orders.
+/// Returns an engine with one connected proxy and `servers` servers without a valid address, and the health checks that its
+/// first tick requests.
 fn engine_with_due_checks(servers: usize) -> (EngineHandle, Vec<HealthCheck>) {
     let settings = json!({"classes": [{"name": "lookup", "aimMs": 600}], "zones": ["a"],
         "limits": {"probes": true}, "familyInfo": {"proxies": 1, "backlog": 9000, "linesPerS": 6000}});
@@ -311,7 +311,7 @@
         .expect("a runtime")
 }
 
-/// Advances the runtime's paused time, and runs every task that is due then.
+/// Advances the runtime's paused time, and runs all tasks that become due.
 async fn advance(duration: Duration) {
     tokio::time::advance(duration).await;
     for _ in 0..1000 {
@@ -319,7 +319,7 @@
     }
 }
 
-/// Health checks sent at once wait for each other in this process, and a fast fleet would pass for a saturated one.
+/// Responses to health checks that are sent at once wait for each other in this process, and fast servers would seem slow.
 #[test]
 fn the_checks_of_a_tick_are_spread_over_the_given_time() {
     let (engine, checks) = engine_with_due_checks(100);
@@ -331,7 +331,7 @@
             let waiting = checker.pending.get();
             assert!(
                 (98 - answered..=100 - answered).contains(&waiting),
-                "{waiting} wait, {answered} had time"
+                "{waiting} are pending after {answered} were due"
             );
             advance(Duration::from_millis(50)).await;
         }
@@ -341,7 +341,7 @@
     });
 }
 
-/// A health check sent after SIGTERM would cost its server work for nothing.
+/// The result of a health check that is sent after SIGTERM would not be used.
 #[test]
 fn pending_checks_are_not_sent_once_the_supervisor_stops() {
     let (engine, mut checks) = engine_with_due_checks(100);
@@ -359,7 +359,7 @@
         checker.schedule(checks, Duration::from_millis(200));
         shutdown.request();
         advance(Duration::from_millis(300)).await;
-        assert_eq!(checker.pending.get(), 0, "none waits any more");
+        assert_eq!(checker.pending.get(), 0, "no check is pending");
         let accepted = listener.accept().map_err(|error| error.kind());
         assert_eq!(
             accepted.err(),
--- a/crates/supervisor/src/peers/identification.rs
+++ b/crates/supervisor/src/peers/identification.rs
@@ -1,4 +1,4 @@
-//! The first messages of an accepted connection, up to the one that identifies the peer.
+//! Handles the first messages of an accepted connection, up to the one that identifies the peer.
 
 use crate::peers::connection::PeerConnection;
 use crate::protocol::decode::{Message, ProxyHello};
@@ -13,17 +13,17 @@
     Proxy(ProxyHello),
     /// A collector of a zone.
     Collector {
-        /// The zone.
+        /// Name of the collector's zone.
         zone: String,
     },
 }
 
-/// Waits for the message that identifies the peer, and answers any `probe` before it. Such an answer means that the engine
-/// decides already, since it ticks before the first connection is accepted.
+/// Waits for the message that identifies the peer, and replies to any `probe` before it. Such a reply means that the engine
+/// is running, since it ticks before the first connection is accepted.
 ///
 /// # Errors
 ///
-/// If the connection ends, sends anything else, or names a peer that is not in the settings.
+/// If the connection ends, or the peer sends another message or is not in the settings.
 pub async fn identify(
     engine: &EngineHandle,
     connection: &mut PeerConnection,
--- a/crates/supervisor/src/peers/listener.rs
+++ b/crates/supervisor/src/peers/listener.rs
@@ -1,5 +1,5 @@
-//! The supervisor's own address: accepts connections, lets peers identify themselves, and keeps unidentified connections
-//! from taking the descriptors that proxies, collectors, discovery and health checks need.
+//! Accepts connections, waits for peers to identify themselves, and limits unidentified connections, so that enough
+//! descriptors are left for proxies, collectors, discovery and health checks.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -23,31 +23,31 @@
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::shutdown::Shutdown;
 
-/// Minimum length of the listen backlog: all proxies of a fleet may dial at once, and as many others. The system reserves
-/// nothing for it.
+/// Minimum length of the listen backlog: all proxies of a fleet may connect at once, and as many other clients. The system
+/// reserves no memory for it.
 const MIN_BACKLOG: usize = 1024;
-/// Longest first message, in bytes: `hello` with the longest names has a fraction of it.
+/// Maximum length of the first message, in bytes: `hello` with the longest names has a fraction of it.
 const MAX_FIRST_LINE_BYTES: usize = 1024;
-/// Longest line of an identified peer, in bytes: no message has a form that comes near it, and a thousand such buffers fit
-/// the memory that a supervisor has.
+/// Maximum length of a line of an identified peer, in bytes: all valid messages are far shorter, and a thousand buffers of
+/// this size fit the memory of a supervisor.
 const MAX_LINE_BYTES: usize = 64 * 1024;
-/// How long a connection may stay unidentified after it was accepted; probes do not extend the time. The protocol gives a
-/// peer 1 s, and has any other connection rejected within 3 s.
+/// Time after which an unidentified connection is closed; `probe` messages do not extend it. The protocol gives a peer 1 s
+/// to identify itself, and requires other connections to be rejected within 3 s.
 const IDENTIFICATION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a rejected connection is still read: what stays unread turns a close into a reset, and the `error` message is
-/// lost with it.
+/// How long a rejected connection is still read: unread bytes would turn the close into a reset, which may discard the
+/// `error` message.
 const REJECTION_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
-/// How much of a rejected connection is still read, in bytes.
+/// Maximum number of bytes that are still read from a rejected connection.
 const REJECTION_DRAIN_BYTES: usize = 64 * 1024;
-/// Descriptors that are not for peers: the runtime's own, standard streams, the listener, the watch of discovery, the watch
-/// that replaces it, and one to accept with.
+/// Descriptors that are not for peers: those of the runtime, the standard streams, the listener, the discovery watch, the
+/// watch that replaces it, and one to accept connections with.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Minimum number of unidentified connections that may be open, however few descriptors there are.
+/// Minimum limit on unidentified connections, however few descriptors there are.
 const MIN_UNIDENTIFIED_CONNECTIONS: usize = 8;
-/// Pause before accepting again when no descriptor is left: long enough not to spin, short enough for a waiting proxy.
+/// Delay before accepting again when no descriptor is free: long enough not to spin, short enough for a waiting proxy.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Binds the address, with a backlog for this number of proxies.
+/// Listens at an address, with a backlog for this number of proxies.
 ///
 /// # Errors
 ///
@@ -64,14 +64,14 @@
     socket.listen(u32::try_from(backlog).unwrap_or(u32::MAX))
 }
 
-/// How many unidentified connections may be open: half of what remains once each proxy and collector that the settings
-/// hold has its descriptor; the other half is for servers, whose number the settings lack.
+/// Returns the maximum number of open unidentified connections: half of the descriptors that all proxies and collectors of
+/// the settings leave. The other half is for servers, whose number is not in the settings.
 fn max_unidentified_connections(descriptors: usize, proxies: usize, zones: usize) -> usize {
     let peers = RESERVED_DESCRIPTORS + proxies + zones * MAX_COLLECTORS_PER_ZONE;
     (descriptors.saturating_sub(peers) / 2).max(MIN_UNIDENTIFIED_CONNECTIONS)
 }
 
-/// Serves the connections that are accepted.
+/// Serves accepted connections.
 pub struct ConnectionHandler {
     engine: EngineHandle,
     shutdown: Shutdown,
@@ -81,7 +81,7 @@
 }
 
 impl ConnectionHandler {
-    /// A handler for a process with a limit of `descriptors`.
+    /// Creates a handler for a process with at most `descriptors` file descriptors.
     pub fn new(shutdown: Shutdown, proxy_streams: ProxyStreamContext, descriptors: usize) -> Self {
         let engine = proxy_streams.engine.clone();
         let DeploymentSize { proxies, zones } = engine.borrow_mut().deployment_size();
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Accepts connections until the supervisor stops. When no descriptor is left, half of the idle connections to servers
-    /// are closed: health checks reopen them each second, and without that a proxy that dials would never find a descriptor.
+    /// Accepts connections until the supervisor stops. When no descriptor is free, closes half of the idle connections to
+    /// servers: health checks reopen them each second, and would otherwise leave no descriptor for a proxy that connects.
     pub async fn accept_connections(
         self: Rc<Self>,
         listener: TcpListener,
@@ -123,11 +123,11 @@
         }
     }
 
-    /// One connection, from its first message to its end.
+    /// Handles a connection from its first message to its end.
     async fn handle(&self, stream: TcpStream, remote: SocketAddr) {
         let mut log = ConnectionLog::open(PeerKind::Unidentified, remote.to_string());
         let connection = PeerConnection::new(stream, MAX_FIRST_LINE_BYTES);
-        // `biased`, with the shutdown first: a `probe` that arrives once the supervisor stops must not be answered.
+        // `biased`, with the shutdown first: a `probe` that arrives during the shutdown must not be answered.
         let Err(disconnect) = tokio::select! {
             biased;
             () = self.shutdown.requested() => Err(DisconnectReason::ShuttingDown.into()),
@@ -181,8 +181,8 @@
     }
 }
 
-/// Sends an unidentified connection the reason for which it is closed, and reads on for a moment so that the message
-/// arrives. Never blocks on a client that does not read.
+/// Sends the disconnect reason to an unidentified client, and keeps reading for a short time so that the message arrives.
+/// Does not block on a client that does not read.
 async fn reject(connection: PeerConnection, disconnect: &Disconnect, slot: &ConnectionSlot<'_>) {
     let is_closed = matches!(
         disconnect.reason,
--- a/crates/supervisor/src/peers/listener/tests.rs
+++ b/crates/supervisor/src/peers/listener/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// With a fixed share, unidentified connections and a complete fleet that joins one supervisor would need more descriptors
-/// than there are.
+/// With a fixed share, unidentified connections and a complete fleet that connects to one supervisor would need more
+/// descriptors than there are.
 #[test]
 fn unidentified_connections_get_half_of_the_descriptors_that_peers_leave() {
     for (descriptors, proxies) in [(256, 150), (512, 400), (1024, 150), (1024, 240)] {
--- a/crates/supervisor/src/peers/malformed_counter.rs
+++ b/crates/supervisor/src/peers/malformed_counter.rs
@@ -1,4 +1,4 @@
-//! Counts malformed messages: each counts as a dropped report, and too many in a row end the connection.
+//! Counts malformed messages: each counts as a dropped report, and too many in a row close the connection.
 
 use crate::protocol::disconnect::{Disconnect, DisconnectReason};
 use crate::protocol::malformed::{ErrorBudget, MalformedMessage};
@@ -11,7 +11,7 @@
 }
 
 impl MalformedCounter {
-    /// The counter of a new connection.
+    /// Creates the counter of a new connection.
     pub fn new(engine: EngineHandle) -> Self {
         MalformedCounter {
             engine,
--- a/crates/supervisor/src/peers/mod.rs
+++ b/crates/supervisor/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The supervisor's peers: one module for each kind, and the listener that accepts those that connect.
+//! The supervisor's peers: a module for each kind, and the listener for those that connect to the supervisor.
 
 mod collector_stream;
 mod connection;
--- a/crates/supervisor/src/peers/proxy_stream.rs
+++ b/crates/supervisor/src/peers/proxy_stream.rs
@@ -1,4 +1,4 @@
-//! Proxies' streams: acknowledgements and demand in, orders out.
+//! Proxies' streams, on which acknowledgements and demand reports are received and orders are sent.
 
 mod liveness;
 
@@ -27,21 +27,21 @@
 pub use liveness::stream_idle_timeout;
 use liveness::StreamLiveness;
 
-/// What all streams use.
+/// Dependencies and parameters of all streams.
 pub struct ProxyStreamContext {
-    /// Takes reports and gives orders.
+    /// Receives reports and provides orders.
     pub engine: EngineHandle,
     /// Numbers streams and wakes their writers.
     pub streams: Rc<StreamRegistry>,
     /// Records streams that join and leave.
     pub recorder: EventRecorder,
-    /// The time base.
+    /// Time source of timeouts and records.
     pub clock: Clock,
-    /// How long a proxy that has something due may send nothing.
+    /// Minimum time after which a stream is closed because an expected message is overdue.
     pub idle_timeout: Duration,
 }
 
-/// A stream that has joined.
+/// A stream that the engine has accepted.
 struct ProxyStream<'a> {
     context: &'a ProxyStreamContext,
     id: StreamId,
@@ -52,11 +52,11 @@
     liveness: StreamLiveness,
 }
 
-/// Serves a stream from its `hello` on.
+/// Serves a stream after its `hello` message.
 ///
 /// # Errors
 ///
-/// Always, with why the connection ended.
+/// Always; the error is the disconnect reason.
 pub async fn serve(
     context: &ProxyStreamContext,
     mut connection: PeerConnection,
@@ -73,7 +73,7 @@
 }
 
 impl<'a> ProxyStream<'a> {
-    /// Joins a stream; an older one of the same proxy is replaced.
+    /// Registers a stream, which replaces an older one of the same proxy.
     fn join(context: &'a ProxyStreamContext, hello: ProxyHello) -> Result<Self, Disconnect> {
         let RegisteredStream { id, signal } = context.streams.open();
         let older = context.engine.borrow_mut().stream_of(hello.proxy);
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Takes the stream out of the registry, records its end, and reports it.
+    /// Removes the stream from the registry, and records and reports its end.
     fn leave(self, disconnect: &Disconnect) {
         let context = self.context;
         context.streams.close(self.id);
@@ -121,11 +121,11 @@
             Report::StreamLost(self.id)
         };
         self.record_end(disconnect.reason);
-        // The engine has dropped a replaced stream already, and refuses the report of its end.
+        // The engine has already dropped a replaced stream, and rejects the report of its end.
         let _ = context.engine.try_report(ended);
     }
 
-    /// Records the end of the stream; an idle timeout is dated back to when the stream fell silent.
+    /// Records the end of the stream; an idle timeout is dated back to when the stream became idle.
     fn record_end(self, reason: DisconnectReason) {
         let observed_at = self.context.clock.now();
         let ended_at = if reason == DisconnectReason::IdleTimeout {
@@ -143,7 +143,7 @@
         self.context.recorder.record_at(ended_at, observed_at, left);
     }
 
-    /// Handles what the proxy sends; never blocks on what is written to it.
+    /// Receives and handles messages of the proxy, without waiting for writes to it.
     async fn receive_reports(
         &self,
         reader: &mut LineReader<OwnedReadHalf>,
@@ -159,7 +159,7 @@
             };
             let is_acknowledgement = matches!(received, Ok(Message::Acknowledgement { .. }));
             if !is_acknowledgement {
-                // Other messages do not count: a proxy that reports but applies no order would keep its old tables forever.
+                // Other messages do not reset the timeout: a proxy that reports but applies no order would keep old tables.
                 self.check_acknowledgement(now)?;
             }
             let handled = self.handle_message(received?);
@@ -222,7 +222,7 @@
         matches!(report, Report::ProxyDemand { proxy, .. } if *proxy == self.proxy)
     }
 
-    /// Writes orders, one message at a time; orders that arise during a write are merged into the next message.
+    /// Writes orders, one message at a time; orders that become pending during a write are merged into the next message.
     async fn send_orders(&self, writer: &mut OwnedWriteHalf) -> Result<Infallible, Disconnect> {
         loop {
             self.signal.write_pending().await;
--- a/crates/supervisor/src/peers/proxy_stream/liveness.rs
+++ b/crates/supervisor/src/peers/proxy_stream/liveness.rs
@@ -1,4 +1,4 @@
-//! Whether a proxy's stream is alive: its demand reports and its acknowledgements arrive in time.
+//! Liveness of a proxy's stream, which requires that demand reports and acknowledgements arrive in time.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,19 +7,19 @@
 
 use crate::shared::clock::to_micros;
 
-/// The idle timeout of a stream, in report periods. The stream of a live proxy, even one that stalled for 2 s, is idle for
-/// at most 1.7 periods, and closing it would cut the proxy off from new tables. Where few requests arrive at each proxy,
-/// streams are idle for longer: the timeout is then this multiple of the longest pause on the stream.
+/// The idle timeout of a stream, in report periods. The stream of a running proxy, even one that stalled for 2 s, is idle
+/// for at most 1.7 periods, and closing it would cut the proxy off from new tables. Streams of proxies with few requests are
+/// idle for longer: their timeout is this multiple of the longest interval between demand reports on the stream.
 const IDLE_TIMEOUT_PERIODS: u32 = 10;
 /// Minimum idle timeout, for short report periods.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a proxy that has something due may send nothing, by the period of its reports.
+/// Returns the time after which an expected message is overdue at the earliest, by the interval between reports.
 pub fn stream_idle_timeout(report_period: Duration) -> Duration {
     (report_period * IDLE_TIMEOUT_PERIODS).max(MIN_IDLE_TIMEOUT)
 }
 
-/// The messages that are expected on a stream, and when the last ones arrived.
+/// The expected messages of a stream, and when the last ones arrived.
 pub struct StreamLiveness {
     idle_timeout: Micros,
     opened_at: Micros,
@@ -27,15 +27,15 @@
     unacknowledged: Cell<Option<UnacknowledgedOrders>>,
 }
 
-/// The demand reports that have arrived on a stream.
+/// The demand reports that a stream has received.
 #[derive(Clone, Copy)]
 struct DemandReports {
     last_at: Micros,
-    /// The longest time without one, up to the last one.
+    /// Longest interval before one of them, counted from the opening or the previous one.
     longest_interval: Micros,
 }
 
-/// Orders that were written and are not acknowledged.
+/// Orders that were written and not acknowledged.
 #[derive(Clone, Copy)]
 struct UnacknowledgedOrders {
     newest_sequence: u16,
@@ -43,7 +43,7 @@
 }
 
 impl StreamLiveness {
-    /// The state of a stream that was just opened, on which nothing is expected yet.
+    /// Creates the state of a stream that was just opened, on which no message is expected yet.
     pub fn new(opened_at: Micros, idle_timeout: Duration) -> Self {
         StreamLiveness {
             idle_timeout: to_micros(idle_timeout),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Records that a demand report has arrived.
+    /// Records the arrival of a demand report.
     pub fn record_demand(&self, now: Micros) {
         let previous = self.demand.get().unwrap_or(DemandReports {
             last_at: self.opened_at,
@@ -65,8 +65,8 @@
         }));
     }
 
-    /// Whether a demand report is overdue. A proxy at which few requests arrive has nothing to report in most periods, and
-    /// must not lose its stream for it.
+    /// Returns whether a demand report is overdue. A proxy with few requests has nothing to report in most periods, and must
+    /// not lose its stream for that.
     pub fn is_demand_overdue(&self, now: Micros) -> bool {
         let Some(demand) = self.demand.get() else {
             return false;
@@ -87,7 +87,7 @@
         }));
     }
 
-    /// Records an acknowledgement. If it is for an older order, the newest one is still awaited, and its timeout restarts.
+    /// Records an acknowledgement. If it is for an older order, the timeout for the newest one restarts.
     pub fn record_acknowledgement(&self, sequence: u16, now: Micros) {
         let Some(awaited) = self.unacknowledged.get() else {
             return;
@@ -100,8 +100,8 @@
         self.unacknowledged.set((!is_newest).then_some(remaining));
     }
 
-    /// Whether an acknowledgement is overdue. An order arrives after everything that is queued before it in the channel, so
-    /// the delay of that queue extends the timeout.
+    /// Returns whether an acknowledgement is overdue. Orders are queued in the channel, so the delay of the queue extends the
+    /// timeout.
     pub fn is_acknowledgement_overdue(
         &self,
         now: Micros,
--- a/crates/supervisor/src/protocol/decode.rs
+++ b/crates/supervisor/src/protocol/decode.rs
@@ -1,58 +1,58 @@
-//! Decodes the lines of proxies and collectors to typed messages.
+//! Decodes lines from proxies and collectors into typed messages.
 
 use chutegrade_engine::{Micros, Report};
 
 use crate::protocol::fields::Fields;
 use crate::protocol::malformed::MalformedMessage;
 
-/// How a proxy introduces itself: `hello`.
+/// The first message of a proxy: `hello`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyHello {
-    /// Its number.
+    /// Number of the proxy.
     pub proxy: u32,
-    /// Its zone.
+    /// Name of the proxy's zone.
     pub zone: String,
-    /// Its requests per second, roughly.
+    /// Approximate requests per second of the proxy.
     pub request_rate: f64,
-    /// Whether it holds no table of an earlier stream.
+    /// Whether the proxy has no table from an earlier stream.
     pub has_no_table: bool,
 }
 
 /// A message of a proxy or a collector.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// Asks whether the supervisor is alive: `probe`.
+    /// Requests a liveness reply: `probe`.
     Probe,
-    /// A collector introduces itself: `agent`.
+    /// The first message of a collector: `agent`.
     CollectorHello {
-        /// Its zone.
+        /// Name of the collector's zone.
         zone: String,
     },
-    /// A proxy introduces itself: `hello`.
+    /// The first message of a proxy: `hello`.
     ProxyHello(ProxyHello),
     /// A report that is independent of its connection: `outcomes` or `demand`.
     Report(Report),
     /// A proxy has applied all orders up to a sequence number: `ack`.
     Acknowledgement {
-        /// The proxy.
+        /// Number of the proxy.
         proxy: u32,
-        /// The sequence number.
+        /// Sequence number of the last applied order.
         sequence: u16,
-        /// How long that took.
+        /// How long applying them took.
         elapsed: Micros,
     },
-    /// A kind that this version does not know.
+    /// A message of a kind that this version does not know.
     Unknown,
-    /// A message of a known kind that can't be read. It is skipped and its connection stays open: the framing is intact, so
-    /// the messages around it are good.
+    /// A message of a known kind that cannot be decoded. It is skipped and its connection stays open: the framing is intact,
+    /// so other messages can still be decoded.
     Malformed(MalformedMessage),
 }
 
-/// Decodes one line, without its end. A message of a known kind that can't be read is [`Message::Malformed`].
+/// Decodes a line without its line end. A message of a known kind that cannot be decoded is [`Message::Malformed`].
 ///
 /// # Errors
 ///
-/// If the line is no message at all: the framing is lost, and the rest of the connection cannot be read.
+/// If the line is not a message: the framing is lost, and the rest of the connection cannot be decoded.
 pub fn decode_message(line: &str) -> Result<Message, MalformedMessage> {
     let kind = line.split(' ').next().unwrap_or_default();
     let is_kind = !kind.is_empty() && kind.bytes().all(|byte| byte.is_ascii_lowercase());
--- a/crates/supervisor/src/protocol/decode/tests.rs
+++ b/crates/supervisor/src/protocol/decode/tests.rs
@@ -52,9 +52,9 @@
     assert_eq!(decode_message("weather sun=1"), Ok(Message::Unknown));
 }
 
-/// A stream that is closed for one malformed message takes its proxy off its newest tables.
+/// Closing a stream for a single malformed message would cut its proxy off from new tables.
 #[test]
-fn a_malformed_message_is_distinguished_from_a_line_that_is_no_message() {
+fn a_malformed_message_is_distinguished_from_a_line_that_is_not_a_message() {
     for line in [
         "hello site=a rps=1 new=1",
         "hello id=-1 site=a rps=1 new=1",
@@ -100,7 +100,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever bytes arrive in place of a message, the decoder answers, and no number is out of range.
+    /// For any input the decoder returns a message or an error, and decoded numbers are in range.
     #[test]
     fn corrupted_messages_never_panic_the_decoder(
         kind in 0..5usize,
--- a/crates/supervisor/src/protocol/disconnect.rs
+++ b/crates/supervisor/src/protocol/disconnect.rs
@@ -1,4 +1,4 @@
-//! Why a connection ended: a fixed set of codes, each explained in docs/on-call.md, and the log line that carries one.
+//! Disconnect reasons, whose codes docs/on-call.md explains, and the log line that is written when a connection ends.
 
 use std::fmt;
 use std::time::Instant;
@@ -8,40 +8,40 @@
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectReason {
-    /// The peer closed it between two messages.
+    /// The peer closed the connection between two messages.
     Closed,
-    /// The peer closed it within a message.
+    /// The peer closed the connection within a message.
     Truncated,
-    /// It was reset, or broke.
+    /// The connection was reset or failed with another I/O error.
     Reset,
-    /// It could not be opened: refused or unreachable.
+    /// The connection could not be opened: the peer refused it or was unreachable.
     Refused,
-    /// It could not be opened because this machine lacks a descriptor or port.
+    /// The connection could not be opened because this machine lacked a resource, such as a descriptor or a port.
     ResourcesExhausted,
-    /// Nothing arrived for longer than a live peer is ever idle.
+    /// An expected message did not arrive within the idle timeout.
     IdleTimeout,
-    /// An answer or a connection did not come in time.
+    /// Opening the connection or receiving a response timed out.
     TimedOut,
-    /// It delivered what can't be read.
+    /// The peer sent data that cannot be decoded.
     Malformed,
-    /// A line or an answer was longer than allowed.
+    /// A line or a response was longer than allowed.
     TooLong,
-    /// It named a proxy or a zone that the settings do not hold.
+    /// The peer identified itself as a proxy or with a zone that is not in the settings.
     UnknownPeer,
-    /// It did not identify itself in time.
+    /// The peer did not identify itself in time.
     NotIdentified,
-    /// It was the oldest connection of its group, and a newer one needed its slot.
+    /// The connection was the oldest of its group, and a newer one needed its slot.
     Evicted,
-    /// A newer stream of the same proxy replaced it.
+    /// A newer stream of the same proxy replaced this one.
     Replaced,
-    /// An answer had a status other than success.
+    /// A response had a status other than success.
     ErrorStatus,
-    /// This supervisor shuts down.
+    /// This supervisor is shutting down.
     ShuttingDown,
 }
 
 impl DisconnectReason {
-    /// Every reason, for the test that the on-call page explains each code.
+    /// All reasons, for the test that the on-call page explains each code.
     #[cfg(test)]
     pub const ALL: [DisconnectReason; 15] = [
         DisconnectReason::Closed,
@@ -61,7 +61,7 @@
         DisconnectReason::ShuttingDown,
     ];
 
-    /// Whether this side closed the connection although the peer may be alive.
+    /// Returns whether the supervisor closed the connection although the peer may still be running.
     pub fn closed_locally(self) -> bool {
         matches!(
             self,
@@ -69,7 +69,7 @@
         )
     }
 
-    /// The code that log lines and the `error` message carry.
+    /// Returns the code for log lines, records and the `error` message.
     pub fn code(self) -> &'static str {
         match self {
             DisconnectReason::Closed => "closed",
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A disconnect for this reason, with a detail for the log.
+    /// Returns a disconnect for this reason, with a detail for the log.
     pub fn with_detail(self, detail: impl ToString) -> Disconnect {
         Disconnect {
             reason: self,
@@ -108,9 +108,9 @@
 /// How a connection ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Disconnect {
-    /// The reason.
+    /// The reason, whose code is logged and recorded.
     pub reason: DisconnectReason,
-    /// What was wrong; empty if the reason alone is sufficient.
+    /// Further details for the log; empty if the reason is sufficient.
     pub detail: String,
 }
 
@@ -132,7 +132,7 @@
 }
 
 impl ConnectionLog {
-    /// Starts the log of a connection that has just been opened.
+    /// Starts the log entry of a connection that was just opened.
     pub fn open(peer_kind: PeerKind, peer_name: String) -> Self {
         ConnectionLog {
             peer_kind,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Sets the kind and name with which the peer has identified itself.
+    /// Sets the kind and name of a peer that has identified itself.
     pub fn identify(&mut self, peer_kind: PeerKind, peer_name: String) {
         self.peer_kind = peer_kind;
         self.peer_name = peer_name;
--- a/crates/supervisor/src/protocol/encode.rs
+++ b/crates/supervisor/src/protocol/encode.rs
@@ -1,16 +1,16 @@
-//! Encodes what the supervisor writes to proxies and collectors.
+//! Encodes messages to proxies and collectors.
 
 use std::fmt::Write as _;
 use std::rc::Rc;
 
 use chutegrade_engine::{AdmissionLevel, Order, ServerWeight, TableUpdate};
 
-/// The answer to `probe`.
+/// The reply to `probe`.
 pub const PROBE_REPLY: &[u8] = b"alive\r\n";
-/// Length from which the rest of a message moves to another line, in bytes: well below the protocol's limit of 1 MiB.
+/// Length in bytes from which a message continues on another line: well below the protocol's limit of 1 MiB.
 const LINE_SPLIT_BYTES: usize = 512 * 1024;
 
-/// The message to a peer whose connection is closed, with the reason's code.
+/// Encodes the message that is sent before a connection is closed, with the code of the reason.
 pub fn encode_error(code: &str) -> String {
     format!("error reason={code}\r\n")
 }
@@ -34,7 +34,7 @@
     text
 }
 
-/// Appends the lines of one update. A table that is too long for one line is split; the further lines add to the first.
+/// Appends the lines of one update. A table that is too long for one line is split, and the later lines add to the first.
 fn encode_update(update: &TableUpdate, lines: &mut Vec<String>) {
     let mut head = "push".to_string();
     if !update.classes.is_empty() {
@@ -59,7 +59,7 @@
     lines.push(line);
 }
 
-/// Appends a field with a list of names, unless the list is empty.
+/// Appends a field with a list of names; appends nothing if the list is empty.
 fn append_names(field: &str, names: &[Rc<str>], line: &mut String) {
     let mut separator = field;
     for name in names {
--- a/crates/supervisor/src/protocol/endpoint_delivery.rs
+++ b/crates/supervisor/src/protocol/endpoint_delivery.rs
@@ -1,4 +1,4 @@
-//! Decodes what discovery delivers: the complete endpoint list, or changes to it.
+//! Decodes deliveries of discovery: the complete endpoint list, or changes to it.
 
 use std::collections::HashMap;
 
@@ -10,44 +10,44 @@
 /// A delivery of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointDelivery {
-    /// The list's version.
+    /// Version of the list after this delivery.
     pub version: u64,
-    /// Whether it is the complete list, not changes to it.
+    /// Whether this is the complete list rather than changes to it.
     pub is_snapshot: bool,
-    /// The endpoints that could be read, one for each server.
+    /// Decoded endpoints, at most one per name.
     pub endpoints: Vec<NamedEndpoint>,
-    /// How many endpoints could not be read.
+    /// Number of endpoints that could not be decoded.
     pub unreadable: usize,
-    /// The names of the unreadable endpoints whose names could be read.
+    /// Names of the endpoints of which only the name could be decoded.
     pub unreadable_names: Vec<String>,
-    /// How many endpoints were dropped because a later one has the same name.
+    /// Number of endpoints that were dropped because a later one has the same name.
     pub duplicates: usize,
 }
 
 impl EndpointDelivery {
-    /// Whether it is the complete list, and every endpoint could be read.
+    /// Returns whether this is the complete list and every endpoint could be decoded.
     pub fn is_complete(&self) -> bool {
         self.is_snapshot && self.unreadable == 0
     }
 }
 
-/// The endpoint list as it was last delivered to an earlier run.
+/// The endpoint list that was last delivered to an earlier run, which the configuration holds as `known`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedEndpointList {
-    /// The list's version.
+    /// Version of the list; 0 if some of its endpoints could not be decoded.
     pub version: u64,
-    /// Its endpoints.
+    /// Endpoints of the list that could be decoded.
     pub endpoints: Vec<NamedEndpoint>,
 }
 
 impl CachedEndpointList {
-    /// The report of the list to the engine.
+    /// Returns the report of the list to the engine.
     pub fn to_report(&self) -> Report {
         Report::EndpointList(EndpointUpdateKind::CachedSnapshot, self.endpoints.clone())
     }
 }
 
-/// A delivery as it is on the wire.
+/// The JSON form of a delivery.
 #[derive(Deserialize)]
 struct RawDelivery {
     index: u64,
@@ -55,7 +55,7 @@
     endpoints: Vec<serde_json::Value>,
 }
 
-/// An endpoint as it is on the wire.
+/// The JSON form of an endpoint.
 #[derive(Deserialize)]
 struct RawEndpoint {
     name: String,
@@ -78,12 +78,12 @@
     1.0
 }
 
-/// Decodes a delivery. The readable endpoints are used even if others are not, but such a snapshot is not complete: the
-/// absence of an unreadable endpoint must not count as the server's removal.
+/// Decodes a delivery. Valid endpoints are used even if others cannot be decoded, but such a snapshot is not complete: a
+/// missing endpoint that could not be decoded must not count as the removal of its server.
 ///
 /// # Errors
 ///
-/// If the text is not JSON of the form of a delivery.
+/// If the text is not the JSON of a delivery.
 pub fn decode_delivery(text: &str) -> Result<EndpointDelivery, MalformedMessage> {
     serde_json::from_str::<RawDelivery>(text)
         .map(EndpointDelivery::from)
@@ -134,7 +134,7 @@
     }
 }
 
-/// Keeps the last endpoint of each name; returns how many were dropped.
+/// Keeps the last endpoint of each name, and returns the number of dropped endpoints.
 fn drop_duplicates(endpoints: &mut Vec<NamedEndpoint>) -> usize {
     let last_positions: HashMap<String, usize> = endpoints
         .iter()
@@ -153,7 +153,7 @@
     duplicates
 }
 
-/// The name of an endpoint, which may be readable where the rest is not.
+/// Returns the name of an endpoint, even if the rest cannot be decoded.
 fn endpoint_name(json: &serde_json::Value) -> Option<String> {
     json.get("name")
         .and_then(serde_json::Value::as_str)
@@ -191,7 +191,7 @@
     })
 }
 
-/// Whether a server's name can be written in an order.
+/// Returns whether a server's name can be encoded in an order.
 fn is_encodable_name(name: &str) -> bool {
     !name.is_empty() && name.bytes().all(is_encodable_byte)
 }
--- a/crates/supervisor/src/protocol/endpoint_delivery/tests.rs
+++ b/crates/supervisor/src/protocol/endpoint_delivery/tests.rs
@@ -37,7 +37,7 @@
     );
 }
 
-/// A complete list without one of its endpoints would read as that server's removal.
+/// If it counted as complete, the server of the unreadable endpoint would be removed.
 #[test]
 fn a_snapshot_with_an_unreadable_endpoint_is_not_complete() {
     for bad in [
@@ -73,7 +73,7 @@
     }
 }
 
-/// A list that contradicts itself must not admit a draining server, whatever the order in which it is read.
+/// A list with contradictory endpoints of one name must not put a draining server back in service, whatever their order.
 #[test]
 fn the_last_of_duplicate_endpoints_is_used() {
     let text = r#"{"index":2,"snapshot":true,"endpoints":[
@@ -94,7 +94,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A delivery cut or overwritten anywhere is decoded in part or rejected; it never holds a name that can't be encoded.
+    /// A corrupted delivery is rejected or decoded in part, and never contains a name that cannot be encoded.
     #[test]
     fn corrupted_deliveries_never_panic_the_decoder(at in 0..400usize, with in proptest::collection::vec(any::<char>(), 0..6)) {
         let mut chars: Vec<char> = DELIVERY.chars().collect();
--- a/crates/supervisor/src/protocol/fields.rs
+++ b/crates/supervisor/src/protocol/fields.rs
@@ -1,4 +1,4 @@
-//! The `name=value` fields of one line, read as typed and bounded values.
+//! Parses the `name=value` fields of a line as typed and bounded values.
 
 use std::str::FromStr;
 
@@ -6,24 +6,24 @@
 
 use crate::protocol::malformed::MalformedMessage;
 
-/// Largest count that a report may have: more requests than any proxy gets in a day.
+/// Maximum count in a report: more requests than a proxy receives in 24 hours.
 const MAX_COUNT: f64 = 1e9;
-/// Longest time that a message may have, in milliseconds: a day.
+/// Maximum time in a message, in milliseconds: 24 hours.
 const MAX_TIME_MS: f64 = 86_400_000.0;
 
-/// The fields of a line; the first one of a name counts.
+/// The fields of a line; of several fields with the same name, the first is used.
 pub struct Fields<'a> {
     message: &'static str,
     line: &'a str,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a line that is a message of this kind.
+    /// Creates the fields of a line that is a message of this kind.
     pub fn new(message: &'static str, line: &'a str) -> Self {
         Fields { message, line }
     }
 
-    /// The value of a field, if the line has it.
+    /// Returns the value of a field, if the line has it.
     pub fn find(&self, name: &str) -> Option<&'a str> {
         self.line
             .split(' ')
@@ -31,7 +31,7 @@
             .find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// A text that is not empty.
+    /// Returns the value of a field that must be present and not empty.
     pub fn text(&self, name: &'static str) -> Result<&'a str, MalformedMessage> {
         match self.find(name) {
             Some(text) if !text.is_empty() => Ok(text),
@@ -42,18 +42,18 @@
         }
     }
 
-    /// A value of any type that can be read from text.
+    /// Parses the value of a field.
     pub fn parse<T: FromStr>(&self, name: &'static str) -> Result<T, MalformedMessage> {
         let text = self.text(name)?;
         text.parse().map_err(|_| self.invalid(name))
     }
 
-    /// A finite count that is not negative.
+    /// Returns a count between 0 and `MAX_COUNT`.
     pub fn count(&self, name: &'static str) -> Result<f64, MalformedMessage> {
         self.number(name, MAX_COUNT)
     }
 
-    /// How many of `total` requests failed; zero if the line has no such field.
+    /// Returns the number of failed requests out of `total`; 0 if the field is absent.
     pub fn failures(&self, total: f64) -> Result<f64, MalformedMessage> {
         match self.find("fail") {
             Some(_) => self.number("fail", total),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The mean latency, in milliseconds; zero if the line has no such field.
+    /// Returns the mean latency in milliseconds; 0 if the field is absent.
     pub fn mean_latency_ms(&self) -> Result<f64, MalformedMessage> {
         match self.find("mean") {
             Some(_) => self.number("mean", MAX_TIME_MS),
@@ -69,12 +69,12 @@
         }
     }
 
-    /// A time that the line gives in milliseconds.
+    /// Returns a time that the line gives in milliseconds.
     pub fn time(&self, name: &'static str) -> Result<Micros, MalformedMessage> {
         self.number(name, MAX_TIME_MS).map(Micros::from_ms)
     }
 
-    /// The period over which the report counted, longer than zero.
+    /// Returns the period that the report covers, which must be longer than zero.
     pub fn period(&self) -> Result<Micros, MalformedMessage> {
         let period = self.time("over")?;
         if period > Micros(0) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The error for a value that the field cannot have.
+    /// Returns the error for a field with an invalid value.
     pub fn invalid(&self, name: &'static str) -> MalformedMessage {
         MalformedMessage::InvalidField {
             message: self.message,
--- a/crates/supervisor/src/protocol/http.rs
+++ b/crates/supervisor/src/protocol/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1 client connections to peers: each is driven by a task of its own, and logged at its end.
+//! HTTP/1 client connections to peers, each driven by a separate task and logged when it ends.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -20,25 +20,25 @@
 /// Sends requests without a body on one connection.
 pub type RequestSender = SendRequest<Empty<Bytes>>;
 
-/// The part of a connection that does its I/O while it is polled.
+/// The future that performs the I/O of a connection.
 type ClientConnection = Connection<TokioIo<TcpStream>, Empty<Bytes>>;
 
-/// A peer to connect to, and how the log names it.
+/// A peer to connect to, and its name in the log.
 pub struct Destination {
-    /// The kind of peer.
+    /// Kind of the peer, for the log.
     pub peer_kind: PeerKind,
-    /// The name of the peer, or of what is requested there.
+    /// Name of the peer, or the requested path, for the log.
     pub peer_name: String,
-    /// Where it listens.
+    /// Address at which the peer listens.
     pub address: SocketAddr,
 }
 
-/// Opens a connection. A task of its own drives it until its end or the shutdown, and logs it then; a connection that could
-/// not be opened is not logged.
+/// Opens a connection. A separate task drives it until it ends or the supervisor shuts down, and then logs it. A connection
+/// that cannot be opened is not logged.
 ///
 /// # Errors
 ///
-/// If the connection is not established in time, or not at all.
+/// If the connection cannot be established within the timeout.
 pub async fn connect(
     shutdown: &Shutdown,
     destination: Destination,
@@ -46,7 +46,7 @@
 ) -> Result<RequestSender, DisconnectReason> {
     let stream = open_stream(destination.address, connect_timeout).await?;
     let log = ConnectionLog::open(destination.peer_kind, destination.peer_name);
-    // If this fails, requests are merely slower.
+    // If this fails, requests are only slower.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = match http1::handshake(TokioIo::new(stream)).await {
         Ok(opened) => opened,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Drives a connection until its end or the shutdown, then logs it.
+/// Drives a connection until it ends or the supervisor shuts down, then logs it.
 async fn drive(connection: ClientConnection, shutdown: Shutdown, log: ConnectionLog) {
     let reason = tokio::select! {
         biased;
@@ -84,8 +84,8 @@
     log.close(reason);
 }
 
-/// Why a connection could not be opened. Any error that neither the peer nor the network explains counts as a shortage on
-/// this machine, so that it is not held against the peer.
+/// Returns why a connection could not be opened. An error that is not specific to the peer or the network counts as a
+/// resource shortage on this machine, so that it does not count as a failure of the peer.
 fn connect_failure(kind: ErrorKind) -> DisconnectReason {
     match kind {
         ErrorKind::TimedOut => DisconnectReason::TimedOut,
@@ -98,11 +98,11 @@
     }
 }
 
-/// Requests a path, and waits for the head of the response.
+/// Requests a path and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// If the connection ends before the response, or the response can't be read.
+/// If the connection ends before the response, or the response cannot be parsed.
 pub async fn get(
     sender: &mut RequestSender,
     host: &str,
@@ -119,7 +119,7 @@
         .map_err(|error| disconnect_reason(&error))
 }
 
-/// Why a body of limited length was not received completely: its connection broke, or it is longer than allowed.
+/// Returns why a body of limited length was not received completely: its connection failed, or it is longer than allowed.
 pub fn incomplete_body_reason(
     error: &(dyn std::error::Error + Send + Sync + 'static),
 ) -> DisconnectReason {
@@ -129,7 +129,7 @@
     }
 }
 
-/// The reason that describes an error of the connection.
+/// Returns the disconnect reason for an error of the connection.
 fn disconnect_reason(error: &hyper::Error) -> DisconnectReason {
     if error.is_parse() {
         DisconnectReason::Malformed
--- a/crates/supervisor/src/protocol/http/tests.rs
+++ b/crates/supervisor/src/protocol/http/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A supervisor that has run out of descriptors must not take all its servers for dead.
+/// A supervisor without free descriptors must not report all of its servers as unreachable.
 #[test]
 fn a_local_resource_shortage_does_not_count_as_a_failure_of_the_peer() {
     assert_eq!(
--- a/crates/supervisor/src/protocol/line_reader.rs
+++ b/crates/supervisor/src/protocol/line_reader.rs
@@ -1,4 +1,4 @@
-//! The framing: splits a byte stream into lines with a bounded buffer, and writes messages.
+//! Message framing: splits a byte stream into lines with a bounded buffer, and writes messages.
 
 use bytes::{Buf, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -6,14 +6,14 @@
 use crate::protocol::decode::{self, Message};
 use crate::protocol::disconnect::{Disconnect, DisconnectReason};
 
-/// Bytes read from a connection at a time: enough for a few dozen reports, and little memory for an idle connection.
+/// Bytes to read from a connection at a time: enough for a few dozen reports, and little memory for an idle connection.
 const READ_BYTES: usize = 4096;
 
 /// Writes all bytes.
 ///
 /// # Errors
 ///
-/// If the connection breaks.
+/// If the connection fails.
 pub async fn send(writer: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> Result<(), Disconnect> {
     writer
         .write_all(bytes)
@@ -25,13 +25,13 @@
 pub struct LineReader<R> {
     source: R,
     buffer: BytesMut,
-    /// Bytes at the head of the buffer that hold no line end.
+    /// Number of bytes at the start of the buffer that contain no line end.
     searched: usize,
     max_line_bytes: usize,
 }
 
 impl<R: AsyncRead + Unpin> LineReader<R> {
-    /// A reader of lines of at most `max_line_bytes` bytes.
+    /// Creates a reader of lines of at most `max_line_bytes` bytes.
     pub fn new(source: R, max_line_bytes: usize) -> Self {
         LineReader {
             source,
@@ -41,23 +41,23 @@
         }
     }
 
-    /// Changes the maximum length of the lines that follow.
+    /// Changes the maximum length of subsequent lines, in bytes.
     pub fn set_max_line_bytes(&mut self, max_line_bytes: usize) {
         self.max_line_bytes = max_line_bytes;
     }
 
-    /// The next line, decoded. Cancel safe: dropping the future loses no bytes.
+    /// Returns the next line, decoded. Cancel safe: dropping the future loses no bytes.
     ///
     /// # Errors
     ///
-    /// If the connection ends, or the line is no message at all.
+    /// If the connection ends, or the line is not a message.
     pub async fn next_message(&mut self) -> Result<Message, Disconnect> {
         let line = self.next_line().await?;
         decode::decode_message(&line)
             .map_err(|malformed| DisconnectReason::Malformed.with_detail(malformed))
     }
 
-    /// Reads and discards bytes until the source ends or `max_bytes` are read.
+    /// Reads and discards bytes until the source ends or `max_bytes` have been read.
     pub async fn discard(mut self, max_bytes: usize) {
         let mut remaining = max_bytes;
         while remaining > 0 {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The next line, without its line end. Cancel safe: dropping the future loses no bytes.
+    /// Returns the next line, without its line end. Cancel safe: dropping the future loses no bytes.
     ///
     /// # Errors
     ///
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes the first line out of the buffer, if the buffer holds all of it.
+    /// Takes the first line from the buffer, if it is complete.
     fn take_buffered_line(&mut self) -> Result<Option<String>, DisconnectReason> {
         let unsearched = self.buffer.get(self.searched..).unwrap_or_default();
         let Some(offset) = unsearched.iter().position(|byte| *byte == b'\n') else {
--- a/crates/supervisor/src/protocol/line_reader/tests.rs
+++ b/crates/supervisor/src/protocol/line_reader/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// All lines of the bytes that arrive in these pieces, and why there are no more.
+/// Returns all lines of a byte stream that arrives in these pieces, and why it ended.
 fn read(pieces: Vec<Vec<u8>>, max_line_bytes: usize) -> (Vec<String>, DisconnectReason) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
--- a/crates/supervisor/src/protocol/load_report.rs
+++ b/crates/supervisor/src/protocol/load_report.rs
@@ -1,4 +1,4 @@
-//! Decodes the load report in the response to a health check.
+//! Decodes the load report in a health check response.
 
 use chutegrade_engine::LoadReport;
 
--- a/crates/supervisor/src/protocol/malformed.rs
+++ b/crates/supervisor/src/protocol/malformed.rs
@@ -1,59 +1,59 @@
-//! Malformed messages, and how many of them in a row a connection may deliver.
+//! Malformed messages, and the limit on consecutive ones on a connection.
 
 use crate::protocol::peer_kind::PeerKind;
 
-/// Why a message could not be read. Only [`MalformedMessage::NotAMessage`] means that what follows can't be trusted either.
+/// Why a message could not be decoded. Only after [`MalformedMessage::NotAMessage`] is the framing lost as well.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedMessage {
-    /// A field that the message needs is absent.
+    /// A required field is absent or empty.
     #[error("{message} without {field}")]
     MissingField {
-        /// The kind of message.
+        /// Kind of the message.
         message: &'static str,
-        /// The field.
+        /// Name of the field on the wire.
         field: &'static str,
     },
-    /// A field has a value that it cannot have.
+    /// A field has an invalid value.
     #[error("{message} with bad {field}")]
     InvalidField {
-        /// The kind of message.
+        /// Kind of the message.
         message: &'static str,
-        /// The field.
+        /// Name of the field on the wire.
         field: &'static str,
     },
     /// A message that a peer of this kind does not send, or sends only once.
     #[error("unexpected message from a {0}")]
     Unexpected(PeerKind),
-    /// The kind has characters that no kind has.
+    /// The line does not begin with the lowercase letters of a message kind.
     #[error("no message")]
     NotAMessage,
-    /// An endpoint list is no JSON of its form.
+    /// An endpoint list is not JSON of the expected form.
     #[error("malformed endpoint list: {0}")]
     EndpointList(String),
 }
 
-/// Malformed messages in a row after which a connection is of no further use: at worst half of a good peer's are
-/// malformed, and such a row then occurs once in millions.
+/// Number of consecutive malformed messages at which a connection is closed. At worst half of the messages of a working
+/// peer are malformed; such a sequence then occurs once in millions.
 const MAX_CONSECUTIVE_ERRORS: u32 = 24;
 
-/// Counts a connection's malformed messages in a row. A connection that delivers nothing else is useless, and its peer does
-/// not open another one while it lasts.
+/// Counts the consecutive malformed messages of a connection. A connection that delivers only malformed messages has to be
+/// closed, since its peer does not open another one while it is open.
 #[derive(Debug, Default)]
 pub struct ErrorBudget {
     consecutive_errors: u32,
 }
 
 impl ErrorBudget {
-    /// A good message restores the budget.
+    /// Restores the budget after a valid message.
     pub fn restore(&mut self) {
         self.consecutive_errors = 0;
     }
 
-    /// Spends the budget on one malformed message, and returns the message.
+    /// Counts a malformed message, and returns it.
     ///
     /// # Errors
     ///
-    /// Once there are too many in a row.
+    /// If too many malformed messages arrived in a row.
     pub fn spend(
         &mut self,
         malformed: MalformedMessage,
--- a/crates/supervisor/src/protocol/mod.rs
+++ b/crates/supervisor/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The protocols on the supervisor's sockets: framing, messages, and the reasons for which connections end. The names of
-//! messages and fields on the wire are mapped to the engine's terms here and nowhere else.
+//! The protocols on the supervisor's sockets: framing, messages and disconnect reasons. Only this module maps the names of
+//! messages and fields on the wire to the engine's terms.
 
 pub mod decode;
 pub mod disconnect;
--- a/crates/supervisor/src/protocol/peer_kind.rs
+++ b/crates/supervisor/src/protocol/peer_kind.rs
@@ -1,24 +1,24 @@
-//! The kinds of peers that a connection can lead to.
+//! The kinds of peers.
 
 use std::fmt;
 
 /// The kind of the peer at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerKind {
-    /// An accepted connection that has not identified itself.
+    /// A peer that connected and has not identified itself.
     Unidentified,
-    /// A proxy.
+    /// A proxy, which opened a stream.
     Proxy,
-    /// A collector.
+    /// A collector of a zone's reports.
     Collector,
     /// A discovery agent.
     Discovery,
-    /// A server that is checked.
+    /// A server that is health checked.
     Server,
 }
 
 impl PeerKind {
-    /// The name in log lines and error texts.
+    /// Returns the name for log lines and error messages.
     pub fn name(self) -> &'static str {
         match self {
             PeerKind::Unidentified => "stranger",
--- a/crates/supervisor/src/server/errors.rs
+++ b/crates/supervisor/src/server/errors.rs
@@ -1,4 +1,4 @@
-//! Why the server cannot start, or has stopped.
+//! Errors for which the server does not start, or stops.
 
 use std::fmt;
 use std::io;
@@ -6,7 +6,7 @@
 
 use crate::config::ConfigError;
 
-/// Why the server cannot start, or has stopped.
+/// An error for which the server does not start, or stops.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
     /// The runtime cannot be built.
@@ -15,16 +15,16 @@
     /// A signal cannot be handled.
     #[error("no signals: {0}")]
     Signals(io::Error),
-    /// The operators' file is wrong.
+    /// The operators' file is invalid.
     #[error(transparent)]
     OperatorConfig(#[from] OperatorConfigErrors),
-    /// The configuration is missing or wrong.
+    /// The configuration is missing or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The supervisor cannot listen at its address.
     #[error("cannot listen at {address}: {error}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
         /// The error of the operating system.
         error: io::Error,
@@ -32,32 +32,32 @@
     /// The local address of the listener cannot be determined.
     #[error("no address: {0}")]
     LocalAddress(io::Error),
-    /// The writer of the records cannot be started.
+    /// The thread that writes records cannot be started.
     #[error("no thread for the records: {0}")]
     Recorder(io::Error),
-    /// A task that runs as long as the server has ended: the supervisor would only seem to serve.
+    /// A task that the server cannot work without has ended.
     #[error(transparent)]
     TaskStopped(#[from] TaskStopped),
 }
 
-/// A task that has ended, though it runs as long as the server does.
+/// A task that has ended before the server was stopped.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub enum TaskStopped {
-    /// The tick loop.
+    /// Ticks the engine.
     #[error("the tick loop has stopped")]
     TickLoop,
-    /// The reload of configurations.
+    /// Reloads the configuration at SIGHUP.
     #[error("the reload of configurations has stopped")]
     Reload,
-    /// The discovery client.
+    /// Follows the endpoint list.
     #[error("the discovery client has stopped")]
     Discovery,
-    /// The listener.
+    /// Accepts connections.
     #[error("the listener has stopped")]
     Listener,
 }
 
-/// All faults of the operators' file, in one sentence.
+/// All errors of the operators' file, separated by semicolons when displayed.
 #[derive(Debug)]
 pub struct OperatorConfigErrors(pub Vec<chutegrade_operator_config::ConfigError>);
 
--- a/crates/supervisor/src/server/fleet_series.rs
+++ b/crates/supervisor/src/server/fleet_series.rs
@@ -1,4 +1,4 @@
-//! Records fleet metrics and server snapshots at regular intervals, and steps of the system's clock.
+//! Records fleet metrics and server snapshots at regular intervals, and steps of the system clock.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,15 +12,14 @@
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::event_recorder::EventRecorder;
 
-/// Time between two records of the fleet's metrics: charts have a point per second, and a missing one shows that the
-/// supervisor stalled.
+/// Time between two records of fleet metrics: charts have a point per second, and a gap shows that the supervisor stalled.
 const METRICS_INTERVAL: Micros = Micros(1_000_000);
-/// Time between two snapshots of all servers, from which readers start; a snapshot takes some 70 bytes per server.
+/// Time between two snapshots of all servers, from which readers start; a snapshot takes about 70 bytes per server.
 const SNAPSHOT_INTERVAL: Micros = Micros(10_000_000);
-/// Smallest step of the system's clock that is recorded: more than slewing changes in a second.
+/// Minimum step of the system clock that is recorded: more than slewing changes in a second.
 const MIN_CLOCK_STEP: Micros = Micros(250_000);
 
-/// The series of one supervisor, and when the next record of each is due.
+/// Records the series of one supervisor when they are due.
 pub struct FleetSeries {
     clock: Clock,
     engine: EngineHandle,
@@ -28,12 +27,12 @@
     overload: Rc<OverloadControl>,
     metrics_due: Cell<Micros>,
     snapshot_due: Cell<Micros>,
-    /// How far the system's clock was ahead of the time base when that was last recorded.
+    /// How far the system clock was ahead of `clock` when that was last recorded.
     system_offset: Cell<Micros>,
 }
 
 impl FleetSeries {
-    /// Series that are due at once.
+    /// Creates series that are due immediately.
     pub fn new(
         clock: Clock,
         engine: EngineHandle,
@@ -47,12 +46,12 @@
             overload,
             metrics_due: Cell::default(),
             snapshot_due: Cell::default(),
-            // The clock started at the system's time.
+            // `Clock` starts at the time of the system clock.
             system_offset: Cell::new(Micros(0)),
         }
     }
 
-    /// Records what is due.
+    /// Records the metrics and the snapshot if they are due.
     pub fn record_due(&self) {
         let now = self.clock.now();
         if now >= self.metrics_due.get() {
@@ -67,7 +66,7 @@
         }
     }
 
-    /// How long until metrics are due.
+    /// Returns the time until the metrics are due.
     pub fn until_due(&self) -> Duration {
         to_duration(self.metrics_due.get() - self.clock.now())
     }
--- a/crates/supervisor/src/server/handles.rs
+++ b/crates/supervisor/src/server/handles.rs
@@ -15,16 +15,16 @@
 use crate::shared::stream_registry::StreamRegistry;
 use crate::shared::subscription_channel::SubscriptionChannel;
 
-/// The handles that the server's tasks share; clones refer to the same parts.
+/// The handles that the server's tasks share; clones refer to the same components.
 #[derive(Clone)]
 pub struct SharedHandles {
-    /// The engine.
+    /// Receives reports and makes the decisions.
     pub engine: EngineHandle,
-    /// The time base.
+    /// Time source of decisions and records.
     pub clock: Clock,
-    /// The recorder.
+    /// Records events, if records are kept.
     pub recorder: EventRecorder,
-    /// The shutdown signal.
+    /// Signals the shutdown and tracks connections.
     pub shutdown: Shutdown,
     /// The proxies' open streams.
     pub streams: Rc<StreamRegistry>,
@@ -33,7 +33,7 @@
 }
 
 impl SharedHandles {
-    /// Handles to this engine and recorder.
+    /// Creates the handles for this engine and recorder.
     pub fn new(engine: EngineHandle, recorder: EventRecorder, clock: Clock) -> Self {
         SharedHandles {
             engine,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What overload control uses.
+    /// Returns the handles that overload control uses.
     pub fn overload_context(&self) -> OverloadContext {
         OverloadContext {
             engine: self.engine.clone(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What plug-ins use.
+    /// Returns the handles that plug-ins use.
     pub fn plugin_context(&self) -> PluginContext {
         PluginContext {
             engine: self.engine.clone(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What proxies' streams use.
+    /// Returns the handles and the idle timeout that proxies' streams use.
     pub fn proxy_stream_context(&self, idle_timeout: Duration) -> ProxyStreamContext {
         ProxyStreamContext {
             engine: self.engine.clone(),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// What the discovery client uses.
+    /// Returns the handles that the discovery client uses.
     pub fn discovery_context(&self) -> DiscoveryContext {
         DiscoveryContext {
             engine: self.engine.clone(),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The recorder of fleet metrics, if records are kept.
+    /// Creates the recorder of fleet metrics, if records are kept.
     pub fn fleet_series(&self, overload: &Rc<OverloadControl>) -> Option<FleetSeries> {
         if !self.recorder.is_enabled() {
             return None;
--- a/crates/supervisor/src/server/logging.rs
+++ b/crates/supervisor/src/server/logging.rs
@@ -1,9 +1,9 @@
-//! The log on standard error.
+//! Sets up logging to standard error.
 
 use chutegrade_operator_config::LogFormat;
 use tracing::Level;
 
-/// Starts the log in this format, with the level that the environment names.
+/// Starts logging in this format, at the level that `LB_LOG` names; the default is `info`.
 pub fn init(format: LogFormat) {
     let log = tracing_subscriber::fmt()
         .with_max_level(level_from_env())
--- a/crates/supervisor/src/server/mod.rs
+++ b/crates/supervisor/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The supervisor's server: wires the parts on one thread, ticks the engine, and shuts down at SIGTERM.
+//! The supervisor's server: wires the components on one thread, ticks the engine, and shuts down at SIGTERM.
 
 mod errors;
 mod fleet_series;
--- a/crates/supervisor/src/server/overload_control.rs
+++ b/crates/supervisor/src/server/overload_control.rs
@@ -1,6 +1,5 @@
-//! Overload control: the operators' service levels, limits and budgets are evaluated once a second. Decisions go to the
-//! engine as a report, changes of the level to the log and the records. SIGHUP reloads the operators' file; an invalid one
-//! is rejected.
+//! Overload control: evaluates the operators' service levels, limits and budgets once a second, reports its decisions to
+//! the engine, and logs and records changes of the level. SIGHUP reloads the operators' file; an invalid one is rejected.
 
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -19,20 +18,21 @@
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::event_recorder::EventRecorder;
 
-/// How far back records are searched for the level before a restart, in microseconds: a little more than what is restored.
+/// How far back records are searched for the level before a restart, in microseconds: slightly more than the maximum age
+/// of a level that is restored.
 const RESTORE_WINDOW_US: i64 = 70_000_000;
 
-/// What overload control uses.
+/// Dependencies of overload control.
 pub struct OverloadContext {
-    /// Takes the limits that are in force.
+    /// Receives the limits in force.
     pub engine: EngineHandle,
-    /// Records changes.
+    /// Records changes of the level, and rejected files.
     pub recorder: EventRecorder,
-    /// The time base.
+    /// Time source of evaluations.
     pub clock: Clock,
 }
 
-/// Levels, limits and budgets of the operators' file.
+/// Evaluates the levels, limits and budgets of the operators' file.
 pub struct OverloadControl {
     context: OverloadContext,
     path: Option<PathBuf>,
@@ -42,7 +42,7 @@
 }
 
 impl OverloadControl {
-    /// Overload control as the operators' file at this path configures it; without a configuration it does nothing.
+    /// Creates overload control from the configuration of the operators' file at this path; does nothing without one.
     pub fn new(
         context: OverloadContext,
         path: Option<&Path>,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Restores the level that was in force at the end of the records, if there are records and they are recent enough.
+    /// Restores the last recorded level, if records are kept and the level is recent enough.
     pub fn restore_level(&self) {
         let Some(directory) = self.context.recorder.directory() else {
             return;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Rereads the operators' file; an invalid one changes nothing.
+    /// Reloads the operators' file; an invalid one changes nothing.
     pub fn reload(&self) {
         let Some(path) = &self.path else { return };
         match load_config(path, &self.classes) {
@@ -156,11 +156,11 @@
     }
 }
 
-/// The overload control that the operators' file configures for the engine's classes.
+/// Returns the overload control configuration of the operators' file for the engine's classes, if the file has limits.
 ///
 /// # Errors
 ///
-/// If the file does not fit the classes.
+/// If the limits do not match the classes.
 pub fn config_for_engine(
     operator: &OperatorConfig,
     engine: &EngineHandle,
@@ -191,7 +191,7 @@
     config_for_classes(&operator, classes)
 }
 
-/// The level that was in force at the end of the records, and when that was.
+/// Returns the last recorded level, and when it was recorded.
 fn last_recorded_level(directory: &Path, now: Micros) -> Option<Saved> {
     let timeline = Timeline::open(&[directory.to_path_buf()]).ok()?;
     let window = Query::between(now.0.saturating_sub(RESTORE_WINDOW_US), now.0);
--- a/crates/supervisor/src/server/parameters.rs
+++ b/crates/supervisor/src/server/parameters.rs
@@ -1,4 +1,4 @@
-//! Parameters of the server's own parts, derived from the configuration.
+//! Parameters of the server's components, derived from the configuration.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 use crate::peers::proxy_stream::stream_idle_timeout;
 use crate::shared::clock::to_duration;
 
-/// Parameters of the server's parts.
+/// Parameters of the server's components.
 pub struct ServerParameters {
-    /// The period in which proxies and collectors report.
+    /// Interval at which proxies and collectors report.
     pub report_period: Micros,
-    /// How long a proxy that has something due may send nothing.
+    /// Minimum time after which a stream is closed because an expected message is overdue.
     pub stream_idle_timeout: Duration,
-    /// How servers are checked.
+    /// Timeouts and kind of the servers' health checks.
     pub health_check: HealthCheckConfig,
-    /// Whether the engine asks for the endpoint list call by call.
+    /// Whether the engine requests each call to discovery separately.
     pub endpoints_on_request: bool,
     /// Minimum time between two ticks that are caused by reports.
     pub min_tick_interval: Duration,
-    /// How many descriptors the process may have.
+    /// Maximum number of file descriptors of the process.
     pub max_descriptors: usize,
 }
 
--- a/crates/supervisor/src/server/plugins.rs
+++ b/crates/supervisor/src/server/plugins.rs
@@ -1,5 +1,5 @@
-//! Plug-ins: their texts are read at the start and at SIGHUP, they are evaluated once a second, and their advice goes to the
-//! engine as a report. If a text is invalid, the plug-ins that were loaded stay; the supervisor serves in any case.
+//! Plug-ins: loads them at startup and at SIGHUP, evaluates them once a second, and reports their advice to the engine. If
+//! a file is invalid, the loaded plug-ins stay active; the supervisor serves in any case.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -14,13 +14,13 @@
 use crate::shared::event_recorder::EventRecorder;
 use crate::text_file;
 
-/// What plug-ins use.
+/// Dependencies of plug-ins.
 pub struct PluginContext {
-    /// Gives plug-ins their inputs and takes their advice.
+    /// Provides the inputs of plug-ins and receives their advice.
     pub engine: EngineHandle,
-    /// Records what plug-ins do.
+    /// Records loaded and rejected plug-ins, and their events.
     pub recorder: EventRecorder,
-    /// The time base.
+    /// Time source of evaluations.
     pub clock: Clock,
 }
 
@@ -31,7 +31,7 @@
     advisor: RefCell<PluginAdvisor>,
 }
 
-/// What is recorded of one plug-in that was loaded or rejected.
+/// The record of a plug-in that was loaded or rejected.
 #[derive(Default)]
 struct LoadRecord {
     name: String,
@@ -41,7 +41,7 @@
 }
 
 impl Plugins {
-    /// Plug-ins from these files; none is loaded yet.
+    /// Creates the plug-ins of these files without loading them.
     pub fn new(context: PluginContext, files: Vec<PathBuf>) -> Self {
         Plugins {
             context,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Reloads all texts, or none if any of them is invalid. Does nothing if the operators named none.
+    /// Loads all files, or none if any of them is invalid. Does nothing if there are none.
     pub fn load(&self) {
         if self.files.is_empty() {
             return;
@@ -135,7 +135,7 @@
     }
 }
 
-/// The record of an event, with its code and text.
+/// Converts an event of a plug-in to its record.
 fn event_record(name: String, event: Word) -> pb::PluginSaid {
     let (what, text) = match event {
         Word::Noted(text) => ("note", text),
--- a/crates/supervisor/src/server/reload.rs
+++ b/crates/supervisor/src/server/reload.rs
@@ -12,15 +12,15 @@
 use crate::server::plugins::Plugins;
 use crate::shared::event_recorder::EventRecorder;
 
-/// What is reloaded, and the receivers of the new configuration.
+/// Reloads the files, and passes on what has changed.
 pub struct Reloader {
     /// The configuration file.
     pub source: ConfigSource,
-    /// The address of discovery.
+    /// Notifies the discovery client of a changed address.
     pub discovery: watch::Sender<SocketAddr>,
-    /// The plug-ins.
+    /// Reloads the plug-ins.
     pub plugins: Rc<Plugins>,
-    /// The limits of the operators' file.
+    /// Reloads the limits of the operators' file.
     pub overload: Rc<OverloadControl>,
     /// Records reloads.
     pub recorder: EventRecorder,
--- a/crates/supervisor/src/server/shutdown.rs
+++ b/crates/supervisor/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown of the server: connections end and are logged, and the last records are written.
+//! Shuts down the server: ends and logs connections, and writes the last records.
 
 use std::time::{Duration, Instant};
 
@@ -7,9 +7,9 @@
 use crate::shared::event_recorder::EventRecorder;
 use crate::shared::shutdown::Shutdown;
 
-/// How long connections may take to end and log it once the supervisor stops.
+/// Maximum time for connections to end and be logged at shutdown.
 const CONNECTION_DRAIN_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long the shutdown may take in total, including the last records: SIGKILL follows no sooner than 0.7 s after SIGTERM.
+/// Maximum duration of the shutdown, including the last records: SIGKILL follows no sooner than 0.7 s after SIGTERM.
 const SHUTDOWN_DEADLINE: Duration = Duration::from_millis(600);
 
 /// Ends all connections and writes the last records.
--- a/crates/supervisor/src/server/signals.rs
+++ b/crates/supervisor/src/server/signals.rs
@@ -1,10 +1,10 @@
-//! The signals that the program handles.
+//! Handlers of SIGTERM and SIGHUP.
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 use crate::server::errors::ServerError;
 
-/// Handlers of the signals.
+/// The signals that the server handles.
 pub struct Signals {
     /// SIGTERM: shut down.
     pub terminate: Signal,
@@ -13,11 +13,11 @@
 }
 
 impl Signals {
-    /// Installs the handlers, within a runtime.
+    /// Installs the handlers; must be called within a runtime.
     ///
     /// # Errors
     ///
-    /// If a signal cannot be handled.
+    /// If a handler cannot be installed.
     pub fn install() -> Result<Self, ServerError> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate()).map_err(ServerError::Signals)?,
--- a/crates/supervisor/src/server/startup.rs
+++ b/crates/supervisor/src/server/startup.rs
@@ -1,4 +1,4 @@
-//! The start: reads the configuration, wires the components, and runs them until SIGTERM.
+//! Startup: reads the configuration, wires the components, and runs them until SIGTERM.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -29,7 +29,7 @@
 use crate::shared::engine_handle::EngineHandle;
 use crate::shared::event_recorder::EventRecorder;
 
-/// Serves until SIGTERM, with the operators' file at this path. A failure is logged as one sentence, with exit code 1.
+/// Serves until SIGTERM, with the operators' file at this path. A failure is logged as one sentence and exits with code 1.
 pub fn run(operator_path: Option<&Path>) -> ExitCode {
     // Signal handlers are installed first: SIGHUP may arrive while the configuration is being read, and an unhandled signal
     // ends the program.
@@ -76,7 +76,7 @@
     }
 }
 
-/// The operators' file, as it was read at the start.
+/// The operators' file, with its content at startup.
 struct OperatorFile<'a> {
     path: Option<&'a Path>,
     config: OperatorConfig,
@@ -116,14 +116,14 @@
     tasks.run_until(&mut terminate).await?;
     tracing::info!("stopping");
     let requested_at = Instant::now();
-    // Nothing is decided, requested, reloaded or accepted from here on: records would hold orders that no proxy gets, and
-    // health checks would cost servers work for nothing.
+    // Tasks are aborted before connections are closed: otherwise records could contain orders that no proxy receives, and
+    // servers would handle health checks whose results are not used.
     abort_handles.iter().for_each(AbortHandle::abort);
     shut_down(&handles.shutdown, &handles.recorder, requested_at).await;
     Ok(())
 }
 
-/// Creates the components, and reports the known endpoint list to the engine.
+/// Creates the components, and reports the cached endpoint list to the engine.
 fn build_components(
     config: Config,
     operator: &OperatorFile<'_>,
@@ -172,7 +172,7 @@
     }
 }
 
-/// The recorder that the operators' file asks for.
+/// Opens the recorder that the operators' file configures.
 fn open_recorder(
     operator: &OperatorConfig,
     supervisor: &str,
@@ -186,7 +186,7 @@
     }
 }
 
-/// Starts overload control at the level that the records hold.
+/// Starts overload control at the last recorded level.
 fn start_overload_control(
     handles: &SharedHandles,
     path: Option<&Path>,
--- a/crates/supervisor/src/server/tasks.rs
+++ b/crates/supervisor/src/server/tasks.rs
@@ -21,25 +21,25 @@
 use crate::server::reload::Reloader;
 use crate::server::tick_loop::TickLoop;
 
-/// The parts that the tasks are built from.
+/// The components that the tasks are built from.
 pub struct ServerComponents {
-    /// The handles that they share.
+    /// Handles that the tasks share.
     pub handles: SharedHandles,
-    /// Their configured parameters.
+    /// Configured parameters of the tasks.
     pub parameters: ServerParameters,
-    /// Overload control.
+    /// Evaluated by the tick loop, and reloaded at SIGHUP.
     pub overload: Rc<OverloadControl>,
-    /// The plug-ins.
+    /// Evaluated by the tick loop, and reloaded at SIGHUP.
     pub plugins: Rc<Plugins>,
-    /// The address of discovery.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The endpoint list as it was last delivered.
+    /// Endpoint list that was last delivered to an earlier run.
     pub cached_endpoints: Option<CachedEndpointList>,
 }
 
 impl ServerComponents {
     /// Spawns the tasks; `hangup` is the signal to reload `source`. The tick loop is spawned first, so that the engine has
-    /// ticked with the known list before the first connection is accepted.
+    /// ticked with the cached endpoint list before the first connection is accepted.
     pub fn spawn(self, listener: TcpListener, source: ConfigSource, hangup: Signal) -> ServerTasks {
         let handles = self.handles;
         let parameters = self.parameters;
@@ -88,9 +88,9 @@
     }
 }
 
-/// The tasks of a server; none of them ends while all is well.
+/// The tasks of a server, all of which run until it is stopped.
 pub struct ServerTasks {
-    /// Ticks the decisions.
+    /// Ticks the engine.
     pub tick_loop: JoinHandle<()>,
     /// Reloads the configuration.
     pub reload: JoinHandle<()>,
@@ -101,7 +101,7 @@
 }
 
 impl ServerTasks {
-    /// Handles that end the tasks.
+    /// Returns handles that abort the tasks.
     pub fn abort_handles(&self) -> [AbortHandle; 4] {
         [
             self.tick_loop.abort_handle(),
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// If a task ends earlier: the supervisor would only seem to serve.
+    /// If a task ends earlier: the server cannot work without it.
     pub async fn run_until(self, terminate: &mut Signal) -> Result<(), TaskStopped> {
         tokio::select! {
             biased;
--- a/crates/supervisor/src/server/tick_loop.rs
+++ b/crates/supervisor/src/server/tick_loop.rs
@@ -21,14 +21,14 @@
 const DROPPED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// Time until the next tick if no timer is set.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(1);
-/// Health checks are spread over this share of the time to the next timer, so that their answers are there when it is due.
+/// Health checks are spread over this share of the time to the next timer, so that their results arrive before it is due.
 const HEALTH_CHECK_SPREAD: f64 = 0.5;
 
-/// What the tick loop uses.
+/// Dependencies and parameters of the tick loop.
 pub struct TickLoop {
-    /// The engine.
+    /// Receives reports between ticks and decides in each tick.
     pub engine: EngineHandle,
-    /// The time base.
+    /// Time source of ticks.
     pub clock: Clock,
     /// Notified of orders.
     pub streams: Rc<StreamRegistry>,
@@ -36,9 +36,9 @@
     pub subscriptions: Rc<SubscriptionChannel>,
     /// Runs the health checks that the engine requests.
     pub health_checker: Rc<HealthChecker>,
-    /// Evaluated before each tick, which carries their advice to the decisions.
+    /// Evaluated before each tick, so that the tick applies their advice.
     pub plugins: Rc<Plugins>,
-    /// Evaluated before each tick, which carries its limits to the decisions.
+    /// Evaluated before each tick, so that the tick applies its limits.
     pub overload: Rc<OverloadControl>,
     /// Records the log events of the engine.
     pub recorder: EventRecorder,
--- a/crates/supervisor/src/shared/clock.rs
+++ b/crates/supervisor/src/shared/clock.rs
@@ -1,10 +1,10 @@
-//! The time base of all decisions, and conversions between the engine's unit of time and the runtime's.
+//! The clock that all decisions use, and conversions between the engine's and the runtime's units of time.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use chutegrade_engine::Micros;
 
-/// Unix time at the start, carried on by a monotonic clock that never steps.
+/// Unix time at startup, advanced by the monotonic clock so that it never steps.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Micros,
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// A clock that starts at the system's time.
+    /// Starts a clock at the time of the system clock.
     pub fn start() -> Self {
         Clock {
             started_at: system_time(),
@@ -20,18 +20,18 @@
         }
     }
 
-    /// Unix time now.
+    /// Returns the current Unix time.
     pub fn now(&self) -> Micros {
         self.started_at + to_micros(self.start.elapsed())
     }
 
-    /// How far the system's clock is ahead of this one.
+    /// Returns how far the system clock is ahead of this one.
     pub fn system_offset(&self) -> Micros {
         system_time() - self.now()
     }
 }
 
-/// Unix time by the system's clock, which may step.
+/// Returns the Unix time of the system clock, which may step.
 fn system_time() -> Micros {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -39,12 +39,12 @@
     to_micros(since_epoch)
 }
 
-/// A duration in the engine's unit; one beyond its range becomes the longest.
+/// Converts a duration to microseconds; saturates at the largest value.
 pub fn to_micros(duration: Duration) -> Micros {
     Micros(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
 }
 
-/// A duration in the runtime's unit; a negative one becomes zero.
+/// Converts microseconds to a duration; a negative value becomes zero.
 pub fn to_duration(micros: Micros) -> Duration {
     Duration::from_micros(u64::try_from(micros.0).unwrap_or_default())
 }
--- a/crates/supervisor/src/shared/engine_handle.rs
+++ b/crates/supervisor/src/shared/engine_handle.rs
@@ -1,4 +1,4 @@
-//! The engine as the tasks share it: they hand in reports, which wake the tick loop.
+//! Shared access to the engine. Reports that tasks submit wake the tick loop.
 
 use std::cell::{RefCell, RefMut};
 use std::rc::Rc;
@@ -22,14 +22,14 @@
 /// Reports that were dropped since [`EngineHandle::take_dropped`] was last called.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DroppedReports {
-    /// How many were dropped.
+    /// Number of dropped reports.
     pub count: u64,
-    /// Why the last one was dropped.
+    /// Why the last one was dropped; empty if `count` is 0.
     pub last_reason: String,
 }
 
 impl EngineHandle {
-    /// A handle to this engine.
+    /// Creates a handle to this engine.
     pub fn new(engine: Engine) -> Self {
         EngineHandle {
             shared: Rc::new(SharedEngine {
@@ -44,23 +44,23 @@
     ///
     /// # Panics
     ///
-    /// If the engine is borrowed already.
+    /// If the engine is already borrowed.
     pub fn borrow_mut(&self) -> RefMut<'_, Engine> {
         self.shared.engine.borrow_mut()
     }
 
-    /// Hands a report to the engine for the next tick; one that the engine refuses is dropped and counted.
+    /// Submits a report for the next tick; a report that the engine rejects is dropped and counted.
     pub fn report(&self, report: Report) {
         if let Err(rejected) = self.try_report(report) {
             self.count_dropped(rejected);
         }
     }
 
-    /// Hands a report to the engine for the next tick.
+    /// Submits a report for the next tick.
     ///
     /// # Errors
     ///
-    /// If the report names something that the engine does not know, or too many reports are pending.
+    /// If the report refers to something that the engine does not know, or too many reports are pending.
     pub fn try_report(&self, report: Report) -> Result<(), ReportError> {
         self.borrow_mut().report(report)?;
         self.shared.report_pending.notify_one();
@@ -74,7 +74,7 @@
         dropped.last_reason = reason.to_string();
     }
 
-    /// The reports dropped since this was last called.
+    /// Returns the reports dropped since the last call, and resets the count.
     pub fn take_dropped(&self) -> DroppedReports {
         self.shared.dropped.take()
     }
--- a/crates/supervisor/src/shared/event_recorder.rs
+++ b/crates/supervisor/src/shared/event_recorder.rs
@@ -1,4 +1,4 @@
-//! Records events, if the operators' file configures records; otherwise does nothing.
+//! Records events if the operators' file configures records; otherwise discards them.
 
 use std::cell::Cell;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 
 use crate::shared::clock::Clock;
 
-/// Maximum length of a directory name, in characters; the rest of the supervisor's name is cut off.
+/// Maximum length of a directory name, in characters; longer supervisor names are truncated.
 const MAX_DIRECTORY_NAME_CHARS: usize = 100;
 
 /// A handle to the recorder; clones refer to the same one.
@@ -31,16 +31,16 @@
 }
 
 impl EventRecorder {
-    /// A recorder that keeps nothing.
+    /// Creates a recorder that discards all events.
     pub fn disabled() -> Self {
         EventRecorder::default()
     }
 
-    /// Begins to record for a supervisor. An unusable directory is no error here: the supervisor serves without records.
+    /// Starts recording for a supervisor. An unusable directory is not an error: the supervisor serves without records.
     ///
     /// # Errors
     ///
-    /// If the writer's thread cannot be started.
+    /// If the writer thread cannot be started.
     pub fn open(config: &RecordingConfig, supervisor: &str, clock: Clock) -> std::io::Result<Self> {
         let directory = config.directory.join(directory_name(supervisor));
         let options = Options {
@@ -66,19 +66,19 @@
         })
     }
 
-    /// Whether records are kept.
+    /// Returns whether records are kept.
     pub fn is_enabled(&self) -> bool {
         self.active.is_some()
     }
 
-    /// Where records go, if they are kept.
+    /// Returns the directory of the records, if records are kept.
     pub fn directory(&self) -> Option<&Path> {
         self.active
             .as_ref()
             .map(|active| active.directory.as_path())
     }
 
-    /// Records an event that happens now.
+    /// Records an event that occurs now.
     pub fn record(&self, kind: Kind) {
         let Some(active) = &self.active else { return };
         let now = active.clock.now();
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Writes pending records, waiting for the disk for at most `within`.
+    /// Writes pending records to disk, waiting for at most `within`.
     pub fn close(&self, within: Duration) {
         let recording = self
             .active
@@ -105,7 +105,7 @@
     }
 }
 
-/// The directory name for a supervisor. The supervisor's name comes from the environment, so it must not act as a path.
+/// Returns the directory name for a supervisor, whose name comes from the environment and must not act as a path.
 fn directory_name(supervisor: &str) -> String {
     let name: String = supervisor
         .chars()
@@ -118,7 +118,7 @@
     }
 }
 
-/// Replaces a character that is not plain in a directory name.
+/// Replaces a character that is not allowed in directory names with an underscore.
 fn directory_character(character: char) -> char {
     let is_allowed = character.is_ascii_alphanumeric() || matches!(character, '-' | '_' | '.');
     if is_allowed {
--- a/crates/supervisor/src/shared/mod.rs
+++ b/crates/supervisor/src/shared/mod.rs
@@ -1,4 +1,4 @@
-//! Handles that the server's tasks share on their one thread. Each handle has one job, and does not depend on
+//! Handles that the server's tasks share on their single thread. Each handle has one purpose, and does not depend on
 //! `peers`, `protocol` or `server`, which use it.
 
 pub mod clock;
--- a/crates/supervisor/src/shared/shutdown.rs
+++ b/crates/supervisor/src/shared/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown signal, and the connections that have to end before the program does.
+//! The shutdown signal, and the connections that have to end before the process exits.
 
 use std::future::Future;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 }
 
 impl Shutdown {
-    /// A shutdown that is not requested yet, without connections.
+    /// Creates a signal that has not been requested, without connections.
     pub fn new() -> Self {
         Shutdown {
             requested: watch::channel(false).0,
--- a/crates/supervisor/src/shared/stream_registry.rs
+++ b/crates/supervisor/src/shared/stream_registry.rs
@@ -16,7 +16,7 @@
 }
 
 impl WriteSignal {
-    /// Asks the writer to answer a `probe`; several probes before the answer get one answer.
+    /// Requests a reply to a `probe` message; several requests before the reply result in a single reply.
     pub fn request_probe_reply(&self) {
         self.probe_pending.set(true);
         self.write_pending.notify_one();
@@ -27,7 +27,7 @@
         self.write_pending.notified().await;
     }
 
-    /// Whether a `probe` is unanswered; the caller has to answer it.
+    /// Returns whether a `probe` message is unanswered and clears the request; the caller has to send the reply.
     pub fn take_probe(&self) -> bool {
         self.probe_pending.take()
     }
@@ -40,13 +40,13 @@
 
 /// A stream that was added to the registry.
 pub struct RegisteredStream {
-    /// Its number, which is never used twice.
+    /// Number of the stream, which is never reused.
     pub id: StreamId,
-    /// What wakes its writer.
+    /// Wakes the task of the stream.
     pub signal: Rc<WriteSignal>,
 }
 
-/// All open streams by their numbers.
+/// All open streams, by number.
 #[derive(Default)]
 pub struct StreamRegistry {
     signals: RefCell<HashMap<StreamId, Rc<WriteSignal>>>,
--- a/crates/supervisor/src/shared/subscription_channel.rs
+++ b/crates/supervisor/src/shared/subscription_channel.rs
@@ -3,14 +3,14 @@
 use chutegrade_engine::DiscoverySubscription;
 use tokio::sync::watch;
 
-/// The subscription that is requested now; a requested fetch stays until it is acknowledged.
+/// The current subscription; a requested fetch stays pending until it is acknowledged.
 #[derive(Debug, Default)]
 pub struct SubscriptionChannel {
     requested: watch::Sender<DiscoverySubscription>,
 }
 
 impl SubscriptionChannel {
-    /// Sets the subscription that is requested from now on. Receivers are notified of a fetch and of a change of the watch.
+    /// Replaces the subscription. Receivers are notified of a fetch and of a change of the watch.
     pub fn request(&self, subscription: DiscoverySubscription) {
         self.requested.send_if_modified(|requested| {
             let modified = subscription.fetch || subscription.watch != requested.watch;
@@ -22,7 +22,7 @@
         });
     }
 
-    /// The requested fetch is being carried out: forgets it without notifying receivers.
+    /// Clears the pending fetch, which is about to start, without notifying receivers.
     pub fn acknowledge_fetch(&self) {
         self.requested.send_if_modified(|requested| {
             requested.fetch = false;
@@ -30,7 +30,7 @@
         });
     }
 
-    /// A receiver that is notified of requests.
+    /// Returns a receiver that is notified of requests.
     pub fn subscribe(&self) -> watch::Receiver<DiscoverySubscription> {
         self.requested.subscribe()
     }
--- a/crates/supervisor/src/text_file.rs
+++ b/crates/supervisor/src/text_file.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Longest text that is read, in bytes; the languages of such texts accept far shorter ones.
+/// Maximum length of a file, in bytes; the formats of these files allow far less.
 const MAX_TEXT_BYTES: u64 = 1 << 20;
 
 /// Why a text file cannot be read.
@@ -12,19 +12,19 @@
     /// It cannot be opened or read, or is not UTF-8.
     #[error("{}: {error}", path.display())]
     Io {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the operating system.
+        /// The cause; of kind `InvalidData` if the file is not UTF-8.
         error: io::Error,
     },
-    /// It is too long.
+    /// It is longer than the maximum.
     #[error("{}: {bytes} bytes are too long, at most {max_bytes} are read", path.display())]
     TooLong {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Its length.
+        /// Length of the file.
         bytes: u64,
-        /// The longest length that is read.
+        /// Maximum length.
         max_bytes: u64,
     },
 }
@@ -50,7 +50,7 @@
     std::fs::read_to_string(path).map_err(io_error)
 }
 
-/// Reads text files as pairs of the file's name and its text, the form in which plug-in hosts load them.
+/// Reads text files as pairs of path and text, the form in which the plug-in host loads them.
 ///
 /// # Errors
 ///
