--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -149,12 +149,15 @@
     } = match decode_delivery_value(json) {
         Ok(delivery) => delivery,
         Err(malformed) => {
-            tracing::warn!(fault = %malformed, "the known list cannot be read");
+            tracing::warn!(fault = %malformed, "cached endpoint list ignored: it cannot be decoded");
             return None;
         }
     };
     if unreadable > 0 {
-        tracing::warn!(unreadable, "endpoints of the known list can't be read");
+        tracing::warn!(
+            unreadable,
+            "cached endpoint list has endpoints that cannot be decoded"
+        );
     }
     let version = if unreadable > 0 { 0 } else { version };
     Some(CachedEndpointList { version, endpoints })
--- a/crates/supervisor/src/config/error.rs
+++ b/crates/supervisor/src/config/error.rs
@@ -9,7 +9,7 @@
     #[error("{0} is not set")]
     Missing(&'static str),
     /// A value is not an address and port.
-    #[error("{key} is no address and port: {text:?}")]
+    #[error("{key} is not an address and port: {text:?}")]
     Address {
         /// Name of the key's environment variable.
         key: &'static str,
@@ -31,6 +31,6 @@
     #[error("the settings cannot be read: {0}")]
     Settings(#[from] chutegrade_settings::SettingsError),
     /// The settings enable slices, for which the protocol has no messages.
-    #[error("the settings ask for slices, for which the protocol has no messages")]
+    #[error("the settings enable slices, which the protocol does not support")]
     SlicesUnsupported,
 }
--- a/crates/supervisor/src/config/tests.rs
+++ b/crates/supervisor/src/config/tests.rs
@@ -62,7 +62,7 @@
     );
     assert_described(
         changed("127.0.0.1:5000", "nowhere"),
-        "LB_LISTEN is no address",
+        "LB_LISTEN is not an address",
     );
     assert_described(
         changed("\"discovery\"", "\"unused\""),
--- a/crates/supervisor/src/peers/discovery.rs
+++ b/crates/supervisor/src/peers/discovery.rs
@@ -279,19 +279,22 @@
 fn log_delivery(delivery: &EndpointDelivery) {
     if delivery.unreadable > 0 {
         let unreadable = delivery.unreadable;
-        tracing::warn!(unreadable, "endpoints of the list can't be read");
+        tracing::warn!(
+            unreadable,
+            "the endpoint list has endpoints that cannot be decoded"
+        );
     }
     if delivery.duplicates > 0 {
         tracing::warn!(
             twice = delivery.duplicates,
-            "the list has duplicate endpoints, the last of each name is used"
+            "the endpoint list has duplicate endpoints, the last of each name is used"
         );
     }
     tracing::debug!(
         index = delivery.version,
         whole = delivery.is_snapshot,
         entries = delivery.endpoints.len(),
-        "list"
+        "endpoint list delivered"
     );
 }
 
--- a/crates/supervisor/src/peers/listener.rs
+++ b/crates/supervisor/src/peers/listener.rs
@@ -34,7 +34,7 @@
 /// Time after which an unidentified connection is closed; `probe` messages do not extend it. The protocol gives a peer 1 s
 /// to identify itself, and requires other connections to be rejected within 3 s.
 const IDENTIFICATION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a rejected connection is still read: unread bytes would turn the close into a reset, which may discard the
+/// How long a rejected connection is still read: unread bytes would make the close a reset, which may discard the
 /// `error` message.
 const REJECTION_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 /// Maximum number of bytes that are still read from a rejected connection.
--- a/crates/supervisor/src/protocol/endpoint_delivery/tests.rs
+++ b/crates/supervisor/src/protocol/endpoint_delivery/tests.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// A list with contradictory endpoints of one name must not put a draining server back in service, whatever their order.
+/// If both duplicates were reported, the order in which they are applied would decide whether a draining server is used.
 #[test]
 fn the_last_of_duplicate_endpoints_is_used() {
     let text = r#"{"index":2,"snapshot":true,"endpoints":[
--- a/crates/supervisor/src/protocol/malformed.rs
+++ b/crates/supervisor/src/protocol/malformed.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedMessage {
     /// A required field is absent or empty.
-    #[error("{message} without {field}")]
+    #[error("{message} message without field {field}")]
     MissingField {
         /// Kind of the message.
         message: &'static str,
@@ -14,7 +14,7 @@
         field: &'static str,
     },
     /// A field has an invalid value.
-    #[error("{message} with bad {field}")]
+    #[error("{message} message with invalid field {field}")]
     InvalidField {
         /// Kind of the message.
         message: &'static str,
@@ -25,7 +25,7 @@
     #[error("unexpected message from a {0}")]
     Unexpected(PeerKind),
     /// The line does not begin with the lowercase letters of a message kind.
-    #[error("no message")]
+    #[error("line is not a message")]
     NotAMessage,
     /// An endpoint list is not JSON of the expected form.
     #[error("malformed endpoint list: {0}")]
--- a/crates/supervisor/src/server/errors.rs
+++ b/crates/supervisor/src/server/errors.rs
@@ -10,10 +10,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
     /// The runtime cannot be built.
-    #[error("no runtime: {0}")]
+    #[error("cannot create the async runtime: {0}")]
     Runtime(io::Error),
     /// A signal cannot be handled.
-    #[error("no signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
     /// The operators' file is invalid.
     #[error(transparent)]
@@ -30,10 +30,10 @@
         error: io::Error,
     },
     /// The local address of the listener cannot be determined.
-    #[error("no address: {0}")]
+    #[error("cannot determine the local address: {0}")]
     LocalAddress(io::Error),
     /// The thread that writes records cannot be started.
-    #[error("no thread for the records: {0}")]
+    #[error("cannot start the thread that writes records: {0}")]
     Recorder(io::Error),
     /// A task that the server cannot work without has ended.
     #[error(transparent)]
@@ -47,7 +47,7 @@
     #[error("the tick loop has stopped")]
     TickLoop,
     /// Reloads the configuration at SIGHUP.
-    #[error("the reload of configurations has stopped")]
+    #[error("the configuration reload has stopped")]
     Reload,
     /// Follows the endpoint list.
     #[error("the discovery client has stopped")]
--- a/crates/supervisor/src/server/overload_control.rs
+++ b/crates/supervisor/src/server/overload_control.rs
@@ -114,7 +114,7 @@
 
     fn reject(&self, errors: &OperatorConfigErrors) {
         let fault = errors.to_string();
-        tracing::error!(fault, "limits rejected, those in force stay");
+        tracing::error!(fault, "new limits rejected, the old ones stay");
         self.context.recorder.record(Kind::Reloaded(pb::Reloaded {
             taken: false,
             detail: fault,
--- a/crates/supervisor/src/server/plugins.rs
+++ b/crates/supervisor/src/server/plugins.rs
@@ -58,7 +58,7 @@
         let texts = match text_file::read_all(&self.files) {
             Ok(texts) => texts,
             Err(error) => {
-                tracing::error!(fault = %error, "plug-ins rejected, those that were loaded stay");
+                tracing::error!(fault = %error, "plug-ins rejected, the loaded ones stay active");
                 self.record_load(LoadRecord {
                     name: "all".to_string(),
                     rejection: error.to_string(),
@@ -105,7 +105,7 @@
 
     fn log_rejected(&self, rejected: Refused) {
         for fault in &rejected.faults {
-            tracing::error!(plugin = rejected.name, %fault, "plug-ins rejected, those that were loaded stay");
+            tracing::error!(plugin = rejected.name, %fault, "plug-ins rejected, the loaded ones stay active");
         }
         let first_fault = rejected.faults.first();
         self.record_load(LoadRecord {
@@ -127,8 +127,8 @@
     }
 
     fn record_event(&self, name: &str, event: Word) {
-        if let Word::Paused(turns) = event {
-            tracing::warn!(plugin = %name, "{}", pause_text(turns));
+        if let Word::Paused(evaluations) = event {
+            tracing::warn!(plugin = %name, "{}", pause_text(evaluations));
         }
         let record = event_record(name.to_string(), event);
         self.context.recorder.record(Kind::PluginSaid(record));
@@ -142,7 +142,7 @@
         Word::Faulted(stopped) => ("fault", stopped.to_string()),
         Word::Advises(text, line) => ("advises", format!("{text}, by line {line}")),
         Word::Ends(text) => ("ends", text),
-        Word::Paused(turns) => ("paused", pause_text(turns)),
+        Word::Paused(evaluations) => ("paused", pause_text(evaluations)),
         Word::Differs(text) => ("differs", text),
     };
     pb::PluginSaid {
@@ -152,6 +152,6 @@
     }
 }
 
-fn pause_text(turns: u64) -> String {
-    format!("left alone for {turns} turns after faults")
+fn pause_text(evaluations: u64) -> String {
+    format!("paused for {evaluations} evaluations after faults")
 }
--- a/crates/supervisor/src/text_file.rs
+++ b/crates/supervisor/src/text_file.rs
@@ -18,7 +18,7 @@
         error: io::Error,
     },
     /// It is longer than the maximum.
-    #[error("{}: {bytes} bytes are too long, at most {max_bytes} are read", path.display())]
+    #[error("{}: too long: {bytes} bytes, the maximum is {max_bytes}", path.display())]
     TooLong {
         /// Path of the file.
         path: PathBuf,
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -102,7 +102,7 @@
     std::fs::write(operator, text.replace("leave {", "leaves {")).expect("a wrong file");
     stage.reload().await;
     stage
-        .logs(1, &["limits rejected, those in force stay"])
+        .logs(1, &["new limits rejected, the old ones stay"])
         .await;
     let other_ladder = text
         .replace("fewer lookups", "few lookups")
