--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -71,7 +71,7 @@
     timers: BTreeSet<Timer>,
     due_health_checks: VecDeque<ServerId>,
     /// Servers that the decisions have forgotten, until no table and no pending order references them.
-    forgotten_servers: BTreeSet<ServerId>,
+    servers_pending_removal: BTreeSet<ServerId>,
     subscription: DiscoverySubscription,
     log_events: LogEvents,
     traffic_sampler: TrafficSampler,
@@ -111,7 +111,7 @@
             events: Vec::new(),
             timers: BTreeSet::new(),
             due_health_checks: VecDeque::new(),
-            forgotten_servers: BTreeSet::new(),
+            servers_pending_removal: BTreeSet::new(),
             log_events: LogEvents::default(),
             traffic_sampler: TrafficSampler::default(),
             has_ticked: false,
@@ -128,7 +128,7 @@
             self.traffic_sampler.tick(now);
             let events = std::mem::take(&mut self.events);
             let actions = self.policy.handle_events(now, &events);
-            self.carry_out(now, actions);
+            self.execute_actions(now, actions);
         }
         self.timers.first().map(|timer| timer.due_at)
     }
@@ -145,7 +145,7 @@
 
     /// Streams that got an order to write since the last call.
     pub fn take_streams_with_orders(&mut self) -> BTreeSet<StreamId> {
-        self.streams.take_with_orders()
+        self.streams.take_streams_with_orders()
     }
 
     /// The next message of a stream: everything that was ordered for it and not taken yet.
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -22,13 +22,13 @@
 
 impl Engine {
     /// Carries out a batch of actions, in order.
-    pub(super) fn carry_out(&mut self, now: Micros, actions: Vec<Action>) {
+    pub(super) fn execute_actions(&mut self, now: Micros, actions: Vec<Action>) {
         let mut batch = BatchSummary::default();
         for action in actions {
-            self.carry_out_action(now, action, &mut batch);
+            self.execute_action(now, action, &mut batch);
         }
         self.streams.end_batch(batch.acknowledgement);
-        self.remove_forgotten_servers();
+        self.remove_unreferenced_servers();
         self.record_published(now, batch.published);
     }
 
@@ -36,12 +36,12 @@
         if counts == PublishedCounts::default() {
             return;
         }
-        let streams = self.streams.with_orders_count();
+        let streams = self.streams.streams_with_orders_count();
         let record = records::published_record(counts, streams);
         self.log_events.record(now, record);
     }
 
-    fn carry_out_action(&mut self, now: Micros, action: Action, batch: &mut BatchSummary) {
+    fn execute_action(&mut self, now: Micros, action: Action, batch: &mut BatchSummary) {
         match action {
             Action::SetWeight {
                 table,
@@ -79,7 +79,7 @@
             Action::SetTimer { id, delay } => self.set_timer(now, id, delay),
             Action::Emit(event) => self.emit(now, &event),
             Action::ForgetServer(server) => {
-                self.forgotten_servers.insert(server);
+                self.servers_pending_removal.insert(server);
             }
             // The protocol has no channel between instances, and the decisions do not request one.
             Action::SendToPeer { .. } => {}
@@ -188,24 +188,24 @@
 
     /// Removes the forgotten servers that no table and no pending order references. A pending order needs the name of a
     /// server: without it, the changes of that server would be left out of the message.
-    fn remove_forgotten_servers(&mut self) {
-        let forgotten = std::mem::take(&mut self.forgotten_servers);
+    fn remove_unreferenced_servers(&mut self) {
+        let pending = std::mem::take(&mut self.servers_pending_removal);
         let (referenced, unreferenced): (BTreeSet<_>, BTreeSet<_>) =
-            forgotten.into_iter().partition(|server| {
+            pending.into_iter().partition(|server| {
                 self.tables.references_server(*server) || self.streams.references_server(*server)
             });
-        self.forgotten_servers = referenced;
+        self.servers_pending_removal = referenced;
         for server in unreferenced {
             self.remove_server(server);
         }
     }
 
     fn remove_server(&mut self, server: ServerId) {
-        self.tables.forget(server);
-        self.streams.forget(server);
+        self.tables.remove_server(server);
+        self.streams.remove_server(server);
         let name = self.names.server_name(server).unwrap_or_default();
-        self.log_events.forget(server, &name);
-        self.names.forget(server);
+        self.log_events.remove_server(server, &name);
+        self.names.remove_server(server);
     }
 
     /// The name of the class at a position, or the position if it has none.
--- a/crates/engine/src/engine/report_handling.rs
+++ b/crates/engine/src/engine/report_handling.rs
@@ -118,8 +118,8 @@
         let resolved = self.names.resolve(named);
         let server = resolved.endpoint.server;
         self.log_events.observe_endpoint(server, named);
-        let was_about_to_be_removed = self.forgotten_servers.remove(&server);
-        if was_about_to_be_removed || resolved.was_forgotten {
+        let was_pending_removal = self.servers_pending_removal.remove(&server);
+        if was_pending_removal || resolved.was_removed {
             self.tables.mark_returned(server);
         }
         resolved.endpoint
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -1,12 +1,12 @@
 //! The engine without sockets: reports in, orders out.
 
 mod discovery;
-mod forgotten_servers;
 mod health_checks;
 mod isolation;
 mod log_events;
 mod order_properties;
 mod orders;
+mod removed_servers;
 mod reports;
 mod scale;
 
@@ -75,7 +75,7 @@
     Engine::new(settings(classes), 7, deployment_names(classes))
 }
 
-fn listed(server: u32) -> NamedEndpoint {
+fn listed_endpoint(server: u32) -> NamedEndpoint {
     NamedEndpoint {
         name: format!("s{server}"),
         address: format!("127.0.0.1:{}", 1000 + server),
@@ -86,7 +86,7 @@
     }
 }
 
-fn joined(stream: u64, proxy: u32, has_no_table: bool) -> Report {
+fn stream_opened(stream: u64, proxy: u32, has_no_table: bool) -> Report {
     Report::StreamOpened {
         stream: StreamId(stream),
         proxy,
@@ -108,9 +108,9 @@
 }
 
 /// An engine with four servers and no proxies, after its first tick.
-fn serving() -> Engine {
+fn engine_with_servers() -> Engine {
     let mut engine = engine(CLASSES);
-    let endpoints = (0..4).map(listed).collect();
+    let endpoints = (0..4).map(listed_endpoint).collect();
     report_endpoints(&mut engine, EndpointUpdateKind::CachedSnapshot, endpoints);
     engine.tick(Micros(0));
     engine
@@ -148,7 +148,7 @@
     assert_eq!(engine.report(report), Ok(()));
 }
 
-fn texts(names: &[Rc<str>]) -> Vec<String> {
+fn to_strings(names: &[Rc<str>]) -> Vec<String> {
     names.iter().map(ToString::to_string).collect()
 }
 
@@ -168,7 +168,7 @@
                 self.apply_update(update, class);
             }
         }
-        self.suspended.extend(texts(&order.suspended));
+        self.suspended.extend(to_strings(&order.suspended));
         for name in &order.resumed {
             self.suspended.remove(&**name);
         }
--- a/crates/engine/src/engine/tests/health_checks.rs
+++ b/crates/engine/src/engine/tests/health_checks.rs
@@ -5,12 +5,12 @@
 use super::*;
 
 #[test]
-fn timers_and_health_checks_are_passed_on_with_current_addresses() {
-    let mut engine = serving();
+fn due_timers_fire_and_health_checks_have_current_addresses() {
+    let mut engine = engine_with_servers();
     let next = engine.tick(Micros(1)).expect("the module's own timer");
     assert!(next > Micros(1));
     assert_eq!(engine.take_health_check(), None, "nobody is joined");
-    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
     engine.tick(Micros(10_000));
     let check = engine.take_health_check().expect("a health check");
     assert_eq!(check.address, "127.0.0.1:1000");
@@ -18,7 +18,7 @@
     assert!(!engine.events.is_empty());
     let moved = NamedEndpoint {
         address: "127.0.0.1:9".into(),
-        ..listed(1)
+        ..listed_endpoint(1)
     };
     report_endpoints(&mut engine, EndpointUpdateKind::Delta, vec![moved]);
     engine.tick(next);
@@ -85,14 +85,14 @@
     let mut engine = Engine::with_policy(Box::new(policy), &settings(CLASSES), names);
     let moved = NamedEndpoint {
         address: "127.0.0.1:9".into(),
-        ..listed(0)
+        ..listed_endpoint(0)
     };
     let restarted = NamedEndpoint {
         started_at: Some(Micros(5)),
         ..moved.clone()
     };
-    let first_check = check_of(&mut engine, listed(0));
-    let second_check = check_of(&mut engine, listed(0));
+    let first_check = check_of(&mut engine, listed_endpoint(0));
+    let second_check = check_of(&mut engine, listed_endpoint(0));
     assert_eq!(
         outcome_of_unreachable(&mut engine, &outcomes, first_check),
         HealthCheckOutcome::Unreachable,
--- a/crates/engine/src/engine/tests/isolation.rs
+++ b/crates/engine/src/engine/tests/isolation.rs
@@ -33,7 +33,7 @@
         let mut engine = Engine::new(settings, 7, names);
         let endpoints = (0..SERVERS).map(|server| NamedEndpoint {
             zone: zone.clone(),
-            ..listed(server)
+            ..listed_endpoint(server)
         });
         report_endpoints(
             &mut engine,
@@ -149,7 +149,7 @@
 
 /// The settings of one deployment must not affect another's.
 #[test]
-fn two_engines_in_one_process_decide_as_each_alone_does() {
+fn two_engines_in_one_process_are_independent() {
     let mut first = first_deployment();
     let mut second = second_deployment();
     for number in 0..40 {
--- a/crates/engine/src/engine/tests/log_events.rs
+++ b/crates/engine/src/engine/tests/log_events.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn only_events_for_the_log_are_made_without_recording() {
-    let mut engine = serving();
+    let mut engine = engine_with_servers();
     let withdrawn = DecisionEvent::HealthChanged {
         server: ServerId(2),
         zone: ZoneId(0),
@@ -26,7 +26,7 @@
     };
     take_log_events(&mut engine, Micros(0));
     let actions = vec![Action::Emit(withdrawn), set_weight.clone()];
-    engine.carry_out(Micros(7), actions);
+    engine.execute_actions(Micros(7), actions);
     let event = engine.take_log_event(Micros(8)).expect("an event");
     assert_eq!((event.occurred_at, event.logged), (Micros(7), true));
     let text = chutegrade_records::text::line(&event.kind);
@@ -36,7 +36,7 @@
     );
     assert_eq!(engine.take_log_event(Micros(8)), None);
     engine.enable_recording();
-    engine.carry_out(Micros(9), vec![set_weight]);
+    engine.execute_actions(Micros(9), vec![set_weight]);
     let event = engine.take_log_event(Micros(9)).expect("an event");
     assert!(matches!(event.kind, Kind::Published(published) if published.lines == 1));
     assert!(!event.logged);
@@ -45,7 +45,7 @@
 /// Without a bound, a failing fleet would fill memory with events that nobody takes.
 #[test]
 fn queued_events_are_bounded_and_dropped_ones_counted() {
-    let mut engine = serving();
+    let mut engine = engine_with_servers();
     take_log_events(&mut engine, Micros(0));
     let resharded = |shards| {
         Action::Emit(DecisionEvent::Resharded {
@@ -54,7 +54,7 @@
         })
     };
     let actions = (0..MAX_QUEUED_EVENTS + 10).map(resharded).collect();
-    engine.carry_out(Micros(5), actions);
+    engine.execute_actions(Micros(5), actions);
     let dropped = engine.take_log_event(Micros(6)).expect("an event");
     assert!(
         matches!(&dropped.kind, Kind::Lost(lost) if lost.count == 10),
@@ -64,16 +64,16 @@
     assert_eq!(queued.len(), MAX_QUEUED_EVENTS);
 }
 
-/// Time of the tick in [`observing`].
+/// Time of the tick in [`engine_with_observations`].
 const OBSERVED_AT: Micros = Micros(50_000_000);
 
 /// An engine that at [`OBSERVED_AT`] learned of a start 10 s before, and of failures during the last 2 s.
-fn observing() -> Engine {
-    let mut engine = serving();
+fn engine_with_observations() -> Engine {
+    let mut engine = engine_with_servers();
     engine.enable_recording();
     let restarted = NamedEndpoint {
         started_at: Some(Micros(40_000_000)),
-        ..listed(1)
+        ..listed_endpoint(1)
     };
     report_endpoints(&mut engine, EndpointUpdateKind::Delta, vec![restarted]);
     let outcomes = Report::ServerOutcomes {
@@ -93,7 +93,7 @@
 /// A start and a failure have the time at which they began, not that at which the engine learned of them.
 #[test]
 fn an_observation_has_the_time_at_which_it_began() {
-    let mut engine = observing();
+    let mut engine = engine_with_observations();
     let events = take_log_events(&mut engine, OBSERVED_AT);
     let times = |is_wanted: fn(&Kind) -> bool| {
         let event = events.iter().find(|event| is_wanted(&event.kind))?;
@@ -111,7 +111,7 @@
 
 #[test]
 fn metrics_count_each_server_of_the_snapshot_once() {
-    let engine = observing();
+    let engine = engine_with_observations();
     let snapshot = engine.server_snapshot();
     let mut servers = snapshot.servers.iter();
     assert!(servers.any(|server| server.name == "s1" && server.zone == "z1"));
--- a/crates/engine/src/engine/tests/order_properties.rs
+++ b/crates/engine/src/engine/tests/order_properties.rs
@@ -142,7 +142,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// The engine carries out a batch of actions.
-    CarryOut(Vec<Action>),
+    Execute(Vec<Action>),
     /// A proxy opens a stream, without tables or with some servers suspended by another supervisor.
     Join {
         proxy: u32,
@@ -177,7 +177,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => proptest::collection::vec(action(), 1..5).prop_map(Step::CarryOut),
+        4 => proptest::collection::vec(action(), 1..5).prop_map(Step::Execute),
         2 => (0..3u32, any::<bool>(), proptest::collection::btree_set(0..6u32, 0..3))
             .prop_map(|(proxy, has_no_table, suspended)| Step::Join { proxy, has_no_table, suspended }),
         1 => (0..3u32).prop_map(Step::Leave),
@@ -202,7 +202,7 @@
 impl Comparison {
     fn new() -> Self {
         let mut engine = engine(CLASSES);
-        let endpoints = (0..6).map(listed).collect();
+        let endpoints = (0..6).map(listed_endpoint).collect();
         report_endpoints(&mut engine, EndpointUpdateKind::CachedSnapshot, endpoints);
         Comparison {
             engine,
@@ -218,7 +218,7 @@
 
     fn run(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
-            Step::CarryOut(actions) => self.carry_out(actions),
+            Step::Execute(actions) => self.execute_actions(actions),
             Step::Join {
                 proxy,
                 has_no_table,
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    fn carry_out(&mut self, mut actions: Vec<Action>) {
+    fn execute_actions(&mut self, mut actions: Vec<Action>) {
         self.last_sequence += 1;
         actions.push(Action::RequestAcknowledgement {
             sequence: self.last_sequence,
@@ -245,7 +245,7 @@
         for proxy in self.joined.keys() {
             self.expected_sequence.insert(*proxy, self.last_sequence);
         }
-        self.engine.carry_out(Micros(0), actions);
+        self.engine.execute_actions(Micros(0), actions);
     }
 
     fn join(
@@ -255,7 +255,7 @@
         suspended: &BTreeSet<u32>,
     ) -> Result<(), TestCaseError> {
         self.last_stream += 1;
-        let report = joined(self.last_stream, proxy, has_no_table);
+        let report = stream_opened(self.last_stream, proxy, has_no_table);
         prop_assert_eq!(self.engine.report(report), Ok(()));
         self.joined.insert(proxy, self.last_stream);
         self.expected.remove_assignments(proxy);
@@ -343,7 +343,7 @@
     /// This holds for any sequence of actions, for orders that merged while a stream could not be written, and for proxies
     /// with tables and suspensions of another supervisor.
     #[test]
-    fn orders_leave_a_proxy_with_what_the_actions_say(steps in proptest::collection::vec(step(), 1..40)) {
+    fn applied_orders_match_the_executed_actions(steps in proptest::collection::vec(step(), 1..40)) {
         let mut comparison = Comparison::new();
         for step in steps {
             comparison.run(step)?;
--- a/crates/engine/src/engine/tests/orders.rs
+++ b/crates/engine/src/engine/tests/orders.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn a_joined_proxy_gets_its_complete_table_in_one_message_with_an_acknowledgement_request() {
-    let mut engine = serving();
-    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    let mut engine = engine_with_servers();
+    assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
     engine.tick(Micros(10_000));
     assert_eq!(
         engine.take_streams_with_orders(),
@@ -32,18 +32,18 @@
 
 #[test]
 fn a_proxy_with_a_previous_table_is_informed_of_servers_that_are_not_suspended_here() {
-    let mut engine = serving();
+    let mut engine = engine_with_servers();
     let set_suspended = |suspended| Action::SetSuspended {
         server: ServerId(3),
         suspended,
     };
     let actions = vec![set_suspended(true), set_suspended(false)];
-    engine.carry_out(Micros(0), actions);
-    assert_eq!(engine.report(joined(1, 0, false)), Ok(()));
+    engine.execute_actions(Micros(0), actions);
+    assert_eq!(engine.report(stream_opened(1, 0, false)), Ok(()));
     engine.tick(Micros(10_000));
     let order = engine.take_order(StreamId(1)).expect("an order");
     assert_eq!(
-        texts(&order.resumed),
+        to_strings(&order.resumed),
         ["s3"],
         "the others were never suspended here"
     );
@@ -52,27 +52,27 @@
     engine.tick(timer.due_at);
     let order = engine.take_order(StreamId(1)).expect("an order");
     assert_eq!(
-        texts(&order.resumed),
+        to_strings(&order.resumed),
         ["s0", "s1", "s2"],
         "the rest once the channel has capacity"
     );
     let draining = NamedEndpoint {
         lifecycle: Lifecycle::Draining,
-        ..listed(2)
+        ..listed_endpoint(2)
     };
     report_endpoints(&mut engine, EndpointUpdateKind::Delta, vec![draining]);
     engine.tick(Micros(900_000));
     let order = engine.take_order(StreamId(1)).expect("an order");
-    assert_eq!(texts(&order.suspended), ["s2"]);
+    assert_eq!(to_strings(&order.suspended), ["s2"]);
     assert!(order.resumed.is_empty());
 }
 
 #[test]
-fn the_late_end_of_a_replaced_stream_changes_nothing() {
-    let mut engine = serving();
-    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+fn reports_of_a_replaced_stream_are_rejected() {
+    let mut engine = engine_with_servers();
+    assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
     engine.tick(Micros(10_000));
-    assert_eq!(engine.report(joined(2, 0, false)), Ok(()));
+    assert_eq!(engine.report(stream_opened(2, 0, false)), Ok(()));
     engine.tick(Micros(20_000));
     let acknowledgement = Report::Acknowledged {
         stream: StreamId(1),
@@ -95,11 +95,11 @@
 #[test]
 fn an_order_never_has_more_updates_than_the_protocol_allows() {
     let mut engine = engine(32);
-    let endpoints = (0..40).map(listed).collect();
+    let endpoints = (0..40).map(listed_endpoint).collect();
     report_endpoints(&mut engine, EndpointUpdateKind::CachedSnapshot, endpoints);
-    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
     let actions = (0..32).flat_map(separate_table).collect();
-    engine.carry_out(Micros(0), actions);
+    engine.execute_actions(Micros(0), actions);
     let order = engine.take_order(StreamId(1)).expect("an order");
     assert!(order.updates.len() <= MAX_UPDATES);
     let replaced = order.updates.iter().filter(|update| update.replace);
@@ -133,8 +133,8 @@
 /// A server that is removed from a complete table before that is written costs no line.
 #[test]
 fn a_complete_table_never_contains_a_removed_server() {
-    let mut engine = serving();
-    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    let mut engine = engine_with_servers();
+    assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
     let table = TableId(900);
     let set_weight = |server, weight| Action::SetWeight {
         table,
@@ -147,8 +147,8 @@
         classes: ClassSet::default(),
     };
     let actions = vec![set_weight(1, 1.0), set_weight(2, 1.0), assign];
-    engine.carry_out(Micros(0), actions);
-    engine.carry_out(Micros(0), vec![set_weight(1, 0.0)]);
+    engine.execute_actions(Micros(0), actions);
+    engine.execute_actions(Micros(0), vec![set_weight(1, 0.0)]);
     let order = engine.take_order(StreamId(1)).expect("an order");
     assert_eq!(order.updates[0].weights, [ServerWeight::new("s2", 1.0)]);
 }
--- a/crates/engine/src/engine/tests/forgotten_servers.rs
+++ b/crates/engine/src/engine/tests/removed_servers.rs
@@ -8,12 +8,12 @@
 const TICK: Micros = Micros(500_000);
 const TICKS_PER_SECOND: usize = 2;
 
-/// Servers that are replaced at a time: all that [`serving`] has.
+/// Servers that are replaced at a time: all that [`engine_with_servers`] has.
 const BATCH: u32 = 4;
 
 /// Names of servers in the orders to the only proxy.
 #[derive(Debug, Default, PartialEq)]
-struct OrderedSuspensions {
+struct SuspensionChanges {
     suspended: BTreeSet<String>,
     resumed: BTreeSet<String>,
 }
@@ -26,8 +26,8 @@
 
 impl Deployment {
     fn new() -> Self {
-        let mut engine = serving();
-        assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+        let mut engine = engine_with_servers();
+        assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
         Deployment {
             engine,
             now: Micros(10_000),
@@ -35,15 +35,15 @@
     }
 
     /// Reports endpoints, and then ticks for a while.
-    fn update(&mut self, endpoints: Vec<NamedEndpoint>, seconds: usize) -> OrderedSuspensions {
+    fn update(&mut self, endpoints: Vec<NamedEndpoint>, seconds: usize) -> SuspensionChanges {
         report_endpoints(&mut self.engine, EndpointUpdateKind::Delta, endpoints);
-        let mut ordered = OrderedSuspensions::default();
+        let mut ordered = SuspensionChanges::default();
         for _ in 0..TICKS_PER_SECOND * seconds {
             self.now = self.now + TICK;
             self.engine.tick(self.now);
             if let Some(order) = self.engine.take_order(StreamId(1)) {
-                ordered.suspended.extend(texts(&order.suspended));
-                ordered.resumed.extend(texts(&order.resumed));
+                ordered.suspended.extend(to_strings(&order.suspended));
+                ordered.resumed.extend(to_strings(&order.resumed));
                 acknowledge(&mut self.engine, StreamId(1), &order, Micros(1000));
             }
         }
@@ -53,11 +53,11 @@
     /// Adds the servers that follow these by number, and then drains and removes these.
     fn replace(&mut self, servers: Range<u32>) {
         let next = servers.end..servers.end + BATCH;
-        self.update(next.map(listed).collect(), 30);
+        self.update(next.map(listed_endpoint).collect(), 30);
         let with_lifecycle = |lifecycle| {
             servers.clone().map(move |server| NamedEndpoint {
                 lifecycle,
-                ..listed(server)
+                ..listed_endpoint(server)
             })
         };
         self.update(with_lifecycle(Lifecycle::Draining).collect(), 3);
@@ -72,7 +72,7 @@
 /// Servers are replaced many times: a removed one leaves nothing behind, and no id is reused. One that returns under its
 /// name is resumed at proxies, which may still have it as suspended.
 #[test]
-fn a_removed_server_is_forgotten_and_resumed_on_its_return() {
+fn a_removed_server_leaves_no_state_and_is_resumed_on_its_return() {
     let mut deployment = Deployment::new();
     let mut ids = BTreeSet::new();
     for round in 0..20 {
@@ -89,13 +89,13 @@
     assert_eq!(known.count(), 4);
     let engine = &deployment.engine;
     assert_eq!(engine.policy.server_statuses().len(), 4);
-    assert_eq!(engine.forgotten_servers.len(), 0);
+    assert_eq!(engine.servers_pending_removal.len(), 0);
     assert!(
         (0..80).all(|id| !engine.tables.is_suspended(ServerId(id))),
         "no removed server is suspended"
     );
-    let ordered = deployment.update(vec![listed(3), listed(99)], 30);
-    let expected = OrderedSuspensions {
+    let ordered = deployment.update(vec![listed_endpoint(3), listed_endpoint(99)], 30);
+    let expected = SuspensionChanges {
         suspended: BTreeSet::new(),
         resumed: BTreeSet::from(["s3".to_string()]),
     };
@@ -104,9 +104,9 @@
 
 /// Otherwise a stalled stream would lose the suspension of a server, together with the server's name.
 #[test]
-fn a_server_in_a_pending_order_is_not_forgotten() {
-    let mut engine = serving();
-    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+fn a_server_in_a_pending_order_is_not_removed() {
+    let mut engine = engine_with_servers();
+    assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
     engine.tick(Micros(10_000));
     assert!(engine.take_order(StreamId(1)).is_some());
     let server = ServerId(2);
@@ -115,17 +115,17 @@
         suspended: true,
     };
     let actions = vec![suspend, Action::ForgetServer(server)];
-    engine.carry_out(Micros(20_000), actions);
+    engine.execute_actions(Micros(20_000), actions);
     let order = engine.take_order(StreamId(1)).expect("an order");
-    assert_eq!(texts(&order.suspended), ["s2"]);
+    assert_eq!(to_strings(&order.suspended), ["s2"]);
     let remove_from = |table| Action::SetWeight {
         table: TableId(table),
         server,
         weight: 0.0,
     };
     let actions = vec![remove_from(0), remove_from(1)];
-    engine.carry_out(Micros(30_000), actions);
+    engine.execute_actions(Micros(30_000), actions);
     assert!(engine.take_order(StreamId(1)).is_some());
-    engine.carry_out(Micros(40_000), vec![]);
+    engine.execute_actions(Micros(40_000), vec![]);
     assert_eq!(engine.names.server("s2"), None);
 }
--- a/crates/engine/src/engine/tests/reports.rs
+++ b/crates/engine/src/engine/tests/reports.rs
@@ -16,14 +16,14 @@
 
 #[test]
 fn a_report_with_an_unknown_name_is_dropped() {
-    let mut engine = serving();
+    let mut engine = engine_with_servers();
     let rejected = [
         (
             outcomes("z0", "nobody"),
             ReportError::UnknownServer("nobody".into()),
         ),
         (outcomes("z9", "s0"), ReportError::UnknownZone("z9".into())),
-        (joined(1, 4, true), ReportError::UnknownProxy(4)),
+        (stream_opened(1, 4, true), ReportError::UnknownProxy(4)),
         (demand(0, "c0", 1.0), ReportError::UnknownProxy(0)),
         (demand(0, "c7", 1.0), ReportError::UnknownClass("c7".into())),
         (Report::StreamLost(StreamId(5)), ReportError::StreamReplaced),
@@ -32,22 +32,22 @@
         assert_eq!(engine.report(report), Err(error));
     }
     assert!(engine.events.is_empty());
-    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
     assert_eq!(engine.report(demand(0, "c0", 1.0)), Ok(()));
     assert_eq!(engine.report(outcomes("z0", "s0")), Ok(()));
 }
 
 #[test]
 fn a_flood_of_reports_is_bounded_and_displaces_nothing_else() {
-    let mut engine = serving();
-    assert_eq!(engine.report(joined(1, 0, true)), Ok(()));
+    let mut engine = engine_with_servers();
+    assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
     let flood = demand(0, "c0", 1.0);
     let accepted = (0..2 * MAX_QUEUED_EVENTS)
         .filter(|_| engine.report(flood.clone()).is_ok())
         .count();
     assert!(accepted < MAX_QUEUED_EVENTS);
     assert_eq!(engine.report(flood.clone()), Err(ReportError::QueueFull));
-    assert_eq!(engine.report(joined(2, 1, true)), Ok(()));
+    assert_eq!(engine.report(stream_opened(2, 1, true)), Ok(()));
     engine.tick(Micros(10_000));
     assert!(engine.take_order(StreamId(2)).is_some());
     assert_eq!(engine.report(flood), Ok(()));
@@ -56,10 +56,10 @@
 /// A zone that only the endpoint list names has servers, but no proxies.
 #[test]
 fn a_zone_that_only_the_endpoint_list_names_has_no_proxies() {
-    let mut engine = serving();
+    let mut engine = engine_with_servers();
     let endpoint = NamedEndpoint {
         zone: "moon".into(),
-        ..listed(9)
+        ..listed_endpoint(9)
     };
     report_endpoints(&mut engine, EndpointUpdateKind::Delta, vec![endpoint]);
     let opened = Report::StreamOpened {
--- a/crates/engine/src/engine/tests/scale.rs
+++ b/crates/engine/src/engine/tests/scale.rs
@@ -25,11 +25,14 @@
         ..settings(CLASSES)
     };
     let mut engine = Engine::new(settings, 7, deployment_names(CLASSES));
-    let endpoints = (0..FLEET_SIZE).map(listed).collect();
+    let endpoints = (0..FLEET_SIZE).map(listed_endpoint).collect();
     report_endpoints(&mut engine, EndpointUpdateKind::CachedSnapshot, endpoints);
     engine.tick(Micros(0));
     for proxy in 0..FLEET_SIZE {
-        assert_eq!(engine.report(joined(proxy.into(), proxy, true)), Ok(()));
+        assert_eq!(
+            engine.report(stream_opened(proxy.into(), proxy, true)),
+            Ok(())
+        );
     }
     engine
 }
@@ -86,7 +89,7 @@
     let snapshot = engine.server_snapshot();
     assert_eq!(snapshot.servers.len(), FLEET_SIZE as usize);
     assert_eq!(
-        engine.report(joined(FLEET_SIZE.into(), FLEET_SIZE, true)),
+        engine.report(stream_opened(FLEET_SIZE.into(), FLEET_SIZE, true)),
         Err(ReportError::UnknownProxy(FLEET_SIZE))
     );
 }
--- a/crates/engine/src/log_events.rs
+++ b/crates/engine/src/log_events.rs
@@ -136,7 +136,7 @@
     /// Observes an entry of the endpoint list, which may name a new start of the server.
     pub fn observe_endpoint(&mut self, server: ServerId, endpoint: &NamedEndpoint) {
         if !self.is_recording || endpoint.lifecycle == Lifecycle::Removed {
-            self.forget(server, &endpoint.name);
+            self.remove_server(server, &endpoint.name);
             return;
         }
         let Some(started_at) = endpoint.started_at else {
@@ -153,7 +153,7 @@
     }
 
     /// Removes a server that nothing refers to any more.
-    pub fn forget(&mut self, server: ServerId, name: &str) {
+    pub fn remove_server(&mut self, server: ServerId, name: &str) {
         self.latest_starts.remove(&server);
         self.observer.forget(name);
     }
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -14,14 +14,14 @@
 use crate::endpoint::NamedEndpoint;
 
 /// Forgotten names that are still recognized, at eight bytes each: several times the servers of the largest fleet.
-const MAX_FORGOTTEN_NAMES: usize = 8192;
+const MAX_REMOVED_NAMES: usize = 8192;
 
 /// An entry of the endpoint list with names resolved to ids.
 pub(crate) struct ResolvedEndpoint {
     /// The entry, by ids.
     pub endpoint: Endpoint,
     /// Whether the server's name had been forgotten, so that proxies may still have it as suspended.
-    pub was_forgotten: bool,
+    pub was_removed: bool,
 }
 
 /// A server with a name.
@@ -34,7 +34,7 @@
 /// The id of a server, and whether its name had been forgotten.
 struct ResolvedServer {
     id: ServerId,
-    was_forgotten: bool,
+    was_removed: bool,
 }
 
 /// All known names.
@@ -47,7 +47,7 @@
     ids_by_name: HashMap<Rc<str>, ServerId>,
     next_server: u32,
     /// Hashes of forgotten names, oldest first.
-    forgotten: VecDeque<u64>,
+    removed_names: VecDeque<u64>,
 }
 
 impl Names {
@@ -116,20 +116,20 @@
     }
 
     /// Removes a server that nothing refers to any more. Its id is not reused.
-    pub fn forget(&mut self, server: ServerId) {
+    pub fn remove_server(&mut self, server: ServerId) {
         let Some(known) = self.servers.remove(&server) else {
             return;
         };
         self.ids_by_name.remove(&known.name);
-        if self.forgotten.len() >= MAX_FORGOTTEN_NAMES {
-            self.forgotten.pop_front();
+        if self.removed_names.len() >= MAX_REMOVED_NAMES {
+            self.removed_names.pop_front();
         }
-        self.forgotten.push_back(hash(&known.name));
+        self.removed_names.push_back(hash(&known.name));
     }
 
     /// Resolves an entry of the endpoint list. A zone or machine kind that the settings do not name gets the next number.
     pub fn resolve(&mut self, named: &NamedEndpoint) -> ResolvedEndpoint {
-        let ResolvedServer { id, was_forgotten } = self.resolve_server(&named.name);
+        let ResolvedServer { id, was_removed } = self.resolve_server(&named.name);
         if let Some(known) = self.servers.get_mut(&id) {
             known.started_at = named.started_at;
             if !named.address.is_empty() {
@@ -147,7 +147,7 @@
         };
         ResolvedEndpoint {
             endpoint,
-            was_forgotten,
+            was_removed,
         }
     }
 
@@ -155,12 +155,12 @@
         if let Some(id) = self.server(name) {
             return ResolvedServer {
                 id,
-                was_forgotten: false,
+                was_removed: false,
             };
         }
         ResolvedServer {
             id: self.add_server(name),
-            was_forgotten: self.recall(name),
+            was_removed: self.take_removed_name(name),
         }
     }
 
@@ -179,11 +179,11 @@
     }
 
     /// Removes a name from the forgotten ones; returns whether it was there.
-    fn recall(&mut self, name: &str) -> bool {
-        let count_before = self.forgotten.len();
+    fn take_removed_name(&mut self, name: &str) -> bool {
+        let count_before = self.removed_names.len();
         let hash = hash(name);
-        self.forgotten.retain(|forgotten| *forgotten != hash);
-        self.forgotten.len() < count_before
+        self.removed_names.retain(|removed| *removed != hash);
+        self.removed_names.len() < count_before
     }
 }
 
--- a/crates/engine/src/streams.rs
+++ b/crates/engine/src/streams.rs
@@ -33,7 +33,7 @@
     /// Proxies whose orders the current batch of actions may have changed.
     changed_in_batch: BTreeSet<ProxyId>,
     /// Streams with an order to write.
-    with_orders: BTreeSet<StreamId>,
+    streams_with_orders: BTreeSet<StreamId>,
 }
 
 impl Streams {
@@ -43,7 +43,7 @@
         let joined = JoinedProxy::new(stream, has_previous_table);
         if let Some(previous) = self.proxies.insert(proxy, joined) {
             self.by_stream.remove(&previous.stream);
-            self.with_orders.remove(&previous.stream);
+            self.streams_with_orders.remove(&previous.stream);
             self.unassign_tables(proxy, &previous);
         }
     }
@@ -51,7 +51,7 @@
     /// Removes a stream; returns its proxy, unless a newer stream has replaced this one.
     pub fn leave(&mut self, stream: StreamId) -> Option<ProxyId> {
         let proxy = self.by_stream.remove(&stream)?;
-        self.with_orders.remove(&stream);
+        self.streams_with_orders.remove(&stream);
         if let Some(joined) = self.proxies.remove(&proxy) {
             self.unassign_tables(proxy, &joined);
         }
@@ -78,14 +78,14 @@
 
     /// Sets the weight of a server at all proxies that use a table. `tables` already has the new weight.
     pub fn set_weight(&mut self, table: TableId, server: ServerId, weight: f64, tables: &Tables) {
-        self.for_users_of(table, |joined| {
+        self.for_each_user_of(table, |joined| {
             joined.set_weight(table, server, weight, tables);
         });
     }
 
     /// Clears a table at all proxies that use it.
     pub fn clear_table(&mut self, table: TableId, tables: &Tables) {
-        self.for_users_of(table, |joined| joined.clear_table(table, tables));
+        self.for_each_user_of(table, |joined| joined.clear_table(table, tables));
     }
 
     /// Assigns a table to a proxy for some classes.
@@ -122,10 +122,10 @@
     pub fn set_admission(&mut self, table: Option<TableId>, classes: &[usize], tables: &Tables) {
         for class in classes {
             match table {
-                Some(id) => self.for_users_of(id, |joined| {
+                Some(id) => self.for_each_user_of(id, |joined| {
                     joined.update_admission(table, *class, tables);
                 }),
-                None => self.for_all(|joined| joined.update_admission(None, *class, tables)),
+                None => self.for_each_proxy(|joined| joined.update_admission(None, *class, tables)),
             }
         }
     }
@@ -149,18 +149,18 @@
     }
 
     /// Removes a server that no order references.
-    pub fn forget(&mut self, server: ServerId) {
+    pub fn remove_server(&mut self, server: ServerId) {
         for joined in self.proxies.values_mut() {
-            joined.forget(server);
+            joined.remove_server(server);
         }
     }
 
-    fn for_all(&mut self, apply: impl FnMut(&mut JoinedProxy)) {
+    fn for_each_proxy(&mut self, apply: impl FnMut(&mut JoinedProxy)) {
         self.changed_in_batch.extend(self.proxies.keys());
         self.proxies.values_mut().for_each(apply);
     }
 
-    fn for_users_of(&mut self, table: TableId, mut apply: impl FnMut(&mut JoinedProxy)) {
+    fn for_each_user_of(&mut self, table: TableId, mut apply: impl FnMut(&mut JoinedProxy)) {
         let Some(users) = self.by_table.get(&table) else {
             return;
         };
@@ -184,19 +184,19 @@
             };
             joined.end_batch(request);
             if !joined.pending.is_empty() {
-                self.with_orders.insert(joined.stream);
+                self.streams_with_orders.insert(joined.stream);
             }
         }
     }
 
     /// Number of streams with an order to write.
-    pub fn with_orders_count(&self) -> usize {
-        self.with_orders.len()
+    pub fn streams_with_orders_count(&self) -> usize {
+        self.streams_with_orders.len()
     }
 
     /// Streams that got an order to write since the last call.
-    pub fn take_with_orders(&mut self) -> BTreeSet<StreamId> {
-        std::mem::take(&mut self.with_orders)
+    pub fn take_streams_with_orders(&mut self) -> BTreeSet<StreamId> {
+        std::mem::take(&mut self.streams_with_orders)
     }
 
     /// The order that waits for a stream, if there is one.
--- a/crates/engine/src/streams/joined_proxy.rs
+++ b/crates/engine/src/streams/joined_proxy.rs
@@ -74,8 +74,8 @@
         if let Some(notified) = self.notified_suspensions.get(&server) {
             return Some(*notified);
         }
-        let is_corrected_now = self.is_reconciled || tables.was_ever_suspended(server);
-        let may_be_suspended = self.has_previous_table && is_corrected_now;
+        let is_correction_due = self.is_reconciled || tables.was_ever_suspended(server);
+        let may_be_suspended = self.has_previous_table && is_correction_due;
         if may_be_suspended || tables.has_returned(server) {
             return None;
         }
@@ -148,13 +148,13 @@
     /// any table of this supervisor is informed with its first weights instead.
     pub fn set_suspended(&mut self, server: ServerId, suspended: bool, tables: &Tables) -> bool {
         let may_have_foreign_table = self.is_partly_assigned(tables);
-        let is_concerned =
+        let is_affected =
             self.references_server(server, tables) || (suspended && may_have_foreign_table);
-        if is_concerned {
+        if is_affected {
             self.notified_suspensions.insert(server, suspended);
             self.pending.set_suspended(server, suspended);
         }
-        is_concerned
+        is_affected
     }
 
     fn references_server(&self, server: ServerId, tables: &Tables) -> bool {
@@ -179,7 +179,7 @@
     }
 
     /// Removes a server that no table and no order references.
-    pub fn forget(&mut self, server: ServerId) {
+    pub fn remove_server(&mut self, server: ServerId) {
         self.notified_suspensions.remove(&server);
     }
 }
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -131,7 +131,7 @@
     }
 
     /// Removes a server that no table references.
-    pub fn forget(&mut self, server: ServerId) {
+    pub fn remove_server(&mut self, server: ServerId) {
         self.suspended.remove(&server);
         self.returned.remove(&server);
         self.ever_suspended.remove(&server);
