--- a/crates/engine/src/endpoint.rs
+++ b/crates/engine/src/endpoint.rs
@@ -1,24 +1,24 @@
-//! Entries of the endpoint list, by names.
+//! Entries of the endpoint list, with names instead of ids.
 
 use chutegrade_policy::{Lifecycle, Micros};
 
-/// One entry of the endpoint list, by names.
+/// An entry of the endpoint list, with names instead of ids.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NamedEndpoint {
     /// Name of the server.
     pub name: String,
-    /// Address on which it listens; an empty one leaves the last known address in force.
+    /// Listen address; if empty, the last known address remains in use.
     pub address: String,
-    /// Its zone.
+    /// Name of the server's zone, which the settings need not contain.
     pub zone: String,
-    /// Its machine kind.
+    /// Name of the server's machine kind, which the settings need not contain.
     pub machine_kind: String,
-    /// Number of its cell.
+    /// Number of the server's cell.
     pub cell: u32,
-    /// Whether it serves, drains or was removed.
+    /// Whether the server is in service, draining or removed.
     pub lifecycle: Lifecycle,
-    /// Its weight in the endpoint list.
+    /// Weight that the endpoint list gives the server.
     pub weight: f64,
-    /// Its latest start, if the list names one.
+    /// Latest start of the server's process; `None` if the list does not contain it.
     pub started_at: Option<Micros>,
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: reports in, one batch for the decision module at each tick, orders out.
+//! The engine: queues reports, passes them to the decision module as one batch per tick and executes its actions.
 
 mod actions;
 mod guidance_resolution;
@@ -24,12 +24,12 @@
 use crate::tables::Tables;
 use crate::traffic_sampling::{TrafficSample, TrafficSampler};
 
-/// A class of requests as the settings describe it.
+/// A class of requests in the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassInfo {
-    /// Its name.
+    /// Name under which reports and orders reference the class.
     pub name: String,
-    /// Its settings.
+    /// Latency objective, deadline and the other settings of the class.
     pub class: Class,
 }
 
@@ -42,23 +42,23 @@
     }
 }
 
-/// Size of the deployment that the settings describe.
+/// Size of the deployment according to the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeploymentSize {
-    /// Number of proxies.
+    /// Number of proxies; they are numbered from 0.
     pub proxies: usize,
-    /// Number of zones.
+    /// Number of zones, without those that only the endpoint list contains.
     pub zones: usize,
 }
 
-/// A timer that the decisions set; timers sort by time.
+/// A timer of the decision module; timers sort by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     due_at: Micros,
     id: u32,
 }
 
-/// The decision module and everything that is needed to carry out its decisions.
+/// The decision module with the state that is needed to execute its actions.
 pub struct Engine {
     policy: Box<dyn DecisionPolicy>,
     names: Names,
@@ -70,7 +70,7 @@
     events: Vec<Event>,
     timers: BTreeSet<Timer>,
     due_health_checks: VecDeque<ServerId>,
-    /// Servers that the decisions have forgotten, until no table and no pending order references them.
+    /// Servers that the decision module has released; removed once no table and no pending order references them.
     servers_pending_removal: BTreeSet<ServerId>,
     subscription: DiscoverySubscription,
     log_events: LogEvents,
@@ -79,13 +79,13 @@
 }
 
 impl Engine {
-    /// An engine with the decision module of this build. `seed` makes its random choices repeatable.
+    /// Creates an engine with the decision module of this build. `seed` makes its random choices reproducible.
     pub fn new(settings: Settings, seed: u64, names: DeploymentNames) -> Self {
         let policy = Policy::new(settings.clone(), seed);
         Engine::with_policy(Box::new(policy), &settings, names)
     }
 
-    /// An engine with another decision module, which was made with the same settings.
+    /// Creates an engine with another decision module, which must have been created with the same settings.
     pub fn with_policy(
         policy: Box<dyn DecisionPolicy>,
         settings: &Settings,
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Hands all reports since the last tick and the timers that are due to the decision module as one batch, and
-    /// carries out the actions that it returns. Returns when the next timer is due.
+    /// Passes all reports since the last tick and the due timers to the decision module as one batch, and executes the
+    /// returned actions. Returns when the next timer is due.
     pub fn tick(&mut self, now: Micros) -> Option<Micros> {
         self.take_due_timers(now);
         if !self.events.is_empty() || !self.has_ticked {
@@ -143,18 +143,18 @@
         }
     }
 
-    /// Streams that got an order to write since the last call.
+    /// Returns the streams with a new order to write since the last call.
     pub fn take_streams_with_orders(&mut self) -> BTreeSet<StreamId> {
         self.streams.take_streams_with_orders()
     }
 
-    /// The next message of a stream: everything that was ordered for it and not taken yet.
+    /// Returns the next message of a stream: all changes that were ordered for it since its last message.
     pub fn take_order(&mut self, stream: StreamId) -> Option<Order> {
         let pending = self.streams.take_pending_order(stream)?;
         Some(pending.into_order(self.tables.class_count(), &self.names))
     }
 
-    /// The next health check that is due.
+    /// Returns the next due health check.
     pub fn take_health_check(&mut self) -> Option<HealthCheck> {
         let server = self.due_health_checks.pop_front()?;
         let address = self.names.address(server).unwrap_or_default();
@@ -165,39 +165,39 @@
         })
     }
 
-    /// What the decisions require of service discovery. Each request to fetch the list is returned once.
+    /// Returns the service discovery requests. Each request to fetch the list is returned once.
     pub fn take_subscription(&mut self) -> DiscoverySubscription {
         let subscription = self.subscription;
         self.subscription.fetch = false;
         subscription
     }
 
-    /// Collects traffic samples for the overload manager from now on.
+    /// Enables the collection of traffic samples for the overload manager.
     pub fn enable_traffic_sampling(&mut self) {
         self.traffic_sampler.enable();
     }
 
-    /// The traffic that was reported since the last call.
+    /// Returns the traffic that was reported since the last call.
     pub fn take_traffic_sample(&mut self) -> TrafficSample {
         self.traffic_sampler.take()
     }
 
-    /// Makes events for the records too from now on, not only those for the log.
+    /// Enables events for the records, in addition to those for the log.
     pub fn enable_recording(&mut self) {
         self.log_events.enable_recording();
     }
 
-    /// The next log event. Events for the log are made whether or not recording is enabled.
+    /// Returns the next log event. Events for the log are created whether or not recording is enabled.
     pub fn take_log_event(&mut self, now: Micros) -> Option<LogEvent> {
         self.log_events.take(now)
     }
 
-    /// Status of the fleet after the last tick.
+    /// Returns the status of the fleet after the last tick.
     pub fn fleet_status(&self) -> FleetStatus {
         self.policy.fleet_status()
     }
 
-    /// Status of the fleet after the last tick, with the numbers of servers by state, as a record.
+    /// Returns the status of the fleet after the last tick, with the number of servers in each state, as a record.
     pub fn fleet_metrics(&self) -> pb::Gauge {
         let servers = self.policy.server_statuses().into_iter();
         records::fleet_record(
@@ -207,7 +207,7 @@
         )
     }
 
-    /// Status of each server after the last tick, as a record.
+    /// Returns the status of each server after the last tick as a record.
     pub fn server_snapshot(&self) -> pb::Fleet {
         let statuses = self.policy.server_statuses();
         let servers = statuses
@@ -225,30 +225,30 @@
         records::server_record(self.server_name(server), zone, status)
     }
 
-    /// The classes as the settings describe them.
+    /// Returns the classes of the settings, by position.
     pub fn classes(&self) -> &[ClassInfo] {
         &self.classes
     }
 
-    /// The size of the deployment that the settings describe.
+    /// Returns the size of the deployment according to the settings.
     pub fn deployment_size(&self) -> DeploymentSize {
         self.size
     }
 
-    /// The names of zones, classes and machine kinds; zones and machine kinds of the endpoint list that the settings do
-    /// not name follow at the end.
+    /// Returns the names of zones, classes and machine kinds. Zones and machine kinds that only the endpoint list
+    /// contains come last.
     pub fn deployment_names(&self) -> DeploymentNames {
         let mut names = self.names.deployment();
         names.classes.truncate(self.tables.class_count());
         names
     }
 
-    /// The stream on which a proxy is joined.
+    /// Returns the current stream of a proxy; `None` if it has no open stream.
     pub fn stream_of(&self, proxy: u32) -> Option<StreamId> {
         self.streams.stream_of(ProxyId(proxy))
     }
 
-    /// Checks that the settings have this zone and, if one is given, this proxy.
+    /// Checks that the settings contain this zone and, if given, this proxy.
     ///
     /// # Errors
     ///
@@ -261,7 +261,7 @@
         Ok(())
     }
 
-    /// The name of a server, or its number if it has none.
+    /// Returns the name of a server, or its id if the name is unknown.
     fn server_name(&self, server: ServerId) -> String {
         match self.names.server_name(server) {
             Some(name) => name.to_string(),
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of the decision module.
+//! Execution of the decision module's actions.
 
 use std::collections::BTreeSet;
 
@@ -10,10 +10,10 @@
 use crate::records::{self, PublishedCounts};
 use crate::streams::AcknowledgementRequest;
 
-/// Shortest delay of a timer.
+/// Minimum delay of a timer.
 const MIN_TIMER_DELAY: Micros = Micros(1);
 
-/// The sum of the actions of one batch.
+/// State that the actions of one batch accumulate.
 #[derive(Default)]
 struct BatchSummary {
     acknowledgement: Option<AcknowledgementRequest>,
@@ -21,7 +21,7 @@
 }
 
 impl Engine {
-    /// Carries out a batch of actions, in order.
+    /// Executes a batch of actions, in order.
     pub(super) fn execute_actions(&mut self, now: Micros, actions: Vec<Action>) {
         let mut batch = BatchSummary::default();
         for action in actions {
@@ -81,7 +81,7 @@
             Action::ForgetServer(server) => {
                 self.servers_pending_removal.insert(server);
             }
-            // The protocol has no channel between instances, and the decisions do not request one.
+            // The protocol has no channel between instances, and the decision module does not use one.
             Action::SendToPeer { .. } => {}
         }
     }
@@ -125,7 +125,7 @@
     ) {
         let has_changed = self.tables.set_suspended(server, suspended);
         if !has_changed && !suspended {
-            // The decisions resume each new server in case it was known before; most were not.
+            // The decision module resumes each new server, because it may have been suspended earlier; most were not.
             return;
         }
         batch.published.suspensions += 1;
@@ -186,8 +186,8 @@
         self.log_events.log(now, record);
     }
 
-    /// Removes the forgotten servers that no table and no pending order references. A pending order needs the name of a
-    /// server: without it, the changes of that server would be left out of the message.
+    /// Removes the released servers that no table and no pending order references. A pending order still needs the
+    /// server's name: without it, changes for that server would be missing from the message.
     fn remove_unreferenced_servers(&mut self) {
         let pending = std::mem::take(&mut self.servers_pending_removal);
         let (referenced, unreferenced): (BTreeSet<_>, BTreeSet<_>) =
@@ -208,7 +208,7 @@
         self.names.remove_server(server);
     }
 
-    /// The name of the class at a position, or the position if it has none.
+    /// Returns the name of the class at a position, or the position if it has no name.
     fn class_name(&self, class: usize) -> String {
         match self.names.class_name(class) {
             Some(name) => name.to_string(),
--- a/crates/engine/src/engine/guidance_resolution.rs
+++ b/crates/engine/src/engine/guidance_resolution.rs
@@ -1,4 +1,4 @@
-//! Advice and limits by names to those by ids. Entries with unknown names are ignored.
+//! Conversion of advice and limits from names to ids. Entries with unknown names are ignored.
 
 use chutegrade_policy::{
     Advice, ClassRetry, ClassSet, ClassShare, Limits, ServerExclusion, WeightFactor,
@@ -11,7 +11,7 @@
 };
 
 impl Engine {
-    /// The advice of plug-ins by ids.
+    /// Resolves the names in the advice of plug-ins to ids.
     pub(super) fn resolve_advice(&self, advice: &PluginAdvice) -> Advice {
         let factors = advice.factors.iter();
         let excluded = advice.excluded.iter();
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The limits of the overload manager by ids.
+    /// Resolves the names in the limits of the overload manager to ids.
     pub(super) fn resolve_limits(&self, limits: &OverloadLimits) -> Limits {
         let retries = limits.retries.iter();
         Limits {
--- a/crates/engine/src/engine/report_handling.rs
+++ b/crates/engine/src/engine/report_handling.rs
@@ -1,4 +1,4 @@
-//! Reports to events: names become ids, and a report that names something unknown is dropped.
+//! Conversion of reports to events: names are resolved to ids, and a report with an unknown name is dropped.
 
 use chutegrade_limits::manager::{Demand, Outcome};
 use chutegrade_policy::{
@@ -11,16 +11,16 @@
 use crate::report::{DemandReport, OutcomeReport, Report, ReportError};
 use crate::streams::StreamId;
 
-/// Most events that wait for a tick; beyond that, reports of outcomes and demand are dropped. The largest deployments
-/// report as many in a minute, so only a flood reaches the limit between two ticks.
+/// Maximum number of events queued for the next tick; beyond it, reports of outcomes and demand are dropped. The largest
+/// deployments send this many reports in a minute, so a normal load does not reach the limit between two ticks.
 pub(super) const MAX_QUEUED_EVENTS: usize = 50_000;
 
 impl Engine {
-    /// Takes in a report for the next tick.
+    /// Queues a report for the next tick.
     ///
     /// # Errors
     ///
-    /// The report is dropped if it names something unknown, belongs to a replaced stream, or finds the queue full.
+    /// The report is dropped if it contains an unknown name, belongs to a replaced stream, or the queue is full.
     pub fn report(&mut self, report: Report) -> Result<(), ReportError> {
         let is_droppable = matches!(
             report,
@@ -34,7 +34,7 @@
         Ok(())
     }
 
-    #[expect(clippy::too_many_lines, reason = "one plain arm for each report")]
+    #[expect(clippy::too_many_lines, reason = "one simple arm for each report")]
     fn resolve_report(&mut self, report: Report) -> Result<Event, ReportError> {
         match report {
             Report::EndpointList(kind, endpoints) => Ok(self.endpoint_list(kind, &endpoints)),
@@ -105,7 +105,7 @@
 
     fn endpoint_list(&mut self, kind: EndpointUpdateKind, endpoints: &[NamedEndpoint]) -> Event {
         if kind == EndpointUpdateKind::Unavailable {
-            // The subscription is lost with discovery: the decisions request it again.
+            // The subscription is lost with discovery; the decision module subscribes again.
             self.subscription.watch = false;
         }
         let resolved = endpoints
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Whether a health check reached the process that the endpoint list names now. The result for an earlier process, or
-    /// for another one at its address, must not count against a server that has just started.
+    /// Whether a health check was sent to the process that the endpoint list has now. The result for an earlier process,
+    /// or for another one at its address, must not count against a server that has just started.
     fn is_current(&self, check: &HealthCheck) -> bool {
         let HealthCheck {
             server,
@@ -239,14 +239,14 @@
             && self.names.started_at(*server) == *started_at
     }
 
-    /// The id of a zone of the settings; zones that only the endpoint list names have no proxies.
+    /// Returns the id of a zone of the settings; zones that only the endpoint list contains have no proxies.
     pub(super) fn resolve_zone(&self, name: &str) -> Result<ZoneId, ReportError> {
         let zone = self.names.zone(name);
         zone.filter(|zone| usize::from(zone.0) < self.size.zones)
             .ok_or_else(|| ReportError::UnknownZone(name.to_string()))
     }
 
-    /// The id of a proxy of the settings.
+    /// Returns the id of a proxy of the settings.
     pub(super) fn resolve_proxy(&self, number: u32) -> Result<ProxyId, ReportError> {
         if (number as usize) < self.size.proxies {
             Ok(ProxyId(number))
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! The engine without sockets: reports in, orders out.
+//! The engine, from reports to orders.
 
 mod discovery;
 mod health_checks;
@@ -56,7 +56,7 @@
     }
 }
 
-/// `prefix0`, `prefix1` and so on.
+/// Returns `prefix0`, `prefix1` and so on.
 fn numbered_names(prefix: &str, count: usize) -> Vec<String> {
     (0..count)
         .map(|number| format!("{prefix}{number}"))
@@ -96,7 +96,7 @@
     }
 }
 
-/// Requests that arrived at a proxy within a second.
+/// Reports the requests that arrived at a proxy within a second.
 fn demand(proxy: u32, class: &str, arrivals: f64) -> Report {
     Report::ProxyDemand {
         proxy,
@@ -107,7 +107,7 @@
     }
 }
 
-/// An engine with four servers and no proxies, after its first tick.
+/// Creates an engine with four servers and no proxies, after its first tick.
 fn engine_with_servers() -> Engine {
     let mut engine = engine(CLASSES);
     let endpoints = (0..4).map(listed_endpoint).collect();
@@ -121,7 +121,7 @@
     assert_eq!(engine.report(report), Ok(()));
 }
 
-/// Reports that the proxy of a stream has applied an order, which must request that.
+/// Reports that the proxy of a stream has applied an order, which must request the acknowledgement.
 fn acknowledge(engine: &mut Engine, stream: StreamId, order: &Order, elapsed: Micros) {
     let sequence = order.acknowledge.expect("an acknowledgement request");
     let report = Report::Acknowledged {
@@ -152,7 +152,7 @@
     names.iter().map(ToString::to_string).collect()
 }
 
-/// The state of a proxy by the orders written to it.
+/// The state of a proxy after the orders written to it.
 #[derive(Clone, Default)]
 struct ProxyState {
     weights: BTreeMap<usize, BTreeMap<String, f64>>,
--- a/crates/engine/src/engine/tests/discovery.rs
+++ b/crates/engine/src/engine/tests/discovery.rs
@@ -9,7 +9,7 @@
     assert!(engine.take_subscription().watch);
 }
 
-/// Where the endpoint list comes on request, a lost subscription that still counts as active would never be renewed.
+/// With endpoints on request, a lost subscription that still counted as active would never be renewed.
 #[test]
 fn a_lost_subscription_is_requested_again() {
     let settings = Settings {
--- a/crates/engine/src/engine/tests/health_checks.rs
+++ b/crates/engine/src/engine/tests/health_checks.rs
@@ -9,7 +9,7 @@
     let mut engine = engine_with_servers();
     let next = engine.tick(Micros(1)).expect("the module's own timer");
     assert!(next > Micros(1));
-    assert_eq!(engine.take_health_check(), None, "nobody is joined");
+    assert_eq!(engine.take_health_check(), None, "no proxy is joined");
     assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
     engine.tick(Micros(10_000));
     let check = engine.take_health_check().expect("a health check");
@@ -28,7 +28,7 @@
     assert!(checks.any(|check| check.address == "127.0.0.1:9"));
 }
 
-/// Outcomes of health checks, newest last.
+/// Outcomes that the policy received, newest last.
 type Outcomes = Rc<RefCell<Vec<HealthCheckOutcome>>>;
 
 /// A policy that checks each listed server and stores the outcomes.
@@ -54,14 +54,14 @@
     }
 }
 
-/// Reports an endpoint; returns the health check that the policy orders for it.
+/// Reports an endpoint; returns the health check that the policy requests for it.
 fn check_of(engine: &mut Engine, endpoint: NamedEndpoint) -> HealthCheck {
     report_endpoints(engine, EndpointUpdateKind::Delta, vec![endpoint]);
     engine.tick(Micros(0));
     engine.take_health_check().expect("a health check")
 }
 
-/// Reports that a health check did not reach its server; returns the outcome that the policy gets.
+/// Reports that a health check did not reach its server; returns the outcome that the policy receives.
 fn outcome_of_unreachable(
     engine: &mut Engine,
     outcomes: &Outcomes,
@@ -72,8 +72,8 @@
     outcomes.borrow_mut().pop().expect("an outcome")
 }
 
-/// The result for an earlier process, or for another one at its address, must not count against the one that has just
-/// started under its name.
+/// The result for an earlier process, or for another address, must not count against a process that has just started
+/// under the same name.
 #[test]
 fn a_health_check_of_an_earlier_process_is_inconclusive() {
     let policy = CheckingPolicy::default();
@@ -102,13 +102,13 @@
     assert_eq!(
         outcome_of_unreachable(&mut engine, &outcomes, second_check),
         HealthCheckOutcome::Inconclusive,
-        "it listens elsewhere"
+        "the server has another address now"
     );
     let restarted_check = check_of(&mut engine, restarted);
     assert_eq!(
         outcome_of_unreachable(&mut engine, &outcomes, moved_check),
         HealthCheckOutcome::Inconclusive,
-        "it has restarted at the same address"
+        "the server has restarted at the same address"
     );
     assert_eq!(
         outcome_of_unreachable(&mut engine, &outcomes, restarted_check),
--- a/crates/engine/src/engine/tests/isolation.rs
+++ b/crates/engine/src/engine/tests/isolation.rs
@@ -1,17 +1,17 @@
-//! Engines in one process share nothing.
+//! Engines in one process share no state.
 
 use super::*;
 
 const PROXIES: u32 = 2;
 const SERVERS: u32 = 6;
 
-/// Seconds between two streams of the same proxy.
+/// Seconds between two streams of a proxy.
 const STREAM_PERIOD: u32 = 9;
 
 const TICK: Micros = Micros(250_000);
 const TICKS_PER_SECOND: usize = 4;
 
-/// One deployment under synthetic traffic, with a transcript of all its orders and health checks.
+/// A deployment under synthetic traffic, with a transcript of all its orders and health checks.
 struct Deployment {
     engine: Engine,
     now: Micros,
@@ -147,7 +147,7 @@
     deployment.transcript
 }
 
-/// The settings of one deployment must not affect another's.
+/// The settings and inputs of one engine must not affect another engine.
 #[test]
 fn two_engines_in_one_process_are_independent() {
     let mut first = first_deployment();
--- a/crates/engine/src/engine/tests/log_events.rs
+++ b/crates/engine/src/engine/tests/log_events.rs
@@ -42,7 +42,7 @@
     assert!(!event.logged);
 }
 
-/// Without a bound, a failing fleet would fill memory with events that nobody takes.
+/// Without a limit, a failing fleet would fill memory with events that are never taken.
 #[test]
 fn queued_events_are_bounded_and_dropped_ones_counted() {
     let mut engine = engine_with_servers();
@@ -67,7 +67,7 @@
 /// Time of the tick in [`engine_with_observations`].
 const OBSERVED_AT: Micros = Micros(50_000_000);
 
-/// An engine that at [`OBSERVED_AT`] learned of a start 10 s before, and of failures during the last 2 s.
+/// Creates an engine that at [`OBSERVED_AT`] processed a start 10 s earlier and failures during the last 2 s.
 fn engine_with_observations() -> Engine {
     let mut engine = engine_with_servers();
     engine.enable_recording();
@@ -90,13 +90,13 @@
     engine
 }
 
-/// A start and a failure have the time at which they began, not that at which the engine learned of them.
+/// A start and a failure have the time at which they began, not the time of their report.
 #[test]
 fn an_observation_has_the_time_at_which_it_began() {
     let mut engine = engine_with_observations();
     let events = take_log_events(&mut engine, OBSERVED_AT);
-    let times = |is_wanted: fn(&Kind) -> bool| {
-        let event = events.iter().find(|event| is_wanted(&event.kind))?;
+    let times = |matches_kind: fn(&Kind) -> bool| {
+        let event = events.iter().find(|event| matches_kind(&event.kind))?;
         Some((event.occurred_at, event.observed_at))
     };
     assert_eq!(
--- a/crates/engine/src/engine/tests/order_properties.rs
+++ b/crates/engine/src/engine/tests/order_properties.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-/// The most updates that the protocol allows in one message.
+/// Maximum number of updates that the protocol allows in one message.
 const MAX_UPDATES: usize = 64;
 
 /// Open streams by proxy.
 type OpenStreams = BTreeMap<u32, u64>;
 
-/// The expected state of the proxies, by applying action after action.
+/// The expected state of the proxies after the actions executed so far.
 #[derive(Clone, Default)]
 struct ExpectedState {
     weights: BTreeMap<TableId, BTreeMap<String, f64>>,
@@ -17,11 +17,11 @@
     suspended: BTreeSet<String>,
     /// Tables by proxy and class.
     assigned: BTreeMap<(u32, usize), TableId>,
-    /// By proxy, the servers that were suspended while only some of its classes had a table of this supervisor. Its other
-    /// tables are unknown here and may reference the server, so it must be informed at once.
+    /// By proxy, the servers that were suspended while only some of its classes had a table of this supervisor. Its
+    /// other tables are unknown here and may reference the server, so the suspension must be sent at once.
     ///
-    /// A proxy without any table of this supervisor is informed with its first ones instead: many proxies that join during
-    /// a rollout would otherwise fill the channel with suspensions that these tables make superfluous.
+    /// A proxy without any table of this supervisor gets suspensions with its first tables instead: the many proxies
+    /// that join during a rollout would otherwise fill the channel with suspensions that these tables make redundant.
     suspended_in_unknown_tables: BTreeMap<u32, BTreeSet<String>>,
 }
 
@@ -107,12 +107,12 @@
         }
     }
 
-    /// A proxy joined or left: it uses none of our tables any more.
+    /// Removes the tables of a proxy that joined or left.
     fn remove_assignments(&mut self, proxy: u32) {
         self.assigned.retain(|(of, _), _| *of != proxy);
     }
 
-    /// The weights of the servers that a user of a table may pick.
+    /// Returns the weights of the servers that a user of a table may select.
     fn eligible(&self, table: TableId) -> BTreeMap<String, f64> {
         let weights = self.weights.get(&table).cloned().unwrap_or_default();
         weights
@@ -134,24 +134,24 @@
     }
 }
 
-/// The positions of a set of classes; the empty set stands for all of them.
+/// Returns the positions of a set of classes; the empty set means all classes.
 fn positions(classes: ClassSet) -> impl Iterator<Item = usize> {
     (0..CLASSES).filter(move |class| classes == ClassSet::default() || classes.has(*class))
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The engine carries out a batch of actions.
+    /// The engine executes a batch of actions.
     Execute(Vec<Action>),
-    /// A proxy opens a stream, without tables or with some servers suspended by another supervisor.
+    /// A proxy opens a stream, either without tables or with servers that another supervisor suspended.
     Join {
         proxy: u32,
         has_no_table: bool,
         suspended: BTreeSet<u32>,
     },
-    /// A proxy's stream ends.
+    /// The stream of a proxy ends.
     Leave(u32),
-    /// A proxy's order is written.
+    /// The pending order of a proxy is written.
     Write(u32),
 }
 
@@ -185,13 +185,13 @@
     ]
 }
 
-/// An engine, its proxies by the orders written to them, and what they should have.
+/// An engine, the state of its proxies after the orders written to them, and the expected state.
 struct Comparison {
     engine: Engine,
     expected: ExpectedState,
     proxies: BTreeMap<u32, ProxyState>,
     joined: OpenStreams,
-    /// Proxies with suspensions by another supervisor that were not reconciled yet.
+    /// Proxies that may have suspensions of another supervisor and were not reconciled yet.
     unreconciled: BTreeSet<u32>,
     /// The sequence number that each proxy must have received.
     expected_sequence: BTreeMap<u32, u16>,
@@ -298,7 +298,7 @@
         self.check(proxy)
     }
 
-    /// Compares the state of a proxy to which everything was written with the expected one.
+    /// Compares the state of a proxy without a pending order with the expected state.
     fn check(&self, proxy: u32) -> Result<(), TestCaseError> {
         let state = &self.proxies[&proxy];
         if let Some(sequence) = self.expected_sequence.get(&proxy) {
@@ -340,8 +340,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// This holds for any sequence of actions, for orders that merged while a stream could not be written, and for proxies
-    /// with tables and suspensions of another supervisor.
+    /// Covers any sequence of actions, orders that were merged while a stream could not be written, and proxies with
+    /// tables and suspensions of another supervisor.
     #[test]
     fn applied_orders_match_the_executed_actions(steps in proptest::collection::vec(step(), 1..40)) {
         let mut comparison = Comparison::new();
--- a/crates/engine/src/engine/tests/orders.rs
+++ b/crates/engine/src/engine/tests/orders.rs
@@ -1,8 +1,8 @@
-//! What orders contain.
+//! The content of orders.
 
 use super::*;
 
-/// The most updates that the protocol allows in one message.
+/// Maximum number of updates that the protocol allows in one message.
 const MAX_UPDATES: usize = 64;
 
 #[test]
@@ -25,7 +25,7 @@
     assert!(order.acknowledge.is_some());
     assert!(
         order.suspended.is_empty() && order.resumed.is_empty(),
-        "a new proxy has nobody's suspensions"
+        "a new proxy has no suspensions"
     );
     assert_eq!(engine.take_order(StreamId(1)), None);
 }
@@ -45,7 +45,7 @@
     assert_eq!(
         to_strings(&order.resumed),
         ["s3"],
-        "the others were never suspended here"
+        "the other servers were never suspended here"
     );
     acknowledge(&mut engine, StreamId(1), &order, Micros(1000));
     let timer = *engine.timers.first().expect("the module's own timer");
@@ -54,7 +54,7 @@
     assert_eq!(
         to_strings(&order.resumed),
         ["s0", "s1", "s2"],
-        "the rest once the channel has capacity"
+        "the other servers follow once the channel has capacity"
     );
     let draining = NamedEndpoint {
         lifecycle: Lifecycle::Draining,
@@ -88,7 +88,9 @@
         Err(ReportError::StreamReplaced)
     );
     assert_eq!(engine.take_order(StreamId(1)), None);
-    let order = engine.take_order(StreamId(2)).expect("assigned anew");
+    let order = engine
+        .take_order(StreamId(2))
+        .expect("an order on the new stream");
     assert!(order.updates.iter().any(|update| update.replace));
 }
 
@@ -106,7 +108,7 @@
     assert_eq!(replaced.count(), 32);
 }
 
-/// A table of its own for one class, with a weight and an admission level like no other's.
+/// Creates a separate table for one class, with a weight and an admission level that differ from all others.
 fn separate_table(class: u16) -> [Action; 3] {
     let table = TableId(class);
     let classes = ClassSet::default().with(usize::from(class));
@@ -130,7 +132,7 @@
     ]
 }
 
-/// A server that is removed from a complete table before that is written costs no line.
+/// A server that is removed from a complete table before the table is written adds no line to the message.
 #[test]
 fn a_complete_table_never_contains_a_removed_server() {
     let mut engine = engine_with_servers();
--- a/crates/engine/src/engine/tests/removed_servers.rs
+++ b/crates/engine/src/engine/tests/removed_servers.rs
@@ -1,4 +1,4 @@
-//! Removal of servers that nothing refers to any more.
+//! Removal of servers that are no longer referenced.
 
 use std::ops::Range;
 
@@ -8,17 +8,17 @@
 const TICK: Micros = Micros(500_000);
 const TICKS_PER_SECOND: usize = 2;
 
-/// Servers that are replaced at a time: all that [`engine_with_servers`] has.
+/// Servers that are replaced at a time: all of [`engine_with_servers`].
 const BATCH: u32 = 4;
 
-/// Names of servers in the orders to the only proxy.
+/// Servers that the orders to the only proxy suspend and resume.
 #[derive(Debug, Default, PartialEq)]
 struct SuspensionChanges {
     suspended: BTreeSet<String>,
     resumed: BTreeSet<String>,
 }
 
-/// An engine with one proxy, which acknowledges all orders, over time.
+/// An engine with one proxy, which acknowledges all orders, and the simulated time.
 struct Deployment {
     engine: Engine,
     now: Micros,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Reports endpoints, and then ticks for a while.
+    /// Reports endpoints, then ticks for some seconds; returns the suspension changes ordered in that time.
     fn update(&mut self, endpoints: Vec<NamedEndpoint>, seconds: usize) -> SuspensionChanges {
         report_endpoints(&mut self.engine, EndpointUpdateKind::Delta, endpoints);
         let mut ordered = SuspensionChanges::default();
@@ -50,7 +50,7 @@
         ordered
     }
 
-    /// Adds the servers that follow these by number, and then drains and removes these.
+    /// Adds the servers with the next numbers, then drains and removes the given ones.
     fn replace(&mut self, servers: Range<u32>) {
         let next = servers.end..servers.end + BATCH;
         self.update(next.map(listed_endpoint).collect(), 30);
@@ -69,8 +69,8 @@
     }
 }
 
-/// Servers are replaced many times: a removed one leaves nothing behind, and no id is reused. One that returns under its
-/// name is resumed at proxies, which may still have it as suspended.
+/// Servers are replaced many times: a removed one leaves no state, and no id is reused. One that returns under its name
+/// is resumed at proxies, which may still have it suspended.
 #[test]
 fn a_removed_server_leaves_no_state_and_is_resumed_on_its_return() {
     let mut deployment = Deployment::new();
@@ -84,7 +84,7 @@
         );
         deployment.replace(servers);
     }
-    assert_eq!(ids.len(), 80, "each has an id of its own");
+    assert_eq!(ids.len(), 80, "each has its own id");
     let known = (0..84).filter(|server| deployment.server(*server).is_some());
     assert_eq!(known.count(), 4);
     let engine = &deployment.engine;
@@ -99,10 +99,10 @@
         suspended: BTreeSet::new(),
         resumed: BTreeSet::from(["s3".to_string()]),
     };
-    assert_eq!(ordered, expected, "s99 is new to all");
+    assert_eq!(ordered, expected, "s99 was never listed before");
 }
 
-/// Otherwise a stalled stream would lose the suspension of a server, together with the server's name.
+/// Without the server's name, the order of a stalled stream would lose the suspension.
 #[test]
 fn a_server_in_a_pending_order_is_not_removed() {
     let mut engine = engine_with_servers();
--- a/crates/engine/src/engine/tests/reports.rs
+++ b/crates/engine/src/engine/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Which reports are accepted.
+//! Acceptance and rejection of reports.
 
 use super::*;
 
@@ -19,8 +19,8 @@
     let mut engine = engine_with_servers();
     let rejected = [
         (
-            outcomes("z0", "nobody"),
-            ReportError::UnknownServer("nobody".into()),
+            outcomes("z0", "s99"),
+            ReportError::UnknownServer("s99".into()),
         ),
         (outcomes("z9", "s0"), ReportError::UnknownZone("z9".into())),
         (stream_opened(1, 4, true), ReportError::UnknownProxy(4)),
@@ -58,19 +58,19 @@
 fn a_zone_that_only_the_endpoint_list_names_has_no_proxies() {
     let mut engine = engine_with_servers();
     let endpoint = NamedEndpoint {
-        zone: "moon".into(),
+        zone: "unlisted".into(),
         ..listed_endpoint(9)
     };
     report_endpoints(&mut engine, EndpointUpdateKind::Delta, vec![endpoint]);
     let opened = Report::StreamOpened {
         stream: StreamId(1),
         proxy: 0,
-        zone: "moon".into(),
+        zone: "unlisted".into(),
         request_rate: 1.0,
         has_no_table: true,
     };
     assert_eq!(
         engine.report(opened),
-        Err(ReportError::UnknownZone("moon".into()))
+        Err(ReportError::UnknownZone("unlisted".into()))
     );
 }
--- a/crates/engine/src/engine/tests/scale.rs
+++ b/crates/engine/src/engine/tests/scale.rs
@@ -1,20 +1,20 @@
-//! The largest deployment.
+//! A deployment of the maximum size.
 
 use super::*;
 
-/// Servers, and proxies, of the largest deployment.
+/// Number of servers, and of proxies, of the largest deployment.
 const FLEET_SIZE: u32 = 1024;
 
 /// Time between two ticks.
 const TICK: Micros = Micros(100_000);
 
-/// Ticks of the test: ten seconds.
+/// Number of ticks of the test, which take ten seconds of simulated time.
 const TICKS: u32 = 100;
 
-/// Health checks that each server gets in that time at least, one a second being the rule.
+/// Minimum mean number of health checks for each server during the test; one per second is the regular rate.
 const MIN_CHECKS_PER_SERVER: u32 = 8;
 
-/// The largest deployment with all its proxies joined.
+/// Creates the largest deployment with all its proxies joined.
 fn largest_deployment() -> Engine {
     let settings = Settings {
         instances: FLEET_SIZE as usize,
@@ -37,7 +37,7 @@
     engine
 }
 
-/// Applies all orders that wait and acknowledges them.
+/// Applies all pending orders and acknowledges them.
 fn apply_orders(engine: &mut Engine, proxies: &mut BTreeMap<StreamId, ProxyState>) {
     for stream in engine.take_streams_with_orders() {
         let order = engine.take_order(stream).expect("an order");
@@ -46,7 +46,7 @@
     }
 }
 
-/// Passes all health checks that are due; returns their number.
+/// Answers all due health checks with success; returns their number.
 fn pass_health_checks(engine: &mut Engine) -> u32 {
     let mut passed = 0;
     while let Some(check) = engine.take_health_check() {
@@ -56,7 +56,7 @@
     passed
 }
 
-/// Each proxy gets tables, and each server is in some table.
+/// Each proxy gets tables for all classes, and each server is in some table.
 #[test]
 fn a_thousand_servers_and_a_thousand_proxies_are_served() {
     let mut engine = largest_deployment();
@@ -84,7 +84,7 @@
     );
     assert!(
         checks >= MIN_CHECKS_PER_SERVER * FLEET_SIZE,
-        "each server is checked every second: {checks}"
+        "each server is checked about once per second: {checks}"
     );
     let snapshot = engine.server_snapshot();
     assert_eq!(snapshot.servers.len(), FLEET_SIZE as usize);
--- a/crates/engine/src/guidance.rs
+++ b/crates/engine/src/guidance.rs
@@ -1,5 +1,5 @@
-//! Guidance for the decisions from outside the decision module, by names: advice of plug-ins and limits of the
-//! overload manager.
+//! External inputs that constrain decisions, with names instead of ids: advice of plug-ins and limits of the overload
+//! manager.
 
 use chutegrade_policy::{Micros, Retry, ShedShares};
 
@@ -8,15 +8,15 @@
 pub struct NamedWeightFactor {
     /// Name of the server.
     pub server: String,
-    /// Zone of the proxies.
+    /// Name of the proxies' zone.
     pub zone: String,
-    /// The class, if it has a separate table; `None` stands for all classes.
+    /// Name of a class with a separate table; `None` for all classes.
     pub class: Option<String>,
-    /// Share of the server's weight that remains, from 0 to 1.
+    /// Multiplier of the server's weight, from 0 to 1.
     pub factor: f64,
 }
 
-/// A server to leave out of all tables for a while.
+/// A server to exclude from all tables until a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedExclusion {
     /// Name of the server.
@@ -25,7 +25,7 @@
     pub until: Micros,
 }
 
-/// The largest share of a class that is admitted.
+/// The maximum share of a class's requests to admit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedClassShare {
     /// Name of the class.
@@ -46,31 +46,31 @@
 /// Advice of the plug-ins; entries with unknown names are ignored.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PluginAdvice {
-    /// Factors on weights.
+    /// Factors on the weights of servers.
     pub factors: Vec<NamedWeightFactor>,
-    /// Upper bounds of admission, by class.
+    /// Upper bounds of the admitted share, by class.
     pub caps: Vec<NamedClassShare>,
-    /// Classes without retries.
+    /// Names of classes whose requests must not be retried.
     pub no_retry: Vec<String>,
-    /// Servers to leave out of all tables.
+    /// Servers to exclude from all tables.
     pub excluded: Vec<NamedExclusion>,
-    /// Classes with a separate table.
+    /// Names of classes that get a separate table.
     pub separate_tables: Vec<String>,
-    /// When the advice expires unless it is renewed.
+    /// When the advice expires, unless newer advice replaces it.
     pub expires_at: Micros,
 }
 
-/// Decision of the overload manager; entries with unknown names are ignored.
+/// Limits set by the overload manager; entries with unknown names are ignored.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OverloadLimits {
-    /// The least share of requests to shed, whatever the saturation.
+    /// Minimum share of requests to shed, regardless of the saturation.
     pub min_shed_share: Option<f64>,
-    /// The same for ordinary proxies and for heavy hitters, where these have separate tables.
+    /// Minimum shed shares of ordinary proxies and of heavy hitters, where these have separate tables.
     pub shed_shares: Option<ShedShares>,
-    /// Upper bounds of admission, by class.
+    /// Upper bounds of the admitted share, by class.
     pub admitted: Vec<NamedClassShare>,
     /// Retry policies, by class.
     pub retries: Vec<NamedClassRetry>,
-    /// When the limits expire unless they are renewed.
+    /// When the limits expire, unless newer ones replace them.
     pub expires_at: Micros,
 }
--- a/crates/engine/src/health_check.rs
+++ b/crates/engine/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks that the decisions order.
+//! Health checks that the decision module requests.
 
 use chutegrade_policy::{Micros, ServerId};
 
@@ -9,6 +9,6 @@
     pub(crate) server: ServerId,
     /// Address on which the server listens.
     pub address: String,
-    /// Start of the server's process, as known when the check was sent.
+    /// Start time of the server's process according to the endpoint list when the check was taken.
     pub(crate) started_at: Option<Micros>,
 }
--- a/crates/engine/src/log_events.rs
+++ b/crates/engine/src/log_events.rs
@@ -1,6 +1,6 @@
-//! The queue of log events: what the decisions and the engine report of themselves, for the log and for the records.
+//! The queue of events that the decision module and the engine emit for the log and for the records.
 //!
-//! Events that are only for the records are not made while nobody records.
+//! Events for the records alone are created only while recording is enabled.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,57 +12,57 @@
 use crate::records::{self, DroppedEvents};
 use crate::report::OutcomeReport;
 
-/// Most events that wait to be taken; beyond that, the oldest are dropped and counted.
+/// Maximum length of the queue; beyond it, the oldest events are dropped and counted.
 pub(crate) const MAX_QUEUED_EVENTS: usize = 16_384;
 
-/// Something that happened, for the log or the records.
+/// An event for the log or the records.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogEvent {
-    /// When it happened.
+    /// Time of the event.
     pub occurred_at: Micros,
-    /// When the engine learned of it.
+    /// Time at which the engine observed the event.
     pub observed_at: Micros,
-    /// What happened.
+    /// Kind and content of the event, as stored in the records.
     pub kind: Kind,
-    /// Whether it is for the log as well as for the records, or for the records alone.
+    /// Whether the event is for both the log and the records, rather than for the records alone.
     pub logged: bool,
 }
 
-/// When something that is observed began.
+/// Start time of an observed condition.
 enum ObservationStart {
-    /// At this time.
+    /// An absolute time.
     At(Micros),
-    /// This long before the tick that learns of it.
+    /// A duration before the tick that processes the observation.
     Before(Micros),
 }
 
-/// Something that the next tick learns of.
+/// An observation that the next tick converts to an event.
 struct Observation {
     start: ObservationStart,
     kind: Kind,
 }
 
-/// Log events that wait to be taken.
+/// The queue of log events.
 #[derive(Default)]
 pub(crate) struct LogEvents {
     queue: VecDeque<LogEvent>,
     /// Events that were dropped since the last call of [`LogEvents::take`].
     dropped: Option<DroppedEvents>,
-    /// What the next tick learns of.
+    /// Observations since the last tick.
     observations: Vec<Observation>,
     is_recording: bool,
     observer: Observer,
-    /// The latest start of each server that the endpoint list named one for.
+    /// Latest start of each server whose endpoint has one.
     latest_starts: HashMap<ServerId, Micros>,
 }
 
 impl LogEvents {
-    /// Makes events for the records too from now on.
+    /// Enables events for the records.
     pub fn enable_recording(&mut self) {
         self.is_recording = true;
     }
 
-    /// Whether events for the records are made.
+    /// Whether events for the records are created.
     pub fn is_recording(&self) -> bool {
         self.is_recording
     }
@@ -114,7 +114,7 @@
         dropped.last_at = oldest.occurred_at;
     }
 
-    /// Observes the outcomes at a server, for the records.
+    /// Records when a server starts or stops failing most attempts, according to its outcomes.
     pub fn observe_outcomes(&mut self, outcomes: &OutcomeReport) {
         if !self.is_recording {
             return;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Observes an entry of the endpoint list, which may name a new start of the server.
+    /// Records a new start of a server, if an entry of the endpoint list has one.
     pub fn observe_endpoint(&mut self, server: ServerId, endpoint: &NamedEndpoint) {
         if !self.is_recording || endpoint.lifecycle == Lifecycle::Removed {
             self.remove_server(server, &endpoint.name);
@@ -152,13 +152,13 @@
         });
     }
 
-    /// Removes a server that nothing refers to any more.
+    /// Removes the state of a server that is no longer referenced.
     pub fn remove_server(&mut self, server: ServerId, name: &str) {
         self.latest_starts.remove(&server);
         self.observer.forget(name);
     }
 
-    /// Turns the observations since the last tick into events.
+    /// Converts the observations since the last tick to events.
     pub fn tick(&mut self, now: Micros) {
         for observation in std::mem::take(&mut self.observations) {
             let started_at = match observation.start {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The next event. If some were dropped, an event with their number comes first.
+    /// Returns the next event. If events were dropped, one with their number comes first.
     pub fn take(&mut self, now: Micros) -> Option<LogEvent> {
         if let Some(dropped) = self.dropped.take() {
             return Some(LogEvent {
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -1,7 +1,7 @@
-//! Names to ids and back.
+//! Conversion between names and ids.
 //!
-//! Ids have no meaning and are never reused. A server stays known after its removal from the endpoint list until the
-//! decisions have forgotten it, because tables and late reports may still name it.
+//! Ids are arbitrary and never reused. A server remains known after its removal from the endpoint list until the
+//! decision module releases it, because tables and late reports may still reference it.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{HashMap, VecDeque};
@@ -13,31 +13,31 @@
 
 use crate::endpoint::NamedEndpoint;
 
-/// Forgotten names that are still recognized, at eight bytes each: several times the servers of the largest fleet.
+/// Maximum number of retained hashes of removed names (8 bytes each): several times the servers of the largest fleet.
 const MAX_REMOVED_NAMES: usize = 8192;
 
-/// An entry of the endpoint list with names resolved to ids.
+/// An entry of the endpoint list after the resolution of its names.
 pub(crate) struct ResolvedEndpoint {
-    /// The entry, by ids.
+    /// The entry, with ids instead of names.
     pub endpoint: Endpoint,
-    /// Whether the server's name had been forgotten, so that proxies may still have it as suspended.
+    /// Whether the server had been removed here, so that proxies may still have it suspended.
     pub was_removed: bool,
 }
 
-/// A server with a name.
+/// The name, address and start of a server.
 struct KnownServer {
     name: Rc<str>,
     address: String,
     started_at: Option<Micros>,
 }
 
-/// The id of a server, and whether its name had been forgotten.
+/// The id of a server, and whether a server of this name had been removed before.
 struct ResolvedServer {
     id: ServerId,
     was_removed: bool,
 }
 
-/// All known names.
+/// The names of zones, classes, machine kinds and servers.
 #[derive(Default)]
 pub(crate) struct Names {
     zones: Vec<String>,
@@ -46,12 +46,12 @@
     servers: HashMap<ServerId, KnownServer>,
     ids_by_name: HashMap<Rc<str>, ServerId>,
     next_server: u32,
-    /// Hashes of forgotten names, oldest first.
+    /// Hashes of the names of removed servers, oldest first.
     removed_names: VecDeque<u64>,
 }
 
 impl Names {
-    /// The names of a deployment, without servers.
+    /// Creates the names of a deployment, without servers.
     pub fn new(names: DeploymentNames) -> Self {
         Names {
             zones: names.zones,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The names of zones, classes and machine kinds, including those that only the endpoint list names.
+    /// Returns the names of zones, classes and machine kinds, including those that only the endpoint list contains.
     pub fn deployment(&self) -> DeploymentNames {
         DeploymentNames {
             zones: self.zones.clone(),
@@ -70,52 +70,52 @@
         }
     }
 
-    /// The id of a class.
+    /// Returns the id of a class.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         let position = self.classes.iter().position(|class| **class == *name)?;
         Some(ClassId(position as u8))
     }
 
-    /// The name of the class at a position.
+    /// Returns the name of the class at a position.
     pub fn class_name(&self, class: usize) -> Option<Rc<str>> {
         self.classes.get(class).cloned()
     }
 
-    /// The id of a zone.
+    /// Returns the id of a zone.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
         let position = self.zones.iter().position(|zone| zone == name)?;
         Some(ZoneId(position as u16))
     }
 
-    /// The name of a zone; empty if it is unknown.
+    /// Returns the name of a zone; empty if it is unknown.
     pub fn zone_name(&self, zone: ZoneId) -> String {
         let name = self.zones.get(usize::from(zone.0));
         name.cloned().unwrap_or_default()
     }
 
-    /// The id of a server.
+    /// Returns the id of a server.
     pub fn server(&self, name: &str) -> Option<ServerId> {
         self.ids_by_name.get(name).copied()
     }
 
-    /// The name of a server.
+    /// Returns the name of a server; `None` once it was removed.
     pub fn server_name(&self, server: ServerId) -> Option<Rc<str>> {
         let known = self.servers.get(&server)?;
         Some(Rc::clone(&known.name))
     }
 
-    /// The address on which a server listens.
+    /// Returns the listen address of a server; empty if the endpoint list never contained it.
     pub fn address(&self, server: ServerId) -> Option<&str> {
         let known = self.servers.get(&server)?;
         Some(known.address.as_str())
     }
 
-    /// The latest start of a server, if the endpoint list named one.
+    /// Returns the latest start of a server, if the endpoint list contains it.
     pub fn started_at(&self, server: ServerId) -> Option<Micros> {
         self.servers.get(&server)?.started_at
     }
 
-    /// Removes a server that nothing refers to any more. Its id is not reused.
+    /// Removes a server that is no longer referenced. Its id is not reused.
     pub fn remove_server(&mut self, server: ServerId) {
         let Some(known) = self.servers.remove(&server) else {
             return;
@@ -127,7 +127,7 @@
         self.removed_names.push_back(hash(&known.name));
     }
 
-    /// Resolves an entry of the endpoint list. A zone or machine kind that the settings do not name gets the next number.
+    /// Resolves the names in an entry of the endpoint list. An unknown zone or machine kind gets the next id.
     pub fn resolve(&mut self, named: &NamedEndpoint) -> ResolvedEndpoint {
         let ResolvedServer { id, was_removed } = self.resolve_server(&named.name);
         if let Some(known) = self.servers.get_mut(&id) {
@@ -178,7 +178,7 @@
         id
     }
 
-    /// Removes a name from the forgotten ones; returns whether it was there.
+    /// Drops the hash of a removed name; returns whether there was one.
     fn take_removed_name(&mut self, name: &str) -> bool {
         let count_before = self.removed_names.len();
         let hash = hash(name);
--- a/crates/engine/src/orders.rs
+++ b/crates/engine/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to proxies, by names.
+//! Orders to proxies, with names instead of ids.
 
 use std::rc::Rc;
 
@@ -9,12 +9,12 @@
 pub struct ServerWeight {
     /// Name of the server.
     pub server: Rc<str>,
-    /// Its weight; 0 removes the server from the table.
+    /// Weight of the server; 0 removes it from the table.
     pub weight: f64,
 }
 
 impl ServerWeight {
-    /// The weight of a server, by its name.
+    /// Creates the entry of a server.
     pub fn new(server: impl Into<Rc<str>>, weight: f64) -> Self {
         ServerWeight {
             server: server.into(),
@@ -26,9 +26,9 @@
 /// One update within an order: the changes of some classes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableUpdate {
-    /// Names of the classes; none stands for all classes.
+    /// Names of the classes; empty for all classes.
     pub classes: Vec<Rc<str>>,
-    /// Whether the weights form the complete table, which also resets the admission levels.
+    /// Whether the weights are the complete table, which also resets the admission levels.
     pub replace: bool,
     /// Changed weights, or the complete table.
     pub weights: Vec<ServerWeight>,
@@ -36,15 +36,15 @@
     pub admission: Option<AdmissionLevel>,
 }
 
-/// One message to one proxy.
+/// A message to a proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Order {
-    /// Tables and admission levels, in the order in which they apply.
+    /// Changes of tables and admission levels, in the order in which the proxy applies them.
     pub updates: Vec<TableUpdate>,
     /// Names of servers to suspend in all tables.
     pub suspended: Vec<Rc<str>>,
-    /// Names of servers to use again.
+    /// Names of servers to resume in all tables.
     pub resumed: Vec<Rc<str>>,
-    /// Sequence number to acknowledge.
+    /// Sequence number to acknowledge; `None` if no acknowledgement is requested.
     pub acknowledge: Option<u16>,
 }
--- a/crates/engine/src/pending_order.rs
+++ b/crates/engine/src/pending_order.rs
@@ -1,7 +1,7 @@
-//! The order that waits for one proxy.
+//! The pending order of one proxy.
 //!
-//! It has the newest value for each class and server and the newest sequence number. Changes merge into it until it is
-//! written, so a stream never has more than one message waiting.
+//! It contains the newest value for each class and server and the newest sequence number. Changes are merged into it
+//! until it is written, so a stream never has more than one pending message.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,10 +14,10 @@
 /// Weights of the servers of one table.
 type Weights = BTreeMap<ServerId, f64>;
 
-/// What waits for one class of one stream.
+/// The pending changes of one class.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct PendingUpdate {
-    /// Whether the weights are the complete table rather than changes of it.
+    /// Whether the weights are the complete table rather than changes to it.
     replace: bool,
     weights: Weights,
     admission: Option<AdmissionLevel>,
@@ -29,17 +29,17 @@
     }
 }
 
-/// Classes for which the same change waits.
+/// Classes with the same pending change.
 struct ClassGroup<T> {
     classes: Vec<usize>,
     change: T,
 }
 
-/// What waits for one stream.
+/// The pending changes of one stream.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingOrder {
     updates: BTreeMap<usize, PendingUpdate>,
-    /// Servers to suspend (`true`) or to resume (`false`).
+    /// Servers to suspend (`true`) or resume (`false`).
     suspensions: BTreeMap<ServerId, bool>,
     /// Sequence number to acknowledge.
     acknowledge: Option<u16>,
@@ -53,7 +53,7 @@
         self.changed_in_batch = true;
         let pending = self.updates.entry(class).or_default();
         if pending.replace && weight <= 0.0 {
-            // A complete table that was not written yet need not name the server at all.
+            // A complete table that was not written yet can omit the server.
             pending.weights.remove(&server);
         } else {
             pending.weights.insert(server, weight);
@@ -93,7 +93,7 @@
         self.acknowledge = Some(sequence);
     }
 
-    /// Whether the current batch of actions changed this order; resets the answer for the next batch.
+    /// Returns whether the current batch of actions changed this order, and resets that for the next batch.
     pub fn take_changed_in_batch(&mut self) -> bool {
         std::mem::take(&mut self.changed_in_batch)
     }
@@ -107,12 +107,12 @@
         updates.any(|update| update.weights.contains_key(&server))
     }
 
-    /// Whether nothing waits.
+    /// Whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
         self.updates.is_empty() && self.suspensions.is_empty() && self.acknowledge.is_none()
     }
 
-    /// The message, by names. Classes with equal changes share an update.
+    /// Converts the changes to a message with names instead of ids. Classes with equal changes share an update.
     pub fn into_order(self, class_count: usize, names: &Names) -> Order {
         Order {
             updates: self.named_updates(class_count, names),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Tables come before other admission levels, because a complete table resets the levels at the proxy.
+    /// Returns tables before other admission levels, because a complete table resets the levels at the proxy.
     fn named_updates(&self, class_count: usize, names: &Names) -> Vec<TableUpdate> {
         let mut admissions = self.admission_groups();
         let mut updates = Vec::new();
@@ -209,7 +209,7 @@
     Some(admissions.remove(position).change)
 }
 
-/// The names of classes; none if they are all classes.
+/// Returns the names of classes; empty if they are all classes.
 fn class_names(classes: &[usize], class_count: usize, names: &Names) -> Vec<Rc<str>> {
     if classes.len() == class_count {
         return Vec::new();
--- a/crates/engine/src/policy.rs
+++ b/crates/engine/src/policy.rs
@@ -1,23 +1,23 @@
-//! The decision module as the engine uses it.
+//! The interface of the decision module to the engine.
 
 use chutegrade_policy::{Action, Event, FleetStatus, Micros, Policy, ServerId, ServerStatus};
 
-/// The decision module of an engine: that of this build, or an alternative one for comparison on the fleet model.
+/// The decision module of an engine: the one of this build, or an alternative for comparison on the fleet model.
 pub trait DecisionPolicy {
     /// Handles one batch of events and returns the actions to carry out, in order.
     fn handle_events(&mut self, now: Micros, events: &[Event]) -> Vec<Action>;
 
-    /// Status of the fleet; the default for a module that can't report one.
+    /// Returns the status of the fleet after the last batch; the default if the module does not provide it.
     fn fleet_status(&self) -> FleetStatus {
         FleetStatus::default()
     }
 
-    /// Number of proxies with an open stream.
+    /// Returns the number of proxies with an open stream.
     fn proxy_count(&self) -> usize {
         0
     }
 
-    /// Status of each known server.
+    /// Returns the status of each known server after the last batch.
     fn server_statuses(&self) -> Vec<(ServerId, ServerStatus)> {
         Vec::new()
     }
--- a/crates/engine/src/records.rs
+++ b/crates/engine/src/records.rs
@@ -1,6 +1,6 @@
 //! Conversion of decision events and statuses to stored records.
 //!
-//! The protobuf types have field names of their own; the mapping from the field's terms is here.
+//! The names in the stored protobuf types are fixed and differ from the names in the code; this module maps them.
 
 use chutegrade_policy::{
     AdmissionLevel, DecisionEvent, FleetStatus, HealthChangeCause, HealthState, Lifecycle, Micros,
@@ -39,8 +39,8 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-/// A decision event as a record, by the names of servers and zones.
-#[expect(clippy::too_many_lines, reason = "one plain arm for each event")]
+/// Converts a decision event to a record, with names instead of ids.
+#[expect(clippy::too_many_lines, reason = "one simple arm for each event")]
 pub fn decision_record(
     event: &DecisionEvent,
     server_name: impl Fn(ServerId) -> String,
@@ -113,7 +113,7 @@
     }
 }
 
-/// An admission level as a record.
+/// Converts the admission level of a class to a record; `table` is `None` for a level of all joined proxies.
 pub(crate) fn admission_record(
     class: String,
     table: Option<TableId>,
@@ -129,7 +129,7 @@
     })
 }
 
-/// The suspension or resumption of a server as a record, with the number of streams that it concerned.
+/// Converts the suspension or resumption of a server to a record, with the number of affected streams.
 pub(crate) fn suspension_record(server: String, suspended: bool, streams: u32) -> Kind {
     Kind::Withdrawn(pb::Withdrawn {
         server,
@@ -138,18 +138,18 @@
     })
 }
 
-/// What one batch of actions changed in the tables of proxies.
+/// Numbers of changes that one batch of actions made to the state of proxies.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(crate) struct PublishedCounts {
-    /// Weights set.
+    /// Number of weights set.
     pub weights: u32,
-    /// Tables assigned.
+    /// Number of tables assigned.
     pub assignments: u32,
-    /// Servers suspended or resumed, and reconciliations.
+    /// Number of servers suspended or resumed, plus reconciled proxies.
     pub suspensions: u32,
 }
 
-/// The changes of one batch as a record, with the number of streams that have an order to write.
+/// Converts the changes of one batch to a record, with the number of streams that have an order to write.
 pub(crate) fn published_record(counts: PublishedCounts, streams: usize) -> Kind {
     Kind::Published(pb::Published {
         lines: counts.weights,
@@ -159,7 +159,7 @@
     })
 }
 
-/// The start of a server as a record.
+/// Returns the record of a server's start.
 pub(crate) fn server_started_record(server: &str, zone: &str) -> Kind {
     Kind::ServerStarted(pb::ServerStarted {
         server: server.to_string(),
@@ -167,17 +167,17 @@
     })
 }
 
-/// Events that the full queue dropped.
+/// Events that were dropped because the queue was full.
 pub(crate) struct DroppedEvents {
-    /// Number of events.
+    /// Number of dropped events.
     pub count: u64,
-    /// Time of the first one.
+    /// Time of the first dropped event.
     pub first_at: Micros,
-    /// Time of the last one.
+    /// Time of the last dropped event.
     pub last_at: Micros,
 }
 
-/// Dropped events as a record.
+/// Converts dropped events to a record.
 pub(crate) fn dropped_record(dropped: &DroppedEvents) -> Kind {
     Kind::Lost(pb::Lost {
         count: dropped.count,
@@ -187,7 +187,7 @@
     })
 }
 
-/// The status of a server as a record.
+/// Converts the status of a server to a record.
 pub(crate) fn server_record(name: String, zone: String, status: &ServerStatus) -> pb::Server {
     pb::Server {
         name,
@@ -203,7 +203,7 @@
     }
 }
 
-/// The status of the fleet and the numbers of its servers by state, as a record.
+/// Converts the status of the fleet, with the number of servers in each state, to a record.
 pub(crate) fn fleet_record(
     fleet: FleetStatus,
     proxy_count: usize,
@@ -223,7 +223,7 @@
     record
 }
 
-/// The counter of a server's state.
+/// Returns the counter for a server's state.
 fn server_counter<'a>(record: &'a mut pb::Gauge, server: &ServerStatus) -> &'a mut u32 {
     match (server.endpoint.lifecycle, server.state) {
         (Lifecycle::InService, HealthState::Withdrawn) => &mut record.withdrawn,
--- a/crates/engine/src/report.rs
+++ b/crates/engine/src/report.rs
@@ -1,4 +1,4 @@
-//! What peers and other components report to the engine, by names.
+//! Reports of peers and other components to the engine, with names instead of ids.
 
 use chutegrade_policy::{EndpointUpdateKind, HealthCheckOutcome, LoadReport, Micros};
 
@@ -7,43 +7,43 @@
 use crate::health_check::HealthCheck;
 use crate::streams::StreamId;
 
-/// Something that happened, as input of the next tick.
+/// An input of the next tick.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
     /// A watch event or snapshot of the endpoint list.
     EndpointList(EndpointUpdateKind, Vec<NamedEndpoint>),
-    /// A proxy identified itself on a new stream, which replaces any older stream of the same proxy.
+    /// A proxy opened a new stream, which replaces any older stream of the same proxy.
     StreamOpened {
-        /// The stream.
+        /// The new stream.
         stream: StreamId,
         /// Number of the proxy.
         proxy: u32,
-        /// Its zone.
+        /// Name of the proxy's zone.
         zone: String,
-        /// Its ordinary traffic, in requests per second.
+        /// The proxy's usual traffic, in requests per second.
         request_rate: f64,
-        /// Whether it has no table from an earlier stream.
+        /// Whether the proxy has no table from an earlier stream.
         has_no_table: bool,
     },
-    /// A stream ended.
+    /// A stream ended or broke.
     StreamLost(StreamId),
-    /// This supervisor closed a stream; its peer may still be running.
+    /// This supervisor closed a stream; the proxy may still be running.
     StreamClosed(StreamId),
     /// Outcomes of the attempts that proxies of a zone made at a server.
     ServerOutcomes {
-        /// Zone of the proxies.
+        /// Name of the proxies' zone.
         zone: String,
         /// Name of the server.
         server: String,
-        /// Attempts that ended.
+        /// Number of completed attempts.
         attempts: f64,
-        /// Attempts without a successful response.
+        /// Number of attempts without a successful response.
         failed: f64,
-        /// Mean latency of the successful ones, in milliseconds.
+        /// Mean latency of the successful attempts, in milliseconds.
         mean_latency_ms: f64,
         /// Length of the reporting period.
         period: Micros,
-        /// Newest load report.
+        /// Newest load report of the server.
         load: LoadReport,
     },
     /// Requests of a class that arrived at a proxy.
@@ -52,9 +52,9 @@
         proxy: u32,
         /// Name of the class.
         class: String,
-        /// Requests that arrived.
+        /// Number of requests that arrived.
         arrivals: f64,
-        /// Admitted requests without a response.
+        /// Number of admitted requests without a response.
         failed: f64,
         /// Length of the reporting period.
         period: Micros,
@@ -63,43 +63,43 @@
     Acknowledged {
         /// Stream on which the acknowledgement arrived.
         stream: StreamId,
-        /// The sequence number.
+        /// The acknowledged sequence number.
         sequence: u16,
         /// Time from the order to its effect.
         elapsed: Micros,
     },
     /// Advice of the plug-ins; replaces all earlier advice.
     Advice(PluginAdvice),
-    /// Decision of the overload manager; replaces its earlier decision.
+    /// Limits set by the overload manager; replace all earlier limits.
     Limits(OverloadLimits),
     /// The result of a health check.
     HealthChecked {
         /// The health check.
         check: HealthCheck,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: HealthCheckOutcome,
-        /// Time since it was sent.
+        /// Time since the health check was sent.
         elapsed: Micros,
-        /// Load report of the response; empty if it had none.
+        /// Load report in the response; empty if there was none.
         load: LoadReport,
     },
 }
 
 /// The content of [`Report::ServerOutcomes`].
 pub(crate) struct OutcomeReport {
-    /// Zone of the proxies.
+    /// Name of the proxies' zone.
     pub zone: String,
     /// Name of the server.
     pub server: String,
-    /// Attempts that ended.
+    /// Number of completed attempts.
     pub attempts: f64,
-    /// Attempts without a successful response.
+    /// Number of attempts without a successful response.
     pub failed: f64,
-    /// Mean latency of the successful ones, in milliseconds.
+    /// Mean latency of the successful attempts, in milliseconds.
     pub mean_latency_ms: f64,
-    /// Length of the reporting period, which ends about now.
+    /// Length of the reporting period, which ends at about the current time.
     pub period: Micros,
-    /// Newest load report.
+    /// Newest load report of the server.
     pub load: LoadReport,
 }
 
@@ -109,9 +109,9 @@
     pub proxy: u32,
     /// Name of the class.
     pub class: String,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub arrivals: f64,
-    /// Admitted requests without a response.
+    /// Number of admitted requests without a response.
     pub failed: f64,
     /// Length of the reporting period.
     pub period: Micros,
@@ -120,7 +120,7 @@
 /// Why the engine dropped a report.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
-    /// The server is not in the endpoint list, and was not in it recently.
+    /// The server is not in the endpoint list, and was not removed from it recently.
     #[error("unknown server {0}")]
     UnknownServer(String),
     /// The zone is not in the settings.
@@ -132,7 +132,7 @@
     /// The proxy is not in the settings, or has no open stream.
     #[error("unknown proxy {0}")]
     UnknownProxy(u32),
-    /// A newer stream of the same proxy has replaced this one.
+    /// The stream is not open: a newer stream of the same proxy has replaced it, or it has ended.
     #[error("stream replaced")]
     StreamReplaced,
     /// The queue of reports for the next tick is full.
--- a/crates/engine/src/streams.rs
+++ b/crates/engine/src/streams.rs
@@ -1,4 +1,4 @@
-//! The joined proxies: the stream of each, and the orders that wait to be written to it.
+//! The joined proxies with their streams and pending orders.
 
 mod joined_proxy;
 
@@ -10,16 +10,16 @@
 use crate::tables::Tables;
 use joined_proxy::JoinedProxy;
 
-/// A stream of a proxy, numbered by the caller that accepts it; a number is never reused.
+/// Id of a stream of a proxy, assigned by the caller that accepts the stream and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(pub u64);
 
 /// A request for acknowledgements at the end of a batch of actions.
 #[derive(Clone, Copy)]
 pub(crate) struct AcknowledgementRequest {
-    /// The sequence number to acknowledge.
+    /// The sequence number that the acknowledgements must contain.
     pub sequence: u16,
-    /// Whether it is for all joined proxies, rather than only for those whose orders the batch changed.
+    /// Whether all joined proxies are included, rather than only those whose orders the batch changed.
     pub all_proxies: bool,
 }
 
@@ -28,7 +28,7 @@
 pub(crate) struct Streams {
     proxies: BTreeMap<ProxyId, JoinedProxy>,
     by_stream: HashMap<StreamId, ProxyId>,
-    /// Proxies by table: most orders change one table, which few of many proxies use.
+    /// Proxies by table: most changes are to one table, which only a few of the proxies use.
     by_table: BTreeMap<TableId, BTreeSet<ProxyId>>,
     /// Proxies whose orders the current batch of actions may have changed.
     changed_in_batch: BTreeSet<ProxyId>,
@@ -37,7 +37,7 @@
 }
 
 impl Streams {
-    /// Joins a proxy on a stream, in the place of any older stream of that proxy.
+    /// Joins a proxy on a stream, which replaces any older stream of that proxy.
     pub fn join(&mut self, proxy: ProxyId, stream: StreamId, has_previous_table: bool) {
         self.by_stream.insert(stream, proxy);
         let joined = JoinedProxy::new(stream, has_previous_table);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Removes a stream; returns its proxy, unless a newer stream has replaced this one.
+    /// Removes a stream; returns its proxy, or `None` if the stream was replaced or has ended.
     pub fn leave(&mut self, stream: StreamId) -> Option<ProxyId> {
         let proxy = self.by_stream.remove(&stream)?;
         self.streams_with_orders.remove(&stream);
@@ -66,12 +66,12 @@
         }
     }
 
-    /// The proxy of a stream, unless a newer stream has replaced this one.
+    /// Returns the proxy of a stream; `None` if the stream was replaced or has ended.
     pub fn proxy(&self, stream: StreamId) -> Option<ProxyId> {
         self.by_stream.get(&stream).copied()
     }
 
-    /// The stream on which a proxy is joined.
+    /// Returns the current stream of a proxy; `None` if it has no open stream.
     pub fn stream_of(&self, proxy: ProxyId) -> Option<StreamId> {
         self.proxies.get(&proxy).map(|joined| joined.stream)
     }
@@ -110,7 +110,7 @@
         self.changed_in_batch.insert(proxy);
     }
 
-    /// Informs a proxy of the suspension of each server in its tables.
+    /// Corrects the suspension of each server in a proxy's tables where it may be stale.
     pub fn reconcile(&mut self, proxy: ProxyId, tables: &Tables) {
         if let Some(joined) = self.proxies.get_mut(&proxy) {
             joined.reconcile(tables);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Sets the admission level of some classes at the users of a table, or at all proxies without one.
+    /// Updates the admission level of some classes at the users of `table`, or at all proxies if that is `None`.
     pub fn set_admission(&mut self, table: Option<TableId>, classes: &[usize], tables: &Tables) {
         for class in classes {
             match table {
@@ -130,25 +130,25 @@
         }
     }
 
-    /// Suspends or resumes a server at the proxies that this concerns; returns their number.
+    /// Suspends or resumes a server at the affected proxies; returns their number.
     pub fn set_suspended(&mut self, server: ServerId, suspended: bool, tables: &Tables) -> u32 {
-        let mut concerned = 0;
+        let mut affected = 0;
         for (proxy, joined) in &mut self.proxies {
             if joined.set_suspended(server, suspended, tables) {
                 self.changed_in_batch.insert(*proxy);
-                concerned += 1;
+                affected += 1;
             }
         }
-        concerned
+        affected
     }
 
-    /// Whether any order that waits to be written references a server.
+    /// Whether any pending order references a server.
     pub fn references_server(&self, server: ServerId) -> bool {
         let mut proxies = self.proxies.values();
         proxies.any(|joined| joined.pending.references_server(server))
     }
 
-    /// Removes a server that no order references.
+    /// Removes the state of a server that no order references.
     pub fn remove_server(&mut self, server: ServerId) {
         for joined in self.proxies.values_mut() {
             joined.remove_server(server);
@@ -172,13 +172,13 @@
         }
     }
 
-    /// Ends a batch of actions: requests acknowledgements, and registers the streams that have something to write.
+    /// Ends a batch of actions: requests acknowledgements, and marks the streams that have an order to write.
     pub fn end_batch(&mut self, request: Option<AcknowledgementRequest>) {
-        let mut concerned = std::mem::take(&mut self.changed_in_batch);
+        let mut affected = std::mem::take(&mut self.changed_in_batch);
         if request.is_some_and(|request| request.all_proxies) {
-            concerned.extend(self.proxies.keys());
+            affected.extend(self.proxies.keys());
         }
-        for proxy in concerned {
+        for proxy in affected {
             let Some(joined) = self.proxies.get_mut(&proxy) else {
                 continue;
             };
@@ -194,12 +194,12 @@
         self.streams_with_orders.len()
     }
 
-    /// Streams that got an order to write since the last call.
+    /// Returns the streams with a new order to write since the last call.
     pub fn take_streams_with_orders(&mut self) -> BTreeSet<StreamId> {
         std::mem::take(&mut self.streams_with_orders)
     }
 
-    /// The order that waits for a stream, if there is one.
+    /// Returns the pending order of a stream, if there is one, and starts a new one.
     pub fn take_pending_order(&mut self, stream: StreamId) -> Option<PendingOrder> {
         let proxy = self.by_stream.get(&stream)?;
         let joined = self.proxies.get_mut(proxy)?;
--- a/crates/engine/src/streams/joined_proxy.rs
+++ b/crates/engine/src/streams/joined_proxy.rs
@@ -1,4 +1,4 @@
-//! One joined proxy: its tables by class, what it was informed of, and the order that waits for it.
+//! A joined proxy: its tables by class, the suspensions that were sent to it, and its pending order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,21 +10,21 @@
 
 /// A proxy with an open stream.
 pub(super) struct JoinedProxy {
-    /// Its stream.
+    /// The stream on which the proxy joined.
     pub stream: StreamId,
-    /// The order that waits to be written.
+    /// Changes that were not written yet.
     pub pending: PendingOrder,
-    /// Whether it has tables from an earlier stream, and suspensions that may be another supervisor's.
+    /// Whether the proxy has tables from an earlier stream, and possibly suspensions of another supervisor.
     has_previous_table: bool,
-    /// Whether it was informed of the suspension of each server in its tables.
+    /// Whether reconciliation was ordered, which corrects stale suspensions of all servers in the proxy's tables.
     is_reconciled: bool,
     tables: BTreeMap<usize, TableId>,
-    /// The servers that it was ordered to suspend (`true`) or to resume (`false`) on this stream.
+    /// Servers that the proxy was ordered to suspend (`true`) or resume (`false`) on this stream.
     notified_suspensions: BTreeMap<ServerId, bool>,
 }
 
 impl JoinedProxy {
-    /// A proxy that has just joined.
+    /// Creates the state of a proxy that has just joined.
     pub fn new(stream: StreamId, has_previous_table: bool) -> Self {
         JoinedProxy {
             stream,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// The table of each class that has one.
+    /// Returns the table of each class that has one.
     pub fn assigned_tables(&self) -> impl Iterator<Item = TableId> + '_ {
         self.tables.values().copied()
     }
 
-    /// The tables of some classes.
+    /// Returns the tables of some classes.
     pub fn tables_of(&self, classes: &[usize]) -> Vec<TableId> {
         let assigned = classes.iter().filter_map(|class| self.tables.get(class));
         assigned.copied().collect()
@@ -57,10 +57,10 @@
         assigned.map(|(class, _)| *class).collect()
     }
 
-    /// Informs the proxy whether a server in one of its tables is suspended, unless it knows.
+    /// Orders the proxy to suspend or resume a server in one of its tables, unless it is known to be in that state.
     ///
-    /// A proxy retains suspensions across streams. An outdated one is corrected with the first weight of a server that
-    /// was ever suspended here, and for all other servers once reconciliation is ordered.
+    /// A proxy retains suspensions across streams. A stale one is corrected together with the first weight if this
+    /// supervisor has ever suspended the server, and otherwise once reconciliation is ordered.
     fn notify_suspension(&mut self, server: ServerId, tables: &Tables) {
         let suspended = tables.is_suspended(server);
         if self.assumed_suspension(server, tables) != Some(suspended) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether the proxy has a server as suspended; `None` if that is uncertain.
+    /// Returns whether the proxy has a server suspended; `None` if that is unknown and needs a correction now.
     fn assumed_suspension(&self, server: ServerId, tables: &Tables) -> Option<bool> {
         if let Some(notified) = self.notified_suspensions.get(&server) {
             return Some(*notified);
@@ -82,7 +82,7 @@
         Some(false)
     }
 
-    /// Sets the weight of a server in a table.
+    /// Sets the weight of a server in a table, for all classes that use it.
     pub fn set_weight(&mut self, table: TableId, server: ServerId, weight: f64, tables: &Tables) {
         let classes = self.classes_of(table);
         for class in &classes {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Informs the proxy of the suspension of each server in its tables.
+    /// Corrects the suspension of each server in the proxy's tables where it may be stale.
     pub fn reconcile(&mut self, tables: &Tables) {
         self.is_reconciled = true;
         let assigned: BTreeSet<TableId> = self.assigned_tables().collect();
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Brings the admission level of a class up to date after a change in a table, or for all proxies without one.
+    /// Updates the admission level of a class after a change in `table`, or of the global level if that is `None`.
     pub fn update_admission(&mut self, table: Option<TableId>, class: usize, tables: &Tables) {
         let assigned = self.tables.get(&class).copied();
         if table.is_some() && table != assigned {
@@ -141,11 +141,11 @@
         }
     }
 
-    /// Suspends or resumes a server, if that concerns the proxy; returns whether it does.
+    /// Suspends or resumes a server, if that affects the proxy; returns whether it does.
     ///
     /// It does if the server is in one of the proxy's tables. While only some classes have a table of this supervisor,
-    /// the others may still use tables of another one, so a suspension concerns the proxy in any case. A proxy without
-    /// any table of this supervisor is informed with its first weights instead.
+    /// the others may still use tables of another one, so a suspension affects the proxy in any case. A proxy without
+    /// any table of this supervisor gets suspensions with its first weights instead.
     pub fn set_suspended(&mut self, server: ServerId, suspended: bool, tables: &Tables) -> bool {
         let may_have_foreign_table = self.is_partly_assigned(tables);
         let is_affected =
@@ -167,7 +167,7 @@
         !self.tables.is_empty() && self.tables.len() < tables.class_count()
     }
 
-    /// Ends a batch of actions: adds the request for an acknowledgement, if it concerns the proxy.
+    /// Ends a batch of actions: adds the request for an acknowledgement, if it includes the proxy.
     pub fn end_batch(&mut self, request: Option<AcknowledgementRequest>) {
         let has_changed = self.pending.take_changed_in_batch();
         let Some(request) = request else {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Removes a server that no table and no order references.
+    /// Removes the state of a server that no table and no order references.
     pub fn remove_server(&mut self, server: ServerId) {
         self.notified_suspensions.remove(&server);
     }
--- a/crates/engine/src/subscription.rs
+++ b/crates/engine/src/subscription.rs
@@ -1,6 +1,6 @@
-//! What the decisions require of service discovery.
+//! The service discovery requests of the decision module.
 
-/// What the decisions require of service discovery.
+/// The service discovery requests of the decision module.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiscoverySubscription {
     /// Whether to watch the endpoint list for changes.
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -1,4 +1,4 @@
-//! The tables, admission levels and suspensions as the decisions ordered them.
+//! The tables, admission levels and suspensions that the decision module has set.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 /// One table: weights by server, and admission levels by class.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
-    /// The weights; all are above 0.
+    /// Weights by server, all above 0.
     pub weights: BTreeMap<ServerId, f64>,
     admission_levels: BTreeMap<usize, AdmissionLevel>,
 }
@@ -19,15 +19,16 @@
     /// Admission levels by class for all joined proxies.
     global_admission_levels: BTreeMap<usize, AdmissionLevel>,
     suspended: BTreeSet<ServerId>,
-    /// Servers that returned after they were forgotten: proxies may still have them as suspended.
+    /// Servers that were removed and listed again: proxies may still have them suspended.
     returned: BTreeSet<ServerId>,
-    /// Servers that were ever suspended here: proxies of another supervisor may still have them as suspended.
+    /// Servers that this supervisor has ever suspended: proxies that were joined to another supervisor may still have
+    /// them suspended.
     ever_suspended: BTreeSet<ServerId>,
     class_count: usize,
 }
 
 impl Tables {
-    /// No tables yet, for a number of classes.
+    /// Creates an empty state for a number of classes.
     pub fn new(class_count: usize) -> Self {
         Tables {
             class_count,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The positions of a set of classes; the empty set stands for all of them.
+    /// Returns the positions of a set of classes; the empty set means all classes.
     pub fn class_positions(&self, classes: ClassSet) -> Vec<usize> {
         let positions = 0..self.class_count;
         if classes == ClassSet::default() {
@@ -44,12 +45,12 @@
         positions.filter(|class| classes.has(*class)).collect()
     }
 
-    /// Number of classes.
+    /// Number of classes in the settings.
     pub fn class_count(&self) -> usize {
         self.class_count
     }
 
-    /// A table by its id.
+    /// Returns a table; `None` before its first weight or admission level, and after it was cleared.
     pub fn get(&self, table: TableId) -> Option<&Table> {
         self.tables.get(&table)
     }
@@ -69,7 +70,7 @@
         self.tables.remove(&table);
     }
 
-    /// Sets the admission level of a class in a table, or for all joined proxies without one.
+    /// Sets the admission level of a class in a table, or for all joined proxies if `table` is `None`.
     pub fn set_admission(&mut self, table: Option<TableId>, class: usize, level: AdmissionLevel) {
         let levels = match table {
             Some(table) => &mut self.tables.entry(table).or_default().admission_levels,
@@ -78,23 +79,23 @@
         levels.insert(class, level);
     }
 
-    /// The admission level in force for a class: the lower of the table's and the global one, with the table's retry
-    /// policy if it has one.
+    /// Returns the effective admission level of a class: the lower of the table's and the global level, with the table's
+    /// retry policy if it has one.
     pub fn admission_level(&self, table: Option<TableId>, class: usize) -> Option<AdmissionLevel> {
-        let of_table = table
+        let table_level = table
             .and_then(|table| self.tables.get(&table)?.admission_levels.get(&class))
             .copied();
-        let global = self.global_admission_levels.get(&class).copied();
-        match (of_table, global) {
-            (Some(of_table), Some(global)) => Some(AdmissionLevel {
-                level: of_table.level.min(global.level),
-                retry: of_table.retry,
+        let global_level = self.global_admission_levels.get(&class).copied();
+        match (table_level, global_level) {
+            (Some(table_level), Some(global_level)) => Some(AdmissionLevel {
+                level: table_level.level.min(global_level.level),
+                retry: table_level.retry,
             }),
-            (of_table, global) => of_table.or(global),
+            (table_level, global_level) => table_level.or(global_level),
         }
     }
 
-    /// Suspends or resumes a server; returns whether that changes anything.
+    /// Suspends or resumes a server; returns whether its state changed.
     pub fn set_suspended(&mut self, server: ServerId, suspended: bool) -> bool {
         if suspended {
             self.ever_suspended.insert(server);
@@ -109,17 +110,17 @@
         self.suspended.contains(&server)
     }
 
-    /// Marks a server that returned after it was forgotten: proxies may still have it as suspended.
+    /// Marks a server that was removed and is listed again: proxies may still have it suspended.
     pub fn mark_returned(&mut self, server: ServerId) {
         self.returned.insert(server);
     }
 
-    /// Whether a server returned after it was forgotten.
+    /// Whether a server was removed and is listed again.
     pub fn has_returned(&self, server: ServerId) -> bool {
         self.returned.contains(&server)
     }
 
-    /// Whether a server was ever suspended here.
+    /// Whether this supervisor has ever suspended a server.
     pub fn was_ever_suspended(&self, server: ServerId) -> bool {
         self.ever_suspended.contains(&server)
     }
@@ -130,7 +131,7 @@
         tables.any(|table| table.weights.contains_key(&server))
     }
 
-    /// Removes a server that no table references.
+    /// Removes the state of a server that no table references.
     pub fn remove_server(&mut self, server: ServerId) {
         self.suspended.remove(&server);
         self.returned.remove(&server);
--- a/crates/engine/src/traffic_sampling.rs
+++ b/crates/engine/src/traffic_sampling.rs
@@ -1,19 +1,19 @@
-//! Samples of reported traffic for the overload manager. Off until enabled, and bounded.
+//! Samples of reported traffic for the overload manager; disabled by default, and bounded.
 
 use chutegrade_limits::manager::{Demand, Outcome};
 use chutegrade_policy::Micros;
 
-/// Most reports of each kind in one sample: a few seconds of the largest deployments.
+/// Maximum number of reports of each kind in one sample: a few seconds of the largest deployments.
 const MAX_SAMPLED_REPORTS: usize = 50_000;
 
 /// Traffic that was reported since the last sample.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TrafficSample {
-    /// Time of the first tick after the newest report or answered health check.
+    /// Time of the first tick after the newest report or health check result; `None` before the first one.
     pub last_report_at: Option<Micros>,
-    /// Requests that arrived.
+    /// Arrived and failed requests, one entry for each report.
     pub demand: Vec<Demand>,
-    /// Attempts that ended.
+    /// Completed attempts, one entry for each report.
     pub outcomes: Vec<Outcome>,
 }
 
@@ -37,17 +37,17 @@
 }
 
 impl TrafficSampler {
-    /// Starts the collection.
+    /// Enables the collection; reports before that are not sampled.
     pub fn enable(&mut self) {
         self.enabled = true;
     }
 
-    /// Registers that a report or the result of a health check arrived; the next tick gives it a time.
+    /// Notes the arrival of a report or health check result, which the next tick timestamps.
     pub fn record_report(&mut self) {
         self.has_report_since_tick = true;
     }
 
-    /// Adds arrivals to the sample.
+    /// Adds the demand at a proxy to the sample.
     pub fn record_demand(&mut self, demand: Demand) {
         if self.enabled && self.sample.demand.len() < MAX_SAMPLED_REPORTS {
             self.sample.demand.push(demand);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Gives the reports since the last tick their time.
+    /// Timestamps the reports since the last tick.
     pub fn tick(&mut self, now: Micros) {
         if std::mem::take(&mut self.has_report_since_tick) {
             self.sample.last_report_at = Some(now);
