--- a/crates/engine/src/report.rs
+++ b/crates/engine/src/report.rs
@@ -124,18 +124,18 @@
     #[error("unknown server {0}")]
     UnknownServer(String),
     /// The zone is not in the settings.
-    #[error("unknown site {0}")]
+    #[error("unknown zone {0}")]
     UnknownZone(String),
     /// The class is not in the settings.
-    #[error("unknown lane {0}")]
+    #[error("unknown class {0}")]
     UnknownClass(String),
     /// The proxy is not in the settings, or has no open stream.
     #[error("unknown proxy {0}")]
     UnknownProxy(u32),
     /// The stream is not open: a newer stream of the same proxy has replaced it, or it has ended.
-    #[error("stream replaced")]
+    #[error("stream replaced or ended")]
     StreamReplaced,
     /// The queue of reports for the next tick is full.
-    #[error("too many reports wait")]
+    #[error("too many reports queued for the next tick")]
     QueueFull,
 }
