--- a/crates/engine/src/engine/tests/orders.rs
+++ b/crates/engine/src/engine/tests/orders.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_proxy_with_a_previous_table_is_informed_of_servers_that_are_not_suspended_here() {
+fn a_proxy_with_a_previous_table_is_ordered_to_resume_servers_that_are_not_suspended() {
     let mut engine = engine_with_servers();
     let set_suspended = |suspended| Action::SetSuspended {
         server: ServerId(3),
--- a/crates/engine/src/engine/tests/reports.rs
+++ b/crates/engine/src/engine/tests/reports.rs
@@ -38,39 +38,39 @@
 }
 
 #[test]
-fn a_flood_of_reports_is_bounded_and_displaces_nothing_else() {
+fn queued_reports_are_bounded_and_displace_no_other_events() {
     let mut engine = engine_with_servers();
     assert_eq!(engine.report(stream_opened(1, 0, true)), Ok(()));
-    let flood = demand(0, "c0", 1.0);
+    let report = demand(0, "c0", 1.0);
     let accepted = (0..2 * MAX_QUEUED_EVENTS)
-        .filter(|_| engine.report(flood.clone()).is_ok())
+        .filter(|_| engine.report(report.clone()).is_ok())
         .count();
     assert!(accepted < MAX_QUEUED_EVENTS);
-    assert_eq!(engine.report(flood.clone()), Err(ReportError::QueueFull));
+    assert_eq!(engine.report(report.clone()), Err(ReportError::QueueFull));
     assert_eq!(engine.report(stream_opened(2, 1, true)), Ok(()));
     engine.tick(Micros(10_000));
     assert!(engine.take_order(StreamId(2)).is_some());
-    assert_eq!(engine.report(flood), Ok(()));
+    assert_eq!(engine.report(report), Ok(()));
 }
 
-/// A zone that only the endpoint list names has servers, but no proxies.
+/// Such a zone has servers, but the settings do not contain it.
 #[test]
-fn a_zone_that_only_the_endpoint_list_names_has_no_proxies() {
+fn a_zone_that_only_the_endpoint_list_contains_has_no_proxies() {
     let mut engine = engine_with_servers();
     let endpoint = NamedEndpoint {
-        zone: "unlisted".into(),
+        zone: "unconfigured".into(),
         ..listed_endpoint(9)
     };
     report_endpoints(&mut engine, EndpointUpdateKind::Delta, vec![endpoint]);
     let opened = Report::StreamOpened {
         stream: StreamId(1),
         proxy: 0,
-        zone: "unlisted".into(),
+        zone: "unconfigured".into(),
         request_rate: 1.0,
         has_no_table: true,
     };
     assert_eq!(
         engine.report(opened),
-        Err(ReportError::UnknownZone("unlisted".into()))
+        Err(ReportError::UnknownZone("unconfigured".into()))
     );
 }
