--- a/crates/adapter/src/codec/decode_action.rs
+++ b/crates/adapter/src/codec/decode_action.rs
@@ -16,7 +16,7 @@
         "endpoint" => Action::SetWeight {
             table: fields.table()?,
             server: fields.server()?,
-            weight: fields.amount("weight")?,
+            weight: fields.non_negative("weight")?,
         },
         "wipe" => Action::ClearTable(fields.table()?),
         "point" => Action::AssignTable {
@@ -60,13 +60,13 @@
     Ok(Action::SetAdmission {
         table: (table.0 != ALL_PROXIES_TABLE).then_some(table),
         classes: classes(fields)?,
-        level: fields.amount("allowance")?,
+        level: fields.non_negative("allowance")?,
         retry: retry(fields)?,
     })
 }
 
 fn set_timer(fields: &Fields) -> Result<Action, CodecError> {
-    let delay_us = (fields.amount("fromNowMs")? * US_PER_MS).round();
+    let delay_us = (fields.non_negative("fromNowMs")? * US_PER_MS).round();
     Ok(Action::SetTimer {
         id: fields.parse("handle")?,
         delay: Micros(delay_us as i64),
--- a/crates/adapter/src/codec/decode_event.rs
+++ b/crates/adapter/src/codec/decode_event.rs
@@ -31,8 +31,8 @@
     Ok(Event::ProxyDemand {
         proxy: fields.proxy()?,
         class: ClassId(fields.parse("profile")?),
-        arrivals: fields.amount("total")?,
-        failed: fields.amount("bad")?,
+        arrivals: fields.non_negative("total")?,
+        failed: fields.non_negative("bad")?,
         period: fields.milliseconds("periodLenMs")?,
     })
 }
@@ -41,8 +41,8 @@
     Ok(Event::SliceDemand {
         table: fields.table()?,
         class: ClassId(fields.parse("profile")?),
-        arrivals: fields.amount("total")?,
-        failed: fields.amount("bad")?,
+        arrivals: fields.non_negative("total")?,
+        failed: fields.non_negative("bad")?,
         period: fields.milliseconds("periodLenMs")?,
     })
 }
@@ -76,7 +76,7 @@
     Ok(Event::PublishedWeight {
         table: fields.table()?,
         server: fields.server()?,
-        weight: fields.amount("weight")?,
+        weight: fields.non_negative("weight")?,
     })
 }
 
@@ -84,9 +84,9 @@
     Ok(Event::ServerOutcomes {
         zone: fields.zone()?,
         server: fields.server()?,
-        attempts: fields.amount("total")?,
-        failed: fields.amount("bad")?,
-        mean_latency_ms: fields.amount("costTimeMs")?,
+        attempts: fields.non_negative("total")?,
+        failed: fields.non_negative("bad")?,
+        mean_latency_ms: fields.non_negative("costTimeMs")?,
         period: fields.milliseconds("periodLenMs")?,
         load: fields.load_report(),
     })
@@ -96,7 +96,7 @@
     Ok(Event::ProxyJoined {
         proxy: fields.proxy()?,
         zone: fields.zone()?,
-        request_rate: fields.amount("weight")?,
+        request_rate: fields.non_negative("weight")?,
         // On this wire a proxy gets suspensions from one instance only, so it has none of another one to correct.
         has_previous_table: false,
     })
--- a/crates/adapter/src/codec/encode_action.rs
+++ b/crates/adapter/src/codec/encode_action.rs
@@ -58,7 +58,7 @@
 }
 
 fn set_weight(table: TableId, server: ServerId, weight: f64) -> Result<String, CodecError> {
-    let weight = amount(weight)?;
+    let weight = non_negative(weight)?;
     Ok(format!(
         "endpoint\tmapId={}\tserver={}\tweight={weight}",
         table.0, server.0
@@ -71,7 +71,7 @@
     level: f64,
     retry: Retry,
 ) -> Result<String, CodecError> {
-    let level = amount(level)?;
+    let level = non_negative(level)?;
     let table = table.map_or(ALL_PROXIES_TABLE, |table| table.0);
     let retry = retry as u8;
     Ok(format!(
@@ -105,7 +105,7 @@
     format!("write_log\twhat={text}")
 }
 
-fn amount(value: f64) -> Result<f64, CodecError> {
+fn non_negative(value: f64) -> Result<f64, CodecError> {
     if value.is_finite() && value >= 0.0 {
         Ok(value)
     } else {
--- a/crates/adapter/src/codec/fields.rs
+++ b/crates/adapter/src/codec/fields.rs
@@ -77,7 +77,7 @@
     }
 
     /// A finite number of at least 0.
-    pub fn amount(&self, key: &'static str) -> Result<f64, CodecError> {
+    pub fn non_negative(&self, key: &'static str) -> Result<f64, CodecError> {
         let value = self.number(key)?;
         if value >= 0.0 {
             Ok(value)
@@ -87,9 +87,9 @@
     }
 
     /// A finite number of at least 0, or a default if the field is absent.
-    pub fn amount_or(&self, key: &'static str, default: f64) -> Result<f64, CodecError> {
+    pub fn non_negative_or(&self, key: &'static str, default: f64) -> Result<f64, CodecError> {
         if self.has(key) {
-            self.amount(key)
+            self.non_negative(key)
         } else {
             Ok(default)
         }
--- a/crates/adapter/src/codec/message.rs
+++ b/crates/adapter/src/codec/message.rs
@@ -97,14 +97,14 @@
 }
 
 fn decode_endpoint(fields: &Fields) -> Result<Endpoint, CodecError> {
-    let started_at_ms = fields.amount_or("upSinceMs", 0.0)?;
+    let started_at_ms = fields.non_negative_or("upSinceMs", 0.0)?;
     Ok(Endpoint {
         server: fields.server()?,
-        zone: ZoneId(fields.amount_or("locality", 0.0)? as u16),
-        machine_kind: fields.amount_or("familyType", 0.0)? as u32,
-        cell: fields.amount_or("cluster", 0.0)? as u32,
+        zone: ZoneId(fields.non_negative_or("locality", 0.0)? as u16),
+        machine_kind: fields.non_negative_or("familyType", 0.0)? as u32,
+        cell: fields.non_negative_or("cluster", 0.0)? as u32,
         lifecycle: fields.keyword("lifecycle", &LIFECYCLES)?,
-        weight: fields.amount_or("weight", DEFAULT_WEIGHT)?,
+        weight: fields.non_negative_or("weight", DEFAULT_WEIGHT)?,
         started_at: (started_at_ms > 0.0).then(|| Micros::from_ms(started_at_ms)),
     })
 }
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -169,7 +169,7 @@
             if !actions.is_empty() {
                 let _ = writeln!(reply, "source\tsupervisor={id}");
             }
-            for action in actions.iter().filter(|action| has_line(action)) {
+            for action in actions.iter().filter(|action| is_encodable(action)) {
                 write_action(action, &mut reply);
             }
         }
@@ -205,7 +205,7 @@
 
 /// Whether the wire has a line for an action. On the wire every server stays known, and proxies have no earlier
 /// suspensions: it needs neither [`Action::ForgetServer`] nor [`Action::Reconcile`].
-fn has_line(action: &Action) -> bool {
+fn is_encodable(action: &Action) -> bool {
     !matches!(action, Action::ForgetServer(_) | Action::Reconcile(_))
 }
 
--- a/crates/adapter/src/remote_policy.rs
+++ b/crates/adapter/src/remote_policy.rs
@@ -51,7 +51,7 @@
         Ok(policy) => Box::new(policy),
         Err(error) => {
             store_first_error(first_error, &error);
-            Box::new(NoPolicy)
+            Box::new(NoopPolicy)
         }
     }
 }
@@ -172,9 +172,9 @@
 }
 
 /// Takes the place of a process that did not start.
-struct NoPolicy;
+struct NoopPolicy;
 
-impl DecisionPolicy for NoPolicy {
+impl DecisionPolicy for NoopPolicy {
     fn handle_events(&mut self, _: Micros, _: &[Event]) -> Vec<Action> {
         Vec::new()
     }
--- a/crates/adapter/tests/remote_policy.rs
+++ b/crates/adapter/tests/remote_policy.rs
@@ -42,7 +42,7 @@
 
 /// Otherwise a comparison of builds would judge the wire, not the decisions.
 #[test]
-fn the_same_build_over_the_wire_gives_the_same_figures_to_the_bit() {
+fn the_same_build_over_the_wire_gives_identical_figures() {
     let scenario = scenario::read(FLEET).unwrap_or_else(|errors| panic!("{errors:?}"));
     let first_error = FirstError::default();
     let direct = play(&scenario, &Setup::default(), 3);
--- a/crates/adapter/tests/stdio.rs
+++ b/crates/adapter/tests/stdio.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn instances_in_one_process_act_as_alone_and_a_stopped_one_is_silent() {
+fn instances_in_one_process_are_independent_and_a_stopped_one_sends_nothing() {
     let both = [start_lines(0), start_lines(1)].concat();
     assert_eq!(
         reply_of_instance_1(&batch(1, &both)),
@@ -153,7 +153,7 @@
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_mangled_batch_never_causes_a_panic(
+    fn a_corrupted_batch_never_causes_a_panic(
         cuts in prop::collection::vec((0usize..4000, 0usize..40, "\\PC{0,6}"), 0..12),
         extra in prop::collection::vec("(tally|health|row|held|receipt|usage|tenure)(\t[a-zA-Z]{1,9}=[-0-9.e]{0,6}){0,6}", 0..8),
     ) {
