--- a/crates/adapter/src/codec.rs
+++ b/crates/adapter/src/codec.rs
@@ -1,7 +1,8 @@
-//! Lines of the simulator's wire to messages, and actions to lines; and the reverse for the decision module of another build.
+//! The codec of the simulator's wire protocol: decodes messages and encodes actions, and the reverse for the decision
+//! module of another build.
 //!
-//! A line is a tag and `key=value` fields, separated by tabs. Unknown tags and fields are skipped; a malformed line is
-//! an error. The keywords of the wire are mapped to the decision module's terms here and nowhere else.
+//! A line consists of a tag and `key=value` fields, separated by tabs. Unknown tags and fields are skipped; a malformed
+//! line is an error. Only this module maps the keywords of the protocol to the terms of the decision module.
 
 mod decode_action;
 mod decode_event;
--- a/crates/adapter/src/codec/decode_action.rs
+++ b/crates/adapter/src/codec/decode_action.rs
@@ -1,4 +1,4 @@
-//! Lines to actions, as an adapter of another build writes them.
+//! Decoding of the action lines that the adapter of another build writes.
 
 use chutegrade_policy::{Action, ClassSet, Micros, Retry};
 
@@ -6,10 +6,10 @@
 use super::fields::Fields;
 use super::vocabulary::{ALL_PROXIES_TABLE, US_PER_MS};
 
-/// Characters of an unknown tag that its error shows.
+/// Maximum number of characters of an unknown tag in an error message.
 const MAX_SHOWN_TAG: usize = 80;
 
-/// The action of a line; `None` if the line does not concern the fleet model.
+/// Decodes the action of a line; `None` if the fleet model does not use the line.
 pub(crate) fn decode_action(line: &str) -> Result<Option<Action>, CodecError> {
     let fields = Fields::new(line);
     let action = match fields.tag() {
--- a/crates/adapter/src/codec/decode_event.rs
+++ b/crates/adapter/src/codec/decode_event.rs
@@ -1,4 +1,4 @@
-//! Lines to events for the decision module.
+//! Decoding of event lines for the decision module.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -8,7 +8,7 @@
 use super::fields::Fields;
 use super::vocabulary::{EMPTY_PAYLOAD, HEALTH_CHECK_OUTCOMES};
 
-/// The event of a line; `None` if the tag is unknown.
+/// Decodes the event of a line; `None` if the tag is unknown.
 pub(super) fn decode_event(fields: &Fields) -> Result<Option<Event>, CodecError> {
     let event = match fields.tag() {
         "usage" => proxy_demand(fields)?,
@@ -97,7 +97,7 @@
         proxy: fields.proxy()?,
         zone: fields.zone()?,
         request_rate: fields.non_negative("weight")?,
-        // On this wire a proxy gets suspensions from one instance only, so it has none of another one to correct.
+        // On this wire a proxy gets suspensions from one instance only, so there are no others to correct.
         has_previous_table: false,
     })
 }
--- a/crates/adapter/src/codec/encode_action.rs
+++ b/crates/adapter/src/codec/encode_action.rs
@@ -1,4 +1,4 @@
-//! Actions of the decision module to lines.
+//! Encoding of the decision module's actions.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -7,11 +7,11 @@
 use super::error::CodecError;
 use super::vocabulary::{ALL_PROXIES_TABLE, EMPTY_PAYLOAD, US_PER_MS};
 
-/// Writes one action as a line, without a line break.
+/// Encodes an action as a line, without a line break.
 ///
 /// # Errors
 ///
-/// The wire has no line for the action, or a number in it is negative or not finite.
+/// The wire protocol has no line for the action, or a number in the action is negative or not finite.
 pub fn encode_action(action: &Action) -> Result<String, CodecError> {
     match action {
         Action::SetWeight {
--- a/crates/adapter/src/codec/encode_event.rs
+++ b/crates/adapter/src/codec/encode_event.rs
@@ -1,4 +1,4 @@
-//! Events to lines, as an adapter of another build reads them.
+//! Encoding of events for the adapter of another build.
 
 use chutegrade_policy::{Endpoint, EndpointUpdateKind, Event, LoadReport, Micros};
 
@@ -7,16 +7,16 @@
     US_PER_MS,
 };
 
-/// Added to written times, in milliseconds: a reader that truncates to microseconds then gets the same time.
+/// Added to encoded times, so that a decoder that truncates to microseconds gets the same time.
 const TIME_ROUNDING_MS: f64 = 0.000_25;
 
-/// A time in milliseconds.
+/// Returns a time in milliseconds as it is written to the wire.
 pub(crate) fn encode_time(time: Micros) -> f64 {
     time.0 as f64 / US_PER_MS + TIME_ROUNDING_MS
 }
 
-/// Writes an event as lines with line breaks. `list_number` numbers endpoint lists. Returns an empty text for an event that
-/// has no line; none of these occurs on the fleet model.
+/// Encodes an event as lines with line breaks; `list_number` is the number of an endpoint list. Returns an empty string
+/// for an event that the wire protocol has no line for, which does not occur on the fleet model.
 pub(crate) fn encode_event(event: &Event, list_number: u64) -> String {
     match event {
         Event::EndpointList(kind, endpoints) => endpoint_list(*kind, endpoints, list_number),
@@ -131,7 +131,7 @@
     )
 }
 
-/// The field with a load report, preceded by its separator; an empty text for an empty report.
+/// Encodes a load report as a field with a leading separator; an empty string for an empty report.
 fn load_field(load: &LoadReport) -> String {
     let values = [
         load.in_flight.map(|value| format!("inflight:{value}")),
--- a/crates/adapter/src/codec/error.rs
+++ b/crates/adapter/src/codec/error.rs
@@ -1,9 +1,9 @@
-//! Errors of reading and writing lines.
+//! Errors of the codec.
 
-/// Why a line could not be read, or an action could not be written.
+/// Why a line could not be decoded or an action could not be encoded.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum CodecError {
-    /// A field that the message requires is absent.
+    /// A required field is absent.
     #[error("{tag}: no {key}")]
     MissingField {
         /// Tag of the line.
@@ -18,16 +18,16 @@
         tag: String,
         /// Key of the field.
         key: &'static str,
-        /// The value, cut off if it is long.
+        /// The value, truncated if it is long.
         value: String,
     },
-    /// No action has this tag.
+    /// The tag of a line is not that of an action.
     #[error("{0}: no action of that name")]
     UnknownAction(String),
     /// The settings could not be read.
     #[error("settings: {0}")]
     Settings(#[from] chutegrade_settings::SettingsError),
-    /// The wire has no form for an action or for a number in it.
+    /// The wire protocol cannot represent an action or a number in it.
     #[error("action not sendable: {0}")]
     UnsendableAction(String),
 }
--- a/crates/adapter/src/codec/fields.rs
+++ b/crates/adapter/src/codec/fields.rs
@@ -7,7 +7,7 @@
 use super::error::CodecError;
 use super::vocabulary::{value_of, Keyword};
 
-/// Characters of an invalid value that its error shows.
+/// Maximum number of characters of an invalid value in an error message.
 const MAX_SHOWN_VALUE: usize = 40;
 
 /// The tag and the fields of a line.
@@ -17,18 +17,18 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The tag and the fields of a line.
+    /// Splits off the tag of a line; fields are searched on access.
     pub fn new(line: &'a str) -> Self {
         let tag = line.split('\t').next().unwrap_or("");
         Fields { line, tag }
     }
 
-    /// The tag of the line.
+    /// Returns the tag; empty for an empty line.
     pub fn tag(&self) -> &'a str {
         self.tag
     }
 
-    /// Whether the line has a field.
+    /// Whether the line has a field with this key.
     pub fn has(&self, key: &str) -> bool {
         self.find(key).is_some()
     }
@@ -38,12 +38,12 @@
         fields.find_map(|field| field.strip_prefix(key)?.strip_prefix('='))
     }
 
-    /// The text of a field.
+    /// Returns the text of a required field.
     pub fn text(&self, key: &'static str) -> Result<&'a str, CodecError> {
         self.find(key).ok_or_else(|| self.missing(key))
     }
 
-    /// The error of an absent field.
+    /// Returns the error for an absent field.
     pub fn missing(&self, key: &'static str) -> CodecError {
         CodecError::MissingField {
             tag: self.tag.to_string(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The error of an invalid value.
+    /// Returns the error for an invalid value.
     pub fn invalid(&self, key: &'static str, value: &str) -> CodecError {
         CodecError::InvalidField {
             tag: self.tag.to_string(),
@@ -60,13 +60,13 @@
         }
     }
 
-    /// The value of a field.
+    /// Parses the value of a required field.
     pub fn parse<T: FromStr>(&self, key: &'static str) -> Result<T, CodecError> {
         let text = self.text(key)?;
         text.parse().map_err(|_| self.invalid(key, text))
     }
 
-    /// A finite number.
+    /// Parses a finite number.
     pub fn number(&self, key: &'static str) -> Result<f64, CodecError> {
         let value: f64 = self.parse(key)?;
         if value.is_finite() {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A finite number of at least 0.
+    /// Parses a finite number of at least 0.
     pub fn non_negative(&self, key: &'static str) -> Result<f64, CodecError> {
         let value = self.number(key)?;
         if value >= 0.0 {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A finite number of at least 0, or a default if the field is absent.
+    /// Parses a finite number of at least 0; returns the default if the field is absent.
     pub fn non_negative_or(&self, key: &'static str, default: f64) -> Result<f64, CodecError> {
         if self.has(key) {
             self.non_negative(key)
@@ -95,18 +95,18 @@
         }
     }
 
-    /// A time, which the wire has in milliseconds.
+    /// Parses a time in milliseconds.
     pub fn milliseconds(&self, key: &'static str) -> Result<Micros, CodecError> {
         self.number(key).map(Micros::from_ms)
     }
 
-    /// A Boolean: 0 for false, any other number for true.
+    /// Parses a Boolean: 0 is false, any other number is true.
     pub fn flag(&self, key: &'static str) -> Result<bool, CodecError> {
         let value: u8 = self.parse(key)?;
         Ok(value != 0)
     }
 
-    /// The value of a field that is a keyword.
+    /// Returns the value for the keyword in a field.
     pub fn keyword<T: Copy>(
         &self,
         key: &'static str,
@@ -116,28 +116,28 @@
         value_of(keywords, text).ok_or_else(|| self.invalid(key, text))
     }
 
-    /// The load report; empty if there is none.
+    /// Parses the load report; empty if the line has none.
     pub fn load_report(&self) -> LoadReport {
         let text = self.find("healthInfo").unwrap_or("");
         chutegrade_settings::parse_load_report(text)
     }
 
-    /// The id of the server.
+    /// Parses the server's id.
     pub fn server(&self) -> Result<ServerId, CodecError> {
         self.parse("server").map(ServerId)
     }
 
-    /// The id of the proxy.
+    /// Parses the proxy's id.
     pub fn proxy(&self) -> Result<ProxyId, CodecError> {
         self.parse("clientLb").map(ProxyId)
     }
 
-    /// The id of the zone.
+    /// Parses the zone's id.
     pub fn zone(&self) -> Result<ZoneId, CodecError> {
         self.parse("locality").map(ZoneId)
     }
 
-    /// The id of the table.
+    /// Parses the table's id.
     pub fn table(&self) -> Result<TableId, CodecError> {
         self.parse("mapId").map(TableId)
     }
--- a/crates/adapter/src/codec/message.rs
+++ b/crates/adapter/src/codec/message.rs
@@ -1,4 +1,4 @@
-//! Lines to messages of the simulator.
+//! Decoding of the simulator's messages.
 
 use chutegrade_policy::{Endpoint, EndpointUpdateKind, Event, Micros, Settings, ZoneId};
 
@@ -7,10 +7,10 @@
 use super::fields::Fields;
 use super::vocabulary::{ENDPOINT_UPDATE_KINDS, LIFECYCLES};
 
-/// Weight of an endpoint whose line names none.
+/// Weight of an endpoint whose line has no weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Start of the field with the settings, which extends to the end of the line.
+/// Start of the field with the settings, which takes the rest of the line.
 const SETTINGS_FIELD: &str = "\tenv=";
 
 /// One line of a batch.
@@ -25,33 +25,33 @@
     },
     /// The batch is complete.
     BatchEnd,
-    /// The messages that follow belong to this instance.
+    /// The following messages are for this instance.
     SelectInstance(u32),
-    /// The instance starts.
+    /// The selected instance starts, or restarts without its state.
     StartInstance {
-        /// Seed of its random choices.
+        /// Seed of the instance's random number generator.
         seed: u64,
-        /// Its settings.
+        /// Settings of the instance.
         settings: Box<Settings>,
     },
-    /// The instance was killed.
+    /// The selected instance was killed; its state is lost.
     StopInstance,
-    /// An endpoint list follows.
+    /// An endpoint list starts; its entries follow, one per line.
     EndpointListStart {
-        /// How the list is to be read.
+        /// Whether the list is complete, contains changes only, or is unavailable.
         kind: EndpointUpdateKind,
-        /// Number of its entries.
+        /// Number of entries that follow.
         entries: usize,
     },
-    /// An entry of an endpoint list.
+    /// The next entry of the endpoint list that has started.
     EndpointListEntry(Endpoint),
     /// An event for the decision module.
     Event(Event),
-    /// A message that this version does not know.
+    /// A message with an unknown tag, which is ignored.
     Unknown,
 }
 
-/// Reads one line.
+/// Decodes a line.
 ///
 /// # Errors
 ///
--- a/crates/adapter/src/codec/tests.rs
+++ b/crates/adapter/src/codec/tests.rs
@@ -1,4 +1,4 @@
-//! Each direction of the codec reads what the other writes.
+//! Round trips: encoding and decoding are inverse.
 
 use chutegrade_policy::{
     Action, ClassId, ClassSet, Event, HealthCheckOutcome, LoadReport, Micros, ProxyId, Retry,
@@ -7,7 +7,7 @@
 
 use super::*;
 
-/// Otherwise a comparison of builds would judge the wire, not the decisions.
+/// A comparison of builds must show differences of their decisions, not of the codec.
 #[test]
 fn encoded_actions_decode_to_the_same() {
     let actions = [
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Runs instances of the decision module and hands each batch to them. Instances in one process share nothing.
+//! Runs instances of the decision module and passes each batch to them. Instances in one process share no state.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,14 +9,14 @@
 use crate::codec::{decode_message, encode_action, CodecError, Message};
 use crate::overload::OverloadController;
 
-/// Start of a line with an entry of an endpoint list.
+/// Start of a line that contains an entry of an endpoint list.
 const ENDPOINT_LINE_PREFIX: &str = "row\t";
 
 /// One instance of the decision module.
 struct Instance {
     policy: Policy,
     overload: Option<OverloadController>,
-    /// Events of the batch.
+    /// Events of the current batch.
     events: Vec<Event>,
 }
 
@@ -28,7 +28,7 @@
     entries: Vec<Endpoint>,
 }
 
-/// All instances of this process, fed line by line.
+/// The instances of this process; processes the input line by line.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
@@ -40,7 +40,7 @@
 }
 
 impl Host {
-    /// A host whose instances limit service by the operators' declaration, if there is one.
+    /// Creates a host. With `limits`, the operators' declaration, each instance runs an overload manager.
     pub fn with_limits(limits: Option<pb::Limits>) -> Self {
         Host {
             limits,
@@ -48,18 +48,18 @@
         }
     }
 
-    /// Takes in one line. The last line of a batch returns the complete reply.
+    /// Handles one line. Returns the complete reply after the last line of a batch.
     ///
     /// # Errors
     ///
-    /// The line is malformed. The batch continues without it.
+    /// The line is malformed. It is skipped, and the batch continues.
     pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, CodecError> {
         if line.is_empty() {
             return Ok(None);
         }
         let message = decode_message(line);
         if message.is_err() && line.starts_with(ENDPOINT_LINE_PREFIX) {
-            // The entry remains missing: a complete list without it must not read as the server's removal.
+            // The entry counts as missing: a complete list without it must not be taken for the server's removal.
             return message.map(|_| None);
         }
         if let Ok(Message::EndpointListEntry(endpoint)) = message {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Ends an endpoint list. One with missing entries is only a delta of those that arrived, whatever its kind.
+    /// Ends an endpoint list. If entries are missing, the received ones are handled as a delta, regardless of its kind.
     fn finish_list(&mut self) {
         let Some(list) = self.incoming_list.take() else {
             return;
@@ -158,7 +158,7 @@
         self.push_event(Some(list.instance), event);
     }
 
-    /// Hands the batch to all instances that have events; returns the reply.
+    /// Passes the batch to all instances that have events; returns the reply.
     fn reply(&mut self) -> String {
         let mut reply = String::new();
         for (id, instance) in &mut self.instances {
@@ -190,7 +190,7 @@
     }
 }
 
-/// A controller by the operators' declaration. Errors are printed, and leave the instance without one.
+/// Creates a controller from the operators' declaration. If it is invalid, prints the errors and returns `None`.
 fn overload_controller(limits: &pb::Limits, settings: &Settings) -> Option<OverloadController> {
     match OverloadController::new(limits, settings) {
         Ok(controller) => Some(controller),
@@ -203,8 +203,8 @@
     }
 }
 
-/// Whether the wire has a line for an action. On the wire every server stays known, and proxies have no earlier
-/// suspensions: it needs neither [`Action::ForgetServer`] nor [`Action::Reconcile`].
+/// Whether the wire protocol has a line for an action. On the wire, servers remain known and proxies have no earlier
+/// suspensions, so it has neither [`Action::ForgetServer`] nor [`Action::Reconcile`].
 fn is_encodable(action: &Action) -> bool {
     !matches!(action, Action::ForgetServer(_) | Action::Reconcile(_))
 }
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,6 +1,6 @@
-//! The simulator's wire in front of the decision module. Nothing here decides anything.
+//! Connects the decision module to the simulator's wire protocol. It makes no decisions.
 //!
-//! [`codec`] translates lines to events and actions to lines, [`host`] runs one decision module for each instance, and
+//! [`codec`] converts lines to events and actions to lines, [`host`] runs one decision module for each instance, and
 //! [`remote_policy`] runs the decision module of another build as a child process, for comparison.
 
 pub mod codec;
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,11 +1,11 @@
-//! Hosts instances of the decision module on standard input and output.
+//! Runs instances of the decision module over standard input and output.
 
 use std::io::{self, BufRead, BufWriter, Write};
 
 use chutegrade_adapter::host::Host;
 use chutegrade_operator_config::ConfigError;
 
-/// The limits of the operators' file that `--operator FILE` names; `None` without that option.
+/// Reads the limits from the operators' file given with `--operator FILE`; `None` without that option.
 fn operator_limits() -> io::Result<Option<chutegrade_limits::pb::Limits>> {
     let mut arguments = std::env::args_os().skip(1);
     match (arguments.next(), arguments.next()) {
--- a/crates/adapter/src/overload.rs
+++ b/crates/adapter/src/overload.rs
@@ -1,6 +1,6 @@
-//! The overload manager of an instance in the simulator: its input is taken from events, its decision is one more event.
+//! The overload manager of an instance in the simulator: it samples the events and adds its limits as another event.
 //!
-//! Classes have no names on the wire; they are numbered, `c0` being the first.
+//! The wire protocol has no names of classes, so these are named by position, starting with `c0`.
 
 use chutegrade_engine::TrafficSample;
 use chutegrade_limits::manager::{Decision, Demand, Outcome};
@@ -11,8 +11,8 @@
 };
 use chutegrade_policy::{ClassId, ClassRetry, ClassShare, Event, Limits, Micros, Policy, Settings};
 
-/// The overload manager of one instance: the counterpart, for events and without an engine, of
-/// [`chutegrade_overload_control::OverloadController`].
+/// The overload manager of one instance: the counterpart of [`chutegrade_overload_control::OverloadController`] that
+/// works on events, without an engine.
 pub(crate) struct OverloadController {
     manager: OverloadManager,
     report_period: Micros,
@@ -21,11 +21,11 @@
 }
 
 impl OverloadController {
-    /// A controller by the operators' declaration, for the settings of an instance.
+    /// Creates a controller from the operators' declaration, for the settings of an instance.
     ///
     /// # Errors
     ///
-    /// What is wrong with the declaration.
+    /// The declaration is invalid; all its errors are returned.
     pub fn new(declaration: &pb::Limits, settings: &Settings) -> Result<Self, Vec<ConfigError>> {
         let classes = numbered_classes(settings);
         let config = OverloadConfig::read(declaration, Some(&classes))?;
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Takes in the events of a batch; returns the limits if an evaluation is due.
+    /// Samples the events of a batch; returns the limits if an evaluation is due.
     pub fn handle_batch(
         &mut self,
         now: Micros,
--- a/crates/adapter/src/remote_policy.rs
+++ b/crates/adapter/src/remote_policy.rs
@@ -1,5 +1,5 @@
-//! The decision module of another build: its adapter runs as a child process and is called over the simulator's wire. For
-//! comparison on the fleet model only.
+//! The decision module of another build, whose adapter runs as a child process and is called over the simulator's wire
+//! protocol. For comparison on the fleet model only.
 
 use std::io::{self, BufRead as _, BufReader, Write as _};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
@@ -14,38 +14,39 @@
 /// Start of the last line of a reply.
 const REPLY_END_PREFIX: &str = "end\t";
 
-/// Characters of an invalid reply that its error shows.
+/// Maximum number of characters of an invalid reply in an error message.
 const MAX_SHOWN_REPLY: usize = 80;
 
-/// Why the other build can't be called any more.
+/// Why a call of the child process failed.
 #[derive(Debug, thiserror::Error)]
 enum RemoteError {
-    /// It did not start, or has ended.
+    /// The process did not start or has ended.
     #[error("the other build: {0}")]
     Io(#[from] io::Error),
-    /// Its reply has a line that is not an action.
+    /// The reply contains a line that is not an action.
     #[error("the other build said {0:?}")]
     InvalidReply(String),
 }
 
-/// The first error of the child processes that share this value; `None` while all of them work.
+/// The first error of the child processes that share this value; `None` if there was none.
 pub type FirstError = Arc<Mutex<Option<String>>>;
 
-/// What a child process needs to start.
+/// The command and the inputs of a child process.
 pub struct RemotePolicyConfig<'a> {
-    /// The program and its arguments, separated by white space.
+    /// The program and its arguments, separated by whitespace.
     pub command: &'a str,
     /// Settings of the instance.
     pub settings: &'a Settings,
-    /// Names of the deployment.
+    /// Names of the deployment, which are part of the settings on the wire.
     pub names: &'a DeploymentNames,
-    /// Seed of the instance's random choices.
+    /// Seed of the instance's random number generator.
     pub seed: u64,
 }
 
-/// Starts a child process that speaks the wire on its standard input and output.
+/// Starts a child process that speaks the wire protocol on its standard input and output.
 ///
-/// One that does not start, or that fails later, returns no actions; the first error is stored in `first_error`.
+/// If it does not start or fails later, the policy returns no actions, and the error is stored unless `first_error`
+/// already contains one.
 pub fn spawn(config: &RemotePolicyConfig, first_error: &FirstError) -> Box<dyn DecisionPolicy> {
     match RemotePolicy::spawn(config, Arc::clone(first_error)) {
         Ok(policy) => Box::new(policy),
@@ -68,9 +69,9 @@
     input: ChildStdin,
     output: BufReader<ChildStdout>,
     batch_number: u64,
-    /// Number of the last event, which an endpoint list has as its own number.
+    /// Number of the last event, also used as the number of an endpoint list.
     list_number: u64,
-    /// The line that starts the instance, until it is written.
+    /// The line that starts the instance; `None` once it was written.
     start_line: Option<String>,
     first_error: FirstError,
 }
@@ -165,13 +166,13 @@
 
 impl Drop for RemotePolicy {
     fn drop(&mut self) {
-        // The process ends with its input; one that does not is killed.
+        // Waiting alone could block: a hanging process does not end with its input.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Takes the place of a process that did not start.
+/// Replaces a process that did not start; returns no actions.
 struct NoopPolicy;
 
 impl DecisionPolicy for NoopPolicy {
--- a/crates/adapter/tests/codec.rs
+++ b/crates/adapter/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Each line of the wire is decoded or encoded as expected.
+//! Decoding and encoding of each line of the wire protocol.
 
 use chutegrade_adapter::codec::{decode_message, encode_action, CodecError, Message};
 use chutegrade_policy::{
--- a/crates/adapter/tests/remote_policy.rs
+++ b/crates/adapter/tests/remote_policy.rs
@@ -1,4 +1,4 @@
-//! Another build behind the simulator's wire, on the fleet model: the same build orders the same, and failures are reported.
+//! A build as a child process on the fleet model: the same build gives the same figures, and failures are reported.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
     trouble { sort: SLOW at_s: 4 length_s: 6 part: 0.3 size: 6 } trouble { sort: CRASH at_s: 6 length_s: 4 part: 0.1 }\n\
     trouble { sort: REPLACE at_s: 5 length_s: 3 part: 0.2 size: 3 extra: 4 }";
 
-/// Decisions by a program that speaks the wire.
+/// Creates a setup whose decisions are made by a program that speaks the wire protocol.
 fn remote_setup(command: &str, first_error: &FirstError) -> Setup {
     let name = command.to_string();
     let command = command.to_string();
@@ -40,7 +40,7 @@
     }
 }
 
-/// Otherwise a comparison of builds would judge the wire, not the decisions.
+/// A comparison of builds must show differences of their decisions, not of the codec.
 #[test]
 fn the_same_build_over_the_wire_gives_identical_figures() {
     let scenario = scenario::read(FLEET).unwrap_or_else(|errors| panic!("{errors:?}"));
@@ -52,7 +52,7 @@
         3,
     );
     assert_eq!(first_error.lock().expect("no panic").clone(), None);
-    assert!(direct.figure("channel") > 0.0, "it orders");
+    assert!(direct.figure("channel") > 0.0, "orders were sent");
     assert_eq!(direct, over_the_wire);
 }
 
--- a/crates/adapter/tests/stdio.rs
+++ b/crates/adapter/tests/stdio.rs
@@ -1,4 +1,4 @@
-//! The binary on its standard input and output, and the library on malformed input.
+//! The binary over its standard input and output, and the library with malformed input.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -11,7 +11,7 @@
 "updateWindowMs":10000,"proxies":2,"levelKind":"fraction"},"guarantees":{"coldFrom":0.2,"coldMs":9000,
 "fallMultiple":3},"limits":{"probes":true},"weights":"rough"}"#;
 
-/// Lines that start an instance with two servers and one proxy.
+/// Returns the lines that start an instance with two servers and one proxy.
 fn start_lines(instance: u32) -> Vec<String> {
     let settings = SETTINGS.replace('\n', " ");
     [
@@ -27,7 +27,7 @@
     .to_vec()
 }
 
-/// A complete batch with these lines.
+/// Returns a complete batch with these lines.
 fn batch(frame: u64, lines: &[String]) -> String {
     format!(
         "frame\tatTimeMs={}\tframe={frame}\n{}\nyour_turn\n",
@@ -64,7 +64,7 @@
     }
 }
 
-/// The lines of a reply that begin with a tag.
+/// Returns the lines of a reply that begin with a tag.
 fn lines_with_tag<'a>(reply: &'a str, tag: &str) -> Vec<&'a str> {
     let lines = reply.lines();
     lines.filter(|line| line.starts_with(tag)).collect()
@@ -99,23 +99,23 @@
 #[test]
 fn a_complete_list_with_a_malformed_row_removes_no_server() {
     let mut host = Host::default();
-    let mut feed = |text: String| {
+    let mut handle_text = |text: String| {
         text.lines()
             .filter_map(|line| host.handle_line(line).ok().flatten())
             .collect::<String>()
     };
-    feed(batch(1, &start_lines(0)));
+    handle_text(batch(1, &start_lines(0)));
     let list = [
         "at\tsupervisor=0".to_string(),
         "discovery\tgen=2\thow=total\trows=2".to_string(),
         "row\tserver=70\tlocality=0\tlifecycle=in_service\tweight=2".to_string(),
         "row\tserver=71\tlocality=0\tlifecycle=in_servi\tweight=2".to_string(),
     ];
-    let reply = feed(batch(2, &list));
+    let reply = handle_text(batch(2, &list));
     assert!(!reply.contains("suspend"), "{reply}");
 }
 
-/// What instance 1 replies, which must be the last to reply.
+/// Returns the reply of instance 1, which must be the last one in the output.
 fn reply_of_instance_1(input: &str) -> Option<String> {
     let reply = run_binary(input).stdout;
     let (_, of_instance) = reply.split_once("source\tsupervisor=1\n")?;
