--- a/crates/adapter/src/codec/encode_action.rs
+++ b/crates/adapter/src/codec/encode_action.rs
@@ -50,8 +50,8 @@
         Action::FetchEndpoints => Ok("list_all".to_string()),
         Action::SetTimer { id, delay } => Ok(set_timer(*id, *delay)),
         Action::SendToPeer { peer, data } => Ok(send_to_peer(*peer, data)),
-        Action::ForgetServer(_) | Action::Reconcile(_) => Err(CodecError::UnsendableAction(
-            format!("no line for {action:?}"),
+        Action::ForgetServer(_) | Action::Reconcile(_) => Err(CodecError::UnencodableAction(
+            format!("the protocol has no line for {action:?}"),
         )),
         Action::Emit(event) => Ok(emit(event)),
     }
@@ -109,6 +109,6 @@
     if value.is_finite() && value >= 0.0 {
         Ok(value)
     } else {
-        Err(CodecError::UnsendableAction(value.to_string()))
+        Err(CodecError::UnencodableAction(value.to_string()))
     }
 }
--- a/crates/adapter/src/codec/error.rs
+++ b/crates/adapter/src/codec/error.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum CodecError {
     /// A required field is absent.
-    #[error("{tag}: no {key}")]
+    #[error("{tag}: missing field {key}")]
     MissingField {
         /// Tag of the line.
         tag: String,
@@ -12,7 +12,7 @@
         key: &'static str,
     },
     /// A field has an invalid value.
-    #[error("{tag}: bad {key} {value:?}")]
+    #[error("{tag}: invalid value {value:?} of field {key}")]
     InvalidField {
         /// Tag of the line.
         tag: String,
@@ -22,12 +22,12 @@
         value: String,
     },
     /// The tag of a line is not that of an action.
-    #[error("{0}: no action of that name")]
+    #[error("unknown action {0}")]
     UnknownAction(String),
     /// The settings could not be read.
-    #[error("settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[from] chutegrade_settings::SettingsError),
     /// The wire protocol cannot represent an action or a number in it.
-    #[error("action not sendable: {0}")]
-    UnsendableAction(String),
+    #[error("cannot encode action: {0}")]
+    UnencodableAction(String),
 }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -15,7 +15,9 @@
             let operator = operator.map_err(|errors| invalid_configuration(&errors))?;
             Ok(operator.limits.map(|limits| limits.declaration().clone()))
         }
-        _ => Err(io::Error::other("give nothing, or --operator FILE")),
+        _ => Err(io::Error::other(
+            "usage: chutegrade-adapter [--operator FILE]",
+        )),
     }
 }
 
--- a/crates/adapter/src/remote_policy.rs
+++ b/crates/adapter/src/remote_policy.rs
@@ -21,10 +21,10 @@
 #[derive(Debug, thiserror::Error)]
 enum RemoteError {
     /// The process did not start or has ended.
-    #[error("the other build: {0}")]
+    #[error("remote decision module: {0}")]
     Io(#[from] io::Error),
     /// The reply contains a line that is not an action.
-    #[error("the other build said {0:?}")]
+    #[error("remote decision module sent an invalid reply: {0:?}")]
     InvalidReply(String),
 }
 
@@ -132,7 +132,7 @@
         loop {
             buffer.clear();
             if self.output.read_line(&mut buffer)? == 0 {
-                return Err(io::Error::other("it has ended").into());
+                return Err(io::Error::other("process exited").into());
             }
             let line = buffer.trim_end();
             if line.starts_with(REPLY_END_PREFIX) {
@@ -145,7 +145,7 @@
 }
 
 fn missing_pipe() -> io::Error {
-    io::Error::other("its standard input or output is not there")
+    io::Error::other("process has no standard input or output")
 }
 
 fn invalid_reply(line: &str) -> RemoteError {
--- a/crates/adapter/tests/remote_policy.rs
+++ b/crates/adapter/tests/remote_policy.rs
@@ -60,8 +60,8 @@
 fn an_invalid_reply_and_an_early_exit_are_reported() {
     let scenario = scenario::read(FLEET).unwrap_or_else(|errors| panic!("{errors:?}"));
     for (command, expected) in [
-        ("/bin/cat", "the other build said"),
-        ("/bin/true", "the other build: "),
+        ("/bin/cat", "remote decision module sent an invalid reply: "),
+        ("/bin/true", "remote decision module: "),
     ] {
         let first_error = FirstError::default();
         play(&scenario, &remote_setup(command, &first_error), 1);
