--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The weights of the servers that the proxy may pick for a class.
+    /// Returns the weights of the servers that the proxy may select for a class.
     fn eligible(&self, class: usize) -> BTreeMap<String, f64> {
         let weights = self.weights.get(&class).cloned().unwrap_or_default();
         weights
--- a/crates/engine/src/engine/tests/order_properties.rs
+++ b/crates/engine/src/engine/tests/order_properties.rs
@@ -122,14 +122,14 @@
     }
 
     fn admission_level(&self, table: TableId, class: usize) -> Option<AdmissionLevel> {
-        let of_table = self.table_levels.get(&(table, class)).copied();
-        let global = self.global_levels.get(&class).copied();
-        match (of_table, global) {
-            (Some(of_table), Some(global)) => Some(AdmissionLevel {
-                level: of_table.level.min(global.level),
-                retry: of_table.retry,
+        let table_level = self.table_levels.get(&(table, class)).copied();
+        let global_level = self.global_levels.get(&class).copied();
+        match (table_level, global_level) {
+            (Some(table_level), Some(global_level)) => Some(AdmissionLevel {
+                level: table_level.level.min(global_level.level),
+                retry: table_level.retry,
             }),
-            (of_table, global) => of_table.or(global),
+            (table_level, global_level) => table_level.or(global_level),
         }
     }
 }
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -47,7 +47,7 @@
     ids_by_name: HashMap<Rc<str>, ServerId>,
     next_server: u32,
     /// Hashes of the names of removed servers, oldest first.
-    removed_names: VecDeque<u64>,
+    removed_name_hashes: VecDeque<u64>,
 }
 
 impl Names {
@@ -121,10 +121,10 @@
             return;
         };
         self.ids_by_name.remove(&known.name);
-        if self.removed_names.len() >= MAX_REMOVED_NAMES {
-            self.removed_names.pop_front();
+        if self.removed_name_hashes.len() >= MAX_REMOVED_NAMES {
+            self.removed_name_hashes.pop_front();
         }
-        self.removed_names.push_back(hash(&known.name));
+        self.removed_name_hashes.push_back(hash(&known.name));
     }
 
     /// Resolves the names in an entry of the endpoint list. An unknown zone or machine kind gets the next id.
@@ -180,10 +180,10 @@
 
     /// Drops the hash of a removed name; returns whether there was one.
     fn take_removed_name(&mut self, name: &str) -> bool {
-        let count_before = self.removed_names.len();
+        let count_before = self.removed_name_hashes.len();
         let hash = hash(name);
-        self.removed_names.retain(|removed| *removed != hash);
-        self.removed_names.len() < count_before
+        self.removed_name_hashes.retain(|removed| *removed != hash);
+        self.removed_name_hashes.len() < count_before
     }
 }
 
--- a/crates/engine/src/policy.rs
+++ b/crates/engine/src/policy.rs
@@ -4,7 +4,7 @@
 
 /// The decision module of an engine: the one of this build, or an alternative for comparison on the fleet model.
 pub trait DecisionPolicy {
-    /// Handles one batch of events and returns the actions to carry out, in order.
+    /// Handles one batch of events and returns the actions to execute, in order.
     fn handle_events(&mut self, now: Micros, events: &[Event]) -> Vec<Action>;
 
     /// Returns the status of the fleet after the last batch; the default if the module does not provide it.
