--- a/crates/adapter/src/codec/vocabulary.rs
+++ b/crates/adapter/src/codec/vocabulary.rs
@@ -53,8 +53,8 @@
 
 /// Returns the value of the keyword with this text.
 pub(super) fn value_of<T: Copy>(keywords: &[Keyword<T>], text: &str) -> Option<T> {
-    let known = keywords.iter().find(|known| known.text == text)?;
-    Some(known.value)
+    let keyword = keywords.iter().find(|keyword| keyword.text == text)?;
+    Some(keyword.value)
 }
 
 /// Returns the text of the first keyword for a value.
@@ -62,6 +62,6 @@
     keywords: &[Keyword<T>],
     value: &T,
 ) -> Option<&'static str> {
-    let known = keywords.iter().find(|known| known.value == *value)?;
-    Some(known.text)
+    let keyword = keywords.iter().find(|keyword| keyword.value == *value)?;
+    Some(keyword.text)
 }
