--- a/crates/adapter/src/codec/decode_action.rs
+++ b/crates/adapter/src/codec/decode_action.rs
@@ -1,4 +1,4 @@
-//! Lines to actions, as an adapter of another build writes them.
+//! Decoding of the action lines that the adapter of another build writes.
 
 use chutegrade_policy::{Action, ClassSet, Micros, Retry};
 
@@ -6,17 +6,17 @@
 use super::fields::Fields;
 use super::vocabulary::{ALL_PROXIES_TABLE, US_PER_MS};
 
-/// Characters of an unknown tag that its error shows.
+/// Maximum number of characters of an unknown tag in an error message.
 const MAX_SHOWN_TAG: usize = 80;
 
-/// The action of a line; `None` if the line does not concern the fleet model.
+/// Decodes the action of a line; `None` if the fleet model does not use the line.
 pub(crate) fn decode_action(line: &str) -> Result<Option<Action>, CodecError> {
     let fields = Fields::new(line);
     let action = match fields.tag() {
         "endpoint" => Action::SetWeight {
             table: fields.table()?,
             server: fields.server()?,
-            weight: fields.amount("weight")?,
+            weight: fields.non_negative("weight")?,
         },
         "wipe" => Action::ClearTable(fields.table()?),
         "point" => Action::AssignTable {
@@ -60,13 +60,13 @@
     Ok(Action::SetAdmission {
         table: (table.0 != ALL_PROXIES_TABLE).then_some(table),
         classes: classes(fields)?,
-        level: fields.amount("allowance")?,
+        level: fields.non_negative("allowance")?,
         retry: retry(fields)?,
     })
 }
 
 fn set_timer(fields: &Fields) -> Result<Action, CodecError> {
-    let delay_us = (fields.amount("fromNowMs")? * US_PER_MS).round();
+    let delay_us = (fields.non_negative("fromNowMs")? * US_PER_MS).round();
     Ok(Action::SetTimer {
         id: fields.parse("handle")?,
         delay: Micros(delay_us as i64),
--- a/crates/adapter/src/codec/encode_action.rs
+++ b/crates/adapter/src/codec/encode_action.rs
@@ -1,4 +1,4 @@
-//! Actions of the decision module to lines.
+//! Encoding of the decision module's actions.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -7,11 +7,11 @@
 use super::error::CodecError;
 use super::vocabulary::{ALL_PROXIES_TABLE, EMPTY_PAYLOAD, US_PER_MS};
 
-/// Writes one action as a line, without a line break.
+/// Encodes an action as a line, without a line break.
 ///
 /// # Errors
 ///
-/// The wire has no line for the action, or a number in it is negative or not finite.
+/// The wire protocol has no line for the action, or a number in the action is negative or not finite.
 pub fn encode_action(action: &Action) -> Result<String, CodecError> {
     match action {
         Action::SetWeight {
@@ -50,15 +50,15 @@
         Action::FetchEndpoints => Ok("list_all".to_string()),
         Action::SetTimer { id, delay } => Ok(set_timer(*id, *delay)),
         Action::SendToPeer { peer, data } => Ok(send_to_peer(*peer, data)),
-        Action::DropServerState(_) | Action::Reconcile(_) => Err(CodecError::UnsendableAction(
-            format!("no line for {action:?}"),
+        Action::DropServerState(_) | Action::Reconcile(_) => Err(CodecError::UnencodableAction(
+            format!("the protocol has no line for {action:?}"),
         )),
         Action::Emit(event) => Ok(emit(event)),
     }
 }
 
 fn set_weight(table: TableId, server: ServerId, weight: f64) -> Result<String, CodecError> {
-    let weight = amount(weight)?;
+    let weight = non_negative(weight)?;
     Ok(format!(
         "endpoint\tmapId={}\tserver={}\tweight={weight}",
         table.0, server.0
@@ -71,7 +71,7 @@
     level: f64,
     retry: Retry,
 ) -> Result<String, CodecError> {
-    let level = amount(level)?;
+    let level = non_negative(level)?;
     let table = table.map_or(ALL_PROXIES_TABLE, |table| table.0);
     let retry = retry as u8;
     Ok(format!(
@@ -105,10 +105,10 @@
     format!("write_log\twhat={text}")
 }
 
-fn amount(value: f64) -> Result<f64, CodecError> {
+fn non_negative(value: f64) -> Result<f64, CodecError> {
     if value.is_finite() && value >= 0.0 {
         Ok(value)
     } else {
-        Err(CodecError::UnsendableAction(value.to_string()))
+        Err(CodecError::UnencodableAction(value.to_string()))
     }
 }
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -1,12 +1,12 @@
-//! The engine without sockets: reports in, orders out.
+//! The engine, from reports to orders.
 
 mod discovery;
-mod forgotten_servers;
 mod health_checks;
 mod isolation;
 mod log_events;
 mod order_properties;
 mod orders;
+mod removed_servers;
 mod reports;
 mod scale;
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// `prefix0`, `prefix1` and so on.
+/// Returns `prefix0`, `prefix1` and so on.
 fn numbered_names(prefix: &str, count: usize) -> Vec<String> {
     (0..count)
         .map(|number| format!("{prefix}{number}"))
@@ -75,7 +75,7 @@
     Engine::new(settings(classes), 7, deployment_names(classes))
 }
 
-fn listed(server: u32) -> NamedEndpoint {
+fn listed_endpoint(server: u32) -> NamedEndpoint {
     NamedEndpoint {
         name: format!("s{server}"),
         address: format!("127.0.0.1:{}", 1000 + server),
@@ -86,7 +86,7 @@
     }
 }
 
-fn joined(stream: u64, proxy: u32, has_no_table: bool) -> Report {
+fn stream_opened(stream: u64, proxy: u32, has_no_table: bool) -> Report {
     Report::StreamOpened {
         stream: StreamId(stream),
         proxy,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Requests that arrived at a proxy within a second.
+/// Reports the requests that arrived at a proxy within a second.
 fn demand(proxy: u32, class: &str, arrivals: f64) -> Report {
     Report::ProxyDemand {
         proxy,
@@ -107,10 +107,10 @@
     }
 }
 
-/// An engine with four servers and no proxies, after its first tick.
-fn serving() -> Engine {
+/// Creates an engine with four servers and no proxies, after its first tick.
+fn engine_with_servers() -> Engine {
     let mut engine = engine(CLASSES);
-    let endpoints = (0..4).map(listed).collect();
+    let endpoints = (0..4).map(listed_endpoint).collect();
     report_endpoints(&mut engine, EndpointUpdateKind::CachedSnapshot, endpoints);
     engine.tick(Micros(0));
     engine
@@ -121,7 +121,7 @@
     assert_eq!(engine.report(report), Ok(()));
 }
 
-/// Reports that the proxy of a stream has applied an order, which must request that.
+/// Reports that the proxy of a stream has applied an order, which must request the acknowledgement.
 fn acknowledge(engine: &mut Engine, stream: StreamId, order: &Order, elapsed: Micros) {
     let sequence = order.acknowledge.expect("an acknowledgement request");
     let report = Report::Acknowledged {
@@ -148,11 +148,11 @@
     assert_eq!(engine.report(report), Ok(()));
 }
 
-fn texts(names: &[Rc<str>]) -> Vec<String> {
+fn to_strings(names: &[Rc<str>]) -> Vec<String> {
     names.iter().map(ToString::to_string).collect()
 }
 
-/// The state of a proxy by the orders written to it.
+/// The state of a proxy after the orders written to it.
 #[derive(Clone, Default)]
 struct ProxyState {
     weights: BTreeMap<usize, BTreeMap<String, f64>>,
@@ -168,7 +168,7 @@
                 self.apply_update(update, class);
             }
         }
-        self.suspended.extend(texts(&order.suspended));
+        self.suspended.extend(to_strings(&order.suspended));
         for name in &order.resumed {
             self.suspended.remove(&**name);
         }
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The weights of the servers that the proxy may pick for a class.
+    /// Returns the weights of the servers that the proxy may select for a class.
     fn eligible(&self, class: usize) -> BTreeMap<String, f64> {
         let weights = self.weights.get(&class).cloned().unwrap_or_default();
         weights
