--- a/crates/limits/src/concurrency_limiter.rs
+++ b/crates/limits/src/concurrency_limiter.rs
@@ -9,9 +9,9 @@
 pub const DEFAULT_TARGET_SATURATION: f64 = 0.25;
 
 /// Saturation from which the throughput of the fleet is all that it can do.
-const SATURATED_FROM: f64 = 0.3;
+const SATURATED_THRESHOLD: f64 = 0.3;
 /// Saturation from which a fleet has collapsed: its throughput is then below its capacity.
-const COLLAPSED_FROM: f64 = 0.7;
+const COLLAPSED_THRESHOLD: f64 = 0.7;
 /// Share of the known capacity that must be admitted for the throughput of a saturated fleet to measure its capacity.
 const MIN_UTILIZATION: f64 = 0.9;
 /// How fast the known capacity falls to the throughput of a saturated fleet, as a share per second.
@@ -23,7 +23,7 @@
 const SATURATION_CORRECTION: f64 = 0.5;
 /// Saturation from which the limit falls steeply to the least share, so that queues drain first. A steep correction below it
 /// would oscillate when reports are late.
-const STEEP_CORRECTION_FROM: f64 = 0.35;
+const STEEP_CORRECTION_THRESHOLD: f64 = 0.35;
 
 /// Additive increase of the share, per second.
 const ADDITIVE_INCREASE: f64 = 0.03;
@@ -87,7 +87,7 @@
 
 impl LoadSample {
     fn is_valid(&self) -> bool {
-        let figures = [
+        let values = [
             self.seconds,
             self.offered,
             self.admitted,
@@ -96,9 +96,9 @@
             self.mean_latency_ms,
             self.warm_weight,
         ];
-        let are_valid = figures
+        let are_valid = values
             .iter()
-            .all(|figure| figure.is_finite() && *figure >= 0.0);
+            .all(|value| value.is_finite() && *value >= 0.0);
         are_valid && self.seconds > 0.0
     }
 }
@@ -164,7 +164,7 @@
         let throughput = sample.completed / sample.warm_weight;
         let is_utilized =
             sample.admitted >= MIN_UTILIZATION * self.capacity_per_weight * sample.warm_weight;
-        let is_saturated = (SATURATED_FROM..COLLAPSED_FROM).contains(&sample.saturation);
+        let is_saturated = (SATURATED_THRESHOLD..COLLAPSED_THRESHOLD).contains(&sample.saturation);
         if is_saturated && is_utilized {
             let smoothing = 1.0 - (1.0 - CAPACITY_DECREASE_RATE).powf(sample.seconds);
             self.capacity_per_weight +=
@@ -190,8 +190,9 @@
         if sample.offered <= 0.0 || !is_limited {
             return 1.0;
         }
-        let moderate = sample.saturation.min(STEEP_CORRECTION_FROM);
-        let excess = (sample.saturation - STEEP_CORRECTION_FROM) / (1.0 - STEEP_CORRECTION_FROM);
+        let moderate = sample.saturation.min(STEEP_CORRECTION_THRESHOLD);
+        let excess =
+            (sample.saturation - STEEP_CORRECTION_THRESHOLD) / (1.0 - STEEP_CORRECTION_THRESHOLD);
         let steepness = excess.max(0.0);
         let moderate_correction = 1.0 + SATURATION_CORRECTION * (target - moderate);
         let correction = moderate_correction * (1.0 - steepness) + MIN_ADMITTED_SHARE * steepness;
--- a/crates/limits/src/condition.rs
+++ b/crates/limits/src/condition.rs
@@ -77,7 +77,7 @@
             return ConditionState::Unknown;
         }
         match self.holding_time_us(signals, max_age_us) {
-            Some(held_us) if held_us >= self.hold_us => ConditionState::Met,
+            Some(holding_us) if holding_us >= self.hold_us => ConditionState::Met,
             _ => ConditionState::NotMet,
         }
     }
@@ -85,12 +85,12 @@
     /// How far the test is from being met.
     pub fn status(&self, signals: &SignalWindow, now_us: i64, max_age_us: i64) -> TestStatus {
         let newest = signals.newest(self.signal, now_us, max_age_us);
-        let held_us = self.holding_time_us(signals, max_age_us).unwrap_or(0);
+        let holding_us = self.holding_time_us(signals, max_age_us).unwrap_or(0);
         TestStatus {
             test: *self,
             newest,
             shortfall: newest.map(|observation| self.shortfall(observation.value)),
-            remaining_hold_us: (self.hold_us - held_us).max(0),
+            remaining_hold_us: (self.hold_us - holding_us).max(0),
         }
     }
 
--- a/crates/limits/src/condition/tests.rs
+++ b/crates/limits/src/condition/tests.rs
@@ -114,14 +114,14 @@
 }
 
 #[test]
-fn conditions_that_can_never_be_met_are_faults() {
+fn conditions_that_can_never_be_met_are_rejected() {
     let reachability_error = |all: &[SignalTest]| {
         Condition {
             all: all.to_vec(),
             any: vec![],
         }
         .check_reachable()
-        .expect_err("a fault")
+        .expect_err("an error")
     };
     assert!(reachability_error(&[]).to_string().contains("no test"));
     assert!(reachability_error(&[above(Signal::LateResponses, 1.0, 0)])
--- a/crates/limits/src/config_error.rs
+++ b/crates/limits/src/config_error.rs
@@ -18,7 +18,7 @@
 
 impl ConfigError {
     /// The place of the fault in the text from which the configuration was read.
-    pub fn place(&self, text: &str) -> Option<Position> {
+    pub fn position(&self, text: &str) -> Option<Position> {
         let Some(level) = self.level else {
             return find_field(text, self.field);
         };
@@ -124,7 +124,7 @@
     },
     /// The least duration of the level is out of range.
     #[error("{level:?} stays {seconds}: give seconds from 0 to {max}")]
-    StayOutOfRange {
+    MinDurationOutOfRange {
         /// The name of the level.
         level: String,
         /// The duration that is given, in seconds.
--- a/crates/limits/src/default_levels/tests.rs
+++ b/crates/limits/src/default_levels/tests.rs
@@ -23,7 +23,7 @@
             .map(|n| class(&format!("c{n}"), 1.0 + f64::from((n * 5) % 7), 0.5))
             .collect();
         let levels = ServiceLevels::read(&declared, Some(&classes))
-            .unwrap_or_else(|faults| panic!("{faults:?}"));
+            .unwrap_or_else(|errors| panic!("{errors:?}"));
         assert_eq!(levels.levels.len(), 2 * count as usize - 1);
     }
 }
--- a/crates/limits/src/level_checks.rs
+++ b/crates/limits/src/level_checks.rs
@@ -16,20 +16,20 @@
     pub fn check(&self, classes: Option<&[Class]>) -> Vec<ConfigError> {
         let mut errors = Vec::new();
         for (index, level) in self.levels.iter().enumerate() {
-            let mut fault = |level, field, problem: Option<ConfigProblem>| {
+            let mut add_error = |level, field, problem: Option<ConfigProblem>| {
                 errors.extend(problem.map(|problem| ConfigError {
                     level: Some(level),
                     field,
                     problem,
                 }));
             };
-            fault(index, "name", self.check_name(index, level));
-            fault(index, "leave", check_hysteresis(level));
+            add_error(index, "name", self.check_name(index, level));
+            add_error(index, "leave", check_hysteresis(level));
             let priorities = classes.and_then(|classes| check_priorities(level, classes));
-            fault(index, "shed", priorities);
+            add_error(index, "shed", priorities);
             if let Some(next) = self.levels.get(index + 1) {
-                fault(index + 1, "shed", check_severity(level, next));
-                fault(index, "enter", check_reachable(level, next));
+                add_error(index + 1, "shed", check_severity(level, next));
+                add_error(index, "enter", check_reachable(level, next));
             }
         }
         errors
@@ -37,8 +37,9 @@
 
     fn check_name(&self, index: usize, level: &ServiceLevel) -> Option<ConfigProblem> {
         let mut earlier = self.levels.iter().take(index);
-        let is_taken = level.name == FULL_SERVICE || earlier.any(|other| other.name == level.name);
-        is_taken.then(|| ConfigProblem::DuplicateName {
+        let is_duplicate_name =
+            level.name == FULL_SERVICE || earlier.any(|other| other.name == level.name);
+        is_duplicate_name.then(|| ConfigProblem::DuplicateName {
             level: level.name.clone(),
         })
     }
@@ -68,11 +69,11 @@
     for (rank, index) in order.iter().enumerate() {
         let higher = &classes[*index];
         let share = level.admitted_share(&higher.name);
-        let is_favoured = |lower: &&Class| {
+        let is_admitted_more = |lower: &&Class| {
             lower.value() < higher.value() && level.admitted_share(&lower.name) > share
         };
         let mut lower_classes = order[..rank].iter().map(|index| &classes[*index]);
-        if let Some(lower) = lower_classes.find(is_favoured) {
+        if let Some(lower) = lower_classes.find(is_admitted_more) {
             return Some(ConfigProblem::ShedsHigherPriorityFirst {
                 level: level.name.clone(),
                 higher: higher.name.clone(),
--- a/crates/limits/src/level_config.rs
+++ b/crates/limits/src/level_config.rs
@@ -87,14 +87,14 @@
         let use_defaults = declared.usual == Some(true);
         let count = declared.level.len();
         if use_defaults && count > 0 {
-            self.fault("usual", ConfigProblem::DefaultAndOwnLevels);
+            self.add_error("usual", ConfigProblem::DefaultAndOwnLevels);
         }
         if !use_defaults && count == 0 {
-            self.fault("ladder", ConfigProblem::NoLevels);
+            self.add_error("ladder", ConfigProblem::NoLevels);
         }
         if count > MAX_LEVELS {
             let limit = MAX_LEVELS;
-            self.fault("ladder", ConfigProblem::TooManyLevels { count, limit });
+            self.add_error("ladder", ConfigProblem::TooManyLevels { count, limit });
         }
         let mut levels = if use_defaults {
             default_levels::levels(self.classes.unwrap_or_default())
@@ -137,7 +137,7 @@
             level: name.to_string(),
             max_length: MAX_NAME_LENGTH,
         };
-        self.level_fault(index, "name", problem);
+        self.add_level_error(index, "name", problem);
     }
 
     fn read_shares(
@@ -152,7 +152,7 @@
                 .is_some_and(|classes| classes.iter().all(|class| class.name != shed.class));
             if is_unknown {
                 let class = shed.class.clone();
-                self.level_fault(index, "class", ConfigProblem::UnknownClass { class });
+                self.add_level_error(index, "class", ConfigProblem::UnknownClass { class });
             }
             if !(MIN_CLASS_SHARE..=1.0).contains(&shed.keep) {
                 let problem = ConfigProblem::ShareOutOfRange {
@@ -161,12 +161,12 @@
                     share: shed.keep,
                     min: MIN_CLASS_SHARE,
                 };
-                self.level_fault(index, "keep", problem);
+                self.add_level_error(index, "keep", problem);
             }
         }
         if declared.is_empty() {
             let level = level.to_string();
-            self.level_fault(index, "level", ConfigProblem::ShedsNothing { level });
+            self.add_level_error(index, "level", ConfigProblem::ShedsNothing { level });
         }
         let read_share = |shed: &pb::Shed| AdmittedShare {
             class: shed.class.clone(),
@@ -189,7 +189,7 @@
         let level = level.to_string();
         let Some(declared) = declared else {
             let problem = ConfigProblem::MissingCondition { level, event };
-            self.level_fault(index, field, problem);
+            self.add_level_error(index, field, problem);
             return None;
         };
         match Condition::read(declared) {
@@ -200,7 +200,7 @@
                     event,
                     source,
                 };
-                self.level_fault(index, field, problem);
+                self.add_level_error(index, field, problem);
                 None
             }
         }
@@ -209,12 +209,12 @@
     fn read_min_duration(&mut self, index: usize, level: &str, declared: Option<f64>) -> i64 {
         let seconds = declared.unwrap_or(DEFAULT_MIN_DURATION_SECONDS);
         if !is_valid_duration(seconds) {
-            let problem = ConfigProblem::StayOutOfRange {
+            let problem = ConfigProblem::MinDurationOutOfRange {
                 level: level.to_string(),
                 seconds,
                 max: MAX_SECONDS,
             };
-            self.level_fault(index, "least_stay_s", problem);
+            self.add_level_error(index, "least_stay_s", problem);
         }
         microseconds(seconds)
     }
@@ -227,12 +227,12 @@
                 seconds,
                 max: MAX_SECONDS,
             };
-            self.fault(field, problem);
+            self.add_error(field, problem);
         }
         microseconds(seconds)
     }
 
-    fn fault(&mut self, field: &'static str, problem: ConfigProblem) {
+    fn add_error(&mut self, field: &'static str, problem: ConfigProblem) {
         self.errors.push(ConfigError {
             level: None,
             field,
@@ -240,7 +240,7 @@
         });
     }
 
-    fn level_fault(&mut self, index: usize, field: &'static str, problem: ConfigProblem) {
+    fn add_level_error(&mut self, index: usize, field: &'static str, problem: ConfigProblem) {
         self.errors.push(ConfigError {
             level: Some(index),
             field,
--- a/crates/limits/src/level_config/tests.rs
+++ b/crates/limits/src/level_config/tests.rs
@@ -63,34 +63,34 @@
     format!("{MILD_LEVEL}{}", SEVERE_LEVEL.replace(from, to))
 }
 
-/// A text has a fault with these words, and the fault names its line.
-fn expect_fault(text: &str, line: usize, expected: &str) {
-    let faults = parse(text).expect_err(text);
-    let found = faults
+/// A text has an error with these words, and the error names its line.
+fn expect_error(text: &str, line: usize, expected: &str) {
+    let errors = parse(text).expect_err(text);
+    let found = errors
         .iter()
-        .find(|fault| fault.to_string().contains(expected));
-    let fault = found.unwrap_or_else(|| panic!("{expected}: {faults:?}"));
+        .find(|error| error.to_string().contains(expected));
+    let error = found.unwrap_or_else(|| panic!("{expected}: {errors:?}"));
     assert_eq!(
-        fault.place(text).map(|place| place.line),
+        error.position(text).map(|position| position.line),
         Some(line),
-        "{fault}"
+        "{error}"
     );
 }
 
 #[test]
-fn faults_between_levels_name_their_lines() {
+fn errors_between_levels_have_their_lines() {
     let swapped = format!("{SEVERE_LEVEL}{MILD_LEVEL}");
-    expect_fault(&swapped, 4, "levels go from mild to severe");
+    expect_error(&swapped, 4, "levels go from mild to severe");
     let same_condition = with_severe_level("above: 0.7", "above: 0.4");
-    expect_fault(&same_condition, 2, "is never entered");
+    expect_error(&same_condition, 2, "is never entered");
     let same_name = with_severe_level("petitions first", "calm reads");
-    expect_fault(&same_name, 4, "is taken");
+    expect_error(&same_name, 4, "is taken");
 }
 
 #[test]
-fn faults_of_conditions_name_their_lines() {
+fn errors_of_conditions_have_their_lines() {
     let expect = |from: &str, to: &str, line: usize, expected: &str| {
-        expect_fault(&MILD_LEVEL.replace(from, to), line, expected);
+        expect_error(&MILD_LEVEL.replace(from, to), line, expected);
     };
     expect("below: 0.2", "below: 0.39", 3, "entered and left at once");
     expect(
@@ -104,7 +104,7 @@
         .next()
         .map(|head| format!("{head} }}"))
         .unwrap_or_default();
-    expect_fault(&without_leave, 1, "can't be left");
+    expect_error(&without_leave, 1, "can't be left");
     expect(
         "above: 1.2",
         "below: 0",
@@ -116,9 +116,9 @@
 }
 
 #[test]
-fn faults_of_admitted_shares_name_their_lines() {
+fn errors_of_admitted_shares_have_their_lines() {
     let expect = |from: &str, to: &str, expected: &str| {
-        expect_fault(&MILD_LEVEL.replace(from, to), 1, expected);
+        expect_error(&MILD_LEVEL.replace(from, to), 1, expected);
     };
     expect(
         "status-read",
@@ -130,10 +130,10 @@
 }
 
 #[test]
-fn faults_of_all_levels_are_reported_first() {
+fn errors_of_all_levels_are_reported_first() {
     let expect_first = |text: &str, expected: &str| {
-        let faults = parse(text).expect_err(text);
-        assert!(faults[0].to_string().contains(expected), "{faults:?}");
+        let errors = parse(text).expect_err(text);
+        assert!(errors[0].to_string().contains(expected), "{errors:?}");
     };
     expect_first("", "without a level");
     expect_first(&format!("usual: true {MILD_LEVEL}"), "give either");
--- a/crates/limits/src/manager/config.rs
+++ b/crates/limits/src/manager/config.rs
@@ -51,11 +51,11 @@
     ) -> Result<OverloadConfig, Vec<ConfigError>> {
         let mut errors = Vec::new();
         let adaptive = declared.adaptive.as_ref();
-        let repeats = declared.repeats.as_ref();
+        let retry_budget = declared.repeats.as_ref();
         let fairness = declared.fairness.as_ref();
         let config = OverloadConfig {
             concurrency_limit: adaptive.map(|adaptive| read_limit(adaptive, &mut errors)),
-            retry_budget: repeats.map(|repeats| read_retry_budget(repeats, &mut errors)),
+            retry_budget: retry_budget.map(|budget| read_retry_budget(budget, &mut errors)),
             heavy_hitter_factor: fairness.map(|fairness| read_factor(fairness, &mut errors)),
             service_levels: read_levels(declared, classes, &mut errors),
         };
@@ -106,8 +106,8 @@
 ) -> Option<ServiceLevels> {
     match ServiceLevels::read(declared.ladder.as_ref()?, classes) {
         Ok(levels) => Some(levels),
-        Err(faults) => {
-            errors.extend(faults);
+        Err(level_errors) => {
+            errors.extend(level_errors);
             None
         }
     }
--- a/crates/limits/src/manager/inputs.rs
+++ b/crates/limits/src/manager/inputs.rs
@@ -36,7 +36,7 @@
     pub(super) fn is_valid(&self) -> bool {
         [self.attempts, self.failed, self.mean_latency_ms]
             .iter()
-            .all(|figure| figure.is_finite() && *figure >= 0.0)
+            .all(|value| value.is_finite() && *value >= 0.0)
     }
 }
 
--- a/crates/limits/src/manager/tests.rs
+++ b/crates/limits/src/manager/tests.rs
@@ -166,11 +166,11 @@
 }
 
 #[test]
-fn a_faulty_configuration_reports_all_faults() {
-    let faults =
+fn an_invalid_configuration_reports_all_errors() {
+    let errors =
         config("adaptive { target: 2 } repeats { ratio: -1 } fairness { times_mean: 1 } ladder {}")
-            .expect_err("faults");
-    let fields: Vec<&str> = faults.iter().map(|fault| fault.field).collect();
+            .expect_err("errors");
+    let fields: Vec<&str> = errors.iter().map(|error| error.field).collect();
     assert_eq!(fields, ["target", "ratio", "times_mean", "ladder"]);
 }
 
--- a/crates/limits/src/manager/traffic.rs
+++ b/crates/limits/src/manager/traffic.rs
@@ -8,7 +8,7 @@
 /// Requests at which a signal that derives from them has full confidence.
 const FULL_CONFIDENCE_REQUESTS: f64 = 20.0;
 /// Mean latency, as a multiple of the objective, up to which all responses are assumed to be in time. From one more on none is.
-const ALL_IN_TIME_BELOW: f64 = 0.5;
+const MAX_IN_TIME_LATENCY_RATIO: f64 = 0.5;
 
 /// Rates per second, smoothed.
 #[derive(Clone, Debug)]
@@ -174,7 +174,7 @@
 /// The share of responses beyond the objective, as far as their mean latency tells.
 fn late_share(outcome: &Outcome, objective_ms: f64) -> f64 {
     if objective_ms > 0.0 {
-        (outcome.mean_latency_ms / objective_ms - ALL_IN_TIME_BELOW).clamp(0.0, 1.0)
+        (outcome.mean_latency_ms / objective_ms - MAX_IN_TIME_LATENCY_RATIO).clamp(0.0, 1.0)
     } else {
         0.0
     }
--- a/crates/limits/src/repeat_estimator.rs
+++ b/crates/limits/src/repeat_estimator.rs
@@ -43,7 +43,7 @@
     fn is_valid(&self) -> bool {
         [self.arrivals, self.shed, self.unanswered, self.shed_share]
             .iter()
-            .all(|figure| figure.is_finite() && *figure >= 0.0)
+            .all(|value| value.is_finite() && *value >= 0.0)
     }
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl RepeatEstimator {
-    /// Adds a report. One with figures that are negative or not finite is ignored.
+    /// Adds a report. One with values that are negative or not finite is ignored.
     pub fn record(&mut self, sample: ArrivalSample) {
         if !sample.is_valid() {
             return;
--- a/crates/limits/src/retry_budget.rs
+++ b/crates/limits/src/retry_budget.rs
@@ -16,7 +16,7 @@
 /// Least reports between a change and a resumption.
 const RESUME_AFTER_REPORTS: u32 = 5;
 /// Share of the budget below which suspended classes are resumed and more retries may be permitted.
-const LOW_USE_SHARE: f64 = 0.5;
+const LOW_USAGE_SHARE: f64 = 0.5;
 /// Saturation below which a retry after any failure may be permitted.
 const MAX_SATURATION_FOR_RETRY: f64 = 0.1;
 /// Headroom above which a retry after any failure may be permitted.
@@ -73,8 +73,8 @@
 impl RetrySample {
     fn is_valid(&self) -> bool {
         let totals = [self.seconds, self.attempts, self.successes, self.saturation];
-        let mut figures = totals.iter().chain(&self.admitted).chain(&self.unanswered);
-        figures.all(|figure| figure.is_finite() && *figure >= 0.0)
+        let mut values = totals.iter().chain(&self.admitted).chain(&self.unanswered);
+        values.all(|value| value.is_finite() && *value >= 0.0)
     }
 
     fn has_headroom(&self) -> bool {
@@ -171,7 +171,7 @@
         retries / (self.successes.0 + PRIOR_RESPONSES)
     }
 
-    /// Counts a report. One with figures that are negative or not finite is ignored.
+    /// Counts a report. One with values that are negative or not finite is ignored.
     pub fn record(&mut self, sample: &RetrySample) {
         if !sample.is_valid() {
             return;
@@ -208,7 +208,7 @@
         if ratio > self.config.ratio && can_suspend {
             self.suspended_classes += 1;
             self.reports_since_change = 0;
-        } else if ratio < LOW_USE_SHARE * self.config.ratio && can_resume {
+        } else if ratio < LOW_USAGE_SHARE * self.config.ratio && can_resume {
             self.suspended_classes -= 1;
             self.reports_since_change = 0;
         }
@@ -232,7 +232,7 @@
         self.config.retry_with_headroom
             && self.reports_with_headroom >= MIN_REPORTS_WITH_HEADROOM
             && class.can_retries_help()
-            && self.retry_ratio() < LOW_USE_SHARE * self.config.ratio
+            && self.retry_ratio() < LOW_USAGE_SHARE * self.config.ratio
     }
 }
 
--- a/crates/limits/src/transitions.rs
+++ b/crates/limits/src/transitions.rs
@@ -23,9 +23,9 @@
 /// The timeout of the endpoint list grows to at most this multiple.
 const MAX_LIST_TIMEOUT_FACTOR: i64 = 64;
 /// A snapshot older than this is not restored, in microseconds: the cause of the level may be gone.
-pub const RESTORE_WITHIN_US: i64 = 60_000_000;
+pub const MAX_SNAPSHOT_AGE_US: i64 = 60_000_000;
 /// Before the first change; far enough in the past for any duration to be over.
-const LONG_AGO_US: i64 = i64::MIN / 2;
+const INITIAL_SINCE_US: i64 = i64::MIN / 2;
 
 /// A change that is due.
 struct Change {
@@ -58,7 +58,7 @@
         LevelTransitions {
             levels,
             current: 0,
-            since_us: LONG_AGO_US,
+            since_us: INITIAL_SINCE_US,
             signals_lost_at_us: None,
             recovered_at_us: None,
             history,
@@ -245,7 +245,7 @@
         let from = self.name().to_string();
         let number = match levels.number(&from) {
             Some(number) => number,
-            None => self.substitute(&levels),
+            None => self.replacement_level(&levels),
         };
         self.history = self.history_for(&levels);
         self.levels = levels;
@@ -264,7 +264,7 @@
     }
 
     /// The number of the mildest of some levels that admits no more of any class than the current one, or of the last.
-    fn substitute(&self, levels: &ServiceLevels) -> usize {
+    fn replacement_level(&self, levels: &ServiceLevels) -> usize {
         let current_shares = self
             .current_level()
             .map(|level| level.admitted_shares.as_slice())
@@ -324,11 +324,11 @@
         let level = saved.level.clone();
         let age_us = now_us.saturating_sub(saved.at_us);
         let age_seconds = age_us as f64 / MICROSECONDS_PER_SECOND as f64;
-        if !(0..=RESTORE_WITHIN_US).contains(&age_us) {
+        if !(0..=MAX_SNAPSHOT_AGE_US).contains(&age_us) {
             return Err(RestoreError::Expired {
                 level,
                 age_seconds,
-                max_age_seconds: RESTORE_WITHIN_US / MICROSECONDS_PER_SECOND,
+                max_age_seconds: MAX_SNAPSHOT_AGE_US / MICROSECONDS_PER_SECOND,
             });
         }
         let Some(number) = self.levels.number(&level) else {
--- a/crates/limits/tests/level_transitions.rs
+++ b/crates/limits/tests/level_transitions.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
-use chutegrade_limits::transitions::{RestoreError, TransitionReason, RESTORE_WITHIN_US};
+use chutegrade_limits::transitions::{RestoreError, TransitionReason, MAX_SNAPSHOT_AGE_US};
 use chutegrade_limits::{
     pb, Class, Idempotency, LevelTransition, LevelTransitions, Observation, ServiceLevels, Signal,
     SignalWindow, SCHEMA,
@@ -32,7 +32,7 @@
 fn read_levels(text: &str) -> ServiceLevels {
     let declared: pb::Ladder =
         chutegrade_textproto::parse(SCHEMA, "chutegrade.limits.v1.Ladder", text).expect(text);
-    ServiceLevels::read(&declared, Some(&classes())).unwrap_or_else(|faults| panic!("{faults:?}"))
+    ServiceLevels::read(&declared, Some(&classes())).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
 /// One boundary: half of the reads go at saturation 0.6, and come back below 0.3 with room to spare.
@@ -238,7 +238,7 @@
 
 /// An endpoint list that reports recovery late: the level waits for warm servers, but not for good.
 #[test]
-fn a_stale_endpoint_list_delays_recovery_but_not_for_good() {
+fn a_stale_endpoint_list_delays_recovery_for_a_limited_time() {
     let mut simulation = Simulation::new(one_level());
     simulation.run(20, 0.9, 0.5);
     assert_eq!(simulation.transitions.level(), 1);
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn a_restart_restores_the_level_or_says_why_not() {
+fn a_restart_restores_the_level_or_reports_why_not() {
     let simulation = simulation_at_level_one();
     let saved_us = simulation.now_us;
     let saved = simulation.transitions.snapshot(saved_us);
@@ -344,7 +344,7 @@
         (level, result.expect("in time").expect("a change").reason),
         (1, TransitionReason::Restored)
     );
-    let (level, result) = restore(saved_us + RESTORE_WITHIN_US + SECOND_US, &saved);
+    let (level, result) = restore(saved_us + MAX_SNAPSHOT_AGE_US + SECOND_US, &saved);
     let error = result.expect_err("too old").to_string();
     assert!(level == 0 && error.contains("at most 60 s"));
     let (level, result) = restore(saved_us - SECOND_US, &saved);
--- a/crates/operator-config/src/checks.rs
+++ b/crates/operator-config/src/checks.rs
@@ -149,10 +149,10 @@
 
     fn check_budget(&mut self, cpu_ms: u64, background_mib: u64) {
         if !CPU_MS_RANGE.contains(&cpu_ms) {
-            let (least, most) = (CPU_MS_RANGE.start(), CPU_MS_RANGE.end());
+            let (min, max) = (CPU_MS_RANGE.start(), CPU_MS_RANGE.end());
             self.error(
                 "cpu_ms",
-                format!("{cpu_ms} ms in any ten seconds: give {least} to {most}"),
+                format!("{cpu_ms} ms in any ten seconds: give {min} to {max}"),
             );
         }
         if background_mib < MIN_BACKGROUND_MIB {
--- a/crates/operator-config/src/limits_section.rs
+++ b/crates/operator-config/src/limits_section.rs
@@ -45,7 +45,7 @@
     fn locate(&self, error: &chutegrade_limits::ConfigError) -> ConfigError {
         ConfigError {
             path: self.path.clone(),
-            position: error.place(&self.text),
+            position: error.position(&self.text),
             message: error.problem.to_string(),
         }
     }
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn sections_that_are_not_given_are_off() {
+fn absent_sections_are_disabled() {
     assert_eq!(parse(""), Ok(OperatorConfig::default()));
     assert_eq!(parse("# nothing\n"), Ok(OperatorConfig::default()));
     let records = parse("records { directory: \"/var/lib/chutegrade\" }")
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn each_error_has_its_position_and_says_what_is_valid() {
+fn each_error_has_its_position_and_states_what_is_valid() {
     assert_errors("records {\n  directry: \"/x\"\n}", &["2:3: "]);
     assert_errors("records {\n  directory: 7\n}", &["2:"]);
     assert_errors("records {\n", &["2:1: "]);
