--- a/crates/limits/benches/limits.rs
+++ b/crates/limits/benches/limits.rs
@@ -1,5 +1,5 @@
 #![allow(missing_docs)]
-//! The cost of overload control: an evaluation, and the sketch of heavy hitters against an exact table.
+//! Cost of an evaluation of the overload manager, and of the heavy-hitter sketch compared with an exact table.
 
 use std::collections::HashMap;
 use std::hint::black_box;
--- a/crates/limits/build.rs
+++ b/crates/limits/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of limits, and keeps its description for readers of the text format.
+//! Compiles `limits.proto`, and writes its descriptors for parsers of the text format.
 
 use std::path::PathBuf;
 
--- a/crates/limits/src/class.rs
+++ b/crates/limits/src/class.rs
@@ -1,6 +1,6 @@
-//! Request classes: what overload control needs to know of each, and the order in which their service is reduced.
+//! Request classes as overload control uses them, and the order in which their service is reduced.
 
-/// Shortest latency objective that counts when value per time is computed, in seconds.
+/// Lower bound of the latency objective when the value per second is computed, in seconds.
 const MIN_LATENCY_OBJECTIVE_SECONDS: f64 = 1e-3;
 
 /// A class of requests.
@@ -10,16 +10,16 @@
     pub name: String,
     /// The value of a response that arrives in time.
     pub priority_weight: f64,
-    /// Responses within this time count as in time, in seconds; it also stands for the work of a request.
+    /// Time within which a response counts as in time, in seconds; also the assumed work of a request.
     pub latency_objective_seconds: f64,
-    /// The client gives up after this time, in seconds.
+    /// Time after which the client gives up, in seconds.
     pub deadline_seconds: f64,
-    /// The effect of running a request twice.
+    /// The effect of executing a request twice.
     pub idempotency: Idempotency,
 }
 
 impl Class {
-    /// The value of a response for each second of work; classes of low value are shed first.
+    /// Returns the value of a response per second of work; classes of low value are shed first.
     pub fn value(&self) -> f64 {
         let work_seconds = self
             .latency_objective_seconds
@@ -28,19 +28,20 @@
     }
 }
 
-/// The effect of running a request twice.
+/// The effect of executing a request twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// The second run changes nothing.
+    /// The second execution has no effect.
     Idempotent,
-    /// All servers drop duplicates, by an idempotency key, for this long after the first attempt was sent, in seconds. 0
-    /// where only some servers do.
+    /// All servers reject duplicates by an idempotency key for this time after the first attempt was sent, in seconds;
+    /// 0 if only some servers do.
     Keyed(f64),
-    /// The effect would happen twice.
+    /// The second execution repeats the effect.
     NotIdempotent,
 }
 
-/// The positions of the classes in the order in which their service is reduced: the lowest value per time first.
+/// Returns the positions of the classes in the order in which their service is reduced: the lowest value per second of
+/// work first.
 pub fn lowest_priority_first(classes: &[Class]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..classes.len()).collect();
     order.sort_by(|a, b| {
--- a/crates/limits/src/concurrency_limiter.rs
+++ b/crates/limits/src/concurrency_limiter.rs
@@ -1,46 +1,47 @@
-//! An adaptive limit on the share of work that is admitted. Four rules differ in what they take as the measure of overload;
+//! An adaptive limit on the share of work that is admitted. Four rules differ in the measure of overload that they use;
 //! docs/limits.md compares them under late and bursty signals.
 
 use crate::pb::adaptive::Rule;
 
-/// Least share that is admitted: with nothing admitted, nothing would be measured.
+/// Minimum admitted share: without admitted work, the throughput and latency of the fleet would be unknown.
 pub const MIN_ADMITTED_SHARE: f64 = 0.1;
-/// Default target saturation: servers are busy, and little is queued.
+/// Default target saturation, at which servers are busy and queues are short.
 pub const DEFAULT_TARGET_SATURATION: f64 = 0.25;
 
-/// Saturation from which the throughput of the fleet is all that it can do.
+/// Saturation from which the throughput of the fleet equals its capacity.
 const SATURATED_THRESHOLD: f64 = 0.3;
 /// Saturation from which a fleet has collapsed: its throughput is then below its capacity.
 const COLLAPSED_THRESHOLD: f64 = 0.7;
-/// Share of the known capacity that must be admitted for the throughput of a saturated fleet to measure its capacity.
+/// Minimum admitted work, as a share of the known capacity, at which the throughput of a saturated fleet is taken as
+/// its capacity.
 const MIN_UTILIZATION: f64 = 0.9;
-/// How fast the known capacity falls to the throughput of a saturated fleet, as a share per second.
+/// Rate at which the known capacity approaches the lower throughput of a saturated fleet, as a share per second.
 const CAPACITY_DECREASE_RATE: f64 = 0.12;
-/// How fast the known capacity grows while work is held back from an idle fleet, as a share per second.
+/// Rate at which the known capacity grows while work is shed from an idle fleet, as a share per second.
 const CAPACITY_INCREASE_RATE: f64 = 0.05;
 
-/// How strongly moderate saturation corrects the limit, per unit of distance from the target.
+/// Correction of the limit under moderate saturation, per unit of distance from the target.
 const SATURATION_CORRECTION: f64 = 0.5;
-/// Saturation from which the limit falls steeply to the least share, so that queues drain first. A steep correction below it
-/// would oscillate when reports are late.
+/// Saturation from which the limit falls steeply to the minimum share, so that queues drain first. A steep correction
+/// at lower saturation would oscillate when reports are late.
 const STEEP_CORRECTION_THRESHOLD: f64 = 0.35;
 
 /// Additive increase of the share, per second.
 const ADDITIVE_INCREASE: f64 = 0.03;
-/// Multiplicative decrease of the share, at each report of overload.
+/// Factor of the share at each report of overload.
 const MULTIPLICATIVE_DECREASE: f64 = 0.88;
 
-/// Least latency that is believed, in milliseconds.
+/// Lower bound of the minimum latency, in milliseconds.
 const MIN_LATENCY_MS: f64 = 1.0;
-/// Latency, as a multiple of the least one, that is no sign of queueing.
+/// Latency, as a multiple of the minimum, up to which queueing is not assumed.
 const LATENCY_TOLERANCE: f64 = 1.6;
-/// How fast the least latency is forgotten, as a share per second.
+/// Growth of the minimum latency without lower samples, as a share per second.
 const MIN_LATENCY_GROWTH: f64 = 0.01;
-/// Least factor by which latency reduces the share.
+/// Minimum factor by which latency reduces the share.
 const MIN_GRADIENT: f64 = 0.5;
-/// Smoothing of the share, per report.
+/// Weight of the new share in the smoothed one, per report.
 const GRADIENT_SMOOTHING: f64 = 0.25;
-/// What is added to the share before it is smoothed.
+/// Increase of the share before smoothing.
 const GRADIENT_INCREASE: f64 = 0.03;
 
 /// Change of the share for a change of the saturation.
@@ -51,9 +52,9 @@
 /// The rule of the limit and its target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyLimitConfig {
-    /// The rule; unspecified means by capacity.
+    /// How the limit is derived from reports; unspecified means `Capacity`.
     pub rule: Rule,
-    /// The saturation to aim at, above 0.
+    /// Saturation that the limit aims at, above 0.
     pub target_saturation: f64,
 }
 
@@ -66,7 +67,7 @@
     }
 }
 
-/// The load of the fleet since the last report. Work counts in seconds of latency objective, retries included.
+/// The load of the fleet since the last report. The unit of work is a second of latency objective; it includes retries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadSample {
     /// Time since the last report, in seconds.
@@ -77,9 +78,9 @@
     pub admitted: f64,
     /// Work that was completed, late or not, per second.
     pub completed: f64,
-    /// Saturation, 0 to 1.
+    /// Saturation of the fleet, 0 to 1.
     pub saturation: f64,
-    /// Mean latency of successful responses, in milliseconds; 0 if there were none.
+    /// Mean latency of successful responses, in milliseconds; 0 without any.
     pub mean_latency_ms: f64,
     /// Total weight of the warm servers.
     pub warm_weight: f64,
@@ -103,19 +104,19 @@
     }
 }
 
-/// The limit and what it has learned.
+/// The limit and the estimates behind it.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimiter {
     config: ConcurrencyLimitConfig,
     admitted_share: f64,
-    /// Work that a unit of warm weight completes in a second; 0 until it is known.
+    /// Work that a unit of warm weight completes per second; 0 until it is known.
     capacity_per_weight: f64,
     min_latency_ms: f64,
     last_saturation: Option<f64>,
 }
 
 impl ConcurrencyLimiter {
-    /// A limiter that admits everything.
+    /// Creates a limiter that admits everything.
     pub fn new(config: ConcurrencyLimitConfig) -> Self {
         ConcurrencyLimiter {
             config,
@@ -126,18 +127,18 @@
         }
     }
 
-    /// The share of work to admit, from [`MIN_ADMITTED_SHARE`] to 1.
+    /// Returns the share of work to admit, from [`MIN_ADMITTED_SHARE`] to 1.
     pub fn admitted_share(&self) -> f64 {
         self.admitted_share
     }
 
-    /// Work that warm servers of this total weight can complete in a second, where it is known.
+    /// Returns the work that warm servers of this total weight can complete per second; `None` until it is known.
     pub fn capacity(&self, warm_weight: f64) -> Option<f64> {
         let is_known = self.capacity_per_weight > 0.0 && warm_weight > 0.0;
         is_known.then_some(self.capacity_per_weight * warm_weight)
     }
 
-    /// Adjusts the share to a report, and returns it. Samples that are negative or not finite are ignored.
+    /// Adjusts the share to a report, and returns it. Ignores samples with negative or non-finite values.
     pub fn update(&mut self, sample: &LoadSample) -> f64 {
         if !sample.is_valid() {
             return self.admitted_share;
@@ -154,9 +155,9 @@
         self.admitted_share
     }
 
-    /// The capacity is at least the throughput. The throughput of a saturated fleet is its capacity, but only if enough work
-    /// was admitted: otherwise the limit itself would pass for weakness of the fleet, and tighten further. While work is held
-    /// back from a fleet that is not saturated, its capacity is assumed to be greater.
+    /// Updates the estimated capacity, which is at least the throughput. The throughput of a saturated fleet is its
+    /// capacity only if enough work was admitted: otherwise the low throughput would result from the limit itself,
+    /// which would tighten further. While work is shed below the target saturation, the estimate grows.
     fn learn_capacity(&mut self, sample: &LoadSample) {
         if sample.warm_weight <= 0.0 {
             return;
@@ -179,7 +180,7 @@
         }
     }
 
-    /// The known capacity over the offered work, corrected by the saturation.
+    /// Returns the ratio of the known capacity to the offered work, corrected by the saturation.
     fn share_by_capacity(&self, sample: &LoadSample) -> f64 {
         let target = self.config.target_saturation;
         // The throughput of a fleet that is not saturated measures the demand, not the capacity.
@@ -199,7 +200,7 @@
         capacity * correction / sample.offered
     }
 
-    /// Additive increase, multiplicative decrease.
+    /// Increases the share additively and decreases it multiplicatively (AIMD).
     fn share_by_aimd(&self, sample: &LoadSample) -> f64 {
         if sample.saturation > self.config.target_saturation {
             self.admitted_share * MULTIPLICATIVE_DECREASE
@@ -208,10 +209,10 @@
         }
     }
 
-    /// The share follows the ratio of the least latency to the current one.
+    /// Scales the share by the ratio of the minimum latency to the current one.
     fn share_by_gradient(&mut self, sample: &LoadSample) -> f64 {
         if sample.mean_latency_ms <= 0.0 {
-            // Without responses the cause is unknown.
+            // Without responses, the latency is unknown.
             return self.admitted_share;
         }
         let min_latency_ms = if self.min_latency_ms > 0.0 {
@@ -227,7 +228,7 @@
         self.admitted_share + GRADIENT_SMOOTHING * (target_share - self.admitted_share)
     }
 
-    /// A proportional-integral controller of the saturation.
+    /// Proportional-integral control of the saturation.
     fn share_by_target(&self, sample: &LoadSample) -> f64 {
         let last_saturation = self.last_saturation.unwrap_or(sample.saturation);
         let change = sample.saturation - last_saturation;
--- a/crates/limits/src/concurrency_limiter/tests.rs
+++ b/crates/limits/src/concurrency_limiter/tests.rs
@@ -13,8 +13,8 @@
     })
 }
 
-/// A fleet that completes 100 a second and queues what is admitted beyond that, with reports that are delayed by some seconds.
-/// Returns the admitted shares.
+/// Simulates a fleet that completes 100 requests a second for each unit of weight and queues admitted requests beyond
+/// that, with reports delayed by `delay` seconds. Returns the admitted shares.
 fn simulate(
     rule: Rule,
     delay: usize,
@@ -29,7 +29,7 @@
         let admitted = offered_now * limiter.admitted_share();
         let completed = (queue + admitted).min(capacity);
         queue = (queue + admitted - capacity).clamp(0.0, 400.0);
-        // A fleet with three seconds of work in the queue is fully saturated.
+        // Three seconds of queued work at unit weight count as full saturation.
         let saturation = (queue / 300.0).min(1.0);
         let sample = LoadSample {
             seconds: 1.0,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Twice the capacity for a minute: about half is admitted, and everything after it.
+/// Under twice the capacity for a minute, about half is admitted; afterwards everything is.
 #[test]
 fn every_rule_finds_the_capacity_and_recovers() {
     for rule in RULES {
@@ -86,7 +86,7 @@
     }
 }
 
-/// The rule by capacity hardly oscillates, however late reports are.
+/// Late reports must not make the capacity rule oscillate.
 #[test]
 fn the_capacity_rule_is_stable_under_steady_overload() {
     let swing = |rule: Rule, delay: usize| {
@@ -111,7 +111,7 @@
     assert!(swing(Rule::Aimd, 2) > swing(Rule::Capacity, 2));
 }
 
-/// Half of the servers are lost: the weight shows it at once, before a queue does.
+/// The loss of half of the servers reduces the warm weight before a queue forms, and the limit must follow the weight.
 #[test]
 fn the_capacity_rule_reacts_to_lost_servers_at_once() {
     let shares = simulate(
@@ -130,7 +130,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Absurd figures must not move the limit beyond its bounds, nor for good.
+    /// Extreme values must not move the limit out of its bounds, nor keep it low after the load is normal again.
     #[test]
     fn any_samples_keep_the_share_in_bounds(
         rule in 0..4usize,
@@ -141,7 +141,7 @@
             let share = limiter.update(&LoadSample { seconds: 1.0, offered, admitted: completed, completed, saturation, mean_latency_ms, warm_weight });
             prop_assert!((MIN_ADMITTED_SHARE..=1.0).contains(&share));
         }
-        // All is well again for ten minutes.
+        // Ten minutes of normal load.
         for _ in 0..600 {
             limiter.update(&LoadSample { seconds: 1.0, offered: 10.0, admitted: 10.0, completed: 10.0, saturation: 0.0, mean_latency_ms: 50.0, warm_weight: 10.0 });
         }
--- a/crates/limits/src/condition.rs
+++ b/crates/limits/src/condition.rs
@@ -5,7 +5,7 @@
 use crate::pb;
 use crate::signals::{Observation, Signal, SignalWindow};
 
-/// Longest time for which a test may have to hold, in seconds: the window of signals covers a minute.
+/// Maximum time for which a test may have to hold, in seconds: the window of signals covers a minute.
 pub const MAX_HOLD_SECONDS: f64 = 30.0;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -20,7 +20,7 @@
     Unknown,
 }
 
-/// The side of its bound on which a signal must lie.
+/// Whether a signal must be above or below its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
     /// Above the bound.
@@ -41,13 +41,13 @@
 /// A test of one signal against a bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SignalTest {
-    /// The signal.
+    /// Signal whose value is compared with the bound.
     pub signal: Signal,
-    /// The side of the bound on which the signal must lie.
+    /// Whether the signal must be above or below the bound.
     pub comparison: Comparison,
-    /// The bound; a value equal to it doesn't pass.
+    /// Bound of the signal's value, exclusive.
     pub bound: f64,
-    /// How long the signal must have passed, in microseconds.
+    /// Time for which the test must have passed, in microseconds.
     pub hold_us: i64,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl SignalTest {
-    /// Whether a value passes.
+    /// Returns whether a value passes.
     pub fn is_passed_by(&self, value: f64) -> bool {
         match self.comparison {
             Comparison::Above => value > self.bound,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The state at a moment. Signals older than `max_age_us` are missing.
+    /// Returns the state at `now_us`. Signals older than `max_age_us` count as missing.
     pub fn state(&self, signals: &SignalWindow, now_us: i64, max_age_us: i64) -> ConditionState {
         if signals.newest(self.signal, now_us, max_age_us).is_none() {
             return ConditionState::Unknown;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// How far the test is from being met.
+    /// Returns how far the test is from being met.
     pub fn status(&self, signals: &SignalWindow, now_us: i64, max_age_us: i64) -> TestStatus {
         let newest = signals.newest(self.signal, now_us, max_age_us);
         let holding_us = self.holding_time_us(signals, max_age_us).unwrap_or(0);
@@ -98,7 +98,7 @@
         signals.holding_time_us(self.signal, max_gap_us, |value| self.is_passed_by(value))
     }
 
-    /// By how much a value misses the bound; 0 if it doesn't.
+    /// Returns by how much a value misses the bound; 0 if it passes.
     fn shortfall(&self, value: f64) -> f64 {
         let distance = match self.comparison {
             Comparison::Above => self.bound - value,
@@ -107,7 +107,7 @@
         distance.max(0.0)
     }
 
-    /// Checks that some value of the signal passes.
+    /// Checks that some value of the signal passes the test.
     fn check_reachable(&self) -> Result<(), ConditionError> {
         let range = self.signal.range();
         let is_unreachable = match self.comparison {
@@ -124,7 +124,7 @@
         })
     }
 
-    /// Whether no value passes both tests.
+    /// Returns whether no value passes both tests.
     fn contradicts(&self, other: &SignalTest) -> bool {
         self.signal == other.signal
             && self.comparison == Comparison::Above
@@ -136,13 +136,13 @@
 /// How far a test is from being met.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TestStatus {
-    /// The test.
+    /// The test that the status describes.
     pub test: SignalTest,
-    /// The newest observation of its signal; `None` where that is missing or too old.
+    /// Newest observation of its signal; `None` if it is missing or too old.
     pub newest: Option<Observation>,
-    /// By how much that misses the bound; 0 where it passes.
+    /// By how much the observation misses the bound, 0 if it passes; `None` without one.
     pub shortfall: Option<f64>,
-    /// How much longer it must pass, in microseconds.
+    /// Time for which the test must still pass, in microseconds.
     pub remaining_hold_us: i64,
 }
 
@@ -151,7 +151,7 @@
 pub struct Condition {
     /// All of these must be met.
     pub all: Vec<SignalTest>,
-    /// One of these must be met, if there are any.
+    /// At least one of these must be met, if there are any.
     pub any: Vec<SignalTest>,
 }
 
@@ -167,23 +167,23 @@
     }
 }
 
-/// Tests as text, with a word between them.
+/// Joins the texts of tests with a separator.
 pub(crate) fn join_tests(tests: &[SignalTest], separator: &str) -> String {
     let texts: Vec<String> = tests.iter().map(SignalTest::to_string).collect();
     texts.join(separator)
 }
 
-/// Why a condition is not accepted. The text completes "it can't be met: ".
+/// Why a condition is rejected. The text completes "the level can't be entered: ".
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum ConditionError {
-    /// It has no test.
+    /// The condition has no test.
     #[error("it has no test")]
     NoTest,
-    /// A test names no signal.
-    #[error("a test without a signal: give one, such as SATURATION")]
+    /// A test has no signal.
+    #[error("a test has no signal: give one, such as SATURATION")]
     MissingSignal,
     /// A test has no bound.
-    #[error("{signal} without a bound: give above or below")]
+    #[error("{signal} has no bound: give above or below")]
     MissingBound {
         /// The signal of the test.
         signal: Signal,
@@ -194,34 +194,34 @@
         /// The signal of the test.
         signal: Signal,
     },
-    /// No value of its signal passes a test.
-    #[error("{test} is never so: {} lies from {min} to {max}", .test.signal)]
+    /// A test that no value of its signal passes.
+    #[error("{test} can never be met: {} ranges from {min} to {max}", .test.signal)]
     NeverMet {
-        /// The test.
+        /// The test that is never met.
         test: SignalTest,
-        /// The least value of the signal.
+        /// Minimum value of the signal.
         min: f64,
-        /// The greatest value of the signal.
+        /// Maximum value of the signal.
         max: f64,
     },
-    /// Two tests can't be met together.
+    /// Two tests that can't be met at the same time.
     #[error("{above} and {below} contradict each other")]
     Contradiction {
-        /// The test that wants greater values.
+        /// The test for values above a bound.
         above: SignalTest,
-        /// The test that wants smaller values.
+        /// The test for values below a bound.
         below: SignalTest,
     },
 }
 
 impl Condition {
-    /// The tests of both lists.
+    /// Returns the tests of both lists.
     pub fn tests(&self) -> impl Iterator<Item = &SignalTest> {
         self.all.iter().chain(&self.any)
     }
 
-    /// The state at a moment, without the tests of signals that `is_excluded` names; `Unknown` if no test is left. Signals
-    /// older than `max_age_us` are missing.
+    /// Returns the state at `now_us`, without the tests of signals for which `is_excluded` is true; `Unknown` if no
+    /// test remains. Signals older than `max_age_us` count as missing.
     pub fn state(
         &self,
         signals: &SignalWindow,
@@ -247,11 +247,11 @@
         }
     }
 
-    /// Checks that it could be met for some values of its signals.
+    /// Checks that some values of the signals meet the condition.
     ///
     /// # Errors
     ///
-    /// If it has no test, or tests that no value passes.
+    /// If the condition has no test, a test that no value passes, or two tests that contradict each other.
     pub fn check_reachable(&self) -> Result<(), ConditionError> {
         if self.all.is_empty() && self.any.is_empty() {
             return Err(ConditionError::NoTest);
@@ -275,7 +275,7 @@
     ///
     /// # Errors
     ///
-    /// The first fault of its tests, or that it could never be met.
+    /// The first invalid test, or a condition that can never be met.
     pub fn read(declared: &pb::Condition) -> Result<Condition, ConditionError> {
         let condition = Condition {
             all: read_tests(&declared.all)?,
@@ -286,7 +286,7 @@
     }
 }
 
-/// The state of tests that must all be met; met if there are none.
+/// Combines the states of tests that must all be met; met if there are none.
 fn conjunction(states: &[ConditionState]) -> ConditionState {
     if states.contains(&ConditionState::NotMet) {
         ConditionState::NotMet
@@ -297,7 +297,7 @@
     }
 }
 
-/// The state of tests of which one must be met; met if there are none.
+/// Combines the states of tests of which one must be met; met if there are none.
 fn disjunction(states: &[ConditionState]) -> ConditionState {
     if states.is_empty() || states.contains(&ConditionState::Met) {
         ConditionState::Met
--- a/crates/limits/src/condition/tests.rs
+++ b/crates/limits/src/condition/tests.rs
@@ -109,7 +109,7 @@
     assert_eq!(
         state(&[has_headroom], &[], true),
         ConditionState::Unknown,
-        "no test is left"
+        "no test remains"
     );
 }
 
@@ -126,7 +126,7 @@
     assert!(reachability_error(&[]).to_string().contains("no test"));
     assert!(reachability_error(&[above(Signal::LateResponses, 1.0, 0)])
         .to_string()
-        .contains("never so"));
+        .contains("can never be met"));
     assert!(reachability_error(&[
         above(Signal::LateResponses, 0.5, 0),
         below(Signal::LateResponses, 0.4)
--- a/crates/limits/src/config_error.rs
+++ b/crates/limits/src/config_error.rs
@@ -1,23 +1,23 @@
-//! Faults in the operators' configuration of overload control, with their place in the text.
+//! Errors in the operators' configuration of overload control, with their position in the text.
 
 use chutegrade_textproto::{find_field, find_field_in_block, Position};
 
 use crate::condition::ConditionError;
 
-/// One fault in the configuration.
+/// One error in the configuration.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{problem}")]
 pub struct ConfigError {
-    /// The service level, counted from 0, if the fault belongs to one.
+    /// Index of the service level that the error belongs to; `None` for an error outside the levels.
     pub level: Option<usize>,
-    /// The field, as the operators' file names it.
+    /// Name of the field in the operators' file.
     pub field: &'static str,
-    /// What is wrong, and what would be right.
+    /// Why the field is rejected.
     pub problem: ConfigProblem,
 }
 
 impl ConfigError {
-    /// The place of the fault in the text from which the configuration was read.
+    /// Returns the position of the error in the text from which the configuration was read.
     pub fn position(&self, text: &str) -> Option<Position> {
         let Some(level) = self.level else {
             return find_field(text, self.field);
@@ -27,115 +27,115 @@
     }
 }
 
-/// What is wrong, and what would be right.
+/// Why a field is rejected. The text also states what would be valid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigProblem {
-    /// A figure is out of range.
-    #[error("{field} is {value}: give a figure from {min} to {max}")]
+    /// A number is out of range.
+    #[error("{field} is {value}: must be from {min} to {max}")]
     OutOfRange {
-        /// The field.
+        /// Name of the field in the operators' file.
         field: &'static str,
-        /// The value that is given.
+        /// Declared value.
         value: f64,
-        /// The least value that is accepted.
+        /// Minimum accepted value.
         min: f64,
-        /// The greatest value that is accepted.
+        /// Maximum accepted value.
         max: f64,
     },
     /// A duration is out of range.
-    #[error("{field} is {seconds}: give seconds from 0 to {max}")]
+    #[error("{field} is {seconds}: must be from 0 to {max} seconds")]
     SecondsOutOfRange {
-        /// The field.
+        /// Name of the field in the operators' file.
         field: &'static str,
-        /// The duration that is given, in seconds.
+        /// Declared duration, in seconds.
         seconds: f64,
-        /// The greatest value that is accepted.
+        /// Maximum accepted value.
         max: f64,
     },
-    /// The default levels are asked for, and levels are given.
-    #[error("the usual ladder has its own levels: give either")]
+    /// The default levels are enabled, and levels are declared as well.
+    #[error("usual: true can't be combined with declared levels: give only one of them")]
     DefaultAndOwnLevels,
-    /// There is no level.
-    #[error("a ladder without a level: give levels, or usual: true")]
+    /// No level is declared, and the default levels are not enabled.
+    #[error("ladder has no level: declare levels or set usual: true")]
     NoLevels,
     /// There are too many levels.
-    #[error("{count} levels are too many: at most {limit}")]
+    #[error("{count} levels are declared: at most {limit} are accepted")]
     TooManyLevels {
-        /// How many are given.
+        /// Number of declared levels.
         count: usize,
-        /// How many are accepted.
+        /// Maximum number of levels.
         limit: usize,
     },
     /// The name is too long, or has characters that are not allowed.
-    #[error("{level:?}: give up to {max_length} letters, digits, blanks, - and _")]
+    #[error("the level name {level:?} is invalid: use up to {max_length} letters, digits, spaces, - and _")]
     InvalidName {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
-        /// The most characters.
+        /// Maximum number of characters.
         max_length: usize,
     },
-    /// Another level, or full service, has the name.
-    #[error("{level:?} is taken: every level has a name of its own")]
+    /// An earlier level, or full service, has the same name.
+    #[error("the level name {level:?} is already in use: names must be unique")]
     DuplicateName {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
     },
-    /// There is no such class.
+    /// The configuration has no class of this name.
     #[error("no class {class:?}")]
     UnknownClass {
-        /// The name of the class.
+        /// Name of the class.
         class: String,
     },
     /// The admitted share of a class is out of range.
-    #[error("{level:?} keeps {share} of {class}: give a share from {min} to 1")]
+    #[error("{level:?} keeps {share} of {class}: must be from {min} to 1")]
     ShareOutOfRange {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
-        /// The name of the class.
+        /// Name of the class.
         class: String,
         /// The admitted share.
         share: f64,
-        /// The least value that is accepted.
+        /// Minimum accepted value.
         min: f64,
     },
     /// The level reduces no class.
-    #[error("{level:?} sheds nothing: say of which class how much is kept")]
+    #[error("{level:?} sheds nothing: declare at least one class to shed")]
     ShedsNothing {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
     },
-    /// The level has no condition for being entered or left.
-    #[error("{level:?} can't be {event}: give a condition")]
+    /// The level has no condition for entering or leaving it.
+    #[error("{level:?} can't be {event}: its condition is missing")]
     MissingCondition {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
-        /// What the condition is for.
+        /// Event that the condition is for.
         event: LevelEvent,
     },
-    /// A condition is not accepted.
+    /// A condition is rejected.
     #[error("{level:?} can't be {event}: {source}")]
     InvalidCondition {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
-        /// What the condition is for.
+        /// Event that the condition is for.
         event: LevelEvent,
-        /// Why it is not accepted.
+        /// Why it is rejected.
         source: ConditionError,
     },
-    /// The least duration of the level is out of range.
-    #[error("{level:?} stays {seconds}: give seconds from 0 to {max}")]
+    /// The minimum duration of the level is out of range.
+    #[error("least_stay_s of {level:?} is {seconds}: must be from 0 to {max} seconds")]
     MinDurationOutOfRange {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
-        /// The duration that is given, in seconds.
+        /// Declared duration, in seconds.
         seconds: f64,
-        /// The greatest value that is accepted.
+        /// Maximum accepted value.
         max: f64,
     },
-    /// The conditions for entering and leaving can be met at once, or nearly.
-    #[error("{level:?} could be entered and left at once ({enter}; {leave}): leave a gap of a tenth between them")]
+    /// The conditions for entering and leaving can be met by the same signals, or nearly so.
+    #[error("{level:?} could be entered and left by the same signals ({enter}; {leave}): keep a gap of a tenth between the bounds")]
     NoHysteresis {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
         /// Tests for entering.
         enter: String,
@@ -143,38 +143,38 @@
         leave: String,
     },
     /// The level sheds more of a class than of one with a lower priority.
-    #[error("{level:?} sheds more of {higher}, which is dearer, than of {lower}")]
+    #[error("{level:?} sheds more of {higher}, which has a higher priority, than of {lower}")]
     ShedsHigherPriorityFirst {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
         /// The class with the higher priority.
         higher: String,
         /// The class with the lower priority.
         lower: String,
     },
-    /// The level after it admits more of a class.
-    #[error("{next:?} keeps more of {class} than {level:?}, which keeps {share}: levels go from mild to severe")]
+    /// The next level admits more of a class.
+    #[error("{next:?} keeps more of {class} than {level:?}, which keeps {share}: order levels from mild to severe")]
     NotOrderedBySeverity {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
-        /// The name of the level after it.
+        /// Name of the next level.
         next: String,
-        /// The name of the class.
+        /// Name of the class.
         class: String,
         /// The admitted share.
         share: f64,
     },
-    /// The level after it is entered whenever this one would be.
-    #[error("{level:?} is never entered: whenever it would be, {next:?} is already")]
+    /// The next level is entered whenever this one would be.
+    #[error("{level:?} is never entered: its condition implies that of {next:?}")]
     NeverEntered {
-        /// The name of the level.
+        /// Name of the level.
         level: String,
-        /// The name of the level after it.
+        /// Name of the next level.
         next: String,
     },
 }
 
-/// What a condition of a level is for.
+/// The event that a condition of a level permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LevelEvent {
     /// The level is entered.
@@ -186,7 +186,7 @@
 impl std::fmt::Display for LevelEvent {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            LevelEvent::Entered => "reached",
+            LevelEvent::Entered => "entered",
             LevelEvent::Left => "left",
         })
     }
--- a/crates/limits/src/default_levels.rs
+++ b/crates/limits/src/default_levels.rs
@@ -5,31 +5,32 @@
 use crate::signals::Signal;
 use crate::{lowest_priority_first, Class};
 
-/// Saturation at which the first level is entered: the policy sheds from 0.2 on, and levels begin where that is noticeable.
+/// Saturation at which the first level is entered: the policy sheds by itself from 0.2 on, and levels begin once that
+/// is noticeable.
 const FIRST_ENTER_SATURATION: f64 = 0.35;
-/// Saturation at which the last level is entered, before the policy sheds all classes alike.
+/// Saturation at which the last level is entered: below that at which the policy sheds all classes alike.
 const LAST_ENTER_SATURATION: f64 = 0.85;
-/// Saturation must fall by this much before a level may be left.
+/// Distance below the saturation for entering a level at which the level may be left.
 const SATURATION_HYSTERESIS: f64 = 0.2;
-/// Headroom from which a level may be left.
+/// Headroom above which a level may be left.
 const MIN_LEAVE_HEADROOM: f64 = 1.1;
-/// How long the condition for entering must hold, in microseconds: one report.
+/// Time for which the condition for entering must hold, in microseconds: one report period.
 const ENTER_HOLD_US: i64 = 1_000_000;
-/// How long the condition for leaving must hold, in microseconds: three reports.
+/// Time for which the condition for leaving must hold, in microseconds: three report periods.
 const LEAVE_HOLD_US: i64 = 3_000_000;
-/// Least duration of a level, in microseconds.
+/// Minimum duration of a level, in microseconds.
 const MIN_DURATION_US: i64 = 8_000_000;
-/// The share of a class that is admitted in the first level that reduces it.
+/// Share of a class that the first level to reduce it admits.
 const HALF_SHARE: f64 = 0.5;
 
-/// A level before it has its conditions.
+/// A level without its conditions.
 struct Step {
     name: String,
     admitted_shares: Vec<AdmittedShare>,
 }
 
-/// The default levels: each class but the one with the highest value is halved, then reduced to the least share, the lowest
-/// value first; the class with the highest value is halved last, as the load may consist of nothing else.
+/// Returns the default levels. In order of increasing value, each class is halved and then reduced to the minimum
+/// share; the class with the highest value is only halved, as the whole load may belong to it.
 pub fn levels(classes: &[Class]) -> Vec<ServiceLevel> {
     let steps = steps(classes);
     let last = steps.len().saturating_sub(1);
@@ -67,7 +68,7 @@
     steps
 }
 
-/// The saturation at which a level is entered, evenly spaced between the first and the last level.
+/// Returns the saturation at which a level is entered, evenly spaced between the first and the last level.
 fn enter_saturation(index: usize, last: usize) -> f64 {
     let progress = if last > 0 {
         index as f64 / last as f64
--- a/crates/limits/src/default_levels/tests.rs
+++ b/crates/limits/src/default_levels/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_highest_priority_is_reduced_last_and_never_to_the_least_share() {
+fn the_highest_priority_is_reduced_last_and_never_to_the_minimum_share() {
     let levels = levels(&[class("file", 8.0, 1.5), class("read", 2.0, 0.6)]);
     let shares: Vec<(&str, f64, f64)> = levels
         .iter()
--- a/crates/limits/src/heavy_hitters.rs
+++ b/crates/limits/src/heavy_hitters.rs
@@ -1,29 +1,29 @@
-//! The keys with the greatest weight: a Space-Saving sketch (Metwally, Agrawal, El Abbadi) in memory that doesn't grow with the
-//! number of keys. It overestimates a key by no more than the smallest count that it holds.
+//! Heavy hitters by a Space-Saving sketch (Metwally, Agrawal, El Abbadi), whose memory does not grow with the number of
+//! keys. It overestimates the weight of a key by at most the smallest weight in the sketch.
 
 use rustc_hash::FxHashMap;
 
-/// Default number of counters: finds all keys that have more than a sixty-fourth of the total.
+/// Default number of counters, which finds all keys with more than 1/64 of the total weight.
 pub const DEFAULT_COUNTERS: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
 struct Counter {
     key: u32,
     weight: f64,
-    /// The most by which the weight may be too high.
+    /// Maximum overestimation of the weight.
     error: f64,
 }
 
-/// A key and its least weight.
+/// A key and a lower bound of its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeavyHitter {
-    /// The key.
+    /// Identifier of what the weight was counted for, such as a proxy.
     pub key: u32,
-    /// The weight that it has at least.
+    /// Lower bound of the weight.
     pub weight: f64,
 }
 
-/// The sketch.
+/// A Space-Saving sketch.
 #[derive(Clone, Debug)]
 pub struct HeavyHitters {
     /// A binary heap with the smallest weight first.
@@ -35,7 +35,7 @@
 }
 
 impl HeavyHitters {
-    /// An empty sketch with a number of counters, at least one.
+    /// Creates an empty sketch with `capacity` counters, but at least one.
     pub fn new(capacity: usize) -> Self {
         let capacity = capacity.max(1);
         HeavyHitters {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Adds weight to a key. Weights that are not positive and finite are ignored.
+    /// Adds weight to a key. Ignores weights that are not positive and finite.
     pub fn add(&mut self, key: u32, weight: f64) {
         if !weight.is_finite() || weight <= 0.0 {
             return;
@@ -85,7 +85,7 @@
         self.sift_down(0);
     }
 
-    /// Multiplies all weights by a factor from 0 to 1; others are ignored.
+    /// Multiplies all weights by a factor from 0 to 1. Ignores other factors.
     pub fn decay(&mut self, factor: f64) {
         if !(0.0..=1.0).contains(&factor) {
             return;
@@ -97,12 +97,12 @@
         self.total_weight *= factor;
     }
 
-    /// The weight of all keys.
+    /// Returns the total weight of all keys.
     pub fn total_weight(&self) -> f64 {
         self.total_weight
     }
 
-    /// The keys that surely have more than a weight, the heaviest first.
+    /// Returns the keys whose lower bound exceeds `min_weight`, the heaviest first.
     pub fn heavier_than(&self, min_weight: f64) -> Vec<HeavyHitter> {
         let hitters = self.heap.iter().map(|counter| HeavyHitter {
             key: counter.key,
--- a/crates/limits/src/heavy_hitters/tests.rs
+++ b/crates/limits/src/heavy_hitters/tests.rs
@@ -30,8 +30,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Against an exact table: never below the weight of a key, above it by no more than the bound, no heavy key
-    /// missing.
+    /// Compared with an exact table, the sketch never underestimates a key, overestimates it by at most the bound, and
+    /// has every heavy key.
     #[test]
     fn the_error_stays_within_its_bound(additions in prop::collection::vec((0..200u32, 0.1..10.0f64), 1..2000), capacity in 4..40usize) {
         let mut hitters = HeavyHitters::new(capacity);
--- a/crates/limits/src/level_checks.rs
+++ b/crates/limits/src/level_checks.rs
@@ -1,18 +1,19 @@
-//! Checks on service levels as a whole: levels that would oscillate, that are never entered, that are not ordered by severity,
-//! or that shed a higher priority before a lower one.
+//! Checks of service levels as a whole: levels that would oscillate, that are never entered, that are not ordered by
+//! severity, or that shed a higher priority before a lower one.
 
 use crate::condition::{join_tests, Comparison, Condition, SignalTest};
 use crate::config_error::{ConfigError, ConfigProblem};
 use crate::service_levels::{ServiceLevel, ServiceLevels, FULL_SERVICE};
 use crate::{lowest_priority_first, Class};
 
-/// Least gap between the bounds for entering and leaving, as a share of the greater one: signals are that noisy.
+/// Minimum gap between the bounds for entering and leaving, as a share of the greater one; it exceeds the noise of
+/// signals.
 pub const MIN_HYSTERESIS: f64 = 0.1;
 /// Rounding error of a difference of bounds.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 impl ServiceLevels {
-    /// The faults of levels that are each valid by themselves. Without classes, priorities are not checked.
+    /// Returns the errors of levels that are each valid by themselves. Without classes, priorities are not checked.
     pub fn check(&self, classes: Option<&[Class]>) -> Vec<ConfigError> {
         let mut errors = Vec::new();
         for (index, level) in self.levels.iter().enumerate() {
@@ -45,7 +46,7 @@
     }
 }
 
-/// A level must not be entered and left under the same signals, nor oscillate under their noise.
+/// Checks that a level is not entered and left by the same signals, nor oscillates with their noise.
 fn check_hysteresis(level: &ServiceLevel) -> Option<ConfigProblem> {
     let enter_alternatives = alternatives(&level.enter);
     let leave_alternatives = alternatives(&level.leave);
@@ -63,7 +64,7 @@
     None
 }
 
-/// A level must not admit less of a class than of one with a lower priority.
+/// Checks that a level does not admit less of a class than of one with a lower priority.
 fn check_priorities(level: &ServiceLevel, classes: &[Class]) -> Option<ConfigProblem> {
     let order = lowest_priority_first(classes);
     for (rank, index) in order.iter().enumerate() {
@@ -84,7 +85,7 @@
     None
 }
 
-/// A level must admit no more of any class than the milder one before it.
+/// Checks that the next level admits no more of any class than this milder one.
 fn check_severity(level: &ServiceLevel, next: &ServiceLevel) -> Option<ConfigProblem> {
     let milder = level
         .admitted_shares
@@ -98,7 +99,7 @@
     })
 }
 
-/// A level must not be entered only when the more severe one after it is entered as well.
+/// Checks that the condition for entering a level does not imply that of the more severe next one.
 fn check_reachable(level: &ServiceLevel, next: &ServiceLevel) -> Option<ConfigProblem> {
     implies(&level.enter, &next.enter).then(|| ConfigProblem::NeverEntered {
         level: level.name.clone(),
@@ -106,7 +107,7 @@
     })
 }
 
-/// The sets of tests that each meet a condition.
+/// Returns the sets of tests of which each meets the condition.
 fn alternatives(condition: &Condition) -> Vec<Vec<SignalTest>> {
     if condition.any.is_empty() {
         return vec![condition.all.clone()];
@@ -119,13 +120,13 @@
     condition.any.iter().map(with_alternative).collect()
 }
 
-/// Whether two sets of tests exclude each other with a gap.
+/// Returns whether two sets of tests exclude each other with a gap.
 fn are_separated(enter: &[SignalTest], leave: &[SignalTest]) -> bool {
     let has_opposite = |one: &SignalTest| leave.iter().any(|other| have_gap(one, other));
     enter.iter().any(has_opposite)
 }
 
-/// Whether two tests of a signal exclude each other with the least gap between their bounds.
+/// Returns whether two tests of a signal exclude each other with the minimum gap between their bounds.
 fn have_gap(one: &SignalTest, other: &SignalTest) -> bool {
     if one.signal != other.signal || one.comparison == other.comparison {
         return false;
@@ -138,7 +139,7 @@
     above.bound - below.bound >= min_gap - ROUNDING_TOLERANCE
 }
 
-/// Whether the second condition is met whenever the first one is.
+/// Returns whether the second condition is met whenever the first one is.
 fn implies(first: &Condition, second: &Condition) -> bool {
     let second_alternatives = alternatives(second);
     alternatives(first).iter().all(|tests| {
@@ -148,13 +149,13 @@
     })
 }
 
-/// Whether tests that are met together imply each of some others.
+/// Returns whether tests that are all met imply all of the others.
 fn all_imply(tests: &[SignalTest], others: &[SignalTest]) -> bool {
     let is_implied = |other: &SignalTest| tests.iter().any(|test| is_stricter(test, other));
     others.iter().all(is_implied)
 }
 
-/// Whether a test is at least as strict as another one.
+/// Returns whether a test is at least as strict as another one.
 fn is_stricter(test: &SignalTest, other: &SignalTest) -> bool {
     if test.signal != other.signal || test.comparison != other.comparison {
         return false;
--- a/crates/limits/src/level_config.rs
+++ b/crates/limits/src/level_config.rs
@@ -5,29 +5,29 @@
 use crate::service_levels::{AdmittedShare, ServiceLevel, ServiceLevels, MIN_CLASS_SHARE};
 use crate::{default_levels, pb, Class};
 
-/// Most levels: what an operator can tell apart at a glance.
+/// Maximum number of levels; operators can't distinguish more at a glance.
 pub const MAX_LEVELS: usize = 12;
-/// Most characters in the name of a level.
+/// Maximum length of a level's name, in characters.
 const MAX_NAME_LENGTH: usize = 40;
-/// Longest time that may be given, in seconds: beyond it a level has to be held by hand.
+/// Maximum duration that may be declared, in seconds; beyond it, operators have to maintain a level manually.
 const MAX_SECONDS: f64 = 3600.0;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Twice the time in which a change of level takes effect and shows in the signals, in seconds.
+/// Default of `least_stay_s`: twice the time until a change of level takes effect and shows in the signals.
 const DEFAULT_MIN_DURATION_SECONDS: f64 = 8.0;
 /// Default of `without_signals_s`.
 const DEFAULT_SIGNAL_LOSS_TIMEOUT_SECONDS: f64 = 15.0;
-/// Default of `signal_most_age_s`: a few missing reports.
+/// Default of `signal_most_age_s`: tolerates a few missing reports.
 const DEFAULT_MAX_SIGNAL_AGE_SECONDS: f64 = 5.0;
 /// Default of `doubt_list_s`: longer than the delay of an endpoint list.
 const DEFAULT_ENDPOINT_LIST_TIMEOUT_SECONDS: f64 = 60.0;
 
 impl ServiceLevels {
-    /// Reads and checks service levels. Without classes, what depends on them is not checked.
+    /// Reads and checks service levels. Without classes, skips the checks that depend on them.
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// All errors.
     pub fn read(
         declared: &pb::Ladder,
         classes: Option<&[Class]>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Collects faults while it reads.
+/// Collects errors while it reads.
 struct LevelReader<'a> {
     classes: Option<&'a [Class]>,
     errors: Vec<ConfigError>,
@@ -219,7 +219,7 @@
         microseconds(seconds)
     }
 
-    /// A duration that belongs to all levels.
+    /// Checks a duration that applies to all levels, and converts it.
     fn duration_us(&mut self, field: &'static str, seconds: f64) -> i64 {
         if !is_valid_duration(seconds) {
             let problem = ConfigProblem::SecondsOutOfRange {
--- a/crates/limits/src/level_config/tests.rs
+++ b/crates/limits/src/level_config/tests.rs
@@ -58,12 +58,12 @@
     );
 }
 
-/// Two levels, with a change in the text of the severe one.
+/// Returns two levels, with a replacement in the text of the severe one.
 fn with_severe_level(from: &str, to: &str) -> String {
     format!("{MILD_LEVEL}{}", SEVERE_LEVEL.replace(from, to))
 }
 
-/// A text has an error with these words, and the error names its line.
+/// Asserts that a text has an error that contains `expected`, at this line.
 fn expect_error(text: &str, line: usize, expected: &str) {
     let errors = parse(text).expect_err(text);
     let found = errors
@@ -80,11 +80,11 @@
 #[test]
 fn errors_between_levels_have_their_lines() {
     let swapped = format!("{SEVERE_LEVEL}{MILD_LEVEL}");
-    expect_error(&swapped, 4, "levels go from mild to severe");
+    expect_error(&swapped, 4, "order levels from mild to severe");
     let same_condition = with_severe_level("above: 0.7", "above: 0.4");
     expect_error(&same_condition, 2, "is never entered");
     let same_name = with_severe_level("petitions first", "calm reads");
-    expect_error(&same_name, 4, "is taken");
+    expect_error(&same_name, 4, "is already in use");
 }
 
 #[test]
@@ -92,12 +92,17 @@
     let expect = |from: &str, to: &str, line: usize, expected: &str| {
         expect_error(&MILD_LEVEL.replace(from, to), line, expected);
     };
-    expect("below: 0.2", "below: 0.39", 3, "entered and left at once");
+    expect(
+        "below: 0.2",
+        "below: 0.39",
+        3,
+        "entered and left by the same signals",
+    );
     expect(
         "SATURATION below: 0.2",
         "LATE below: 0.2",
         3,
-        "entered and left at once",
+        "entered and left by the same signals",
     );
     let without_leave = MILD_LEVEL
         .split("leave")
@@ -109,9 +114,9 @@
         "above: 1.2",
         "below: 0",
         3,
-        "can't be left: ROOM below 0 is never so",
+        "can't be left: ROOM below 0 can never be met",
     );
-    expect("above: 0.4", "above: 1", 2, "can't be reached");
+    expect("above: 0.4", "above: 1", 2, "can't be entered");
     expect("for_s: 1", "for_s: 99", 2, "for_s from 0 to 30");
 }
 
@@ -123,10 +128,10 @@
     expect(
         "status-read",
         "petition-file",
-        "sheds more of petition-file, which is dearer",
+        "sheds more of petition-file, which has a higher priority",
     );
     expect("status-read", "nothing", "no class \"nothing\"");
-    expect("keep: 0.5", "keep: 0", "give a share from 0.1 to 1");
+    expect("keep: 0.5", "keep: 0", "must be from 0.1 to 1");
 }
 
 #[test]
@@ -135,8 +140,11 @@
         let errors = parse(text).expect_err(text);
         assert!(errors[0].to_string().contains(expected), "{errors:?}");
     };
-    expect_first("", "without a level");
-    expect_first(&format!("usual: true {MILD_LEVEL}"), "give either");
+    expect_first("", "ladder has no level");
+    expect_first(
+        &format!("usual: true {MILD_LEVEL}"),
+        "give only one of them",
+    );
     expect_first("usual: true doubt_list_s: -1", "doubt_list_s is -1");
 }
 
--- a/crates/limits/src/level_history.rs
+++ b/crates/limits/src/level_history.rs
@@ -1,18 +1,18 @@
-//! The backoff of service levels that are entered again soon after they were left.
+//! The backoff of service levels that are re-entered soon after they were left.
 
-/// A level that is entered again within this time of being left was left too early, in microseconds.
+/// Time after a level was left within which entering it again lengthens its minimum duration, in microseconds.
 const REENTRY_WINDOW_US: i64 = 60_000_000;
-/// The least duration of a level grows by this factor at each early return.
+/// Factor by which the minimum duration of a level grows at each early re-entry.
 const DURATION_BACKOFF_FACTOR: i64 = 2;
-/// The least duration of a level grows to at most this multiple.
+/// Maximum multiple of the minimum duration.
 const MAX_DURATION_FACTOR: i64 = 8;
 
-/// When a level was last left, and the backoff of its least duration.
+/// When a level was last left, and the backoff of its minimum duration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LevelHistory {
-    /// When it was last left and has not been entered since, in microseconds.
+    /// When it was last left, in microseconds; `None` if it was entered since or never left.
     pub left_at_us: Option<i64>,
-    /// The multiple of the declared least duration that holds now.
+    /// Current multiple of the declared minimum duration.
     pub duration_factor: i64,
 }
 
@@ -23,7 +23,7 @@
         duration_factor: 1,
     };
 
-    /// Lengthens the least duration if the level is entered soon after it was left, and resets it if much later.
+    /// Lengthens the minimum duration if the level is entered soon after it was left, and resets it otherwise.
     pub fn enter(&mut self, now_us: i64) {
         let Some(left_at_us) = self.left_at_us.take() else {
             return;
--- a/crates/limits/src/level_transition.rs
+++ b/crates/limits/src/level_transition.rs
@@ -1,4 +1,5 @@
-//! What the state machine of service levels reports: changes of level, their reasons, and how far conditions are from being met.
+//! Output of the state machine of service levels: changes of level, their reasons, and how far conditions are from
+//! being met.
 
 use crate::condition::{ConditionState, TestStatus};
 use crate::signals::SignalReading;
@@ -10,9 +11,10 @@
     Entered,
     /// The condition for leaving the old level was met.
     Left,
-    /// Signals were missing for too long.
+    /// Signals of the condition for leaving were missing for too long.
     SignalsLost,
-    /// All measured signals had recovered for so long that those that depend on the endpoint list were overruled.
+    /// The condition for leaving was met for a long time except for signals that depend on the endpoint list, which
+    /// were therefore ignored.
     EndpointListOverruled,
     /// The configuration was replaced.
     Replaced,
@@ -21,7 +23,7 @@
 }
 
 impl TransitionReason {
-    /// The reason as records have it.
+    /// Returns the text of the reason in records.
     pub fn as_str(self) -> &'static str {
         match self {
             TransitionReason::Entered => "entered",
@@ -45,18 +47,18 @@
     pub number: usize,
     /// Why it changed.
     pub reason: TransitionReason,
-    /// The condition that was met, or what else decided.
+    /// The condition that was met, or another cause, as text.
     pub condition: String,
-    /// All signals that the conditions use.
+    /// Newest values of all signals that the conditions use.
     pub readings: Vec<SignalReading>,
-    /// Who is to be notified.
+    /// Whom to notify, as the new level declares.
     pub notify: Vec<String>,
 }
 
 /// A condition that would change the level, and how far its tests are from being met.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConditionStatus {
-    /// The name of the level that would follow.
+    /// The name of the level that would be entered.
     pub to: String,
     /// Whether that level is more severe than the current one.
     pub is_escalation: bool,
@@ -64,9 +66,9 @@
     pub condition: String,
     /// The state of the condition.
     pub state: ConditionState,
-    /// Each of its tests.
+    /// How far each of its tests is from being met.
     pub tests: Vec<TestStatus>,
-    /// How much longer the current level lasts at least, in microseconds; 0 for an escalation.
+    /// Rest of the current level's minimum duration, in microseconds; 0 for an escalation.
     pub remaining_duration_us: i64,
 }
 
@@ -74,24 +76,24 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RestoreError {
     /// No service levels are configured.
-    #[error("there is no ladder any more")]
+    #[error("no service levels are configured")]
     NoLevels,
-    /// The snapshot is too old, or from the future.
+    /// The snapshot is too old, or its time is in the future.
     #[error(
-        "{level:?} was in force {age_seconds:.0} s ago, at most {max_age_seconds} s are bridged"
+        "the saved level {level:?} is {age_seconds:.0} s old, at most {max_age_seconds} s are accepted"
     )]
     Expired {
-        /// The level.
+        /// Name of the saved level.
         level: String,
         /// The age of the snapshot, in seconds.
         age_seconds: f64,
-        /// The greatest age that is accepted, in seconds.
+        /// Maximum accepted age, in seconds.
         max_age_seconds: i64,
     },
     /// No level has the name.
-    #[error("no level {level:?} in this ladder")]
+    #[error("no level {level:?} is configured")]
     UnknownLevel {
-        /// The level.
+        /// Name of the saved level.
         level: String,
     },
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,8 +1,8 @@
-//! Overload control: named service levels with declared conditions, an adaptive concurrency limit, retry budgets, and the
-//! detection of heavy hitters among the proxies.
+//! Overload control: named service levels with declared conditions, an adaptive concurrency limit, retry budgets, and
+//! the detection of heavy hitters among the proxies.
 //!
-//! No I/O, no clock, no randomness: the output is a function of the input. Times are `i64` microseconds, in names that end in
-//! `_us`. The crate only advises; the policy decides how its limits combine with other rules.
+//! The crate has no I/O, clock or randomness: its output is a function of its input. Times are `i64` microseconds, in
+//! names that end in `_us`. The crate only proposes limits; the policy decides how they combine with other rules.
 
 pub mod class;
 pub mod concurrency_limiter;
@@ -21,13 +21,13 @@
 pub mod signals;
 pub mod transitions;
 
-/// The types of the schema `proto/limits.proto`, as generated.
+/// Types generated from `proto/limits.proto`.
 #[allow(missing_docs, clippy::all, clippy::doc_markdown)]
 pub mod pb {
     include!(concat!(env!("OUT_DIR"), "/chutegrade.limits.v1.rs"));
 }
 
-/// The encoded descriptors of the schema, for parsers of messages that contain limits.
+/// Encoded descriptors of `proto/limits.proto`, for parsers of messages that contain limits.
 pub const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/limits.bin"));
 
 pub use class::{lowest_priority_first, Class, Idempotency};
--- a/crates/limits/src/manager.rs
+++ b/crates/limits/src/manager.rs
@@ -1,5 +1,6 @@
-//! The overload manager: derives signals from reports, runs the service levels, the concurrency limit and the retry budget on
-//! them, and decides the limits that follow. The caller hands these to the policy at each evaluation; they expire otherwise.
+//! The overload manager: derives signals from reports, evaluates the service levels, the concurrency limit and the
+//! retry budget, and decides limits. The caller passes the limits to the policy at each evaluation; limits that are not
+//! renewed expire.
 
 mod config;
 mod decision;
@@ -22,11 +23,11 @@
 use crate::{lowest_priority_first, Class};
 use traffic::{TrafficRates, TrafficSummary};
 
-/// How much of the load of proxies is kept, per second.
+/// Factor by which the counted load of proxies decays, per second.
 const PROXY_LOAD_RETENTION: f64 = 0.97;
-/// Most report periods that reports after a pause are taken to cover.
+/// Maximum number of report periods that reports cover after a pause.
 const MAX_PERIODS_COVERED: i64 = 2;
-/// Least time that reports are taken to cover, in microseconds.
+/// Minimum time that reports cover, in microseconds.
 const MIN_ELAPSED_US: i64 = 100_000;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -34,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct OverloadManager {
     classes: Vec<Class>,
-    /// The classes by position, the lowest priority first.
+    /// Positions of the classes, the lowest priority first.
     priority_order: Vec<usize>,
     config: OverloadConfig,
     signals: SignalWindow,
@@ -45,12 +46,12 @@
     proxy_load: HeavyHitters,
     proxy_count: usize,
     rates: TrafficRates,
-    /// When reports were last evaluated.
+    /// When reports were last evaluated, in microseconds.
     last_evaluated_us: Option<i64>,
 }
 
 impl OverloadManager {
-    /// A manager without observations. `proxy_count` is the number of proxies in the deployment.
+    /// Creates a manager without observations. `proxy_count` is the number of proxies in the deployment.
     pub fn new(config: OverloadConfig, classes: Vec<Class>, proxy_count: usize) -> Self {
         let limit = config.concurrency_limit.unwrap_or_default();
         OverloadManager {
@@ -71,17 +72,17 @@
         }
     }
 
-    /// The service levels at work; `None` if none are configured.
+    /// Returns the state machine of the service levels; `None` if none are configured.
     pub fn transitions(&self) -> Option<&LevelTransitions> {
         self.transitions.as_ref()
     }
 
-    /// The observations of all signals.
+    /// Returns the observations of all signals.
     pub fn signals(&self) -> &SignalWindow {
         &self.signals
     }
 
-    /// The state of the concurrency limit.
+    /// Returns the state of the concurrency limit.
     pub fn limit(&self) -> LimitStatus {
         let headroom = self.signals.observations(Signal::Headroom).last();
         LimitStatus {
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Replaces the configuration. What was learned is kept for parts that don't change, and the service level as far as the
-    /// new levels have it.
+    /// Replaces the configuration. Parts that don't change keep their state; the service level stays if the new levels
+    /// have it too. Returns the transition if the level changes.
     pub fn replace(&mut self, now_us: i64, config: OverloadConfig) -> Option<LevelTransition> {
         if config.concurrency_limit != self.config.concurrency_limit {
             let limit = config.concurrency_limit.unwrap_or_default();
@@ -123,11 +124,11 @@
         transition
     }
 
-    /// Restores the service level from before a restart. `None` if that was full service.
+    /// Restores the service level from before a restart. Returns `None` if that was full service.
     ///
     /// # Errors
     ///
-    /// If the snapshot is too old, or there is no such level.
+    /// If the snapshot is too old, or no such level is configured.
     pub fn restore(
         &mut self,
         now_us: i64,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Takes in what was reported since the last evaluation, and decides the limits that follow.
+    /// Evaluates the reports since the last evaluation, and decides limits.
     pub fn evaluate(&mut self, inputs: &Inputs) -> Evaluation {
         self.observe_fleet(inputs);
         if !inputs.demand.is_empty() || !inputs.outcomes.is_empty() {
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The time that new reports cover. After a pause they cover a period or two, not all of it.
+    /// Returns the time that new reports cover. After a pause, they cover at most two periods, not the whole pause.
     fn elapsed_seconds(&mut self, inputs: &Inputs) -> f64 {
         let period_us = inputs.report_period_us;
         let last_evaluated_us = self.last_evaluated_us.replace(inputs.now_us);
@@ -227,7 +228,8 @@
         }
     }
 
-    /// The capacity of the warm servers over the work of arrivals that are no repeats, where both are known.
+    /// Returns the ratio of the capacity of the warm servers to the work of new arrivals, without repeats; `None` if
+    /// either is unknown.
     fn headroom(
         &self,
         inputs: &Inputs,
@@ -274,7 +276,7 @@
         }
     }
 
-    /// The share of requests to shed for the work to fall to the limit.
+    /// Returns the share of requests to shed so that the work falls to the limit.
     fn shed_share(&self) -> f64 {
         shedding::shed_share(
             &self.rates.arrivals,
@@ -289,7 +291,7 @@
         shedding::by_proxy_load(shed_share, &self.proxy_load, self.proxy_count, factor)
     }
 
-    /// The classes of which the current service level doesn't admit all.
+    /// Returns the admitted shares of the classes that the current service level reduces.
     fn admitted_shares(&self) -> Vec<ClassShare> {
         let Some(transitions) = &self.transitions else {
             return Vec::new();
--- a/crates/limits/src/manager/config.rs
+++ b/crates/limits/src/manager/config.rs
@@ -1,4 +1,4 @@
-//! What the operators enabled, checked.
+//! The checked configuration of overload control.
 
 use crate::concurrency_limiter::{ConcurrencyLimitConfig, DEFAULT_TARGET_SATURATION};
 use crate::config_error::{ConfigError, ConfigProblem};
@@ -10,7 +10,7 @@
 /// Default multiple of the mean load from which a proxy is a heavy hitter.
 const DEFAULT_HEAVY_HITTER_FACTOR: f64 = 4.0;
 
-/// The figures that are accepted, both ends included.
+/// The accepted range of a value, both ends included.
 struct Bounds {
     min: f64,
     max: f64,
@@ -29,22 +29,22 @@
 /// Configuration of overload control; each part is off where it is `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OverloadConfig {
-    /// The service levels.
+    /// Service levels with their conditions.
     pub service_levels: Option<ServiceLevels>,
-    /// The adaptive concurrency limit.
+    /// Rule and target of the adaptive concurrency limit.
     pub concurrency_limit: Option<ConcurrencyLimitConfig>,
-    /// The retry budget.
+    /// Retries that are permitted per response.
     pub retry_budget: Option<RetryBudgetConfig>,
-    /// The multiple of the mean load from which a proxy is a heavy hitter, whose load is shed first.
+    /// Multiple of the mean load from which a proxy is a heavy hitter, whose load is shed first.
     pub heavy_hitter_factor: Option<f64>,
 }
 
 impl OverloadConfig {
-    /// Reads and checks the operators' configuration. Without classes, what depends on them is not checked.
+    /// Reads and checks the operators' configuration. Without classes, skips the checks that depend on them.
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// All errors.
     pub fn read(
         declared: &pb::Limits,
         classes: Option<&[Class]>,
--- a/crates/limits/src/manager/decision.rs
+++ b/crates/limits/src/manager/decision.rs
@@ -1,9 +1,9 @@
-//! What the overload manager decides.
+//! Output of the overload manager.
 
 use crate::retry_budget::RetryAllowance;
 use crate::transitions::LevelTransition;
 
-/// The shares of requests to shed where heavy proxies can be told apart.
+/// Shares of requests to shed, separately for heavy and other proxies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShedShares {
     /// At proxies that are not heavy.
@@ -12,42 +12,43 @@
     pub heavy: f64,
 }
 
-/// The largest share of a class that is admitted.
+/// Maximum admitted share of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassShare {
-    /// The class, by its position.
+    /// Position of the class.
     pub class: usize,
-    /// The share, from 0 to 1.
+    /// Admitted share, from 0 to 1.
     pub share: f64,
 }
 
 /// The limits that apply until the next evaluation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decision {
-    /// The least share of requests to shed, besides what the policy sheds because of saturation.
+    /// Minimum share of requests to shed, besides what the policy sheds because of saturation; `None` without a limit.
     pub min_shed_share: Option<f64>,
-    /// The same by the load of proxies, where some are heavy hitters.
+    /// The same share divided between heavy and other proxies; `None` unless some are heavy hitters.
     pub shed_shares: Option<ShedShares>,
-    /// Classes of which not all is admitted.
+    /// Classes of which the service level admits only a share.
     pub admitted: Vec<ClassShare>,
-    /// The retries that each class may have, by position; empty for no change.
+    /// Permitted retries of each class, by position; empty without a retry budget, which leaves
+    /// retries unchanged.
     pub retries: Vec<RetryAllowance>,
 }
 
 /// The result of one evaluation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evaluation {
-    /// The limits.
+    /// Limits that apply until the next evaluation.
     pub decision: Decision,
-    /// The change of the service level, if there was one.
+    /// Change of the service level, if there was one.
     pub transition: Option<LevelTransition>,
 }
 
 /// The state of the concurrency limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitStatus {
-    /// The share of work that the limit admits.
+    /// Share of work that the limit admits.
     pub admitted_share: f64,
-    /// The estimated capacity of the fleet over the work of new arrivals.
+    /// Ratio of the estimated capacity of the fleet to the work of new arrivals, if known.
     pub headroom: Option<f64>,
 }
--- a/crates/limits/src/manager/inputs.rs
+++ b/crates/limits/src/manager/inputs.rs
@@ -1,11 +1,11 @@
-//! What the overload manager is given at each evaluation.
+//! Input of the overload manager.
 
 /// Requests of a class that arrived at a proxy, as reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// The proxy.
+    /// Identifier of the reporting proxy.
     pub proxy: u32,
-    /// The class, by its position.
+    /// Position of the class.
     pub class: usize,
     /// Requests that arrived.
     pub arrivals: f64,
@@ -26,7 +26,7 @@
     pub attempts: f64,
     /// Attempts that did not succeed.
     pub failed: f64,
-    /// Mean latency of the successful ones, in milliseconds.
+    /// Mean latency of successful attempts, in milliseconds.
     pub mean_latency_ms: f64,
     /// Requests queued at the server, if reported.
     pub queued: Option<f64>,
@@ -43,7 +43,7 @@
 /// The inputs of one evaluation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Inputs {
-    /// The time, in microseconds.
+    /// Time of the evaluation, in microseconds.
     pub now_us: i64,
     /// When the newest report or health check was received, in microseconds.
     pub last_report_at_us: Option<i64>,
@@ -64,12 +64,12 @@
 }
 
 impl Inputs {
-    /// The time that new reports describe: the middle of the period that they cover.
+    /// Returns the time that new reports describe, which is the middle of the period that they cover, in microseconds.
     pub(super) fn described_time_us(&self) -> i64 {
         self.now_us.saturating_sub(self.report_period_us / 2)
     }
 
-    /// The mean queue length over the servers that report one.
+    /// Returns the mean queue length over the servers that report one.
     pub(super) fn mean_queue_length(&self) -> Option<f64> {
         let mut total = 0.0;
         let mut count = 0.0;
--- a/crates/limits/src/manager/shedding.rs
+++ b/crates/limits/src/manager/shedding.rs
@@ -1,4 +1,4 @@
-//! How much to shed, of which classes and at which proxies.
+//! Shares of requests to shed, by class and proxy.
 
 use super::decision::ShedShares;
 use super::traffic::{ratio_or_zero, work};
@@ -6,13 +6,14 @@
 use crate::heavy_hitters::HeavyHitters;
 use crate::Class;
 
-/// Least work of a request, in seconds.
+/// Minimum work of a request, in seconds.
 const MIN_REQUEST_WORK_SECONDS: f64 = 1e-3;
-/// Greatest share that is shed at heavy proxies.
+/// Maximum share that is shed at heavy proxies.
 const MAX_HEAVY_SHED_SHARE: f64 = 0.9;
 
-/// The share of requests to shed so that the work falls to the admitted share, if the classes with the lowest priority are
-/// shed first. `arrivals` are requests per second by class, `order` the classes from the lowest priority on.
+/// Returns the share of requests to shed so that the work falls to the admitted share, if classes of low priority are
+/// shed first. `arrivals` are requests per second by class, `order` the positions of the classes from the lowest
+/// priority on.
 pub(super) fn shed_share(
     arrivals: &[f64],
     classes: &[Class],
@@ -34,8 +35,8 @@
     ratio_or_zero(shed, total)
 }
 
-/// Divides the share to shed between heavy and other proxies: heavy ones first, up to a limit. `None` if no proxy is heavy,
-/// or all are. A proxy is heavy from `factor` times the mean load on.
+/// Divides the share to shed between heavy and other proxies: heavy ones first, up to a limit. Returns `None` if no
+/// proxy is heavy, or all are. A proxy is heavy above `factor` times the mean load.
 pub(super) fn by_proxy_load(
     shed_share: f64,
     proxies: &HeavyHitters,
--- a/crates/limits/src/manager/tests.rs
+++ b/crates/limits/src/manager/tests.rs
@@ -27,7 +27,7 @@
     arrivals: f64,
     capacity: f64,
     saturation: f64,
-    /// How many times the arrivals of another proxy arrive at the first one.
+    /// Arrivals at the first proxy, as a multiple of those at another.
     first_proxy_factor: f64,
     admitted_shares: [f64; 2],
 }
@@ -41,7 +41,7 @@
     admitted_shares: [1.0, 1.0],
 };
 
-/// The inputs of a second with ten proxies and two classes.
+/// Returns the inputs of one second, with ten proxies and two classes.
 fn inputs_at(second: i64, load: &Load) -> Inputs {
     let demand_at = |proxy: u32, class| {
         let factor = if proxy == 0 {
--- a/crates/limits/src/manager/traffic.rs
+++ b/crates/limits/src/manager/traffic.rs
@@ -1,13 +1,13 @@
-//! Smoothed rates of arrivals and outcomes, and the figures that derive from them.
+//! Smoothed rates of arrivals and outcomes, and summaries of them.
 
 use super::inputs::{Inputs, Outcome};
 use crate::Class;
 
-/// Weight of the newest report: reports are bursty, and half of a change must count at once.
+/// Weight of the newest report in the smoothed rates: smooths bursty reports, yet follows half of a change immediately.
 const NEWEST_REPORT_WEIGHT: f64 = 0.5;
-/// Requests at which a signal that derives from them has full confidence.
+/// Number of requests at which a signal derived from them has full confidence.
 const FULL_CONFIDENCE_REQUESTS: f64 = 20.0;
-/// Mean latency, as a multiple of the objective, up to which all responses are assumed to be in time. From one more on none is.
+/// Mean latency, as a multiple of the objective, up to which all responses count as in time; 1 above it, none does.
 const MAX_IN_TIME_LATENCY_RATIO: f64 = 0.5;
 
 /// Rates per second, smoothed.
@@ -21,7 +21,6 @@
     pub unanswered: Vec<f64>,
     /// Attempts that ended.
     pub attempts: f64,
-    /// Attempts that succeeded.
     pub successes: f64,
     /// Attempts that succeeded within the latency objective.
     pub successes_in_time: f64,
@@ -29,38 +28,31 @@
     pub mean_latency_ms: f64,
 }
 
-/// Figures of all classes together. Requests count per second; work is requests times their latency objective.
+/// Rates of all classes together, per second. Work is requests times their latency objective.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TrafficSummary {
-    /// Requests that arrived.
     pub arrivals: f64,
-    /// Requests that were admitted.
     pub admitted: f64,
-    /// Requests that were shed.
     pub shed: f64,
-    /// Share of requests that was shed.
     pub shed_share: f64,
     /// Requests that were admitted and got no response.
     pub unanswered: f64,
-    /// Work that arrived.
     pub offered_work: f64,
-    /// Work that was admitted.
     pub admitted_work: f64,
-    /// Work that was completed.
     pub completed_work: f64,
     /// Share of admitted requests without a response in time.
     pub late_share: f64,
 }
 
 impl TrafficSummary {
-    /// The confidence in signals that derive from this much time.
+    /// Returns the confidence in signals derived from this many seconds of traffic, 0 to 1.
     pub fn confidence(&self, seconds: f64) -> f64 {
         (self.admitted * seconds / FULL_CONFIDENCE_REQUESTS).min(1.0)
     }
 }
 
 impl TrafficRates {
-    /// No traffic of some number of classes.
+    /// Creates rates without traffic.
     pub fn new(class_count: usize) -> Self {
         TrafficRates {
             arrivals: vec![0.0; class_count],
@@ -73,7 +65,7 @@
         }
     }
 
-    /// Adds the reports of some time.
+    /// Adds reports that cover `seconds`.
     pub fn update(&mut self, inputs: &Inputs, classes: &[Class], seconds: f64) {
         if !inputs.demand.is_empty() {
             self.update_demand(inputs, seconds);
@@ -124,14 +116,14 @@
         smooth(&mut self.mean_latency_ms, mean_latency_ms);
     }
 
-    /// The latency objective of the mean arrival, in milliseconds; 0 without arrivals.
+    /// Returns the latency objective of the mean arrival, in milliseconds; 0 without arrivals.
     fn mean_latency_objective_ms(&self, classes: &[Class]) -> f64 {
         let work = work(&self.arrivals, classes);
         let arrivals: f64 = self.arrivals.iter().sum();
         ratio_or_zero(1000.0 * work, arrivals)
     }
 
-    /// Figures of all classes together.
+    /// Sums up all classes.
     pub fn summary(&self, classes: &[Class]) -> TrafficSummary {
         let arrivals: f64 = self.arrivals.iter().sum();
         let admitted: f64 = self.admitted.iter().sum();
@@ -153,7 +145,7 @@
     }
 }
 
-/// The work in requests by class; their latency objectives stand for it.
+/// Returns the work of requests by class, estimated by their latency objectives, in seconds.
 pub(super) fn work(requests: &[f64], classes: &[Class]) -> f64 {
     requests
         .iter()
@@ -162,7 +154,7 @@
         .sum()
 }
 
-/// The quotient; 0 if the divisor is not positive.
+/// Returns the quotient, or 0 if the divisor is not positive.
 pub(super) fn ratio_or_zero(dividend: f64, divisor: f64) -> f64 {
     if divisor > 0.0 {
         dividend / divisor
@@ -171,7 +163,7 @@
     }
 }
 
-/// The share of responses beyond the objective, as far as their mean latency tells.
+/// Estimates the share of responses beyond the objective from their mean latency.
 fn late_share(outcome: &Outcome, objective_ms: f64) -> f64 {
     if objective_ms > 0.0 {
         (outcome.mean_latency_ms / objective_ms - MAX_IN_TIME_LATENCY_RATIO).clamp(0.0, 1.0)
--- a/crates/limits/src/repeat_estimator.rs
+++ b/crates/limits/src/repeat_estimator.rs
@@ -1,41 +1,41 @@
-//! Estimates how many of the arrivals are repeats by clients whose requests were shed or failed.
+//! Estimates the share of arrivals that are repeats: requests that clients send again after they were shed or failed.
 //!
-//! Arrivals and losses rise together whatever the cause, so that their correlation says nothing. What the own changes of the
-//! service level cause does: when a level sheds more, exactly so many more requests are lost, and clients that repeat them do
-//! so within the next reports.
+//! The correlation of arrivals and losses is no evidence, as both rise together for other reasons as well. The
+//! supervisor's own changes of the service level are: when a level sheds a larger share, that share of requests is lost
+//! in addition, and clients that repeat them do so within the next reports.
 
 use std::collections::VecDeque;
 
-/// Reports within which clients repeat a request: three attempts with growing backoff take some seconds.
+/// Number of reports within which clients repeat a request: three attempts with backoff take some seconds.
 const REPEAT_REPORTS: usize = 3;
-/// Reports before a change in which the demand must have been steady: levels change when demand grows, and further growth
-/// would pass for repeats.
+/// Number of reports before a change in which the demand must have been steady: levels change when demand grows, and
+/// further growth would be mistaken for repeats.
 const STEADY_REPORTS: usize = 3;
-/// Reports that an estimate needs: steady ones, the change, and those after it.
+/// Number of reports that an estimate needs: the steady ones, the change, and those after it.
 const HISTORY_LENGTH: usize = STEADY_REPORTS + 1 + REPEAT_REPORTS;
-/// The variation of steady demand, as a share.
+/// Maximum deviation of steady demand, as a share.
 const STEADY_TOLERANCE: f64 = 0.12;
-/// How much of what was learned is kept at each report: it fades within a few minutes.
+/// Factor by which older evidence decays at each report; it fades within a few minutes.
 const RETENTION: f64 = 0.99;
-/// Least change of the shed share that is evidence.
+/// Minimum change of the shed share that counts as evidence.
 const MIN_SHED_CHANGE: f64 = 0.03;
-/// The evidence at which the estimate has full confidence, in squares of shares.
+/// Evidence at which the estimate has full confidence, in squares of shares.
 const FULL_EVIDENCE: f64 = 0.05;
-/// The evidence of the prior that nobody repeats, in squares of shares.
+/// Weight of the prior probability 0, in squares of shares.
 const PRIOR_EVIDENCE: f64 = 0.004;
-/// Greatest share of arrivals that are taken as repeats.
+/// Maximum share of arrivals that count as repeats.
 const MAX_REPEATED_SHARE: f64 = 0.9;
 
-/// What one report says of all requests.
+/// The requests of all classes in one report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ArrivalSample {
-    /// Arrivals, per second.
+    /// Requests that arrived, per second.
     pub arrivals: f64,
-    /// Arrivals that were shed by the level in force, per second.
+    /// Arrivals that were shed, per second.
     pub shed: f64,
     /// Arrivals that were admitted and got no response, per second.
     pub unanswered: f64,
-    /// The share of arrivals that the level sheds.
+    /// Share of arrivals that were shed.
     pub shed_share: f64,
 }
 
@@ -50,25 +50,25 @@
 /// The estimated probability that a client repeats a lost request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepeatProbability {
-    /// The probability.
+    /// Estimated probability, from 0 to 1.
     pub value: f64,
-    /// The confidence in it, from 0 to 1.
+    /// Confidence in the estimate, from 0 to 1.
     pub confidence: f64,
 }
 
-/// Learns how many lost requests clients repeat.
+/// Estimates the probability that clients repeat lost requests.
 #[derive(Clone, Debug, Default)]
 pub struct RepeatEstimator {
     /// The last samples, the oldest first.
     history: VecDeque<ArrivalSample>,
-    /// Sum of the products of changes of the shed share and the growth of demand after them.
+    /// Sum of the products of changes of the shed share and the relative growth of demand after them.
     response_sum: f64,
     /// Sum of the squares of changes of the shed share.
     change_sum: f64,
 }
 
 impl RepeatEstimator {
-    /// Adds a report. One with values that are negative or not finite is ignored.
+    /// Adds a report. Ignores reports with negative or non-finite values.
     pub fn record(&mut self, sample: ArrivalSample) {
         if !sample.is_valid() {
             return;
@@ -85,8 +85,8 @@
         self.learn();
     }
 
-    /// Learns from the change in the middle of the history, if there was one and demand was steady before it. A further change
-    /// after it would have effects of its own.
+    /// Adds the change in the middle of the history as evidence, if there was one, demand was steady before it and no
+    /// other change followed, whose effects would be mixed with it.
     fn learn(&mut self) {
         let before = self.history[STEADY_REPORTS - 1];
         let change = self.history[STEADY_REPORTS].shed_share - before.shed_share;
@@ -100,7 +100,7 @@
         let later = self.history.iter().skip(STEADY_REPORTS + 1);
         let arrivals_after: f64 = later.map(|sample| sample.arrivals).sum();
         let mean_after = arrivals_after / REPEAT_REPORTS as f64;
-        // Repeats may be lost and repeated again: with a probability p, arrivals grow by p * change.
+        // Repeats may be lost and repeated as well: with probability p, arrivals grow by p * change.
         self.response_sum += change * (mean_after - before.arrivals) / before.arrivals;
         self.change_sum += change * change;
     }
@@ -123,7 +123,7 @@
             .all(|(next, sample)| (next.shed_share - sample.shed_share).abs() < MIN_SHED_CHANGE)
     }
 
-    /// The probability that a client repeats a lost request.
+    /// Returns the probability that a client repeats a lost request.
     pub fn repeat_probability(&self) -> RepeatProbability {
         let probability = self.response_sum / (self.change_sum + PRIOR_EVIDENCE);
         RepeatProbability {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The share of the arrivals of the last report that are repeats.
+    /// Returns the estimated share of repeats among the arrivals of the last report.
     pub fn repeated_share(&self) -> f64 {
         let Some(last) = self.history.back() else {
             return 0.0;
--- a/crates/limits/src/repeat_estimator/tests.rs
+++ b/crates/limits/src/repeat_estimator/tests.rs
@@ -8,7 +8,8 @@
     repeated_share: f64,
 }
 
-/// New demand that drifts, clients of whom a share repeats lost requests a second later, and a level that changes at times.
+/// Simulates new demand that drifts, clients that repeat lost requests a second later with a probability, and a level
+/// that changes from time to time.
 fn simulate(repeat_probability: f64, seconds: usize, seed: u64) -> Simulated {
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
     let mut estimator = RepeatEstimator::default();
@@ -55,7 +56,7 @@
     }
 }
 
-/// Growing demand changes the level; further growth must not pass for repeats.
+/// Growing demand changes the level; further growth must not be mistaken for repeats.
 #[test]
 fn new_demand_that_changes_the_level_is_not_taken_as_repeats() {
     let mut estimator = RepeatEstimator::default();
@@ -82,7 +83,7 @@
     );
 }
 
-/// A burst of new demand raises arrivals and losses alike, and must not pass for repeats.
+/// A burst of new demand raises both arrivals and losses, and must not be mistaken for repeats.
 #[test]
 fn a_burst_is_not_taken_as_repeats() {
     let mut estimator = RepeatEstimator::default();
@@ -96,12 +97,12 @@
             shed_share: 0.0,
         });
     }
-    let nothing_learned = RepeatProbability {
+    let no_evidence = RepeatProbability {
         value: 0.0,
         confidence: 0.0,
     };
     assert_eq!(
         (estimator.repeat_probability(), estimator.repeated_share()),
-        (nothing_learned, 0.0)
+        (no_evidence, 0.0)
     );
 }
--- a/crates/limits/src/retry_budget.rs
+++ b/crates/limits/src/retry_budget.rs
@@ -1,57 +1,58 @@
-//! Retry budgets. Retries cost capacity that other requests need: classes share a budget of retries per successful response,
-//! and a spent budget suspends the retries of one class after the other.
+//! Retry budgets. Retries use capacity that other requests need: classes share a budget of retries per successful
+//! response, and an exhausted budget suspends the retries of one class after the other.
 //!
-//! No budget permits a retry that the idempotency of the class forbids; the policy checks that once more.
+//! A budget never permits a retry that the idempotency of the class forbids; the policy checks that too.
 
 use crate::{lowest_priority_first, Class, Idempotency};
 
 /// Default budget, in retries per successful response.
 pub const DEFAULT_RETRY_RATIO: f64 = 0.1;
-/// Half-life of the counts, in seconds: some reports.
+/// Half-life of the counts, in seconds; several report periods.
 const HALF_LIFE_SECONDS: f64 = 8.0;
-/// Responses assumed besides those counted, so that a few retries are always within the budget.
+/// Responses assumed in addition to those counted, so that a few retries are always within the budget.
 const PRIOR_RESPONSES: f64 = 20.0;
-/// Least reports between two suspensions: a change shows in the counts after two.
+/// Minimum number of reports between two suspensions: a change shows in the counts after two.
 const SUSPEND_AFTER_REPORTS: u32 = 2;
-/// Least reports between a change and a resumption.
+/// Minimum number of reports between a change and a resumption.
 const RESUME_AFTER_REPORTS: u32 = 5;
-/// Share of the budget below which suspended classes are resumed and more retries may be permitted.
+/// Used share of the budget below which suspended classes are resumed and more retries may be permitted.
 const LOW_USAGE_SHARE: f64 = 0.5;
 /// Saturation below which a retry after any failure may be permitted.
 const MAX_SATURATION_FOR_RETRY: f64 = 0.1;
 /// Headroom above which a retry after any failure may be permitted.
 const MIN_HEADROOM_FOR_RETRY: f64 = 1.3;
-/// Reports for which the saturation and the headroom must have been so.
+/// Number of consecutive reports with such saturation and headroom that a retry after any failure requires.
 const MIN_REPORTS_WITH_HEADROOM: u32 = 5;
-/// Share of failures from which such retries help.
+/// Share of failures from which retries after any failure help.
 const MIN_FAILURE_SHARE: f64 = 0.005;
-/// Share of failures from which the fleet itself fails and retries don't help.
+/// Share of failures from which the fleet itself is failing, so that retries don't help.
 const MAX_FAILURE_SHARE: f64 = 0.15;
-/// Clock skew and message delay, in seconds: servers must remember idempotency keys for so much longer than clients wait.
+/// Assumed clock skew and message delay, in seconds: servers must store idempotency keys longer than the deadline by
+/// this time.
 const CLOCK_SKEW_SECONDS: f64 = 1.5;
 
-/// The budget and what it permits.
+/// The configuration of the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Retries per successful response.
+    /// Maximum number of retries per successful response.
     pub ratio: f64,
-    /// Whether requests that are safe to repeat may be retried after any failure while there is headroom.
+    /// Whether requests that are safe to retry may be retried after any failure while there is headroom.
     pub retry_with_headroom: bool,
 }
 
-/// The retries of a class that are allowed, from the fewest to the most.
+/// The permitted retries of a class, from the fewest to the most.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryAllowance {
-    /// None.
+    /// No retry.
     Never,
-    /// One, after proof that the first attempt was not executed.
+    /// One retry, if the first attempt was certainly not executed.
     #[default]
     IfNotExecuted,
-    /// One, after any failure.
+    /// One retry, after any failure.
     Once,
 }
 
-/// What a report says of attempts.
+/// The attempts and requests of one report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RetrySample {
     /// Time since the last report, in seconds.
@@ -64,9 +65,9 @@
     pub admitted: Vec<f64>,
     /// Admitted requests without a response, by class.
     pub unanswered: Vec<f64>,
-    /// Saturation, 0 to 1.
+    /// Saturation of the fleet, 0 to 1.
     pub saturation: f64,
-    /// Capacity of the warm servers over the work of new arrivals, where it is known.
+    /// Ratio of the capacity of the warm servers to the work of new arrivals, if known.
     pub headroom: Option<f64>,
 }
 
@@ -85,7 +86,7 @@
     }
 }
 
-/// The most retries that the idempotency of a class permits, whatever the budget.
+/// Returns the retries that the idempotency of a class permits at most, independently of the budget.
 pub fn max_allowance(class: &Class) -> RetryAllowance {
     match class.idempotency {
         Idempotency::Idempotent => RetryAllowance::Once,
@@ -108,18 +109,18 @@
     }
 }
 
-/// What is counted of one class.
+/// The counts of one class.
 #[derive(Clone, Debug)]
 struct ClassBudget {
     max_allowance: RetryAllowance,
-    /// Position in the order of suspension.
+    /// Position in the order in which classes are suspended.
     rank: usize,
     admitted: DecayingSum,
     unanswered: DecayingSum,
 }
 
 impl ClassBudget {
-    /// Whether some requests fail, but not so many that the fleet itself does.
+    /// Returns whether requests fail, but too few for the fleet itself to be failing.
     fn can_retries_help(&self) -> bool {
         let failure_share = self.unanswered.0 / (self.admitted.0 + PRIOR_RESPONSES);
         (MIN_FAILURE_SHARE..MAX_FAILURE_SHARE).contains(&failure_share)
@@ -134,14 +135,14 @@
     attempts: DecayingSum,
     admitted: DecayingSum,
     successes: DecayingSum,
-    /// This many classes, those of lowest priority, have no retries.
+    /// Number of suspended classes, which are those of lowest priority.
     suspended_classes: usize,
     reports_since_change: u32,
     reports_with_headroom: u32,
 }
 
 impl RetryBudget {
-    /// An unspent budget.
+    /// Creates an unused budget.
     pub fn new(config: RetryBudgetConfig, classes: &[Class]) -> Self {
         let order = lowest_priority_first(classes);
         let class_budget = |(index, class)| ClassBudget {
@@ -165,13 +166,13 @@
         }
     }
 
-    /// Retries per successful response.
+    /// Returns the current number of retries per successful response.
     pub fn retry_ratio(&self) -> f64 {
         let retries = (self.attempts.0 - self.admitted.0).max(0.0);
         retries / (self.successes.0 + PRIOR_RESPONSES)
     }
 
-    /// Counts a report. One with values that are negative or not finite is ignored.
+    /// Counts a report. Ignores reports with negative or non-finite values.
     pub fn record(&mut self, sample: &RetrySample) {
         if !sample.is_valid() {
             return;
@@ -214,7 +215,7 @@
         }
     }
 
-    /// The retries that a class may have now, by its position.
+    /// Returns the currently permitted retries of a class, by its position.
     pub fn allowance(&self, class: usize) -> RetryAllowance {
         let Some(class) = self.classes.get(class) else {
             return RetryAllowance::IfNotExecuted;
--- a/crates/limits/src/retry_budget/tests.rs
+++ b/crates/limits/src/retry_budget/tests.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_spent_budget_suspends_the_lowest_priority_first_and_resumes_slowly() {
+fn an_exhausted_budget_suspends_the_lowest_priority_first_and_resumes_slowly() {
     let mut budget = budget(DEFAULT_RETRY_RATIO, false, &classes());
     assert_eq!(allowances(&budget), [RetryAllowance::IfNotExecuted; 4]);
     for _ in 0..3 {
@@ -87,7 +87,7 @@
         ],
         "a window of 6 s is too short for 5 s"
     );
-    // Saturation rises: no more retries at once.
+    // Rising saturation ends these retries immediately.
     budget.record(&report(104.0, 6.0, 0.3));
     assert_eq!(allowances(&budget), [RetryAllowance::IfNotExecuted; 4]);
 }
@@ -95,7 +95,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is reported, no retry is permitted that could take effect twice.
+    /// No report may permit a retry whose effect could be repeated.
     #[test]
     fn no_report_permits_a_retry_that_is_not_safe(
         samples in prop::collection::vec((prop::num::f64::ANY, prop::num::f64::ANY, 0.0..1.0f64, prop::option::of(prop::num::f64::ANY), 0.0..400.0f64), 0..80),
--- a/crates/limits/src/signals.rs
+++ b/crates/limits/src/signals.rs
@@ -1,13 +1,13 @@
 //! The signals that conditions test, and the window of recent observations of each.
 //!
-//! An observation carries the time that it describes, which differs from the time at which it is received; observations may
+//! An observation has the time that it describes, which differs from the time at which it is received; observations may
 //! arrive late, in batches or twice.
 
 use std::fmt;
 
 use crate::pb;
 
-/// Observations kept of each signal: a minute of one each half second.
+/// Maximum number of retained observations of each signal: one each half second for a minute.
 const WINDOW_CAPACITY: usize = 120;
 /// Observations below this confidence are ignored.
 const MIN_CONFIDENCE: f64 = 0.2;
@@ -17,15 +17,15 @@
 pub enum Signal {
     /// Saturation of the fleet, 0 to 1.
     Saturation,
-    /// Share of admitted requests that get no response, or one beyond the latency objective.
+    /// Share of admitted requests without a response within the latency objective.
     LateResponses,
     /// Mean number of requests queued at a server.
     QueueLength,
     /// Share of arrivals that are repeats by clients.
     RepeatedArrivals,
-    /// Capacity of the warm servers over the work of new arrivals.
+    /// Ratio of the capacity of the warm servers to the work of new arrivals.
     Headroom,
-    /// Share of the zones that are partitioned from here.
+    /// Share of the zones that are partitioned from this supervisor.
     PartitionedZones,
 }
 
@@ -42,14 +42,14 @@
 /// The values that a signal can take, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SignalRange {
-    /// The least value.
+    /// Minimum value.
     pub min: f64,
-    /// The greatest value.
+    /// Maximum value.
     pub max: f64,
 }
 
 impl Signal {
-    /// The name in the operators' file and in records.
+    /// Returns the name in the operators' file and in records.
     pub fn name(self) -> &'static str {
         match self {
             Signal::Saturation => "SATURATION",
@@ -61,14 +61,14 @@
         }
     }
 
-    /// The signal with a name, in upper or lower case.
+    /// Returns the signal with a name, which may be in upper or lower case.
     pub fn by_name(name: &str) -> Option<Signal> {
         SIGNALS
             .into_iter()
             .find(|signal| signal.name().eq_ignore_ascii_case(name))
     }
 
-    /// The values that it can take.
+    /// Returns the range of its values.
     pub fn range(self) -> SignalRange {
         let max = match self {
             Signal::QueueLength => 1e6,
@@ -81,12 +81,12 @@
         SignalRange { min: 0.0, max }
     }
 
-    /// Whether it derives from the endpoint list, which may be stale, rather than from measurements.
+    /// Returns whether it derives from the endpoint list, which may be stale, rather than from load reports.
     pub fn depends_on_endpoint_list(self) -> bool {
         matches!(self, Signal::Headroom | Signal::PartitionedZones)
     }
 
-    /// The signal that a value of the schema denotes; `None` where it is unspecified.
+    /// Converts the signal from the schema; `None` if it is unspecified.
     pub fn from_schema(signal: pb::Signal) -> Option<Signal> {
         match signal {
             pb::Signal::Unspecified => None,
@@ -109,22 +109,22 @@
 /// One value of a signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// The time that it describes, in microseconds.
+    /// Time that the value describes, in microseconds.
     pub at_us: i64,
-    /// The value.
+    /// Value of the signal, within its range once it is in a window.
     pub value: f64,
-    /// Confidence in the value, from 0 to 1: it grows with the number of requests behind it.
+    /// Confidence in the value, from 0 to 1, which grows with the number of requests that it derives from.
     pub confidence: f64,
 }
 
-/// The newest value of a signal at a moment.
+/// The newest value of a signal and its age.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SignalReading {
-    /// The signal.
+    /// Signal that was read.
     pub signal: Signal,
-    /// The newest value, whatever its age; `None` if there is none.
+    /// Newest value, of any age; `None` without observations.
     pub value: Option<f64>,
-    /// The age of that value, in microseconds; 0 if there is none.
+    /// Age of the value, in microseconds; 0 without observations.
     pub age_us: i64,
 }
 
@@ -135,8 +135,9 @@
 }
 
 impl SignalWindow {
-    /// Adds an observation, at its place in time. Returns whether it was taken: one for a time that the window has already
-    /// or that is older than a full window, one that is not a number, and one of low confidence are ignored.
+    /// Inserts an observation by the time that it describes. Returns whether it was inserted: it is ignored if the
+    /// window has one for the same time or is full of newer ones, if its value is not finite, or if its confidence is
+    /// low.
     pub fn record(&mut self, signal: Signal, observation: Observation) -> bool {
         let is_confident = observation.confidence >= MIN_CONFIDENCE;
         if !observation.value.is_finite() || !is_confident {
@@ -167,19 +168,19 @@
         true
     }
 
-    /// All observations of a signal, the oldest first.
+    /// Returns all observations of a signal, the oldest first.
     pub fn observations(&self, signal: Signal) -> &[Observation] {
         &self.observations[signal as usize]
     }
 
-    /// The newest observation of a signal, if it is no older than `max_age_us`.
+    /// Returns the newest observation of a signal, if its age is at most `max_age_us`.
     pub fn newest(&self, signal: Signal, now_us: i64, max_age_us: i64) -> Option<Observation> {
         let newest = self.observations(signal).last().copied()?;
         let age_us = now_us.saturating_sub(newest.at_us);
         (age_us <= max_age_us).then_some(newest)
     }
 
-    /// The newest value of a signal, whatever its age.
+    /// Returns the newest value of a signal, of any age.
     pub fn reading(&self, signal: Signal, now_us: i64) -> SignalReading {
         let newest = self.observations(signal).last();
         SignalReading {
@@ -189,9 +190,9 @@
         }
     }
 
-    /// For how long the values of a signal have met a predicate, in microseconds, up to the newest observation. It counts by
-    /// the times that observations describe, so that a batch counts as much as the same observations one by one. `None` if
-    /// the newest value doesn't meet it; a gap longer than `max_gap_us` ends the span.
+    /// Returns for how long the values of a signal have met a predicate up to the newest observation, in microseconds;
+    /// `None` if the newest value doesn't meet it. Uses the times that observations describe, so that batched
+    /// observations count like single ones. A gap longer than `max_gap_us` ends the span.
     pub fn holding_time_us(
         &self,
         signal: Signal,
--- a/crates/limits/src/signals/tests.rs
+++ b/crates/limits/src/signals/tests.rs
@@ -27,7 +27,7 @@
     );
     assert!(
         !signals.record(Signal::LateResponses, observation(2, 0.9)),
-        "known already"
+        "there is an observation for this time"
     );
     assert!(!signals.record(Signal::LateResponses, observation(9, f64::NAN)));
     assert!(!signals.record(
@@ -73,7 +73,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A flood of observations, or old ones, must not use memory without bound or hide the newest.
+    /// Many or old observations must not use unbounded memory or displace the newest ones.
     #[test]
     fn any_order_of_observations_keeps_the_newest_in_order(times in prop::collection::vec(0..400i64, 1..600)) {
         let mut signals = SignalWindow::default();
--- a/crates/limits/src/transitions.rs
+++ b/crates/limits/src/transitions.rs
@@ -1,8 +1,8 @@
-//! The state machine of service levels: which level is in force, since when and why.
+//! The state machine of service levels: the current level, its start and the reason of each change.
 //!
-//! It escalates to the most severe level whose condition is met, and recovers one level at a time, never before the least
-//! duration of the current one. Backoff keeps it from oscillating; timeouts keep it from being stuck when signals are missing
-//! or stale.
+//! It escalates to the most severe level whose condition is met, and recovers one level at a time, never before the
+//! minimum duration of the current one. Backoff prevents oscillation; timeouts prevent it from staying in a level when
+//! signals are missing or stale.
 
 use crate::condition::{Condition, ConditionState};
 use crate::level_history::LevelHistory;
@@ -15,16 +15,16 @@
 };
 
 const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
-/// Time that a change takes to show in the signals, in microseconds. Until then they describe the level before, and nothing
-/// escalates further.
+/// Time until a change shows in the signals, in microseconds. Until then they describe the previous level, and there is
+/// no further escalation.
 const SETTLING_TIME_US: i64 = 4_000_000;
-/// The timeout of the endpoint list grows by this factor each time that the list is overruled.
+/// Factor by which the timeout of the endpoint list grows each time that the list is overruled.
 const LIST_TIMEOUT_BACKOFF_FACTOR: i64 = 2;
-/// The timeout of the endpoint list grows to at most this multiple.
+/// Maximum multiple of the timeout of the endpoint list.
 const MAX_LIST_TIMEOUT_FACTOR: i64 = 64;
-/// A snapshot older than this is not restored, in microseconds: the cause of the level may be gone.
+/// Maximum age of a snapshot that is restored, in microseconds: the cause of an older level may be gone.
 pub const MAX_SNAPSHOT_AGE_US: i64 = 60_000_000;
-/// Before the first change; far enough in the past for any duration to be over.
+/// Start of the initial level, in microseconds; early enough that every minimum duration has elapsed.
 const INITIAL_SINCE_US: i64 = i64::MIN / 2;
 
 /// A change that is due.
@@ -41,18 +41,18 @@
     /// The number of the current level; 0 is full service.
     current: usize,
     since_us: i64,
-    /// Since when signals of the condition for leaving are missing.
+    /// Time from which signals of the condition for leaving have been missing.
     signals_lost_at_us: Option<i64>,
-    /// Since when the measured signals alone would let the level be left.
+    /// Time from which the condition for leaving has been met, disregarding signals that depend on the endpoint list.
     recovered_at_us: Option<i64>,
-    /// By the number of the level.
+    /// Indexed by the number of the level.
     history: Vec<LevelHistory>,
-    /// Backoff of the timeout of the endpoint list.
+    /// Current multiple of the timeout of the endpoint list.
     list_timeout_factor: i64,
 }
 
 impl LevelTransitions {
-    /// A state machine at full service.
+    /// Creates a state machine at full service.
     pub fn new(levels: ServiceLevels) -> Self {
         let history = vec![LevelHistory::NEW; levels.levels.len() + 1];
         LevelTransitions {
@@ -66,22 +66,22 @@
         }
     }
 
-    /// The number of the current level; 0 is full service.
+    /// Returns the number of the current level; 0 is full service.
     pub fn level(&self) -> usize {
         self.current
     }
 
-    /// The name of the current level.
+    /// Returns the name of the current level.
     pub fn name(&self) -> &str {
         self.levels.name(self.current)
     }
 
-    /// Since when the current level is in force, in microseconds.
+    /// Returns when the current level started, in microseconds.
     pub fn since_us(&self) -> i64 {
         self.since_us
     }
 
-    /// The share of a class that the current level admits.
+    /// Returns the share of a class that the current level admits.
     pub fn admitted_share(&self, class: &str) -> f64 {
         self.current_level()
             .map_or(1.0, |level| level.admitted_share(class))
@@ -95,7 +95,7 @@
         Some(self.apply(now_us, change, signals))
     }
 
-    /// The change to the most severe level whose condition is met, if that is above the current one.
+    /// Returns the change to the most severe level whose condition is met, if that is above the current one.
     fn escalation(&self, now_us: i64, signals: &SignalWindow) -> Option<Change> {
         if now_us.saturating_sub(self.since_us) < SETTLING_TIME_US {
             return None;
@@ -116,7 +116,7 @@
         condition.state(signals, now_us, max_age_us, |_| false) == ConditionState::Met
     }
 
-    /// The change to the next milder level, if it is due. Takes note of lost signals and of measured recovery.
+    /// Returns the change to the next milder level, if it is due. Updates the times of signal loss and of recovery.
     fn recovery(&mut self, now_us: i64, signals: &SignalWindow) -> Option<Change> {
         let level = self.levels.level(self.current)?;
         let max_age_us = self.levels.max_signal_age_us;
@@ -166,16 +166,16 @@
         }
     }
 
-    /// What a transition for this reason says of the condition for leaving.
+    /// Describes the condition for leaving in a transition for this reason.
     fn recovery_text(&self, reason: TransitionReason, leave: &Condition) -> String {
         match reason {
             TransitionReason::SignalsLost => {
                 let timeout_us = self.levels.signal_loss_timeout_us;
                 let seconds = timeout_us as f64 / MICROSECONDS_PER_SECOND as f64;
-                format!("nothing known of {leave} for {seconds} s")
+                format!("signals missing for {seconds} s: {leave}")
             }
             TransitionReason::EndpointListOverruled => {
-                format!("all that is measured in {leave}")
+                format!("met without signals of the endpoint list: {leave}")
             }
             _ => leave.to_string(),
         }
@@ -185,7 +185,7 @@
         self.levels.level(self.current)
     }
 
-    /// How long the current level lasts at least.
+    /// Returns the minimum duration of the current level, including its backoff.
     fn min_duration_us(&self) -> i64 {
         let min_duration_us = self
             .current_level()
@@ -234,8 +234,8 @@
         self.recovered_at_us = None;
     }
 
-    /// Replaces the levels. A current level that the new ones have too, by name, stays in force with its time; else the
-    /// mildest new one that admits no more takes over, or the last.
+    /// Replaces the levels. If the new ones include the name of the current level, it stays current and keeps its
+    /// start. Otherwise the mildest new level that admits no more of any class replaces it, or the last one.
     pub fn replace(
         &mut self,
         now_us: i64,
@@ -257,13 +257,14 @@
         let change = Change {
             number,
             reason: TransitionReason::Replaced,
-            condition: format!("{from:?} is not in the new ladder"),
+            condition: format!("{from:?} is not among the new levels"),
         };
         let transition = self.apply(now_us, change, signals);
         Some(LevelTransition { from, ..transition })
     }
 
-    /// The number of the mildest of some levels that admits no more of any class than the current one, or of the last.
+    /// Returns the number of the mildest of `levels` that admits no more of any class than the current one, or of the
+    /// last.
     fn replacement_level(&self, levels: &ServiceLevels) -> usize {
         let current_shares = self
             .current_level()
@@ -278,7 +279,7 @@
         index.map_or(levels.levels.len(), |index| index + 1)
     }
 
-    /// The history of those of some levels that exist already, by name; the others have none.
+    /// Returns the history of each of `levels` that exists already, by name; other levels have none.
     fn history_for(&self, levels: &ServiceLevels) -> Vec<LevelHistory> {
         let history = |number: usize| {
             let old_number = self.levels.number(levels.name(number))?;
@@ -289,7 +290,7 @@
             .collect()
     }
 
-    /// The state that survives a restart.
+    /// Returns the state to restore after a restart.
     pub fn snapshot(&self, now_us: i64) -> pb::Saved {
         pb::Saved {
             level: self.name().to_string(),
@@ -298,7 +299,8 @@
         }
     }
 
-    /// Sets the level to what records say of a past moment, for inspection. Returns whether there is a level of that name.
+    /// Sets the level to a recorded one of a past moment, for inspection. Returns whether there is a level of that
+    /// name.
     pub fn resume(&mut self, level: &str, since_us: i64) -> bool {
         let Some(number) = self.levels.number(level) else {
             return false;
@@ -307,7 +309,7 @@
         true
     }
 
-    /// Restores the level that was in force before a restart. `None` if that was full service.
+    /// Restores the level from before a restart. Returns `None` if that was full service.
     ///
     /// # Errors
     ///
@@ -345,8 +347,8 @@
         Ok(Some(transition))
     }
 
-    /// The conditions that would change the level, and how far each is from being met: first the one for leaving the current
-    /// level, then those for entering more severe ones.
+    /// Returns the conditions that would change the level, and how far each is from being met: first the one for
+    /// leaving the current level, then those for entering more severe ones.
     pub fn explain(&self, now_us: i64, signals: &SignalWindow) -> Vec<ConditionStatus> {
         let elapsed_us = now_us.saturating_sub(self.since_us);
         let leave = self.current_level().map(|level| ConditionStatus {
@@ -363,7 +365,7 @@
         leave.into_iter().chain(enter).collect()
     }
 
-    /// The status of a condition, as one for an escalation to a level that has no name yet.
+    /// Returns the status of a condition for an escalation; the caller sets the name of the level.
     fn condition_status(
         &self,
         condition: &Condition,
--- a/crates/limits/tests/level_transitions.rs
+++ b/crates/limits/tests/level_transitions.rs
@@ -1,5 +1,6 @@
-//! Service levels under the cases that make them oscillate or stick: load that hovers at a threshold, signals that are late,
-//! batched or duplicated, a stale endpoint list, stalls, restarts, replacements. And an exhaustive search of their states.
+//! Service levels under conditions that could make them oscillate or stay too long: load near a threshold, signals that
+//! are late, batched or duplicated, a stale endpoint list, stalls, restarts and replacements; and an exhaustive search
+//! of states.
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
@@ -35,7 +36,7 @@
     ServiceLevels::read(&declared, Some(&classes())).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
-/// One boundary: half of the reads go at saturation 0.6, and come back below 0.3 with room to spare.
+/// One level that sheds half of the reads above saturation 0.6, and is left below 0.3 with headroom.
 fn one_level() -> ServiceLevels {
     read_levels(
         "level { name: 'fewer reads' shed { class: 'status-read' keep: 0.5 }\n\
@@ -44,7 +45,7 @@
     )
 }
 
-/// Three levels over saturation alone.
+/// Three levels whose conditions use saturation alone.
 fn three_levels() -> ServiceLevels {
     let level = |n: usize, keep: f64, enter: f64| {
         format!(
@@ -57,7 +58,7 @@
     read_levels(&(level(1, 0.6, 0.4) + &level(2, 0.3, 0.6) + &level(3, 0.1, 0.8)))
 }
 
-/// Service levels that are given signals second by second.
+/// Service levels that receive signals second by second.
 #[derive(Clone)]
 struct Simulation {
     transitions: LevelTransitions,
@@ -87,7 +88,7 @@
         );
     }
 
-    /// A second in which signals describe the present; `None` is a missing signal.
+    /// Simulates a second in which signals describe the present; `None` is a missing signal.
     fn run_second(&mut self, saturation: Option<f64>, headroom: Option<f64>) {
         self.now_us += SECOND_US;
         let observed = [
@@ -125,7 +126,8 @@
     }
 }
 
-/// Ten minutes, ten swings across the boundary: one transition each way, each with its cause.
+/// Each of ten swings across the bounds in ten minutes changes the level at most once in each direction, with its
+/// cause.
 #[test]
 fn each_swing_changes_the_level_once_each_way() {
     let mut simulation = Simulation::new(one_level());
@@ -134,7 +136,7 @@
         simulation.run(30, 0.9, 0.5);
     }
     simulation.run(40, 0.1, 2.0);
-    // A level that was left too early lasts longer the next time: there may be fewer transitions than swings, never more.
+    // Backoff after an early re-entry may cause fewer transitions than swings, never more.
     let numbers: Vec<usize> = simulation
         .history
         .iter()
@@ -172,7 +174,7 @@
             simulation.history.len()
         );
     }
-    // Wider than the hysteresis, as fast as the levels allow: the level lasts longer at each return.
+    // Swings wider than the hysteresis, as fast as the levels allow: the minimum duration grows at each re-entry.
     let mut simulation = Simulation::new(one_level());
     for second in 0..600 {
         let high = second % 24 < 12;
@@ -236,13 +238,13 @@
     }
 }
 
-/// An endpoint list that reports recovery late: the level waits for warm servers, but not for good.
+/// A stale endpoint list delays leaving a level until servers are warm, but only until its timeout.
 #[test]
 fn a_stale_endpoint_list_delays_recovery_for_a_limited_time() {
     let mut simulation = Simulation::new(one_level());
     simulation.run(20, 0.9, 0.5);
     assert_eq!(simulation.transitions.level(), 1);
-    // The servers are back and warming up, saturation is low because of what is shed: no headroom yet.
+    // The servers are back and warming up; saturation is low because of shedding, and there is no headroom yet.
     simulation.run(30, 0.1, 0.8);
     assert_eq!(
         simulation.transitions.level(),
@@ -257,7 +259,7 @@
         ),
         (0, TransitionReason::Left)
     );
-    // The endpoint list never shows the recovery: it is overruled after a minute of measured recovery.
+    // The endpoint list never shows the recovery: it is overruled once the other signals have recovered for a minute.
     simulation.run(20, 0.9, 0.5);
     simulation.run(70, 0.1, 0.8);
     let last = &simulation.history.last().expect("a change").1;
@@ -265,7 +267,7 @@
         (simulation.transitions.level(), last.reason),
         (0, TransitionReason::EndpointListOverruled)
     );
-    // It was right after all: its timeout grows each time.
+    // The list was right, as load returns: its timeout grows each time.
     let mut durations = Vec::new();
     for _ in 0..3 {
         simulation.run(20, 0.9, 0.5);
@@ -294,14 +296,14 @@
         .iter()
         .map(|(at_us, _)| (at_us - begin) / SECOND_US)
         .collect();
-    // Too old after 5 s, 15 s without: one level at a time.
+    // Signals are too old after 5 s; one level is left after each 15 s without signals.
     assert_eq!(times, [21, 37, 53], "{times:?}");
     assert!(simulation.history[1..]
         .iter()
         .all(|(_, change)| change.reason == TransitionReason::SignalsLost));
 }
 
-/// A supervisor that stalls finds old signals afterwards, and enters no level on them.
+/// After a stall, a supervisor has only old signals, which must not enter a level.
 #[test]
 fn a_stall_enters_no_level_on_old_signals() {
     let mut simulation = Simulation::new(one_level());
@@ -311,7 +313,7 @@
     simulation.now_us += 20 * SECOND_US;
     simulation.evaluate();
     assert_eq!(simulation.transitions.level(), 0);
-    // A level that was in force at a stall lasts until signals return, or are missing for long.
+    // A level that was current before a stall lasts until signals return or their timeout expires.
     simulation.run(10, 0.9, 0.5);
     simulation.now_us += 20 * SECOND_US;
     simulation.evaluate();
@@ -327,7 +329,7 @@
     (transitions.level(), result)
 }
 
-/// A simulation at level 1.
+/// Returns a simulation that ten seconds of overload brought to level 1.
 fn simulation_at_level_one() -> Simulation {
     let mut simulation = Simulation::new(one_level());
     simulation.run(10, 0.9, 0.5);
@@ -380,7 +382,7 @@
     simulation.run(10, 0.7, 1.0);
     assert_eq!(simulation.transitions.name(), "l2");
     let (now_us, since_us) = (simulation.now_us, simulation.transitions.since_us());
-    // The same level at another position keeps its time.
+    // The same level at another position keeps its start.
     let two = read_levels(
         "level { name: 'l2' shed { class: 'status-read' keep: 0.3 } enter { all { signal: SATURATION above: 0.6 for_s: 1 } }\n\
          leave { all { signal: SATURATION below: 0.4 for_s: 2 } } }",
@@ -399,7 +401,7 @@
         ),
         ("l2", 1, since_us)
     );
-    // It is gone: the mildest that admits no more takes over.
+    // The level no longer exists: the mildest one that admits no more replaces it.
     let other = read_levels(
         "level { name: 'mild' shed { class: 'status-read' keep: 0.8 } enter { all { signal: SATURATION above: 0.3 } }\n\
          leave { all { signal: SATURATION below: 0.1 } } }\n\
@@ -418,7 +420,7 @@
     assert_eq!(simulation.transitions.level(), 0);
 }
 
-/// Two supervisors with different signals may be at different levels.
+/// Supervisors decide independently of each other.
 #[test]
 fn two_supervisors_may_be_at_different_levels() {
     let (mut near, mut far) = (Simulation::new(one_level()), Simulation::new(one_level()));
@@ -427,7 +429,7 @@
     assert_eq!((near.transitions.level(), far.transitions.level()), (1, 0));
 }
 
-/// The state of a simulation: the level, its age and the last observations.
+/// Returns the state of a simulation as the search distinguishes it: the level, its age and the newest observations.
 fn search_state(simulation: &Simulation) -> (usize, i64, Vec<(i64, i64)>) {
     let age = (simulation.now_us - simulation.transitions.since_us()) / SECOND_US;
     let observations = simulation.signals.observations(Signal::Saturation);
@@ -443,7 +445,7 @@
     )
 }
 
-/// No level was left before its least duration, or changed before the signals settled.
+/// Asserts that no level was left before its minimum duration, or changed before the signals settled.
 fn assert_not_oscillating(simulation: &Simulation) {
     for pair in simulation.history.windows(2) {
         let (first, second) = (&pair[0], &pair[1]);
@@ -461,7 +463,7 @@
     }
 }
 
-/// Once the cause is gone every level is left; and without any signal as well.
+/// Asserts that the level is left once its cause is gone, and also without any signal.
 fn assert_not_stuck(simulation: &Simulation) {
     if simulation.transitions.level() == 0 {
         return;
@@ -484,11 +486,11 @@
     );
 }
 
-/// An exhaustive search of the states over a coarse grid of signals: every level is left once its cause is gone, and none
-/// changes faster than its least duration allows.
+/// Exhaustive search of states over a coarse grid of signals: every level is left once its cause is gone, and none is
+/// left before its minimum duration.
 #[test]
 fn every_level_is_left_once_its_cause_is_gone_and_none_oscillates() {
-    // What each second may bring: a missing signal, idle, between, entering at each level.
+    // Possible saturations of each second: missing, idle, between the bounds, and entering levels.
     let readings = [None, Some(0.05), Some(0.5), Some(0.7), Some(0.95)];
     let mut visited = HashSet::new();
     let mut open = VecDeque::from([(0, Simulation::new(three_levels()))]);
@@ -511,7 +513,8 @@
     assert!(visited.len() > 300, "{} states", visited.len());
 }
 
-/// A month of random load in virtual time against an oracle that knows the cause: few changes, little time in the wrong level.
+/// A month of random load in virtual time, compared with an oracle that knows the load: there must be few changes and
+/// little time in the wrong level.
 #[test]
 fn a_month_of_random_load_causes_few_transitions() {
     const DAYS: i64 = 30;
@@ -519,10 +522,10 @@
     let mut simulation = Simulation::new(one_level());
     let (mut load, mut target_load, mut wrong, mut swings) = (0.5f64, 0.5f64, 0i64, 0);
     let mut oracle = false;
-    // Each step is five seconds; signals that old are still known.
+    // Each step is five seconds, which is also the maximum age of signals.
     for step in 0..DAYS * 86_400 / 5 {
         if step % 120 == 0 {
-            // A new target each ten minutes: mostly idle, at times beyond the capacity.
+            // A new target every ten minutes: mostly below capacity, sometimes above it.
             target_load = if random.random_range(0.0..1.0) < 0.05 {
                 random.random_range(1.1..1.8)
             } else {
@@ -563,8 +566,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever signals do: a level is always left once the cause is gone, shed shares are ordered by priority, and every change
-    /// carries its cause.
+    /// After any signals, a level is left once its cause is gone, shed shares are ordered by priority, and every change
+    /// has its cause.
     #[test]
     fn after_any_signals_every_level_is_left(
         samples in prop::collection::vec((prop::option::of(0.0..1.2f64), prop::option::of(-1.0..5.0f64), 0..8i64), 0..200),
@@ -579,7 +582,7 @@
             simulation.evaluate();
             prop_assert!(simulation.transitions.admitted_share("status-read") <= simulation.transitions.admitted_share("petition-file"));
         }
-        // Least durations grow eightfold at most, over three levels.
+        // Three levels, each with a minimum duration of 8 s that grows at most eightfold.
         simulation.run(3 * 8 * 8 + 80, 0.0, 3.0);
         prop_assert_eq!(simulation.transitions.level(), 0);
     }
--- a/crates/operator-config/build.rs
+++ b/crates/operator-config/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of the operators' file, and keeps its description for the reader of the text format.
+//! Compiles `operator.proto`, and writes its descriptors for the parser of the text format.
 
 use std::path::PathBuf;
 
--- a/crates/operator-config/src/checks.rs
+++ b/crates/operator-config/src/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of everything that does not depend on the classes, and the defaults of what the file does not mention.
+//! Checks of everything that does not depend on the classes, and the defaults of absent fields.
 
 use std::fmt::Debug;
 use std::ops::RangeInclusive;
@@ -9,31 +9,31 @@
 
 use crate::{pb, ConfigError, LogFormat, OperatorConfig, RecordingConfig};
 
-/// Smallest limit on the size of records, in MiB: enough for the segment being written and a sealed one.
+/// Minimum limit on the size of records, in MiB: enough for the segment being written and a sealed one.
 const MIN_RECORDS_MIB: u64 = 24;
-/// Longest retention of records, in hours: ten years.
+/// Maximum retention of records, in hours: ten years.
 const MAX_RECORDS_HOURS: u64 = 87_600;
-/// Limits on the processor time of background work, in milliseconds in any ten seconds: a step of building the index of a
-/// segment takes some 10 ms, and one core has 10,000 ms.
+/// Limits on the processor time of background work, in milliseconds in any ten seconds: a step of building the index of
+/// a segment takes some 10 ms, and one core has 10,000 ms.
 const CPU_MS_RANGE: RangeInclusive<u64> = 200..=10_000;
-/// Smallest limit on the bytes of background work, in MiB in any ten seconds: a step of building the index takes 4 MiB.
+/// Minimum limit on the bytes of background work, in MiB in any ten seconds: a step of building the index takes 4 MiB.
 const MIN_BACKGROUND_MIB: u64 = 8;
-/// Most plug-ins that the host of plug-ins loads.
+/// Maximum number of plug-ins, which is also the limit of the plug-in host.
 const MAX_PLUGINS: usize = 32;
 
-/// Limit on the size of records if the file has none, in MiB.
+/// Default limit on the size of records, in MiB.
 const DEFAULT_RECORDS_MIB: u64 = 1024;
-/// Retention of records if the file has none, in hours.
+/// Default retention of records, in hours.
 const DEFAULT_RECORDS_HOURS: u64 = 168;
-/// Processor time for background work if the file has none, in milliseconds in any ten seconds.
+/// Default processor time of background work, in milliseconds in any ten seconds.
 const DEFAULT_CPU_MS: u64 = 500;
-/// Bytes for background work if the file has none, in MiB in any ten seconds.
+/// Default bytes of background work, in MiB in any ten seconds.
 const DEFAULT_BACKGROUND_MIB: u64 = 64;
 
 const BYTES_PER_MIB: u64 = 1 << 20;
 const SECONDS_PER_HOUR: u64 = 3600;
 
-/// Checks a file and gathers its errors.
+/// Checks a file and collects its errors.
 pub struct Checker<'a> {
     path: &'a Path,
     text: &'a str,
@@ -41,7 +41,7 @@
 }
 
 impl<'a> Checker<'a> {
-    /// A checker for the file at this path; errors point into the text.
+    /// Creates a checker for the file at this path; errors have their positions in the text.
     pub fn new(path: &'a Path, text: &'a str) -> Self {
         Checker {
             path,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// All errors that were found, in the order of the checks.
+    /// Returns all errors that were found, in the order of the checks.
     pub fn into_errors(self) -> Vec<ConfigError> {
         self.errors
     }
 
-    /// The configuration that the file declares, without its limits. It is valid only if there are no errors.
+    /// Checks the file and returns its configuration without the limits, which is valid only if there are no errors.
     pub fn check(&mut self, file: &pb::Operator) -> OperatorConfig {
         let plugins = file.plugins.as_ref();
         let plugins = plugins.map(|plugins| self.check_plugins(plugins));
@@ -83,7 +83,7 @@
         if count > MAX_PLUGINS {
             self.error(
                 "plugins",
-                format!("{count} plug-ins are too many: at most {MAX_PLUGINS}"),
+                format!("{count} plug-ins are declared: at most {MAX_PLUGINS} are accepted"),
             );
         }
         let files: Vec<PathBuf> = plugins.file.iter().map(PathBuf::from).collect();
@@ -98,9 +98,7 @@
         if !path.is_absolute() {
             self.error(
                 field,
-                format!(
-                    "{shown:?} depends on where the program is started: give a path that begins with /"
-                ),
+                format!("{shown:?} is a relative path: give a path that begins with /"),
             );
         }
     }
@@ -109,7 +107,7 @@
         if records.directory.is_empty() {
             self.error(
                 "records",
-                "records without a directory: give directory: \"/var/lib/chutegrade\", or leave records out"
+                "records has no directory: give directory: \"/var/lib/chutegrade\", or remove records"
                     .to_string(),
             );
             return None;
@@ -136,13 +134,13 @@
         if max_size_mib < MIN_RECORDS_MIB {
             self.error(
                 "keep_mib",
-                format!("{max_size_mib} MiB hold less than two segments: give {MIN_RECORDS_MIB} or more"),
+                format!("keep_mib is {max_size_mib}, less than two segments: must be at least {MIN_RECORDS_MIB}"),
             );
         }
         if max_age_hours > MAX_RECORDS_HOURS {
             self.error(
                 "keep_hours",
-                format!("{max_age_hours} hours are too long: give {MAX_RECORDS_HOURS} or fewer"),
+                format!("keep_hours is {max_age_hours}: must be at most {MAX_RECORDS_HOURS}"),
             );
         }
     }
@@ -152,13 +150,13 @@
             let (min, max) = (CPU_MS_RANGE.start(), CPU_MS_RANGE.end());
             self.error(
                 "cpu_ms",
-                format!("{cpu_ms} ms in any ten seconds: give {min} to {max}"),
+                format!("cpu_ms is {cpu_ms}: must be from {min} to {max} ms in any ten seconds"),
             );
         }
         if background_mib < MIN_BACKGROUND_MIB {
             self.error(
                 "mib",
-                format!("{background_mib} MiB in any ten seconds are less than a step takes: give {MIN_BACKGROUND_MIB} or more"),
+                format!("mib is {background_mib}: must be at least {MIN_BACKGROUND_MIB} MiB in any ten seconds, enough for a step of background work"),
             );
         }
     }
@@ -171,7 +169,7 @@
     }
 }
 
-/// A number of the file. The format does not distinguish 0 from an absent field.
+/// Returns the value of a field, or its default. The format does not distinguish 0 from an absent field.
 fn or_default(value: u64, default: u64) -> u64 {
     if value == 0 {
         default
--- a/crates/operator-config/src/config.rs
+++ b/crates/operator-config/src/config.rs
@@ -5,14 +5,14 @@
 
 use crate::LimitsSection;
 
-/// Where records are stored, and what they may cost.
+/// Where records are stored, and the limits of their cost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordingConfig {
-    /// The directory, in which each supervisor has a subdirectory.
+    /// Directory in which each supervisor has a subdirectory.
     pub directory: PathBuf,
-    /// Most bytes that are kept for each supervisor.
+    /// Maximum size of the records of each supervisor, in bytes.
     pub max_bytes: u64,
-    /// How long records are kept.
+    /// Retention of records.
     pub max_age: Duration,
     /// Processor time that background work may take in any ten seconds.
     pub background_time: Duration,
@@ -20,7 +20,7 @@
     pub background_bytes: u64,
 }
 
-/// Format of the log.
+/// How log lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
     /// Lines of text.
@@ -35,11 +35,11 @@
 pub struct OperatorConfig {
     /// Recording, if it is enabled.
     pub records: Option<RecordingConfig>,
-    /// The log's format.
+    /// How log lines are written; plain by default.
     pub log: LogFormat,
-    /// Files of plug-ins, in the order of the file.
+    /// Paths of the plug-ins, in the order of the file.
     pub plugins: Vec<PathBuf>,
-    /// Service levels, limits and retry budgets as declared; what depends on the classes is checked by
-    /// [`LimitsSection::overload_config`].
+    /// Service levels, limits and retry budgets as declared; [`LimitsSection::overload_config`] checks what depends on
+    /// the classes.
     pub limits: Option<LimitsSection>,
 }
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -8,11 +8,11 @@
 /// One error of the file. Displays as `path:line:column: message`, or `path: message` without a position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The file.
+    /// File that has the error.
     pub path: PathBuf,
-    /// Position of the error, if it has one.
+    /// Position of the error in the file, if known.
     pub position: Option<Position>,
-    /// What is wrong, and what would be valid.
+    /// Description of the error; it also states what would be valid.
     pub message: String,
 }
 
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration file, in protobuf text format with the schema `proto/operator.proto`.
 //!
-//! A file with any error is rejected; each error has its position and says what would be valid. What the file does not
-//! mention is off.
+//! A file with any error is rejected; each error has its position and states what would be valid. Absent sections are
+//! disabled.
 
 mod checks;
 mod config;
@@ -9,7 +9,7 @@
 mod limits_section;
 mod read;
 
-/// The types of the schema, as generated.
+/// Types generated from the schema.
 #[allow(missing_docs, clippy::doc_markdown)]
 pub mod pb {
     include!(concat!(env!("OUT_DIR"), "/chutegrade.operator.v1.rs"));
--- a/crates/operator-config/src/limits_section.rs
+++ b/crates/operator-config/src/limits_section.rs
@@ -1,4 +1,4 @@
-//! The `limits` section of the file. Its meaning depends on the classes, which the file does not have, so it is stored as
+//! The `limits` section of the file. It depends on the classes, which the file does not have, so it is stored as
 //! declared, with the text of the file for the positions of errors.
 
 use std::path::{Path, PathBuf};
@@ -24,16 +24,16 @@
         }
     }
 
-    /// The limits as declared.
+    /// Returns the limits as declared.
     pub fn declaration(&self) -> &pb::Limits {
         &self.declaration
     }
 
-    /// The limits for these classes. Without classes, only what does not depend on them is checked.
+    /// Checks the limits for these classes and returns them. Without classes, skips the checks that depend on them.
     ///
     /// # Errors
     ///
-    /// All errors of the section at once.
+    /// All errors of the section.
     pub fn overload_config(
         &self,
         classes: Option<&[Class]>,
--- a/crates/operator-config/src/read.rs
+++ b/crates/operator-config/src/read.rs
@@ -1,23 +1,23 @@
-//! Reads a checked configuration from a file or a text.
+//! Reads and checks the configuration from a file or a text.
 
 use std::path::Path;
 
 use crate::checks::Checker;
 use crate::{pb, ConfigError, LimitsSection, OperatorConfig};
 
-/// The compiled schema.
+/// Encoded descriptors of the schema.
 const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
-/// Name of the schema's message for the file.
+/// Name of the message that describes the file.
 const MESSAGE: &str = "chutegrade.operator.v1.Operator";
 
-/// Longest file that is read, in bytes: far longer than any written by hand.
+/// Maximum size of the file, in bytes: far above any file written by hand.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// Reads the file.
+/// Reads and checks the file at this path.
 ///
 /// # Errors
 ///
-/// If the file cannot be read, or all errors of its content at once.
+/// An error if the file cannot be read, or all errors of its content.
 pub fn load(path: &Path) -> Result<OperatorConfig, Vec<ConfigError>> {
     let text = read_file(path).map_err(|error| vec![error])?;
     parse(path, &text)
@@ -28,7 +28,7 @@
         .map_err(|error| without_position(path, format!("cannot be opened: {error}")))?;
     let length = metadata.len();
     if length > MAX_FILE_BYTES {
-        let message = format!("{length} bytes are too long, at most {MAX_FILE_BYTES} are read");
+        let message = format!("the file has {length} bytes: at most {MAX_FILE_BYTES} are accepted");
         return Err(without_position(path, message));
     }
     std::fs::read_to_string(path)
@@ -43,11 +43,11 @@
     }
 }
 
-/// Reads a text as the content of the file at this path.
+/// Reads and checks a text as the content of the file at this path.
 ///
 /// # Errors
 ///
-/// All errors of the text at once.
+/// All errors of the text.
 pub fn parse(path: &Path, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
     let file = parse_schema(path, text).map_err(|error| vec![error])?;
     let mut checker = Checker::new(path, text);
@@ -65,7 +65,7 @@
     Ok(OperatorConfig { limits, ..config })
 }
 
-/// Reads a text by the schema alone.
+/// Parses a text by the schema, without further checks.
 fn parse_schema(path: &Path, text: &str) -> Result<pb::Operator, ConfigError> {
     chutegrade_textproto::parse(SCHEMA, MESSAGE, text).map_err(|error| ConfigError {
         path: path.to_path_buf(),
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -10,7 +10,7 @@
     super::parse(Path::new("o.txtpb"), text)
 }
 
-/// The text has exactly these errors, each of which begins with its position and message as given, on one line.
+/// Asserts that a text has exactly these errors, each on one line that begins with the expected position and message.
 fn assert_errors(text: &str, expected: &[&str]) {
     let errors = parse(text).expect_err(text);
     let messages: Vec<String> = errors.iter().map(ConfigError::to_string).collect();
@@ -55,15 +55,15 @@
     assert_errors("log { format: XML }", &["1:"]);
     assert_errors(
         "# records come later\nrecords { keep_mib: 3 }",
-        &["2:1: records without a directory"],
+        &["2:1: records has no directory"],
     );
     assert_errors(
             "records {\n directory: \"x\" # keep_mib\n keep_mib: 3\n background { cpu_ms: 3 mib: 1 }\n}",
             &[
-                "2:2: \"x\" depends on where",
-                "3:2: 3 MiB hold less",
-                "4:15: 3 ms in any ten seconds: give 200 to 10000",
-                "4:25: 1 MiB",
+                "2:2: \"x\" is a relative path",
+                "3:2: keep_mib is 3, less than two segments",
+                "4:15: cpu_ms is 3: must be from 200 to 10000 ms",
+                "4:25: mib is 1: ",
             ],
         );
 }
@@ -94,7 +94,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The repository's file, cut off anywhere and followed by any text: no panic.
+    /// The repository's file, truncated anywhere and followed by any text, must not cause a panic.
     #[test]
     fn any_text_yields_a_configuration_or_errors_of_one_line(text in "[a-z_{}:\"0-9 #\n\\\\é<>\\[\\],;.-]{0,80}", kept_blocks in 0..40usize) {
         let repository_file = include_str!("../../../deploy/operator.txtpb");
--- a/crates/overload-control/src/classes.rs
+++ b/crates/overload-control/src/classes.rs
@@ -1,10 +1,10 @@
-//! Request classes of the settings, as the overload manager takes them.
+//! Converts request classes of the settings for the overload manager.
 
 use chutegrade_engine::Engine;
 use chutegrade_limits::{Class, Idempotency};
 use chutegrade_policy as policy;
 
-/// The classes of an engine, in their order.
+/// Returns the classes of an engine, in their order.
 pub fn overload_classes(engine: &Engine) -> Vec<Class> {
     let classes = engine.classes().iter();
     classes
@@ -12,7 +12,7 @@
         .collect()
 }
 
-/// A class of the settings.
+/// Converts a class of the settings.
 pub fn overload_class(name: String, class: &policy::Class) -> Class {
     Class {
         name,
@@ -23,7 +23,8 @@
     }
 }
 
-/// A retry may reach any server, so keys that only a zone or a cell recognizes don't make it safe: their window is 0.
+/// Converts the idempotency of a class. A retry may reach any server, so keys that only a zone or a cell recognizes
+/// don't make it safe: their window is 0.
 fn idempotency(idempotency: policy::Idempotency) -> Idempotency {
     match idempotency {
         policy::Idempotency::Idempotent => Idempotency::Idempotent,
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -1,4 +1,4 @@
-//! Service levels, limits and retry budgets of one supervisor, evaluated once a second.
+//! Evaluates the service levels, limits and retry budgets of one supervisor once a second.
 
 use chutegrade_engine::{Engine, Micros, Report};
 use chutegrade_limits::manager::Decision;
@@ -11,18 +11,19 @@
     limits_by_name, manager_inputs, overload_classes, transition_record, EVALUATION_INTERVAL,
 };
 
-/// The overload manager of one supervisor. The owner calls [`OverloadController::evaluate`] at least once in an interval.
+/// Runs the overload manager of one supervisor. The owner calls [`OverloadController::evaluate`] at least once in each
+/// [`EVALUATION_INTERVAL`].
 pub struct OverloadController {
     manager: OverloadManager,
     next_evaluation: Micros,
     report_period: Micros,
-    /// Whether the engine has a decision that is not empty, which the next report replaces or withdraws.
+    /// Whether the last reported decision was not empty, so that an empty one has to withdraw it.
     has_reported_decision: bool,
 }
 
 impl OverloadController {
-    /// A controller with this configuration; the engine samples traffic from now on. `report_period` is the time over
-    /// which reports count.
+    /// Creates a controller with this configuration, and enables traffic sampling in the engine. `report_period` is the
+    /// time that a load report covers.
     pub fn new(config: OverloadConfig, engine: &mut Engine, report_period: Micros) -> Self {
         engine.enable_traffic_sampling();
         let classes = overload_classes(engine);
@@ -35,12 +36,12 @@
         }
     }
 
-    /// The overload manager.
+    /// Returns the manager, with its signals, levels and limit.
     pub fn manager(&self) -> &OverloadManager {
         &self.manager
     }
 
-    /// Replaces the configuration. Returns the record of the level transition that follows, if one does.
+    /// Replaces the configuration. Returns the record of the level transition, if this causes one.
     pub fn reconfigure(&mut self, now: Micros, config: OverloadConfig) -> Option<Kind> {
         let transition = self.manager.replace(now.0, config)?;
         Some(transition_record(&transition))
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Evaluates the engine's state if an interval has passed, reports the decision to the engine, and returns the level
-    /// transition, if there was one.
+    /// Evaluates the engine's state if an interval has passed, reports the decision to the engine, and returns the
+    /// level transition, if there was one.
     pub fn evaluate(&mut self, now: Micros, engine: &mut Engine) -> Option<LevelTransition> {
         if now < self.next_evaluation {
             return None;
@@ -69,7 +70,8 @@
         evaluation.transition
     }
 
-    /// A decision replaces the one that was reported before, so an empty decision is reported only to withdraw another.
+    /// Reports a decision to the engine. It replaces the previous one, so an empty decision is reported only to
+    /// withdraw another.
     fn report(&mut self, decision: &Decision, now: Micros, engine: &mut Engine) {
         let has_decision = *decision != Decision::default();
         if has_decision || self.has_reported_decision {
--- a/crates/overload-control/src/decision.rs
+++ b/crates/overload-control/src/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions of the overload manager, which counts classes by position, as a report that names them.
+//! Converts decisions of the overload manager, which has classes by position, to reports with their names.
 
 use chutegrade_engine::{Engine, Micros, NamedClassRetry, NamedClassShare, OverloadLimits, Retry};
 use chutegrade_limits::manager::{ClassShare, Decision};
@@ -7,7 +7,7 @@
 
 use crate::DECISION_LIFETIME;
 
-/// A decision by names. Classes that the engine does not have are left out.
+/// Converts a decision to limits by class name. Omits classes that the engine does not have.
 pub fn limits_by_name(decision: &Decision, engine: &Engine, now: Micros) -> OverloadLimits {
     let admitted = decision.admitted.iter();
     let retries = decision.retries.iter().enumerate();
@@ -47,7 +47,7 @@
     Some(class.name.clone())
 }
 
-/// A retry allowance as the retry policy of a class.
+/// Converts a retry allowance to the retry policy of a class.
 pub fn retry_order(allowance: RetryAllowance) -> Retry {
     match allowance {
         RetryAllowance::Never => Retry::Never,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Shares of requests to shed, as the type of the policy.
+/// Converts shares of requests to shed to the policy's type.
 pub fn shed_shares(shares: chutegrade_limits::ShedShares) -> policy::ShedShares {
     policy::ShedShares {
         ordinary: shares.ordinary,
--- a/crates/overload-control/src/inputs.rs
+++ b/crates/overload-control/src/inputs.rs
@@ -1,10 +1,10 @@
-//! The input of the overload manager, from what an engine measures.
+//! Input of the overload manager from the engine's samples and status.
 
 use chutegrade_engine::{FleetStatus, Micros, TrafficSample};
 use chutegrade_limits::manager::Inputs;
 
-/// What was reported since the last evaluation, and the state of the fleet. `report_period` is the time over which reports
-/// count.
+/// Combines the reports since the last evaluation and the state of the fleet. `report_period` is the time that a load
+/// report covers.
 pub fn manager_inputs(
     now: Micros,
     report_period: Micros,
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -1,7 +1,7 @@
-//! Runs the overload manager of a supervisor on what its engine measures, and hands its decisions to the engine as a report
-//! that names classes; level transitions become records.
+//! Runs the overload manager of a supervisor on its engine's samples, and reports the decisions to the engine by class
+//! name; level transitions become records.
 //!
-//! There is no I/O and no clock here. The policy decides how the limits take effect.
+//! The crate has no I/O or clock. The policy decides how the limits take effect.
 
 mod classes;
 mod controller;
@@ -17,7 +17,7 @@
 pub use inputs::manager_inputs;
 pub use records::transition_record;
 
-/// Time between two evaluations: load reports arrive no more often.
+/// Time between two evaluations: load reports are not more frequent.
 pub const EVALUATION_INTERVAL: Micros = Micros(1_000_000);
-/// How long a decision holds unless it is renewed, so that one or two late evaluations do not end it.
+/// Time after which a decision expires unless it is renewed; one or two late evaluations do not end it.
 pub const DECISION_LIFETIME: Micros = Micros(4_000_000);
--- a/crates/overload-control/src/records.rs
+++ b/crates/overload-control/src/records.rs
@@ -1,4 +1,4 @@
-//! Level transitions and signals as records.
+//! Converts level transitions and signals to records.
 
 use chutegrade_limits::service_levels::FULL_SERVICE;
 use chutegrade_limits::signals::SignalReading;
@@ -7,7 +7,7 @@
 
 const US_PER_MS: i64 = 1000;
 
-/// A level transition as a record.
+/// Converts a level transition to a record.
 pub fn transition_record(transition: &LevelTransition) -> Kind {
     Kind::ServiceLevel(pb::ServiceLevel {
         from: transition.from.clone(),
@@ -20,7 +20,7 @@
     })
 }
 
-/// The record of a saved level that was not restored after a restart, for this reason: service is full instead.
+/// Returns the record of a saved level that was not restored after a restart, with the reason; service is full instead.
 pub fn not_restored_record(level: &str, reason: String) -> Kind {
     Kind::ServiceLevel(pb::ServiceLevel {
         from: level.to_string(),
@@ -31,7 +31,7 @@
     })
 }
 
-/// A signal as a record.
+/// Converts the reading of a signal to a record.
 pub fn signal_record(reading: &SignalReading) -> pb::Signal {
     pb::Signal {
         name: reading.signal.name().to_string(),
