--- a/crates/limits/src/default_levels/tests.rs
+++ b/crates/limits/src/default_levels/tests.rs
@@ -23,13 +23,13 @@
             .map(|n| class(&format!("c{n}"), 1.0 + f64::from((n * 5) % 7), 0.5))
             .collect();
         let levels = ServiceLevels::read(&declared, Some(&classes))
-            .unwrap_or_else(|faults| panic!("{faults:?}"));
+            .unwrap_or_else(|errors| panic!("{errors:?}"));
         assert_eq!(levels.levels.len(), 2 * count as usize - 1);
     }
 }
 
 #[test]
-fn the_highest_priority_is_reduced_last_and_never_to_the_least_share() {
+fn the_highest_priority_is_reduced_last_and_never_to_the_minimum_share() {
     let levels = levels(&[class("file", 8.0, 1.5), class("read", 2.0, 0.6)]);
     let shares: Vec<(&str, f64, f64)> = levels
         .iter()
--- a/crates/limits/src/level_config.rs
+++ b/crates/limits/src/level_config.rs
@@ -5,29 +5,29 @@
 use crate::service_levels::{AdmittedShare, ServiceLevel, ServiceLevels, MIN_CLASS_SHARE};
 use crate::{default_levels, pb, Class};
 
-/// Most levels: what an operator can tell apart at a glance.
+/// Maximum number of levels; operators can't distinguish more at a glance.
 pub const MAX_LEVELS: usize = 12;
-/// Most characters in the name of a level.
+/// Maximum length of a level's name, in characters.
 const MAX_NAME_LENGTH: usize = 40;
-/// Longest time that may be given, in seconds: beyond it a level has to be held by hand.
+/// Maximum duration that may be declared, in seconds; beyond it, operators have to maintain a level manually.
 const MAX_SECONDS: f64 = 3600.0;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Twice the time in which a change of level takes effect and shows in the signals, in seconds.
+/// Default of `least_stay_s`: twice the time until a change of level takes effect and shows in the signals.
 const DEFAULT_MIN_DURATION_SECONDS: f64 = 8.0;
 /// Default of `without_signals_s`.
 const DEFAULT_SIGNAL_LOSS_TIMEOUT_SECONDS: f64 = 15.0;
-/// Default of `signal_most_age_s`: a few missing reports.
+/// Default of `signal_most_age_s`: tolerates a few missing reports.
 const DEFAULT_MAX_SIGNAL_AGE_SECONDS: f64 = 5.0;
 /// Default of `doubt_list_s`: longer than the delay of an endpoint list.
 const DEFAULT_ENDPOINT_LIST_TIMEOUT_SECONDS: f64 = 60.0;
 
 impl ServiceLevels {
-    /// Reads and checks service levels. Without classes, what depends on them is not checked.
+    /// Reads and checks service levels. Without classes, skips the checks that depend on them.
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// All errors.
     pub fn read(
         declared: &pb::Ladder,
         classes: Option<&[Class]>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Collects faults while it reads.
+/// Collects errors while it reads.
 struct LevelReader<'a> {
     classes: Option<&'a [Class]>,
     errors: Vec<ConfigError>,
@@ -87,14 +87,14 @@
         let use_defaults = declared.usual == Some(true);
         let count = declared.level.len();
         if use_defaults && count > 0 {
-            self.fault("usual", ConfigProblem::DefaultAndOwnLevels);
+            self.add_error("usual", ConfigProblem::DefaultAndOwnLevels);
         }
         if !use_defaults && count == 0 {
-            self.fault("ladder", ConfigProblem::NoLevels);
+            self.add_error("ladder", ConfigProblem::NoLevels);
         }
         if count > MAX_LEVELS {
             let limit = MAX_LEVELS;
-            self.fault("ladder", ConfigProblem::TooManyLevels { count, limit });
+            self.add_error("ladder", ConfigProblem::TooManyLevels { count, limit });
         }
         let mut levels = if use_defaults {
             default_levels::levels(self.classes.unwrap_or_default())
@@ -137,7 +137,7 @@
             level: name.to_string(),
             max_length: MAX_NAME_LENGTH,
         };
-        self.level_fault(index, "name", problem);
+        self.add_level_error(index, "name", problem);
     }
 
     fn read_shares(
@@ -152,7 +152,7 @@
                 .is_some_and(|classes| classes.iter().all(|class| class.name != shed.class));
             if is_unknown {
                 let class = shed.class.clone();
-                self.level_fault(index, "class", ConfigProblem::UnknownClass { class });
+                self.add_level_error(index, "class", ConfigProblem::UnknownClass { class });
             }
             if !(MIN_CLASS_SHARE..=1.0).contains(&shed.keep) {
                 let problem = ConfigProblem::ShareOutOfRange {
@@ -161,12 +161,12 @@
                     share: shed.keep,
                     min: MIN_CLASS_SHARE,
                 };
-                self.level_fault(index, "keep", problem);
+                self.add_level_error(index, "keep", problem);
             }
         }
         if declared.is_empty() {
             let level = level.to_string();
-            self.level_fault(index, "level", ConfigProblem::ShedsNothing { level });
+            self.add_level_error(index, "level", ConfigProblem::ShedsNothing { level });
         }
         let read_share = |shed: &pb::Shed| AdmittedShare {
             class: shed.class.clone(),
@@ -189,7 +189,7 @@
         let level = level.to_string();
         let Some(declared) = declared else {
             let problem = ConfigProblem::MissingCondition { level, event };
-            self.level_fault(index, field, problem);
+            self.add_level_error(index, field, problem);
             return None;
         };
         match Condition::read(declared) {
@@ -200,7 +200,7 @@
                     event,
                     source,
                 };
-                self.level_fault(index, field, problem);
+                self.add_level_error(index, field, problem);
                 None
             }
         }
@@ -209,17 +209,17 @@
     fn read_min_duration(&mut self, index: usize, level: &str, declared: Option<f64>) -> i64 {
         let seconds = declared.unwrap_or(DEFAULT_MIN_DURATION_SECONDS);
         if !is_valid_duration(seconds) {
-            let problem = ConfigProblem::StayOutOfRange {
+            let problem = ConfigProblem::MinDurationOutOfRange {
                 level: level.to_string(),
                 seconds,
                 max: MAX_SECONDS,
             };
-            self.level_fault(index, "least_stay_s", problem);
+            self.add_level_error(index, "least_stay_s", problem);
         }
         microseconds(seconds)
     }
 
-    /// A duration that belongs to all levels.
+    /// Checks a duration that applies to all levels, and converts it.
     fn duration_us(&mut self, field: &'static str, seconds: f64) -> i64 {
         if !is_valid_duration(seconds) {
             let problem = ConfigProblem::SecondsOutOfRange {
@@ -227,12 +227,12 @@
                 seconds,
                 max: MAX_SECONDS,
             };
-            self.fault(field, problem);
+            self.add_error(field, problem);
         }
         microseconds(seconds)
     }
 
-    fn fault(&mut self, field: &'static str, problem: ConfigProblem) {
+    fn add_error(&mut self, field: &'static str, problem: ConfigProblem) {
         self.errors.push(ConfigError {
             level: None,
             field,
@@ -240,7 +240,7 @@
         });
     }
 
-    fn level_fault(&mut self, index: usize, field: &'static str, problem: ConfigProblem) {
+    fn add_level_error(&mut self, index: usize, field: &'static str, problem: ConfigProblem) {
         self.errors.push(ConfigError {
             level: Some(index),
             field,
--- a/crates/limits/src/manager/tests.rs
+++ b/crates/limits/src/manager/tests.rs
@@ -27,7 +27,7 @@
     arrivals: f64,
     capacity: f64,
     saturation: f64,
-    /// How many times the arrivals of another proxy arrive at the first one.
+    /// Arrivals at the first proxy, as a multiple of those at another.
     first_proxy_factor: f64,
     admitted_shares: [f64; 2],
 }
@@ -41,7 +41,7 @@
     admitted_shares: [1.0, 1.0],
 };
 
-/// The inputs of a second with ten proxies and two classes.
+/// Returns the inputs of one second, with ten proxies and two classes.
 fn inputs_at(second: i64, load: &Load) -> Inputs {
     let demand_at = |proxy: u32, class| {
         let factor = if proxy == 0 {
@@ -166,11 +166,11 @@
 }
 
 #[test]
-fn a_faulty_configuration_reports_all_faults() {
-    let faults =
+fn an_invalid_configuration_reports_all_errors() {
+    let errors =
         config("adaptive { target: 2 } repeats { ratio: -1 } fairness { times_mean: 1 } ladder {}")
-            .expect_err("faults");
-    let fields: Vec<&str> = faults.iter().map(|fault| fault.field).collect();
+            .expect_err("errors");
+    let fields: Vec<&str> = errors.iter().map(|error| error.field).collect();
     assert_eq!(fields, ["target", "ratio", "times_mean", "ladder"]);
 }
 
