--- a/crates/policy/src/decisions/admission.rs
+++ b/crates/policy/src/decisions/admission.rs
@@ -155,14 +155,14 @@
         // A queue shows in health checks only when all are late: a single slow server would pass for a saturated fleet, and
         // has less weight for its fault anyway.
         let slowdown = |server: &Server| {
-            server.evidence.slowdown_at_work().filter(|_| {
+            server.evidence.slowdown_under_load().filter(|_| {
                 server.health.state == HealthState::Full
                     && server.evidence.speed.service_ms.sum > 0.0
             })
         };
-        let slowdown = weighted_median(self.samples_by_work(slowdown)).unwrap_or(1.0);
+        let slowdown = weighted_median(self.samples_by_capacity(slowdown)).unwrap_or(1.0);
         SaturationTerms {
-            queues: weighted_mean(&self.samples_by_work(reported_saturation)),
+            queues: weighted_mean(&self.samples_by_capacity(reported_saturation)),
             check_latency: CHECK_SLOWDOWN_SATURATION.at(slowdown),
             unanswered: self.unanswered_share,
             outcomes: self.outcome_term(),
@@ -190,7 +190,10 @@
 
     /// What servers in service show, by the work that each takes: idle ones that warm up would hide that all the others
     /// are saturated.
-    fn samples_by_work(&self, shown: impl Fn(&Server) -> Option<f64>) -> Vec<WeightedSample> {
+    fn samples_by_capacity(
+        &self,
+        value_of: impl Fn(&Server) -> Option<f64>,
+    ) -> Vec<WeightedSample> {
         let any_warm = self
             .registry
             .in_service()
@@ -198,8 +201,8 @@
         self.registry
             .in_service()
             .filter_map(|(_, server)| {
-                let value = shown(server)?;
-                let weight = self.work(server, any_warm);
+                let value = value_of(server)?;
+                let weight = self.available_capacity(server, any_warm);
                 Some(WeightedSample { value, weight })
             })
             .filter(|sample| sample.weight > 0.0)
@@ -207,7 +210,7 @@
     }
 
     /// The capacity that a server is sure to have; none while it is withheld.
-    fn work(&self, server: &Server, any_warm: bool) -> f64 {
+    fn available_capacity(&self, server: &Server, any_warm: bool) -> f64 {
         let is_withheld = self.warming_withheld && any_warm && server.warm_up_share < 1.0;
         let size = if is_withheld { 0.0 } else { server.size() };
         server.warm_up_share * size
--- a/crates/policy/src/decisions/assignment.rs
+++ b/crates/policy/src/decisions/assignment.rs
@@ -19,7 +19,7 @@
 
 /// A move of a proxy to another shard, or to its first one.
 #[derive(Clone, Copy, Debug)]
-struct Move {
+struct Migration {
     from: ZoneShard,
     to: ZoneShard,
     /// Whether it balances the load enough to move a proxy that is assigned.
@@ -61,18 +61,18 @@
             let Some(proxy) = proxies.get(candidate.proxy) else {
                 continue;
             };
-            let step = self.plan_move(proxy, &mut balance);
-            if candidate.is_assigned && !step.is_worthwhile {
+            let migration = self.plan_migration(proxy, &mut balance);
+            if candidate.is_assigned && !migration.is_worthwhile {
                 self.reconcile(candidate.proxy, proxies, orders);
                 continue;
             }
-            if !self.assign_tables(&candidate, step.to.shard, proxies, orders) {
+            if !self.assign_tables(&candidate, migration.to.shard, proxies, orders) {
                 break;
             }
             if candidate.is_assigned {
-                balance.add(step.from, -candidate.request_rate);
+                balance.add(migration.from, -candidate.request_rate);
             }
-            balance.add(step.to, candidate.request_rate);
+            balance.add(migration.to, candidate.request_rate);
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// The best shard for a proxy, and whether it should move there from its own.
-    fn plan_move(&self, proxy: &Proxy, balance: &mut ShardBalance) -> Move {
+    fn plan_migration(&self, proxy: &Proxy, balance: &mut ShardBalance) -> Migration {
         let group = self.groups().group(proxy.zone);
         let placement = self.best_placement(proxy, group, balance);
         let from = ZoneShard {
@@ -116,12 +116,12 @@
             zone: group,
             shard: placement.shard,
         };
-        let own_load = balance.load(from).with_more(0.0);
-        let keeps_shard = from == to || own_load < REBALANCE_RATIO * placement.load;
-        Move {
+        let own_load = balance.load(from).load_with(0.0);
+        let should_stay = from == to || own_load < REBALANCE_RATIO * placement.load;
+        Migration {
             from,
             to,
-            is_worthwhile: !keeps_shard,
+            is_worthwhile: !should_stay,
         }
     }
 
--- a/crates/policy/src/decisions/channel.rs
+++ b/crates/policy/src/decisions/channel.rs
@@ -8,11 +8,11 @@
 use super::tick::TICK_INTERVAL;
 
 /// Lower bound on the pace, as a share of the stated one.
-const MIN_PACE_SHARE: f64 = 0.05;
+const MIN_SEND_RATE_SHARE: f64 = 0.05;
 /// Growth of the pace in a tick in which acknowledgements came in time.
-const PACE_GROWTH: f64 = 1.25;
+const SEND_RATE_GROWTH: f64 = 1.25;
 /// Without any acknowledgement for this time, beyond the delivery there and back, the channel is taken to be empty.
-const SILENCE_TIMEOUT: Micros = Micros(3_000_000);
+const ACKNOWLEDGEMENT_TIMEOUT: Micros = Micros(3_000_000);
 /// Lower bound on the time over which acknowledged lines are counted, in seconds.
 const MIN_ELAPSED_SECONDS: f64 = 1e-3;
 
@@ -34,21 +34,21 @@
     acknowledged_lines: f64,
     /// The fastest acknowledgement since the pace was updated.
     fastest_acknowledgement: Option<Micros>,
-    pace: f64,
+    send_rate: f64,
 }
 
 impl Channel {
     /// An empty channel at its stated pace.
     pub fn new(settings: &Settings) -> Self {
         Channel {
-            pace: settings.channel_lines_per_second,
+            send_rate: settings.channel_lines_per_second,
             ..Channel::default()
         }
     }
 
     /// The present pace, in lines per second.
-    pub fn pace(&self) -> f64 {
-        self.pace
+    pub fn send_rate(&self) -> f64 {
+        self.send_rate
     }
 
     /// The sequence number of the next round.
@@ -107,15 +107,15 @@
     /// Drops the rounds that must have left by now. What is not acknowledged counts as queued, however slow the channel,
     /// until there was silence for long.
     pub fn drop_expired(&mut self, now: Micros, settings: &Settings) {
-        let slowest_pace = MIN_PACE_SHARE * settings.channel_lines_per_second;
-        let largest_message = Micros::from_ms(1000.0 * self.largest_message() / slowest_pace);
+        let min_send_rate = MIN_SEND_RATE_SHARE * settings.channel_lines_per_second;
+        let largest_message = Micros::from_ms(1000.0 * self.largest_message() / min_send_rate);
         let delivery_delay = settings.max_delivery_delay;
-        let silent_since =
-            now - delivery_delay - delivery_delay - SILENCE_TIMEOUT - largest_message;
+        let min_last_activity =
+            now - delivery_delay - delivery_delay - ACKNOWLEDGEMENT_TIMEOUT - largest_message;
         let last_acknowledged_at = self.last_acknowledged_at;
         self.rounds.retain(|round| {
-            let last_sign = round.written_at.max(last_acknowledged_at);
-            !round.lines_by_proxy.is_empty() && last_sign >= silent_since
+            let last_activity = round.written_at.max(last_acknowledged_at);
+            !round.lines_by_proxy.is_empty() && last_activity >= min_last_activity
         });
     }
 
@@ -129,17 +129,19 @@
 
     /// Updates the pace at a tick: acknowledged lines show it while even the fastest acknowledgement is late, else the
     /// channel can take more.
-    pub fn update_pace(&mut self, elapsed_seconds: f64, settings: &Settings) {
+    pub fn update_send_rate(&mut self, elapsed_seconds: f64, settings: &Settings) {
         let acknowledged_lines = std::mem::take(&mut self.acknowledged_lines);
-        let acknowledged_pace = acknowledged_lines / elapsed_seconds.max(MIN_ELAPSED_SECONDS);
-        let stated_pace = settings.channel_lines_per_second;
+        let acknowledged_rate = acknowledged_lines / elapsed_seconds.max(MIN_ELAPSED_SECONDS);
+        let nominal_rate = settings.channel_lines_per_second;
         let late_after = settings.max_delivery_delay + TICK_INTERVAL;
-        let pace = match self.fastest_acknowledgement.take() {
-            None => self.pace,
-            Some(fastest) if fastest > late_after => smooth_quality(self.pace, acknowledged_pace),
-            Some(_) => self.pace * PACE_GROWTH,
+        let send_rate = match self.fastest_acknowledgement.take() {
+            None => self.send_rate,
+            Some(fastest) if fastest > late_after => {
+                smooth_quality(self.send_rate, acknowledged_rate)
+            }
+            Some(_) => self.send_rate * SEND_RATE_GROWTH,
         };
-        self.pace = pace.clamp(MIN_PACE_SHARE * stated_pace, stated_pace);
+        self.send_rate = send_rate.clamp(MIN_SEND_RATE_SHARE * nominal_rate, nominal_rate);
     }
 
     /// Lines of the largest message that is queued.
--- a/crates/policy/src/decisions/class_levels.rs
+++ b/crates/policy/src/decisions/class_levels.rs
@@ -65,7 +65,7 @@
         if self.settings.admission_unit == AdmissionUnit::Unsupported {
             return levels;
         }
-        let order = self.by_rising_value();
+        let order = self.by_priority_per_second();
         let total = self.total_arrivals();
         let mut to_shed = shed_share * total;
         for ClassArrivals { class, arrivals } in order {
@@ -107,8 +107,13 @@
     }
 
     /// The classes, those with the least value for their time first.
-    fn by_rising_value(&self) -> Vec<ClassArrivals> {
-        let value = |class: usize| self.settings.classes.get(class).map_or(0.0, value_for_time);
+    fn by_priority_per_second(&self) -> Vec<ClassArrivals> {
+        let value = |class: usize| {
+            self.settings
+                .classes
+                .get(class)
+                .map_or(0.0, priority_per_second)
+        };
         let mut order: Vec<ClassArrivals> = self
             .arrivals()
             .enumerate()
@@ -120,7 +125,7 @@
 }
 
 /// Priority weight of a class per second of its latency objective.
-fn value_for_time(class: &Class) -> f64 {
+fn priority_per_second(class: &Class) -> f64 {
     let objective_seconds = class.latency_objective.secs();
     class.priority_weight / objective_seconds.max(MIN_OBJECTIVE_SECONDS)
 }
--- a/crates/policy/src/decisions/desired_tables.rs
+++ b/crates/policy/src/decisions/desired_tables.rs
@@ -42,7 +42,7 @@
         affinity: &ByZone,
         demand: WarmingDemand,
     ) -> DesiredTable {
-        let shard = self.members.of(plan.shard);
+        let shard = self.members.in_shard(plan.shard);
         // A shard without warm servers borrows those of the other shards, so that no proxy is without a server.
         let members = if self.has_warm_server(plan, shard) {
             shard
--- a/crates/policy/src/decisions/events.rs
+++ b/crates/policy/src/decisions/events.rs
@@ -33,7 +33,7 @@
             } => self.admission.record_arrivals(*class, *arrivals),
             Event::SliceOwnership { table, granted } => {
                 self.tables.reset(*table);
-                self.slices.set_responsibility(*table, *granted);
+                self.slices.set_ownership(*table, *granted);
             }
             Event::PublishedWeight {
                 table,
--- a/crates/policy/src/decisions/evidence.rs
+++ b/crates/policy/src/decisions/evidence.rs
@@ -55,7 +55,7 @@
     /// Health checks per second of their own duration.
     pub checks: DecayingMean,
     /// The same, by how much work the server had.
-    pub checks_at_work: DecayingMean,
+    pub checks_under_load: DecayingMean,
     /// Reported service time, in milliseconds.
     pub service_ms: DecayingMean,
 }
@@ -64,7 +64,7 @@
     fn decay(&mut self, elapsed_seconds: f64) {
         for mean in [
             &mut self.checks,
-            &mut self.checks_at_work,
+            &mut self.checks_under_load,
             &mut self.service_ms,
         ] {
             mean.decay(elapsed_seconds, RATE_HALF_LIFE_SECONDS);
@@ -131,10 +131,10 @@
         let weighted_speed = speed.powi(CHECK_SPEED_EXPONENT + 1);
         self.speed.checks.add(weighted_speed, weight);
         // A server that idled, as a new one does, would pass for saturated once it has work.
-        let work = self.work();
+        let activity = self.recent_activity();
         self.speed
-            .checks_at_work
-            .add(work * weighted_speed, work * weight);
+            .checks_under_load
+            .add(activity * weighted_speed, activity * weight);
         self.recent_check_speed.add(speed, 1.0);
         self.fastest_check_seconds = if self.fastest_check_seconds > 0.0 {
             self.fastest_check_seconds.min(seconds)
@@ -150,14 +150,14 @@
 
     /// How many times longer health checks take now than they usually do.
     pub fn slowdown(&self) -> Option<f64> {
-        let usual_speed = self.speed.checks.positive_mean()?;
-        Some(usual_speed / self.recent_check_speed.positive_mean()?)
+        let baseline_speed = self.speed.checks.positive_mean()?;
+        Some(baseline_speed / self.recent_check_speed.positive_mean()?)
     }
 
     /// How many times longer health checks take now than they usually do while the server has work.
-    pub fn slowdown_at_work(&self) -> Option<f64> {
-        let usual_speed = self.speed.checks_at_work.positive_mean()?;
-        Some(usual_speed / self.recent_check_speed.positive_mean()?)
+    pub fn slowdown_under_load(&self) -> Option<f64> {
+        let baseline_speed = self.speed.checks_under_load.positive_mean()?;
+        Some(baseline_speed / self.recent_check_speed.positive_mean()?)
     }
 
     /// Lets time pass.
@@ -176,7 +176,7 @@
     }
 
     /// Whether the server has had attempts lately, from 0 to 1.
-    fn work(&self) -> f64 {
+    fn recent_activity(&self) -> f64 {
         self.by_proxy_zone
             .values()
             .map(|zone| clamp_to_unit(zone.failures.weight))
--- a/crates/policy/src/decisions/health.rs
+++ b/crates/policy/src/decisions/health.rs
@@ -21,7 +21,7 @@
 /// Ticks above that score before the full weight is restored, and ticks before the first return of a withdrawn server.
 const RESTORE_TICKS: u32 = 6;
 /// Factor on the ejection period after a return that failed.
-const EJECTION_BACKOFF: u32 = 2;
+const EJECTION_BACKOFF_FACTOR: u32 = 2;
 /// The longest ejection period, in ticks.
 const MAX_EJECTION_TICKS: u32 = 24;
 /// The least weight of a reduced server and the weight of a returning one, as a share of the listed.
@@ -87,7 +87,7 @@
         self.record_score(terms);
         self.grow_ceiling(evidence);
         match self.state {
-            HealthState::Withdrawn => self.await_return(evidence, checks),
+            HealthState::Withdrawn => self.advance_ejection(evidence, checks),
             _ if self.ticks_below >= WITHDRAW_TICKS => {
                 self.enter(HealthState::Withdrawn, self.score, MIN_WEIGHT_SHARE);
             }
@@ -145,12 +145,13 @@
         evidence.successes_since_growth = 0.0;
     }
 
-    fn await_return(&mut self, evidence: &mut Evidence, checks: &mut HealthChecks) {
+    fn advance_ejection(&mut self, evidence: &mut Evidence, checks: &mut HealthChecks) {
         self.ticks_withdrawn += 1;
         if self.ticks_withdrawn < self.ejection_ticks || checks.consecutive_failures > 0 {
             return;
         }
-        self.ejection_ticks = (self.ejection_ticks * EJECTION_BACKOFF).min(MAX_EJECTION_TICKS);
+        self.ejection_ticks =
+            (self.ejection_ticks * EJECTION_BACKOFF_FACTOR).min(MAX_EJECTION_TICKS);
         evidence.by_proxy_zone.clear();
         checks.failed_attempts = 0.0;
         self.enter(HealthState::Reduced, REDUCE_BELOW, MIN_WEIGHT_SHARE);
--- a/crates/policy/src/decisions/mod.rs
+++ b/crates/policy/src/decisions/mod.rs
@@ -45,13 +45,13 @@
 use channel::Channel;
 use limits::ActiveLimits;
 use proxies::Proxies;
-use publication::UpdatePace;
+use publication::UpdatePacer;
 use registry::Registry;
 use scoring::Scoring;
 use sharding::Sharding;
 use slices::Slices;
 use tables::Tables;
-use tick::{first_tick_delay, TICK_INTERVAL, TICK_TIMER};
+use tick::{first_tick_delay, TICK_INTERVAL, TICK_TIMER_ID};
 use zone_links::{extra_check_seconds, Reachability, References, ZoneLinks};
 
 /// One instance of the decisions.
@@ -74,7 +74,7 @@
     tables: Tables,
     slices: Slices,
     channel: Channel,
-    update_pace: UpdatePace,
+    update_pacer: UpdatePacer,
     /// Whether servers that warm up are withheld from tables.
     warming_withheld: bool,
 }
@@ -100,10 +100,10 @@
         for event in events {
             self.apply_event(now, event);
         }
-        let is_tick = events.contains(&Event::Timer(TICK_TIMER));
+        let is_tick = events.contains(&Event::Timer(TICK_TIMER_ID));
         if is_tick {
             actions.push(Action::SetTimer {
-                id: TICK_TIMER,
+                id: TICK_TIMER_ID,
                 delay: TICK_INTERVAL,
             });
             self.tick(now, &mut actions);
@@ -122,7 +122,7 @@
             actions.push(Action::SubscribeEndpoints(true));
         }
         actions.push(Action::SetTimer {
-            id: TICK_TIMER,
+            id: TICK_TIMER_ID,
             delay: first_tick_delay(self.seed),
         });
     }
@@ -151,7 +151,8 @@
             actions.push(Action::SubscribeEndpoints(true));
         }
         self.links.extra_check_seconds = extra_check_seconds(&self.registry, self.settings.zone);
-        self.channel.update_pace(elapsed_seconds, &self.settings);
+        self.channel
+            .update_send_rate(elapsed_seconds, &self.settings);
         let reachability = self.links.detect_partitions(&self.registry, actions);
         let references = self.links.update(&mut self.registry, &self.settings);
         self.detect_common_failures(now, &references, &reachability);
--- a/crates/policy/src/decisions/orders.rs
+++ b/crates/policy/src/decisions/orders.rs
@@ -41,7 +41,7 @@
     is_urgent: true,
 };
 /// Budget of weights that protect a server.
-pub(super) const GUARD_BUDGET: ChannelBudget = ChannelBudget {
+pub(super) const PROTECTION_BUDGET: ChannelBudget = ChannelBudget {
     backlog_share: 0.8,
     message_share: 0.8,
     grace_share: 0.5,
@@ -72,8 +72,8 @@
 /// What the channel can take, at the time of the round.
 #[derive(Clone, Copy, Debug)]
 struct ChannelCapacity {
-    stated_pace: f64,
-    present_pace: f64,
+    nominal_rate: f64,
+    current_rate: f64,
     backlog_lines: f64,
     delivery_delay_seconds: f64,
     grace_seconds: f64,
@@ -101,8 +101,8 @@
     /// A round without orders.
     pub fn new(now: Micros, channel: &Channel, settings: &Settings) -> Self {
         let capacity = ChannelCapacity {
-            stated_pace: settings.channel_lines_per_second,
-            present_pace: channel.pace(),
+            nominal_rate: settings.channel_lines_per_second,
+            current_rate: channel.send_rate(),
             backlog_lines: settings.channel_backlog,
             delivery_delay_seconds: settings.max_delivery_delay.secs(),
             grace_seconds: settings.drain_grace.secs().max(MIN_GRACE_SECONDS),
@@ -158,22 +158,22 @@
             return true;
         }
         let cost = self.cost(recipients, lines);
-        let is_alone = budget.is_urgent && self.queued_lines <= 0.0;
-        (self.fits_queue(cost, budget) || is_alone)
+        let may_exceed_budget = budget.is_urgent && self.queued_lines <= 0.0;
+        (self.fits_queue(cost, budget) || may_exceed_budget)
             && self.message_share(proxies, recipients) <= budget.message_share
     }
 
     fn fits_queue(&self, cost: f64, budget: &ChannelBudget) -> bool {
         let capacity = &self.capacity;
-        let pace = if budget.is_urgent {
-            capacity.stated_pace
+        let send_rate = if budget.is_urgent {
+            capacity.nominal_rate
         } else {
-            capacity.present_pace
+            capacity.current_rate
         };
         let seconds = capacity.delivery_delay_seconds + budget.grace_share * capacity.grace_seconds;
-        let sent_in_time = pace * seconds;
+        let lines_in_time = send_rate * seconds;
         self.queued_lines + cost <= budget.backlog_share * capacity.backlog_lines
-            && self.queued_lines <= sent_in_time
+            && self.queued_lines <= lines_in_time
     }
 
     /// The largest share of the message limit in use at any recipient, this round's message included.
--- a/crates/policy/src/decisions/proxies.rs
+++ b/crates/policy/src/decisions/proxies.rs
@@ -158,7 +158,7 @@
     }
 
     /// Drops the messages that were written before the window of the message limit.
-    pub fn forget_written_before(&mut self, window_start: Micros) {
+    pub fn drop_written_before(&mut self, window_start: Micros) {
         for proxy in self.joined.values_mut() {
             proxy.written_at.retain(|at| *at >= window_start);
         }
--- a/crates/policy/src/decisions/publication.rs
+++ b/crates/policy/src/decisions/publication.rs
@@ -8,7 +8,7 @@
 use crate::statistics::median;
 
 use super::channel::Channel;
-use super::orders::{header_lines, Orders, GUARD_BUDGET, LEVEL_BUDGET, ORDINARY_BUDGET};
+use super::orders::{header_lines, Orders, LEVEL_BUDGET, ORDINARY_BUDGET, PROTECTION_BUDGET};
 use super::proxies::Proxies;
 use super::registry::{Registry, Weights};
 use super::server::Server;
@@ -35,7 +35,7 @@
     /// The proxies that use the table.
     recipients: &'a [ProxyId],
     /// Whether the change protects a server or a proxy, and goes before all others.
-    is_guard: bool,
+    is_protective: bool,
     /// Traffic that the change moves, in requests per second at a proxy with the mean demand of the table's users.
     moved_rate: f64,
     /// Lines that it takes at each recipient.
@@ -193,7 +193,7 @@
             server: id,
             weight,
             recipients: self.users,
-            is_guard: self.sent.is_empty() || protects_warming_up,
+            is_protective: self.sent.is_empty() || protects_warming_up,
             moved_rate,
             lines: if is_new { ADDITION_LINES } else { CHANGE_LINES },
         })
@@ -209,11 +209,11 @@
 
 /// The pace of ordinary updates.
 #[derive(Clone, Debug, Default)]
-pub(super) struct UpdatePace {
+pub(super) struct UpdatePacer {
     last_update: Option<Micros>,
 }
 
-impl UpdatePace {
+impl UpdatePacer {
     /// Sends the changes that fit the channel, those that protect first, then those that move most traffic.
     pub fn send(
         &mut self,
@@ -222,19 +222,19 @@
         publisher: &mut Publisher,
     ) {
         changes.sort_by(|a, b| {
-            let guards_first = b.is_guard.cmp(&a.is_guard);
-            guards_first.then(b.moved_rate.total_cmp(&a.moved_rate))
+            let protective_first = b.is_protective.cmp(&a.is_protective);
+            protective_first.then(b.moved_rate.total_cmp(&a.moved_rate))
         });
         let now = publisher.orders.at;
         let is_due = self
             .last_update
             .is_none_or(|at| (now - at).secs() >= interval_seconds);
         for change in &changes {
-            if !change.may_go(is_due, publisher) {
+            if !change.can_send(is_due, publisher) {
                 continue;
             }
             let needs_messages = !publisher.orders.reaches_all(change.recipients);
-            if needs_messages && !change.is_guard {
+            if needs_messages && !change.is_protective {
                 self.last_update = Some(now);
             }
             publisher
@@ -255,14 +255,14 @@
 impl WeightChange<'_> {
     /// Whether the channel takes the change now. One that goes with messages that are due already costs none of its own:
     /// else levels and guards would use up the message limit.
-    fn may_go(&self, is_due: bool, publisher: &Publisher) -> bool {
+    fn can_send(&self, is_due: bool, publisher: &Publisher) -> bool {
         let fits = |budget| {
             publisher
                 .orders
                 .fits(publisher.proxies, self.recipients, self.lines, budget)
         };
         let is_ordinary = is_due || publisher.orders.reaches_all(self.recipients);
-        (is_ordinary && fits(&ORDINARY_BUDGET)) || (self.is_guard && fits(&GUARD_BUDGET))
+        (is_ordinary && fits(&ORDINARY_BUDGET)) || (self.is_protective && fits(&PROTECTION_BUDGET))
     }
 }
 
@@ -274,5 +274,5 @@
     channel: &Channel,
 ) -> f64 {
     let header_lines = proxies.len() as f64 * header_lines(settings);
-    MIN_UPDATE_SECONDS.max(header_lines / HEADER_SHARE / channel.pace())
+    MIN_UPDATE_SECONDS.max(header_lines / HEADER_SHARE / channel.send_rate())
 }
--- a/crates/policy/src/decisions/publish.rs
+++ b/crates/policy/src/decisions/publish.rs
@@ -14,7 +14,7 @@
 use super::registry::ByZone;
 use super::sharding::ShardingInputs;
 use super::slices::SliceInputs;
-use super::suspension::{clear_unused_tables, forget_removed, update_suspensions};
+use super::suspension::{clear_unused_tables, drop_removed_servers, update_suspensions};
 use super::table_layout::{ShardMembers, TablePlan, ZoneShard};
 use super::warm_up::WarmingDemand;
 use super::weights::update_weights;
@@ -30,7 +30,7 @@
 }
 
 impl ShardLevels {
-    fn of(&self, plan: &TablePlan, shards: usize) -> &[AdmissionLevel] {
+    fn for_table(&self, plan: &TablePlan, shards: usize) -> &[AdmissionLevel] {
         if plan.shard == shards {
             &self.heavy
         } else {
@@ -44,9 +44,9 @@
     pub(super) fn publish(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.channel.drop_expired(now, &self.settings);
         self.proxies
-            .forget_written_before(now - self.settings.message_window);
+            .drop_written_before(now - self.settings.message_window);
         let mut orders = Orders::new(now, &self.channel, &self.settings);
-        self.follow_lifecycles(now, &mut orders);
+        self.apply_lifecycle_changes(now, &mut orders);
         update_weights(&mut self.registry, &self.settings, now);
         if self.settings.slices > 0 {
             self.publish_slices(&mut orders);
@@ -60,12 +60,12 @@
     }
 
     /// Suspends servers that leave and drops what is not needed any more.
-    fn follow_lifecycles(&mut self, now: Micros, orders: &mut Orders) {
+    fn apply_lifecycle_changes(&mut self, now: Micros, orders: &mut Orders) {
         clear_unused_tables(&self.sharding, &self.proxies, &mut self.tables, orders);
         self.registry
             .report_lifecycle_changes(now, &mut orders.actions);
         update_suspensions(&mut self.registry, &self.proxies, &self.tables, orders);
-        forget_removed(now, &mut self.registry, &self.tables, orders);
+        drop_removed_servers(now, &mut self.registry, &self.tables, orders);
     }
 
     fn publish_slices(&mut self, orders: &mut Orders) {
@@ -117,7 +117,7 @@
             proxies: &self.proxies,
             orders,
         };
-        self.update_pace.send(changes, interval, &mut publisher);
+        self.update_pacer.send(changes, interval, &mut publisher);
     }
 
     /// Publishes the levels of all tables and returns the weights that changed.
@@ -159,7 +159,7 @@
             let desired = desired_tables.table(plan, factors, demand);
             changes.extend(publisher.weight_changes(plan, users, &desired.weights, &self.registry));
             publisher.report_overruled(plan.table, desired.advice_overruled);
-            publisher.publish_levels(plan, users, levels.of(plan, self.sharding.shards));
+            publisher.publish_levels(plan, users, levels.for_table(plan, self.sharding.shards));
         }
         changes
     }
--- a/crates/policy/src/decisions/registry.rs
+++ b/crates/policy/src/decisions/registry.rs
@@ -106,7 +106,7 @@
     }
 
     /// Drops all that is known of a server.
-    pub fn forget(&mut self, id: ServerId) {
+    pub fn remove(&mut self, id: ServerId) {
         self.servers.remove(&id);
     }
 
@@ -114,19 +114,19 @@
     pub fn median(
         &self,
         zone: Option<ZoneId>,
-        shown: impl Fn(&Server) -> Option<f64>,
+        value_of: impl Fn(&Server) -> Option<f64>,
     ) -> Option<f64> {
         if let Some(zone) = zone {
             let of_zone: Vec<f64> = self
                 .in_service()
                 .filter(|(_, server)| server.endpoint.zone == zone)
-                .filter_map(|(_, server)| shown(server))
+                .filter_map(|(_, server)| value_of(server))
                 .collect();
             if of_zone.len() >= MIN_SERVERS_PER_ZONE {
                 return median(of_zone.into_iter());
             }
         }
-        median(self.in_service().filter_map(|(_, server)| shown(server)))
+        median(self.in_service().filter_map(|(_, server)| value_of(server)))
     }
 
     /// Reports the servers whose lifecycle changed since the last call.
--- a/crates/policy/src/decisions/scoring.rs
+++ b/crates/policy/src/decisions/scoring.rs
@@ -63,7 +63,7 @@
     /// Scores all servers in service and moves their health states.
     pub fn score_servers(&self, registry: &mut Registry, actions: &mut Vec<Action>) {
         for (id, server) in registry.in_service_mut() {
-            if !self.may_blame(server) {
+            if !self.counts_failed_checks(server) {
                 server.health_checks.discard_failures();
             }
             let terms = self.score(server);
@@ -87,7 +87,7 @@
     }
 
     /// Whether failed health checks count against the server.
-    fn may_blame(&self, server: &Server) -> bool {
+    fn counts_failed_checks(&self, server: &Server) -> bool {
         let unanswered = self.reachability.unanswered.get(&server.endpoint.zone);
         self.reachability.is_conclusive()
             && unanswered.is_some_and(|share| *share <= MAX_UNANSWERED_SHARE)
@@ -108,9 +108,9 @@
 
     /// Duration of health checks over the usual one of the zone: it shows a slow machine of any kind.
     fn check_latency_ratio(&self, server: &Server) -> Option<f64> {
-        let usual = self.baseline_slowdown.get(&server.endpoint.zone);
+        let baseline = self.baseline_slowdown.get(&server.endpoint.zone);
         let slowdown = server.evidence.slowdown()?;
-        Some(slowdown / usual.copied().unwrap_or(1.0))
+        Some(slowdown / baseline.copied().unwrap_or(1.0))
     }
 }
 
@@ -126,13 +126,13 @@
             proxies,
             servers: server.endpoint.zone,
         };
-        let usual = references.get(&pair).copied().unwrap_or_default();
+        let reference = references.get(&pair).copied().unwrap_or_default();
         let failures = evidence.failures;
         attempts += failures.weight;
-        failed += (failures.sum - usual.failed_share * failures.weight).max(0.0);
-        if usual.latency_ms > 0.0 {
+        failed += (failures.sum - reference.failed_share * failures.weight).max(0.0);
+        if reference.latency_ms > 0.0 {
             succeeded += evidence.latency_ms.weight;
-            latency += evidence.latency_ms.sum / usual.latency_ms;
+            latency += evidence.latency_ms.sum / reference.latency_ms;
         }
     }
     let failed_share = failed / attempts;
--- a/crates/policy/src/decisions/shard_balance.rs
+++ b/crates/policy/src/decisions/shard_balance.rs
@@ -42,7 +42,7 @@
 
 impl ShardLoad {
     /// Demand over weight, with so much more demand.
-    pub fn with_more(&self, request_rate: f64) -> f64 {
+    pub fn load_with(&self, request_rate: f64) -> f64 {
         (self.request_rate + request_rate) / self.weight.max(MIN_SHARD_WEIGHT)
     }
 }
@@ -120,7 +120,7 @@
             .range(first..=last)
             .map(|(shard, load)| Placement {
                 shard: shard.shard,
-                load: load.with_more(request_rate),
+                load: load.load_with(request_rate),
             })
             .min_by(|a, b| a.load.total_cmp(&b.load))
             .unwrap_or_default()
--- a/crates/policy/src/decisions/sharding.rs
+++ b/crates/policy/src/decisions/sharding.rs
@@ -37,7 +37,7 @@
     /// Number of shards while attempts don't fail everywhere; 0 until the first proxies joined.
     baseline_shards: usize,
     /// When attempts last failed everywhere although the servers had headroom.
-    failed_at: Option<Micros>,
+    failures_seen_at: Option<Micros>,
 }
 
 /// What the number of shards depends on.
@@ -83,7 +83,7 @@
     /// Takes in the least share of attempts that fail over any link, at a tick at which the servers have headroom.
     pub fn record_failures(&mut self, now: Micros, failed_share: f64) {
         if failed_share > NARROW_FROM_FAILED_SHARE {
-            self.failed_at = Some(now);
+            self.failures_seen_at = Some(now);
         }
     }
 
@@ -98,7 +98,7 @@
             self.baseline_shards = inputs.baseline_shards(size);
         }
         let narrowed = self
-            .failed_at
+            .failures_seen_at
             .is_some_and(|at| inputs.now - at < NARROW_PERIOD);
         let shards = if narrowed {
             size.narrowed_shards().max(self.baseline_shards)
@@ -126,8 +126,8 @@
     fn has_enough_proxies(&self, inputs: &ShardingInputs) -> bool {
         let joined = inputs.proxies.len() as f64;
         let settings = inputs.settings;
-        let usual = settings.proxies as f64 / (2 * settings.instances.max(1)) as f64;
-        let is_complete = self.shards > 0 || joined >= usual || inputs.is_tick;
+        let min_joined = settings.proxies as f64 / (2 * settings.instances.max(1)) as f64;
+        let is_complete = self.shards > 0 || joined >= min_joined || inputs.is_tick;
         joined >= 1.0 && is_complete
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Number of sets of zones with tables of their own.
-    fn zone_sets(&self) -> f64 {
+    fn table_sets(&self) -> f64 {
         if self.has_zone_tables() {
             self.settings.zones.max(1) as f64
         } else {
@@ -164,8 +164,8 @@
     fn fleet_size(&self) -> FleetSize {
         let servers = self.registry.in_service().count() as f64;
         FleetSize {
-            servers: servers / self.zone_sets(),
-            proxies: self.settings.proxies as f64 / self.zone_sets(),
+            servers: servers / self.table_sets(),
+            proxies: self.settings.proxies as f64 / self.table_sets(),
         }
     }
 
@@ -175,11 +175,11 @@
         let rate = self.proxies.request_rates().sum::<f64>() / joined;
         let requests_per_timeout = rate * self.settings.idle_timeout.secs();
         let connected_servers = (requests_per_timeout / REQUESTS_PER_CONNECTION).max(MIN_SERVERS);
-        let tables_per_proxy = self.zone_sets() + f64::from(self.has_zone_tables());
+        let tables_per_proxy = self.table_sets() + f64::from(self.has_zone_tables());
         let rows = (self.rows_in_grace() / tables_per_proxy).max(MIN_NARROWED_SERVERS);
         // Rows are rounded down: half a row more at all proxies would be late.
-        let least = (size.servers / rows.floor()).ceil().max(1.0);
-        (size.servers / connected_servers).round().max(least) as usize
+        let min_shards = (size.servers / rows.floor()).ceil().max(1.0);
+        (size.servers / connected_servers).round().max(min_shards) as usize
     }
 
     /// Rows of tables for each proxy of the fleet, if all join here at once and no table may be late: removed servers
--- a/crates/policy/src/decisions/slices.rs
+++ b/crates/policy/src/decisions/slices.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 struct HandOver {
     /// Proxies that may still send to the former owner.
-    waits_for: BTreeSet<ProxyId>,
+    pending_proxies: BTreeSet<ProxyId>,
     /// Sequence number of the message that clears the table.
     sequence: u16,
     /// When the leases of all proxies without an acknowledgement have ended.
@@ -51,7 +51,7 @@
 
 impl Slices {
     /// Takes in that this instance gained or lost a slice.
-    pub fn set_responsibility(&mut self, slice: TableId, granted: bool) {
+    pub fn set_ownership(&mut self, slice: TableId, granted: bool) {
         self.owned.remove(&slice);
         if granted {
             self.owned.insert(slice, None);
@@ -61,7 +61,7 @@
     /// Takes in that a proxy's stream ended: it may send to former owners until its lease ends.
     pub fn proxy_left(&mut self, proxy: ProxyId, lease_end: Micros) {
         for hand_over in self.owned.values_mut().flatten() {
-            if hand_over.waits_for.remove(&proxy) {
+            if hand_over.pending_proxies.remove(&proxy) {
                 hand_over.not_before = hand_over.not_before.max(lease_end);
             }
         }
@@ -71,7 +71,7 @@
     pub fn acknowledge(&mut self, proxy: ProxyId, sequence: u16) {
         for hand_over in self.owned.values_mut().flatten() {
             if hand_over.sequence == sequence {
-                hand_over.waits_for.remove(&proxy);
+                hand_over.pending_proxies.remove(&proxy);
             }
         }
     }
@@ -96,7 +96,7 @@
                 continue;
             }
             let table = tables.entry(slice);
-            let Some(change) = OwnerChange::needed(slice, table, inputs.usable) else {
+            let Some(change) = OwnerChange::if_needed(slice, table, inputs.usable) else {
                 continue;
             };
             if !inputs.settings.exclusive_ownership {
@@ -125,7 +125,7 @@
 
 impl OwnerChange {
     /// The change that a slice needs, if it does and a server is usable.
-    fn needed(slice: TableId, table: &Table, usable: &Weights) -> Option<Self> {
+    fn if_needed(slice: TableId, table: &Table, usable: &Weights) -> Option<Self> {
         let former_owners = former_owners(table, usable);
         let owner = highest_hash(slice, usable)?;
         let has_usable_owner = former_owners.is_empty() && !table.weights.is_empty();
@@ -145,7 +145,7 @@
     ) -> HandOver {
         orders.push_to(recipients, 1.0, Action::ClearTable(self.slice));
         HandOver {
-            waits_for: recipients.iter().copied().collect(),
+            pending_proxies: recipients.iter().copied().collect(),
             sequence: inputs.sequence,
             not_before: orders.at + inputs.settings.lease,
         }
@@ -168,7 +168,7 @@
 impl HandOver {
     /// Whether no write can reach the former owner any more.
     fn is_complete(&self, now: Micros, settings: &Settings) -> bool {
-        self.waits_for.is_empty() && now >= self.not_before + settings.write_settle_time
+        self.pending_proxies.is_empty() && now >= self.not_before + settings.write_settle_time
     }
 }
 
--- a/crates/policy/src/decisions/speed.rs
+++ b/crates/policy/src/decisions/speed.rs
@@ -9,9 +9,9 @@
 use super::registry::{Registry, Weights};
 use super::server::Server;
 
-/// Timed health checks count like so many load reports, which mix requests of all costs.
-const CHECK_REPORTS: f64 = 60.0;
-/// Load reports at the median speed that are mixed in before a measured speed is believed.
+/// Timed health checks count like so many load report_count, which mix requests of all costs.
+const HEALTH_CHECK_REPORT_COUNT: f64 = 60.0;
+/// Load report_count at the median speed that are mixed in before a measured speed is believed.
 const PRIOR_REPORTS: f64 = 4.0;
 /// Group of the servers where the listed weight doesn't include their speed.
 const COMMON_GROUP: u32 = 0;
@@ -21,8 +21,8 @@
 struct SpeedEstimate {
     /// Requests or health checks per unit of time.
     speed: f64,
-    /// The estimate as a number of load reports.
-    reports: f64,
+    /// The estimate as a number of load report_count.
+    report_count: f64,
 }
 
 impl SpeedEstimate {
@@ -30,19 +30,19 @@
         if let Some(speed) = evidence.checks.positive_mean() {
             return Some(SpeedEstimate {
                 speed,
-                reports: CHECK_REPORTS,
+                report_count: HEALTH_CHECK_REPORT_COUNT,
             });
         }
         let service_ms = evidence.service_ms.positive_mean()?;
         Some(SpeedEstimate {
             speed: 1.0 / service_ms,
-            reports: evidence.service_ms.weight,
+            report_count: evidence.service_ms.weight,
         })
     }
 
     /// The speed against the median, as far as it is believed.
     fn relative_to(&self, median_speed: f64) -> f64 {
-        let confidence = self.reports / (self.reports + PRIOR_REPORTS);
+        let confidence = self.report_count / (self.report_count + PRIOR_REPORTS);
         (self.speed / median_speed).powf(confidence)
     }
 }
--- a/crates/policy/src/decisions/status.rs
+++ b/crates/policy/src/decisions/status.rs
@@ -19,11 +19,11 @@
     /// The status of the fleet.
     pub fn fleet_status(&self) -> FleetStatus {
         let queued_lines = self.channel.queued_lines();
-        let pace = self.channel.pace().max(f64::MIN_POSITIVE);
+        let send_rate = self.channel.send_rate().max(f64::MIN_POSITIVE);
         let zones = self.settings.zones.max(1) as f64;
         FleetStatus {
             queued_lines,
-            queue_delay: Micros::from_ms(1000.0 * queued_lines / pace),
+            queue_delay: Micros::from_ms(1000.0 * queued_lines / send_rate),
             shed_share: self.admission.shed_share,
             saturation: self.admission.saturation,
             request_rate: self.proxies.request_rates().sum(),
--- a/crates/policy/src/decisions/suspension.rs
+++ b/crates/policy/src/decisions/suspension.rs
@@ -9,8 +9,8 @@
 use super::sharding::Sharding;
 use super::tables::Tables;
 
-/// A removed server is forgotten after this time, when no report on it can come any more.
-const FORGET_AFTER: Micros = Micros(60_000_000);
+/// A removed server is expired after this time, when no report on it can come any more.
+const REMOVED_SERVER_RETENTION: Micros = Micros(60_000_000);
 
 /// Clears the tables of earlier layouts, once no proxy uses them.
 pub(super) fn clear_unused_tables(
@@ -41,9 +41,9 @@
         .map(|(id, server)| (*id, server.is_leaving()))
         .collect();
     for (id, suspended) in changed {
-        let holders = holders_of(id, proxies, tables);
+        let recipients = proxies_listing(id, proxies, tables);
         let is_possible = if suspended {
-            orders.fits(proxies, &holders, 1.0, &SUSPENSION_BUDGET)
+            orders.fits(proxies, &recipients, 1.0, &SUSPENSION_BUDGET)
         } else {
             !tables.any_names(id)
         };
@@ -57,12 +57,12 @@
             server: id,
             suspended,
         };
-        orders.push_to(&holders, 1.0, order);
+        orders.push_to(&recipients, 1.0, order);
     }
 }
 
 /// Drops the servers that were removed long ago, once no table names them.
-pub(super) fn forget_removed(
+pub(super) fn drop_removed_servers(
     now: Micros,
     registry: &mut Registry,
     tables: &Tables,
@@ -71,21 +71,21 @@
     let is_expired = |server: &Server| {
         server.suspended
             && server.reported_lifecycle == Lifecycle::Removed
-            && now - server.lifecycle_changed_at >= FORGET_AFTER
+            && now - server.lifecycle_changed_at >= REMOVED_SERVER_RETENTION
     };
-    let forgotten: Vec<ServerId> = registry
+    let expired: Vec<ServerId> = registry
         .iter()
         .filter(|(id, server)| is_expired(server) && !tables.any_names(**id))
         .map(|(id, _)| *id)
         .collect();
-    for id in forgotten {
-        registry.forget(id);
+    for id in expired {
+        registry.remove(id);
         orders.push(Action::DropServerState(id));
     }
 }
 
 /// The proxies that hold a table which names the server.
-fn holders_of(server: ServerId, proxies: &Proxies, tables: &Tables) -> Vec<ProxyId> {
+fn proxies_listing(server: ServerId, proxies: &Proxies, tables: &Tables) -> Vec<ProxyId> {
     proxies
         .iter()
         .filter(|(_, proxy)| {
--- a/crates/policy/src/decisions/table_layout.rs
+++ b/crates/policy/src/decisions/table_layout.rs
@@ -134,7 +134,7 @@
     }
 
     /// The servers of a shard; those of all shards for the number after the last one.
-    pub fn of(&self, shard: usize) -> &[ServerId] {
+    pub fn in_shard(&self, shard: usize) -> &[ServerId] {
         self.by_shard.get(shard).unwrap_or(&self.all)
     }
 
--- a/crates/policy/src/decisions/tick.rs
+++ b/crates/policy/src/decisions/tick.rs
@@ -5,7 +5,7 @@
 /// Interval between ticks.
 pub(super) const TICK_INTERVAL: Micros = Micros(500_000);
 /// Number of the tick's timer.
-pub(super) const TICK_TIMER: u32 = 1;
+pub(super) const TICK_TIMER_ID: u32 = 1;
 
 /// Delay of the first tick. It differs by seed, since instances that tick in step would act in step on the same reports.
 pub(super) fn first_tick_delay(seed: u64) -> Micros {
--- a/crates/policy/src/decisions/warm_up.rs
+++ b/crates/policy/src/decisions/warm_up.rs
@@ -9,11 +9,11 @@
 /// A server that warms up is prepared for this multiple of what the listed fleet can do: reports are seconds late.
 const DEMAND_MULTIPLE: f64 = 4.0;
 /// Attempts per successful answer beyond which servers that warm up are withheld.
-const WITHHOLD_ATTEMPTS: f64 = 1.5;
+const WITHHOLD_ATTEMPTS_PER_ANSWER: f64 = 1.5;
 /// Saturation beyond which servers that warm up are withheld.
 const WITHHOLD_SATURATION: f64 = 0.3;
 /// Demand that servers that warm up must bear by themselves, as a multiple of the size of all known servers.
-const SOLE_DEMAND_MULTIPLE: f64 = 2.0;
+const WARMING_ONLY_DEMAND_MULTIPLE: f64 = 2.0;
 /// The largest part of a table that servers that warm up may take together.
 const MAX_TABLE_SHARE: f64 = 0.9;
 
@@ -23,7 +23,7 @@
     /// Attempts that a successful answer takes.
     pub attempts_per_answer: f64,
     /// The demand, as a multiple of what the listed fleet can do.
-    pub fleets: f64,
+    pub fleet_multiple: f64,
     /// Whether they are withheld from tables. Proxies that eject failing servers send all requests to a server that
     /// warms up, once the others fail.
     pub is_withheld: bool,
@@ -42,12 +42,12 @@
         }
         let attempts_per_answer =
             ((attempts + PRIOR_ATTEMPTS) / (succeeded + PRIOR_ATTEMPTS)).max(1.0);
-        let is_at_risk = attempts_per_answer > WITHHOLD_ATTEMPTS
+        let is_at_risk = attempts_per_answer > WITHHOLD_ATTEMPTS_PER_ANSWER
             || saturation > WITHHOLD_SATURATION
             || attempts <= 0.0;
         WarmingDemand {
             attempts_per_answer,
-            fleets: DEMAND_MULTIPLE * attempts_per_answer,
+            fleet_multiple: DEMAND_MULTIPLE * attempts_per_answer,
             is_withheld: settings.proxy_ejection_threshold > 0 && is_at_risk,
         }
     }
@@ -55,7 +55,7 @@
     /// The demand where only a share of all requests can reach the servers.
     pub fn scaled(self, share: f64) -> Self {
         WarmingDemand {
-            fleets: self.fleets * share,
+            fleet_multiple: self.fleet_multiple * share,
             ..self
         }
     }
@@ -124,7 +124,7 @@
             .keys()
             .map(|id| self.warm_up_share(*id) * self.size(*id))
             .sum();
-        let needed = SOLE_DEMAND_MULTIPLE * self.known_size;
+        let needed = WARMING_ONLY_DEMAND_MULTIPLE * self.known_size;
         if capacity * self.overload_multiple < needed {
             for weight in weights.values_mut() {
                 *weight = 0.0;
@@ -142,7 +142,7 @@
 
     /// The share of the table's requests that a server which warms up can bear.
     fn max_share(&self, id: ServerId) -> f64 {
-        let overload_per_demand = self.overload_multiple / self.demand.fleets;
+        let overload_per_demand = self.overload_multiple / self.demand.fleet_multiple;
         overload_per_demand * self.warm_up_share(id) * self.size(id) / self.listed_size
     }
 
--- a/crates/policy/src/decisions/zone_links.rs
+++ b/crates/policy/src/decisions/zone_links.rs
@@ -165,18 +165,19 @@
         actions: &mut Vec<Action>,
     ) -> Reachability {
         let unanswered = unanswered_by_zone(registry);
-        let any_answers = unanswered
+        let has_responding_zone = unanswered
             .values()
             .any(|share| *share <= 1.0 - MIN_ANSWERED_SHARE);
-        let (cut_off, reachable): (ByZone, ByZone) = unanswered
-            .iter()
-            .partition(|(zone, share)| any_answers && **share > self.max_unanswered(**zone));
-        let partitioned: BTreeSet<ZoneId> = cut_off.keys().copied().collect();
+        let (unreachable, reachable): (ByZone, ByZone) =
+            unanswered.iter().partition(|(zone, share)| {
+                has_responding_zone && **share > self.max_unanswered(**zone)
+            });
+        let partitioned: BTreeSet<ZoneId> = unreachable.keys().copied().collect();
         for &zone in partitioned.symmetric_difference(&self.partitioned) {
             actions.push(Action::Emit(DecisionEvent::ZonePartition {
                 zone,
                 partitioned: partitioned.contains(&zone),
-                unanswered_share: cut_off.get(&zone).copied().unwrap_or(0.0),
+                unanswered_share: unreachable.get(&zone).copied().unwrap_or(0.0),
             }));
         }
         self.partitioned = partitioned;
