--- a/crates/policy/src/decisions/admission.rs
+++ b/crates/policy/src/decisions/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: the fleet's saturation and the share of requests to shed for it. Clients retry, and a fleet once saturated
-//! would stay so; no share outlasts its cause.
+//! Admission: the fleet's saturation and the share of requests to shed because of it. Since clients retry, a saturated
+//! fleet would stay saturated without load shedding. Shedding ends with its cause.
 
 use crate::interface::{Action, AdmissionUnit, ClassId, DecisionEvent, HealthState, Settings};
 use crate::statistics::{
@@ -18,33 +18,32 @@
 const SHED_FROM_SATURATION: f64 = 0.2;
 /// The share of requests that is shed at full saturation.
 const MAX_SHED_SHARE: f64 = 0.9;
-/// Without load reports: mean latency, as a multiple of the mean latency objective, at which responses are late in part
-/// and for the most part.
+/// Without load reports: mean latency, as a multiple of the mean latency objective, from which responses count as
+/// partly late and from which as entirely late.
 const LATE_RESPONSES: Ramp = Ramp { from: 0.4, to: 1.0 };
-/// Multiple of the usual duration of health checks at which the fleet is saturated in part and in full.
+/// Slowdown of health checks from which the fleet counts as partly saturated and from which as fully saturated.
 const CHECK_SLOWDOWN_SATURATION: Ramp = Ramp { from: 1.1, to: 2.2 };
-/// Load reports that a server must exceed for its saturation to count.
+/// Decayed number of load reports above which a server's saturation counts.
 const MIN_REPORTS: f64 = 0.1;
 /// Lower bound on the mean latency objective, in milliseconds.
 const MIN_OBJECTIVE_MS: f64 = 1.0;
-/// Steps of the shed share whose change is reported.
+/// Number of steps of the shed share whose changes are reported.
 const REPORTED_STEPS: f64 = 10.0;
 
-/// The fleet's saturation and what follows from it.
+/// The fleet's saturation and the resulting share of requests to shed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Admission {
     /// The smoothed saturation, from 0 to 1.
     pub saturation: f64,
-    /// Share of requests to shed.
+    /// Share of requests to shed, from 0 to 1.
     pub shed_share: f64,
-    /// Arrivals of each class.
+    /// Decaying number of arrivals of each class.
     arrivals: Vec<DecayingMean>,
 }
 
-/// What the saturation of a tick depends on.
+/// Inputs of the saturation of a tick.
 #[derive(Debug)]
 pub(super) struct AdmissionInputs<'a> {
-    /// The settings.
     pub settings: &'a Settings,
     /// The known servers.
     pub registry: &'a Registry,
@@ -52,22 +51,22 @@
     pub limits: &'a ActiveLimits,
     /// The usual outcomes of each link.
     pub references: &'a References,
-    /// Share of servers that leave health checks unanswered.
+    /// Share of servers that do not answer health checks.
     pub unanswered_share: f64,
-    /// Whether servers that warm up are withheld.
+    /// Whether warming servers are withheld from tables.
     pub warming_withheld: bool,
 }
 
 /// The terms of the saturation, each from 0 to 1.
 #[derive(Clone, Copy, Debug)]
 struct SaturationTerms {
-    /// By the queues or the utilization that servers report, if they do.
+    /// From the queues or the utilization that servers report; absent without reports.
     queues: Option<f64>,
-    /// By the duration of health checks.
+    /// From the duration of health checks.
     check_latency: f64,
-    /// By unanswered health checks.
+    /// From unanswered health checks.
     unanswered: f64,
-    /// By failed attempts and late responses, for deployments without load reports.
+    /// From failed attempts and late responses, for deployments without load reports.
     outcomes: f64,
 }
 
@@ -81,7 +80,7 @@
 }
 
 impl Admission {
-    /// No saturation, and no arrivals of so many classes.
+    /// Returns an unsaturated state without arrivals for the given number of classes.
     pub fn new(class_count: usize) -> Self {
         Admission {
             arrivals: vec![DecayingMean::default(); class_count],
@@ -89,29 +88,29 @@
         }
     }
 
-    /// Whether the fleet is saturated enough to shed load.
+    /// Returns whether the fleet is saturated enough to shed load.
     pub fn is_saturated(&self) -> bool {
         self.saturation >= SHED_FROM_SATURATION
     }
 
-    /// Whether the fleet can take more.
+    /// Returns whether the saturation is below that at which load is shed.
     pub fn has_headroom(&self) -> bool {
         self.saturation < SHED_FROM_SATURATION
     }
 
-    /// Takes in the arrivals of a class.
+    /// Records arrivals of a class.
     pub fn record_arrivals(&mut self, class: ClassId, arrivals: f64) {
         if let Some(known) = self.arrivals.get_mut(usize::from(class.0)) {
             known.add(arrivals, 1.0);
         }
     }
 
-    /// The recent arrivals of each class.
+    /// Returns the decayed number of arrivals of each class.
     pub fn arrivals(&self) -> impl Iterator<Item = f64> + Clone + '_ {
         self.arrivals.iter().map(|arrivals| arrivals.sum)
     }
 
-    /// Updates the saturation and the share to shed at a tick.
+    /// Updates the saturation and the share of requests to shed at a tick.
     pub fn update(
         &mut self,
         elapsed_seconds: f64,
@@ -122,7 +121,7 @@
             arrivals.decay(elapsed_seconds, ARRIVAL_HALF_LIFE_SECONDS);
         }
         let terms = inputs.saturation_terms();
-        // Smoothed as a quality, of which saturation is the opposite: it rises faster than it falls.
+        // Smoothed as a negated quality, so that saturation rises faster than it falls.
         self.saturation = -smooth_quality(-self.saturation, -terms.combined());
         let shed_share = self.required_shed_share(inputs.limits);
         let reported_step = |share: f64| (REPORTED_STEPS * share).round();
@@ -152,8 +151,8 @@
 
 impl AdmissionInputs<'_> {
     fn saturation_terms(&self) -> SaturationTerms {
-        // A queue shows in health checks only when all are late: a single slow server would pass for a saturated fleet, and
-        // has less weight for its fault anyway.
+        // Health checks show saturation only if they are slow at most servers. A single slow server must not count as a
+        // saturated fleet; its weight is reduced anyway.
         let slowdown = |server: &Server| {
             server.evidence.slowdown_under_load().filter(|_| {
                 server.health.state == HealthState::Full
@@ -169,7 +168,7 @@
         }
     }
 
-    /// The median over the links of how far their attempts fail or are late.
+    /// Returns the median over the links of the saturation that their failed and late attempts show.
     fn outcome_term(&self) -> f64 {
         let objective_ms = self.mean_objective_ms();
         let term = |link: &Reference| {
@@ -188,8 +187,8 @@
         (sum / classes.len().max(1) as f64).max(MIN_OBJECTIVE_MS)
     }
 
-    /// What servers in service show, by the work that each takes: idle ones that warm up would hide that all the others
-    /// are saturated.
+    /// Returns the values of the servers in service, weighted by available capacity. Otherwise idle warming servers
+    /// would hide that all others are saturated.
     fn samples_by_capacity(
         &self,
         value_of: impl Fn(&Server) -> Option<f64>,
@@ -209,7 +208,7 @@
             .collect()
     }
 
-    /// The capacity that a server is sure to have; none while it is withheld.
+    /// Returns the capacity that a server is certain to have; 0 while it is withheld.
     fn available_capacity(&self, server: &Server, any_warm: bool) -> f64 {
         let is_withheld = self.warming_withheld && any_warm && server.warm_up_share < 1.0;
         let size = if is_withheld { 0.0 } else { server.size() };
--- a/crates/policy/src/decisions/advice.rs
+++ b/crates/policy/src/decisions/advice.rs
@@ -1,4 +1,4 @@
-//! The advice of plug-ins in force: how often it may change, when it ends, and what it makes of weights.
+//! The active advice of plug-ins: how often it may change, when it expires, and how it affects weights.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,12 @@
 
 use super::registry::{Registry, Weights};
 
-/// Least time between two changes of advice. A rule that oscillates would fill the channel and starve the weights of
-/// servers that fail.
+/// Least time between two changes of advice. An oscillating plug-in would otherwise fill the channel and delay weight
+/// changes of failing servers.
 const MIN_CHANGE_INTERVAL: Micros = Micros(5_000_000);
-/// The longest time for which advice stands without being renewed.
+/// The longest time for which advice applies without renewal.
 const MAX_VALIDITY: Micros = Micros(15_000_000);
-/// Least share of a table's warm weight that advice must leave; else it is overruled there.
+/// Least share of the warm servers' weight that advice must leave in a table; otherwise it is overruled there.
 const MIN_REMAINING_SHARE: f64 = 0.5;
 
 /// The tables that weight factors apply to.
@@ -20,14 +20,14 @@
 pub(super) struct FactorScope {
     /// Zone of the proxies.
     pub zone: ZoneId,
-    /// The class with separate tables; none: all classes.
+    /// The class with separate tables; absent for all classes.
     pub class: Option<ClassId>,
 }
 
-/// The advice in force.
+/// The active advice.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ActiveAdvice {
-    /// Classes with separate tables. They outlast the advice, since a change of tables costs much of the channel.
+    /// Classes with separate tables. They outlast the advice, since a change of tables takes many lines of the channel.
     pub separate_tables: ClassSet,
     /// Classes whose requests must not be retried.
     pub no_retry: ClassSet,
@@ -39,7 +39,8 @@
 }
 
 impl ActiveAdvice {
-    /// Takes advice, unless it changes too often. A saturated fleet needs all its servers, and none is spared.
+    /// Accepts advice, unless it changes too often. In a saturated fleet, advice on servers is ignored, since all
+    /// servers are needed.
     pub fn accept(&mut self, now: Micros, advice: &Advice, is_saturated: bool) {
         let is_too_early = self
             .accepted_at
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Drops advice that was not renewed.
+    /// Drops expired advice.
     pub fn expire(&mut self, now: Micros) {
         if self.expires_at > now {
             return;
@@ -78,13 +79,13 @@
         };
     }
 
-    /// Upper bound on the admitted share of a class.
+    /// Returns the upper bound on the admitted share of a class.
     pub fn max_admitted_share(&self, class: usize) -> f64 {
         self.max_admitted_shares.get(&class).copied().unwrap_or(1.0)
     }
 
     /// Applies the advice on servers to the weights of a table, unless that leaves too little of the warm servers'
-    /// weight; whether it was overruled.
+    /// weight. Returns whether it was overruled.
     pub fn apply(
         &self,
         scope: FactorScope,
@@ -107,7 +108,7 @@
         is_overruled
     }
 
-    /// Share of its weight that a server keeps.
+    /// Returns the share of its weight that a server retains.
     fn weight_share(&self, server: ServerId, scope: FactorScope, now: Micros) -> f64 {
         let excluded_until = self.excluded_until.get(&server);
         if excluded_until.is_some_and(|until| *until > now) {
--- a/crates/policy/src/decisions/assignment.rs
+++ b/crates/policy/src/decisions/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignment of proxies to shards and their tables, as far as the channel takes them.
+//! Assignment of proxies to shards and their tables, within the budgets of the channel.
 
 use crate::interface::{Action, ProxyId, Settings, ZoneId};
 
@@ -12,17 +12,17 @@
 use super::tables::{Table, Tables};
 use super::zone_affinity::prefers_own_zone;
 
-/// A proxy moves to another shard once the load of its own is this multiple of the other's with it.
+/// A proxy migrates once the load of its shard is this multiple of the load that the other shard would have with it.
 const REBALANCE_RATIO: f64 = 1.3;
-/// A proxy that uses all shards goes back to one below this share of the demand from which it uses all.
+/// A proxy that uses all shards returns to a single one below this share of the demand from which it uses all.
 const HEAVY_HYSTERESIS: f64 = 0.5;
 
-/// A move of a proxy to another shard, or to its first one.
+/// The migration of a proxy to another shard, or its first assignment.
 #[derive(Clone, Copy, Debug)]
 struct Migration {
     from: ZoneShard,
     to: ZoneShard,
-    /// Whether it balances the load enough to move a proxy that is assigned.
+    /// Whether it balances the load enough to migrate an assigned proxy.
     is_worthwhile: bool,
 }
 
@@ -35,10 +35,9 @@
     request_rate: f64,
 }
 
-/// What assignments depend on.
+/// Inputs of assignments.
 #[derive(Debug)]
 pub(super) struct Assignment<'a> {
-    /// The settings.
     pub settings: &'a Settings,
     /// The known servers.
     pub registry: &'a Registry,
@@ -51,7 +50,7 @@
 }
 
 impl Assignment<'_> {
-    /// Assigns new proxies to the shards with the least load, and moves others where that balances the load.
+    /// Assigns new proxies to the shards with the least load, and migrates others where that balances the load.
     pub fn assign(&self, proxies: &mut Proxies, orders: &mut Orders) {
         if self.sharding.shards == 0 {
             return;
@@ -83,8 +82,8 @@
         }
     }
 
-    /// The proxies to look at: new ones, then those on old tables, then, at ticks alone, those that are assigned; the
-    /// busiest first. While a fleet joins, all proxies at each round would be too many.
+    /// Returns the proxies to consider: new ones, then those on tables of an earlier layout, then, only at ticks,
+    /// assigned ones; the busiest first. Considering all proxies in each round would take too long while a fleet joins.
     fn candidates(&self, proxies: &Proxies) -> Vec<Candidate> {
         let mut candidates: Vec<Candidate> = proxies
             .iter()
@@ -104,7 +103,7 @@
         candidates
     }
 
-    /// The best shard for a proxy, and whether it should move there from its own.
+    /// Returns the best shard for a proxy, and whether it should migrate there.
     fn plan_migration(&self, proxy: &Proxy, balance: &mut ShardBalance) -> Migration {
         let group = self.groups().group(proxy.zone);
         let placement = self.best_placement(proxy, group, balance);
@@ -125,7 +124,7 @@
         }
     }
 
-    /// The best shard for a proxy. A heavy one uses all shards, or the servers of its shard would be overloaded.
+    /// Returns the best shard for a proxy. A heavy proxy uses all shards, since it would overload the servers of one.
     fn best_placement(&self, proxy: &Proxy, group: ZoneId, balance: &ShardBalance) -> Placement {
         if self.is_heavy(proxy, group, balance) {
             Placement {
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Whether the demand of a proxy exceeds what a shard can serve.
+    /// Returns whether the demand of a proxy exceeds what a shard can serve.
     fn is_heavy(&self, proxy: &Proxy, group: ZoneId, balance: &ShardBalance) -> bool {
         let shards = self.sharding.shards;
         if shards <= 1 || !self.sharding.is_at_baseline() {
@@ -152,8 +151,8 @@
         proxy.request_rate() * shards as f64 > heavy_from * balance.total_rate()
     }
 
-    /// Corrects the suspensions that a proxy may hold from another instance, for all servers of its tables. That waits
-    /// until the channel is free: with the first table it would double the time of a join.
+    /// Corrects the suspensions that a proxy may hold from another instance, for all servers of its tables. This waits
+    /// for free capacity in the channel: together with the first table it would double the time of a join.
     fn reconcile(&self, id: ProxyId, proxies: &mut Proxies, orders: &mut Orders) {
         let Some(proxy) = proxies.get(id).filter(|proxy| proxy.has_previous_table) else {
             return;
@@ -173,7 +172,7 @@
         }
     }
 
-    /// Assigns the tables of a shard to a proxy; whether the channel takes them.
+    /// Assigns the tables of a shard to a proxy. Returns whether they fit the channel's budget.
     fn assign_tables(
         &self,
         candidate: &Candidate,
@@ -220,8 +219,8 @@
         true
     }
 
-    /// Lines of a complete table. With the first one a proxy is notified of the servers that left here, with a further
-    /// one of all servers in it.
+    /// Returns the lines of a complete table. The first table of a proxy includes the suspension states of the servers
+    /// that left service here, a later one those of all its servers.
     fn lines_of(&self, table: &Table, has_tables: bool) -> usize {
         let notified = table
             .weights
--- a/crates/policy/src/decisions/channel.rs
+++ b/crates/policy/src/decisions/channel.rs
@@ -1,4 +1,4 @@
-//! The channel to the proxies: the lines that are written and not acknowledged yet, and the pace at which it sends.
+//! The channel to the proxies: the lines that are written but not acknowledged, and the estimated send rate.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,16 +7,17 @@
 use super::smoothing::smooth_quality;
 use super::tick::TICK_INTERVAL;
 
-/// Lower bound on the pace, as a share of the stated one.
+/// Lower bound on the send rate, as a share of the nominal rate.
 const MIN_SEND_RATE_SHARE: f64 = 0.05;
-/// Growth of the pace in a tick in which acknowledgements came in time.
+/// Factor on the send rate after a tick with a timely acknowledgement.
 const SEND_RATE_GROWTH: f64 = 1.25;
-/// Without any acknowledgement for this time, beyond the delivery there and back, the channel is taken to be empty.
+/// Time without acknowledgements, beyond the delivery delays of both directions, after which the channel counts as
+/// empty.
 const ACKNOWLEDGEMENT_TIMEOUT: Micros = Micros(3_000_000);
-/// Lower bound on the time over which acknowledged lines are counted, in seconds.
+/// Lower bound on the time by which acknowledged lines are divided, in seconds.
 const MIN_ELAPSED_SECONDS: f64 = 1e-3;
 
-/// The orders of one round that are not acknowledged by all receivers.
+/// The orders of one round that some recipients have not acknowledged.
 #[derive(Clone, Debug)]
 struct UnacknowledgedRound {
     written_at: Micros,
@@ -24,21 +25,21 @@
     lines_by_proxy: BTreeMap<ProxyId, f64>,
 }
 
-/// The channel, in which messages leave in the order in which they were written.
+/// The channel, which sends messages in the order in which they were written.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Channel {
     rounds: VecDeque<UnacknowledgedRound>,
     last_sequence: u16,
     last_acknowledged_at: Micros,
-    /// Lines acknowledged since the pace was updated.
+    /// Lines acknowledged since the last update of the send rate.
     acknowledged_lines: f64,
-    /// The fastest acknowledgement since the pace was updated.
+    /// The fastest acknowledgement since the last update of the send rate.
     fastest_acknowledgement: Option<Micros>,
     send_rate: f64,
 }
 
 impl Channel {
-    /// An empty channel at its stated pace.
+    /// Returns an empty channel at its nominal rate.
     pub fn new(settings: &Settings) -> Self {
         Channel {
             send_rate: settings.channel_lines_per_second,
@@ -46,17 +47,17 @@
         }
     }
 
-    /// The present pace, in lines per second.
+    /// Returns the current send rate, in lines per second.
     pub fn send_rate(&self) -> f64 {
         self.send_rate
     }
 
-    /// The sequence number of the next round.
+    /// Returns the sequence number of the next round.
     pub fn next_sequence(&self) -> u16 {
         (self.last_sequence + 1) % u16::MAX
     }
 
-    /// Records a round that is written.
+    /// Records a written round.
     pub fn record_round(
         &mut self,
         now: Micros,
@@ -71,8 +72,8 @@
         });
     }
 
-    /// Takes in an acknowledgement, which shows that all earlier rounds have left. One whose sequence number was not
-    /// written to the proxy shows nothing.
+    /// Records an acknowledgement, which shows that all earlier rounds were sent. It is ignored if its sequence number
+    /// was not written to the proxy.
     pub fn acknowledge(&mut self, now: Micros, proxy: ProxyId, sequence: u16, elapsed: Micros) {
         let is_acknowledged = |round: &UnacknowledgedRound| {
             round.sequence == sequence && round.lines_by_proxy.contains_key(&proxy)
@@ -97,15 +98,15 @@
         self.acknowledged_lines += lines.unwrap_or(0.0);
     }
 
-    /// Drops what is queued for a proxy whose stream broke.
+    /// Drops the lines that are queued for a proxy whose stream broke.
     pub fn drop_queued(&mut self, proxy: ProxyId) {
         for round in &mut self.rounds {
             round.lines_by_proxy.remove(&proxy);
         }
     }
 
-    /// Drops the rounds that must have left by now. What is not acknowledged counts as queued, however slow the channel,
-    /// until there was silence for long.
+    /// Drops the rounds that must have been sent by now. Unacknowledged rounds count as queued, even in a slow channel,
+    /// until no acknowledgement was received for a long time.
     pub fn drop_expired(&mut self, now: Micros, settings: &Settings) {
         let min_send_rate = MIN_SEND_RATE_SHARE * settings.channel_lines_per_second;
         let largest_message = Micros::from_ms(1000.0 * self.largest_message() / min_send_rate);
@@ -119,7 +120,7 @@
         });
     }
 
-    /// Lines that are queued.
+    /// Returns the number of lines that are queued.
     pub fn queued_lines(&self) -> f64 {
         self.rounds
             .iter()
@@ -127,8 +128,8 @@
             .sum()
     }
 
-    /// Updates the pace at a tick: acknowledged lines show it while even the fastest acknowledgement is late, else the
-    /// channel can take more.
+    /// Updates the send rate at a tick: it follows the acknowledged lines while even the fastest acknowledgement is
+    /// late, grows while acknowledgements are timely, and stays without acknowledgements.
     pub fn update_send_rate(&mut self, elapsed_seconds: f64, settings: &Settings) {
         let acknowledged_lines = std::mem::take(&mut self.acknowledged_lines);
         let acknowledged_rate = acknowledged_lines / elapsed_seconds.max(MIN_ELAPSED_SECONDS);
@@ -144,7 +145,7 @@
         self.send_rate = send_rate.clamp(MIN_SEND_RATE_SHARE * nominal_rate, nominal_rate);
     }
 
-    /// Lines of the largest message that is queued.
+    /// Returns the lines of the largest queued message.
     fn largest_message(&self) -> f64 {
         self.rounds
             .iter()
--- a/crates/policy/src/decisions/channel/tests.rs
+++ b/crates/policy/src/decisions/channel/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A mutilated acknowledgement would free what is still queued, and the queue behind it would grow unseen.
+/// Otherwise a corrupt acknowledgement would count queued lines as sent, and the queue would grow unnoticed.
 #[test]
 fn a_sequence_number_that_was_not_written_to_a_proxy_acknowledges_nothing() {
     let mut channel = Channel::default();
--- a/crates/policy/src/decisions/class_levels.rs
+++ b/crates/policy/src/decisions/class_levels.rs
@@ -1,4 +1,5 @@
-//! The admission level and the retry policy of each class: the class with the least value for its time is shed first.
+//! The admission level and the retry policy of each class. The class with the least priority weight per second of its
+//! latency objective is shed first.
 
 use crate::interface::{AdmissionLevel, AdmissionUnit, Class, Settings};
 
@@ -9,27 +10,26 @@
 
 /// The least admitted share of a class, and its least admitted rate in requests per second.
 const MIN_LEVEL: f64 = 0.1;
-/// A rate that no proxy reaches, in requests per second: it admits all.
+/// A rate above that of any proxy, in requests per second, which admits all requests.
 pub(super) const UNLIMITED_RATE: f64 = 1e6;
-/// Steps in which shares are admitted.
+/// Number of steps to which admitted shares are rounded.
 const SHARE_STEPS: f64 = 20.0;
-/// Arrivals that are added to each class, so that none counts as absent.
+/// Number of arrivals added to each class, so that none has zero arrivals.
 const PRIOR_ARRIVALS: f64 = 1.0;
-/// Lower bound on the latency objective by which a class is valued, in seconds.
+/// Lower bound on the latency objective by which a priority weight is divided, in seconds.
 const MIN_OBJECTIVE_SECONDS: f64 = 0.001;
 
-/// What levels depend on.
+/// Inputs of admission levels.
 #[derive(Debug)]
 pub(super) struct ClassLevels<'a> {
-    /// The settings.
     pub settings: &'a Settings,
     /// Saturation and arrivals.
     pub admission: &'a Admission,
-    /// The advice in force.
+    /// The active advice.
     pub advice: &'a ActiveAdvice,
-    /// The limits in force.
+    /// The active limits.
     pub limits: &'a ActiveLimits,
-    /// Demand of the busiest proxy, in requests per second, which rates follow.
+    /// Demand of the busiest proxy, in requests per second, from which rate levels are derived.
     pub busiest_rate: f64,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl ClassLevels<'_> {
-    /// The level and retry policy of each class, with this share of all requests shed.
+    /// Returns the level and retry policy of each class, with this share of all requests shed.
     pub fn with_shed_share(&self, shed_share: f64) -> Vec<AdmissionLevel> {
         self.levels(shed_share)
             .into_iter()
@@ -86,7 +86,7 @@
         levels
     }
 
-    /// The admitted share of a class with this share shed, within the bounds of advice and limits.
+    /// Returns the admitted share of a class with this share shed, within the bounds of advice and limits.
     fn admitted_share(&self, class: usize, shed_share: f64) -> f64 {
         let admitted_share = (SHARE_STEPS * (1.0 - shed_share)).round() / SHARE_STEPS;
         let bound = self
@@ -106,7 +106,7 @@
         self.arrivals().sum()
     }
 
-    /// The classes, those with the least value for their time first.
+    /// Returns the classes, those with the least priority weight per second first.
     fn by_priority_per_second(&self) -> Vec<ClassArrivals> {
         let value = |class: usize| {
             self.settings
@@ -124,7 +124,7 @@
     }
 }
 
-/// Priority weight of a class per second of its latency objective.
+/// Returns the priority weight of a class per second of its latency objective.
 fn priority_per_second(class: &Class) -> f64 {
     let objective_seconds = class.latency_objective.secs();
     class.priority_weight / objective_seconds.max(MIN_OBJECTIVE_SECONDS)
--- a/crates/policy/src/decisions/desired_tables.rs
+++ b/crates/policy/src/decisions/desired_tables.rs
@@ -1,4 +1,4 @@
-//! The weights that a table should have: those of its servers, with zone affinity, advice and the warm-up guard.
+//! The desired weights of a table: those of its servers, adjusted by zone affinity, advice and the warm-up guard.
 
 use crate::interface::{ClassId, Micros, ServerId, Settings};
 
@@ -8,24 +8,23 @@
 use super::table_layout::{ShardMembers, TablePlan};
 use super::warm_up::{WarmUpGuard, WarmingDemand};
 
-/// What the weights of tables depend on.
+/// Inputs of the desired weights.
 #[derive(Debug)]
 pub(super) struct DesiredTables<'a> {
-    /// The settings.
     pub settings: &'a Settings,
     /// The known servers.
     pub registry: &'a Registry,
     /// The servers of each shard.
     pub members: &'a ShardMembers,
-    /// The advice in force.
+    /// The active advice.
     pub advice: &'a ActiveAdvice,
-    /// Whether each zone has shards of its own.
+    /// Whether each zone has separate shards.
     pub isolates_zones: bool,
     /// The time of the last tick.
     pub ticked_at: Micros,
 }
 
-/// The weights that a table should have.
+/// The desired weights of a table.
 #[derive(Debug)]
 pub(super) struct DesiredTable {
     /// The weight of each server.
@@ -35,7 +34,7 @@
 }
 
 impl DesiredTables<'_> {
-    /// The weights of one table.
+    /// Returns the desired weights of one table.
     pub fn table(
         &self,
         plan: &TablePlan,
@@ -43,7 +42,7 @@
         demand: WarmingDemand,
     ) -> DesiredTable {
         let shard = self.members.in_shard(plan.shard);
-        // A shard without warm servers borrows those of the other shards, so that no proxy is without a server.
+        // A shard without warm servers uses the servers of all shards, so that no proxy is without a server.
         let members = if self.has_warm_server(plan, shard) {
             shard
         } else {
@@ -89,7 +88,7 @@
             .filter_map(|id| Some((id, self.registry.get(*id)?)))
     }
 
-    /// The servers that the table may name.
+    /// Returns the servers that the table may contain.
     fn eligible<'s>(
         &'s self,
         plan: &'s TablePlan,
@@ -104,7 +103,7 @@
             .any(|(_, server)| server.is_in_service() && server.is_warm())
     }
 
-    /// The factor on a server's weight by its zone.
+    /// Returns the factor on a server's weight by its zone.
     fn affinity(&self, plan: &TablePlan, server: &Server, affinity: &ByZone) -> f64 {
         let zone = server.endpoint.zone;
         let Some(factor) = affinity.get(&zone).filter(|_| !plan.zone_local) else {
@@ -117,7 +116,7 @@
         *factor
     }
 
-    /// The advice that a table follows: that of its class, if the class has tables of its own.
+    /// Returns the scope of the advice on a table: its zone, and its class if that has separate tables.
     fn scope(&self, plan: &TablePlan) -> FactorScope {
         let class = (0..self.settings.classes.len())
             .find(|class| plan.separate_classes.has(*class) && plan.classes.has(*class));
--- a/crates/policy/src/decisions/events.rs
+++ b/crates/policy/src/decisions/events.rs
@@ -1,4 +1,4 @@
-//! How each event changes what an instance knows. Orders follow later, at the tick or at once.
+//! Application of events to the state of an instance. Orders follow later, at the tick or at once.
 
 use crate::interface::{ClassId, Event, HealthCheckOutcome, LoadReport, Micros, ProxyId, ServerId};
 
@@ -7,7 +7,7 @@
 use super::Policy;
 
 impl Policy {
-    /// Takes in one event.
+    /// Applies one event.
     pub(super) fn apply_event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::EndpointList(kind, endpoints) => {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes in what was observed of a server.
+    /// Applies the outcomes of attempts or of a health check at a server.
     fn apply_server_event(&mut self, event: &Event) {
         match event {
             Event::ServerOutcomes {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes in the beginning and end of streams, and acknowledgements.
+    /// Applies the start or end of a stream, or an acknowledgement.
     fn apply_proxy_event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::ProxyJoined {
--- a/crates/policy/src/decisions/evidence.rs
+++ b/crates/policy/src/decisions/evidence.rs
@@ -1,30 +1,30 @@
-//! What load reports, outcomes and health checks show of one server, decaying with time.
+//! Evidence on one server from load reports, outcomes and health checks, decaying with time.
 
 use std::collections::BTreeMap;
 
 use crate::interface::{LoadReport, Micros, ZoneId};
 use crate::statistics::{clamp_to_unit, DecayingMean, Ramp};
 
-/// Half-life of outcomes and health checks, in seconds: a few report periods, since one holds few attempts.
+/// Half-life of outcomes and health checks, in seconds: a few report periods, since one period has few attempts.
 pub(super) const OUTCOME_HALF_LIFE_SECONDS: f64 = 1.5;
-/// Half-life of what shows speeds and arrival rates, in seconds: reports are noisy.
+/// Half-life of evidence on speeds and arrival rates, in seconds: longer, since reports are noisy.
 pub(super) const RATE_HALF_LIFE_SECONDS: f64 = 12.0;
 /// Half-life of the arrivals of each class, in seconds.
 pub(super) const ARRIVAL_HALF_LIFE_SECONDS: f64 = 2.0 * OUTCOME_HALF_LIFE_SECONDS;
-/// Attempts of the fleet's usual quality that are mixed into each server's, so that thin evidence says little.
+/// Number of attempts of reference quality that are added to each server's, so that little evidence has little effect.
 pub(super) const PRIOR_ATTEMPTS: f64 = 4.0;
-/// Idle load reports that are mixed into a server's saturation, so that it ends once reports stop.
+/// Number of idle load reports that are added to a server's, so that its saturation ends once reports stop.
 const PRIOR_IDLE_REPORTS: f64 = 0.5;
-/// Mean queue, in requests, at which a server counts as saturated in part and in full.
+/// Reported queue, in requests, from which a server counts as partly saturated and from which as fully saturated.
 const QUEUE_SATURATION: Ramp = Ramp { from: 1.0, to: 4.0 };
-/// Utilization of the cores at which a server counts as saturated in part and in full.
+/// Utilization of the cores from which a server counts as partly saturated and from which as fully saturated.
 const UTILIZATION_SATURATION: Ramp = Ramp {
     from: 0.85,
     to: 0.95,
 };
-/// Power of its speed by which a health check counts: a quick one did not wait in a queue.
+/// Exponent of a health check's speed in its weight: fast checks count more, since they did not wait in a queue.
 const CHECK_SPEED_EXPONENT: i32 = 3;
-/// The least share of a health check's duration that counts as spent at the server, whatever the network delay.
+/// Least share of a health check's duration that counts as spent at the server, for any network delay.
 const MIN_SERVER_TIME_SHARE: f64 = 0.25;
 /// Lower bound on the duration of a health check, in seconds, so that its speed is finite.
 const MIN_CHECK_SECONDS: f64 = 1e-6;
@@ -38,7 +38,7 @@
     pub latency_ms: DecayingMean,
 }
 
-/// The outcomes of one report.
+/// The attempts of one report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptCounts {
     /// Attempts that ended.
@@ -49,12 +49,12 @@
     pub mean_latency_ms: f64,
 }
 
-/// What shows the speed of a server.
+/// Evidence on the speed of a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SpeedEvidence {
     /// Health checks per second of their own duration.
     pub checks: DecayingMean,
-    /// The same, by how much work the server had.
+    /// The same, weighted by the recent activity of the server.
     pub checks_under_load: DecayingMean,
     /// Reported service time, in milliseconds.
     pub service_ms: DecayingMean,
@@ -72,26 +72,26 @@
     }
 }
 
-/// All that was observed of one server.
+/// All observations of one server.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Evidence {
     /// Outcomes, by zone of the proxies.
     pub by_proxy_zone: BTreeMap<ZoneId, ZoneEvidence>,
-    /// Successful attempts since the ceiling of the server's weight last grew.
+    /// Number of successful attempts since the ceiling of the server's weight last grew.
     pub successes_since_growth: f64,
-    /// Its usual speed.
+    /// Its longer-term speed.
     pub speed: SpeedEvidence,
     /// Speed of its recent health checks.
     pub recent_check_speed: DecayingMean,
-    /// Saturation by its load reports.
+    /// Saturation according to its load reports.
     pub saturation: DecayingMean,
-    /// Duration of its fastest health check, in seconds; 0 while none passed.
+    /// Duration of its fastest health check, in seconds; 0 until one passed.
     pub fastest_check_seconds: f64,
     last_load: LoadReport,
 }
 
 impl Evidence {
-    /// Takes in the outcomes of attempts of one zone's proxies.
+    /// Records outcomes of attempts of one zone's proxies.
     pub fn record_outcomes(&mut self, proxy_zone: ZoneId, counts: AttemptCounts) {
         let succeeded = (counts.attempts - counts.failed).max(0.0);
         let zone = self.by_proxy_zone.entry(proxy_zone).or_default();
@@ -102,7 +102,7 @@
         self.successes_since_growth += succeeded;
     }
 
-    /// Takes in a load report.
+    /// Records a load report.
     pub fn record_load(&mut self, load: &LoadReport) {
         let by_utilization = load
             .utilization
@@ -111,16 +111,16 @@
         if let Some(saturation) = by_queue.or(by_utilization) {
             self.saturation.add(saturation, 1.0);
         }
-        // A repeated report is no new observation of the speed.
+        // A repeated report is not a new observation of the speed.
         let is_new = std::mem::replace(&mut self.last_load, *load) != *load;
         if let Some(service_ms) = load.latency_ms.filter(|ms| is_new && *ms > 0.0) {
-            // Reports without queueing show the speed best.
+            // Reports without queueing are the most reliable.
             let weight = 1.0 / (1.0 + load.queued.unwrap_or(0.0));
             self.speed.service_ms.add(service_ms * weight, weight);
         }
     }
 
-    /// Takes in the duration of a health check that passed; `network_seconds` of it is the delay to the server's zone.
+    /// Records the duration of a passed health check; `network_seconds` of it is the delay to the server's zone.
     pub fn record_passed_check(&mut self, elapsed: Micros, network_seconds: f64) {
         let seconds = elapsed.secs();
         let at_server = (seconds - network_seconds)
@@ -130,7 +130,7 @@
         let weight = speed.powi(CHECK_SPEED_EXPONENT);
         let weighted_speed = speed.powi(CHECK_SPEED_EXPONENT + 1);
         self.speed.checks.add(weighted_speed, weight);
-        // A server that idled, as a new one does, would pass for saturated once it has work.
+        // Otherwise a server that was idle, such as a new one, would seem saturated once it has load.
         let activity = self.recent_activity();
         self.speed
             .checks_under_load
@@ -143,24 +143,24 @@
         };
     }
 
-    /// How far recent load reports show the server saturated, from 0 to 1; 0 once reports stop.
+    /// Returns the saturation by recent load reports, from 0 to 1; it decays to 0 once reports stop.
     pub fn saturation_with_prior(&self) -> f64 {
         self.saturation.sum / (self.saturation.weight + PRIOR_IDLE_REPORTS)
     }
 
-    /// How many times longer health checks take now than they usually do.
+    /// Returns how many times longer recent health checks take than usual.
     pub fn slowdown(&self) -> Option<f64> {
         let baseline_speed = self.speed.checks.positive_mean()?;
         Some(baseline_speed / self.recent_check_speed.positive_mean()?)
     }
 
-    /// How many times longer health checks take now than they usually do while the server has work.
+    /// Returns how many times longer recent health checks take than usual while the server has load.
     pub fn slowdown_under_load(&self) -> Option<f64> {
         let baseline_speed = self.speed.checks_under_load.positive_mean()?;
         Some(baseline_speed / self.recent_check_speed.positive_mean()?)
     }
 
-    /// Lets time pass.
+    /// Decays the evidence by the elapsed time.
     pub fn decay(&mut self, elapsed_seconds: f64) {
         for zone in self.by_proxy_zone.values_mut() {
             zone.failures
@@ -175,7 +175,7 @@
         self.speed.decay(elapsed_seconds);
     }
 
-    /// Whether the server has had attempts lately, from 0 to 1.
+    /// Returns the recent activity of the server, from 0 without attempts to 1.
     fn recent_activity(&self) -> f64 {
         self.by_proxy_zone
             .values()
--- a/crates/policy/src/decisions/health.rs
+++ b/crates/policy/src/decisions/health.rs
@@ -1,4 +1,4 @@
-//! The health state machine of a server: full, reduced, withdrawn, with dwell counts and ejection backoff.
+//! The health state machine of a server: full, reduced or withdrawn, with dwell times and ejection backoff.
 
 use crate::interface::{HealthChangeCause, HealthState, ScoreTerms};
 
@@ -8,41 +8,40 @@
 
 /// Excess share of failed attempts at which the error term is 0.
 pub(super) const ERROR_BUDGET: f64 = 0.2;
-/// Multiple of the usual latency at which the latency term is 0. A merely busy server crosses three times.
+/// Multiple of the reference latency at which the latency term is 0. A healthy server exceeds 3 when it is busy.
 pub(super) const LATENCY_BUDGET: f64 = 5.0;
-/// Score below which a server with errors is withdrawn.
+/// Score below which a failing server is withdrawn.
 const WITHDRAW_BELOW: f64 = 0.20;
-/// Ticks below that score before a server is withdrawn.
+/// Consecutive ticks below that score before a server is withdrawn.
 const WITHDRAW_TICKS: u32 = 2;
 /// Score below which the weight is reduced.
 const REDUCE_BELOW: f64 = 0.45;
-/// Score above which the full weight is restored; also the divisor of the reduced weight.
+/// Score above which the full weight is restored; a reduced weight is proportional to the score divided by it.
 pub(super) const RESTORE_ABOVE: f64 = 0.55;
-/// Ticks above that score before the full weight is restored, and ticks before the first return of a withdrawn server.
+/// Consecutive ticks above that score before the full weight is restored; also the first ejection period, in ticks.
 const RESTORE_TICKS: u32 = 6;
-/// Factor on the ejection period after a return that failed.
+/// Factor on the ejection period after each re-admission, until the full weight is restored.
 const EJECTION_BACKOFF_FACTOR: u32 = 2;
 /// The longest ejection period, in ticks.
 const MAX_EJECTION_TICKS: u32 = 24;
-/// The least weight of a reduced server and the weight of a returning one, as a share of the listed.
+/// Least weight of a reduced server and first weight of a re-admitted one, as a share of its full weight.
 pub(super) const MIN_WEIGHT_SHARE: f64 = 0.1;
 /// Score and weight ceiling of a new server.
 pub(super) const INITIAL_SCORE: f64 = 0.5;
-/// Growth of a returning server's weight ceiling with each tick of successful attempts.
+/// Factor by which the weight ceiling of a recovering server grows at a time.
 const CEILING_GROWTH: f64 = 2.0;
-/// Successful attempts after which the ceiling grows.
+/// Number of successful attempts after which the ceiling grows.
 const SUCCESSES_PER_GROWTH: f64 = 1.0;
 
-/// The health of a server.
+/// The health state of a server, with its score and dwell counters.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Health {
-    /// The state.
     pub state: HealthState,
     /// The smoothed score, from 0 to 1.
     pub score: f64,
     /// The terms of the newest score.
     pub terms: ScoreTerms,
-    /// Upper bound on its weight, as a share, while it recovers.
+    /// Upper bound on its weight while it recovers, as a share of its full weight.
     pub weight_ceiling: f64,
     ticks_below: u32,
     ticks_above: u32,
@@ -51,12 +50,12 @@
 }
 
 impl Health {
-    /// A server that has long been in service.
+    /// Returns the health of a server that has been in service for long.
     pub fn full() -> Self {
         Self::initial(HealthState::Full, 1.0)
     }
 
-    /// A new server, which has to show what it can do.
+    /// Returns the health of a new server, whose weight grows with its successful attempts.
     pub fn warming_up() -> Self {
         Self::initial(HealthState::Reduced, INITIAL_SCORE)
     }
@@ -76,8 +75,8 @@
         }
     }
 
-    /// Takes in the terms of one tick and moves to another state where the thresholds and dwell counts say so. A return
-    /// from ejection discards the evidence that led to it.
+    /// Records the terms of one tick and changes the state according to the thresholds and dwell times. Re-admission
+    /// discards the evidence that led to the ejection.
     pub fn advance(
         &mut self,
         terms: ScoreTerms,
@@ -102,7 +101,7 @@
         }
     }
 
-    /// The cause of a change from the given state to the present one.
+    /// Returns the cause of a change from the given state to the current one.
     pub fn change_cause(&self, previous: HealthState, checks: &HealthChecks) -> HealthChangeCause {
         let ScoreTerms { errors, latency } = self.terms;
         match (previous, self.state) {
@@ -118,7 +117,7 @@
     fn record_score(&mut self, terms: ScoreTerms) {
         self.terms = terms;
         self.score = smooth_quality(self.score, terms.errors.min(terms.latency));
-        // By the error term alone: a slow server is reduced, never withdrawn.
+        // Only errors lead to withdrawal: a slow server is reduced, but never withdrawn.
         let is_failing = self.score.max(terms.errors) < WITHDRAW_BELOW;
         self.ticks_below = if is_failing { self.ticks_below + 1 } else { 0 };
         self.ticks_above = if self.score > RESTORE_ABOVE {
@@ -128,7 +127,8 @@
         };
     }
 
-    /// Successes are kept until there are enough: a small weight gets less than one attempt in a tick.
+    /// Raises the weight ceiling after enough successful attempts. They are counted over several ticks, since a server
+    /// with a small weight gets less than one attempt in a tick.
     fn grow_ceiling(&mut self, evidence: &mut Evidence) {
         let may_grow = evidence.successes_since_growth >= SUCCESSES_PER_GROWTH
             && self.terms.errors > RESTORE_ABOVE;
--- a/crates/policy/src/decisions/health_checks.rs
+++ b/crates/policy/src/decisions/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of one server: when the next one is due and how many failed.
+//! Health checks of one server: when the next check is due and how many failed.
 
 use crate::interface::{HealthCheckOutcome, Micros};
 use crate::statistics::decay_factor;
@@ -6,26 +6,26 @@
 use super::evidence::OUTCOME_HALF_LIFE_SECONDS;
 use super::tick::TICK_INTERVAL;
 
-/// Interval between the health checks of a server that answers.
+/// Interval between the health checks of a responding server.
 const CHECK_INTERVAL: Micros = Micros(1_000_000);
-/// A health check whose result never came is given up after this time.
+/// Time after which a health check without a result counts as lost.
 const CHECK_LOSS_TIMEOUT: Micros = Micros(3_000_000);
-/// A failed health check counts as so many failed attempts, times the number of consecutive failures.
+/// Number of failed attempts that a failed health check counts as, multiplied by the number of consecutive failures.
 const ATTEMPTS_PER_FAILED_CHECK: f64 = 2.0;
 
-/// The health checks of a server.
+/// The schedule and the failures of a server's health checks.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct HealthChecks {
-    /// Consecutive health checks that failed.
+    /// Number of consecutive failed health checks.
     pub consecutive_failures: u32,
-    /// The failed health checks as a number of failed attempts, decaying.
+    /// The failed health checks as a decaying number of failed attempts.
     pub failed_attempts: f64,
     sent_at: Option<Micros>,
     next_at: Micros,
 }
 
 impl HealthChecks {
-    /// Starts a health check if one is due; whether it did.
+    /// Starts a health check if one is due, and returns whether it was.
     pub fn start_if_due(&mut self, now: Micros) -> bool {
         let in_flight = self
             .sent_at
@@ -38,7 +38,7 @@
         true
     }
 
-    /// Takes in the outcome of the health check in flight.
+    /// Records the outcome of the health check in flight.
     pub fn record_outcome(&mut self, outcome: HealthCheckOutcome) {
         let sent_at = self.sent_at.take();
         match outcome {
@@ -57,13 +57,14 @@
         }
     }
 
-    /// Discards failures that don't show a fault of the server. Once it is reachable again, answers come one by one.
+    /// Discards failures that are not due to a fault of the server. It counts as unanswered until its next check
+    /// passes: after a partition, servers respond again one after the other.
     pub fn discard_failures(&mut self) {
         self.failed_attempts = 0.0;
         self.consecutive_failures = self.consecutive_failures.min(1);
     }
 
-    /// Lets time pass.
+    /// Decays the failures by the elapsed time.
     pub fn decay(&mut self, elapsed_seconds: f64) {
         self.failed_attempts *= decay_factor(elapsed_seconds, OUTCOME_HALF_LIFE_SECONDS);
     }
--- a/crates/policy/src/decisions/limits.rs
+++ b/crates/policy/src/decisions/limits.rs
@@ -1,24 +1,23 @@
-//! The limits of the overload manager in force.
+//! The active limits of the overload manager.
 
 use crate::interface::{Limits, Micros, Retry, ShedShares};
 
-/// The longest time for which limits stand without being renewed: an overload manager that stands still must not shed
-/// load for good.
+/// The longest time for which limits apply without renewal: a stopped overload manager must not shed load indefinitely.
 const MAX_VALIDITY: Micros = Micros(15_000_000);
 
-/// The limits in force.
+/// The active limits.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ActiveLimits {
     limits: Limits,
 }
 
 impl ActiveLimits {
-    /// Takes limits, which replace the previous ones.
+    /// Replaces the limits.
     pub fn accept(&mut self, limits: &Limits) {
         self.limits = limits.clone();
     }
 
-    /// Drops limits that were not renewed, or that claim to stand for too long.
+    /// Drops limits that have expired, or whose expiry is too far in the future.
     pub fn expire(&mut self, now: Micros) {
         let is_valid = self.limits.expires_at > now && self.limits.expires_at <= now + MAX_VALIDITY;
         if !is_valid {
@@ -26,17 +25,17 @@
         }
     }
 
-    /// Lower bound on the share of requests to shed.
+    /// Returns the lower bound on the share of requests to shed.
     pub fn min_shed_share(&self) -> Option<f64> {
         self.limits.min_shed_share
     }
 
-    /// Shares to shed where heavy proxies have tables of their own.
+    /// Returns the shares to shed where heavy proxies have separate tables.
     pub fn shed_shares(&self) -> Option<ShedShares> {
         self.limits.shed_shares
     }
 
-    /// Upper bound on the admitted share of a class; NaN counts as no bound.
+    /// Returns the upper bound on the admitted share of a class; NaN counts as no bound.
     pub fn max_admitted_share(&self, class: usize) -> f64 {
         self.limits
             .admitted
@@ -45,7 +44,7 @@
             .fold(1.0, |least, bound| least.min(bound.share))
     }
 
-    /// The narrowest retry policy given for a class, if any is.
+    /// Returns the narrowest retry policy that the limits give for a class, if any.
     pub fn retry(&self, class: usize) -> Option<Retry> {
         self.limits
             .retries
--- a/crates/policy/src/decisions/mod.rs
+++ b/crates/policy/src/decisions/mod.rs
@@ -1,8 +1,9 @@
-//! Every decision of chutegrade. [`Policy`] takes in events, and at each tick it scores the servers, updates admission
-//! and publishes what changed; it coordinates the modules beside it, each of which owns one concern and its state.
+//! The decisions of chutegrade. [`Policy`] applies events, and at each tick it scores the servers, updates admission
+//! and publishes the changes. It coordinates the other modules, each of which owns one concern and its state.
 //!
-//! A server's weight follows its score: the minimum of terms that fall from 1 to 0 with errors and latency, smoothed, with
-//! hysteresis and dwell, published as full, reduced or withdrawn weight in few shared tables.
+//! A server's weight depends on its score: the smoothed minimum of an error term and a latency term, each from 1 (no
+//! faults) to 0. Hysteresis and dwell times turn scores into full, reduced or withdrawn weights, which are published in
+//! few shared tables.
 
 mod admission;
 mod advice;
@@ -54,13 +55,13 @@
 use tick::{first_tick_delay, TICK_INTERVAL, TICK_TIMER_ID};
 use zone_links::{extra_check_seconds, Reachability, References, ZoneLinks};
 
-/// One instance of the decisions.
+/// The decision state machine of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
     settings: Settings,
-    /// Differs between the instances of a deployment.
+    /// Determines the delay of the first tick; should differ between the instances of a deployment.
     seed: u64,
-    /// Whether the first events were handled.
+    /// Whether any events were handled.
     started: bool,
     /// The time of the last tick.
     ticked_at: Micros,
@@ -75,12 +76,12 @@
     slices: Slices,
     channel: Channel,
     update_pacer: UpdatePacer,
-    /// Whether servers that warm up are withheld from tables.
+    /// Whether warming servers are withheld from tables.
     warming_withheld: bool,
 }
 
 impl Policy {
-    /// An instance that knows its settings and nothing else. Instances of a deployment should have different seeds.
+    /// Creates an instance without servers and proxies. Instances of a deployment should have different seeds.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Policy {
             seed,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Takes in what happened by `now` and returns the orders to give.
+    /// Applies events that happened by `now` and returns the resulting orders.
     pub fn handle_events(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.started {
@@ -127,14 +128,14 @@
         });
     }
 
-    /// Whether orders follow an event at once. All others wait for the tick: work for each would make a large fleet
-    /// late.
+    /// Returns whether orders follow an event at once. All other events wait for the tick: publication after each of
+    /// them would delay the orders of a large fleet.
     fn is_urgent(&self, event: &Event) -> bool {
         match event {
             Event::EndpointList(..) | Event::ProxyJoined { .. } | Event::SliceOwnership { .. } => {
                 true
             }
-            // They may complete a hand-over.
+            // These may complete a hand-over.
             Event::Acknowledged { .. } | Event::ProxyLeft(_) | Event::StreamClosed(_) => {
                 self.settings.exclusive_ownership
             }
@@ -142,7 +143,7 @@
         }
     }
 
-    /// One tick: evidence becomes scores, and scores become saturation.
+    /// Runs one tick: updates scores, health states and saturation from the evidence.
     fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let elapsed_seconds = (now - self.ticked_at).secs().max(0.0);
         self.ticked_at = now;
@@ -175,7 +176,7 @@
         self.limits.expire(now);
     }
 
-    /// Attempts that fail over every link while servers have headroom call for narrower tables.
+    /// Requests narrower tables if attempts fail over every link while servers have headroom.
     fn detect_common_failures(
         &mut self,
         now: Micros,
@@ -199,8 +200,8 @@
         self.proxies.decay(elapsed_seconds);
     }
 
-    /// Starts the health checks that are due. Without proxies there are none: while nobody has work for the servers,
-    /// their duration shows no usual speed.
+    /// Starts the health checks that are due. There are none without proxies, since the duration of health checks of
+    /// idle servers is no baseline for servers under load.
     fn start_health_checks(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.health_checks_allowed || self.proxies.is_empty() {
             return;
--- a/crates/policy/src/decisions/orders.rs
+++ b/crates/policy/src/decisions/orders.rs
@@ -1,4 +1,4 @@
-//! The orders of one round and the account of the channel that each of them must fit.
+//! The orders of one round and the channel budgets that they must fit.
 
 use std::collections::BTreeMap;
 
@@ -7,40 +7,40 @@
 use super::channel::Channel;
 use super::proxies::Proxies;
 
-/// Lines of the request for an acknowledgement.
+/// Number of lines of an acknowledgement request.
 const ACKNOWLEDGEMENT_REQUEST_LINES: f64 = 1.0;
-/// Lower bound on the drain grace, in seconds, of which budgets are shares.
+/// Lower bound on the drain grace from which budgets are derived, in seconds.
 const MIN_GRACE_SECONDS: f64 = 1e-3;
 
-/// Lines of a suspension beside the header: the request for an acknowledgement and the server.
+/// Number of lines of a suspension in addition to the header: the acknowledgement request and the server.
 pub(super) const SUSPENSION_LINES: f64 = 2.0;
 
-/// Lines of a message beyond its orders: its overhead, and the request for an acknowledgement.
+/// Returns the lines of a message in addition to its orders: its overhead and the acknowledgement request.
 pub(super) fn header_lines(settings: &Settings) -> f64 {
     settings.message_overhead + ACKNOWLEDGEMENT_REQUEST_LINES
 }
 
-/// What a kind of order may use of the channel, all that is queued included.
+/// The part of the channel that a kind of order may use, including all queued lines.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ChannelBudget {
     /// Share of the backlog that may be used.
     pub backlog_share: f64,
     /// Share of the message limit that may be used.
     pub message_share: f64,
-    /// Share of the drain grace that what is queued may take, beyond the delivery delay.
+    /// Share of the drain grace, in addition to the delivery delay, that sending the queued lines may take.
     pub grace_share: f64,
-    /// Whether the order may rely on the stated pace, and go whenever nothing is queued.
+    /// Whether the order counts on the nominal send rate and is always sent if nothing is queued.
     pub is_urgent: bool,
 }
 
-/// Budget of suspensions. Behind a long queue they would miss the drain grace, so they go first.
+/// Budget of suspensions. They take precedence, since behind a long queue they would miss the drain grace.
 pub(super) const SUSPENSION_BUDGET: ChannelBudget = ChannelBudget {
     backlog_share: 0.9,
     message_share: 1.0,
     grace_share: f64::INFINITY,
     is_urgent: true,
 };
-/// Budget of weights that protect a server.
+/// Budget of weight changes that protect a server or a proxy.
 pub(super) const PROTECTION_BUDGET: ChannelBudget = ChannelBudget {
     backlog_share: 0.8,
     message_share: 0.8,
@@ -69,7 +69,7 @@
     is_urgent: false,
 };
 
-/// What the channel can take, at the time of the round.
+/// The capacity of the channel at the time of the round.
 #[derive(Clone, Copy, Debug)]
 struct ChannelCapacity {
     nominal_rate: f64,
@@ -77,7 +77,7 @@
     backlog_lines: f64,
     delivery_delay_seconds: f64,
     grace_seconds: f64,
-    /// Messages to one proxy within the window; 0: any number.
+    /// Number of messages to one proxy within the window; 0 if unlimited.
     max_messages: usize,
 }
 
@@ -86,19 +86,19 @@
 pub(super) struct Orders {
     /// The time of the round.
     pub at: Micros,
-    /// The actions, in the order in which they are given.
+    /// The actions, in order.
     pub actions: Vec<Action>,
-    /// Lines of the message to each proxy, header included.
+    /// Number of lines of the message to each proxy, header included.
     pub lines_by_proxy: BTreeMap<ProxyId, f64>,
-    /// Lines queued in the channel, this round's included.
+    /// Number of lines queued in the channel, this round's included.
     queued_lines: f64,
-    /// Lines of a message beyond its orders.
+    /// Number of lines of a message in addition to its orders.
     header_lines: f64,
     capacity: ChannelCapacity,
 }
 
 impl Orders {
-    /// A round without orders.
+    /// Returns a round without orders.
     pub fn new(now: Micros, channel: &Channel, settings: &Settings) -> Self {
         let capacity = ChannelCapacity {
             nominal_rate: settings.channel_lines_per_second,
@@ -118,12 +118,12 @@
         }
     }
 
-    /// Adds an action that goes into no message, or whose lines are added separately.
+    /// Adds an action that is not part of a message, or whose lines are added separately.
     pub fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    /// Adds an action that takes so many lines at each recipient.
+    /// Adds an action with its number of lines at each recipient.
     pub fn push_to(&mut self, recipients: &[ProxyId], lines: f64, action: Action) {
         self.actions.push(action);
         for proxy in recipients {
@@ -138,15 +138,15 @@
         self.queued_lines += cost;
     }
 
-    /// Whether all these proxies get a message in this round already.
+    /// Returns whether this round already has a message to each of these proxies.
     pub fn reaches_all(&self, proxies: &[ProxyId]) -> bool {
         proxies
             .iter()
             .all(|proxy| self.lines_by_proxy.contains_key(proxy))
     }
 
-    /// Whether so many lines more at each recipient fit the budget, with all that is queued. An urgent order fits
-    /// whenever nothing is queued.
+    /// Returns whether the given number of additional lines at each recipient fits the budget. An urgent order always
+    /// fits the queue if nothing is queued.
     pub fn fits(
         &self,
         proxies: &Proxies,
@@ -176,7 +176,7 @@
             && self.queued_lines <= lines_in_time
     }
 
-    /// The largest share of the message limit in use at any recipient, this round's message included.
+    /// Returns the largest share of the message limit in use at any recipient, this round's message included.
     fn message_share(&self, proxies: &Proxies, recipients: &[ProxyId]) -> f64 {
         if self.capacity.max_messages == 0 {
             return 0.0;
@@ -191,7 +191,7 @@
             .sum()
     }
 
-    /// Lines of the header, for a proxy that gets no message in this round yet.
+    /// Returns the lines of the header; 0 if this round already has a message to the proxy.
     fn header_lines_for(&self, proxy: ProxyId) -> f64 {
         if self.lines_by_proxy.contains_key(&proxy) {
             0.0
--- a/crates/policy/src/decisions/proxies.rs
+++ b/crates/policy/src/decisions/proxies.rs
@@ -1,4 +1,4 @@
-//! The joined proxies: the demand that arrives at each, the tables that each holds, and the messages written to it.
+//! The joined proxies: their demand, their tables and the messages written to them.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,23 +12,22 @@
 /// A joined proxy.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Proxy {
-    /// Its zone.
     pub zone: ZoneId,
     /// Whether it may hold suspensions of another instance.
     pub has_previous_table: bool,
-    /// Whether it is assigned to tables of the present layout.
+    /// Whether it is assigned to tables of the current layout.
     pub is_assigned: bool,
     /// The shard that it is assigned to.
     pub shard: usize,
-    /// The tables that it holds, of the present layout or the one before.
+    /// Its tables, of the current or of an earlier layout.
     pub tables: Vec<TableId>,
     arrivals: DecayingMean,
-    /// When messages were written to it, within the window of the message limit.
+    /// Times at which messages were written to it, within the window of the message limit.
     written_at: VecDeque<Micros>,
 }
 
 impl Proxy {
-    /// A proxy that has just joined, with its usual demand in requests per second.
+    /// Returns a proxy that has just joined, with its typical demand in requests per second.
     pub fn joined(zone: ZoneId, request_rate: f64, has_previous_table: bool) -> Self {
         Proxy {
             zone,
@@ -41,17 +40,18 @@
         }
     }
 
-    /// Whether it holds tables of this instance.
+    /// Returns whether it has tables of this instance.
     pub fn has_tables(&self) -> bool {
         !self.tables.is_empty()
     }
 
-    /// Its demand, in requests per second.
+    /// Returns its demand, in requests per second.
     pub fn request_rate(&self) -> f64 {
         self.arrivals.positive_mean().unwrap_or(0.0)
     }
 
-    /// Takes in the arrivals of one class over some seconds; one report comes for each of so many classes.
+    /// Records the arrivals of one of `class_count` classes over a period in seconds. Each class is reported
+    /// separately.
     pub fn record_arrivals(&mut self, arrivals: f64, seconds: f64, class_count: f64) {
         self.arrivals.add(arrivals, seconds / class_count);
     }
@@ -64,57 +64,57 @@
 }
 
 impl Proxies {
-    /// Adds a proxy, in the place of its former stream if there was one.
+    /// Adds a proxy; replaces its earlier stream if there was one.
     pub fn join(&mut self, id: ProxyId, proxy: Proxy) {
         self.joined.insert(id, proxy);
     }
 
-    /// Removes a proxy.
+    /// Removes a proxy whose stream ended.
     pub fn leave(&mut self, id: ProxyId) {
         self.joined.remove(&id);
     }
 
-    /// All joined proxies, by id.
+    /// Returns all joined proxies, by id.
     pub fn iter(&self) -> impl Iterator<Item = (&ProxyId, &Proxy)> {
         self.joined.iter()
     }
 
-    /// The ids of all joined proxies.
+    /// Returns the ids of all joined proxies.
     pub fn ids(&self) -> impl Iterator<Item = ProxyId> + '_ {
         self.joined.keys().copied()
     }
 
-    /// A joined proxy.
+    /// Returns a joined proxy.
     pub fn get(&self, id: ProxyId) -> Option<&Proxy> {
         self.joined.get(&id)
     }
 
-    /// A joined proxy.
+    /// Returns a joined proxy.
     pub fn get_mut(&mut self, id: ProxyId) -> Option<&mut Proxy> {
         self.joined.get_mut(&id)
     }
 
-    /// The number of joined proxies.
+    /// Returns the number of joined proxies.
     pub fn len(&self) -> usize {
         self.joined.len()
     }
 
-    /// Whether no proxy is joined.
+    /// Returns whether no proxy is joined.
     pub fn is_empty(&self) -> bool {
         self.joined.is_empty()
     }
 
-    /// The demand of each proxy, in requests per second.
+    /// Returns the demand of each proxy, in requests per second.
     pub fn request_rates(&self) -> impl Iterator<Item = f64> + '_ {
         self.joined.values().map(Proxy::request_rate)
     }
 
-    /// The demand of the busiest proxy, in requests per second; 0 without proxies.
+    /// Returns the demand of the busiest proxy, in requests per second; 0 without proxies.
     pub fn busiest_rate(&self) -> f64 {
         self.request_rates().fold(0.0, f64::max)
     }
 
-    /// The share of each group of zones in the demand.
+    /// Returns the share of each group of zones in the demand.
     pub fn demand_shares(&self, group_of: impl Fn(ZoneId) -> ZoneId) -> ByZone {
         let demand = self
             .joined
@@ -123,7 +123,7 @@
         shares(demand)
     }
 
-    /// The assigned proxies by their zone and shard.
+    /// Returns the assigned proxies by zone and shard.
     pub fn assigned_by_shard(&self) -> BTreeMap<ZoneShard, Vec<ProxyId>> {
         let mut by_shard: BTreeMap<ZoneShard, Vec<ProxyId>> = BTreeMap::new();
         for (id, proxy) in self.joined.iter().filter(|(_, proxy)| proxy.is_assigned) {
@@ -136,19 +136,20 @@
         by_shard
     }
 
-    /// Whether all proxies are on tables of the present layout.
+    /// Returns whether all proxies are on tables of the current layout.
     pub fn all_assigned(&self) -> bool {
         self.joined.values().all(|proxy| proxy.is_assigned)
     }
 
-    /// The layout changed: all proxies have to be assigned anew, and keep their tables until then.
+    /// Marks all proxies as unassigned after a change of the layout. They retain their tables until they are
+    /// reassigned.
     pub fn unassign_all(&mut self) {
         for proxy in self.joined.values_mut() {
             proxy.is_assigned = false;
         }
     }
 
-    /// Lets time pass.
+    /// Decays the demand by the elapsed time.
     pub fn decay(&mut self, elapsed_seconds: f64) {
         for proxy in self.joined.values_mut() {
             proxy
@@ -157,22 +158,22 @@
         }
     }
 
-    /// Drops the messages that were written before the window of the message limit.
+    /// Drops the times of messages that were written before the window of the message limit.
     pub fn drop_written_before(&mut self, window_start: Micros) {
         for proxy in self.joined.values_mut() {
             proxy.written_at.retain(|at| *at >= window_start);
         }
     }
 
-    /// Records that a message is written to a proxy.
+    /// Records that a message was written to a proxy.
     pub fn record_written(&mut self, id: ProxyId, now: Micros) {
         if let Some(proxy) = self.joined.get_mut(&id) {
             proxy.written_at.push_back(now);
         }
     }
 
-    /// The most messages within the window at any of these proxies, one more message to each included; 1 if none of
-    /// them is joined.
+    /// Returns the largest number of messages within the window at any of these proxies, one more message to each
+    /// included; 1 if none of them is joined.
     pub fn max_messages_with_next(&self, ids: &[ProxyId]) -> usize {
         ids.iter()
             .filter_map(|id| self.get(*id))
--- a/crates/policy/src/decisions/publication.rs
+++ b/crates/policy/src/decisions/publication.rs
@@ -1,4 +1,4 @@
-//! Publication of tables: which weights changed enough to be sent, in which order, and how many at a time.
+//! Publication of tables: which weights changed enough to be sent, in which order, and how many at once.
 
 use std::collections::BTreeSet;
 
@@ -15,18 +15,18 @@
 use super::table_layout::TablePlan;
 use super::tables::Tables;
 
-/// A weight is sent again after it moved by more than this share of the weight sent last.
+/// Least relative change of a weight for which it is sent again, as a share of the weight sent last.
 const RESEND_SHARE: f64 = 0.2;
 /// Least time between ordinary updates, in seconds.
 const MIN_UPDATE_SECONDS: f64 = 1.0;
-/// Share of the channel that the headers of ordinary updates may take.
+/// Share of the channel's send rate that the headers of ordinary updates may take.
 const HEADER_SHARE: f64 = 0.2;
-/// Lines of a change of a weight.
+/// Number of lines of a weight change.
 const CHANGE_LINES: f64 = 1.0;
-/// Lines of a weight for a server that the table doesn't name yet: its suspension may have to end, too.
+/// Number of lines of a weight for a server that the table does not contain: its suspension may have to end as well.
 const ADDITION_LINES: f64 = 2.0;
 
-/// A change of a weight that waits to be sent.
+/// A weight change to be sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WeightChange<'a> {
     table: TableId,
@@ -34,15 +34,15 @@
     weight: f64,
     /// The proxies that use the table.
     recipients: &'a [ProxyId],
-    /// Whether the change protects a server or a proxy, and goes before all others.
+    /// Whether the change protects a server or a proxy, and precedes all others.
     is_protective: bool,
-    /// Traffic that the change moves, in requests per second at a proxy with the mean demand of the table's users.
+    /// Traffic that the change redirects, in requests per second at a proxy with the mean demand of the table's users.
     moved_rate: f64,
-    /// Lines that it takes at each recipient.
+    /// Number of lines at each recipient.
     lines: f64,
 }
 
-/// What publication changes.
+/// The state that publication changes.
 #[derive(Debug)]
 pub(super) struct Publisher<'a> {
     /// The published tables.
@@ -54,7 +54,7 @@
 }
 
 impl Publisher<'_> {
-    /// The weights of a table that differ enough from those sent.
+    /// Returns the weights of a table that differ enough from those sent last.
     pub fn weight_changes<'u>(
         &self,
         plan: &TablePlan,
@@ -77,7 +77,7 @@
         comparison.changes()
     }
 
-    /// Reports that advice on a table is overruled, or in force again.
+    /// Reports that advice on a table is overruled, or applies again.
     pub fn report_overruled(&mut self, table: TableId, is_overruled: bool) {
         let published = self.tables.entry(table);
         if published.advice_overruled == is_overruled {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Mean demand of proxies, in requests per second.
+    /// Returns the mean demand of proxies, in requests per second.
     fn mean_rate(&self, users: &[ProxyId]) -> f64 {
         let rates = users
             .iter()
@@ -129,7 +129,7 @@
     }
 }
 
-/// The desired weights of a table beside those sent.
+/// The desired weights of a table and those sent last.
 #[derive(Debug)]
 struct WeightComparison<'a, 'u> {
     plan: &'a TablePlan,
@@ -157,8 +157,8 @@
             .collect()
     }
 
-    /// The median factor between sent and desired weights. What moves all weights of a table alike is not sent: it would
-    /// fill the channel and change nothing.
+    /// Returns the median ratio of sent to desired weights. A common factor on all weights of a table is not sent: it
+    /// would fill the channel without any effect.
     fn scale(&self) -> f64 {
         let factors = self
             .desired
@@ -168,7 +168,7 @@
         median(factors).unwrap_or(1.0)
     }
 
-    /// The change of a server's weight, if it is large enough; `total` is the sum of the desired weights.
+    /// Returns the change of a server's weight, if it is large enough; `total` is the sum of the desired weights.
     fn change(&self, id: ServerId, scale: f64, total: f64) -> Option<WeightChange<'u>> {
         let sent = self.sent.get(&id).copied().unwrap_or(0.0);
         let weight = self.desired.get(&id).copied().unwrap_or(0.0) * scale;
@@ -185,7 +185,8 @@
         } else {
             0.0
         };
-        // Only changes that protect go first: else failing servers would crowd out those that recovered.
+        // Only protective changes take precedence: otherwise updates of failing servers would delay those of recovered
+        // ones.
         let protects_warming_up =
             weight < sent && server.is_some_and(|server| server.warm_up_share < 1.0);
         Some(WeightChange {
@@ -199,7 +200,8 @@
         })
     }
 
-    /// A server of the table's zone that is not named yet counts with its full size: else a fleet that grew would idle.
+    /// Returns the full size of a new server in the table's zone, else 0. Otherwise new servers of a growing fleet,
+    /// whose first weights are small, would stay idle.
     fn addition_size(&self, server: Option<&Server>, is_new: bool) -> f64 {
         server
             .filter(|server| is_new && server.endpoint.zone == self.plan.zone)
@@ -207,14 +209,14 @@
     }
 }
 
-/// The pace of ordinary updates.
+/// Limits the frequency of ordinary updates.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UpdatePacer {
     last_update: Option<Micros>,
 }
 
 impl UpdatePacer {
-    /// Sends the changes that fit the channel, those that protect first, then those that move most traffic.
+    /// Sends the changes that fit the channel, protective ones first, then by the traffic that they redirect.
     pub fn send(
         &mut self,
         mut changes: Vec<WeightChange>,
@@ -253,8 +255,8 @@
 }
 
 impl WeightChange<'_> {
-    /// Whether the channel takes the change now. One that goes with messages that are due already costs none of its own:
-    /// else levels and guards would use up the message limit.
+    /// Returns whether the change fits the channel now. An ordinary change may always join messages that the round
+    /// sends anyway: otherwise levels and protective changes would use up the message limit.
     fn can_send(&self, is_due: bool, publisher: &Publisher) -> bool {
         let fits = |budget| {
             publisher
@@ -266,8 +268,8 @@
     }
 }
 
-/// Interval between ordinary updates, in seconds, by which the headers of messages to all proxies take no more than
-/// their share of the channel.
+/// Returns the interval between ordinary updates, in seconds, at which the headers of messages to all proxies take no
+/// more than their share of the channel's send rate.
 pub(super) fn update_interval_seconds(
     proxies: &Proxies,
     settings: &Settings,
--- a/crates/policy/src/decisions/publish.rs
+++ b/crates/policy/src/decisions/publish.rs
@@ -1,4 +1,4 @@
-//! One round of publication: the phases by which decisions become orders, and the acknowledgement that is asked for them.
+//! One round of publication: the steps that turn decisions into orders, and the acknowledgement request for them.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 use super::zone_affinity::{ZoneAffinity, ZoneBalance};
 use super::Policy;
 
-/// The levels of each class, by the shard that a table names.
+/// The levels of each class at ordinary and at heavy proxies.
 #[derive(Debug)]
 struct ShardLevels {
     ordinary: Vec<AdmissionLevel>,
@@ -40,7 +40,7 @@
 }
 
 impl Policy {
-    /// Turns the present decisions into orders, as far as the channel takes them.
+    /// Turns the current decisions into orders, within the budgets of the channel.
     pub(super) fn publish(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.channel.drop_expired(now, &self.settings);
         self.proxies
@@ -59,7 +59,7 @@
         actions.append(&mut orders.actions);
     }
 
-    /// Suspends servers that leave and drops what is not needed any more.
+    /// Suspends leaving servers, and drops unused tables and the state of servers that were removed long ago.
     fn apply_lifecycle_changes(&mut self, now: Micros, orders: &mut Orders) {
         clear_unused_tables(&self.sharding, &self.proxies, &mut self.tables, orders);
         self.registry
@@ -120,7 +120,7 @@
         self.update_pacer.send(changes, interval, &mut publisher);
     }
 
-    /// Publishes the levels of all tables and returns the weights that changed.
+    /// Publishes the levels of all tables and returns their weight changes.
     fn update_tables<'u>(
         &mut self,
         demand: WarmingDemand,
@@ -174,7 +174,8 @@
         affinity.factors_by_zone()
     }
 
-    /// The levels of each class. Heavy proxies are shed first, where limits say so and they have tables of their own.
+    /// Returns the levels of each class. They differ for heavy proxies if the limits demand it and there are several
+    /// shards.
     fn shard_levels(&self) -> ShardLevels {
         let for_all = ShedShares {
             ordinary: self.admission.shed_share,
@@ -220,7 +221,7 @@
         assignment.assign(&mut self.proxies, orders);
     }
 
-    /// Asks the proxies that this round's orders reach for an acknowledgement.
+    /// Requests an acknowledgement from the proxies that this round's orders reach.
     fn request_acknowledgement(&mut self, now: Micros, orders: &mut Orders) {
         if orders.lines_by_proxy.is_empty() {
             return;
--- a/crates/policy/src/decisions/registry.rs
+++ b/crates/policy/src/decisions/registry.rs
@@ -1,4 +1,5 @@
-//! The servers of the endpoint list: their lifecycle, incarnations and ordinals, and the subscription to the list.
+//! The servers of the endpoint list: their lifecycle, incarnations and ordinals, and the retry of a failed
+//! subscription.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,22 +17,22 @@
 /// A value for each zone.
 pub(super) type ByZone = BTreeMap<ZoneId, f64>;
 
-/// Delay before a failed subscription is retried.
+/// Delay before the retry of a failed subscription.
 const RESUBSCRIBE_DELAY: Micros = Micros(1_000_000);
-/// Servers of a zone that must show a value before the zone has a median of its own.
+/// Number of servers of a zone that must have a value for the zone to have its own median.
 const MIN_SERVERS_PER_ZONE: usize = 8;
 
 /// The known servers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Registry {
     servers: BTreeMap<ServerId, Server>,
-    /// Number of servers that were ever listed.
+    /// Number of servers that were listed so far, including dropped ones.
     listed_count: usize,
     resubscribe_at: Option<Micros>,
 }
 
 impl Registry {
-    /// Takes in an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub fn apply_update(
         &mut self,
         now: Micros,
@@ -50,7 +51,7 @@
             EndpointUpdateKind::Delta => {}
         }
         let is_first_list = self.servers.is_empty();
-        // Ordinals run through zones and machine kinds in turn, so that each shard gets its share of both.
+        // Ordinals are assigned by zone and machine kind, so that each shard gets its share of both.
         let mut ordered: Vec<&Endpoint> = endpoints.iter().collect();
         ordered.sort_by_key(|endpoint| (endpoint.zone, endpoint.machine_kind, endpoint.server));
         for endpoint in ordered {
@@ -65,52 +66,53 @@
         }
     }
 
-    /// Whether a failed subscription is due for its retry, which the caller then sends.
+    /// Returns whether the retry of a failed subscription is due, and clears it. The caller then sends the retry.
     pub fn take_due_resubscription(&mut self, now: Micros) -> bool {
         self.resubscribe_at.take_if(|at| *at <= now).is_some()
     }
 
-    /// All known servers, by id.
+    /// Returns all known servers, by id.
     pub fn iter(&self) -> impl Iterator<Item = (&ServerId, &Server)> + Clone {
         self.servers.iter()
     }
 
-    /// All known servers, by id.
+    /// Returns all known servers, by id.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ServerId, &mut Server)> {
         self.servers.iter_mut()
     }
 
-    /// The servers that may be sent requests.
+    /// Returns the servers that may receive requests.
     pub fn in_service(&self) -> impl Iterator<Item = (&ServerId, &Server)> + Clone {
         self.iter().filter(|(_, server)| server.is_in_service())
     }
 
-    /// The servers that may be sent requests.
+    /// Returns the servers that may receive requests.
     pub fn in_service_mut(&mut self) -> impl Iterator<Item = (&ServerId, &mut Server)> {
         self.iter_mut().filter(|(_, server)| server.is_in_service())
     }
 
-    /// A known server.
+    /// Returns a known server.
     pub fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
-    /// A known server.
+    /// Returns a known server.
     pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
         self.servers.get_mut(&id)
     }
 
-    /// Whether a server is known and has all its capacity.
+    /// Returns whether a server is known and has its full capacity.
     pub fn is_warm(&self, id: ServerId) -> bool {
         self.get(id).is_some_and(Server::is_warm)
     }
 
-    /// Drops all that is known of a server.
+    /// Drops the state of a server.
     pub fn remove(&mut self, id: ServerId) {
         self.servers.remove(&id);
     }
 
-    /// The median of what the servers in service show: of those of a zone, if enough of them do, else of all.
+    /// Returns the median of a value over the servers in service of a zone; over all zones if none is given or too few
+    /// servers of the zone have a value.
     pub fn median(
         &self,
         zone: Option<ZoneId>,
@@ -129,7 +131,7 @@
         median(self.in_service().filter_map(|(_, server)| value_of(server)))
     }
 
-    /// Reports the servers whose lifecycle changed since the last call.
+    /// Reports lifecycle changes since the last call.
     pub fn report_lifecycle_changes(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for server in self.servers.values_mut() {
             let Endpoint {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// A snapshot names all servers; the others are removed.
+    /// Marks the servers that a snapshot does not list as removed.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         for (id, server) in &mut self.servers {
@@ -167,8 +169,8 @@
         } else {
             Health::warming_up()
         };
-        // Proxies may still hold the suspension of a server that was forgotten. One that is listed only now that it
-        // leaves is suspended with the others that leave.
+        // Proxies may still hold the suspension of a server whose state was dropped, so a new server in service counts
+        // as suspended until it is resumed. A new server that is already leaving is suspended with all leaving servers.
         let suspended = !is_first_list && endpoint.lifecycle == Lifecycle::InService;
         let server = Server {
             suspended,
@@ -180,12 +182,12 @@
     }
 }
 
-/// The zones of the deployment.
+/// Returns the zones of the deployment.
 pub(super) fn zones(settings: &Settings) -> impl Iterator<Item = ZoneId> + Clone {
     (0..settings.zones.max(1) as u16).map(ZoneId)
 }
 
-/// Takes in the entry of a known server. A newer start means another incarnation, which has no past.
+/// Updates a known server by its entry. A newer start means another incarnation, which has no evidence yet.
 fn update_known(known: &mut Server, endpoint: Endpoint, is_warming_up: bool) {
     let is_new_incarnation = endpoint.started_at > known.endpoint.started_at;
     if !is_new_incarnation {
--- a/crates/policy/src/decisions/retry_policy.rs
+++ b/crates/policy/src/decisions/retry_policy.rs
@@ -1,11 +1,11 @@
-//! The retry policy of each class. No effect may happen twice: a request is retried only after proof that its first
-//! attempt was not executed, or where a second run surely changes nothing.
+//! The retry policy of each class. No request may take effect twice: it is retried only after proof that its first
+//! attempt was not executed, or if a second run certainly has no further effect.
 
 use crate::interface::{Class, DeduplicationScope, Idempotency, Retry};
 
-/// The retry policy of a class, by what limits ask for and what is safe.
+/// Returns the retry policy of a class: the requested one, unless a narrower one is required for safety.
 ///
-/// Retries after any failure need an idempotent class, a fleet with headroom, and limits that ask for them.
+/// Retries after any failure require an idempotent class, a fleet with headroom, and limits that request them.
 pub(super) fn retry_policy(
     class: Option<&Class>,
     requested: Option<Retry>,
@@ -22,7 +22,8 @@
     requested.unwrap_or(Retry::IfNotExecuted).min(widest)
 }
 
-/// Whether a second run changes nothing. Keys must be kept twice as long as clients wait, since clocks differ.
+/// Returns whether a second run has no further effect. Keys must be retained for twice the deadline, since clocks
+/// differ.
 fn is_safe_to_retry(class: &Class) -> bool {
     let needed = class.deadline + class.deadline;
     match class.idempotency {
--- a/crates/policy/src/decisions/scoring.rs
+++ b/crates/policy/src/decisions/scoring.rs
@@ -1,4 +1,4 @@
-//! The score of each server at a tick: its error term and its latency term, against what is usual.
+//! The score of each server at a tick: an error term and a latency term, relative to reference outcomes.
 
 use crate::interface::{Action, DecisionEvent, ScoreTerms, Settings};
 use crate::statistics::clamp_to_unit;
@@ -9,35 +9,37 @@
 use super::server::Server;
 use super::zone_links::{Reachability, References, ZonePair};
 
-/// A zone that leaves a larger share of health checks unanswered says nothing about its servers.
+/// Failed health checks are ignored in a zone in which a larger share of servers does not answer them.
 const MAX_UNANSWERED_SHARE: f64 = 0.5;
-/// Response times count by this factor where health checks are timed, since they include queueing.
+/// Factor on the response time ratio of a server whose health checks are timed, since response times include queueing.
 const RESPONSE_LATENCY_FACTOR: f64 = 0.5;
-/// Power of a server's headroom by which its failures count: traffic moved off a saturated server fills the next.
+/// Exponent of a server's headroom in the weight of its failures: traffic redirected from a saturated server would
+/// saturate the next.
 const FAILURE_HEADROOM_EXPONENT: i32 = 2;
 
-/// What the outcomes at a server differ by from the usual.
+/// Deviation of the outcomes at a server from the references.
 #[derive(Clone, Copy, Debug)]
 struct Deviation {
-    /// Share of failed attempts beyond the usual, less its standard error.
+    /// Share of failed attempts in excess of the reference, less its standard error, scaled by the server's headroom.
     excess_failures: f64,
-    /// Response time over the usual.
+    /// Response time relative to the reference.
     latency_ratio: f64,
 }
 
-/// What the servers of one tick are compared with.
+/// The references for the scores of one tick.
 #[derive(Debug)]
 pub(super) struct Scoring<'a> {
     references: &'a References,
     reachability: &'a Reachability,
-    /// By zone, the usual slowdown of health checks.
+    /// Median slowdown of health checks, by zone.
     baseline_slowdown: ByZone,
-    /// Headroom of the fleet, by which terms count: traffic moved off a server of a saturated fleet overloads the next.
+    /// Headroom of the fleet, which scales both terms: in a saturated fleet, traffic redirected from one server would
+    /// overload the next.
     headroom: f64,
 }
 
 impl<'a> Scoring<'a> {
-    /// Gathers what is usual at this tick.
+    /// Computes the references of this tick.
     pub fn new(
         registry: &Registry,
         settings: &Settings,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Scores all servers in service and moves their health states.
+    /// Scores all servers in service and updates their health states.
     pub fn score_servers(&self, registry: &mut Registry, actions: &mut Vec<Action>) {
         for (id, server) in registry.in_service_mut() {
             if !self.counts_failed_checks(server) {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Whether failed health checks count against the server.
+    /// Returns whether failed health checks count against the server.
     fn counts_failed_checks(&self, server: &Server) -> bool {
         let unanswered = self.reachability.unanswered.get(&server.endpoint.zone);
         self.reachability.is_conclusive()
@@ -106,7 +108,8 @@
         ScoreTerms { errors, latency }
     }
 
-    /// Duration of health checks over the usual one of the zone: it shows a slow machine of any kind.
+    /// Returns the slowdown of the server's health checks relative to its zone, which is independent of its machine
+    /// kind.
     fn check_latency_ratio(&self, server: &Server) -> Option<f64> {
         let baseline = self.baseline_slowdown.get(&server.endpoint.zone);
         let slowdown = server.evidence.slowdown()?;
@@ -114,7 +117,7 @@
     }
 }
 
-/// Compares the outcomes at a server with the references of their links.
+/// Compares the outcomes at a server with the references of the links.
 fn deviation(server: &Server, references: &References) -> Deviation {
     let failed_checks = server.health_checks.failed_attempts;
     let mut attempts = PRIOR_ATTEMPTS + failed_checks;
--- a/crates/policy/src/decisions/server.rs
+++ b/crates/policy/src/decisions/server.rs
@@ -1,4 +1,4 @@
-//! One server of the endpoint list, and all that is known of it.
+//! The state of one server of the endpoint list.
 
 use crate::interface::{Endpoint, HealthCheckOutcome, Lifecycle, Micros, Settings};
 use crate::statistics::clamp_to_unit;
@@ -7,40 +7,38 @@
 use super::health::Health;
 use super::health_checks::HealthChecks;
 
-/// The least share of its capacity that any server counts with.
+/// Lower bound on the share of its capacity that a server is certain to have.
 const MIN_WARM_UP_SHARE: f64 = 0.01;
-/// Lower bound on the slow start period, in seconds, by which ages are divided.
+/// Lower bound on the slow start period by which ages are divided, in seconds.
 const MIN_SLOW_START_SECONDS: f64 = 1e-6;
 
-/// A server.
+/// A listed server with its evidence, health and weight.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Server {
     /// Its entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// Its position among all servers ever listed, by which it belongs to a shard.
+    /// Its position among all servers listed so far, which determines its shard.
     pub ordinal: usize,
-    /// What was observed of it.
+    /// Observations of its attempts, load and health checks.
     pub evidence: Evidence,
-    /// Its health checks.
     pub health_checks: HealthChecks,
-    /// Its health.
     pub health: Health,
-    /// How many times longer its health checks take than usual, against its zone; at least 1 once it was scored.
+    /// Slowdown of its health checks relative to its zone; at least 1 once it was scored.
     pub slowdown: f64,
-    /// Its weight, before the adjustments of each table.
+    /// Its weight, before the adjustments for each table.
     pub weight: f64,
-    /// Share of its capacity that it is sure to have.
+    /// Share of its capacity that it is certain to have.
     pub warm_up_share: f64,
     /// The lifecycle that was last reported.
     pub reported_lifecycle: Lifecycle,
-    /// When that changed last; 0 if it never did.
+    /// Time of the last reported change of its lifecycle; 0 if there was none.
     pub lifecycle_changed_at: Micros,
     /// Whether it is suspended in all tables.
     pub suspended: bool,
 }
 
 impl Server {
-    /// A server without a past.
+    /// Returns a server without observations.
     pub fn new(endpoint: Endpoint, health: Health) -> Self {
         Server {
             endpoint,
@@ -49,32 +47,32 @@
         }
     }
 
-    /// Whether it may be sent requests.
+    /// Returns whether it may receive requests.
     pub fn is_in_service(&self) -> bool {
         self.endpoint.lifecycle == Lifecycle::InService && !self.suspended
     }
 
-    /// Whether it is draining or removed.
+    /// Returns whether it is draining or removed.
     pub fn is_leaving(&self) -> bool {
         self.endpoint.lifecycle != Lifecycle::InService
     }
 
-    /// Whether it left service at any time while it was listed here: proxies may hold it as suspended.
+    /// Returns whether it ever left service while it was listed here, so that proxies may hold its suspension.
     pub fn has_left(&self) -> bool {
         self.suspended || self.lifecycle_changed_at > Micros(0)
     }
 
-    /// Whether it has all its capacity.
+    /// Returns whether it has its full capacity.
     pub fn is_warm(&self) -> bool {
         self.warm_up_share >= 1.0
     }
 
-    /// Its listed weight, which is never quite 0.
+    /// Returns its listed weight, limited to positive values.
     pub fn size(&self) -> f64 {
         self.endpoint.weight.max(f64::MIN_POSITIVE)
     }
 
-    /// Share of its capacity that it is sure to have, by the time since its start.
+    /// Returns the share of its capacity that it is certain to have, by the time since its start.
     pub fn warm_up_share_at(&self, now: Micros, settings: &Settings) -> f64 {
         let age_seconds = self
             .endpoint
@@ -89,7 +87,7 @@
         share.clamp(MIN_WARM_UP_SHARE, 1.0)
     }
 
-    /// Takes in the result of a health check; `network_seconds` of its duration is the delay to the server's zone.
+    /// Records the result of a health check; `network_seconds` of its duration is the delay to the server's zone.
     pub fn record_health_check(
         &mut self,
         outcome: HealthCheckOutcome,
@@ -102,7 +100,7 @@
         self.health_checks.record_outcome(outcome);
     }
 
-    /// Lets time pass.
+    /// Decays its evidence and failed health checks by the elapsed time.
     pub fn decay(&mut self, elapsed_seconds: f64) {
         self.evidence.decay(elapsed_seconds);
         self.health_checks.decay(elapsed_seconds);
--- a/crates/policy/src/decisions/shard_balance.rs
+++ b/crates/policy/src/decisions/shard_balance.rs
@@ -1,4 +1,4 @@
-//! The balance of load over shards: which shard has capacity for a proxy.
+//! The load of each shard, by which proxies are assigned to shards.
 
 use std::collections::BTreeMap;
 
@@ -8,20 +8,20 @@
 use super::registry::{ByZone, Registry};
 use super::table_layout::ZoneShard;
 
-/// Lower bound on a shard's weight, by which its load is divided.
+/// Lower bound on a shard's weight by which its demand is divided.
 const MIN_SHARD_WEIGHT: f64 = 1e-6;
 
-/// How zones share shards.
+/// The zones that share shards.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShardGroups {
     /// Number of shards.
     pub shards: usize,
-    /// Whether each zone has shards of its own.
+    /// Whether each zone has separate shards.
     pub by_zone: bool,
 }
 
 impl ShardGroups {
-    /// The group of a zone, named by its first zone.
+    /// Returns the group of a zone, identified by its first zone.
     pub fn group(&self, zone: ZoneId) -> ZoneId {
         if self.by_zone {
             zone
@@ -31,7 +31,7 @@
     }
 }
 
-/// The load of a shard.
+/// The capacity and the demand of a shard.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ShardLoad {
     /// Sum of its servers' weights.
@@ -41,33 +41,33 @@
 }
 
 impl ShardLoad {
-    /// Demand over weight, with so much more demand.
+    /// Returns the demand divided by the weight, with the given additional demand.
     pub fn load_with(&self, request_rate: f64) -> f64 {
         (self.request_rate + request_rate) / self.weight.max(MIN_SHARD_WEIGHT)
     }
 }
 
-/// A shard for a proxy, and the load that it would have.
+/// A shard for a proxy, and the load that the shard would have with it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Placement {
-    /// The shard.
+    /// Index of the shard; an index equal to the number of shards means all of them.
     pub shard: usize,
-    /// Its demand over its weight, the proxy's demand included.
+    /// Its demand divided by its weight, the proxy's demand included.
     pub load: f64,
 }
 
-/// How the demand is spread over the shards.
+/// The distribution of the demand over the shards.
 #[derive(Debug)]
 pub(super) struct ShardBalance {
     loads: BTreeMap<ZoneShard, ShardLoad>,
-    /// Share of each group of zones in the demand.
+    /// Share of the demand of each group of zones.
     demand_shares: ByZone,
     /// Demand of all proxies, in requests per second.
     total_rate: f64,
 }
 
 impl ShardBalance {
-    /// The balance of the servers in service and the assigned proxies.
+    /// Computes the loads from the servers in service and the assigned proxies.
     pub fn new(registry: &Registry, proxies: &Proxies, groups: &ShardGroups) -> Self {
         let mut loads: BTreeMap<ZoneShard, ShardLoad> = BTreeMap::new();
         for (_, server) in registry.in_service() {
@@ -91,22 +91,22 @@
         }
     }
 
-    /// Demand of all proxies, in requests per second.
+    /// Returns the demand of all proxies, in requests per second.
     pub fn total_rate(&self) -> f64 {
         self.total_rate
     }
 
-    /// Share of a group of zones in the demand; all of it while there is none.
+    /// Returns the share of the demand of a group of zones; 1 if the group has none.
     pub fn demand_share(&self, group: ZoneId) -> f64 {
         self.demand_shares.get(&group).copied().unwrap_or(1.0)
     }
 
-    /// The load of a shard, which is known from now on.
+    /// Returns the load of a shard, and adds the shard if it is unknown.
     pub fn load(&mut self, shard: ZoneShard) -> ShardLoad {
         *self.loads.entry(shard).or_default()
     }
 
-    /// The known shard of a group with the least load, with so much more demand.
+    /// Returns the known shard of a group that would have the least load with the given additional demand.
     pub fn least_loaded(&self, group: ZoneId, request_rate: f64) -> Placement {
         let first = ZoneShard {
             zone: group,
@@ -126,7 +126,7 @@
             .unwrap_or_default()
     }
 
-    /// Adds demand to a shard, or takes it away.
+    /// Adds demand to a shard; a negative rate removes demand.
     pub fn add(&mut self, shard: ZoneShard, request_rate: f64) {
         self.loads.entry(shard).or_default().request_rate += request_rate;
     }
--- a/crates/policy/src/decisions/sharding.rs
+++ b/crates/policy/src/decisions/sharding.rs
@@ -1,6 +1,6 @@
-//! Sharding: into how many shards the fleet is divided, each with tables of its own, and the layout of those tables.
+//! Sharding: the number of shards of the fleet, each with separate tables, and the layout of those tables.
 //!
-//! A proxy that sends to few servers keeps its connections in use, and a change of a weight costs fewer lines.
+//! A proxy that sends to few servers reuses its connections, and a weight change takes fewer lines.
 
 use crate::interface::{ClassSet, DecisionEvent, Micros, Settings, TableId};
 
@@ -10,46 +10,45 @@
 use super::table_layout::{lay_out_tables, TablePlan};
 use super::zone_affinity::prefers_own_zone;
 
-/// Requests that a usual proxy should send to each server of its table before an idle connection closes.
+/// Number of requests that an average proxy should send to each server of its table within the idle timeout.
 const REQUESTS_PER_CONNECTION: f64 = 6.0;
-/// Least number of servers in a shard: a fifth of them failing must leave enough.
+/// Least number of servers in a shard: enough must remain if a fifth of them fails.
 const MIN_SERVERS: f64 = 16.0;
-/// Share of failed attempts at servers with headroom from which tables are narrowed.
+/// Share of failed attempts at servers with headroom above which tables are narrowed.
 const NARROW_FROM_FAILED_SHARE: f64 = 0.3;
-/// How long tables stay narrowed after attempts failed everywhere.
+/// Time for which tables stay narrowed after attempts failed everywhere.
 const NARROW_PERIOD: Micros = Micros(30_000_000);
 /// Least number of proxies in a narrowed shard.
 const MIN_NARROWED_PROXIES: f64 = 2.0;
 /// Least number of servers in a narrowed shard.
 const MIN_NARROWED_SERVERS: f64 = 5.0;
-/// Lines of a complete table beside header, weights and levels.
+/// Number of lines of a complete table in addition to the header, weights and levels.
 const TABLE_LINES: f64 = 2.0;
-/// Table numbers are used again after this one.
+/// Table numbers wrap around: the first number of each layout is below this one.
 const TABLE_NUMBERS: u16 = u16::MAX / 2;
 
 /// The shards and the layout of their tables.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Sharding {
-    /// Number of shards; 0 until the first proxies joined.
+    /// Number of shards; 0 until enough proxies joined.
     pub shards: usize,
-    /// The tables of the present layout.
+    /// The tables of the current layout.
     pub plans: Vec<TablePlan>,
-    /// Number of shards while attempts don't fail everywhere; 0 until the first proxies joined.
+    /// Number of shards while attempts do not fail everywhere; 0 until enough proxies joined.
     baseline_shards: usize,
-    /// When attempts last failed everywhere although the servers had headroom.
+    /// Time at which attempts last failed everywhere although the servers had headroom.
     failures_seen_at: Option<Micros>,
 }
 
-/// What the number of shards depends on.
+/// Inputs of the number of shards.
 #[derive(Debug)]
 pub(super) struct ShardingInputs<'a> {
-    /// The settings.
     pub settings: &'a Settings,
     /// The known servers.
     pub registry: &'a Registry,
     /// The joined proxies.
     pub proxies: &'a Proxies,
-    /// Classes with tables of their own.
+    /// Classes with separate tables.
     pub separate_classes: ClassSet,
     /// The time of the round.
     pub now: Micros,
@@ -57,7 +56,7 @@
     pub is_tick: bool,
 }
 
-/// Servers and proxies that shards are made of. Where zones have tables of their own these are the numbers of one zone.
+/// Number of servers and proxies that are divided into shards: those of one zone if zones have separate tables.
 #[derive(Clone, Copy, Debug)]
 struct FleetSize {
     servers: f64,
@@ -65,30 +64,30 @@
 }
 
 impl Sharding {
-    /// Whether tables have their baseline width, which they lose while attempts fail everywhere.
+    /// Returns whether tables have their baseline width, which is reduced while attempts fail everywhere.
     pub fn is_at_baseline(&self) -> bool {
         self.shards == self.baseline_shards
     }
 
-    /// Whether each zone has shards of its own.
+    /// Returns whether each zone has separate shards.
     pub fn isolates_zones(&self, settings: &Settings) -> bool {
         self.shards > 1 && prefers_own_zone(settings)
     }
 
-    /// Whether a table belongs to the present layout.
+    /// Returns whether a table belongs to the current layout.
     pub fn uses(&self, table: TableId) -> bool {
         self.plans.iter().any(|plan| plan.table == table)
     }
 
-    /// Takes in the least share of attempts that fail over any link, at a tick at which the servers have headroom.
+    /// Records the least share of failed attempts over all links, at a tick at which the servers have headroom.
     pub fn record_failures(&mut self, now: Micros, failed_share: f64) {
         if failed_share > NARROW_FROM_FAILED_SHARE {
             self.failures_seen_at = Some(now);
         }
     }
 
-    /// Updates the number of shards. If the layout changed, its tables have new numbers, which cost nothing while
-    /// nobody uses them, and the event reports it.
+    /// Updates the number of shards and returns an event if the layout changed. The tables of a new layout have new
+    /// numbers; they take no lines of the channel until a proxy uses them.
     pub fn update(&mut self, inputs: &ShardingInputs) -> Option<DecisionEvent> {
         if !self.has_enough_proxies(inputs) {
             return None;
@@ -122,7 +121,8 @@
         Some(DecisionEvent::Resharded { shards, narrowed })
     }
 
-    /// The first shards wait for the usual proxies of an instance, or for the next tick.
+    /// Returns whether shards can be formed: initially when at least half of this instance's share of the proxies
+    /// joined, or at the first tick with a joined proxy.
     fn has_enough_proxies(&self, inputs: &ShardingInputs) -> bool {
         let joined = inputs.proxies.len() as f64;
         let settings = inputs.settings;
@@ -152,7 +152,7 @@
         prefers_own_zone(self.settings) || any_zone_local
     }
 
-    /// Number of sets of zones with tables of their own.
+    /// Returns the number of sets of tables: one for each zone if zones have separate tables, otherwise one.
     fn table_sets(&self) -> f64 {
         if self.has_zone_tables() {
             self.settings.zones.max(1) as f64
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Number of shards in which a usual proxy keeps its connections and tables arrive in time.
+    /// Returns the number of shards with which an average proxy reuses its connections and tables arrive in time.
     fn baseline_shards(&self, size: FleetSize) -> usize {
         let joined = self.proxies.len() as f64;
         let rate = self.proxies.request_rates().sum::<f64>() / joined;
@@ -177,13 +177,14 @@
         let connected_servers = (requests_per_timeout / REQUESTS_PER_CONNECTION).max(MIN_SERVERS);
         let tables_per_proxy = self.table_sets() + f64::from(self.has_zone_tables());
         let rows = (self.rows_in_grace() / tables_per_proxy).max(MIN_NARROWED_SERVERS);
-        // Rows are rounded down: half a row more at all proxies would be late.
+        // Rows are rounded down: half a row more at each proxy would be late.
         let min_shards = (size.servers / rows.floor()).ceil().max(1.0);
         (size.servers / connected_servers).round().max(min_shards) as usize
     }
 
-    /// Rows of tables for each proxy of the fleet, if all join here at once and no table may be late: removed servers
-    /// stay in old tables while new ones wait, and suspensions, which go first, hold up the last ones.
+    /// Returns the number of table rows for each proxy of the fleet with which all proxies can join here at once and
+    /// get their tables within the drain grace. Removed servers stay in old tables until new ones arrive, and
+    /// suspensions, which take precedence, delay the last tables.
     fn rows_in_grace(&self) -> f64 {
         let settings = self.settings;
         let seconds = (settings.drain_grace - settings.max_delivery_delay).secs();
--- a/crates/policy/src/decisions/slices.rs
+++ b/crates/policy/src/decisions/slices.rs
@@ -1,5 +1,5 @@
-//! Ownership of slices: which server owns each slice that this instance is responsible for, and the hand-over of a slice
-//! with exclusive ownership.
+//! Ownership of slices: the server that owns each slice of this instance, and the hand-over of a slice with exclusive
+//! ownership.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,36 +10,35 @@
 use super::registry::Weights;
 use super::tables::{Table, Tables};
 
-/// Lines of a change of owner.
+/// Number of lines of an owner change.
 const OWNER_CHANGE_LINES: f64 = 2.0;
-/// Weight of an owner.
+/// The weight by which a table marks the owner.
 const OWNER_WEIGHT: f64 = 1.0;
 /// Odd multiplier that spreads the bits of a hash: 2^64 divided by the golden ratio.
 const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 /// Shift that mixes the high bits of a hash into the low ones.
 const HASH_SHIFT: u32 = 29;
 
-/// A change of an exclusive owner: nobody owns the slice until no proxy can write to the former owner.
+/// A change of an exclusive owner. The slice has no owner until no proxy can write to the former one.
 #[derive(Clone, Debug)]
 struct HandOver {
     /// Proxies that may still send to the former owner.
     pending_proxies: BTreeSet<ProxyId>,
     /// Sequence number of the message that clears the table.
     sequence: u16,
-    /// When the leases of all proxies without an acknowledgement have ended.
+    /// End of the leases of all proxies whose streams ended without an acknowledgement.
     not_before: Micros,
 }
 
-/// The slices that this instance is responsible for, with their hand-overs under way.
+/// The slices of this instance, with their hand-overs in progress.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Slices {
     owned: BTreeMap<TableId, Option<HandOver>>,
 }
 
-/// What owners depend on.
+/// Inputs of owner changes.
 #[derive(Debug)]
 pub(super) struct SliceInputs<'a> {
-    /// The settings.
     pub settings: &'a Settings,
     /// The joined proxies, which all use each slice.
     pub proxies: &'a Proxies,
@@ -50,7 +49,7 @@
 }
 
 impl Slices {
-    /// Takes in that this instance gained or lost a slice.
+    /// Records that this instance gained or lost a slice.
     pub fn set_ownership(&mut self, slice: TableId, granted: bool) {
         self.owned.remove(&slice);
         if granted {
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Takes in that a proxy's stream ended: it may send to former owners until its lease ends.
+    /// Records that a proxy's stream ended: it may send to former owners until its lease ends.
     pub fn proxy_left(&mut self, proxy: ProxyId, lease_end: Micros) {
         for hand_over in self.owned.values_mut().flatten() {
             if hand_over.pending_proxies.remove(&proxy) {
@@ -67,7 +66,7 @@
         }
     }
 
-    /// Takes in that a proxy applied the message with this sequence number.
+    /// Records that a proxy applied the message with this sequence number.
     pub fn acknowledge(&mut self, proxy: ProxyId, sequence: u16) {
         for hand_over in self.owned.values_mut().flatten() {
             if hand_over.sequence == sequence {
@@ -76,8 +75,7 @@
         }
     }
 
-    /// Finds owners for slices whose owner is not usable any more. An owner that is usable stays, since it has the
-    /// slice's state.
+    /// Replaces owners that are no longer usable. A usable owner is retained, since it has the slice's state.
     pub fn update_owners(
         &mut self,
         inputs: &SliceInputs,
@@ -124,7 +122,7 @@
 }
 
 impl OwnerChange {
-    /// The change that a slice needs, if it does and a server is usable.
+    /// Returns the owner change if the slice needs one and a server is usable.
     fn if_needed(slice: TableId, table: &Table, usable: &Weights) -> Option<Self> {
         let former_owners = former_owners(table, usable);
         let owner = highest_hash(slice, usable)?;
@@ -136,7 +134,7 @@
         })
     }
 
-    /// Takes the slice from its former owner, as far as proxies can be reached.
+    /// Clears the slice's table at all joined proxies.
     fn begin_hand_over(
         &self,
         recipients: &[ProxyId],
@@ -166,7 +164,7 @@
 }
 
 impl HandOver {
-    /// Whether no write can reach the former owner any more.
+    /// Returns whether no write can reach the former owner any more.
     fn is_complete(&self, now: Micros, settings: &Settings) -> bool {
         self.pending_proxies.is_empty() && now >= self.not_before + settings.write_settle_time
     }
@@ -180,13 +178,13 @@
     }
 }
 
-/// The servers of a slice's table that can't own it any more.
+/// Returns the servers of a slice's table that are no longer usable.
 fn former_owners(table: &Table, usable: &Weights) -> Vec<ServerId> {
     let is_unusable = |server: &ServerId| usable.get(server).is_none_or(|weight| *weight <= 0.0);
     table.weights.keys().copied().filter(is_unusable).collect()
 }
 
-/// The owner of a slice by rendezvous hashing: the usable server with the highest hash of both numbers.
+/// Returns the owner of a slice by rendezvous hashing: the usable server with the highest hash of both ids.
 fn highest_hash(slice: TableId, usable: &Weights) -> Option<ServerId> {
     usable
         .iter()
--- a/crates/policy/src/decisions/speed.rs
+++ b/crates/policy/src/decisions/speed.rs
@@ -1,4 +1,4 @@
-//! The speed of each server for its listed weight, by health checks or reported service times.
+//! The relative speed of each server, estimated from health checks or reported service times.
 
 use std::collections::BTreeSet;
 
@@ -9,11 +9,12 @@
 use super::registry::{Registry, Weights};
 use super::server::Server;
 
-/// Timed health checks count like so many load report_count, which mix requests of all costs.
+/// Number of load reports that timed health checks count as. Load reports are noisier, since they mix requests of all
+/// costs.
 const HEALTH_CHECK_REPORT_COUNT: f64 = 60.0;
-/// Load report_count at the median speed that are mixed in before a measured speed is believed.
+/// Number of load reports at the median speed that each estimate is combined with.
 const PRIOR_REPORTS: f64 = 4.0;
-/// Group of the servers where the listed weight doesn't include their speed.
+/// Group of all servers where the listed weight does not include their speed.
 const COMMON_GROUP: u32 = 0;
 
 /// The estimated speed of a server.
@@ -21,7 +22,7 @@
 struct SpeedEstimate {
     /// Requests or health checks per unit of time.
     speed: f64,
-    /// The estimate as a number of load report_count.
+    /// Number of load reports that the estimate counts as.
     report_count: f64,
 }
 
@@ -40,15 +41,15 @@
         })
     }
 
-    /// The speed against the median, as far as it is believed.
+    /// Returns the speed relative to the median, closer to 1 the fewer reports there are.
     fn relative_to(&self, median_speed: f64) -> f64 {
         let confidence = self.report_count / (self.report_count + PRIOR_REPORTS);
         (self.speed / median_speed).powf(confidence)
     }
 }
 
-/// The speed of each server in service against the median of the fleet, or of its machine kind where the listed weight
-/// includes the speed of the kind. Servers without an estimate are left out.
+/// Returns the speed of each server in service relative to the median of the fleet, or of its machine kind where the
+/// listed weight includes the speed of the kind. Servers without an estimate are omitted.
 pub(super) fn relative_speeds(registry: &Registry, settings: &Settings) -> Weights {
     let weight_includes_speed = settings.listed_weight == ListedWeight::RegisteredCapacity;
     let group_of = |server: &Server| {
--- a/crates/policy/src/decisions/status.rs
+++ b/crates/policy/src/decisions/status.rs
@@ -8,7 +8,7 @@
 use super::Policy;
 
 impl Policy {
-    /// The status of each server that the endpoint list names.
+    /// Returns the status of each server in the endpoint list.
     pub fn server_statuses(&self) -> impl Iterator<Item = (ServerId, ServerStatus)> + '_ {
         self.registry
             .iter()
@@ -16,7 +16,7 @@
             .map(|(id, server)| (*id, server_status(server)))
     }
 
-    /// The status of the fleet.
+    /// Returns the current figures of the fleet and of the channel.
     pub fn fleet_status(&self) -> FleetStatus {
         let queued_lines = self.channel.queued_lines();
         let send_rate = self.channel.send_rate().max(f64::MIN_POSITIVE);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The number of joined proxies.
+    /// Returns the number of joined proxies.
     pub fn proxy_count(&self) -> usize {
         self.proxies.len()
     }
@@ -46,7 +46,7 @@
             .sum()
     }
 
-    /// The lowest published level of each class, as a share.
+    /// Returns the lowest published level of each class, as a share.
     fn admitted_shares(&self) -> Vec<f64> {
         let busiest_rate = self.proxies.busiest_rate();
         let lowest = |class: usize| {
@@ -59,7 +59,7 @@
         (0..self.settings.classes.len()).map(lowest).collect()
     }
 
-    /// The share that a level admits at the busiest proxy.
+    /// Returns the share that a level admits at the busiest proxy.
     fn admitted_share(&self, level: f64, busiest_rate: f64) -> f64 {
         if self.settings.admission_unit != AdmissionUnit::RequestsPerSecond {
             return level;
--- a/crates/policy/src/decisions/suspension.rs
+++ b/crates/policy/src/decisions/suspension.rs
@@ -1,4 +1,4 @@
-//! Suspension of servers that drain or are removed, and the end of what is known of them.
+//! Suspension of draining and removed servers, and the removal of their state and of unused tables.
 
 use crate::interface::{Action, Lifecycle, Micros, ProxyId, ServerId};
 
@@ -9,10 +9,10 @@
 use super::sharding::Sharding;
 use super::tables::Tables;
 
-/// A removed server is expired after this time, when no report on it can come any more.
+/// Time after which the state of a removed server is dropped, when no more reports on it can arrive.
 const REMOVED_SERVER_RETENTION: Micros = Micros(60_000_000);
 
-/// Clears the tables of earlier layouts, once no proxy uses them.
+/// Clears the tables of earlier layouts once no proxy uses them.
 pub(super) fn clear_unused_tables(
     sharding: &Sharding,
     proxies: &Proxies,
@@ -27,8 +27,8 @@
     }
 }
 
-/// Suspends the servers that drain or are removed, at once and whatever tables name them. One that returns to service
-/// stays suspended until no table names it: it warms up, and proxies may hold its old weight.
+/// Suspends draining and removed servers at once, in all tables. A server that returns to service stays suspended until
+/// no table contains it: it warms up, and proxies may hold its old weight.
 pub(super) fn update_suspensions(
     registry: &mut Registry,
     proxies: &Proxies,
@@ -45,7 +45,7 @@
         let is_possible = if suspended {
             orders.fits(proxies, &recipients, 1.0, &SUSPENSION_BUDGET)
         } else {
-            !tables.any_names(id)
+            !tables.any_contains(id)
         };
         if !is_possible {
             continue;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Drops the servers that were removed long ago, once no table names them.
+/// Drops servers that were removed long ago, once no table contains them.
 pub(super) fn drop_removed_servers(
     now: Micros,
     registry: &mut Registry,
@@ -75,7 +75,7 @@
     };
     let expired: Vec<ServerId> = registry
         .iter()
-        .filter(|(id, server)| is_expired(server) && !tables.any_names(**id))
+        .filter(|(id, server)| is_expired(server) && !tables.any_contains(**id))
         .map(|(id, _)| *id)
         .collect();
     for id in expired {
@@ -84,13 +84,13 @@
     }
 }
 
-/// The proxies that hold a table which names the server.
+/// Returns the proxies with a table that contains the server.
 fn proxies_listing(server: ServerId, proxies: &Proxies, tables: &Tables) -> Vec<ProxyId> {
     proxies
         .iter()
         .filter(|(_, proxy)| {
             let mut own_tables = proxy.tables.iter();
-            own_tables.any(|table| tables.names(*table, server))
+            own_tables.any(|table| tables.contains(*table, server))
         })
         .map(|(id, _)| *id)
         .collect()
--- a/crates/policy/src/decisions/table_layout.rs
+++ b/crates/policy/src/decisions/table_layout.rs
@@ -1,10 +1,10 @@
-//! The layout of tables where there are no slices: which table serves which proxies and classes.
+//! The layout of tables in deployments without slices: which proxies and classes use which table.
 
 use crate::interface::{ClassSet, ServerId, Settings, TableId, ZoneId};
 
 use super::registry::{zones, Registry};
 
-/// A shard as the proxies of one zone, or of one group of zones, see it.
+/// A shard as used by the proxies of one zone or of one group of zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ZoneShard {
     /// The zone, or the first one of the group.
@@ -13,25 +13,25 @@
     pub shard: usize,
 }
 
-/// A table and whom it serves: the proxies of a zone that are assigned to a shard.
+/// A table and its users: the proxies of a zone that are assigned to a shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct TablePlan {
-    /// The table.
+    /// Number of the table.
     pub table: TableId,
     /// The zone of its proxies.
     pub zone: ZoneId,
-    /// Whether it names servers of that zone only.
+    /// Whether it contains servers of that zone only.
     pub zone_local: bool,
-    /// The shard of the fleet that it names.
+    /// The shard whose servers it contains; an index equal to the number of shards means all of them.
     pub shard: usize,
     /// The classes that use it.
     pub classes: ClassSet,
-    /// The classes with tables of their own in this layout.
+    /// The classes with separate tables in this layout.
     pub separate_classes: ClassSet,
 }
 
 impl TablePlan {
-    /// The shard that it names, as its proxies see it.
+    /// Returns its shard, as used by the proxies of its zone.
     pub fn zone_shard(&self) -> ZoneShard {
         ZoneShard {
             zone: self.zone,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether the proxies of a zone that are assigned to a shard use the table.
+    /// Returns whether the proxies of a zone that are assigned to a shard use the table.
     pub fn serves(&self, zone: ZoneId, shard: usize) -> bool {
         self.shard == shard && self.zone == zone
     }
@@ -52,8 +52,8 @@
     classes: ClassSet,
 }
 
-/// Plans the tables: for each zone, group of classes and shard one, from the given number on. Beyond one shard there is
-/// one more for proxies that use all shards.
+/// Plans one table for each zone, group of classes and shard, with numbers from `first_table` on. If there are several
+/// shards, there is one more table for proxies that use all shards.
 pub(super) fn lay_out_tables(
     settings: &Settings,
     shards: usize,
@@ -84,7 +84,7 @@
     plans
 }
 
-/// The classes that are served by any zone, then the zone-local ones, each followed by those with separate tables.
+/// Returns the classes that any zone serves, then the zone-local ones, each followed by those with separate tables.
 fn class_groups(settings: &Settings, separate_classes: ClassSet) -> Vec<ClassGroup> {
     let mut groups = Vec::new();
     for zone_local in [false, true] {
@@ -133,12 +133,12 @@
         ShardMembers { by_shard, all }
     }
 
-    /// The servers of a shard; those of all shards for the number after the last one.
+    /// Returns the servers of a shard; those of all shards if the index is the number of shards.
     pub fn in_shard(&self, shard: usize) -> &[ServerId] {
         self.by_shard.get(shard).unwrap_or(&self.all)
     }
 
-    /// The servers of all shards.
+    /// Returns the servers of all shards.
     pub fn all(&self) -> &[ServerId] {
         &self.all
     }
--- a/crates/policy/src/decisions/tables.rs
+++ b/crates/policy/src/decisions/tables.rs
@@ -1,4 +1,4 @@
-//! The tables as this instance has published them.
+//! The tables as published by this instance.
 
 use std::collections::BTreeMap;
 
@@ -24,12 +24,12 @@
 }
 
 impl Tables {
-    /// A published table.
+    /// Returns a published table.
     pub fn get(&self, id: TableId) -> Option<&Table> {
         self.by_id.get(&id)
     }
 
-    /// A table, which is empty if it was not published yet.
+    /// Returns a table, which is empty if it was not published yet.
     pub fn entry(&mut self, id: TableId) -> &mut Table {
         self.by_id.entry(id).or_default()
     }
@@ -39,24 +39,24 @@
         self.by_id.insert(id, Table::default());
     }
 
-    /// Takes in a weight that was published before this instance owned the table.
+    /// Records a weight that was published before this instance owned the table.
     pub fn record_published(&mut self, table: TableId, server: ServerId, weight: f64) {
         self.entry(table).weights.insert(server, weight);
     }
 
-    /// All published tables.
+    /// Returns all published tables.
     pub fn iter(&self) -> impl Iterator<Item = &Table> {
         self.by_id.values()
     }
 
-    /// Whether a table names a server.
-    pub fn names(&self, table: TableId, server: ServerId) -> bool {
+    /// Returns whether a table contains a server.
+    pub fn contains(&self, table: TableId, server: ServerId) -> bool {
         self.get(table)
             .is_some_and(|table| table.weights.contains_key(&server))
     }
 
-    /// Whether any table names a server.
-    pub fn any_names(&self, server: ServerId) -> bool {
+    /// Returns whether any table contains a server.
+    pub fn any_contains(&self, server: ServerId) -> bool {
         self.iter().any(|table| table.weights.contains_key(&server))
     }
 
--- a/crates/policy/src/decisions/warm_up.rs
+++ b/crates/policy/src/decisions/warm_up.rs
@@ -1,4 +1,4 @@
-//! The guard for servers that warm up: their weights stay below what would overload them, all proxies together.
+//! The guard for warming servers: it limits their weights so that all proxies together do not overload them.
 
 use crate::interface::{ServerId, Settings};
 
@@ -6,31 +6,32 @@
 use super::health::MIN_WEIGHT_SHARE;
 use super::registry::{Registry, Weights};
 
-/// A server that warms up is prepared for this multiple of what the listed fleet can do: reports are seconds late.
+/// Demand that warming servers must withstand, as a multiple of the capacity of the listed fleet. It is large, since
+/// reports are seconds late.
 const DEMAND_MULTIPLE: f64 = 4.0;
-/// Attempts per successful answer beyond which servers that warm up are withheld.
+/// Attempts per successful response above which warming servers are withheld.
 const WITHHOLD_ATTEMPTS_PER_ANSWER: f64 = 1.5;
-/// Saturation beyond which servers that warm up are withheld.
+/// Saturation above which warming servers are withheld.
 const WITHHOLD_SATURATION: f64 = 0.3;
-/// Demand that servers that warm up must bear by themselves, as a multiple of the size of all known servers.
+/// Demand that warming servers must withstand without warm ones, as a multiple of the size of all known servers.
 const WARMING_ONLY_DEMAND_MULTIPLE: f64 = 2.0;
-/// The largest part of a table that servers that warm up may take together.
+/// Largest share of a table's weight that warming servers may have together.
 const MAX_TABLE_SHARE: f64 = 0.9;
 
-/// The demand that servers that warm up must be prepared for.
+/// The demand that warming servers must withstand.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WarmingDemand {
-    /// Attempts that a successful answer takes.
+    /// Attempts per successful response.
     pub attempts_per_answer: f64,
-    /// The demand, as a multiple of what the listed fleet can do.
+    /// The demand, as a multiple of the capacity of the listed fleet.
     pub fleet_multiple: f64,
-    /// Whether they are withheld from tables. Proxies that eject failing servers send all requests to a server that
-    /// warms up, once the others fail.
+    /// Whether warming servers are withheld from tables. Proxies that eject failing servers would send all requests to
+    /// a warming server once the others fail.
     pub is_withheld: bool,
 }
 
 impl WarmingDemand {
-    /// The demand by the outcomes of all servers in service and the smoothed saturation.
+    /// Estimates the demand from the outcomes of all servers in service and the smoothed saturation.
     pub fn estimate(registry: &Registry, settings: &Settings, saturation: f64) -> Self {
         let mut attempts = 0.0;
         let mut succeeded = 0.0;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The demand where only a share of all requests can reach the servers.
+    /// Returns the demand if only a share of all requests can reach the servers.
     pub fn scaled(self, share: f64) -> Self {
         WarmingDemand {
             fleet_multiple: self.fleet_multiple * share,
@@ -61,23 +62,23 @@
     }
 }
 
-/// The guard of one table.
+/// The guard for one table.
 #[derive(Debug)]
 pub(super) struct WarmUpGuard<'a> {
     /// The known servers.
     pub registry: &'a Registry,
-    /// Multiple of its capacity beyond which a server that warms up fails.
+    /// Load above which a warming server fails, as a multiple of its capacity.
     pub overload_multiple: f64,
-    /// Size of all servers that the table may name, in service or not.
+    /// Size of all servers that the table may contain, in service or not.
     pub known_size: f64,
     /// Size of the servers in service of the table's shard.
     pub listed_size: f64,
-    /// The demand to be prepared for.
+    /// The demand that warming servers must withstand.
     pub demand: WarmingDemand,
 }
 
 impl WarmUpGuard<'_> {
-    /// Caps the weights of servers that warm up.
+    /// Limits the weights of warming servers.
     pub fn apply(&self, weights: &mut Weights) {
         self.restore_warm_servers(weights);
         let warm_weight = self.warm_weight(weights);
@@ -107,8 +108,8 @@
         }
     }
 
-    /// If all warm servers are withdrawn they get a little weight, since they are a better choice than only servers
-    /// that warm up.
+    /// Gives the warm servers a small weight if all of them are withdrawn, since they are a better choice than warming
+    /// servers alone.
     fn restore_warm_servers(&self, weights: &mut Weights) {
         let lacks_warm_servers = self.warm_weight(weights) <= 0.0;
         for (id, weight) in weights.iter_mut() {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Without warm servers nobody is sent to the others until they can surely bear the demand of the complete fleet.
+    /// Clears all weights unless the servers together can certainly serve the demand of the complete fleet.
     fn clear_unless_sufficient(&self, weights: &mut Weights) {
         let capacity: f64 = weights
             .keys()
@@ -140,7 +141,7 @@
             .sum()
     }
 
-    /// The share of the table's requests that a server which warms up can bear.
+    /// Returns the share of the table's requests that a warming server can serve.
     fn max_share(&self, id: ServerId) -> f64 {
         let overload_per_demand = self.overload_multiple / self.demand.fleet_multiple;
         overload_per_demand * self.warm_up_share(id) * self.size(id) / self.listed_size
--- a/crates/policy/src/decisions/weights.rs
+++ b/crates/policy/src/decisions/weights.rs
@@ -1,4 +1,4 @@
-//! The weight of each server, before the adjustments of each table: size, speed, health and warm-up.
+//! The weight of each server, before the adjustments for each table, from its size, speed, health and warm-up.
 
 use crate::interface::{HealthState, Micros, Settings};
 
@@ -7,8 +7,9 @@
 use super::server::Server;
 use super::speed::relative_speeds;
 
-/// Bounds of the correction by a measured speed; beyond them the measurement is doubted.
+/// Lower bound on the relative speed; a lower estimate is unreliable.
 const MIN_SPEED: f64 = 0.3;
+/// Upper bound on the relative speed; a higher estimate is unreliable.
 const MAX_SPEED: f64 = 2.5;
 
 /// Updates the weight of each server.
@@ -25,7 +26,7 @@
     }
 }
 
-/// Share of its weight that a server's health leaves.
+/// Returns the share of its weight that a server's health allows.
 fn health_share(server: &Server) -> f64 {
     match server.health.state {
         HealthState::Full => 1.0,
--- a/crates/policy/src/decisions/zone_affinity.rs
+++ b/crates/policy/src/decisions/zone_affinity.rs
@@ -1,4 +1,4 @@
-//! Zone affinity: how the proxies of a zone divide their requests among the zones of servers.
+//! Zone affinity: the distribution of each zone's requests over the zones of servers.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,24 @@
 use super::registry::{zones, ByZone, Registry};
 use super::zone_links::{ZoneLinks, ZonePair};
 
-/// Share of a zone's requests that follows its affinity where it names all zones; the rest goes to all by weight.
+/// Share of a zone's requests that follows its affinity if its tables contain all zones; the rest is spread by weight.
 const AFFINITY_SHARE: f64 = 0.9;
-/// The least factor on weights over a degraded link.
+/// Least factor on weights over a degraded link.
 const MIN_LINK_FACTOR: f64 = MIN_WEIGHT_SHARE * MIN_WEIGHT_SHARE;
-/// Lower bound on the capacity share of a zone, where it scales the weights of other zones.
+/// Lower bound on the capacity share of a zone by which the weights of other zones are scaled.
 const MIN_OWN_CAPACITY: f64 = 0.01;
-/// Lower bound on the demand of an isolated zone, as a multiple of an equal share.
+/// Lower bound on the demand of an isolated zone, as a multiple of an equal share of the total demand.
 const MIN_ISOLATED_DEMAND: f64 = 0.5;
-/// Lower bound on shares that others are divided by.
+/// Lower bound on shares that are used as divisors.
 const MIN_DIVISOR: f64 = 1e-6;
 
-/// Whether proxies prefer the servers of their own zone: where crossing zones has a cost and this instance sees the
-/// proxies of all zones.
+/// Returns whether proxies prefer the servers of their own zone: if zone crossings have a cost and this instance serves
+/// the proxies of all zones.
 pub(super) fn prefers_own_zone(settings: &Settings) -> bool {
     settings.zone_crossing_cost > 0.0 && settings.instances == 1
 }
 
-/// How capacity and demand are spread over the zones.
+/// The share of each zone in the capacity and in the demand.
 #[derive(Debug)]
 pub(super) struct ZoneBalance {
     capacity: ByZone,
@@ -35,7 +35,7 @@
 }
 
 impl ZoneBalance {
-    /// The present balance.
+    /// Computes the current shares.
     pub fn new(registry: &Registry, proxies: &Proxies) -> Self {
         let weights = registry
             .in_service()
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The demand that reaches the servers of an isolated zone, as a share of all: that of its own proxies, or all where
-    /// none is known.
+    /// Returns the share of the total demand that reaches the servers of an isolated zone: that of its own proxies, or
+    /// 1 if it has none.
     pub fn isolated_demand(&self, zone: ZoneId) -> f64 {
         let least = MIN_ISOLATED_DEMAND / self.demand.len().max(1) as f64;
         self.demand.get(&zone).copied().unwrap_or(1.0).max(least)
@@ -57,14 +57,14 @@
         self.demand.get(&zone).copied().unwrap_or(0.0)
     }
 
-    /// Capacity of a zone beyond its own demand.
+    /// Returns the capacity share of a zone in excess of its own demand.
     fn surplus(&self, zone: ZoneId) -> f64 {
         self.capacity.get(&zone).map_or(0.0, |capacity| {
             (capacity - self.demand_or_zero(zone)).max(0.0)
         })
     }
 
-    /// Share of a zone's demand that its own servers can take.
+    /// Returns the share of a zone's demand that its own servers can serve.
     fn local_share(&self, zone: ZoneId) -> f64 {
         self.capacity
             .get(&zone)
@@ -75,29 +75,28 @@
     }
 }
 
-/// What affinity depends on.
+/// Inputs of zone affinity.
 #[derive(Debug)]
 pub(super) struct ZoneAffinity<'a> {
-    /// The settings.
     pub settings: &'a Settings,
     /// The links between zones.
     pub links: &'a ZoneLinks,
-    /// The balance of the zones.
+    /// The shares of the zones in capacity and demand.
     pub balance: &'a ZoneBalance,
-    /// Whether each zone has shards of its own, so that nothing crosses zones without need.
+    /// Whether each zone has separate shards, so that requests cross zones only if necessary.
     pub isolates_zones: bool,
 }
 
 impl ZoneAffinity<'_> {
-    /// By zone of the proxies, the factors on the weights of each zone's servers.
+    /// Returns the factors on the weights of each zone's servers, by zone of the proxies.
     pub fn factors_by_zone(&self) -> BTreeMap<ZoneId, ByZone> {
         zones(self.settings)
             .map(|zone| (zone, self.factors(zone)))
             .collect()
     }
 
-    /// The factors on the weights of each zone's servers, in the tables of one zone's proxies. What the own servers can
-    /// take stays in the zone; the rest goes where capacity exceeds demand.
+    /// Returns the factors on the weights of each zone's servers, in the tables of one zone's proxies. Requests stay in
+    /// the zone up to the capacity of its own servers; the rest goes to zones whose capacity exceeds their demand.
     fn factors(&self, zone: ZoneId) -> ByZone {
         if !prefers_own_zone(self.settings) {
             return zones(self.settings)
@@ -133,7 +132,7 @@
         factors
     }
 
-    /// The factor for the link between two zones.
+    /// Returns the factor for the link between two zones.
     fn link_factor(&self, proxies: ZoneId, servers: ZoneId) -> f64 {
         self.links
             .score(ZonePair { proxies, servers })
--- a/crates/policy/src/decisions/zone_links.rs
+++ b/crates/policy/src/decisions/zone_links.rs
@@ -1,5 +1,5 @@
-//! The links between the zones of proxies and the zones of servers: their scores, their usual outcomes, which scoring
-//! compares servers with, and partitions.
+//! The links between the zones of proxies and the zones of servers: their scores, the reference outcomes for the scores
+//! of servers, and partitions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,16 +11,17 @@
 use super::registry::{zones, ByZone, Registry};
 use super::smoothing::smooth_quality;
 
-/// Share of the health checks that must be answered before one that failed counts against a server.
+/// Share of servers that must answer health checks for a failed check to count against a server.
 const MIN_ANSWERED_SHARE: f64 = 0.7;
-/// A zone that answers a smaller share is partitioned, if another zone answers enough of them.
+/// A zone in which a smaller share of servers answers health checks is partitioned, if enough servers of another zone
+/// answer.
 const PARTITIONED_ANSWERED_SHARE: f64 = 0.1;
-/// Attempts or responses before a server has a value that is compared.
+/// Number of attempts or responses from which the outcomes of a server count in medians.
 const MIN_SAMPLES: f64 = 1.0;
-/// Lower bound on a latency that another one is divided by, in milliseconds.
+/// Lower bound on a latency that is used as a divisor, in milliseconds.
 const MIN_LATENCY_MS: f64 = 1.0;
 
-/// A pair of zones, which is a link between them.
+/// A link, by the zones that it connects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ZonePair {
     /// Zone of the proxies.
@@ -29,7 +30,7 @@
     pub servers: ZoneId,
 }
 
-/// Usual outcomes over a link, which a server's are compared with.
+/// Reference outcomes over a link, with which the outcomes of servers are compared.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Reference {
     /// Share of attempts that fail.
@@ -41,7 +42,7 @@
 /// The reference of each link.
 pub(super) type References = BTreeMap<ZonePair, Reference>;
 
-/// Median outcomes over a link. Where every attempt fails there is no latency, and the failures count all the same.
+/// Median outcomes over a link. If every attempt fails there is no latency, but the failures still count.
 #[derive(Clone, Copy, Debug, Default)]
 struct Observed {
     failed_share: Option<f64>,
@@ -49,7 +50,7 @@
 }
 
 impl Observed {
-    /// The median over the servers of a zone, or over all, as the proxies of a zone see them.
+    /// Returns the median over the servers of a zone, or over all, of the outcomes at the proxies of a zone.
     fn median(registry: &Registry, proxy_zone: ZoneId, server_zone: Option<ZoneId>) -> Self {
         let median = |select: fn(&ZoneEvidence) -> DecayingMean| {
             registry.median(server_zone, |server| {
@@ -99,13 +100,14 @@
         observations
     }
 
-    /// What the proxies of a zone see of the fleet.
+    /// Returns the median outcomes of all servers at the proxies of a zone.
     fn fleet_reference(&self, proxies: ZoneId) -> Reference {
         let observed = self.fleet.get(&proxies).copied().unwrap_or_default();
         observed.or(Reference::default())
     }
 
-    /// What is seen within the servers' own zone, or else within the proxies' zone: outcomes without the link.
+    /// Returns the median outcomes within the zone of the servers, or else within the zone of the proxies, for
+    /// comparison with those over the link.
     fn local(&self, pair: ZonePair) -> Observed {
         let within = |zone: ZoneId| {
             self.by_pair.get(&ZonePair {
@@ -120,18 +122,18 @@
     }
 }
 
-/// What the health checks of one tick show of the reachable zones.
+/// Unanswered health checks in the reachable zones at one tick.
 #[derive(Debug)]
 pub(super) struct Reachability {
-    /// By zone, the share of its servers that leave health checks unanswered.
+    /// Share of servers that do not answer health checks, by zone.
     pub unanswered: ByZone,
     /// The median of those shares.
     pub median_unanswered: f64,
 }
 
 impl Reachability {
-    /// Whether failed health checks may count against servers. While few are answered anywhere, this process or its
-    /// network may be at fault.
+    /// Returns whether failed health checks may count against servers. If few are answered anywhere, the fault may be
+    /// in this process or its network.
     pub fn is_conclusive(&self) -> bool {
         self.median_unanswered <= 1.0 - MIN_ANSWERED_SHARE
     }
@@ -142,23 +144,23 @@
 pub(super) struct ZoneLinks {
     scores: BTreeMap<ZonePair, f64>,
     partitioned: BTreeSet<ZoneId>,
-    /// How much longer health checks take to servers of other zones, in seconds.
+    /// Additional duration of health checks of servers in other zones, in seconds.
     pub extra_check_seconds: f64,
 }
 
 impl ZoneLinks {
-    /// The score of the link between the zones of proxies and servers, from 0 to 1.
+    /// Returns the score of a link, from 0 to 1.
     pub fn score(&self, pair: ZonePair) -> Option<f64> {
         self.scores.get(&pair).copied()
     }
 
-    /// Number of zones that are partitioned from this instance.
+    /// Returns the number of zones that are partitioned from this instance.
     pub fn partitioned_count(&self) -> usize {
         self.partitioned.len()
     }
 
-    /// Finds the zones that answer no health checks while another does. They must not pass for saturated, or all
-    /// requests would be shed for it.
+    /// Detects zones that answer no health checks while another zone does. They must not count as saturated, since load
+    /// would be shed everywhere.
     pub fn detect_partitions(
         &mut self,
         registry: &Registry,
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Updates the scores of all links and returns their references. A fault that strikes all servers alike, as a
-    /// stalled proxy or an overload does, is in the reference and counts against none of them.
+    /// Updates the scores of all links and returns their references. A fault that affects all servers alike, such as a
+    /// stalled proxy or an overload, is part of the reference and counts against none of them.
     pub fn update(&mut self, registry: &mut Registry, settings: &Settings) -> References {
         let observations = Observations::gather(registry, settings);
         let zones_with_degraded_link: BTreeSet<ZoneId> = self
@@ -212,7 +214,8 @@
                 next_score(previous, link, local)
             };
             self.scores.insert(pair, score);
-            // Beside a degraded link the fleet's median would hide what the servers of other links lack.
+            // If a link of these proxies is degraded, the fleet's median would hide faults of servers on the other
+            // links.
             let has_own_reference =
                 score < RESTORE_ABOVE || zones_with_degraded_link.contains(&pair.proxies);
             references.insert(pair, if has_own_reference { link } else { fleet });
@@ -224,7 +227,8 @@
         references
     }
 
-    /// A partitioned zone must answer more before it counts as reachable again.
+    /// Returns the share of unanswered health checks above which a zone is partitioned. A partitioned zone must answer
+    /// more of them to count as reachable again.
     fn max_unanswered(&self, zone: ZoneId) -> f64 {
         let min_answered = if self.partitioned.contains(&zone) {
             MIN_ANSWERED_SHARE
@@ -235,8 +239,8 @@
     }
 }
 
-/// The score of a link by what its servers lack over it, against the same servers without it. A slow link must not cost
-/// healthy servers their weight.
+/// Returns the score of a link from the outcomes over it, compared with local outcomes. A slow link must not reduce the
+/// weights of healthy servers.
 fn next_score(previous: f64, link: Reference, local: Reference) -> f64 {
     let was_usable = previous > 0.0;
     if !was_usable {
@@ -249,7 +253,8 @@
     smooth_quality(previous, errors.min(latency))
 }
 
-/// Attempts that failed on a link say nothing about its servers once it has recovered.
+/// Discards the outcomes over a link that has recovered, since attempts that failed on the link are no evidence against
+/// the servers.
 fn discard_evidence(registry: &mut Registry, pair: ZonePair) {
     for (_, server) in registry.iter_mut() {
         if server.endpoint.zone == pair.servers {
@@ -258,7 +263,7 @@
     }
 }
 
-/// By zone, the share of its servers that leave health checks unanswered.
+/// Returns the share of servers that do not answer health checks, by zone.
 fn unanswered_by_zone(registry: &Registry) -> ByZone {
     let mut by_zone = BTreeMap::<ZoneId, DecayingMean>::new();
     for (_, server) in registry.in_service() {
@@ -274,8 +279,8 @@
         .collect()
 }
 
-/// How much longer health checks take to servers of other zones than to those of this one, in seconds, by the fastest
-/// check of each server, against servers of the same machine kind.
+/// Returns the additional duration of health checks of servers in other zones compared with those in this zone, in
+/// seconds. It compares the fastest check of each server with servers of the same machine kind.
 pub(super) fn extra_check_seconds(registry: &Registry, own_zone: ZoneId) -> f64 {
     let timed = || {
         registry
--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -1,8 +1,8 @@
-//! Actions: what an instance orders.
+//! Actions: the orders that an instance gives.
 
 use super::{ClassSet, DecisionEvent, Micros, ProxyId, Retry, ServerId, TableId};
 
-/// What proxies do with the requests of a class.
+/// How proxies admit and retry the requests of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionLevel {
     /// The admitted share or rate, by [`Settings::admission_unit`](super::Settings::admission_unit).
@@ -16,48 +16,48 @@
 pub enum Action {
     /// Sets the weight of a server in a table; weight 0 removes the server.
     SetWeight {
-        /// The table.
+        /// The table to change.
         table: TableId,
-        /// The server.
+        /// The server to add, update or remove.
         server: ServerId,
-        /// The weight.
+        /// Relative to the other weights of the table, at least 0.
         weight: f64,
     },
     /// Removes all weights and levels of a table.
     ClearTable(TableId),
     /// Assigns a table to a joined proxy, for some classes.
     AssignTable {
-        /// The proxy.
+        /// The joined proxy that gets the table.
         proxy: ProxyId,
-        /// The table.
+        /// The table to use from now on.
         table: TableId,
-        /// The classes.
+        /// The classes whose requests the proxy routes by this table.
         classes: ClassSet,
     },
     /// Suspends a server in all tables of the joined proxies, or ends its suspension. A proxy without a table of this
-    /// instance may learn of it with its first one.
+    /// instance may be notified with its first table.
     SetSuspended {
-        /// The server.
+        /// The server to suspend or to resume.
         server: ServerId,
         /// Whether the server is suspended.
         suspended: bool,
     },
     /// Sets the level and retry policy of classes in a table, or for all joined proxies if no table is named.
     SetAdmission {
-        /// The table; none: all joined proxies.
+        /// The table; absent for all joined proxies.
         table: Option<TableId>,
-        /// The classes.
+        /// The classes that the level applies to.
         classes: ClassSet,
-        /// The level.
+        /// The admitted share or rate, by [`Settings::admission_unit`](super::Settings::admission_unit).
         level: f64,
         /// The retry policy.
         retry: Retry,
     },
-    /// Asks each proxy that this round's orders reach for an acknowledgement.
+    /// Requests an acknowledgement from each proxy that this round's orders reach.
     RequestAcknowledgement {
         /// The sequence number to echo.
         sequence: u16,
-        /// Ask all joined proxies.
+        /// Whether to request it from all joined proxies.
         all_proxies: bool,
     },
     /// Starts a health check of a server.
@@ -75,16 +75,17 @@
     },
     /// Sends a message to another instance, or to all.
     SendToPeer {
-        /// The receiver; none: all instances.
+        /// The receiver; absent for all instances.
         peer: Option<u32>,
         /// The payload.
         data: Vec<u8>,
     },
-    /// Notifies a joined proxy, for each server in its tables, whether the server is suspended, since the proxy may hold
-    /// suspensions of another instance. Its first table covers those servers only that this instance saw leave.
+    /// Sends a joined proxy the suspension state of each server in its tables, since the proxy may hold suspensions of
+    /// another instance. Its first table covers only the servers that left service while this instance listed them.
     Reconcile(ProxyId),
-    /// A server left long ago and no table names it: its state can be dropped. It may be listed again, as a new one.
+    /// Allows the state of a server to be dropped: it was removed long ago and no table contains it. If it is listed
+    /// again, it counts as a new server.
     DropServerState(ServerId),
-    /// Reports a decision; nothing follows from it.
+    /// Reports a decision; has no other effect.
     Emit(DecisionEvent),
 }
--- a/crates/policy/src/interface/classes.rs
+++ b/crates/policy/src/interface/classes.rs
@@ -1,4 +1,4 @@
-//! Classes of requests and what is known of their idempotency.
+//! Classes of requests, their idempotency and their retry policies.
 
 use super::Micros;
 
@@ -7,8 +7,8 @@
 pub enum Idempotency {
     /// A second run has no further effect.
     Idempotent,
-    /// Requests carry an idempotency key, by which the servers of the scope drop a duplicate for this long after the first
-    /// attempt was sent.
+    /// Requests carry an idempotency key, by which the servers of the scope drop a duplicate for this long after the
+    /// first attempt was sent.
     Keyed(DeduplicationScope, Micros),
     /// A second run repeats the effect.
     NotIdempotent,
@@ -28,7 +28,7 @@
 /// When a proxy retries a request at another server. Ordered from the narrowest permission to the widest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Retry {
-    /// Never.
+    /// No retries.
     #[default]
     Never,
     /// Once, after proof that the first attempt was not executed.
@@ -48,7 +48,7 @@
     pub deadline: Micros,
     /// Value of a response within the objective, relative to the other classes.
     pub priority_weight: f64,
-    /// The effect of a second run.
+    /// Determines which retries are safe.
     pub idempotency: Idempotency,
     /// Served only by servers in the proxy's own zone.
     pub zone_local: bool,
--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -10,30 +10,30 @@
     InService,
     /// Draining: it completes its requests and takes no new ones.
     Draining,
-    /// Removed.
+    /// Absent from the endpoint list, or listed as removed.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// The server.
+    /// Identifies the server.
     pub server: ServerId,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Its machine kind, an index without meaning.
+    /// Index of its machine kind, an opaque number.
     pub machine_kind: u32,
-    /// Its cell.
+    /// Number of its cell, the scope of [`DeduplicationScope::Cell`](super::DeduplicationScope::Cell).
     pub cell: u32,
-    /// Its lifecycle.
+    /// Whether it is in service, draining or removed.
     pub lifecycle: Lifecycle,
-    /// Its listed weight.
+    /// Its listed weight, with the meaning of [`Settings::listed_weight`](super::Settings::listed_weight).
     pub weight: f64,
-    /// Its latest start, if that is recent.
+    /// Time of its latest start; absent if that is not recent.
     pub started_at: Option<Micros>,
 }
 
-/// How an update of the endpoint list is to be read.
+/// The kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
     /// The changed entries only.
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! Events: what an instance learns.
+//! Events: the input of the decisions.
 
 use super::{
     Advice, ClassId, Endpoint, EndpointUpdateKind, Limits, Micros, ProxyId, ServerId, TableId,
@@ -18,52 +18,52 @@
     pub latency_ms: Option<f64>,
     /// Requests served per second.
     pub requests_per_second: Option<f64>,
-    /// Errors per second.
+    /// Errors per second, as counted by the server.
     pub errors_per_second: Option<f64>,
 }
 
-/// The outcome of a health check.
+/// How a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckOutcome {
     /// Answered.
     Passed,
     /// Answered with an error.
     Error,
-    /// Rejected: the server drains or answers too many health checks.
+    /// Rejected: the server is draining or has too many health checks to answer.
     Rejected,
     /// No answer in time.
     TimedOut,
-    /// The connection was refused or broke.
+    /// The connection was refused or broken.
     Unreachable,
     /// An outcome that says nothing about the server.
     Inconclusive,
 }
 
-/// An event that the decisions take in.
+/// An input of the decisions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the endpoint list.
     EndpointList(EndpointUpdateKind, Vec<Endpoint>),
     /// A proxy opened its stream to this instance.
     ProxyJoined {
-        /// The proxy.
+        /// The proxy that joined.
         proxy: ProxyId,
-        /// Its zone.
+        /// The zone that it runs in.
         zone: ZoneId,
-        /// Its usual traffic, in requests per second.
+        /// Its typical traffic, in requests per second.
         request_rate: f64,
-        /// It may hold suspensions of another instance, which its first table corrects at one line for each server.
+        /// Whether it may hold suspensions of another instance, which are corrected at one line for each server.
         has_previous_table: bool,
     },
-    /// A proxy's stream broke. The proxy keeps its tables; what was queued for it is lost.
+    /// A proxy's stream broke. The proxy keeps its tables; messages queued for it are lost.
     ProxyLeft(ProxyId),
-    /// This instance closed a proxy's stream: what was queued for the proxy may still be in the channel.
+    /// This instance closed a proxy's stream. Messages queued for the proxy may still be in the channel.
     StreamClosed(ProxyId),
     /// Outcomes of the attempts that the joined proxies of a zone made at a server.
     ServerOutcomes {
         /// Zone of the proxies.
         zone: ZoneId,
-        /// The server.
+        /// The server that received the attempts.
         server: ServerId,
         /// Attempts that ended.
         attempts: f64,
@@ -71,35 +71,35 @@
         failed: f64,
         /// Mean latency of the successful attempts, in milliseconds; 0 if there was none.
         mean_latency_ms: f64,
-        /// Time over which it was counted.
+        /// Length of the reporting period.
         period: Micros,
         /// The newest load report of the server.
         load: LoadReport,
     },
     /// Requests of a class that arrived at a proxy.
     ProxyDemand {
-        /// The proxy.
+        /// The proxy at which the requests arrived.
         proxy: ProxyId,
-        /// The class.
+        /// The class of the requests.
         class: ClassId,
         /// Requests that arrived.
         arrivals: f64,
         /// Admitted requests that failed.
         failed: f64,
-        /// Time over which it was counted.
+        /// Length of the reporting period.
         period: Micros,
     },
     /// Requests of a class that arrived for a slice.
     SliceDemand {
         /// The slice.
         table: TableId,
-        /// The class.
+        /// The class of the requests.
         class: ClassId,
         /// Requests that arrived.
         arrivals: f64,
         /// Admitted requests that failed.
         failed: f64,
-        /// Time over which it was counted.
+        /// Length of the reporting period.
         period: Micros,
     },
     /// This instance gained or lost the ownership of a slice.
@@ -113,27 +113,27 @@
     PublishedWeight {
         /// The slice.
         table: TableId,
-        /// The server.
+        /// A server that the table contains.
         server: ServerId,
-        /// Its weight.
+        /// Its weight as last published.
         weight: f64,
     },
     /// A proxy applied the message with this sequence number.
     Acknowledged {
-        /// The proxy.
+        /// The acknowledging proxy.
         proxy: ProxyId,
-        /// The sequence number.
+        /// The sequence number of the message.
         sequence: u16,
         /// Time from the order to its effect.
         elapsed: Micros,
     },
     /// The result of a health check.
     HealthChecked {
-        /// The server.
+        /// The server that was checked.
         server: ServerId,
-        /// Its outcome.
+        /// How the check ended.
         outcome: HealthCheckOutcome,
-        /// Time since it was sent.
+        /// Time from the start of the check to its end.
         elapsed: Micros,
         /// The load report that came with it, if any.
         load: LoadReport,
--- a/crates/policy/src/interface/mod.rs
+++ b/crates/policy/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! The vocabulary between the decisions and the protocol around them: settings, events in, actions out. Plain data;
-//! nothing here decides anything.
+//! The interface between the decisions and the protocol around them: settings, input events and resulting actions.
+//! These types hold data only.
 
 mod actions;
 mod classes;
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -9,7 +9,7 @@
     Share,
     /// Requests per second at each proxy.
     RequestsPerSecond,
-    /// Levels are ignored; only the retry policy is followed.
+    /// Levels are ignored; only the retry policy applies.
     #[default]
     Unsupported,
 }
@@ -20,39 +20,39 @@
     /// At random, by weight.
     #[default]
     Random,
-    /// In round, by weight.
+    /// In rotation, in proportion to the weights.
     WeightedRoundRobin,
-    /// Of two drawn by weight, the one with fewer requests of this proxy in flight.
+    /// Of two servers drawn by weight, the one with fewer requests of this proxy in flight.
     PowerOfTwoChoices,
 }
 
-/// What the weight in the endpoint list stands for.
+/// The meaning of a weight in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedWeight {
-    /// Nothing.
+    /// Not stated.
     #[default]
     Unspecified,
-    /// Its registered capacity.
+    /// The capacity that the server is registered with, including the speed of its hardware.
     RegisteredCapacity,
-    /// Its approximate size, whatever the speed of its hardware.
+    /// The approximate size of the server, without the speed of its hardware.
     ApproximateSize,
-    /// Its size divided by its recent load.
+    /// The size of the server divided by its recent load.
     SizeOverLoad,
 }
 
-/// Where load reports come from.
+/// The source of load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportSource {
     /// With the outcomes of requests and of health checks.
     ResponsesAndHealthChecks,
     /// With the outcomes of health checks only.
     HealthChecks,
-    /// There are none.
+    /// There are no load reports.
     #[default]
     None,
 }
 
-/// Value of a limit that the settings leave out or set to nothing.
+/// Value of a limit that the settings omit or that is not above 0.
 pub const NO_LIMIT: f64 = 1e12;
 
 /// The settings an instance starts with.
@@ -68,66 +68,66 @@
     pub classes: Vec<Class>,
     /// Number of proxies across all instances.
     pub proxies: usize,
-    /// Number of slices; 0 where each instance has tables of its own.
+    /// Number of slices; 0 where each instance publishes separate tables.
     pub slices: usize,
-    /// A slice has a single owner.
+    /// Whether a slice has at most one owner at any time.
     pub exclusive_ownership: bool,
-    /// Lease: how long a proxy that lost its stream goes on sending writes to the owner it last knew.
+    /// How long a proxy that lost its stream continues to send writes to the last known owner.
     pub lease: Micros,
     /// The longest time a write stays in flight at a server.
     pub write_settle_time: Micros,
-    /// The endpoint list is delivered on request only.
+    /// Whether the endpoint list is delivered on request only.
     pub endpoints_on_request: bool,
-    /// How often an instance without a subscription must poll such a list.
+    /// Interval at which an instance without a subscription must poll such a list.
     pub poll_interval: Micros,
     /// The unit of admission levels.
     pub admission_unit: AdmissionUnit,
-    /// The retry policy in force where none was ordered.
+    /// The retry policy that applies until another one is ordered.
     pub default_retry: Retry,
     /// An attempt that may be retried times out after this multiple of the latency objective.
     pub attempt_timeout_factor: f64,
     /// How proxies pick a server from a table.
     pub pick_policy: PickPolicy,
-    /// A proxy ejects a server after this many consecutive failures of its own; 0: never.
+    /// Number of consecutive failures at one proxy after which that proxy ejects a server; 0 if it never does.
     pub proxy_ejection_threshold: u32,
-    /// What the weights in the endpoint list stand for.
+    /// The meaning of the weights in the endpoint list.
     pub listed_weight: ListedWeight,
-    /// Where load reports come from.
+    /// The channel by which servers report their load.
     pub report_source: ReportSource,
     /// Interval between load reports.
     pub report_period: Micros,
-    /// Health checks are allowed.
+    /// Whether health checks are allowed.
     pub health_checks_allowed: bool,
-    /// Service points that each health check per request costs.
+    /// Cost of health checks, in service points for each health check per request.
     pub health_check_cost: f64,
-    /// Service points that each zone crossing per request costs.
+    /// Cost of zone crossings, in service points for each crossing per request.
     pub zone_crossing_cost: f64,
     /// Lines that may be queued in the channel, headers included.
     pub channel_backlog: f64,
-    /// Lines per second that the channel usually sends.
+    /// Nominal send rate of the channel, in lines per second.
     pub channel_lines_per_second: f64,
     /// Lines that each message costs in addition to its content.
     pub message_overhead: f64,
     /// The longest delivery delay of a message between channel and proxy.
     pub max_delivery_delay: Micros,
-    /// After this long without a request a proxy closes a connection.
+    /// Time without requests after which a proxy closes a connection.
     pub idle_timeout: Micros,
-    /// Messages that may be written to one proxy within the window; 0: any number.
+    /// Number of messages that may be written to one proxy within the window; 0 if unlimited.
     pub max_messages: usize,
-    /// The window for that count.
+    /// The window in which messages count against `max_messages`.
     pub message_window: Micros,
     /// The longest time for which a proxy may have no server to pick.
     pub max_unserved: Micros,
     /// The time within which requests to a draining server must end.
     pub drain_grace: Micros,
-    /// A server that left the list without draining may stay in tables.
+    /// Whether a server that left the list without draining may stay in tables.
     pub explicit_drain_only: bool,
     /// The share of its capacity that a server has right after its start.
     pub slow_start_share: f64,
-    /// The time after its start at which a server has all its capacity.
+    /// The time after its start at which a server has its full capacity.
     pub slow_start_period: Micros,
-    /// A server that warms up fails at more than this multiple of its capacity.
+    /// Load above which a warming server fails, as a multiple of its capacity.
     pub overload_multiple: f64,
-    /// The time over which that multiple is counted.
+    /// The time over which that load is counted.
     pub overload_window: Micros,
 }
--- a/crates/policy/src/interface/status.rs
+++ b/crates/policy/src/interface/status.rs
@@ -1,4 +1,4 @@
-//! What the decisions report of themselves: health states, decision events and figures.
+//! Reports of the decisions: health states, decision events and status figures.
 
 use super::{Endpoint, Lifecycle, Micros, ServerId, TableId, ZoneId};
 
@@ -17,7 +17,7 @@
 /// The cause of a change of health state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChangeCause {
-    /// The score, both terms alike.
+    /// Both terms of the score alike.
     Score,
     /// Mostly failed attempts.
     Errors,
@@ -25,13 +25,13 @@
     Latency,
     /// Mostly failed health checks.
     HealthChecks,
-    /// The ejection period elapsed: the server gets a little traffic again.
+    /// The ejection period elapsed: the server is re-admitted with little traffic.
     EjectionElapsed,
     /// Enough consecutive good ticks.
     SustainedRecovery,
 }
 
-/// The terms of a server's score, each from 0 to 1, where 1 is free of faults.
+/// The terms of a server's score, each from 0 to 1, where 1 means no faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ScoreTerms {
     /// Error term: failed attempts and health checks.
@@ -45,15 +45,15 @@
 pub enum DecisionEvent {
     /// A server's health state changed.
     HealthChanged {
-        /// The server.
+        /// The server whose state changed.
         server: ServerId,
-        /// Its zone.
+        /// The zone that it runs in.
         zone: ZoneId,
         /// Its new state.
         state: HealthState,
         /// Its smoothed score.
         score: f64,
-        /// The error term of its score, 1 being free of faults.
+        /// The error term of its score, where 1 means no faults.
         errors: f64,
         /// The latency term of its score.
         latency: f64,
@@ -62,59 +62,59 @@
     },
     /// The lifecycle of a server changed in the endpoint list.
     LifecycleChanged {
-        /// The server.
+        /// The server whose entry changed.
         server: ServerId,
-        /// Its zone.
+        /// The zone that it runs in.
         zone: ZoneId,
         /// Its new lifecycle.
         lifecycle: Lifecycle,
     },
-    /// Servers that warm up are withheld from tables, or re-admitted.
+    /// Warming servers are withheld from tables, or re-admitted.
     WarmingWithheld {
         /// Whether they are withheld.
         withheld: bool,
-        /// Attempts that a successful answer takes.
+        /// Attempts per successful response.
         attempts_per_answer: f64,
     },
-    /// A zone answers no health checks while another one does, or answers again.
+    /// A zone stopped answering health checks while another zone answers them, or resumed answering.
     ZonePartition {
-        /// The zone.
+        /// The affected zone.
         zone: ZoneId,
         /// Whether it is partitioned from this instance.
         partitioned: bool,
-        /// Share of its servers that leave health checks unanswered.
+        /// Share of its servers that do not answer health checks; 0 if it is reachable.
         unanswered_share: f64,
     },
-    /// The share of requests to shed moved by a tenth.
+    /// The share of requests to shed, rounded to tenths, changed.
     Saturation {
         /// The share of requests to shed.
         shed_share: f64,
         /// The smoothed saturation.
         saturation: f64,
-        /// Its term from the queues that servers report.
+        /// Its term from the queues or the utilization that servers report; 0 without reports.
         queue_term: f64,
         /// Its term from the latency of health checks.
         latency_term: f64,
         /// Its term from unanswered health checks.
         unanswered_term: f64,
     },
-    /// Advice on a table's servers is overruled, since it would leave the table too little capacity, or it is in force again.
+    /// Advice on a table's servers is overruled, since it would leave too little capacity, or it applies again.
     AdviceOverruled {
-        /// The table.
+        /// The affected table.
         table: TableId,
         /// Whether it is overruled.
         overruled: bool,
     },
-    /// The fleet was divided into shards anew.
+    /// The number of shards or the layout of their tables changed.
     Resharded {
         /// The number of shards.
         shards: usize,
-        /// Whether there are more than usual, since attempts fail everywhere.
+        /// Whether tables are narrowed because attempts fail everywhere.
         narrowed: bool,
     },
 }
 
-/// The status of a server.
+/// The health and weight of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerStatus {
     /// Its entry in the endpoint list.
@@ -125,20 +125,20 @@
     pub score: f64,
     /// The terms of its score at the last tick.
     pub terms: ScoreTerms,
-    /// Its weight, before the adjustments of each table.
+    /// Its weight, before the adjustments for each table.
     pub weight: f64,
-    /// Share of its capacity that it is sure to have by the time since its start.
+    /// Share of its capacity that it is certain to have, by the time since its start.
     pub warm_up_share: f64,
     /// Whether it is suspended in all tables.
     pub suspended: bool,
 }
 
-/// The status of the fleet.
+/// Figures of the whole fleet and of the channel.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetStatus {
     /// Lines queued in the channel.
     pub queued_lines: f64,
-    /// Time until they are sent, at the channel's present pace.
+    /// Time until they are sent, at the channel's current send rate.
     pub queue_delay: Micros,
     /// Share of requests to shed.
     pub shed_share: f64,
@@ -146,7 +146,7 @@
     pub saturation: f64,
     /// Requests per second that arrive at all joined proxies.
     pub request_rate: f64,
-    /// Sum of the weights of the servers that are warmed up.
+    /// Sum of the weights of the servers with full capacity.
     pub warm_weight: f64,
     /// Share of the zones that are partitioned from this instance.
     pub partitioned_share: f64,
--- a/crates/policy/src/interface/time.rs
+++ b/crates/policy/src/interface/time.rs
@@ -5,12 +5,12 @@
 pub struct Micros(pub i64);
 
 impl Micros {
-    /// A length of time in milliseconds; NaN counts as 0.
+    /// Converts milliseconds; NaN counts as 0.
     pub fn from_ms(ms: f64) -> Self {
         Micros((ms * 1000.0) as i64)
     }
 
-    /// The length of time in seconds.
+    /// Returns the time in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -19,7 +19,7 @@
 impl std::ops::Add for Micros {
     type Output = Micros;
 
-    /// The sum, which saturates.
+    /// Returns the sum, saturating at the bounds.
     fn add(self, other: Micros) -> Micros {
         Micros(self.0.saturating_add(other.0))
     }
@@ -28,7 +28,7 @@
 impl std::ops::Sub for Micros {
     type Output = Micros;
 
-    /// The difference, which saturates.
+    /// Returns the difference, saturating at the bounds.
     fn sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -1,14 +1,13 @@
-//! Arithmetic on observations: decaying means, quantiles, shares, ramps. It knows nothing of servers or proxies, and no
-//! value here is tuned.
+//! Arithmetic on observations: decaying means, quantiles, shares and ramps.
 
 use std::collections::BTreeMap;
 
 /// A ratio of two sums that decay with time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingMean {
-    /// The decayed sum of the values, each times its weight.
+    /// Decayed sum of the values, each multiplied by its weight.
     pub sum: f64,
-    /// The decayed sum of the weights.
+    /// Decayed sum of the weights.
     pub weight: f64,
 }
 
@@ -19,20 +18,20 @@
         self.weight += weight;
     }
 
-    /// Lets time pass; both sums halve with each half-life.
+    /// Decays both sums, which halve with each half-life.
     pub fn decay(&mut self, elapsed_seconds: f64, half_life_seconds: f64) {
         let remaining_share = decay_factor(elapsed_seconds, half_life_seconds);
         self.sum *= remaining_share;
         self.weight *= remaining_share;
     }
 
-    /// The mean of values that can't be 0; none while there is no value.
+    /// Returns the mean of values that are never 0; none without values.
     pub fn positive_mean(&self) -> Option<f64> {
         (self.sum > 0.0 && self.weight > 0.0).then(|| self.sum / self.weight)
     }
 }
 
-/// The share that is left of a decaying sum.
+/// Returns the factor by which a sum decays in the elapsed time.
 pub(crate) fn decay_factor(elapsed_seconds: f64, half_life_seconds: f64) -> f64 {
     0.5f64.powf(elapsed_seconds / half_life_seconds)
 }
@@ -47,22 +46,22 @@
 }
 
 impl Ramp {
-    /// The height of the ramp at a value, from 0 to 1.
+    /// Returns the height of the ramp at a value, from 0 to 1.
     pub fn at(&self, value: f64) -> f64 {
         clamp_to_unit((value - self.from) / (self.to - self.from))
     }
 }
 
-/// An observation and how much it counts.
+/// An observation with its weight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WeightedSample {
     /// The observed value.
     pub value: f64,
-    /// How much it counts.
+    /// Its weight in means and medians, at least 0.
     pub weight: f64,
 }
 
-/// The weighted mean; none if all weights are 0.
+/// Returns the weighted mean; none if all weights are 0.
 pub(crate) fn weighted_mean(samples: &[WeightedSample]) -> Option<f64> {
     let weight: f64 = samples.iter().map(|sample| sample.weight).sum();
     let sum: f64 = samples
@@ -72,7 +71,7 @@
     (weight > 0.0).then(|| sum / weight)
 }
 
-/// The value at which half of the weight lies below; none without samples.
+/// Returns the least value up to which the samples have half of the total weight; none without samples.
 pub(crate) fn weighted_median(mut samples: Vec<WeightedSample>) -> Option<f64> {
     samples.sort_by(|a, b| a.value.total_cmp(&b.value));
     let half = samples.iter().map(|sample| sample.weight).sum::<f64>() / 2.0;
@@ -86,12 +85,12 @@
     None
 }
 
-/// The value limited to the range from 0 to 1; NaN stays NaN.
+/// Returns the value limited to the range from 0 to 1; NaN stays NaN.
 pub(crate) fn clamp_to_unit(value: f64) -> f64 {
     value.clamp(0.0, 1.0)
 }
 
-/// The value below which the given share of the values lies; none without values.
+/// Returns the value at the given share of the sorted values; none without values.
 pub(crate) fn quantile(values: impl Iterator<Item = f64>, share: f64) -> Option<f64> {
     let mut sorted: Vec<f64> = values.collect();
     sorted.sort_by(f64::total_cmp);
@@ -99,12 +98,12 @@
     sorted.get((last as f64 * share).round() as usize).copied()
 }
 
-/// The middle one of the values; none without values.
+/// Returns the middle one of the sorted values; none without values.
 pub(crate) fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     quantile(values, 0.5)
 }
 
-/// By key, its share of the sum of all amounts; amounts that are not positive don't count.
+/// Returns each key's share of the sum of all amounts; amounts that are not positive are ignored.
 pub(crate) fn shares<Key: Ord>(amounts: impl Iterator<Item = (Key, f64)>) -> BTreeMap<Key, f64> {
     let mut shares = BTreeMap::new();
     let mut total = 0.0;
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -154,8 +154,8 @@
     assert_eq!(world.levels[&0], 1.0);
 }
 
-/// Levels that change at each tick must not use up the messages for ordinary updates, or servers that recovered would keep
-/// the weight of their fault.
+/// Levels that change at each tick must not use up the messages for ordinary updates, or servers that recovered would
+/// keep the weight of their fault.
 #[test]
 fn restored_weights_are_sent_while_levels_change() {
     let mut world = World::new(two_classes(), 8, 4);
@@ -191,8 +191,8 @@
     }
 }
 
-/// Health checks that wait behind requests until they time out show a saturation that utilization, which ends at 1, does
-/// not.
+/// Health checks that wait behind requests until they time out show a saturation that utilization, which ends at 1,
+/// does not.
 #[test]
 fn health_checks_that_time_out_at_many_servers_show_saturation() {
     let mut world = World::new(two_classes(), 8, 4);
@@ -216,8 +216,8 @@
         .collect()
 }
 
-/// Health checks of servers without work are fast. Once such servers take over the work, a duration twice as long is not
-/// saturation.
+/// Health checks of servers without work are fast. Once such servers take over the work, a duration twice as long is
+/// not saturation.
 #[test]
 fn new_servers_that_idled_are_not_saturated_once_they_have_work() {
     let mut world = World::new(settings(), 8, 4);
--- a/crates/policy/tests/advice.rs
+++ b/crates/policy/tests/advice.rs
@@ -333,8 +333,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever plug-ins advise, the rules hold: no proxy without a server, no unsafe retry, no weight for leaving servers,
-    /// little weight for servers that warm up, few messages and a short queue.
+    /// Whatever plug-ins advise, the rules hold: no proxy without a server, no unsafe retry, no weight for leaving
+    /// servers, little weight for servers that warm up, few messages and a short queue.
     #[test]
     fn rules_hold_under_arbitrary_advice(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
         let settings = settings();
--- a/crates/policy/tests/channel.rs
+++ b/crates/policy/tests/channel.rs
@@ -168,8 +168,8 @@
     );
 }
 
-/// If reductions went first in a full channel, restored servers would keep their small weights and fewer and fewer servers
-/// would take the traffic.
+/// If reductions went first in a full channel, restored servers would keep their small weights and fewer and fewer
+/// servers would take the traffic.
 #[test]
 fn restored_servers_get_their_weight_while_others_keep_failing() {
     let mut site = Site::started(sparse(), 0.4, 300, 1000);
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -199,8 +199,8 @@
     }
 }
 
-/// A returned server's weight may be so small that it gets less than one attempt in a tick. Its ceiling must grow all the
-/// same.
+/// A returned server's weight may be so small that it gets less than one attempt in a tick. Its ceiling must grow all
+/// the same.
 #[test]
 fn a_returned_server_recovers_with_few_successes() {
     let mut world = without_server_3();
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -351,8 +351,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the limits, the rules hold: no unsafe retry, levels between a tenth and all, messages within their limit, and a
-    /// server for each proxy.
+    /// Whatever the limits, the rules hold: no unsafe retry, levels between a tenth and all, messages within their
+    /// limit, and a server for each proxy.
     #[test]
     fn rules_hold_under_arbitrary_limits(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
         let settings = keyed(4000);
--- a/crates/policy/tests/reconciliation.rs
+++ b/crates/policy/tests/reconciliation.rs
@@ -65,10 +65,10 @@
     Joined { policy, assigned }
 }
 
-/// Proxies keep suspensions when they change instances. The first table of a proxy corrects those of the servers that left
-/// here, and the others are corrected once the channel is free. All lines are counted: after the loss of an instance all
-/// its proxies join at once, uncounted lines would fill the channel, and corrections for all servers at once would delay
-/// the last first tables.
+/// Proxies keep suspensions when they change instances. The first table of a proxy corrects those of the servers that
+/// left here, and the others are corrected once the channel is free. All lines are counted: after the loss of an
+/// instance all its proxies join at once, uncounted lines would fill the channel, and corrections for all servers at
+/// once would delay the last first tables.
 #[test]
 fn suspensions_held_by_joining_proxies_count_in_the_channel() {
     let new = join_after_returns(0, false).assigned;
@@ -77,7 +77,8 @@
         mut policy,
         assigned: unsure,
     } = join_after_returns(0, true);
-    // Twenty weights, two levels, the line of the complete table and the header; one line more for each server that left.
+    // Twenty weights, two levels, the line of the complete table and the header; one line more for each server that
+    // left.
     assert!(
         new as f64 * (20.0 + 3.0 + 6.0) <= BACKLOG && new > 30,
         "{new}"
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,5 +1,5 @@
-//! The rules that each instance keeps by itself: a server for each proxy, no unsafe retry, no request to leaving servers,
-//! exclusive owners, few messages.
+//! The rules that each instance keeps by itself: a server for each proxy, no unsafe retry, no request to leaving
+//! servers, exclusive owners, few messages.
 
 mod common;
 
--- a/crates/policy/tests/sharding.rs
+++ b/crates/policy/tests/sharding.rs
@@ -20,8 +20,8 @@
     );
     small.run(2, &[], &all_respond);
     assert_eq!(small.visible_servers(3).len(), 20);
-    // 12,000 lines per second for 2.5 s beyond the delivery delay are 30 for each of 1,000 proxies. A first table takes 9 and
-    // a suspension 7 beside the weights, which leaves 14, below the usual 16.
+    // 12,000 lines per second for 2.5 s beyond the delivery delay are 30 for each of 1,000 proxies. A first table takes
+    // 9 and a suspension 7 beside the weights, which leaves 14, below the usual 16.
     let grace = sparse().max_delivery_delay + ms(2500);
     let mut large = Site::started(
         Settings {
@@ -57,8 +57,8 @@
         / 1000.0
 }
 
-/// After the loss of other instances all proxies join one, and removed servers stay in their old tables until new ones are
-/// delivered. A suspension meanwhile takes a message of its own at the proxies that have their tables.
+/// After the loss of other instances all proxies join one, and removed servers stay in their old tables until new ones
+/// are delivered. A suspension meanwhile takes a message of its own at the proxies that have their tables.
 #[test]
 fn shards_are_narrow_enough_for_all_proxies_to_join_one_instance_within_the_grace() {
     let width_at = |lines_per_s, drain_grace| {
@@ -68,8 +68,8 @@
     };
     let width = width_at(1150.0, ms(20_000));
     let settings = sparse();
-    // The weights, the levels, the line of the complete table, the acknowledgement request and the header; a suspension, its
-    // acknowledgement request and its header.
+    // The weights, the levels, the line of the complete table, the acknowledgement request and the header; a
+    // suspension, its acknowledgement request and its header.
     let table = width + settings.classes.len() as f64 + 2.0 + settings.message_overhead;
     let drain = 2.0 + settings.message_overhead;
     assert!(
@@ -134,8 +134,8 @@
     );
 }
 
-/// By rounding, the only proxy of a zone may seem to have more than the demand of a complete fleet; there is no table for
-/// that in an unsharded fleet.
+/// By rounding, the only proxy of a zone may seem to have more than the demand of a complete fleet; there is no table
+/// for that in an unsharded fleet.
 #[test]
 fn the_only_proxy_of_a_zone_is_assigned_whatever_its_demand() {
     for tenths in 1..60 {
--- a/crates/policy/tests/zone_links.rs
+++ b/crates/policy/tests/zone_links.rs
@@ -105,8 +105,8 @@
         .sum::<f64>()
 }
 
-/// A partitioned zone must not pass for a saturated fleet, and what failed meanwhile must not withdraw its servers once the
-/// link is back.
+/// A partitioned zone must not pass for a saturated fleet, and what failed meanwhile must not withdraw its servers once
+/// the link is back.
 #[test]
 fn a_partitioned_zone_sheds_no_load_and_its_servers_are_not_blamed_afterwards() {
     let mut world = World::new(settings(), 24, 6);
--- a/crates/settings/src/consistency.rs
+++ b/crates/settings/src/consistency.rs
@@ -11,8 +11,8 @@
 /// Lines for each server of a complete table: its weight and its suspension.
 const LINES_PER_SERVER: f64 = 2.0;
 
-/// Warnings about the settings, one sentence each, for an endpoint list with this number of servers. The decisions still
-/// follow contradictory settings as far as possible.
+/// Warnings about the settings, one sentence each, for an endpoint list with this number of servers. The decisions
+/// still follow contradictory settings as far as possible.
 pub fn consistency_warnings(settings: &Settings, servers: usize) -> Vec<String> {
     let warnings = [
         no_backlog_limit(settings),
--- a/crates/settings/src/json_reader.rs
+++ b/crates/settings/src/json_reader.rs
@@ -3,8 +3,8 @@
 use chutegrade_policy::{Micros, NO_LIMIT};
 use serde_json::Value;
 
-/// Reads values of a JSON object by their JSON pointers. A value that is absent or of another type reads as 0, no limit,
-/// `false` or the empty text.
+/// Reads values of a JSON object by their JSON pointers. A value that is absent or of another type reads as 0, no
+/// limit, `false` or the empty text.
 pub(crate) struct JsonReader<'a> {
     object: &'a Value,
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! Reads and writes what all protocols in front of the decision module share: the settings, a JSON object, and load
 //! reports.
 //!
-//! The simulator's adapter and the real supervisor use the same parser. The keys and values of the JSON object are mapped
-//! to the decision module's terms here and nowhere else.
+//! The simulator's adapter and the real supervisor use the same parser. The keys and values of the JSON object are
+//! mapped to the decision module's terms here and nowhere else.
 
 mod consistency;
 mod error;
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -18,8 +18,8 @@
     from_json(&serde_json::from_str(text)?)
 }
 
-/// Reads the settings from a JSON object. A value that is absent or of another type reads as 0, no limit, `false` or the
-/// empty text.
+/// Reads the settings from a JSON object. A value that is absent or of another type reads as 0, no limit, `false` or
+/// the empty text.
 ///
 /// # Errors
 ///
