--- a/crates/policy/src/decisions/advice.rs
+++ b/crates/policy/src/decisions/advice.rs
@@ -24,7 +24,7 @@
     pub class: Option<ClassId>,
 }
 
-/// The active advice.
+/// The advice that applies until it expires or is replaced.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ActiveAdvice {
     /// Classes with separate tables. They outlast the advice, since a change of tables takes many lines of the channel.
--- a/crates/policy/src/decisions/limits.rs
+++ b/crates/policy/src/decisions/limits.rs
@@ -5,7 +5,7 @@
 /// The longest time for which limits apply without renewal: a stopped overload manager must not shed load indefinitely.
 const MAX_VALIDITY: Micros = Micros(15_000_000);
 
-/// The active limits.
+/// The limits that apply until they expire or are replaced.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ActiveLimits {
     limits: Limits,
--- a/crates/settings/src/consistency.rs
+++ b/crates/settings/src/consistency.rs
@@ -1,18 +1,19 @@
-//! Warnings about settings that contradict themselves or leave something open.
+//! Warnings about contradictory or incomplete settings.
 
 use chutegrade_policy::{Settings, NO_LIMIT};
 
-/// Lines of a message with a complete table, in addition to the table: the acknowledgement request and `replace`.
+/// Number of lines of a message with a complete table, in addition to the table: the acknowledgement request and
+/// `replace`.
 const TABLE_MESSAGE_LINES: f64 = 2.0;
 
-/// Lines of a message that suspends one server: the acknowledgement request and the suspension.
+/// Number of lines of a message that suspends one server: the acknowledgement request and the suspension.
 const SUSPENSION_MESSAGE_LINES: f64 = 2.0;
 
-/// Lines for each server of a complete table: its weight and its suspension.
+/// Number of lines for each server of a complete table: its weight and its suspension.
 const LINES_PER_SERVER: f64 = 2.0;
 
-/// Warnings about the settings, one sentence each, for an endpoint list with this number of servers. The decisions
-/// still follow contradictory settings as far as possible.
+/// Returns warnings about the settings, one sentence each, for an endpoint list with this number of servers. The
+/// decisions still follow contradictory settings as far as possible.
 pub fn consistency_warnings(settings: &Settings, servers: usize) -> Vec<String> {
     let warnings = [
         no_backlog_limit(settings),
@@ -27,12 +28,13 @@
 
 fn no_backlog_limit(settings: &Settings) -> Option<String> {
     (settings.channel_backlog >= NO_LIMIT)
-        .then(|| "familyInfo.backlog names no limit: any number of lines may wait".to_string())
+        .then(|| "familyInfo.backlog sets no limit: any number of lines may be queued".to_string())
 }
 
 fn no_line_rate(settings: &Settings) -> Option<String> {
-    (settings.channel_lines_per_second >= NO_LIMIT)
-        .then(|| "familyInfo.linesPerS names no pace: the channel counts as never slow".to_string())
+    (settings.channel_lines_per_second >= NO_LIMIT).then(|| {
+        "familyInfo.linesPerS sets no rate: the channel is treated as never slow".to_string()
+    })
 }
 
 fn backlog_below_table(settings: &Settings, servers: usize) -> Option<String> {
@@ -45,7 +47,7 @@
     (backlog < table).then(|| {
         format!(
             "familyInfo.backlog is {backlog}, less than the {table} lines of one table of {servers} servers: \
-             such a table goes out alone and beyond it"
+             such a table is sent alone and exceeds the backlog"
         )
     })
 }
@@ -56,18 +58,18 @@
     let suspension = proxies as f64 * (settings.message_overhead + SUSPENSION_MESSAGE_LINES);
     (backlog < suspension).then(|| {
         format!(
-            "familyInfo.backlog is {backlog}, less than the {suspension} lines that shut one server out \
-             at {proxies} proxies: where they all come here it goes out alone and beyond it"
+            "familyInfo.backlog is {backlog}, less than the {suspension} lines that suspend one server \
+            at {proxies} proxies: if all of them join one instance, a suspension is sent alone and exceeds the backlog"
         )
     })
 }
 
 fn no_proxies(settings: &Settings) -> Option<String> {
-    (settings.proxies == 0).then(|| "familyInfo.proxies is 0: no proxy is let in".to_string())
+    (settings.proxies == 0).then(|| "familyInfo.proxies is 0: no proxy is admitted".to_string())
 }
 
 fn single_message(settings: &Settings) -> Option<String> {
     (settings.max_messages == 1).then(|| {
-        "familyInfo.messagesMost is 1: a drain may have to wait for a whole window".to_string()
+        "familyInfo.messagesMost is 1: a suspension may be delayed by a complete window".to_string()
     })
 }
--- a/crates/settings/src/json_reader.rs
+++ b/crates/settings/src/json_reader.rs
@@ -1,27 +1,27 @@
-//! Typed access to the values of a JSON object by path.
+//! Typed access to the values of a JSON object.
 
 use chutegrade_policy::{Micros, NO_LIMIT};
 use serde_json::Value;
 
-/// Reads values of a JSON object by their JSON pointers. A value that is absent or of another type reads as 0, no
-/// limit, `false` or the empty text.
+/// Reads values of a JSON object by JSON pointers. A value that is absent or of another type reads as 0, no limit,
+/// `false` or the empty string.
 pub(crate) struct JsonReader<'a> {
     object: &'a Value,
 }
 
 impl<'a> JsonReader<'a> {
-    /// A reader of an object.
+    /// Creates a reader of an object.
     pub fn new(object: &'a Value) -> Self {
         JsonReader { object }
     }
 
-    /// A number.
+    /// Returns a number, or 0.
     pub fn number(&self, path: &str) -> f64 {
         let value = self.object.pointer(path);
         value.and_then(Value::as_f64).unwrap_or(0.0)
     }
 
-    /// A limit; numbers that are not above 0 stand for no limit.
+    /// Returns a limit, or [`NO_LIMIT`] for a number that is not above 0.
     pub fn limit(&self, path: &str) -> f64 {
         let number = self.number(path);
         if number > 0.0 {
@@ -31,24 +31,24 @@
         }
     }
 
-    /// A time in milliseconds.
+    /// Returns a time that the object has in milliseconds, or 0.
     pub fn milliseconds(&self, path: &str) -> Micros {
         Micros::from_ms(self.number(path))
     }
 
-    /// A Boolean.
+    /// Returns a Boolean, or `false`.
     pub fn flag(&self, path: &str) -> bool {
         let value = self.object.pointer(path);
         value.and_then(Value::as_bool).unwrap_or(false)
     }
 
-    /// A text.
-    pub fn text(&self, path: &str) -> &'a str {
+    /// Returns a string, or the empty string.
+    pub fn string(&self, path: &str) -> &'a str {
         let value = self.object.pointer(path);
         value.and_then(Value::as_str).unwrap_or("")
     }
 
-    /// The entries of an array.
+    /// Returns the entries of an array, or none.
     pub fn array(&self, path: &str) -> &'a [Value] {
         let value = self.object.pointer(path);
         value.and_then(Value::as_array).map_or(&[], Vec::as_slice)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! Reads and writes what all protocols in front of the decision module share: the settings, a JSON object, and load
-//! reports.
+//! Reads and writes the settings, a JSON object, and reads load reports, for all protocols of the decision module.
 //!
-//! The simulator's adapter and the real supervisor use the same parser. The keys and values of the JSON object are
-//! mapped to the decision module's terms here and nowhere else.
+//! The simulator's adapter and the supervisor share this parser. Keys and values of the JSON object are mapped to the
+//! terms of the decision module only here.
 
 mod consistency;
 mod error;
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -2,9 +2,9 @@
 
 use chutegrade_policy::LoadReport;
 
-/// Reads a load report: `name:value` or `name=value` pairs, separated by commas.
+/// Parses a load report: `name:value` or `name=value` pairs, separated by commas.
 ///
-/// Unknown names, and values that are not numbers of at least 0, are skipped.
+/// Unknown names, and values that are not finite numbers of at least 0, are skipped.
 pub fn parse_load_report(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     for pair in text.split(',') {
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,4 +1,4 @@
-//! Settings from their JSON object.
+//! Reads settings from their JSON object.
 
 use chutegrade_policy::{
     AdmissionUnit, Class, DeduplicationScope, Idempotency, ListedWeight, PickPolicy, ReportSource,
@@ -19,7 +19,7 @@
 }
 
 /// Reads the settings from a JSON object. A value that is absent or of another type reads as 0, no limit, `false` or
-/// the empty text.
+/// the empty string.
 ///
 /// # Errors
 ///
@@ -57,22 +57,22 @@
 }
 
 fn read_discovery(reader: &JsonReader, settings: &mut Settings) {
-    settings.endpoints_on_request = reader.text("/discovery") == "subscribe";
+    settings.endpoints_on_request = reader.string("/discovery") == "subscribe";
     settings.poll_interval = reader.milliseconds("/guarantees/askEveryMs");
-    settings.listed_weight = listed_weight(reader.text("/weights"));
+    settings.listed_weight = listed_weight(reader.string("/weights"));
 }
 
 fn read_proxies(reader: &JsonReader, settings: &mut Settings) {
-    settings.admission_unit = admission_unit(reader.text("/familyInfo/levelKind"));
+    settings.admission_unit = admission_unit(reader.string("/familyInfo/levelKind"));
     settings.default_retry = retry_from_number(reader.number("/familyInfo/usualHow") as i64);
     settings.attempt_timeout_factor = reader.number("/familyInfo/firstWait");
-    settings.pick_policy = pick_policy(reader.text("/familyInfo/pick"));
+    settings.pick_policy = pick_policy(reader.string("/familyInfo/pick"));
     settings.proxy_ejection_threshold = reader.number("/familyInfo/outlierAfter") as u32;
     settings.max_unserved = reader.milliseconds("/familyInfo/unservedMaxMs");
 }
 
 fn read_health(reader: &JsonReader, settings: &mut Settings) {
-    settings.report_source = report_source(reader.text("/report/source"));
+    settings.report_source = report_source(reader.string("/report/source"));
     settings.report_period = reader.milliseconds("/familyInfo/cycleMs");
     settings.health_checks_allowed = reader.flag("/limits/probes");
     settings.health_check_cost = reader.number("/prices/probe");
@@ -117,10 +117,10 @@
 }
 
 fn read_idempotency(reader: &JsonReader) -> Idempotency {
-    match reader.text("/effect") {
+    match reader.string("/effect") {
         "read_like" => Idempotency::Idempotent,
         "idempotency_key" => {
-            let scope = deduplication_scope(reader.text("/dedupScope"));
+            let scope = deduplication_scope(reader.string("/dedupScope"));
             Idempotency::Keyed(scope, reader.milliseconds("/windowMs"))
         }
         _ => Idempotency::NotIdempotent,
@@ -168,7 +168,7 @@
     }
 }
 
-/// The retry policy of a number, as the settings and the wire have it; unknown numbers stand for no retries.
+/// Returns the retry policy that a number encodes in the settings and on the wire; unknown numbers mean no retries.
 pub fn retry_from_number(number: i64) -> Retry {
     match number {
         1 => Retry::IfNotExecuted,
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -52,18 +52,18 @@
 }
 
 #[test]
-fn names_and_the_tick_are_read_from_the_same_object() {
-    let texts = |names: &[&str]| names.iter().map(ToString::to_string).collect();
+fn names_and_the_tick_interval_are_read_from_the_same_object() {
+    let strings = |names: &[&str]| names.iter().map(ToString::to_string).collect();
     let expected = DeploymentNames {
-        zones: texts(&["a", "b"]),
-        classes: texts(&["lookup", "order"]),
-        machine_kinds: texts(&["m1", "m2"]),
+        zones: strings(&["a", "b"]),
+        classes: strings(&["lookup", "order"]),
+        machine_kinds: strings(&["m1", "m2"]),
     };
     assert_eq!(names(&example()), expected);
     assert_eq!(min_tick_interval_ms(&example()), 4.0);
 }
 
-/// Otherwise another build that is compared with this one would decide by other settings.
+/// Otherwise another build that is compared with this one would use different settings.
 #[test]
 fn written_settings_are_read_back_unchanged() {
     let json = example();
@@ -98,11 +98,11 @@
         consistency_warnings(&settings, 40).join("; ")
     };
     assert_eq!(warnings(9000.0, 400), "");
-    assert!(warnings(0.0, 4).contains("names no limit"));
+    assert!(warnings(0.0, 4).contains("familyInfo.backlog sets no limit"));
     assert!(warnings(80.0, 4).contains("less than the 86 lines of one table of 40 servers"));
     assert!(warnings(1000.0, 400)
-        .contains("less than the 2000 lines that shut one server out at 400 proxies"));
-    assert!(warnings(9000.0, 0).contains("no proxy is let in"));
+        .contains("less than the 2000 lines that suspend one server at 400 proxies"));
+    assert!(warnings(9000.0, 0).contains("no proxy is admitted"));
 }
 
 #[test]
--- a/crates/settings/src/timing.rs
+++ b/crates/settings/src/timing.rs
@@ -1,13 +1,13 @@
-//! Times of the settings that the program around the decision module uses.
+//! Times in the settings that the host of the decision module uses.
 
 use serde_json::Value;
 
-/// The least time between two batches of events, in milliseconds; 0 if there is none.
+/// Returns the least time between two batches of events, in milliseconds; 0 if it is not set.
 pub fn min_tick_interval_ms(json: &Value) -> f64 {
     positive_number(json, "/tickMs").unwrap_or(0.0)
 }
 
-/// The timeout for connecting to a server, in milliseconds, if the settings have one.
+/// Returns the timeout for connecting to a server, in milliseconds, if it is set.
 pub fn connect_timeout_ms(json: &Value) -> Option<f64> {
     positive_number(json, "/limits/connectTimeoutMs")
 }
--- a/crates/settings/src/write.rs
+++ b/crates/settings/src/write.rs
@@ -1,4 +1,4 @@
-//! Settings to their JSON object.
+//! Writes settings as their JSON object.
 
 use chutegrade_policy::{
     AdmissionUnit, Class, DeduplicationScope, Idempotency, ListedWeight, Micros, PickPolicy,
