--- a/crates/policy/benches/tick.rs
+++ b/crates/policy/benches/tick.rs
@@ -1,6 +1,6 @@
 #![allow(missing_docs)]
-//! The cost of the decisions at size: a tick of a steady fleet, and the joining of all its proxies, one batch each two
-//! milliseconds, as after the loss of other instances.
+//! The cost of the decisions for large fleets: a tick of a steady fleet, and the joins of all its proxies, one batch
+//! every two milliseconds, as after the loss of other instances.
 
 use chutegrade_policy::{
     Action, AdmissionUnit, Class, Endpoint, EndpointUpdateKind, Event, Idempotency, LoadReport,
@@ -10,7 +10,7 @@
 
 const ZONES: u16 = 3;
 /// Proxies that join in one batch.
-const AT_ONCE: u32 = 10;
+const JOIN_BATCH_SIZE: u32 = 10;
 
 fn settings(proxies: u32) -> Settings {
     let class = |idempotency| Class {
@@ -54,7 +54,7 @@
     (from..to).map(proxy_joined).collect()
 }
 
-/// An instance with its endpoint list.
+/// An instance with an endpoint list.
 fn started_policy(servers: u32, proxies: u32) -> Policy {
     let endpoint = |id: u32| Endpoint {
         server: ServerId(id),
@@ -73,12 +73,14 @@
     policy
 }
 
-/// All proxies join, batch by batch; each turn is acknowledged at once.
+/// Joins all proxies in batches; each round of orders is acknowledged at once.
 fn join_all(policy: &mut Policy, proxies: u32) {
-    for batch in 0..proxies / AT_ONCE {
+    for batch in 0..proxies / JOIN_BATCH_SIZE {
         let now = Micros(1_000_000 + 2000 * i64::from(batch));
-        let actions =
-            policy.handle_events(now, &join_events(batch * AT_ONCE, (batch + 1) * AT_ONCE));
+        let actions = policy.handle_events(
+            now,
+            &join_events(batch * JOIN_BATCH_SIZE, (batch + 1) * JOIN_BATCH_SIZE),
+        );
         acknowledge(policy, now, &actions);
     }
 }
@@ -128,7 +130,7 @@
         let mut events: Vec<Event> = (0..servers).map(server_outcomes).collect();
         events.push(Event::Timer(1));
         let size = format!("{servers} servers, {proxies} proxies");
-        group.bench_function(BenchmarkId::new("stands", &size), |b| {
+        group.bench_function(BenchmarkId::new("steady", &size), |b| {
             b.iter(|| {
                 now = now + Micros(500_000);
                 policy.handle_events(now, &events)
--- a/crates/policy/src/decisions/channel/tests.rs
+++ b/crates/policy/src/decisions/channel/tests.rs
@@ -2,7 +2,7 @@
 
 /// Otherwise a corrupt acknowledgement would count queued lines as sent, and the queue would grow unnoticed.
 #[test]
-fn a_sequence_number_that_was_not_written_to_a_proxy_acknowledges_nothing() {
+fn an_acknowledgement_with_a_sequence_number_not_written_to_the_proxy_is_ignored() {
     let mut channel = Channel::default();
     let lines = |proxies: &[u32]| {
         proxies
--- a/crates/policy/src/decisions/mod.rs
+++ b/crates/policy/src/decisions/mod.rs
@@ -2,7 +2,7 @@
 //! and publishes the changes. It coordinates the other modules, each of which owns one concern and its state.
 //!
 //! A server's weight depends on its score: the smoothed minimum of an error term and a latency term, each from 1 (no
-//! faults) to 0. Hysteresis and dwell times turn scores into full, reduced or withdrawn weights, which are published in
+//! faults) to 0. Hysteresis and dwell times map scores to full, reduced or withdrawn weights, which are published in
 //! few shared tables.
 
 mod admission;
--- a/crates/policy/src/decisions/publish.rs
+++ b/crates/policy/src/decisions/publish.rs
@@ -1,4 +1,4 @@
-//! One round of publication: the steps that turn decisions into orders, and the acknowledgement request for them.
+//! One round of publication: the steps that derive orders from the decisions, and the acknowledgement request for them.
 
 use std::collections::BTreeMap;
 
@@ -40,7 +40,7 @@
 }
 
 impl Policy {
-    /// Turns the current decisions into orders, within the budgets of the channel.
+    /// Derives orders from the current decisions, within the budgets of the channel.
     pub(super) fn publish(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.channel.drop_expired(now, &self.settings);
         self.proxies
--- a/crates/policy/src/decisions/zone_affinity.rs
+++ b/crates/policy/src/decisions/zone_affinity.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Returns the share of the total demand that reaches the servers of an isolated zone: that of its own proxies, or
-    /// 1 if it has none.
+    /// Returns the share of the total demand that reaches the servers of an isolated zone: that of the proxies in the
+    /// zone, or 1 if it has none.
     pub fn isolated_demand(&self, zone: ZoneId) -> f64 {
         let least = MIN_ISOLATED_DEMAND / self.demand.len().max(1) as f64;
         self.demand.get(&zone).copied().unwrap_or(1.0).max(least)
@@ -57,7 +57,7 @@
         self.demand.get(&zone).copied().unwrap_or(0.0)
     }
 
-    /// Returns the capacity share of a zone in excess of its own demand.
+    /// Returns the capacity share of a zone in excess of its demand.
     fn surplus(&self, zone: ZoneId) -> f64 {
         self.capacity.get(&zone).map_or(0.0, |capacity| {
             (capacity - self.demand_or_zero(zone)).max(0.0)
@@ -96,7 +96,7 @@
     }
 
     /// Returns the factors on the weights of each zone's servers, in the tables of one zone's proxies. Requests stay in
-    /// the zone up to the capacity of its own servers; the rest goes to zones whose capacity exceeds their demand.
+    /// the zone up to the capacity of its servers; the rest goes to zones whose capacity exceeds their demand.
     fn factors(&self, zone: ZoneId) -> ByZone {
         if !prefers_own_zone(self.settings) {
             return zones(self.settings)
--- a/crates/policy/tests/advice.rs
+++ b/crates/policy/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Advice of plug-ins: it lowers weights and moves traffic, and the rules hold whatever it says.
+//! Advice of plug-ins: it lowers weights, redirects traffic and violates no invariant.
 
 mod common;
 use std::collections::BTreeSet;
@@ -29,66 +29,66 @@
     .collect()
 }
 
-/// Seconds in which advice is renewed each second, as the plug-in host does.
-fn run_with_advice(world: &mut World, seconds: u32, advice: &Advice, each_second: &[Event]) {
+/// Runs for some seconds and renews the advice every second, as the plug-in host does.
+fn run_with_advice(fleet: &mut Fleet, seconds: u32, advice: &Advice, each_second: &[Event]) {
     let mut events = each_second.to_vec();
     events.push(Event::Advice(advice.clone()));
-    world.run(seconds, &events);
+    fleet.run(seconds, &events);
 }
 
 #[test]
 fn advice_lowers_a_weight_until_it_expires() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(3, &healthy(8, &[]));
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(3, &healthy(8, &[]));
     let advice = Advice {
         factors: factors(&[(2, None, 0.25)]),
         ..far_future_advice()
     };
-    run_with_advice(&mut world, 8, &advice, &healthy(8, &[]));
-    let share = world.weight(2) / world.weight(3);
+    run_with_advice(&mut fleet, 8, &advice, &healthy(8, &[]));
+    let share = fleet.weight(2) / fleet.weight(3);
     assert!((share - 0.25).abs() < 0.06, "{share}");
-    // The advice is not renewed: all is as before once it expires.
-    world.run(20, &healthy(8, &[]));
+    // The advice is not renewed: the weight is restored once it expires.
+    fleet.run(20, &healthy(8, &[]));
     assert!(
-        (world.weight(2) / world.weight(3) - 1.0).abs() < 0.06,
+        (fleet.weight(2) / fleet.weight(3) - 1.0).abs() < 0.06,
         "{}",
-        world.weight(2)
+        fleet.weight(2)
     );
 }
 
 #[test]
-fn an_exclusion_holds_until_its_end() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(3, &healthy(8, &[]));
+fn an_exclusion_applies_until_it_ends() {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(3, &healthy(8, &[]));
     let advice = Advice {
         excluded: vec![ServerExclusion {
             server: ServerId(5),
-            until: world.now + ms(9000),
+            until: fleet.now + ms(9000),
         }],
         ..far_future_advice()
     };
-    run_with_advice(&mut world, 6, &advice, &healthy(8, &[]));
-    assert_eq!(world.weight(5), 0.0);
-    run_with_advice(&mut world, 10, &advice, &healthy(8, &[]));
+    run_with_advice(&mut fleet, 6, &advice, &healthy(8, &[]));
+    assert_eq!(fleet.weight(5), 0.0);
+    run_with_advice(&mut fleet, 10, &advice, &healthy(8, &[]));
     assert!(
-        world.weight(5) > 0.0,
-        "the advice still names it, but the exclusion ended"
+        fleet.weight(5) > 0.0,
+        "the advice still contains it, but the exclusion ended"
     );
 }
 
 #[test]
-fn separate_tables_leave_other_classes_unchanged() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(3, &healthy(8, &[]));
+fn advice_on_a_class_with_separate_tables_does_not_affect_other_classes() {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(3, &healthy(8, &[]));
     let separate_tables = ClassSet::default().with(1);
     let advice = Advice {
         factors: factors(&[(2, Some(1), 0.0)]),
         separate_tables,
         ..far_future_advice()
     };
-    run_with_advice(&mut world, 8, &advice, &healthy(8, &[]));
+    run_with_advice(&mut fleet, 8, &advice, &healthy(8, &[]));
     for proxy in 0..4u32 {
-        let assigned_tables = &world.assigned_tables[&ProxyId(proxy)];
+        let assigned_tables = &fleet.assigned_tables[&ProxyId(proxy)];
         let table = |class| {
             assigned_tables
                 .iter()
@@ -98,12 +98,12 @@
                 .0
         };
         let weight = |class| {
-            world.tables[&table(class)]
+            fleet.tables[&table(class)]
                 .get(&ServerId(2))
                 .copied()
                 .unwrap_or(0.0)
         };
-        assert_ne!(table(0), table(1), "tables of their own");
+        assert_ne!(table(0), table(1), "separate tables");
         assert!(
             weight(0) > 0.0 && weight(1) == 0.0,
             "{} {}",
@@ -111,16 +111,16 @@
             weight(1)
         );
     }
-    assert!(world
+    assert!(fleet
         .retries
         .values()
         .all(|retry| *retry == Retry::IfNotExecuted));
 }
 
 #[test]
-fn caps_and_retry_bans_only_narrow() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(3, &healthy(8, &[]));
+fn caps_and_retry_bans_only_restrict_and_expire() {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(3, &healthy(8, &[]));
     let caps = vec![
         ClassShare {
             class: ClassId(0),
@@ -136,32 +136,32 @@
         no_retry: ClassSet::default().with(1),
         ..far_future_advice()
     };
-    run_with_advice(&mut world, 7, &advice, &healthy(8, &[]));
+    run_with_advice(&mut fleet, 7, &advice, &healthy(8, &[]));
     assert_eq!(
-        (world.levels[&0], world.levels[&1]),
+        (fleet.levels[&0], fleet.levels[&1]),
         (0.4, 0.1),
         "a class is never shed completely"
     );
     assert_eq!(
-        (world.retries[&0], world.retries[&1]),
+        (fleet.retries[&0], fleet.retries[&1]),
         (Retry::IfNotExecuted, Retry::Never)
     );
-    world.run(20, &healthy(8, &[]));
+    fleet.run(20, &healthy(8, &[]));
     assert_eq!(
-        (world.levels[&0], world.levels[&1], world.retries[&1]),
+        (fleet.levels[&0], fleet.levels[&1], fleet.retries[&1]),
         (1.0, 1.0, Retry::IfNotExecuted)
     );
 }
 
-/// Advice that excludes every server would leave proxies without one, or send all requests to the last.
+/// Advice that excludes too many servers would leave proxies without a server, or send all requests to the last ones.
 #[test]
 fn advice_that_leaves_too_little_capacity_is_overruled_and_reported() {
-    for vetoed in [8, 7, 5] {
-        let mut world = World::new(settings(), 8, 4);
-        world.run(3, &healthy(8, &[]));
-        let all: Vec<(u32, Option<u8>, f64)> = (0..vetoed).map(|id| (id, None, 0.0)).collect();
+    for excluded in [8, 7, 5] {
+        let mut fleet = Fleet::new(settings(), 8, 4);
+        fleet.run(3, &healthy(8, &[]));
+        let all: Vec<(u32, Option<u8>, f64)> = (0..excluded).map(|id| (id, None, 0.0)).collect();
         run_with_advice(
-            &mut world,
+            &mut fleet,
             8,
             &Advice {
                 factors: factors(&all),
@@ -170,10 +170,10 @@
             &healthy(8, &[]),
         );
         assert!(
-            (0..8).all(|id| world.weight(id) == 4.0),
-            "{vetoed} of 8 vetoed"
+            (0..8).all(|id| fleet.weight(id) == 4.0),
+            "{excluded} of 8 excluded"
         );
-        let overruled = world.actions.iter().any(|a| {
+        let overruled = fleet.actions.iter().any(|a| {
             matches!(
                 a,
                 Action::Emit(DecisionEvent::AdviceOverruled {
@@ -182,17 +182,17 @@
                 })
             )
         });
-        assert!(overruled, "{vetoed} of 8 vetoed");
+        assert!(overruled, "{excluded} of 8 excluded");
     }
 }
 
-/// A rule that changes each second would take the channel from servers that fail.
+/// Advice that changes each second would fill the channel and delay weight changes of failing servers.
 #[test]
 fn oscillating_advice_takes_few_lines() {
     let lines = |oscillates: bool| {
-        let mut world = World::new(settings(), 8, 4);
-        world.run(3, &healthy(8, &[]));
-        world.actions.clear();
+        let mut fleet = Fleet::new(settings(), 8, 4);
+        fleet.run(3, &healthy(8, &[]));
+        fleet.actions.clear();
         for second in 0..30 {
             let of = if second % 2 == 0 { 0 } else { 4 };
             let down: Vec<(u32, Option<u8>, f64)> =
@@ -203,9 +203,9 @@
             };
             let mut events = healthy(8, &[]);
             events.extend(oscillates.then_some(Event::Advice(advice)));
-            world.run(1, &events);
+            fleet.run(1, &events);
         }
-        world
+        fleet
             .actions
             .iter()
             .filter(|a| matches!(a, Action::SetWeight { .. }))
@@ -221,43 +221,43 @@
 
 #[test]
 fn advice_excludes_no_server_of_a_saturated_fleet() {
-    let mut world = World::new(settings(), 8, 4);
-    let full = LoadReport {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    let full_queue = LoadReport {
         queued: Some(30.0),
         ..LoadReport::default()
     };
-    let busy: Vec<Event> = healthy(8, &[])
+    let saturated: Vec<Event> = healthy(8, &[])
         .into_iter()
-        .map(|outcome| with_load(outcome, full))
+        .map(|outcome| with_load(outcome, full_queue))
         .collect();
-    world.run(8, &busy);
+    fleet.run(8, &saturated);
     let advice = Advice {
         factors: factors(&[(0, None, 0.0), (1, None, 0.0)]),
         ..far_future_advice()
     };
-    run_with_advice(&mut world, 8, &advice, &busy);
-    assert!((0..8).all(|id| world.weight(id) > 0.0));
+    run_with_advice(&mut fleet, 8, &advice, &saturated);
+    assert!((0..8).all(|id| fleet.weight(id) > 0.0));
 }
 
 #[test]
 fn empty_advice_changes_nothing() {
     let run = |advice: bool| {
-        let mut world = World::new(settings(), 8, 6);
+        let mut fleet = Fleet::new(settings(), 8, 6);
         for round in 0..40 {
             let mut events = healthy(8, &[round % 9]);
             if round % 7 == 0 {
                 events.push(Event::EndpointList(
                     EndpointUpdateKind::Delta,
                     vec![Endpoint {
-                        started_at: Some(world.now),
+                        started_at: Some(fleet.now),
                         ..endpoint(round % 8)
                     }],
                 ));
             }
             events.extend(advice.then(|| Event::Advice(far_future_advice())));
-            world.run(1, &events);
+            fleet.run(1, &events);
         }
-        world.actions
+        fleet.actions
     };
     assert_eq!(run(false), run(true));
 }
@@ -313,7 +313,7 @@
         Just(Lifecycle::Draining),
         Just(Lifecycle::Removed)
     ];
-    let end = prop_oneof![
+    let outcome = prop_oneof![
         Just(HealthCheckOutcome::Passed),
         Just(HealthCheckOutcome::TimedOut)
     ];
@@ -325,7 +325,7 @@
             let started = fresh.then_some(ms(1_003_000));
             Event::EndpointList(EndpointUpdateKind::Delta, vec![Endpoint { lifecycle, started_at: started, ..endpoint(id) }])
         }),
-        1 => (0..8u32, end).prop_map(|(id, end)| health_checked(ServerId(id), end)),
+        1 => (0..8u32, outcome).prop_map(|(id, outcome)| health_checked(ServerId(id), outcome)),
         2 => advice_strategy().prop_map(Event::Advice),
     ]
 }
@@ -333,48 +333,48 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever plug-ins advise, the rules hold: no proxy without a server, no unsafe retry, no weight for leaving
-    /// servers, little weight for servers that warm up, few messages and a short queue.
+    /// The invariants hold for any advice: no proxy without a server, no unsafe retry, no weight for leaving servers,
+    /// little weight for warming servers and few messages.
     #[test]
-    fn rules_hold_under_arbitrary_advice(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
+    fn invariants_hold_under_arbitrary_advice(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
         let settings = settings();
-        let mut world = World::new(settings.clone(), 8, 6);
-        let mut listed = Roster::new(8);
+        let mut fleet = Fleet::new(settings.clone(), 8, 6);
+        let mut listed = ListedServers::new(8);
         for events in rounds {
-            listed.take(&events, &mut world);
-            world.send(&events);
-            world.run(1, &[]);
-            let age = world.now - ms(1_003_000);
-            let is_cold = |id: &u32| listed.warming.contains(id) && age < settings.slow_start_period + ms(500);
-            let warm: Vec<u32> = listed.open.iter().copied().filter(|id| !is_cold(id)).collect();
-            // The tables in use: for each class of each proxy the one that was assigned last.
+            listed.apply(&events, &mut fleet);
+            fleet.send(&events);
+            fleet.run(1, &[]);
+            let age = fleet.now - ms(1_003_000);
+            let is_warming = |id: &u32| listed.warming.contains(id) && age < settings.slow_start_period + ms(500);
+            let warm: Vec<u32> = listed.in_service.iter().copied().filter(|id| !is_warming(id)).collect();
+            // The tables in use: the last one that was assigned for each class of each proxy.
             let last = |assigned_tables: &Vec<(TableId, ClassSet)>, class| assigned_tables.iter().rev().find(|(_, of)| of.has(class)).map(|b| b.0);
             let tables: BTreeSet<TableId> =
-                world.assigned_tables.values().flat_map(|assigned_tables| [last(assigned_tables, 0), last(assigned_tables, 1)]).flatten().collect();
+                fleet.assigned_tables.values().flat_map(|assigned_tables| [last(assigned_tables, 0), last(assigned_tables, 1)]).flatten().collect();
             for table in &tables {
-                let none = Default::default();
-                let lines = world.tables.get(table).unwrap_or(&none);
-                prop_assert!(lines.values().all(|weight| weight.is_finite() && *weight > 0.0));
-                let usable = |id: &ServerId| !world.suspended.contains(id);
-                prop_assert!(warm.is_empty() || lines.keys().any(usable), "no server to pick in {table:?}");
-                for id in lines.keys().filter(|id| usable(id)) {
-                    prop_assert!(listed.open.contains(&id.0), "{id:?} left and keeps weight");
+                let no_weights = Default::default();
+                let weights = fleet.tables.get(table).unwrap_or(&no_weights);
+                prop_assert!(weights.values().all(|weight| weight.is_finite() && *weight > 0.0));
+                let usable = |id: &ServerId| !fleet.suspended.contains(id);
+                prop_assert!(warm.is_empty() || weights.keys().any(usable), "no server to pick in {table:?}");
+                for id in weights.keys().filter(|id| usable(id)) {
+                    prop_assert!(listed.in_service.contains(&id.0), "{id:?} left but has weight");
                 }
-                // Far below what overloads a server that warms up, with the capacity of the complete fleet as demand.
-                let all: f64 = lines.iter().filter(|(id, _)| usable(id)).map(|line| line.1).sum();
-                let warm_sum: f64 = lines.iter().filter(|(id, _)| usable(id) && warm.contains(&id.0)).map(|line| line.1).sum();
+                // Far below the overload of a warming server, with the capacity of the complete fleet as demand.
+                let all: f64 = weights.iter().filter(|(id, _)| usable(id)).map(|line| line.1).sum();
+                let warm_sum: f64 = weights.iter().filter(|(id, _)| usable(id) && warm.contains(&id.0)).map(|line| line.1).sum();
                 if warm_sum > 0.0 {
-                    for (id, weight) in lines.iter().filter(|(id, _)| usable(id) && is_cold(&id.0)) {
+                    for (id, weight) in weights.iter().filter(|(id, _)| usable(id) && is_warming(&id.0)) {
                         let warm_up_share = 0.2 + 0.8 * (age + ms(2500)).secs().max(0.0) / 16.0;
                         let load = weight / all * 8.0;
                         prop_assert!(load <= 3.0 * warm_up_share.min(1.0), "{id:?} has load {load} at warm-up share {warm_up_share}");
                     }
                 }
             }
-            prop_assert!(world.retries.values().all(|retry| *retry <= Retry::IfNotExecuted));
-            prop_assert!(world.levels.values().all(|level| (0.05..=1.0).contains(level)), "{:?}", world.levels);
-            for (proxy, written) in &world.messages {
-                let recent = written.iter().filter(|at| world.now - **at <= settings.message_window).count();
+            prop_assert!(fleet.retries.values().all(|retry| *retry <= Retry::IfNotExecuted));
+            prop_assert!(fleet.levels.values().all(|level| (0.05..=1.0).contains(level)), "{:?}", fleet.levels);
+            for (proxy, written) in &fleet.messages {
+                let recent = written.iter().filter(|at| fleet.now - **at <= settings.message_window).count();
                 prop_assert!(recent <= settings.max_messages, "{recent} messages to {proxy:?} in the window");
             }
         }
--- a/crates/policy/tests/channel.rs
+++ b/crates/policy/tests/channel.rs
@@ -1,31 +1,39 @@
-//! The channel: what it takes while fleets start, reconnect, drain and grow, and in which order.
+//! The channel: its limits while fleets start, reconnect, drain and grow, and the order of messages.
 
 mod common;
 use std::collections::BTreeMap;
 
 use chutegrade_policy::*;
-use common::site::*;
+use common::deployment::*;
 use common::*;
 
 #[test]
-fn start_reconnect_drain_and_growth_stay_within_the_limits_of_a_slow_channel() {
-    let mut site = Site::started(sparse(), 0.5, 500, 1000);
-    site.run(25, &healthy(300, &[]), &all_respond);
-    assert_eq!(site.assigned_count(), 1000, "all are assigned in the end");
+fn start_reconnect_drain_and_scale_up_stay_within_the_limits_of_a_slow_channel() {
+    let mut deployment = Deployment::started(sparse_settings(), 0.5, 500, 1000);
+    deployment.run(25, &healthy(300, &[]), &none_unresponsive);
+    assert_eq!(
+        deployment.assigned_count(),
+        1000,
+        "all are assigned eventually"
+    );
     let removed: Vec<Event> = (0..700).map(|id| Event::ProxyLeft(ProxyId(id))).collect();
-    site.send(&removed);
-    site.run(1, &[], &all_respond);
+    deployment.send(&removed);
+    deployment.run(1, &[], &none_unresponsive);
     let back: Vec<Event> = (0..700).map(|id| joined_with_rate(id, 2.0)).collect();
-    site.send(&back);
-    site.run(20, &healthy(300, &[]), &all_respond);
-    assert_eq!(site.assigned_count(), 1000, "and after a mass reconnect");
+    deployment.send(&back);
+    deployment.run(20, &healthy(300, &[]), &none_unresponsive);
+    assert_eq!(
+        deployment.assigned_count(),
+        1000,
+        "and after a mass reconnect"
+    );
     let drained: Vec<Endpoint> = (0..120)
         .map(|id| Endpoint {
             lifecycle: Lifecycle::Draining,
             ..endpoint(id)
         })
         .collect();
-    let actions = site.send(&[Event::EndpointList(EndpointUpdateKind::Delta, drained)]);
+    let actions = deployment.send(&[Event::EndpointList(EndpointUpdateKind::Delta, drained)]);
     let suspended = actions
         .iter()
         .filter(|action| {
@@ -42,39 +50,40 @@
         suspended, 120,
         "servers are suspended in the round of the update"
     );
-    let now = site.now;
-    site.send(&[Event::EndpointList(
+    let now = deployment.now;
+    deployment.send(&[Event::EndpointList(
         EndpointUpdateKind::Delta,
         (500..900).map(|id| warming(id, now)).collect(),
     )]);
-    site.run(30, &healthy(300, &[]), &all_respond);
+    deployment.run(30, &healthy(300, &[]), &none_unresponsive);
     assert!(
-        site.max_queued_lines > 0.2 * site.settings.channel_backlog,
-        "the channel was put to the test"
+        deployment.max_queued_lines > 0.2 * deployment.settings.channel_backlog,
+        "the channel was filled enough to test it"
     );
     assert!(
-        site.visible_servers(999)
+        deployment
+            .visible_servers(999)
             .iter()
             .any(|server| server.0 >= 500),
         "new servers are in tables"
     );
 }
 
-/// Each change of a level reaches all proxies and could fill a channel at a sixth of its pace.
+/// Each change of a level reaches all proxies and could fill a channel at a sixth of its send rate.
 #[test]
 fn oscillating_levels_stay_within_the_backlog_of_a_slow_channel() {
-    let mut site = Site::started(
+    let mut deployment = Deployment::started(
         Settings {
             max_messages: 1000,
-            ..sparse()
+            ..sparse_settings()
         },
         0.5,
         200,
         1000,
     );
-    site.run(20, &healthy(200, &[]), &all_respond);
-    site.pace = 0.15 * site.settings.channel_lines_per_second;
-    let before = site.level_changes.values().sum::<usize>();
+    deployment.run(20, &healthy(200, &[]), &none_unresponsive);
+    deployment.send_rate = 0.15 * deployment.settings.channel_lines_per_second;
+    let before = deployment.level_changes.values().sum::<usize>();
     for second in 0..40 {
         let queue = Some(f64::from(second % 5));
         let load = LoadReport {
@@ -85,25 +94,25 @@
         let outcomes = healthy(200, &[])
             .into_iter()
             .map(|outcome| with_load(outcome, load));
-        site.run(1, &outcomes.collect::<Vec<_>>(), &all_respond);
+        deployment.run(1, &outcomes.collect::<Vec<_>>(), &none_unresponsive);
     }
     assert!(
-        site.max_queued_lines > 0.4 * site.settings.channel_backlog,
-        "the channel was put to the test"
+        deployment.max_queued_lines > 0.4 * deployment.settings.channel_backlog,
+        "the channel was filled enough to test it"
     );
     assert!(
-        site.level_changes.values().sum::<usize>() > before,
-        "levels moved"
+        deployment.level_changes.values().sum::<usize>() > before,
+        "levels changed"
     );
 }
 
 #[test]
 fn the_busiest_proxies_are_assigned_first() {
-    let site = Site::started(sparse(), 0.5, 500, 1000);
-    let (assigned, unassigned): (Vec<_>, Vec<_>) = site
+    let deployment = Deployment::started(sparse_settings(), 0.5, 500, 1000);
+    let (assigned, unassigned): (Vec<_>, Vec<_>) = deployment
         .request_rates
         .iter()
-        .partition(|(id, _)| site.assigned_tables.contains_key(id));
+        .partition(|(id, _)| deployment.assigned_tables.contains_key(id));
     assert!(
         !assigned.is_empty() && !unassigned.is_empty(),
         "{} assigned at once",
@@ -125,27 +134,27 @@
 
 #[test]
 fn outcomes_and_health_checks_cause_no_orders_before_the_tick() {
-    let mut site = Site::started(sparse(), 1.0, 500, 1000);
-    site.run(20, &healthy(300, &[]), &all_respond);
-    let before = site.action_count;
+    let mut deployment = Deployment::started(sparse_settings(), 1.0, 500, 1000);
+    deployment.run(20, &healthy(300, &[]), &none_unresponsive);
+    let before = deployment.action_count;
     for id in 0..500 {
-        site.send(&[
+        deployment.send(&[
             server_outcomes(id, 8.0, 8.0, 900.0),
             health_checked(ServerId(id), HealthCheckOutcome::TimedOut),
         ]);
     }
-    assert_eq!(site.action_count, before);
+    assert_eq!(deployment.action_count, before);
 }
 
-/// After the loss of other instances all proxies join this one. Suspensions, which go first, must not delay the last
-/// first tables beyond the grace of what the proxies' old tables name.
+/// After the loss of other instances all proxies join this one. Suspensions, which take precedence, must not delay the
+/// last first tables beyond the drain grace of servers in the proxies' old tables.
 #[test]
-fn drains_during_a_mass_join_leave_every_first_table_within_the_grace() {
+fn drains_during_a_mass_join_delay_no_first_table_beyond_the_grace() {
     let grace = ms(20_000);
-    let mut site = joining_one_instance(1150.0, grace);
-    let joined_at = site.now;
+    let mut deployment = joining_one_instance(1150.0, grace);
+    let joined_at = deployment.now;
     for batch in 0..4 {
-        site.run(4, &[], &all_respond);
+        deployment.run(4, &[], &none_unresponsive);
         let leaving = 30 * batch..30 * (batch + 1);
         let entries = leaving
             .map(|id| Endpoint {
@@ -153,27 +162,27 @@
                 ..endpoint(id)
             })
             .collect();
-        site.send(&[Event::EndpointList(EndpointUpdateKind::Delta, entries)]);
+        deployment.send(&[Event::EndpointList(EndpointUpdateKind::Delta, entries)]);
     }
-    site.run(20, &[], &all_respond);
-    let late = site
+    deployment.run(20, &[], &none_unresponsive);
+    let late = deployment
         .first_applied
         .values()
         .filter(|at| **at - joined_at > grace)
         .count();
     assert_eq!(
-        (site.first_applied.len(), late),
+        (deployment.first_applied.len(), late),
         (1000, 0),
-        "proxies served, and served too late"
+        "proxies with a first table, and those that got it too late"
     );
 }
 
-/// If reductions went first in a full channel, restored servers would keep their small weights and fewer and fewer
-/// servers would take the traffic.
+/// If reductions took precedence in a full channel, restored servers would retain their small weights and the traffic
+/// would concentrate on fewer and fewer servers.
 #[test]
 fn restored_servers_get_their_weight_while_others_keep_failing() {
-    let mut site = Site::started(sparse(), 0.4, 300, 1000);
-    site.run(20, &healthy(300, &[]), &all_respond);
+    let mut deployment = Deployment::started(sparse_settings(), 0.4, 300, 1000);
+    deployment.run(20, &healthy(300, &[]), &none_unresponsive);
     let failing = |from: u32| -> Vec<Event> {
         let failed = move |id: &u32| (from..from + 60).contains(id);
         (0..300)
@@ -181,9 +190,9 @@
             .collect()
     };
     for round in 0..4 {
-        site.run(10, &failing(60 * round), &all_respond);
+        deployment.run(10, &failing(60 * round), &none_unresponsive);
     }
-    let weights: BTreeMap<ServerId, f64> = site
+    let weights: BTreeMap<ServerId, f64> = deployment
         .tables
         .values()
         .flatten()
@@ -196,13 +205,13 @@
                 .is_some_and(|weight| *weight > 2.0)
         })
         .count();
-    assert!(restored >= 40, "{restored} of the first 60 are back");
+    assert!(restored >= 40, "{restored} of the first 60 are restored");
 }
 
 #[test]
 fn duplicate_endpoints_and_events_of_unknown_ids_are_tolerated() {
-    let mut site = Site::started(sparse(), 1.0, 100, 200);
-    site.run(4, &healthy(100, &[]), &all_respond);
+    let mut deployment = Deployment::started(sparse_settings(), 1.0, 100, 200);
+    deployment.run(4, &healthy(100, &[]), &none_unresponsive);
     let twice: Vec<Endpoint> = (0..100).chain(0..100).map(endpoint).collect();
     let period = ms(0);
     let idle = Event::ProxyDemand {
@@ -234,10 +243,10 @@
         Event::ProxyLeft(ProxyId(4999)),
         Event::Timer(77),
     ];
-    site.send(&[Event::EndpointList(EndpointUpdateKind::Snapshot, twice)]);
-    site.run(4, &odd, &all_respond);
-    assert_eq!(site.assigned_count(), 200);
-    let weights = site.tables.values().flat_map(BTreeMap::values);
+    deployment.send(&[Event::EndpointList(EndpointUpdateKind::Snapshot, twice)]);
+    deployment.run(4, &odd, &none_unresponsive);
+    assert_eq!(deployment.assigned_count(), 200);
+    let weights = deployment.tables.values().flat_map(BTreeMap::values);
     assert!(
         weights.clone().count() >= 100
             && weights
--- a/crates/policy/tests/common/site.rs
+++ b/crates/policy/tests/common/deployment.rs
@@ -1,4 +1,4 @@
-//! A fleet of proxies behind a channel that sends in order and more slowly than stated.
+//! Many proxies behind a channel that sends in order, possibly below its nominal rate.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,13 +6,13 @@
 
 use super::{class, endpoint, health_checked, ms, settings};
 
-/// Proxies that follow their tables. Each message is counted against the limits when it is written.
-pub struct Site {
+/// An instance with its proxies and channel. Each message is checked against the limits when it is written.
+pub struct Deployment {
     policy: Policy,
     pub settings: Settings,
     pub now: Micros,
-    /// Lines per second that the channel sends.
-    pub pace: f64,
+    /// Actual send rate of the channel, in lines per second.
+    pub send_rate: f64,
     pub tables: BTreeMap<TableId, BTreeMap<ServerId, f64>>,
     /// How often the level of each table was set.
     pub level_changes: BTreeMap<TableId, usize>,
@@ -21,7 +21,7 @@
     pub suspended: BTreeSet<ServerId>,
     queue: VecDeque<QueuedMessage>,
     acknowledgements: VecDeque<Acknowledgement>,
-    /// When each proxy's first message of this stream had taken effect.
+    /// Time at which the first message to each proxy on its current stream took effect.
     pub first_applied: BTreeMap<ProxyId, Micros>,
     written: BTreeMap<ProxyId, VecDeque<Micros>>,
     timers: BTreeMap<Micros, u32>,
@@ -38,7 +38,7 @@
     lines: f64,
 }
 
-/// An acknowledgement under way.
+/// An acknowledgement in flight.
 struct Acknowledgement {
     at: Micros,
     proxy: ProxyId,
@@ -48,7 +48,7 @@
 /// Time from the sending of a message to its acknowledgement.
 const ACKNOWLEDGEMENT_DELAY: Micros = Micros(400_000);
 
-pub fn large(classes: Vec<Class>) -> Settings {
+pub fn large_settings(classes: Vec<Class>) -> Settings {
     let (backlog, lines_per_s) = (20_000.0, 12_000.0);
     Settings {
         instances: 1,
@@ -61,19 +61,19 @@
     }
 }
 
-/// Few requests a second at each of very many proxies.
-pub fn sparse() -> Settings {
-    large(vec![
+/// Settings for very many proxies with few requests per second each.
+pub fn sparse_settings() -> Settings {
+    large_settings(vec![
         class(Idempotency::Idempotent, false),
         class(Idempotency::NotIdempotent, false),
     ])
 }
 
-impl Site {
-    pub fn new(settings: Settings, pace: f64) -> Site {
-        Site {
+impl Deployment {
+    pub fn new(settings: Settings, send_rate_share: f64) -> Deployment {
+        Deployment {
             policy: Policy::new(settings.clone(), 11),
-            pace: pace * settings.channel_lines_per_second,
+            send_rate: send_rate_share * settings.channel_lines_per_second,
             settings,
             now: ms(1_000_000),
             tables: BTreeMap::new(),
@@ -92,28 +92,33 @@
         }
     }
 
-    pub fn started(settings: Settings, pace: f64, servers: u32, proxies: u32) -> Site {
-        let mut site = Site::new(settings, pace);
+    pub fn started(
+        settings: Settings,
+        send_rate_share: f64,
+        servers: u32,
+        proxies: u32,
+    ) -> Deployment {
+        let mut deployment = Deployment::new(settings, send_rate_share);
         let mut events = vec![Event::EndpointList(
             EndpointUpdateKind::CachedSnapshot,
             (0..servers).map(endpoint).collect(),
         )];
         events.extend((0..proxies).map(|id| joined_with_rate(id, 1.0 + f64::from(id % 10))));
-        site.send(&events);
-        site
+        deployment.send(&events);
+        deployment
     }
 
-    pub fn holders(&self, names: impl Fn(&TableId) -> bool) -> Vec<ProxyId> {
+    pub fn proxies_using(&self, uses: impl Fn(&TableId) -> bool) -> Vec<ProxyId> {
         self.assigned_tables
             .iter()
-            .filter(|(_, tables)| tables.values().any(&names))
+            .filter(|(_, tables)| tables.values().any(&uses))
             .map(|(id, _)| *id)
             .collect()
     }
 
     pub fn send(&mut self, events: &[Event]) -> Vec<Action> {
         for event in events {
-            self.follow_stream(event);
+            self.apply_stream_event(event);
         }
         let actions = self.policy.handle_events(self.now, events);
         self.action_count += actions.len();
@@ -139,8 +144,8 @@
         actions
     }
 
-    /// Takes in the beginning and end of streams.
-    fn follow_stream(&mut self, event: &Event) {
+    /// Applies the start or end of a stream.
+    fn apply_stream_event(&mut self, event: &Event) {
         match event {
             Event::ProxyJoined {
                 proxy,
@@ -172,17 +177,17 @@
                 let weights = self.tables.entry(*table).or_default();
                 weights.insert(*server, *weight);
                 weights.retain(|_, weight| *weight > 0.0);
-                self.holders(|held| held == table)
+                self.proxies_using(|used| used == table)
             }
             Action::SetAdmission {
                 table: Some(table), ..
             } => {
                 *self.level_changes.entry(*table).or_default() += 1;
-                self.holders(|held| held == table)
+                self.proxies_using(|used| used == table)
             }
             Action::SetSuspended { server, suspended } => {
                 self.set_suspended(*server, *suspended);
-                self.holders(|table| {
+                self.proxies_using(|table| {
                     self.tables
                         .get(table)
                         .is_some_and(|weights| weights.contains_key(server))
@@ -243,7 +248,7 @@
         self.max_queued_lines = self.max_queued_lines.max(queued_lines);
     }
 
-    /// Lets time pass in steps of a tenth of a second; each second these events are delivered.
+    /// Advances the time in steps of a tenth of a second and delivers `each_second` every second.
     pub fn run(
         &mut self,
         seconds: u32,
@@ -265,9 +270,9 @@
         }
     }
 
-    /// Sends what the channel can send in a tenth of a second.
+    /// Sends the messages that the channel can send in a tenth of a second.
     fn send_queued(&mut self) {
-        let mut capacity = self.pace / 10.0;
+        let mut capacity = self.send_rate / 10.0;
         while let Some(message) = self.queue.front_mut() {
             if message.lines > capacity {
                 message.lines -= capacity;
@@ -357,7 +362,7 @@
     }
 }
 
-pub fn all_respond(_: ServerId) -> bool {
+pub fn none_unresponsive(_: ServerId) -> bool {
     false
 }
 
@@ -368,13 +373,13 @@
     }
 }
 
-/// A fleet all of which joins one instance whose channel sends little.
-pub fn joining_one_instance(lines_per_s: f64, drain_grace: Micros) -> Site {
+/// A deployment whose proxies all join one instance, with the given send rate of its channel.
+pub fn joining_one_instance(lines_per_s: f64, drain_grace: Micros) -> Deployment {
     let settings = Settings {
         channel_lines_per_second: lines_per_s,
         channel_backlog: 60_000.0,
         drain_grace,
-        ..sparse()
+        ..sparse_settings()
     };
-    Site::started(settings, 1.0, 500, 1000)
+    Deployment::started(settings, 1.0, 500, 1000)
 }
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet under test.
+//! A small fleet around one instance.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,8 +6,9 @@
 
 use super::{endpoint, health_checked_after, ms, proxy_joined};
 
-/// A small fleet around one instance. It delivers timers, answers health checks and keeps what proxies would hold.
-pub struct World {
+/// A small fleet around one instance. It delivers timers, answers health checks and records the tables, levels and
+/// suspensions of its proxies.
+pub struct Fleet {
     pub policy: Policy,
     pub now: Micros,
     timers: BTreeMap<Micros, Vec<u32>>,
@@ -23,17 +24,17 @@
     pub slow_health_checks: BTreeSet<u32>,
     pub slowness: i64,
     pending_health_checks: Vec<ServerId>,
-    /// When messages were written to each proxy since it joined.
+    /// Times at which messages were written to each proxy since it joined.
     pub messages: BTreeMap<ProxyId, Vec<Micros>>,
-    /// Whether proxies acknowledge what they receive, at the next timer.
+    /// Whether proxies acknowledge messages, at the next timer.
     pub acknowledges: bool,
     unacknowledged: Vec<u16>,
 }
 
-impl World {
+impl Fleet {
     /// A fleet of `servers` long-running servers and `proxies` joined proxies.
-    pub fn new(settings: Settings, servers: u32, proxies: u32) -> World {
-        let mut world = World {
+    pub fn new(settings: Settings, servers: u32, proxies: u32) -> Fleet {
+        let mut fleet = Fleet {
             policy: Policy::new(settings, 7),
             now: ms(1_000_000),
             timers: BTreeMap::new(),
@@ -56,8 +57,8 @@
             (0..servers).map(endpoint).collect(),
         )];
         events.extend((0..proxies).map(proxy_joined));
-        world.send(&events);
-        world
+        fleet.send(&events);
+        fleet
     }
 
     pub fn send(&mut self, events: &[Event]) -> Vec<Action> {
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Lets time pass; each second every event of `each_second` is delivered.
+    /// Advances the time and delivers `each_second` every second.
     pub fn run(&mut self, seconds: u32, each_second: &[Event]) {
         for _ in 0..seconds {
             let end = self.now + ms(1000);
@@ -191,7 +192,7 @@
         }
     }
 
-    /// The acknowledgements of all proxies for the turns since the last call.
+    /// The acknowledgements of all proxies for the rounds of orders since the last call.
     fn acknowledgements(&mut self) -> Vec<Event> {
         let sequences = std::mem::take(&mut self.unacknowledged);
         if !self.acknowledges {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Settings, endpoints, events and small fleets for the tests.
 #![allow(dead_code)]
 
-pub mod site;
-mod world;
+pub mod deployment;
+mod fleet;
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
     ZoneId,
 };
 
-pub use world::World;
+pub use fleet::Fleet;
 
 pub fn ms(ms: i64) -> Micros {
     Micros(ms * 1000)
@@ -130,14 +130,18 @@
     }
 }
 
-pub fn health_checked(server: ServerId, end: HealthCheckOutcome) -> Event {
-    health_checked_after(server, end, ms(5))
+pub fn health_checked(server: ServerId, outcome: HealthCheckOutcome) -> Event {
+    health_checked_after(server, outcome, ms(5))
 }
 
-pub fn health_checked_after(server: ServerId, end: HealthCheckOutcome, elapsed: Micros) -> Event {
+pub fn health_checked_after(
+    server: ServerId,
+    outcome: HealthCheckOutcome,
+    elapsed: Micros,
+) -> Event {
     Event::HealthChecked {
         server,
-        outcome: end,
+        outcome,
         elapsed,
         load: LoadReport::default(),
     }
@@ -151,41 +155,44 @@
         .collect()
 }
 
-/// What the test itself knows of the endpoint list: the servers in service, and those that started anew.
-pub struct Roster {
-    pub open: BTreeSet<u32>,
+/// The endpoint list as expected by a test: the servers in service, and those that have restarted.
+pub struct ListedServers {
+    pub in_service: BTreeSet<u32>,
     pub warming: BTreeSet<u32>,
 }
 
-impl Roster {
-    /// So many servers, all of them long in service.
+impl ListedServers {
+    /// A list of `servers` warm servers in service.
     pub fn new(servers: u32) -> Self {
-        Roster {
-            open: (0..servers).collect(),
+        ListedServers {
+            in_service: (0..servers).collect(),
             warming: BTreeSet::new(),
         }
     }
 
-    /// Takes in the events that are sent to a fleet. Its proxies that join or leave hold no table.
-    pub fn take(&mut self, events: &[Event], world: &mut World) {
+    /// Applies events that are sent to a fleet, and drops the tables of proxies that join or leave.
+    pub fn apply(&mut self, events: &[Event], fleet: &mut Fleet) {
         for event in events {
             match event {
                 Event::EndpointList(_, entries) => {
                     for endpoint in entries {
                         let id = endpoint.server.0;
-                        let set = |set: &mut BTreeSet<u32>, holds: bool| {
-                            if holds {
+                        let set = |set: &mut BTreeSet<u32>, is_member: bool| {
+                            if is_member {
                                 set.insert(id)
                             } else {
                                 set.remove(&id)
                             }
                         };
-                        set(&mut self.open, endpoint.lifecycle == Lifecycle::InService);
+                        set(
+                            &mut self.in_service,
+                            endpoint.lifecycle == Lifecycle::InService,
+                        );
                         set(&mut self.warming, endpoint.started_at.is_some());
                     }
                 }
                 Event::ProxyJoined { proxy, .. } | Event::ProxyLeft(proxy) => {
-                    world.assigned_tables.remove(proxy);
+                    fleet.assigned_tables.remove(proxy);
                 }
                 _ => {}
             }
@@ -193,7 +200,7 @@
     }
 }
 
-/// The sequence number whose acknowledgement these actions request, if they do.
+/// The sequence number of the acknowledgement that these actions request, if any.
 pub fn requested_sequence(actions: &[Action]) -> Option<u16> {
     actions.iter().find_map(|action| match action {
         Action::RequestAcknowledgement { sequence, .. } => Some(*sequence),
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -1,27 +1,27 @@
-//! Health states: scores, dwell, servers without outcomes, returns.
+//! Health states: scores, dwell times, servers without outcomes, re-admission.
 
 mod common;
 use chutegrade_policy::*;
 use common::*;
 
-/// A healthy fleet of eight whose server 3 was withdrawn for failed attempts.
-fn without_server_3() -> World {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(5, &healthy(8, &[]));
+/// A fleet of eight servers of which server 3 was withdrawn for failed attempts.
+fn without_server_3() -> Fleet {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(5, &healthy(8, &[]));
     let mut events = healthy(8, &[3]);
     events.push(server_outcomes(3, 8.0, 8.0, 0.0));
-    world.run(4, &events);
-    assert_eq!(world.weight(3), 0.0);
-    world
+    fleet.run(4, &events);
+    assert_eq!(fleet.weight(3), 0.0);
+    fleet
 }
 
 #[test]
-fn a_quiet_fleet_keeps_listed_weights_and_sends_nothing_more() {
-    let mut world = World::new(settings(), 8, 4);
-    world.actions.clear();
-    world.run(20, &healthy(8, &[]));
-    assert!((0..8).all(|id| world.weight(id) == 4.0));
-    assert!(!world
+fn a_healthy_fleet_retains_listed_weights_without_updates() {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.actions.clear();
+    fleet.run(20, &healthy(8, &[]));
+    assert!((0..8).all(|id| fleet.weight(id) == 4.0));
+    assert!(!fleet
         .actions
         .iter()
         .any(|action| matches!(action, Action::SetWeight { .. })));
@@ -29,52 +29,52 @@
 
 #[test]
 fn a_failing_server_is_withdrawn_within_seconds_and_others_keep_their_weight() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(5, &healthy(8, &[]));
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(5, &healthy(8, &[]));
     let mut events = healthy(8, &[3]);
     events.push(server_outcomes(3, 8.0, 7.0, 200.0));
-    world.run(4, &events);
-    assert_eq!(world.weight(3), 0.0);
+    fleet.run(4, &events);
+    assert_eq!(fleet.weight(3), 0.0);
     assert!((0..8)
         .filter(|id| *id != 3)
-        .all(|id| world.weight(id) == 4.0));
+        .all(|id| fleet.weight(id) == 4.0));
 }
 
 #[test]
 fn one_failed_attempt_among_few_does_not_withdraw() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(5, &healthy(8, &[]));
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(5, &healthy(8, &[]));
     let mut events = healthy(8, &[3]);
     events.push(server_outcomes(3, 4.0, 1.0, 200.0));
-    world.run(1, &events);
-    world.run(5, &healthy(8, &[]));
-    assert!(world.weight(3) >= 2.0, "weight {}", world.weight(3));
+    fleet.run(1, &events);
+    fleet.run(5, &healthy(8, &[]));
+    assert!(fleet.weight(3) >= 2.0, "weight {}", fleet.weight(3));
 }
 
 #[test]
 fn a_server_without_outcomes_counts_as_healthy() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(20, &healthy(8, &[5]));
-    assert_eq!(world.weight(5), 4.0);
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(20, &healthy(8, &[5]));
+    assert_eq!(fleet.weight(5), 4.0);
 }
 
 #[test]
 fn a_slow_server_is_reduced_but_never_withdrawn() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(5, &healthy(8, &[]));
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(5, &healthy(8, &[]));
     let mut events = healthy(8, &[3]);
     events.push(server_outcomes(3, 8.0, 0.0, 3000.0));
-    world.run(10, &events);
-    let weight = world.weight(3);
+    fleet.run(10, &events);
+    let weight = fleet.weight(3);
     assert!(weight > 0.0 && weight < 2.0, "weight {weight}");
 }
 
 #[test]
-fn a_withdrawn_server_returns_with_little_weight_and_recovers_with_successes() {
-    let mut world = without_server_3();
-    world.actions.clear();
-    world.run(8, &healthy(8, &[3]));
-    let back = world.actions.iter().find_map(|action| match action {
+fn a_withdrawn_server_is_readmitted_at_low_weight_and_recovers_with_successes() {
+    let mut fleet = without_server_3();
+    fleet.actions.clear();
+    fleet.run(8, &healthy(8, &[3]));
+    let first_weight = fleet.actions.iter().find_map(|action| match action {
         Action::SetWeight {
             server: ServerId(3),
             weight,
@@ -83,49 +83,49 @@
         _ => None,
     });
     assert!(
-        back.is_some_and(|weight| weight <= 0.4001),
-        "first weight after the return: {back:?}"
+        first_weight.is_some_and(|weight| weight <= 0.4001),
+        "first weight after re-admission: {first_weight:?}"
     );
-    world.run(12, &healthy(8, &[]));
+    fleet.run(12, &healthy(8, &[]));
     assert!(
-        (3.3..=4.8).contains(&world.weight(3)),
+        (3.3..=4.8).contains(&fleet.weight(3)),
         "within a fifth: {}",
-        world.weight(3)
+        fleet.weight(3)
     );
 }
 
 #[test]
 fn a_server_that_fails_health_checks_is_withdrawn_before_its_attempts_time_out() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(5, &healthy(8, &[]));
-    world.unresponsive.insert(3);
-    world.run(4, &healthy(8, &[3]));
-    assert_eq!(world.weight(3), 0.0);
-    world.run(20, &healthy(8, &[3]));
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(5, &healthy(8, &[]));
+    fleet.unresponsive.insert(3);
+    fleet.run(4, &healthy(8, &[3]));
+    assert_eq!(fleet.weight(3), 0.0);
+    fleet.run(20, &healthy(8, &[3]));
     assert_eq!(
-        world.weight(3),
+        fleet.weight(3),
         0.0,
-        "it does not return while health checks fail"
+        "it is not re-admitted while health checks fail"
     );
 }
 
 #[test]
-fn a_common_fault_blames_no_server() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(5, &healthy(8, &[]));
+fn a_fault_common_to_all_servers_withdraws_none() {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(5, &healthy(8, &[]));
     let stalled: Vec<Event> = (0..8)
         .map(|id| server_outcomes(id, 8.0, 4.0, 1400.0))
         .collect();
-    world.run(15, &stalled);
-    assert!((0..8).all(|id| world.weight(id) >= 3.0));
+    fleet.run(15, &stalled);
+    assert!((0..8).all(|id| fleet.weight(id) >= 3.0));
 }
 
 #[test]
-fn health_checks_that_all_fail_blame_no_server() {
-    let mut world = World::new(settings(), 8, 4);
-    world.unresponsive.extend(0..8);
-    world.run(10, &healthy(8, &[]));
-    assert!((0..8).all(|id| world.weight(id) == 4.0));
+fn health_checks_that_fail_everywhere_reduce_no_weight() {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.unresponsive.extend(0..8);
+    fleet.run(10, &healthy(8, &[]));
+    assert!((0..8).all(|id| fleet.weight(id) == 4.0));
 }
 
 fn with_service_time(id: u32, ms: f64) -> Event {
@@ -139,11 +139,11 @@
 }
 
 #[test]
-fn a_server_twice_as_slow_for_its_size_gets_about_half_by_load_reports_alone() {
-    let mut unprobed = settings();
-    unprobed.health_checks_allowed = false;
-    let mut world = World::new(unprobed, 8, 4);
-    // The reports differ a little, since a repeated one shows nothing new.
+fn a_server_twice_as_slow_gets_about_half_the_weight_by_load_reports_alone() {
+    let mut without_health_checks = settings();
+    without_health_checks.health_checks_allowed = false;
+    let mut fleet = Fleet::new(without_health_checks, 8, 4);
+    // The reports differ slightly, since a repeated report is ignored.
     for second in 0..20 {
         let events: Vec<Event> = (0..8)
             .map(|id| {
@@ -153,36 +153,36 @@
                 )
             })
             .collect();
-        world.run(1, &events);
+        fleet.run(1, &events);
     }
-    let weight = world.weight(2);
+    let weight = fleet.weight(2);
     assert!((1.6..=2.8).contains(&weight), "weight {weight}");
 }
 
 #[test]
-fn a_server_whose_health_checks_take_twice_as_long_gets_about_half_at_once() {
-    let mut world = World::new(settings(), 8, 4);
-    world.slow_health_checks.insert(2);
-    world.run(3, &healthy(8, &[]));
-    let weight = world.weight(2);
+fn a_server_with_health_checks_twice_as_slow_gets_about_half_the_weight_at_once() {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.slow_health_checks.insert(2);
+    fleet.run(3, &healthy(8, &[]));
+    let weight = fleet.weight(2);
     assert!((1.6..=2.8).contains(&weight), "weight {weight}");
 }
 
 #[test]
-fn a_server_that_slows_down_is_reduced_before_its_responses_show_it() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(10, &healthy(8, &[]));
-    world.slow_health_checks.insert(2);
-    world.slowness = 8;
-    world.run(6, &healthy(8, &[]));
-    let weight = world.weight(2);
+fn slow_health_checks_reduce_a_server_before_its_responses_are_slow() {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(10, &healthy(8, &[]));
+    fleet.slow_health_checks.insert(2);
+    fleet.slowness = 8;
+    fleet.run(6, &healthy(8, &[]));
+    let weight = fleet.weight(2);
     assert!(weight < 2.0, "weight {weight}");
 }
 
 #[test]
 fn a_saturated_server_with_failed_attempts_is_not_withdrawn() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(5, &healthy(8, &[]));
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(5, &healthy(8, &[]));
     for second in 0..8 {
         let mut events = healthy(8, &[3]);
         let load = LoadReport {
@@ -190,34 +190,34 @@
             ..LoadReport::default()
         };
         events.push(with_load(server_outcomes(3, 8.0, 5.0, 900.0), load));
-        world.run(1, &events);
+        fleet.run(1, &events);
         assert!(
-            world.weight(3) > 0.4,
+            fleet.weight(3) > 0.4,
             "weight {} after {second} s",
-            world.weight(3)
+            fleet.weight(3)
         );
     }
 }
 
-/// A returned server's weight may be so small that it gets less than one attempt in a tick. Its ceiling must grow all
-/// the same.
+/// The weight of a re-admitted server may be so small that it gets less than one attempt in a tick. Its weight ceiling
+/// must still grow.
 #[test]
-fn a_returned_server_recovers_with_few_successes() {
-    let mut world = without_server_3();
+fn a_readmitted_server_recovers_with_few_successes() {
+    let mut fleet = without_server_3();
     let mut few = healthy(8, &[3]);
     few.push(server_outcomes(3, 0.4, 0.0, 200.0));
-    world.run(30, &few);
-    assert!(world.weight(3) >= 3.6, "weight {}", world.weight(3));
+    fleet.run(30, &few);
+    assert!(fleet.weight(3) >= 3.6, "weight {}", fleet.weight(3));
 }
 
-/// Under a common overload, slow health checks must not take the weight from servers with headroom left.
+/// Under a common overload, slow health checks must not reduce the weight of servers with headroom.
 #[test]
-fn no_server_is_reduced_for_slowness_while_the_complete_fleet_is_saturated() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(10, &healthy(8, &[]));
-    let before = world.weight(2);
-    world.slow_health_checks.insert(2);
-    world.slowness = 20;
+fn slow_health_checks_reduce_no_server_while_the_complete_fleet_is_saturated() {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(10, &healthy(8, &[]));
+    let before = fleet.weight(2);
+    fleet.slow_health_checks.insert(2);
+    fleet.slowness = 20;
     for second in 0..6 {
         let load = LoadReport {
             queued: Some(30.0 + f64::from(second)),
@@ -227,27 +227,28 @@
             .into_iter()
             .map(|outcome| with_load(outcome, load))
             .collect();
-        world.run(1, &saturated);
+        fleet.run(1, &saturated);
     }
     assert!(
-        world.weight(2) > 0.5 * before,
+        fleet.weight(2) > 0.5 * before,
         "weight {} after {before}",
-        world.weight(2)
+        fleet.weight(2)
     );
 }
 
-/// The score alone would leave a server at a quarter of its speed half of its weight, and its responses would be late.
+/// By the score alone a server at a quarter of its speed would retain half of its weight, and its responses would be
+/// late.
 #[test]
-fn a_slowed_server_keeps_no_more_weight_than_its_remaining_speed() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(10, &healthy(8, &[]));
-    let before = world.weight(2);
-    world.slow_health_checks.insert(2);
-    world.slowness = 5;
-    world.run(6, &healthy(8, &[]));
+fn the_weight_of_a_slowed_server_follows_its_remaining_speed() {
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(10, &healthy(8, &[]));
+    let before = fleet.weight(2);
+    fleet.slow_health_checks.insert(2);
+    fleet.slowness = 5;
+    fleet.run(6, &healthy(8, &[]));
     assert!(
-        world.weight(2) < 0.4 * before,
+        fleet.weight(2) < 0.4 * before,
         "weight {} of {before}",
-        world.weight(2)
+        fleet.weight(2)
     );
 }
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Overload limits: they combine with health, guards and pacing, expire, and break no rule.
+//! Overload limits: they combine with saturation, advice and safe retries, expire, and violate no invariant.
 
 mod common;
 use common::*;
@@ -6,23 +6,23 @@
 
 use chutegrade_policy::*;
 
-fn renewed(world: &World, limits: Limits) -> Event {
+fn renewed(fleet: &Fleet, limits: Limits) -> Event {
     Event::Limits(Limits {
-        expires_at: world.now + ms(4000),
+        expires_at: fleet.now + ms(4000),
         ..limits
     })
 }
 
-/// Seconds in which the same limits are renewed each second, as the overload manager does.
-fn run_with_limits(world: &mut World, seconds: u32, limits: &Limits, each_second: &[Event]) {
+/// Runs for some seconds and renews the limits every second, as the overload manager does.
+fn run_with_limits(fleet: &mut Fleet, seconds: u32, limits: &Limits, each_second: &[Event]) {
     for _ in 0..seconds {
         let mut events = each_second.to_vec();
-        events.push(renewed(world, limits.clone()));
-        world.run(1, &events);
+        events.push(renewed(fleet, limits.clone()));
+        fleet.run(1, &events);
     }
 }
 
-fn keyed(window: i64) -> Settings {
+fn keyed_settings(window: i64) -> Settings {
     let keyed = Class {
         idempotency: Idempotency::Keyed(DeduplicationScope::All, ms(window)),
         ..class(Idempotency::Idempotent, false)
@@ -39,8 +39,8 @@
 
 #[test]
 fn the_admitted_share_of_a_class_is_an_upper_bound_and_expires() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(3, &healthy(8, &[]));
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(3, &healthy(8, &[]));
     let admitted = vec![
         ClassShare {
             class: ClassId(0),
@@ -52,7 +52,7 @@
         },
     ];
     run_with_limits(
-        &mut world,
+        &mut fleet,
         5,
         &Limits {
             admitted,
@@ -61,28 +61,28 @@
         &healthy(8, &[]),
     );
     assert_eq!(
-        (world.levels[&0], world.levels[&1]),
+        (fleet.levels[&0], fleet.levels[&1]),
         (0.5, 0.1),
         "a class is never shed completely"
     );
-    world.run(8, &healthy(8, &[]));
-    assert_eq!((world.levels[&0], world.levels[&1]), (1.0, 1.0));
+    fleet.run(8, &healthy(8, &[]));
+    assert_eq!((fleet.levels[&0], fleet.levels[&1]), (1.0, 1.0));
 }
 
 #[test]
-fn a_shed_share_limit_adds_to_saturation_and_raises_no_level() {
-    let full = LoadReport {
+fn a_shed_share_limit_is_a_lower_bound_and_raises_no_level() {
+    let full_queue = LoadReport {
         queued: Some(30.0),
         ..LoadReport::default()
     };
-    let busy: Vec<Event> = healthy(8, &[])
+    let saturated: Vec<Event> = healthy(8, &[])
         .into_iter()
-        .map(|outcome| with_load(outcome, full))
+        .map(|outcome| with_load(outcome, full_queue))
         .collect();
     let lowest = |min_shed_share: Option<f64>, events: &[Event]| {
-        let mut world = World::new(settings(), 8, 4);
+        let mut fleet = Fleet::new(settings(), 8, 4);
         run_with_limits(
-            &mut world,
+            &mut fleet,
             10,
             &Limits {
                 min_shed_share,
@@ -90,28 +90,31 @@
             },
             events,
         );
-        (world.levels[&0], world.levels[&1])
+        (fleet.levels[&0], fleet.levels[&1])
     };
-    let calm = healthy(8, &[]);
-    let own = lowest(None, &busy);
+    let unsaturated = healthy(8, &[]);
+    let own = lowest(None, &saturated);
     assert!(own.0 <= 0.2 && own.1 <= 0.2, "{own:?}");
     for nothing in [0.0, -1.0, f64::NAN] {
-        assert_eq!(lowest(Some(nothing), &busy), own, "{nothing}");
+        assert_eq!(lowest(Some(nothing), &saturated), own, "{nothing}");
     }
-    let half = lowest(Some(0.5), &calm);
+    let half = lowest(Some(0.5), &unsaturated);
     assert!(
         half.0 < 0.2 && half.1 > 0.8,
-        "the least value for its time is shed first: {half:?}"
+        "the least priority weight per second is shed first: {half:?}"
+    );
+    assert_eq!(lowest(None, &unsaturated), (1.0, 1.0));
+    assert_eq!(
+        lowest(Some(9.0), &unsaturated),
+        lowest(Some(0.9), &unsaturated)
     );
-    assert_eq!(lowest(None, &calm), (1.0, 1.0));
-    assert_eq!(lowest(Some(9.0), &calm), lowest(Some(0.9), &calm));
 }
 
-/// An overload manager that stands still, or sends a time far ahead, must not shed load for good.
+/// An overload manager that stops, or sends an expiry far in the future, must not shed load indefinitely.
 #[test]
 fn limits_that_expire_too_late_are_ignored() {
-    let mut world = World::new(settings(), 8, 4);
-    world.run(3, &healthy(8, &[]));
+    let mut fleet = Fleet::new(settings(), 8, 4);
+    fleet.run(3, &healthy(8, &[]));
     let admitted = vec![ClassShare {
         class: ClassId(0),
         share: 0.5,
@@ -123,14 +126,14 @@
     });
     let mut events = healthy(8, &[]);
     events.push(forever);
-    world.run(4, &events);
-    assert_eq!(world.levels[&0], 1.0);
+    fleet.run(4, &events);
+    assert_eq!(fleet.levels[&0], 1.0);
 }
 
-/// The retry policies of three classes under limits that ask for as many retries as possible.
+/// The retry policies of three classes under limits that request as many retries as possible.
 fn widest_retries(settings: Settings, each_second: &[Event]) -> (Retry, Retry, Retry) {
-    let mut world = World::new(settings, 8, 4);
-    world.run(3, &healthy(8, &[]));
+    let mut fleet = Fleet::new(settings, 8, 4);
+    fleet.run(3, &healthy(8, &[]));
     let retries = (0..3)
         .map(|class| ClassRetry {
             class: ClassId(class),
@@ -141,44 +144,44 @@
         retries,
         ..Limits::default()
     };
-    run_with_limits(&mut world, 6, &limits, each_second);
-    (world.retries[&0], world.retries[&1], world.retries[&2])
+    run_with_limits(&mut fleet, 6, &limits, each_second);
+    (fleet.retries[&0], fleet.retries[&1], fleet.retries[&2])
 }
 
 #[test]
 fn retries_widen_only_for_idempotent_classes() {
-    let calm = healthy(8, &[]);
-    // The client waits 2.4 s: a key must be kept twice as long.
+    let unsaturated = healthy(8, &[]);
+    // The deadline is 2.4 s: a key must be retained for twice that time.
     assert_eq!(
-        widest_retries(keyed(10_000), &calm),
+        widest_retries(keyed_settings(10_000), &unsaturated),
         (Retry::Once, Retry::IfNotExecuted, Retry::Once)
     );
     assert_eq!(
-        widest_retries(keyed(4000), &calm),
+        widest_retries(keyed_settings(4000), &unsaturated),
         (Retry::Once, Retry::IfNotExecuted, Retry::IfNotExecuted)
     );
     let zone = Class {
         idempotency: Idempotency::Keyed(DeduplicationScope::Zone, ms(60_000)),
         ..class(Idempotency::Idempotent, false)
     };
-    let mut own = keyed(10_000);
+    let mut own = keyed_settings(10_000);
     own.classes[2] = zone;
     assert_eq!(
-        widest_retries(own, &calm).2,
+        widest_retries(own, &unsaturated).2,
         Retry::IfNotExecuted,
-        "another zone does not know the key"
+        "the key is not recognised in another zone"
     );
-    // No retry policy widens in a saturated fleet.
-    let full = LoadReport {
+    // Limits widen no retry policy in a saturated fleet.
+    let full_queue = LoadReport {
         queued: Some(30.0),
         ..LoadReport::default()
     };
-    let busy: Vec<Event> = calm
+    let saturated: Vec<Event> = unsaturated
         .into_iter()
-        .map(|outcome| with_load(outcome, full))
+        .map(|outcome| with_load(outcome, full_queue))
         .collect();
     assert_eq!(
-        widest_retries(keyed(10_000), &busy),
+        widest_retries(keyed_settings(10_000), &saturated),
         (
             Retry::IfNotExecuted,
             Retry::IfNotExecuted,
@@ -189,8 +192,8 @@
 
 #[test]
 fn limits_narrow_retries_and_plug_ins_narrow_them_further() {
-    let mut world = World::new(keyed(10_000), 8, 4);
-    world.run(3, &healthy(8, &[]));
+    let mut fleet = Fleet::new(keyed_settings(10_000), 8, 4);
+    fleet.run(3, &healthy(8, &[]));
     let retries = vec![
         ClassRetry {
             class: ClassId(0),
@@ -205,24 +208,24 @@
         retries,
         ..Limits::default()
     };
-    run_with_limits(&mut world, 4, &limits, &healthy(8, &[]));
+    run_with_limits(&mut fleet, 4, &limits, &healthy(8, &[]));
     assert_eq!(
-        (world.retries[&0], world.retries[&1], world.retries[&2]),
+        (fleet.retries[&0], fleet.retries[&1], fleet.retries[&2]),
         (Retry::Never, Retry::IfNotExecuted, Retry::Once)
     );
     let no_retry = ClassSet::default().with(2);
     let advice = Event::Advice(Advice {
         no_retry,
-        expires_at: world.now + ms(14_000),
+        expires_at: fleet.now + ms(14_000),
         ..Advice::default()
     });
     let mut events = healthy(8, &[]);
     events.push(advice);
-    run_with_limits(&mut world, 3, &limits, &events);
-    assert_eq!(world.retries[&2], Retry::Never);
+    run_with_limits(&mut fleet, 3, &limits, &events);
+    assert_eq!(fleet.retries[&2], Retry::Never);
 }
 
-/// One heavy proxy must not take from all others what only itself should lose.
+/// One heavy proxy must not cause load shedding at all others.
 #[test]
 fn heavy_proxies_with_separate_tables_are_shed_first() {
     let sparse = Settings {
@@ -230,8 +233,8 @@
         idle_timeout: ms(2000),
         ..settings()
     };
-    let mut world = World::new(sparse, 64, 40);
-    let usage = |proxy: u32| Event::ProxyDemand {
+    let mut fleet = Fleet::new(sparse, 64, 40);
+    let demand = |proxy: u32| Event::ProxyDemand {
         proxy: ProxyId(proxy),
         class: ClassId(0),
         arrivals: if proxy == 3 { 900.0 } else { 5.0 },
@@ -239,8 +242,8 @@
         period: ms(1000),
     };
     let mut events = healthy(64, &[]);
-    events.extend((0..40).map(usage));
-    world.run(12, &events);
+    events.extend((0..40).map(demand));
+    fleet.run(12, &events);
     let limits = Limits {
         min_shed_share: Some(0.4),
         shed_shares: Some(ShedShares {
@@ -249,22 +252,22 @@
         }),
         ..Limits::default()
     };
-    run_with_limits(&mut world, 6, &limits, &events);
-    // The level of each proxy's table is what was ordered for it last.
+    run_with_limits(&mut fleet, 6, &limits, &events);
+    // The level of a proxy's table is the last one that was ordered for it.
     let level = |proxy: u32| {
-        let assigned_tables = &world.assigned_tables[&ProxyId(proxy)];
+        let assigned_tables = &fleet.assigned_tables[&ProxyId(proxy)];
         let table = assigned_tables
             .iter()
             .rev()
             .find(|(_, classes)| classes.has(0))
             .map(|of| of.0);
-        let own = world.actions.iter().rev().find_map(|action| match action {
+        let own = fleet.actions.iter().rev().find_map(|action| match action {
             Action::SetAdmission {
-                table: of,
+                table: ordered,
                 classes,
                 level,
                 ..
-            } if *of == table && classes.has(0) => Some(*level),
+            } if *ordered == table && classes.has(0) => Some(*level),
             _ => None,
         });
         own.unwrap_or(1.0)
@@ -280,13 +283,13 @@
 #[test]
 fn empty_limits_change_nothing() {
     let run = |renewing: bool| {
-        let mut world = World::new(settings(), 8, 6);
+        let mut fleet = Fleet::new(settings(), 8, 6);
         for round in 0..40 {
             let mut events = healthy(8, &[round % 9]);
-            events.extend(renewing.then(|| renewed(&world, Limits::default())));
-            world.run(1, &events);
+            events.extend(renewing.then(|| renewed(&fleet, Limits::default())));
+            fleet.run(1, &events);
         }
-        world.actions
+        fleet.actions
     };
     assert_eq!(run(false), run(true));
 }
@@ -351,29 +354,29 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the limits, the rules hold: no unsafe retry, levels between a tenth and all, messages within their
+    /// The invariants hold for any limits: no unsafe retry, levels between a tenth and all, messages within their
     /// limit, and a server for each proxy.
     #[test]
-    fn rules_hold_under_arbitrary_limits(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
-        let settings = keyed(4000);
-        let mut world = World::new(settings.clone(), 8, 6);
+    fn invariants_hold_under_arbitrary_limits(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
+        let settings = keyed_settings(4000);
+        let mut fleet = Fleet::new(settings.clone(), 8, 6);
         for events in rounds {
-            world.send(&events);
-            world.run(1, &[]);
-            prop_assert!(world.retries.get(&1).is_none_or(|retry| *retry <= Retry::IfNotExecuted), "could run twice");
-            prop_assert!(world.retries.get(&2).is_none_or(|retry| *retry <= Retry::IfNotExecuted), "its key expires too soon");
-            prop_assert!(world.retries.values().all(|retry| *retry <= Retry::Once));
-            prop_assert!(world.levels.values().all(|level| (0.05..=1.0).contains(level)), "{:?}", world.levels);
-            let leaves = |id: u32| world.suspended.contains(&ServerId(id));
-            let open = (0..8).any(|id| !leaves(id));
-            for assigned_tables in world.assigned_tables.values() {
+            fleet.send(&events);
+            fleet.run(1, &[]);
+            prop_assert!(fleet.retries.get(&1).is_none_or(|retry| *retry <= Retry::IfNotExecuted), "could run twice");
+            prop_assert!(fleet.retries.get(&2).is_none_or(|retry| *retry <= Retry::IfNotExecuted), "its key expires too soon");
+            prop_assert!(fleet.retries.values().all(|retry| *retry <= Retry::Once));
+            prop_assert!(fleet.levels.values().all(|level| (0.05..=1.0).contains(level)), "{:?}", fleet.levels);
+            let is_leaving = |id: u32| fleet.suspended.contains(&ServerId(id));
+            let any_in_service = (0..8).any(|id| !is_leaving(id));
+            for assigned_tables in fleet.assigned_tables.values() {
                 let table = assigned_tables.last().expect("assigned").0;
-                let lines = world.tables.get(&table);
-                let some = lines.is_some_and(|lines| lines.keys().any(|id| !leaves(id.0)));
-                prop_assert!(!open || some, "no server to pick");
+                let weights = fleet.tables.get(&table);
+                let has_server = weights.is_some_and(|weights| weights.keys().any(|id| !is_leaving(id.0)));
+                prop_assert!(!any_in_service || has_server, "no server to pick");
             }
-            for written in world.messages.values() {
-                let recent = written.iter().filter(|at| world.now - **at <= settings.message_window).count();
+            for written in fleet.messages.values() {
+                let recent = written.iter().filter(|at| fleet.now - **at <= settings.message_window).count();
                 prop_assert!(recent <= settings.max_messages);
             }
         }
--- a/crates/policy/tests/reconciliation.rs
+++ b/crates/policy/tests/reconciliation.rs
@@ -17,7 +17,7 @@
 const SERVERS: u32 = 20;
 const BACKLOG: f64 = 2000.0;
 
-fn all_in(lifecycle: Lifecycle, servers: std::ops::Range<u32>) -> Event {
+fn endpoint_update(lifecycle: Lifecycle, servers: std::ops::Range<u32>) -> Event {
     let endpoints = servers
         .map(|id| Endpoint {
             lifecycle,
@@ -33,7 +33,7 @@
     assigned: usize,
 }
 
-/// All proxies join after the first servers have left and returned.
+/// Joins all proxies after the first servers have left and returned.
 fn join_after_returns(returned_servers: u32, has_previous_table: bool) -> Joined {
     let settings = Settings {
         proxies: PROXIES as usize,
@@ -48,8 +48,14 @@
             (0..SERVERS).map(endpoint).collect(),
         )],
     );
-    policy.handle_events(ms(10), &[all_in(Lifecycle::Draining, 0..returned_servers)]);
-    policy.handle_events(ms(20), &[all_in(Lifecycle::InService, 0..returned_servers)]);
+    policy.handle_events(
+        ms(10),
+        &[endpoint_update(Lifecycle::Draining, 0..returned_servers)],
+    );
+    policy.handle_events(
+        ms(20),
+        &[endpoint_update(Lifecycle::InService, 0..returned_servers)],
+    );
     let joined = |id: u32| Event::ProxyJoined {
         proxy: ProxyId(id),
         zone: ZoneId(0),
@@ -65,19 +71,18 @@
     Joined { policy, assigned }
 }
 
-/// Proxies keep suspensions when they change instances. The first table of a proxy corrects those of the servers that
-/// left here, and the others are corrected once the channel is free. All lines are counted: after the loss of an
-/// instance all its proxies join at once, uncounted lines would fill the channel, and corrections for all servers at
-/// once would delay the last first tables.
+/// Proxies retain suspensions when they change instances. The first table corrects those of servers that left here, and
+/// the rest is corrected once the channel is free. After the loss of an instance, uncounted lines would fill the
+/// channel, and correcting all servers at once would delay the last first tables.
 #[test]
-fn suspensions_held_by_joining_proxies_count_in_the_channel() {
+fn reconciliation_of_joining_proxies_counts_against_the_channel_backlog() {
     let new = join_after_returns(0, false).assigned;
     let left = join_after_returns(SERVERS, true).assigned;
     let Joined {
         mut policy,
-        assigned: unsure,
+        assigned: with_previous_table,
     } = join_after_returns(0, true);
-    // Twenty weights, two levels, the line of the complete table and the header; one line more for each server that
+    // Twenty weights, two levels, the line of the complete table and the header; one more line for each server that
     // left.
     assert!(
         new as f64 * (20.0 + 3.0 + 6.0) <= BACKLOG && new > 30,
@@ -87,7 +92,10 @@
         left as f64 * (40.0 + 3.0 + 6.0) <= BACKLOG && left > 15 && left < new,
         "{left}"
     );
-    assert_eq!(unsure, new, "what never left here waits");
+    assert_eq!(
+        with_previous_table, new,
+        "servers that never left here are corrected later"
+    );
 
     let mut reconciled = BTreeSet::new();
     for second in 1..60 {
@@ -112,6 +120,6 @@
     assert_eq!(
         reconciled.len(),
         200,
-        "each is corrected, once there is capacity"
+        "each proxy is corrected once there is capacity"
     );
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,5 +1,5 @@
-//! The rules that each instance keeps by itself: a server for each proxy, no unsafe retry, no request to leaving
-//! servers, exclusive owners, few messages.
+//! Invariants of each instance: a server for each proxy, no unsafe retry, no request to leaving servers, exclusive
+//! owners, few messages.
 
 mod common;
 
@@ -13,34 +13,34 @@
 
 #[test]
 fn a_joining_proxy_is_assigned_a_table_with_weights_at_once() {
-    let world = World::new(settings(), 6, 3);
-    assert_eq!(world.assigned_tables.len(), 3);
-    let first_bind = world
+    let fleet = Fleet::new(settings(), 6, 3);
+    assert_eq!(fleet.assigned_tables.len(), 3);
+    let first_assignment = fleet
         .actions
         .iter()
         .position(|a| matches!(a, Action::AssignTable { .. }));
-    let last_line = world
+    let last_weight = fleet
         .actions
         .iter()
         .rposition(|a| matches!(a, Action::SetWeight { .. }));
     assert!(
-        last_line < first_bind,
-        "weights of a table that no proxy uses cost nothing"
+        last_weight < first_assignment,
+        "weights of a table that no proxy uses take no lines"
     );
-    assert_eq!(world.tables[&TableId(0)].len(), 6);
+    assert_eq!(fleet.tables[&TableId(0)].len(), 6);
 }
 
 #[test]
-fn a_fleet_that_fails_completely_keeps_weights() {
-    let mut world = World::new(settings(), 6, 3);
-    world.run(5, &healthy(6, &[]));
+fn a_fleet_that_fails_completely_retains_some_weight() {
+    let mut fleet = Fleet::new(settings(), 6, 3);
+    fleet.run(5, &healthy(6, &[]));
     for failing in 1..=6 {
         let events: Vec<Event> = (0..6)
             .map(|id| server_outcomes(id, 8.0, if id < failing { 8.0 } else { 0.0 }, 200.0))
             .collect();
-        world.run(6, &events);
+        fleet.run(6, &events);
         assert!(
-            (0..6).any(|id| world.weight(id) > 0.0),
+            (0..6).any(|id| fleet.weight(id) > 0.0),
             "{failing} of 6 failing"
         );
     }
@@ -48,20 +48,20 @@
 
 #[test]
 fn zone_local_classes_get_servers_of_their_zone_only() {
-    let mut with_home = settings();
-    with_home
+    let mut with_zone_local = settings();
+    with_zone_local
         .classes
         .push(class(Idempotency::NotIdempotent, true));
-    let world = World::new(with_home, 6, 2);
+    let fleet = Fleet::new(with_zone_local, 6, 2);
     for proxy in 0..2u32 {
-        let assigned_tables = &world.assigned_tables[&ProxyId(proxy)];
+        let assigned_tables = &fleet.assigned_tables[&ProxyId(proxy)];
         let table = assigned_tables
             .iter()
             .find(|(_, classes)| classes.has(2))
             .map(|(table, _)| *table)
             .expect("assigned");
-        assert!(!world.tables[&table].is_empty());
-        assert!(world.tables[&table]
+        assert!(!fleet.tables[&table].is_empty());
+        assert!(fleet.tables[&table]
             .keys()
             .all(|server| server.0 % 2 == proxy));
     }
@@ -69,18 +69,18 @@
 
 #[test]
 fn an_empty_delta_and_unavailable_discovery_withdraw_nothing() {
-    let mut world = World::new(settings(), 6, 3);
-    world.send(&[
+    let mut fleet = Fleet::new(settings(), 6, 3);
+    fleet.send(&[
         Event::EndpointList(EndpointUpdateKind::Delta, vec![]),
         Event::EndpointList(EndpointUpdateKind::Unavailable, vec![]),
     ]);
-    assert!((0..6).all(|id| world.weight(id) == 4.0));
+    assert!((0..6).all(|id| fleet.weight(id) == 4.0));
 }
 
 #[test]
 fn retry_policies_follow_idempotency() {
-    let mut many = settings();
-    many.classes = vec![
+    let mut with_all_idempotencies = settings();
+    with_all_idempotencies.classes = vec![
         class(Idempotency::Idempotent, false),
         class(Idempotency::NotIdempotent, false),
         class(
@@ -98,26 +98,26 @@
         class(Idempotency::Keyed(DeduplicationScope::All, ms(100)), false),
         class(Idempotency::NotIdempotent, true),
     ];
-    let mut world = World::new(many, 6, 3);
-    world.run(5, &healthy(6, &[]));
+    let mut fleet = Fleet::new(with_all_idempotencies, 6, 3);
+    fleet.run(5, &healthy(6, &[]));
     for class in [1, 3, 4, 5, 6] {
         assert!(
-            world.retries[&class] <= Retry::IfNotExecuted,
+            fleet.retries[&class] <= Retry::IfNotExecuted,
             "class {class}"
         );
     }
-    assert_eq!(world.retries.len(), 7);
+    assert_eq!(fleet.retries.len(), 7);
 }
 
 #[test]
 fn a_draining_or_removed_server_is_suspended_at_once() {
-    let mut world = World::new(settings(), 6, 3);
-    world.run(3, &healthy(6, &[]));
+    let mut fleet = Fleet::new(settings(), 6, 3);
+    fleet.run(3, &healthy(6, &[]));
     let draining = Endpoint {
         lifecycle: Lifecycle::Draining,
         ..endpoint(2)
     };
-    let actions = world.send(&[Event::EndpointList(
+    let actions = fleet.send(&[Event::EndpointList(
         EndpointUpdateKind::Delta,
         vec![draining],
     )]);
@@ -129,19 +129,19 @@
         .filter(|id| *id != 2 && *id != 4)
         .map(endpoint)
         .collect();
-    let actions = world.send(&[Event::EndpointList(EndpointUpdateKind::Snapshot, complete)]);
+    let actions = fleet.send(&[Event::EndpointList(EndpointUpdateKind::Snapshot, complete)]);
     assert!(actions.contains(&Action::SetSuspended {
         server: ServerId(4),
         suspended: true
     }));
-    world.run(5, &healthy(6, &[2, 4]));
-    assert!(world.weight(2) == 0.0 && world.weight(4) == 0.0);
+    fleet.run(5, &healthy(6, &[2, 4]));
+    assert!(fleet.weight(2) == 0.0 && fleet.weight(4) == 0.0);
     let back = Endpoint {
-        started_at: Some(world.now),
+        started_at: Some(fleet.now),
         ..endpoint(2)
     };
-    world.send(&[Event::EndpointList(EndpointUpdateKind::Delta, vec![back])]);
-    assert!(!world.suspended.contains(&ServerId(2)));
+    fleet.send(&[Event::EndpointList(EndpointUpdateKind::Delta, vec![back])]);
+    assert!(!fleet.suspended.contains(&ServerId(2)));
 }
 
 #[test]
@@ -164,15 +164,15 @@
         .any(|a| matches!(a, Action::AssignTable { .. })));
 }
 
-/// A fleet with exclusive slices, of which this instance is responsible for slice 2, owned by server 1.
-fn with_exclusive_slice() -> World {
+/// A fleet with exclusive slices whose instance is responsible for slice 2, owned by server 1.
+fn with_exclusive_slice() -> Fleet {
     let sliced = Settings {
         slices: 4,
         exclusive_ownership: true,
         ..settings()
     };
-    let mut world = World::new(sliced, 4, 3);
-    world.send(&[
+    let mut fleet = Fleet::new(sliced, 4, 3);
+    fleet.send(&[
         Event::SliceOwnership {
             table: TableId(2),
             granted: true,
@@ -183,7 +183,7 @@
             weight: 1.0,
         },
     ]);
-    world
+    fleet
 }
 
 fn acknowledged(proxy: u32, sequence: u16) -> Event {
@@ -196,12 +196,12 @@
 
 #[test]
 fn an_exclusive_owner_is_replaced_only_after_no_proxy_can_write_to_it() {
-    let mut world = with_exclusive_slice();
+    let mut fleet = with_exclusive_slice();
     let removed = Endpoint {
         lifecycle: Lifecycle::Removed,
         ..endpoint(1)
     };
-    let actions = world.send(&[Event::EndpointList(
+    let actions = fleet.send(&[Event::EndpointList(
         EndpointUpdateKind::Delta,
         vec![removed],
     )]);
@@ -212,22 +212,22 @@
             .iter()
             .any(|a| matches!(a, Action::SetWeight { .. }))
     };
-    world.actions.clear();
-    world.run(5, &[]);
+    fleet.actions.clear();
+    fleet.run(5, &[]);
     assert!(
-        !sets_weight(&world.actions),
+        !sets_weight(&fleet.actions),
         "not before the proxies acknowledged"
     );
-    world.send(&[acknowledged(0, sequence), acknowledged(1, sequence)]);
-    world.send(&[Event::ProxyLeft(ProxyId(2))]);
-    world.run(2, &[]);
+    fleet.send(&[acknowledged(0, sequence), acknowledged(1, sequence)]);
+    fleet.send(&[Event::ProxyLeft(ProxyId(2))]);
+    fleet.run(2, &[]);
     assert!(
-        !sets_weight(&world.actions),
-        "not before the lost proxy's lease is over"
+        !sets_weight(&fleet.actions),
+        "not before the lost proxy's lease has ended"
     );
-    world.run(3, &[]);
-    assert!(sets_weight(&world.actions));
-    assert!(!world
+    fleet.run(3, &[]);
+    assert!(sets_weight(&fleet.actions));
+    assert!(!fleet
         .actions
         .iter()
         .any(|a| matches!(a, Action::AssignTable { .. })));
@@ -235,15 +235,15 @@
 
 #[test]
 fn an_endpoint_list_on_request_is_resubscribed_after_a_failure() {
-    let mut checked = settings();
-    checked.endpoints_on_request = true;
-    let mut world = World::new(checked, 4, 2);
-    assert!(world.actions.contains(&Action::SubscribeEndpoints(true)));
-    world.actions.clear();
-    world.send(&[Event::EndpointList(EndpointUpdateKind::Unavailable, vec![])]);
-    world.run(3, &[]);
+    let mut on_request = settings();
+    on_request.endpoints_on_request = true;
+    let mut fleet = Fleet::new(on_request, 4, 2);
+    assert!(fleet.actions.contains(&Action::SubscribeEndpoints(true)));
+    fleet.actions.clear();
+    fleet.send(&[Event::EndpointList(EndpointUpdateKind::Unavailable, vec![])]);
+    fleet.run(3, &[]);
     assert_eq!(
-        world
+        fleet
             .actions
             .iter()
             .filter(|a| **a == Action::SubscribeEndpoints(true))
@@ -252,17 +252,17 @@
     );
 }
 
-/// Random runs of each property.
+/// Number of random runs of each property.
 const CASES: u32 = 96;
 
-/// Random events of all kinds that a small fleet sees.
+/// Random events of a small fleet.
 fn event_strategy() -> impl Strategy<Value = Event> {
     let lifecycle = prop_oneof![
         Just(Lifecycle::InService),
         Just(Lifecycle::Draining),
         Just(Lifecycle::Removed)
     ];
-    let end = prop_oneof![
+    let outcome = prop_oneof![
         Just(HealthCheckOutcome::Passed),
         Just(HealthCheckOutcome::TimedOut),
         Just(HealthCheckOutcome::Unreachable)
@@ -276,7 +276,7 @@
             let started = fresh.then_some(ms(1_003_000));
             Event::EndpointList(EndpointUpdateKind::Delta, vec![Endpoint { lifecycle, started_at: started, ..endpoint(id) }])
         }),
-        2 => (0..8u32, end).prop_map(|(id, end)| health_checked(ServerId(id), end)),
+        2 => (0..8u32, outcome).prop_map(|(id, outcome)| health_checked(ServerId(id), outcome)),
     ]
 }
 
@@ -284,30 +284,30 @@
     #![proptest_config(ProptestConfig { cases: CASES, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn rules_hold_over_random_events(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
+    fn invariants_hold_over_random_events(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
         let settings = settings();
-        let mut world = World::new(settings.clone(), 8, 6);
-        let mut listed = Roster::new(8);
+        let mut fleet = Fleet::new(settings.clone(), 8, 6);
+        let mut listed = ListedServers::new(8);
         for events in rounds {
-            listed.take(&events, &mut world);
-            world.actions.clear();
-            world.send(&events);
-            let table: Vec<u32> = world.tables[&TableId(0)].keys().map(|server| server.0).collect();
+            listed.apply(&events, &mut fleet);
+            fleet.actions.clear();
+            fleet.send(&events);
+            let table: Vec<u32> = fleet.tables[&TableId(0)].keys().map(|server| server.0).collect();
             for server in 0..8 {
-                prop_assert!(listed.open.contains(&server) || world.weight(server) == 0.0, "{server} left and keeps weight");
+                prop_assert!(listed.in_service.contains(&server) || fleet.weight(server) == 0.0, "{server} left but has weight");
             }
             // A server that has just become warm gets its weight at the next tick.
-            let age = world.now - ms(1_003_000) - ms(500);
-            let warm = listed.open.iter().any(|id| !listed.warming.contains(id) || age > settings.slow_start_period);
-            prop_assert!(!warm || table.iter().any(|server| world.weight(*server) > 0.0), "no server to pick");
-            prop_assert!(world.retries[&1] <= Retry::IfNotExecuted);
-            for weight in world.tables.values().flat_map(|table| table.values()) {
+            let age = fleet.now - ms(1_003_000) - ms(500);
+            let has_warm = listed.in_service.iter().any(|id| !listed.warming.contains(id) || age > settings.slow_start_period);
+            prop_assert!(!has_warm || table.iter().any(|server| fleet.weight(*server) > 0.0), "no server to pick");
+            prop_assert!(fleet.retries[&1] <= Retry::IfNotExecuted);
+            for weight in fleet.tables.values().flat_map(|table| table.values()) {
                 prop_assert!(weight.is_finite() && *weight > 0.0);
             }
-            world.run(1, &[]);
+            fleet.run(1, &[]);
             // Messages to each proxy, since it joined.
-            for (proxy, written) in &world.messages {
-                let recent = written.iter().filter(|at| world.now - **at <= settings.message_window).count();
+            for (proxy, written) in &fleet.messages {
+                let recent = written.iter().filter(|at| fleet.now - **at <= settings.message_window).count();
                 prop_assert!(recent <= settings.max_messages, "{recent} messages to {proxy:?} in the window");
             }
         }
@@ -315,8 +315,8 @@
 
     #[test]
     fn the_same_events_give_the_same_actions(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..20)) {
-        let mut one = World::new(settings(), 8, 6);
-        let mut two = World::new(settings(), 8, 6);
+        let mut one = Fleet::new(settings(), 8, 6);
+        let mut two = Fleet::new(settings(), 8, 6);
         for events in rounds {
             one.send(&events);
             two.send(&events);
--- a/crates/policy/tests/sharding.rs
+++ b/crates/policy/tests/sharding.rs
@@ -1,38 +1,38 @@
-//! Shards: how wide tables are, who is assigned to which, and what happens when servers or connections fail.
+//! Sharding: the width of tables, the assignment of proxies, and failures of servers or connections.
 
 mod common;
 use std::collections::BTreeSet;
 
 use chutegrade_policy::*;
-use common::site::*;
+use common::deployment::*;
 use common::*;
 
 #[test]
 fn a_small_fleet_is_one_shard_and_a_large_sparse_one_is_sharded() {
-    let mut small = Site::started(
+    let mut small = Deployment::started(
         Settings {
             proxies: 8,
-            ..sparse()
+            ..sparse_settings()
         },
         1.0,
         20,
         8,
     );
-    small.run(2, &[], &all_respond);
+    small.run(2, &[], &none_unresponsive);
     assert_eq!(small.visible_servers(3).len(), 20);
     // 12,000 lines per second for 2.5 s beyond the delivery delay are 30 for each of 1,000 proxies. A first table takes
     // 9 and a suspension 7 beside the weights, which leaves 14, below the usual 16.
-    let grace = sparse().max_delivery_delay + ms(2500);
-    let mut large = Site::started(
+    let grace = sparse_settings().max_delivery_delay + ms(2500);
+    let mut large = Deployment::started(
         Settings {
             drain_grace: grace,
-            ..sparse()
+            ..sparse_settings()
         },
         1.0,
         500,
         1000,
     );
-    large.run(12, &[], &all_respond);
+    large.run(12, &[], &none_unresponsive);
     let widths: Vec<usize> = (0..1000)
         .map(|id| large.visible_servers(id).len())
         .collect();
@@ -50,24 +50,24 @@
     );
 }
 
-fn mean_width(site: &Site) -> f64 {
+fn mean_width(deployment: &Deployment) -> f64 {
     (0..1000)
-        .map(|id| site.visible_servers(id).len())
+        .map(|id| deployment.visible_servers(id).len())
         .sum::<usize>() as f64
         / 1000.0
 }
 
 /// After the loss of other instances all proxies join one, and removed servers stay in their old tables until new ones
-/// are delivered. A suspension meanwhile takes a message of its own at the proxies that have their tables.
+/// are delivered. A suspension meanwhile takes a separate message to each proxy that has its tables.
 #[test]
 fn shards_are_narrow_enough_for_all_proxies_to_join_one_instance_within_the_grace() {
     let width_at = |lines_per_s, drain_grace| {
-        let mut site = joining_one_instance(lines_per_s, drain_grace);
-        site.run(30, &[], &all_respond);
-        mean_width(&site)
+        let mut deployment = joining_one_instance(lines_per_s, drain_grace);
+        deployment.run(30, &[], &none_unresponsive);
+        mean_width(&deployment)
     };
     let width = width_at(1150.0, ms(20_000));
-    let settings = sparse();
+    let settings = sparse_settings();
     // The weights, the levels, the line of the complete table, the acknowledgement request and the header; a
     // suspension, its acknowledgement request and its header.
     let table = width + settings.classes.len() as f64 + 2.0 + settings.message_overhead;
@@ -82,16 +82,16 @@
     assert_eq!(
         width_at(12_000.0, ms(0)),
         unlimited,
-        "no shard is narrow enough: none is narrowed for it"
+        "no shard is narrow enough, so none is narrowed"
     );
 }
 
 #[test]
 fn a_large_fleet_with_much_traffic_at_each_proxy_is_one_shard() {
-    let mut site = Site::new(
+    let mut deployment = Deployment::new(
         Settings {
             proxies: 40,
-            ..sparse()
+            ..sparse_settings()
         },
         1.0,
     );
@@ -100,18 +100,18 @@
         (0..60).map(endpoint).collect(),
     )];
     events.extend((0..40).map(|id| joined_with_rate(id, 80.0)));
-    site.send(&events);
-    site.run(3, &[], &all_respond);
-    assert_eq!(site.visible_servers(0).len(), 60);
+    deployment.send(&events);
+    deployment.run(3, &[], &none_unresponsive);
+    assert_eq!(deployment.visible_servers(0).len(), 60);
 }
 
-/// One proxy with a multiple of a shard's capacity as demand would keep that shard's servers saturated.
+/// A proxy whose demand is a multiple of a shard's capacity would saturate the servers of that shard.
 #[test]
 fn a_proxy_whose_demand_exceeds_a_shard_is_assigned_the_complete_fleet() {
-    let mut site = Site::new(
+    let mut deployment = Deployment::new(
         Settings {
             proxies: 300,
-            ..sparse()
+            ..sparse_settings()
         },
         1.0,
     );
@@ -120,24 +120,24 @@
         (0..200).map(endpoint).collect(),
     )];
     events.extend((0..300).map(|id| joined_with_rate(id, if id == 6 { 400.0 } else { 2.0 })));
-    site.send(&events);
-    site.run(6, &[], &all_respond);
+    deployment.send(&events);
+    deployment.run(6, &[], &none_unresponsive);
     assert!(
-        site.visible_servers(6).len() >= 190,
+        deployment.visible_servers(6).len() >= 190,
         "{} of 200",
-        site.visible_servers(6).len()
+        deployment.visible_servers(6).len()
     );
     assert!(
-        site.visible_servers(8).len() <= 100,
+        deployment.visible_servers(8).len() <= 100,
         "{} of 200",
-        site.visible_servers(8).len()
+        deployment.visible_servers(8).len()
     );
 }
 
-/// By rounding, the only proxy of a zone may seem to have more than the demand of a complete fleet; there is no table
-/// for that in an unsharded fleet.
+/// Because of rounding, the only proxy of a zone may seem to exceed the demand of a complete fleet; an unsharded fleet
+/// has no table for heavy proxies.
 #[test]
-fn the_only_proxy_of_a_zone_is_assigned_whatever_its_demand() {
+fn the_only_proxy_of_a_zone_is_assigned_at_any_demand() {
     for tenths in 1..60 {
         let with_affinity = Settings {
             instances: 1,
@@ -145,7 +145,7 @@
             proxies: 3,
             ..settings()
         };
-        let mut site = Site::new(with_affinity, 1.0);
+        let mut deployment = Deployment::new(with_affinity, 1.0);
         let rate = f64::from(tenths) * 0.1;
         let mut events = vec![Event::EndpointList(
             EndpointUpdateKind::CachedSnapshot,
@@ -156,23 +156,23 @@
             joined_with_rate(1, 0.7),
             joined_with_rate(3, rate * 0.3),
         ]);
-        site.send(&events);
-        site.run(1, &[], &all_respond);
+        deployment.send(&events);
+        deployment.run(1, &[], &none_unresponsive);
         assert!(
             (0..4)
                 .filter(|id| *id != 2)
-                .all(|id| !site.visible_servers(id).is_empty()),
+                .all(|id| !deployment.visible_servers(id).is_empty()),
             "rate {rate}"
         );
     }
 }
 
-/// All servers of a shard may drain or fail while those of the others stay in service.
+/// All servers of a shard may leave while those of the other shards stay in service.
 #[test]
-fn a_shard_that_lost_all_servers_borrows_others_or_its_proxies_move() {
-    let mut site = Site::started(sparse(), 1.0, 200, 300);
-    site.run(10, &healthy(200, &[]), &all_respond);
-    let lost: Vec<Endpoint> = site
+fn proxies_of_a_shard_that_lost_all_servers_get_servers_of_other_shards() {
+    let mut deployment = Deployment::started(sparse_settings(), 1.0, 200, 300);
+    deployment.run(10, &healthy(200, &[]), &none_unresponsive);
+    let lost: Vec<Endpoint> = deployment
         .visible_servers(7)
         .into_iter()
         .map(|server| Endpoint {
@@ -181,25 +181,25 @@
         })
         .collect();
     assert!(lost.len() < 150, "a shard, not all: {}", lost.len());
-    site.send(&[Event::EndpointList(EndpointUpdateKind::Delta, lost)]);
-    site.run(2, &[], &all_respond);
-    assert!((0..300).all(|id| !site.visible_servers(id).is_empty()));
+    deployment.send(&[Event::EndpointList(EndpointUpdateKind::Delta, lost)]);
+    deployment.run(2, &[], &none_unresponsive);
+    assert!((0..300).all(|id| !deployment.visible_servers(id).is_empty()));
 }
 
-/// Where each server accepts few connections, most attempts fail at idle servers until tables are narrower.
+/// If servers accept few connections, most attempts fail at idle servers until tables are narrower.
 #[test]
 fn tables_narrow_while_attempts_fail_at_idle_servers_everywhere_and_widen_afterwards() {
-    let mut site = Site::started(
+    let mut deployment = Deployment::started(
         Settings {
             proxies: 80,
-            ..sparse()
+            ..sparse_settings()
         },
         1.0,
         200,
         80,
     );
-    site.run(8, &healthy(200, &[]), &all_respond);
-    let baseline = site.visible_servers(5).len();
+    deployment.run(8, &healthy(200, &[]), &none_unresponsive);
+    let baseline = deployment.visible_servers(5).len();
     let idle = LoadReport {
         queued: Some(0.0),
         ..LoadReport::default()
@@ -207,79 +207,79 @@
     let failed_outcomes: Vec<Event> = (0..200)
         .map(|id| with_load(server_outcomes(id, 8.0, 5.0, 200.0), idle))
         .collect();
-    site.run(6, &failed_outcomes, &all_respond);
-    let narrowed = site.visible_servers(5).len();
+    deployment.run(6, &failed_outcomes, &none_unresponsive);
+    let narrowed = deployment.visible_servers(5).len();
     assert!(
         narrowed >= 5 && 2 * narrowed <= baseline,
         "{narrowed} of {baseline}"
     );
-    assert!((0..80).all(|id| !site.visible_servers(id).is_empty()));
-    site.run(45, &healthy(200, &[]), &all_respond);
-    assert_eq!(site.visible_servers(5).len(), baseline);
+    assert!((0..80).all(|id| !deployment.visible_servers(id).is_empty()));
+    deployment.run(45, &healthy(200, &[]), &none_unresponsive);
+    assert_eq!(deployment.visible_servers(5).len(), baseline);
 }
 
 #[test]
 fn tables_do_not_narrow_while_health_checks_fail_as_well() {
-    let mut site = Site::started(
+    let mut deployment = Deployment::started(
         Settings {
             proxies: 80,
-            ..sparse()
+            ..sparse_settings()
         },
         1.0,
         200,
         80,
     );
-    site.run(8, &healthy(200, &[]), &all_respond);
-    let baseline = site.visible_servers(5).len();
+    deployment.run(8, &healthy(200, &[]), &none_unresponsive);
+    let baseline = deployment.visible_servers(5).len();
     let failing: Vec<Event> = (0..200)
         .map(|id| server_outcomes(id, 8.0, 5.0, 200.0))
         .collect();
-    site.run(6, &failing, &|_| true);
+    deployment.run(6, &failing, &|_| true);
     assert!(
-        site.visible_servers(5).len() >= baseline,
-        "an overload is not for want of connections"
+        deployment.visible_servers(5).len() >= baseline,
+        "an overload is not due to a lack of connections"
     );
 }
 
-/// Proxies on tables of an earlier layout may hold a lost server's full weight when it returns and warms up.
+/// Proxies on tables of an earlier layout may hold the full weight of a removed server when it returns and warms up.
 #[test]
-fn a_returning_server_stays_suspended_until_no_table_holds_its_old_weight() {
-    let mut site = Site::started(
+fn a_returning_server_stays_suspended_until_no_table_contains_its_old_weight() {
+    let mut deployment = Deployment::started(
         Settings {
             proxies: 80,
-            ..sparse()
+            ..sparse_settings()
         },
         1.0,
         200,
         80,
     );
-    site.run(8, &healthy(200, &[]), &all_respond);
-    let server = *site.visible_servers(5).first().expect("assigned");
-    site.send(&[Event::EndpointList(
+    deployment.run(8, &healthy(200, &[]), &none_unresponsive);
+    let server = *deployment.visible_servers(5).first().expect("assigned");
+    deployment.send(&[Event::EndpointList(
         EndpointUpdateKind::Delta,
         vec![Endpoint {
             lifecycle: Lifecycle::Removed,
             ..endpoint(server.0)
         }],
     )]);
-    assert!(site.suspended.contains(&server));
-    let now = site.now;
-    site.send(&[Event::EndpointList(
+    assert!(deployment.suspended.contains(&server));
+    let now = deployment.now;
+    deployment.send(&[Event::EndpointList(
         EndpointUpdateKind::Delta,
         vec![warming(server.0, now)],
     )]);
     for _ in 0..40 {
-        site.run(1, &healthy(200, &[server.0]), &all_respond);
-        let heaviest = site
+        deployment.run(1, &healthy(200, &[server.0]), &none_unresponsive);
+        let heaviest = deployment
             .tables
             .values()
             .filter_map(|lines| lines.get(&server))
             .fold(0.0, |a, b| b.max(a));
-        let age = (site.now - now).secs();
+        let age = (deployment.now - now).secs();
         assert!(
-            site.suspended.contains(&server) || age > 16.0 || heaviest < 3.0,
+            deployment.suspended.contains(&server) || age > 16.0 || heaviest < 3.0,
             "weight {heaviest} at {age} s"
         );
     }
-    assert!(!site.suspended.contains(&server), "it is re-admitted");
+    assert!(!deployment.suspended.contains(&server), "it is re-admitted");
 }
--- a/crates/policy/tests/zone_links.rs
+++ b/crates/policy/tests/zone_links.rs
@@ -1,4 +1,4 @@
-//! Faults of links between zones, and false load reports.
+//! Degraded and partitioned links between zones, and false load reports.
 
 mod common;
 
@@ -6,10 +6,10 @@
 use common::*;
 
 #[test]
-fn a_false_load_report_gains_a_slow_server_nothing_and_costs_a_good_one_little() {
-    let mut world = World::new(settings(), 12, 4);
-    world.run(10, &healthy(12, &[]));
-    world.slow_health_checks.insert(2);
+fn false_load_reports_do_not_raise_a_slow_server_and_barely_lower_a_healthy_one() {
+    let mut fleet = Fleet::new(settings(), 12, 4);
+    fleet.run(10, &healthy(12, &[]));
+    fleet.slow_health_checks.insert(2);
     let mut events = healthy(12, &[2, 5]);
     let idle = LoadReport {
         queued: Some(0.0),
@@ -23,27 +23,32 @@
     };
     events.push(with_load(server_outcomes(2, 8.0, 0.0, 500.0), idle));
     events.push(with_load(server_outcomes(5, 8.0, 0.0, 200.0), full));
-    world.run(12, &events);
+    fleet.run(12, &events);
     assert!(
-        world.weight(2) <= 4.0,
+        fleet.weight(2) <= 4.0,
         "idle by its own report: {}",
-        world.weight(2)
+        fleet.weight(2)
     );
     assert!(
-        world.weight(5) >= 3.0,
+        fleet.weight(5) >= 3.0,
         "saturated by its own report: {}",
-        world.weight(5)
+        fleet.weight(5)
     );
 }
 
-/// A zone's servers that its own proxies reach well must not lose their weight for a slow link from elsewhere.
+/// Servers that respond in time to the proxies of their own zone must not lose weight there because of a slow link from
+/// another zone.
 #[test]
-fn servers_behind_a_degraded_link_keep_their_weight_elsewhere() {
-    let mut world = World::new(settings(), 24, 6);
+fn servers_behind_a_degraded_link_retain_their_weight_in_other_zones() {
+    let mut fleet = Fleet::new(settings(), 24, 6);
     let outcomes_from = |from: u16, slow: bool| -> Vec<Event> {
         let outcome = move |id: u32| {
-            let far = slow && u32::from(from) != id % 2;
-            let (failed, mean_latency_ms) = if far { (4.0, 900.0) } else { (0.0, 200.0) };
+            let over_link = slow && u32::from(from) != id % 2;
+            let (failed, mean_latency_ms) = if over_link {
+                (4.0, 900.0)
+            } else {
+                (0.0, 200.0)
+            };
             let (zone, server, load) = (ZoneId(from), ServerId(id), LoadReport::default());
             Event::ServerOutcomes {
                 zone,
@@ -59,16 +64,16 @@
     };
     let both =
         |slow: bool| -> Vec<Event> { [outcomes_from(0, slow), outcomes_from(1, false)].concat() };
-    world.run(5, &both(false));
-    world.run(12, &both(true));
+    fleet.run(5, &both(false));
+    fleet.run(12, &both(true));
     let share = |table: u16, zone: u32| -> f64 {
-        let lines = &world.tables[&TableId(table)];
-        let of_zone = lines
+        let weights = &fleet.tables[&TableId(table)];
+        let of_zone = weights
             .iter()
             .filter(|(id, _)| id.0 % 2 == zone)
             .map(|(_, weight)| weight)
             .sum::<f64>();
-        of_zone / lines.values().sum::<f64>()
+        of_zone / weights.values().sum::<f64>()
     };
     assert!(
         share(0, 1) < 0.2,
@@ -77,7 +82,7 @@
     );
     assert!(
         share(1, 1) > 0.4,
-        "zone 1 keeps to its own servers: {}",
+        "zone 1 retains its own servers: {}",
         share(1, 1)
     );
 }
@@ -98,51 +103,51 @@
     (0..24).map(outcome).collect()
 }
 
-fn weight_of_zone(world: &World, zone: u32) -> f64 {
+fn weight_of_zone(fleet: &Fleet, zone: u32) -> f64 {
     (0..24)
         .filter(|id| id % 2 == zone)
-        .map(|id| world.weight(id))
+        .map(|id| fleet.weight(id))
         .sum::<f64>()
 }
 
-/// A partitioned zone must not pass for a saturated fleet, and what failed meanwhile must not withdraw its servers once
-/// the link is back.
+/// A partitioned zone must not count as a saturated fleet, and attempts that failed meanwhile must not withdraw its
+/// servers once the link has recovered.
 #[test]
-fn a_partitioned_zone_sheds_no_load_and_its_servers_are_not_blamed_afterwards() {
-    let mut world = World::new(settings(), 24, 6);
-    world.run(6, &outcomes_with_link(true));
-    world.unresponsive.extend((0..24).filter(|id| id % 2 == 1));
+fn a_partitioned_zone_causes_no_load_shedding_and_no_withdrawals_afterwards() {
+    let mut fleet = Fleet::new(settings(), 24, 6);
+    fleet.run(6, &outcomes_with_link(true));
+    fleet.unresponsive.extend((0..24).filter(|id| id % 2 == 1));
     // Attempts on the link have not timed out yet.
-    world.run(2, &outcomes_with_link(true));
-    let far = |world: &World| weight_of_zone(world, 1);
-    let near = |world: &World| weight_of_zone(world, 0);
+    fleet.run(2, &outcomes_with_link(true));
+    let remote_weight = |fleet: &Fleet| weight_of_zone(fleet, 1);
+    let local_weight = |fleet: &Fleet| weight_of_zone(fleet, 0);
     assert!(
-        far(&world) < 0.1 * near(&world),
+        remote_weight(&fleet) < 0.1 * local_weight(&fleet),
         "{} of {}",
-        far(&world),
-        near(&world)
+        remote_weight(&fleet),
+        local_weight(&fleet)
     );
-    world.actions.clear();
-    world.run(6, &outcomes_with_link(false));
+    fleet.actions.clear();
+    fleet.run(6, &outcomes_with_link(false));
     assert!(
-        world.levels.values().all(|level| *level == 1.0),
+        fleet.levels.values().all(|level| *level == 1.0),
         "{:?}",
-        world.levels
+        fleet.levels
     );
-    // The link is back; the servers answer one after the other, and the last failures are reported late.
-    for back in [1, 3, 5, 7, 9] {
-        world.unresponsive.remove(&back);
+    // The link has recovered; the servers answer one after the other, and the last failures are reported late.
+    for recovered in [1, 3, 5, 7, 9] {
+        fleet.unresponsive.remove(&recovered);
     }
-    world.run(1, &outcomes_with_link(false));
-    world.unresponsive.clear();
-    world.run(6, &outcomes_with_link(true));
+    fleet.run(1, &outcomes_with_link(false));
+    fleet.unresponsive.clear();
+    fleet.run(6, &outcomes_with_link(true));
     assert!(
-        far(&world) > 0.8 * near(&world),
+        remote_weight(&fleet) > 0.8 * local_weight(&fleet),
         "{} of {}",
-        far(&world),
-        near(&world)
+        remote_weight(&fleet),
+        local_weight(&fleet)
     );
-    let blamed = world.actions.iter().filter(|action| {
+    let withdrawals = fleet.actions.iter().filter(|action| {
         matches!(
             action,
             Action::Emit(DecisionEvent::HealthChanged {
@@ -151,10 +156,10 @@
             })
         )
     });
-    assert_eq!(blamed.count(), 0);
+    assert_eq!(withdrawals.count(), 0);
     assert!(
-        world.levels.values().all(|level| *level == 1.0),
+        fleet.levels.values().all(|level| *level == 1.0),
         "{:?}",
-        world.levels
+        fleet.levels
     );
 }
