--- a/crates/policy/src/decisions/admission.rs
+++ b/crates/policy/src/decisions/admission.rs
@@ -47,9 +47,9 @@
     pub settings: &'a Settings,
     /// The known servers.
     pub registry: &'a Registry,
-    /// The limits in force.
+    /// The active limits.
     pub limits: &'a ActiveLimits,
-    /// The usual outcomes of each link.
+    /// The reference outcomes of each link.
     pub references: &'a References,
     /// Share of servers that do not answer health checks.
     pub unanswered_share: f64,
--- a/crates/policy/src/decisions/speed.rs
+++ b/crates/policy/src/decisions/speed.rs
@@ -12,7 +12,8 @@
 /// Number of load reports that timed health checks count as. Load reports are noisier, since they mix requests of all
 /// costs.
 const HEALTH_CHECK_REPORT_COUNT: f64 = 60.0;
-/// Number of load reports at the median speed that each estimate is combined with.
+/// Number of load reports at the median speed that each estimate is combined with, so that few reports have little
+/// effect.
 const PRIOR_REPORTS: f64 = 4.0;
 /// Group of all servers where the listed weight does not include their speed.
 const COMMON_GROUP: u32 = 0;
--- a/crates/policy/src/decisions/tables.rs
+++ b/crates/policy/src/decisions/tables.rs
@@ -60,7 +60,7 @@
         self.iter().any(|table| table.weights.contains_key(&server))
     }
 
-    /// Drops the tables that are not in use and returns their ids.
+    /// Drops unused tables and returns their ids.
     pub fn drop_unused(&mut self, is_used: impl Fn(TableId) -> bool) -> Vec<TableId> {
         let unused: Vec<TableId> = self
             .by_id
--- a/crates/policy/tests/advice.rs
+++ b/crates/policy/tests/advice.rs
@@ -333,7 +333,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The invariants hold for any advice: no proxy without a server, no unsafe retry, no weight for leaving servers,
+    /// No advice violates the invariants: no proxy without a server, no unsafe retry, no weight for leaving servers,
     /// little weight for warming servers and few messages.
     #[test]
     fn invariants_hold_under_arbitrary_advice(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
--- a/crates/policy/tests/channel.rs
+++ b/crates/policy/tests/channel.rs
@@ -4,36 +4,28 @@
 use std::collections::BTreeMap;
 
 use chutegrade_policy::*;
-use common::deployment::*;
+use common::large_fleet::*;
 use common::*;
 
 #[test]
 fn start_reconnect_drain_and_scale_up_stay_within_the_limits_of_a_slow_channel() {
-    let mut deployment = Deployment::started(sparse_settings(), 0.5, 500, 1000);
-    deployment.run(25, &healthy(300, &[]), &none_unresponsive);
-    assert_eq!(
-        deployment.assigned_count(),
-        1000,
-        "all are assigned eventually"
-    );
+    let mut fleet = LargeFleet::started(sparse_settings(), 0.5, 500, 1000);
+    fleet.run(25, &healthy(300, &[]), &none_unresponsive);
+    assert_eq!(fleet.assigned_count(), 1000, "all are assigned eventually");
     let removed: Vec<Event> = (0..700).map(|id| Event::ProxyLeft(ProxyId(id))).collect();
-    deployment.send(&removed);
-    deployment.run(1, &[], &none_unresponsive);
+    fleet.send(&removed);
+    fleet.run(1, &[], &none_unresponsive);
     let back: Vec<Event> = (0..700).map(|id| joined_with_rate(id, 2.0)).collect();
-    deployment.send(&back);
-    deployment.run(20, &healthy(300, &[]), &none_unresponsive);
-    assert_eq!(
-        deployment.assigned_count(),
-        1000,
-        "and after a mass reconnect"
-    );
+    fleet.send(&back);
+    fleet.run(20, &healthy(300, &[]), &none_unresponsive);
+    assert_eq!(fleet.assigned_count(), 1000, "and after a mass reconnect");
     let drained: Vec<Endpoint> = (0..120)
         .map(|id| Endpoint {
             lifecycle: Lifecycle::Draining,
             ..endpoint(id)
         })
         .collect();
-    let actions = deployment.send(&[Event::EndpointList(EndpointUpdateKind::Delta, drained)]);
+    let actions = fleet.send(&[Event::EndpointList(EndpointUpdateKind::Delta, drained)]);
     let suspended = actions
         .iter()
         .filter(|action| {
@@ -50,18 +42,18 @@
         suspended, 120,
         "servers are suspended in the round of the update"
     );
-    let now = deployment.now;
-    deployment.send(&[Event::EndpointList(
+    let now = fleet.now;
+    fleet.send(&[Event::EndpointList(
         EndpointUpdateKind::Delta,
         (500..900).map(|id| warming(id, now)).collect(),
     )]);
-    deployment.run(30, &healthy(300, &[]), &none_unresponsive);
+    fleet.run(30, &healthy(300, &[]), &none_unresponsive);
     assert!(
-        deployment.max_queued_lines > 0.2 * deployment.settings.channel_backlog,
+        fleet.max_queued_lines > 0.2 * fleet.settings.channel_backlog,
         "the channel was filled enough to test it"
     );
     assert!(
-        deployment
+        fleet
             .visible_servers(999)
             .iter()
             .any(|server| server.0 >= 500),
@@ -72,7 +64,7 @@
 /// Each change of a level reaches all proxies and could fill a channel at a sixth of its send rate.
 #[test]
 fn oscillating_levels_stay_within_the_backlog_of_a_slow_channel() {
-    let mut deployment = Deployment::started(
+    let mut fleet = LargeFleet::started(
         Settings {
             max_messages: 1000,
             ..sparse_settings()
@@ -81,9 +73,9 @@
         200,
         1000,
     );
-    deployment.run(20, &healthy(200, &[]), &none_unresponsive);
-    deployment.send_rate = 0.15 * deployment.settings.channel_lines_per_second;
-    let before = deployment.level_changes.values().sum::<usize>();
+    fleet.run(20, &healthy(200, &[]), &none_unresponsive);
+    fleet.send_rate = 0.15 * fleet.settings.channel_lines_per_second;
+    let before = fleet.level_changes.values().sum::<usize>();
     for second in 0..40 {
         let queue = Some(f64::from(second % 5));
         let load = LoadReport {
@@ -94,25 +86,25 @@
         let outcomes = healthy(200, &[])
             .into_iter()
             .map(|outcome| with_load(outcome, load));
-        deployment.run(1, &outcomes.collect::<Vec<_>>(), &none_unresponsive);
+        fleet.run(1, &outcomes.collect::<Vec<_>>(), &none_unresponsive);
     }
     assert!(
-        deployment.max_queued_lines > 0.4 * deployment.settings.channel_backlog,
+        fleet.max_queued_lines > 0.4 * fleet.settings.channel_backlog,
         "the channel was filled enough to test it"
     );
     assert!(
-        deployment.level_changes.values().sum::<usize>() > before,
+        fleet.level_changes.values().sum::<usize>() > before,
         "levels changed"
     );
 }
 
 #[test]
 fn the_busiest_proxies_are_assigned_first() {
-    let deployment = Deployment::started(sparse_settings(), 0.5, 500, 1000);
-    let (assigned, unassigned): (Vec<_>, Vec<_>) = deployment
+    let fleet = LargeFleet::started(sparse_settings(), 0.5, 500, 1000);
+    let (assigned, unassigned): (Vec<_>, Vec<_>) = fleet
         .request_rates
         .iter()
-        .partition(|(id, _)| deployment.assigned_tables.contains_key(id));
+        .partition(|(id, _)| fleet.assigned_tables.contains_key(id));
     assert!(
         !assigned.is_empty() && !unassigned.is_empty(),
         "{} assigned at once",
@@ -134,16 +126,16 @@
 
 #[test]
 fn outcomes_and_health_checks_cause_no_orders_before_the_tick() {
-    let mut deployment = Deployment::started(sparse_settings(), 1.0, 500, 1000);
-    deployment.run(20, &healthy(300, &[]), &none_unresponsive);
-    let before = deployment.action_count;
+    let mut fleet = LargeFleet::started(sparse_settings(), 1.0, 500, 1000);
+    fleet.run(20, &healthy(300, &[]), &none_unresponsive);
+    let before = fleet.action_count;
     for id in 0..500 {
-        deployment.send(&[
+        fleet.send(&[
             server_outcomes(id, 8.0, 8.0, 900.0),
             health_checked(ServerId(id), HealthCheckOutcome::TimedOut),
         ]);
     }
-    assert_eq!(deployment.action_count, before);
+    assert_eq!(fleet.action_count, before);
 }
 
 /// After the loss of other instances all proxies join this one. Suspensions, which take precedence, must not delay the
@@ -151,10 +143,10 @@
 #[test]
 fn drains_during_a_mass_join_delay_no_first_table_beyond_the_grace() {
     let grace = ms(20_000);
-    let mut deployment = joining_one_instance(1150.0, grace);
-    let joined_at = deployment.now;
+    let mut fleet = joining_one_instance(1150.0, grace);
+    let joined_at = fleet.now;
     for batch in 0..4 {
-        deployment.run(4, &[], &none_unresponsive);
+        fleet.run(4, &[], &none_unresponsive);
         let leaving = 30 * batch..30 * (batch + 1);
         let entries = leaving
             .map(|id| Endpoint {
@@ -162,16 +154,16 @@
                 ..endpoint(id)
             })
             .collect();
-        deployment.send(&[Event::EndpointList(EndpointUpdateKind::Delta, entries)]);
+        fleet.send(&[Event::EndpointList(EndpointUpdateKind::Delta, entries)]);
     }
-    deployment.run(20, &[], &none_unresponsive);
-    let late = deployment
+    fleet.run(20, &[], &none_unresponsive);
+    let late = fleet
         .first_applied
         .values()
         .filter(|at| **at - joined_at > grace)
         .count();
     assert_eq!(
-        (deployment.first_applied.len(), late),
+        (fleet.first_applied.len(), late),
         (1000, 0),
         "proxies with a first table, and those that got it too late"
     );
@@ -181,8 +173,8 @@
 /// would concentrate on fewer and fewer servers.
 #[test]
 fn restored_servers_get_their_weight_while_others_keep_failing() {
-    let mut deployment = Deployment::started(sparse_settings(), 0.4, 300, 1000);
-    deployment.run(20, &healthy(300, &[]), &none_unresponsive);
+    let mut fleet = LargeFleet::started(sparse_settings(), 0.4, 300, 1000);
+    fleet.run(20, &healthy(300, &[]), &none_unresponsive);
     let failing = |from: u32| -> Vec<Event> {
         let failed = move |id: &u32| (from..from + 60).contains(id);
         (0..300)
@@ -190,9 +182,9 @@
             .collect()
     };
     for round in 0..4 {
-        deployment.run(10, &failing(60 * round), &none_unresponsive);
+        fleet.run(10, &failing(60 * round), &none_unresponsive);
     }
-    let weights: BTreeMap<ServerId, f64> = deployment
+    let weights: BTreeMap<ServerId, f64> = fleet
         .tables
         .values()
         .flatten()
@@ -210,8 +202,8 @@
 
 #[test]
 fn duplicate_endpoints_and_events_of_unknown_ids_are_tolerated() {
-    let mut deployment = Deployment::started(sparse_settings(), 1.0, 100, 200);
-    deployment.run(4, &healthy(100, &[]), &none_unresponsive);
+    let mut fleet = LargeFleet::started(sparse_settings(), 1.0, 100, 200);
+    fleet.run(4, &healthy(100, &[]), &none_unresponsive);
     let twice: Vec<Endpoint> = (0..100).chain(0..100).map(endpoint).collect();
     let period = ms(0);
     let idle = Event::ProxyDemand {
@@ -243,10 +235,10 @@
         Event::ProxyLeft(ProxyId(4999)),
         Event::Timer(77),
     ];
-    deployment.send(&[Event::EndpointList(EndpointUpdateKind::Snapshot, twice)]);
-    deployment.run(4, &odd, &none_unresponsive);
-    assert_eq!(deployment.assigned_count(), 200);
-    let weights = deployment.tables.values().flat_map(BTreeMap::values);
+    fleet.send(&[Event::EndpointList(EndpointUpdateKind::Snapshot, twice)]);
+    fleet.run(4, &odd, &none_unresponsive);
+    assert_eq!(fleet.assigned_count(), 200);
+    let weights = fleet.tables.values().flat_map(BTreeMap::values);
     assert!(
         weights.clone().count() >= 100
             && weights
--- a/crates/policy/tests/common/deployment.rs
+++ b/crates/policy/tests/common/large_fleet.rs
@@ -7,7 +7,7 @@
 use super::{class, endpoint, health_checked, ms, settings};
 
 /// An instance with its proxies and channel. Each message is checked against the limits when it is written.
-pub struct Deployment {
+pub struct LargeFleet {
     policy: Policy,
     pub settings: Settings,
     pub now: Micros,
@@ -69,9 +69,9 @@
     ])
 }
 
-impl Deployment {
-    pub fn new(settings: Settings, send_rate_share: f64) -> Deployment {
-        Deployment {
+impl LargeFleet {
+    pub fn new(settings: Settings, send_rate_share: f64) -> LargeFleet {
+        LargeFleet {
             policy: Policy::new(settings.clone(), 11),
             send_rate: send_rate_share * settings.channel_lines_per_second,
             settings,
@@ -97,15 +97,15 @@
         send_rate_share: f64,
         servers: u32,
         proxies: u32,
-    ) -> Deployment {
-        let mut deployment = Deployment::new(settings, send_rate_share);
+    ) -> LargeFleet {
+        let mut fleet = LargeFleet::new(settings, send_rate_share);
         let mut events = vec![Event::EndpointList(
             EndpointUpdateKind::CachedSnapshot,
             (0..servers).map(endpoint).collect(),
         )];
         events.extend((0..proxies).map(|id| joined_with_rate(id, 1.0 + f64::from(id % 10))));
-        deployment.send(&events);
-        deployment
+        fleet.send(&events);
+        fleet
     }
 
     pub fn proxies_using(&self, uses: impl Fn(&TableId) -> bool) -> Vec<ProxyId> {
@@ -373,13 +373,13 @@
     }
 }
 
-/// A deployment whose proxies all join one instance, with the given send rate of its channel.
-pub fn joining_one_instance(lines_per_s: f64, drain_grace: Micros) -> Deployment {
+/// A fleet whose proxies all join one instance, with the given send rate of its channel.
+pub fn joining_one_instance(lines_per_s: f64, drain_grace: Micros) -> LargeFleet {
     let settings = Settings {
         channel_lines_per_second: lines_per_s,
         channel_backlog: 60_000.0,
         drain_grace,
         ..sparse_settings()
     };
-    Deployment::started(settings, 1.0, 500, 1000)
+    LargeFleet::started(settings, 1.0, 500, 1000)
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Settings, endpoints, events and small fleets for the tests.
 #![allow(dead_code)]
 
-pub mod deployment;
 mod fleet;
+pub mod large_fleet;
 
 use std::collections::BTreeSet;
 
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -354,7 +354,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The invariants hold for any limits: no unsafe retry, levels between a tenth and all, messages within their
+    /// No limits violate the invariants: no unsafe retry, levels between a tenth and all, messages within their
     /// limit, and a server for each proxy.
     #[test]
     fn invariants_hold_under_arbitrary_limits(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..40)) {
--- a/crates/policy/tests/sharding.rs
+++ b/crates/policy/tests/sharding.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeSet;
 
 use chutegrade_policy::*;
-use common::deployment::*;
+use common::large_fleet::*;
 use common::*;
 
 #[test]
 fn a_small_fleet_is_one_shard_and_a_large_sparse_one_is_sharded() {
-    let mut small = Deployment::started(
+    let mut small = LargeFleet::started(
         Settings {
             proxies: 8,
             ..sparse_settings()
@@ -23,7 +23,7 @@
     // 12,000 lines per second for 2.5 s beyond the delivery delay are 30 for each of 1,000 proxies. A first table takes
     // 9 and a suspension 7 beside the weights, which leaves 14, below the usual 16.
     let grace = sparse_settings().max_delivery_delay + ms(2500);
-    let mut large = Deployment::started(
+    let mut large = LargeFleet::started(
         Settings {
             drain_grace: grace,
             ..sparse_settings()
@@ -50,9 +50,9 @@
     );
 }
 
-fn mean_width(deployment: &Deployment) -> f64 {
+fn mean_width(fleet: &LargeFleet) -> f64 {
     (0..1000)
-        .map(|id| deployment.visible_servers(id).len())
+        .map(|id| fleet.visible_servers(id).len())
         .sum::<usize>() as f64
         / 1000.0
 }
@@ -62,9 +62,9 @@
 #[test]
 fn shards_are_narrow_enough_for_all_proxies_to_join_one_instance_within_the_grace() {
     let width_at = |lines_per_s, drain_grace| {
-        let mut deployment = joining_one_instance(lines_per_s, drain_grace);
-        deployment.run(30, &[], &none_unresponsive);
-        mean_width(&deployment)
+        let mut fleet = joining_one_instance(lines_per_s, drain_grace);
+        fleet.run(30, &[], &none_unresponsive);
+        mean_width(&fleet)
     };
     let width = width_at(1150.0, ms(20_000));
     let settings = sparse_settings();
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_large_fleet_with_much_traffic_at_each_proxy_is_one_shard() {
-    let mut deployment = Deployment::new(
+    let mut fleet = LargeFleet::new(
         Settings {
             proxies: 40,
             ..sparse_settings()
@@ -100,15 +100,15 @@
         (0..60).map(endpoint).collect(),
     )];
     events.extend((0..40).map(|id| joined_with_rate(id, 80.0)));
-    deployment.send(&events);
-    deployment.run(3, &[], &none_unresponsive);
-    assert_eq!(deployment.visible_servers(0).len(), 60);
+    fleet.send(&events);
+    fleet.run(3, &[], &none_unresponsive);
+    assert_eq!(fleet.visible_servers(0).len(), 60);
 }
 
 /// A proxy whose demand is a multiple of a shard's capacity would saturate the servers of that shard.
 #[test]
 fn a_proxy_whose_demand_exceeds_a_shard_is_assigned_the_complete_fleet() {
-    let mut deployment = Deployment::new(
+    let mut fleet = LargeFleet::new(
         Settings {
             proxies: 300,
             ..sparse_settings()
@@ -120,17 +120,17 @@
         (0..200).map(endpoint).collect(),
     )];
     events.extend((0..300).map(|id| joined_with_rate(id, if id == 6 { 400.0 } else { 2.0 })));
-    deployment.send(&events);
-    deployment.run(6, &[], &none_unresponsive);
+    fleet.send(&events);
+    fleet.run(6, &[], &none_unresponsive);
     assert!(
-        deployment.visible_servers(6).len() >= 190,
+        fleet.visible_servers(6).len() >= 190,
         "{} of 200",
-        deployment.visible_servers(6).len()
+        fleet.visible_servers(6).len()
     );
     assert!(
-        deployment.visible_servers(8).len() <= 100,
+        fleet.visible_servers(8).len() <= 100,
         "{} of 200",
-        deployment.visible_servers(8).len()
+        fleet.visible_servers(8).len()
     );
 }
 
@@ -145,7 +145,7 @@
             proxies: 3,
             ..settings()
         };
-        let mut deployment = Deployment::new(with_affinity, 1.0);
+        let mut fleet = LargeFleet::new(with_affinity, 1.0);
         let rate = f64::from(tenths) * 0.1;
         let mut events = vec![Event::EndpointList(
             EndpointUpdateKind::CachedSnapshot,
@@ -156,12 +156,12 @@
             joined_with_rate(1, 0.7),
             joined_with_rate(3, rate * 0.3),
         ]);
-        deployment.send(&events);
-        deployment.run(1, &[], &none_unresponsive);
+        fleet.send(&events);
+        fleet.run(1, &[], &none_unresponsive);
         assert!(
             (0..4)
                 .filter(|id| *id != 2)
-                .all(|id| !deployment.visible_servers(id).is_empty()),
+                .all(|id| !fleet.visible_servers(id).is_empty()),
             "rate {rate}"
         );
     }
@@ -170,9 +170,9 @@
 /// All servers of a shard may leave while those of the other shards stay in service.
 #[test]
 fn proxies_of_a_shard_that_lost_all_servers_get_servers_of_other_shards() {
-    let mut deployment = Deployment::started(sparse_settings(), 1.0, 200, 300);
-    deployment.run(10, &healthy(200, &[]), &none_unresponsive);
-    let lost: Vec<Endpoint> = deployment
+    let mut fleet = LargeFleet::started(sparse_settings(), 1.0, 200, 300);
+    fleet.run(10, &healthy(200, &[]), &none_unresponsive);
+    let lost: Vec<Endpoint> = fleet
         .visible_servers(7)
         .into_iter()
         .map(|server| Endpoint {
@@ -181,15 +181,15 @@
         })
         .collect();
     assert!(lost.len() < 150, "a shard, not all: {}", lost.len());
-    deployment.send(&[Event::EndpointList(EndpointUpdateKind::Delta, lost)]);
-    deployment.run(2, &[], &none_unresponsive);
-    assert!((0..300).all(|id| !deployment.visible_servers(id).is_empty()));
+    fleet.send(&[Event::EndpointList(EndpointUpdateKind::Delta, lost)]);
+    fleet.run(2, &[], &none_unresponsive);
+    assert!((0..300).all(|id| !fleet.visible_servers(id).is_empty()));
 }
 
 /// If servers accept few connections, most attempts fail at idle servers until tables are narrower.
 #[test]
 fn tables_narrow_while_attempts_fail_at_idle_servers_everywhere_and_widen_afterwards() {
-    let mut deployment = Deployment::started(
+    let mut fleet = LargeFleet::started(
         Settings {
             proxies: 80,
             ..sparse_settings()
@@ -198,8 +198,8 @@
         200,
         80,
     );
-    deployment.run(8, &healthy(200, &[]), &none_unresponsive);
-    let baseline = deployment.visible_servers(5).len();
+    fleet.run(8, &healthy(200, &[]), &none_unresponsive);
+    let baseline = fleet.visible_servers(5).len();
     let idle = LoadReport {
         queued: Some(0.0),
         ..LoadReport::default()
@@ -207,20 +207,20 @@
     let failed_outcomes: Vec<Event> = (0..200)
         .map(|id| with_load(server_outcomes(id, 8.0, 5.0, 200.0), idle))
         .collect();
-    deployment.run(6, &failed_outcomes, &none_unresponsive);
-    let narrowed = deployment.visible_servers(5).len();
+    fleet.run(6, &failed_outcomes, &none_unresponsive);
+    let narrowed = fleet.visible_servers(5).len();
     assert!(
         narrowed >= 5 && 2 * narrowed <= baseline,
         "{narrowed} of {baseline}"
     );
-    assert!((0..80).all(|id| !deployment.visible_servers(id).is_empty()));
-    deployment.run(45, &healthy(200, &[]), &none_unresponsive);
-    assert_eq!(deployment.visible_servers(5).len(), baseline);
+    assert!((0..80).all(|id| !fleet.visible_servers(id).is_empty()));
+    fleet.run(45, &healthy(200, &[]), &none_unresponsive);
+    assert_eq!(fleet.visible_servers(5).len(), baseline);
 }
 
 #[test]
 fn tables_do_not_narrow_while_health_checks_fail_as_well() {
-    let mut deployment = Deployment::started(
+    let mut fleet = LargeFleet::started(
         Settings {
             proxies: 80,
             ..sparse_settings()
@@ -229,14 +229,14 @@
         200,
         80,
     );
-    deployment.run(8, &healthy(200, &[]), &none_unresponsive);
-    let baseline = deployment.visible_servers(5).len();
+    fleet.run(8, &healthy(200, &[]), &none_unresponsive);
+    let baseline = fleet.visible_servers(5).len();
     let failing: Vec<Event> = (0..200)
         .map(|id| server_outcomes(id, 8.0, 5.0, 200.0))
         .collect();
-    deployment.run(6, &failing, &|_| true);
+    fleet.run(6, &failing, &|_| true);
     assert!(
-        deployment.visible_servers(5).len() >= baseline,
+        fleet.visible_servers(5).len() >= baseline,
         "an overload is not due to a lack of connections"
     );
 }
@@ -244,7 +244,7 @@
 /// Proxies on tables of an earlier layout may hold the full weight of a removed server when it returns and warms up.
 #[test]
 fn a_returning_server_stays_suspended_until_no_table_contains_its_old_weight() {
-    let mut deployment = Deployment::started(
+    let mut fleet = LargeFleet::started(
         Settings {
             proxies: 80,
             ..sparse_settings()
@@ -253,33 +253,33 @@
         200,
         80,
     );
-    deployment.run(8, &healthy(200, &[]), &none_unresponsive);
-    let server = *deployment.visible_servers(5).first().expect("assigned");
-    deployment.send(&[Event::EndpointList(
+    fleet.run(8, &healthy(200, &[]), &none_unresponsive);
+    let server = *fleet.visible_servers(5).first().expect("assigned");
+    fleet.send(&[Event::EndpointList(
         EndpointUpdateKind::Delta,
         vec![Endpoint {
             lifecycle: Lifecycle::Removed,
             ..endpoint(server.0)
         }],
     )]);
-    assert!(deployment.suspended.contains(&server));
-    let now = deployment.now;
-    deployment.send(&[Event::EndpointList(
+    assert!(fleet.suspended.contains(&server));
+    let now = fleet.now;
+    fleet.send(&[Event::EndpointList(
         EndpointUpdateKind::Delta,
         vec![warming(server.0, now)],
     )]);
     for _ in 0..40 {
-        deployment.run(1, &healthy(200, &[server.0]), &none_unresponsive);
-        let heaviest = deployment
+        fleet.run(1, &healthy(200, &[server.0]), &none_unresponsive);
+        let heaviest = fleet
             .tables
             .values()
             .filter_map(|lines| lines.get(&server))
             .fold(0.0, |a, b| b.max(a));
-        let age = (deployment.now - now).secs();
+        let age = (fleet.now - now).secs();
         assert!(
-            deployment.suspended.contains(&server) || age > 16.0 || heaviest < 3.0,
+            fleet.suspended.contains(&server) || age > 16.0 || heaviest < 3.0,
             "weight {heaviest} at {age} s"
         );
     }
-    assert!(!deployment.suspended.contains(&server), "it is re-admitted");
+    assert!(!fleet.suspended.contains(&server), "it is re-admitted");
 }
--- a/crates/settings/src/consistency.rs
+++ b/crates/settings/src/consistency.rs
@@ -59,7 +59,7 @@
     (backlog < suspension).then(|| {
         format!(
             "familyInfo.backlog is {backlog}, less than the {suspension} lines that suspend one server \
-            at {proxies} proxies: if all of them join one instance, a suspension is sent alone and exceeds the backlog"
+             at {proxies} proxies: if all of them join one instance, a suspension is sent alone and exceeds the backlog"
         )
     })
 }
