--- a/crates/policy/benches/tick.rs
+++ b/crates/policy/benches/tick.rs
@@ -9,7 +9,7 @@
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 
 const ZONES: u16 = 3;
-/// Proxies that join in one batch.
+/// Number of proxies that join in one batch.
 const JOIN_BATCH_SIZE: u32 = 10;
 
 fn settings(proxies: u32) -> Settings {
--- a/crates/policy/tests/common/large_fleet.rs
+++ b/crates/policy/tests/common/large_fleet.rs
@@ -295,7 +295,7 @@
             .front()
             .is_some_and(|acknowledgement| acknowledgement.at <= self.now)
         {
-            let due = self.acknowledgements.pop_front().expect("seen");
+            let due = self.acknowledgements.pop_front().expect("checked above");
             self.first_applied.entry(due.proxy).or_insert(due.at);
             events.push(Event::Acknowledged {
                 proxy: due.proxy,
@@ -326,7 +326,7 @@
             .first_key_value()
             .is_some_and(|(at, _)| *at <= self.now)
         {
-            let (_, id) = self.timers.pop_first().expect("seen");
+            let (_, id) = self.timers.pop_first().expect("checked above");
             events.push(Event::Timer(id));
         }
         events
