--- a/crates/policy/src/decisions/speed.rs
+++ b/crates/policy/src/decisions/speed.rs
@@ -1,4 +1,4 @@
-//! The speed of each server for its listed weight, by health checks or reported service times.
+//! The relative speed of each server, estimated from health checks or reported service times.
 
 use std::collections::BTreeSet;
 
@@ -9,11 +9,13 @@
 use super::registry::{Registry, Weights};
 use super::server::Server;
 
-/// Timed health checks count like so many load reports, which mix requests of all costs.
-const CHECK_REPORTS: f64 = 60.0;
-/// Load reports at the median speed that are mixed in before a measured speed is believed.
+/// Number of load reports that timed health checks count as. Load reports are noisier, since they mix requests of all
+/// costs.
+const HEALTH_CHECK_REPORT_COUNT: f64 = 60.0;
+/// Number of load reports at the median speed that each estimate is combined with, so that few reports have little
+/// effect.
 const PRIOR_REPORTS: f64 = 4.0;
-/// Group of the servers where the listed weight doesn't include their speed.
+/// Group of all servers where the listed weight does not include their speed.
 const COMMON_GROUP: u32 = 0;
 
 /// The estimated speed of a server.
@@ -21,8 +23,8 @@
 struct SpeedEstimate {
     /// Requests or health checks per unit of time.
     speed: f64,
-    /// The estimate as a number of load reports.
-    reports: f64,
+    /// Number of load reports that the estimate counts as.
+    report_count: f64,
 }
 
 impl SpeedEstimate {
@@ -30,25 +32,25 @@
         if let Some(speed) = evidence.checks.positive_mean() {
             return Some(SpeedEstimate {
                 speed,
-                reports: CHECK_REPORTS,
+                report_count: HEALTH_CHECK_REPORT_COUNT,
             });
         }
         let service_ms = evidence.service_ms.positive_mean()?;
         Some(SpeedEstimate {
             speed: 1.0 / service_ms,
-            reports: evidence.service_ms.weight,
+            report_count: evidence.service_ms.weight,
         })
     }
 
-    /// The speed against the median, as far as it is believed.
+    /// Returns the speed relative to the median, closer to 1 the fewer reports there are.
     fn relative_to(&self, median_speed: f64) -> f64 {
-        let confidence = self.reports / (self.reports + PRIOR_REPORTS);
+        let confidence = self.report_count / (self.report_count + PRIOR_REPORTS);
         (self.speed / median_speed).powf(confidence)
     }
 }
 
-/// The speed of each server in service against the median of the fleet, or of its machine kind where the listed weight
-/// includes the speed of the kind. Servers without an estimate are left out.
+/// Returns the speed of each server in service relative to the median of the fleet, or of its machine kind where the
+/// listed weight includes the speed of the kind. Servers without an estimate are omitted.
 pub(super) fn relative_speeds(registry: &Registry, settings: &Settings) -> Weights {
     let weight_includes_speed = settings.listed_weight == ListedWeight::RegisteredCapacity;
     let group_of = |server: &Server| {
