--- a/crates/adapter/tests/remote_policy.rs
+++ b/crates/adapter/tests/remote_policy.rs
@@ -32,9 +32,9 @@
         spawn(&config, &first_error)
     };
     Setup {
-        other: Some(chutegrade_model::Other {
+        alternative_policy: Some(chutegrade_model::AlternativePolicy {
             name,
-            make: Arc::new(make),
+            create: Arc::new(make),
         }),
         ..Setup::default()
     }
--- a/crates/emulators/src/predict/tests.rs
+++ b/crates/emulators/src/predict/tests.rs
@@ -25,10 +25,10 @@
             .unwrap_or_else(|fault| panic!("{}: {fault}", day.name));
         let outcome = run(&scenario, Control::Module, 1);
         assert!(
-            outcome.broken.is_empty() && outcome.figure("came") > 3000.0,
+            outcome.broken_rules.is_empty() && outcome.figure("came") > 3000.0,
             "{}: {:?}",
             day.name,
-            outcome.broken
+            outcome.broken_rules
         );
     }
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -7,8 +7,8 @@
 use chutegrade_adapter::remote_policy::{spawn, FirstError, RemotePolicyConfig};
 use chutegrade_engine::{DecisionPolicy, Settings};
 
-use chutegrade_model::scenario::{changed, digest, parse, pb as model, Scenario};
-use chutegrade_model::{Control, Other, Setup, IDEAL_LATE_MS};
+use chutegrade_model::scenario::{digest, parse, pb as model, with_change, Scenario};
+use chutegrade_model::{AlternativePolicy, Control, Setup, DEFAULT_IDEAL_DELAY_MS};
 use chutegrade_settings::DeploymentNames;
 use chutegrade_textproto::{find_field, TextError};
 use chutegrade_traffic::Traffic;
@@ -207,14 +207,14 @@
             fault("case", format!("two scenarios are named {name:?}"));
         }
         for (place, variant) in variants.iter().enumerate() {
-            let both = changed(&scenario, &variant.change);
+            let both = with_change(&scenario, &variant.change);
             match Scenario::try_from(&both) {
                 Ok(scenario) => {
                     let setup = Setup {
                         traffic: traffic.clone(),
                         ..variant.setup.clone()
                     };
-                    if let Err(said) = setup.fits(&scenario) {
+                    if let Err(said) = setup.validate_for(&scenario) {
                         fault("case", format!("{name} with {}: {said}", variant.name));
                     }
                     let digest = arm_digest(&digest(&both), &setup);
@@ -282,7 +282,7 @@
         None => model::Scenario::default(),
     };
     Ok(match &of.scenario {
-        Some(change) => changed(&base, change),
+        Some(change) => with_change(&base, change),
         None => base,
     })
 }
@@ -301,7 +301,9 @@
     let control = match of.control() {
         pb::variant::Control::Fixed => Control::Fixed,
         pb::variant::Control::Nobody => Control::Nobody,
-        pb::variant::Control::Ideal => Control::Ideal(of.ideal_late_ms.unwrap_or(IDEAL_LATE_MS)),
+        pb::variant::Control::Ideal => {
+            Control::Ideal(of.ideal_late_ms.unwrap_or(DEFAULT_IDEAL_DELAY_MS))
+        }
         pb::variant::Control::Module | pb::variant::Control::Unspecified => Control::Module,
     };
     let text = |file: &String| Ok((file.clone(), read_text(directory, file)?));
@@ -319,11 +321,11 @@
     let setup = Setup {
         control,
         plugins,
-        other,
+        alternative_policy: other,
         limits: of.limits.clone(),
         traffic: None,
     };
-    setup.check()?;
+    setup.validate_plugins()?;
     Ok(Variant {
         faults,
         name: of
@@ -336,7 +338,7 @@
 }
 
 /// Another build by its command; its name holds a digest of the program, so that results of one are never taken for another's.
-fn other(command: &str, faults: &FirstError) -> Result<Other, String> {
+fn other(command: &str, faults: &FirstError) -> Result<AlternativePolicy, String> {
     let program = command.split_whitespace().next().unwrap_or_default();
     let bytes = std::fs::read(program).map_err(|fault| format!("{program:?}: {fault}"))?;
     let name = format!("{command} {}", blake3::hash(&bytes).to_hex());
@@ -357,9 +359,9 @@
         };
         spawn(&config, &faults)
     };
-    Ok(Other {
+    Ok(AlternativePolicy {
         name,
-        make: Arc::new(make),
+        create: Arc::new(make),
     })
 }
 
@@ -430,7 +432,7 @@
     hasher.update(format!("{:?}", setup.control).as_bytes());
     hasher.update(
         setup
-            .other
+            .alternative_policy
             .as_ref()
             .map_or("", |other| other.name.as_str())
             .as_bytes(),
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -7,7 +7,7 @@
 use rayon::prelude::*;
 
 use chutegrade_model::scenario::pb::{trouble::Sort, Scenario as Written, Trouble};
-use chutegrade_model::{play, Control, Scenario, Setup, IDEAL_LATE_MS};
+use chutegrade_model::{play, Control, Scenario, Setup, DEFAULT_IDEAL_DELAY_MS};
 
 /// Troubles together at most: what incidents had.
 const TROUBLES_MOST: usize = 3;
@@ -106,12 +106,12 @@
         found.service.0 += own.service() / SEEDS as f64;
         found.service.1 += other.service() / SEEDS as f64;
         found.runs += 2;
-        for of in &own.broken {
-            let said = format!("{}: {}", of.rule.word(), of.how);
+        for of in &own.broken_rules {
+            let said = format!("{}: {}", of.rule.name(), of.description);
             if !found
                 .broken
                 .iter()
-                .any(|known| known.starts_with(of.rule.word()))
+                .any(|known| known.starts_with(of.rule.name()))
             {
                 found.broken.push(said);
             }
@@ -335,7 +335,7 @@
     Quarry {
         setup: Setup::default(),
         against: Setup {
-            control: Control::Ideal(IDEAL_LATE_MS),
+            control: Control::Ideal(DEFAULT_IDEAL_DELAY_MS),
             ..Setup::default()
         },
         rules_only,
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -48,17 +48,17 @@
 /// What came of a run, as it is kept.
 pub fn kept(arm: &Arm, variant: &str, build: &str, seed: u64, outcome: Outcome) -> Result {
     let share = |of: &Second| {
-        if of.asked > 0.0 {
-            (of.earned / of.asked) as f32
+        if of.offered > 0.0 {
+            (of.served / of.offered) as f32
         } else {
             1.0
         }
     };
-    let broken = outcome.broken.iter().map(|of| Broken {
-        rule: of.rule.word().to_string(),
+    let broken = outcome.broken_rules.iter().map(|of| Broken {
+        rule: of.rule.name().to_string(),
         times: of.times,
         at_s: of.at_s,
-        how: of.how.clone(),
+        how: of.description.clone(),
     });
     Result {
         case: arm.case.clone(),
--- a/crates/lab/tests/experiments.rs
+++ b/crates/lab/tests/experiments.rs
@@ -174,10 +174,10 @@
             scenario::read(&text).unwrap_or_else(|faults| panic!("{}: {faults:?}", file.display()));
         let outcome = chutegrade_model::run(&scenario, Control::Module, 1);
         assert!(
-            outcome.broken.is_empty(),
+            outcome.broken_rules.is_empty(),
             "{}: {:?}",
             file.display(),
-            outcome.broken
+            outcome.broken_rules
         );
     }
 }
--- a/crates/model/benches/queue.rs
+++ b/crates/model/benches/queue.rs
@@ -148,7 +148,7 @@
         println!(
             "{times:>5} times: {} servers, {} front ends, {:.0} requests/s: {:.1} times real time, {:.2} M events/s, service {:.3}, {} rules, {:.0} MiB at most",
             scenario.servers(),
-            scenario.front_ends,
+            scenario.proxies,
             scenario.rate,
             f64::from(seconds) / took,
             outcome.events as f64 / took / 1e6,
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -18,4 +18,4 @@
 pub use measure::Outcome;
 pub use scenario::Scenario;
 pub use sim::{play, run, Control, Run, Setup};
-pub use supervisor::{Other, IDEAL_LATE_MS};
+pub use supervisor::{AlternativePolicy, DEFAULT_IDEAL_DELAY_MS};
--- a/crates/model/src/measure.rs
+++ b/crates/model/src/measure.rs
@@ -5,7 +5,7 @@
 use chutegrade_limits::LevelTransition;
 use hdrhistogram::Histogram;
 
-use crate::rules::Broken;
+use crate::rules::BrokenRule;
 use crate::scenario::{Scenario, Service};
 
 /// Seconds of a span over which nines are counted.
@@ -30,7 +30,7 @@
     /// Its name.
     pub name: String,
     /// Requests that came.
-    pub came: u64,
+    pub requests: u64,
     /// Share of its worth that was answered in time.
     pub service: f64,
     /// Share that was refused, and that failed.
@@ -45,9 +45,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Second {
     /// Worth that was asked for.
-    pub asked: f64,
+    pub offered: f64,
     /// Worth that was answered in time.
-    pub earned: f64,
+    pub served: f64,
     /// Requests waiting at servers at its end.
     pub queue: f64,
     /// Lines waiting in the fullest channel at its end, as a share of what may wait.
@@ -75,7 +75,7 @@
     /// By second.
     pub seconds: Vec<Second>,
     /// Rules that were broken.
-    pub broken: Vec<Broken>,
+    pub broken_rules: Vec<BrokenRule>,
     /// Events that were handled.
     pub events: u64,
     /// When each server that a trouble struck was first left by all front ends, by the trouble's number: seconds after.
@@ -83,7 +83,7 @@
     /// When each of these that was left was first picked again, in seconds after its trouble ended.
     pub restored_s: Vec<f64>,
     /// Changes of the level of service, in the order of time.
-    pub changes: Vec<LevelChange>,
+    pub level_changes: Vec<LevelChange>,
 }
 
 impl Outcome {
@@ -99,9 +99,9 @@
 }
 
 struct Tally {
-    came: u64,
-    asked: f64,
-    earned: f64,
+    requests: u64,
+    offered: f64,
+    served: f64,
     refused: u64,
     failed: u64,
     times: Histogram<u64>,
@@ -128,16 +128,16 @@
     /// For a scenario, nothing counted.
     pub fn new(scenario: &Scenario) -> Self {
         let tally = |_| Tally {
-            came: 0,
-            asked: 0.0,
-            earned: 0.0,
+            requests: 0,
+            offered: 0.0,
+            served: 0.0,
             refused: 0,
             failed: 0,
             times: times(),
         };
         Meter {
             classes: scenario.classes.iter().map(tally).collect(),
-            seconds: vec![Second::default(); (scenario.length_us / 1_000_000) as usize + 1],
+            seconds: vec![Second::default(); (scenario.duration_us / 1_000_000) as usize + 1],
             counts: BTreeMap::new(),
             tops: BTreeMap::new(),
             shut_out_s: Vec::new(),
@@ -183,9 +183,9 @@
     pub fn ended(&mut self, scenario: &Scenario, class: usize, came_us: u64, ending: Ending) {
         let of = &scenario.classes[class];
         let tally = &mut self.classes[class];
-        tally.came += 1;
-        tally.asked += of.worth;
-        let earned = match ending {
+        tally.requests += 1;
+        tally.offered += of.worth;
+        let served = match ending {
             Ending::Answered(us) => {
                 tally.times.saturating_record(us.max(1));
                 match us {
@@ -203,15 +203,15 @@
                 0.0
             }
         };
-        tally.earned += earned;
+        tally.served += served;
         if let Some(second) = self.seconds.get_mut((came_us / 1_000_000) as usize) {
-            second.asked += of.worth;
-            second.earned += earned;
+            second.offered += of.worth;
+            second.served += served;
         }
     }
 
     /// All that was counted.
-    pub fn finish(self, scenario: &Scenario, broken: Vec<Broken>, events: u64) -> Outcome {
+    pub fn finish(self, scenario: &Scenario, broken: Vec<BrokenRule>, events: u64) -> Outcome {
         let Meter {
             classes,
             mut seconds,
@@ -227,7 +227,7 @@
         };
         let came: f64 = classes
             .iter()
-            .map(|class| class.came as f64)
+            .map(|class| class.requests as f64)
             .sum::<f64>()
             .max(1.0);
         put(
@@ -267,7 +267,7 @@
             "wasted",
             counts.get("wasted_ms").copied().unwrap_or(0.0) / offered,
         );
-        let length_s = scenario.length_us as f64 / 1e6;
+        let length_s = scenario.duration_us as f64 / 1e6;
         let pace = scenario.lines_per_s * scenario.supervisors as f64 * length_s.max(1e-9);
         put(
             "channel",
@@ -296,7 +296,7 @@
                 restored_s.iter().sum::<f64>() / restored_s.len() as f64,
             );
         }
-        if seconds.last().is_some_and(|last| last.asked == 0.0) {
+        if seconds.last().is_some_and(|last| last.offered == 0.0) {
             seconds.pop();
         }
         let classes = classes
@@ -308,22 +308,22 @@
             figures,
             classes,
             seconds,
-            broken,
+            broken_rules: broken,
             events,
             shut_out_s,
             restored_s,
-            changes,
+            level_changes: changes,
         }
     }
 }
 
 impl Tally {
     fn outcome(&self, name: &str) -> ClassOutcome {
-        let came = (self.came as f64).max(1.0);
+        let came = (self.requests as f64).max(1.0);
         ClassOutcome {
             name: name.to_string(),
-            came: self.came,
-            service: share(self.earned, self.asked),
+            requests: self.requests,
+            service: share(self.served, self.offered),
             refused: self.refused as f64 / came,
             failed: self.failed as f64 / came,
             quantiles_ms: [0.5, 0.9, 0.99, 0.999]
@@ -333,41 +333,41 @@
 }
 
 /// A share; of nothing asked for all was served.
-fn share(earned: f64, asked: f64) -> f64 {
-    if asked > 0.0 {
-        earned / asked
+fn share(served: f64, offered: f64) -> f64 {
+    if offered > 0.0 {
+        served / offered
     } else {
         1.0
     }
 }
 
 fn sums(seconds: &[Second]) -> (f64, f64) {
-    seconds.iter().fold((0.0, 0.0), |(earned, asked), of| {
-        (earned + of.earned, asked + of.asked)
+    seconds.iter().fold((0.0, 0.0), |(served, offered), of| {
+        (served + of.served, offered + of.offered)
     })
 }
 
 fn service(seconds: &[Second], classes: &[Tally], by: &Service) -> BTreeMap<String, f64> {
-    let (earned, asked) = sums(seconds);
-    let whole = share(earned, asked);
+    let (served, offered) = sums(seconds);
+    let whole = share(served, offered);
     let window = by.window_s.min(seconds.len()).max(1);
     let windows = seconds
         .windows(window)
         .map(sums)
-        .filter(|(_, asked)| *asked > 0.0);
+        .filter(|(_, offered)| *offered > 0.0);
     let worst_window = windows
-        .map(|(earned, asked)| earned / asked)
+        .map(|(served, offered)| served / offered)
         .fold(1.0, f64::min);
-    let asked_for = classes.iter().filter(|class| class.asked > 0.0);
+    let asked_for = classes.iter().filter(|class| class.offered > 0.0);
     let worst_class = asked_for
-        .map(|class| class.earned / class.asked)
+        .map(|class| class.served / class.offered)
         .fold(1.0, f64::min);
     let spans: Vec<f64> = seconds
         .chunks(NINES_SPAN)
         .map(sums)
-        .filter(|(_, asked)| *asked > 0.0)
-        .map(|(earned, asked)| {
-            let lost = (1.0 - earned / asked).max(0.0);
+        .filter(|(_, offered)| *offered > 0.0)
+        .map(|(served, offered)| {
+            let lost = (1.0 - served / offered).max(0.0);
             if lost > 0.0 {
                 (-lost.log10() / by.nines_full).clamp(0.0, 1.0)
             } else {
--- a/crates/model/src/measure/tests.rs
+++ b/crates/model/src/measure/tests.rs
@@ -43,7 +43,7 @@
         (nines(1.0 / 15.0) + 1.0 + 2.0 * nines(5.0 / 15.0)) / 4.0,
     );
     close("failed", 1.0 / 40.0);
-    assert_eq!(outcome.classes[1].came, 20);
+    assert_eq!(outcome.classes[1].requests, 20);
 }
 
 #[test]
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -21,7 +21,7 @@
 
 impl Rule {
     /// The word for it.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Rule::Unserved => "unserved",
             Rule::Twice => "twice",
@@ -34,7 +34,7 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct BrokenRule {
     /// Which.
     pub rule: Rule,
     /// How often.
@@ -42,12 +42,12 @@
     /// When first, in seconds.
     pub at_s: f64,
     /// How, the first time.
-    pub how: String,
+    pub description: String,
 }
 
 /// What was broken so far.
 #[derive(Debug, Default)]
-pub struct Rules(BTreeMap<Rule, Broken>);
+pub struct Rules(BTreeMap<Rule, BrokenRule>);
 
 /// Part of the work sent to a cold server that must come from front ends that know of its start, for the rule to be broken.
 const KNOWING: f64 = 2.0 / 3.0;
@@ -57,17 +57,17 @@
 impl Rules {
     /// A rule was broken.
     pub fn broken(&mut self, rule: Rule, now: u64, how: impl FnOnce() -> String) {
-        let first = || Broken {
+        let first = || BrokenRule {
             rule,
             times: 0,
             at_s: now as f64 / 1e6,
-            how: how(),
+            description: how(),
         };
         self.0.entry(rule).or_insert_with(first).times += 1;
     }
 
     /// All that were broken.
-    pub fn finish(self) -> Vec<Broken> {
+    pub fn finish(self) -> Vec<BrokenRule> {
         self.0.into_values().collect()
     }
 }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -97,7 +97,7 @@
 #[allow(missing_docs)]
 pub struct Scenario {
     pub name: String,
-    pub length_us: u64,
+    pub duration_us: u64,
     pub zones: Vec<String>,
     pub kinds: Vec<Kind>,
     pub classes: Vec<Class>,
@@ -108,7 +108,7 @@
     pub client_try_share: f64,
     pub client_backoff_us: f64,
     pub client_backoff_growth: f64,
-    pub front_ends: usize,
+    pub proxies: usize,
     pub pick: Pick,
     pub avoids_after: u32,
     pub avoids_us: u64,
@@ -182,7 +182,7 @@
 }
 
 /// A scenario with a change: single fields are replaced, lists grow.
-pub fn changed(scenario: &pb::Scenario, change: &pb::Scenario) -> pb::Scenario {
+pub fn with_change(scenario: &pb::Scenario, change: &pb::Scenario) -> pb::Scenario {
     let mut changed = scenario.clone();
     // What this very schema wrote it can read.
     let _ = changed.merge(change.encode_to_vec().as_slice());
@@ -484,7 +484,7 @@
         let level = c.figure("level", load.level, 0.5, 0.0, 100.0);
         let scenario = Scenario {
             name: of.name.clone().unwrap_or_else(|| "unnamed".to_string()),
-            length_us: c.us("seconds", of.seconds, 60.0, S),
+            duration_us: c.us("seconds", of.seconds, 60.0, S),
             rate: c.figure(
                 "rate",
                 load.rate,
@@ -504,7 +504,7 @@
                 1.0,
                 10.0,
             ),
-            front_ends: c.count("count", front.count, 6, 1, SIZE_MOST),
+            proxies: c.count("count", front.count, 6, 1, SIZE_MOST),
             pick: match front.pick() {
                 Pick::Unspecified => Pick::Random,
                 given => given,
@@ -623,7 +623,7 @@
             zones: self.zones.len(),
             zone: policy::ZoneId(zone as u16),
             classes: self.classes.iter().map(class).collect(),
-            proxies: self.front_ends,
+            proxies: self.proxies,
             admission_unit: if self.admits {
                 policy::AdmissionUnit::Share
             } else {
--- a/crates/model/src/scenario/tests.rs
+++ b/crates/model/src/scenario/tests.rs
@@ -62,7 +62,7 @@
 fn a_change_replaces_single_figures_and_is_another_scenario() {
     let base = parse(SMALL).expect("a scenario");
     let change = parse("rules { drain_grace_s: 5 } front_ends { pick: ROTATE }").expect("a change");
-    let both = changed(&base, &change);
+    let both = with_change(&base, &change);
     let scenario = Scenario::try_from(&both).expect("a scenario");
     assert_eq!(
         (scenario.drain_grace_us, scenario.pick, scenario.servers()),
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -409,9 +409,9 @@
                 .map(|kind| kind.name.clone())
                 .collect(),
         };
-        let mut engine = Box::new(match &self.setup.other {
+        let mut engine = Box::new(match &self.setup.alternative_policy {
             Some(other) => {
-                let decides = (other.make)(&settings, seed);
+                let decides = (other.create)(&settings, seed);
                 Engine::with_policy(decides, &settings, names)
             }
             None => Engine::new(settings, seed, names),
@@ -429,7 +429,7 @@
                 placed += 1;
             }
         }
-        for at in 0..self.scenario.front_ends {
+        for at in 0..self.scenario.proxies {
             let standing = self.standing(at % zones);
             let chance = Chance::new(self.seed, Source::Picks, at);
             self.by_zone[at % zones].push(at as u32);
@@ -463,7 +463,7 @@
     }
 
     fn go(&mut self) {
-        let last = BEGIN_US + self.scenario.length_us;
+        let last = BEGIN_US + self.scenario.duration_us;
         while let Some((at, event)) = self.queue.pop() {
             if at > last && (self.requests.is_empty() || at > last + DRAIN_US) {
                 break;
@@ -547,7 +547,7 @@
     // Clients.
 
     fn arrive(&mut self) {
-        if self.elapsed() >= self.scenario.length_us {
+        if self.elapsed() >= self.scenario.duration_us {
             return;
         }
         if let Some(traffic) = self.setup.traffic.clone() {
--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -20,7 +20,7 @@
 use crate::server::Server;
 
 /// How late the ideal sees the truth where nothing is said, in milliseconds: about what reports take in service.
-pub const IDEAL_LATE_MS: u32 = 500;
+pub const DEFAULT_IDEAL_DELAY_MS: u32 = 500;
 
 /// What decides.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -37,24 +37,24 @@
 }
 
 /// What makes another build's decisions, from settings and a seed.
-pub type Make = dyn Fn(&Settings, u64) -> Box<dyn DecisionPolicy> + Send + Sync;
+pub type PolicyFactory = dyn Fn(&Settings, u64) -> Box<dyn DecisionPolicy> + Send + Sync;
 
 /// Another build's decisions in the module's place.
 #[derive(Clone)]
-pub struct Other {
+pub struct AlternativePolicy {
     /// What tells it from others.
     pub name: String,
     /// What makes them for each start of a supervisor.
-    pub make: Arc<Make>,
+    pub create: Arc<PolicyFactory>,
 }
 
-impl std::fmt::Debug for Other {
+impl std::fmt::Debug for AlternativePolicy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}", self.name)
     }
 }
 
-impl PartialEq for Other {
+impl PartialEq for AlternativePolicy {
     fn eq(&self, other: &Self) -> bool {
         self.name == other.name
     }
@@ -66,7 +66,7 @@
     /// What decides.
     pub control: Control,
     /// Another build's module, where the control is the module.
-    pub other: Option<Other>,
+    pub alternative_policy: Option<AlternativePolicy>,
     /// Texts of plug-ins, with the names of their files; only the module takes advice.
     pub plugins: Vec<(String, String)>,
     /// Reduced service, limits and budgets; only the module takes them.
@@ -86,7 +86,7 @@
 
 impl Setup {
     /// Whether limits, and classes and zones of the traffic, fit a scenario; a sentence if not.
-    pub fn fits(&self, scenario: &Scenario) -> Result<(), String> {
+    pub fn validate_for(&self, scenario: &Scenario) -> Result<(), String> {
         if let Some(of) = &self.limits {
             OverloadConfig::read(of, Some(&classes(scenario))).map_err(|faults| {
                 let said: Vec<String> = faults.iter().map(ToString::to_string).collect();
@@ -143,7 +143,7 @@
     }
 
     /// Whether the plug-ins compile; a sentence if not.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate_plugins(&self) -> Result<(), String> {
         let refused = PluginAdvisor::default()
             .load(&self.plugins)
             .err()
--- a/crates/model/tests/levels.rs
+++ b/crates/model/tests/levels.rs
@@ -49,13 +49,13 @@
         .collect();
     let scenario = scenario_of(&format!("seconds: 600 load {{ level: 0.6 {points} }}"));
     let with = setup(LADDER);
-    with.fits(&scenario).expect("it fits");
+    with.validate_for(&scenario).expect("it fits");
     let (plain, levels) = (
         play(&scenario, &Setup::default(), 3),
         play(&scenario, &with, 3),
     );
     let ways: Vec<(usize, u64)> = levels
-        .changes
+        .level_changes
         .iter()
         .map(|of| (of.change.number, of.at_s as u64 / 120))
         .collect();
@@ -73,7 +73,7 @@
             );
         }
     }
-    for of in &levels.changes {
+    for of in &levels.level_changes {
         let told = of
             .change
             .readings
@@ -88,7 +88,7 @@
         kept(&levels),
         kept(&plain)
     );
-    assert!(levels.broken.is_empty(), "{:?}", levels.broken);
+    assert!(levels.broken_rules.is_empty(), "{:?}", levels.broken_rules);
 }
 
 #[test]
@@ -111,14 +111,18 @@
     ));
     let outcome = play(&scenario, &all, 5);
     assert_eq!(outcome, play(&scenario, &all, 5));
-    assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
+    assert!(
+        outcome.broken_rules.is_empty(),
+        "{:?}",
+        outcome.broken_rules
+    );
 }
 
 #[test]
 fn what_does_not_fit_is_told() {
     let scenario = scenario_of("seconds: 10");
     let said = setup(&LADDER.replace("'status-read' keep", "'nothing' keep"))
-        .fits(&scenario)
+        .validate_for(&scenario)
         .expect_err("a fault");
     assert!(said.contains("no class \"nothing\""), "{said}");
     let traffic = Traffic {
@@ -129,7 +133,7 @@
         traffic: Some(Arc::new(traffic)),
         ..Setup::default()
     }
-    .fits(&scenario)
+    .validate_for(&scenario)
     .expect_err("a fault");
     assert!(said.contains("no class \"other\""), "{said}");
 }
@@ -155,13 +159,13 @@
         traffic: Some(Arc::new(traffic)),
         ..Setup::default()
     };
-    setup.fits(&scenario).expect("it fits");
+    setup.validate_for(&scenario).expect("it fits");
     let outcome = play(&scenario, &setup, 1);
     assert_eq!(
         outcome
             .classes
             .iter()
-            .map(|class| class.came)
+            .map(|class| class.requests)
             .collect::<Vec<_>>(),
         [1800, 200, 0]
     );
@@ -169,7 +173,7 @@
         .seconds
         .iter()
         .take(17)
-        .map(|second| second.asked)
+        .map(|second| second.offered)
         .collect();
     // 111 a second, one in ten of them worth six.
     assert!(
--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -1,7 +1,7 @@
 //! Whole runs: what they give is as arithmetic or the scenario says, the same to the bit, and the five rules hold.
 
 use chutegrade_model::queue::{Plain, Wheel};
-use chutegrade_model::scenario::{changed, parse, read};
+use chutegrade_model::scenario::{parse, read, with_change};
 use chutegrade_model::sim::{run_on, Event};
 use chutegrade_model::{run, Control, Outcome, Scenario, Setup};
 
@@ -19,12 +19,16 @@
 
 fn fleet(more: &str) -> Scenario {
     let change = parse(more).unwrap_or_else(|fault| panic!("{more}: {fault}"));
-    let written = changed(&parse(FLEET).expect("the fleet"), &change);
+    let written = with_change(&parse(FLEET).expect("the fleet"), &change);
     Scenario::try_from(&written).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
 fn kept(outcome: &Outcome) {
-    assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
+    assert!(
+        outcome.broken_rules.is_empty(),
+        "{:?}",
+        outcome.broken_rules
+    );
 }
 
 #[test]
@@ -33,7 +37,7 @@
     kept(&outcome);
     assert!(outcome.service() > 0.95, "{:?}", outcome.figures);
     assert!(outcome.figure("came") > 2000.0 && outcome.events > 10_000);
-    let classes: u64 = outcome.classes.iter().map(|class| class.came).sum();
+    let classes: u64 = outcome.classes.iter().map(|class| class.requests).sum();
     assert_eq!(classes as f64, outcome.figure("came"));
 }
 
@@ -160,8 +164,16 @@
     ];
     for (seed, trouble) in troubles.iter().enumerate() {
         let outcome = run(&fleet(trouble), Control::Module, seed as u64);
-        assert!(outcome.broken.is_empty(), "{trouble}: {:?}", outcome.broken);
-        let ended: f64 = outcome.classes.iter().map(|class| class.came as f64).sum();
+        assert!(
+            outcome.broken_rules.is_empty(),
+            "{trouble}: {:?}",
+            outcome.broken_rules
+        );
+        let ended: f64 = outcome
+            .classes
+            .iter()
+            .map(|class| class.requests as f64)
+            .sum();
         assert!(
             ended > 2000.0 && ended == outcome.figure("came"),
             "{trouble}"
@@ -176,9 +188,9 @@
     let broken = |more: &str, control| {
         let outcome = run(&fleet(more), control, 1);
         outcome
-            .broken
+            .broken_rules
             .iter()
-            .map(|of| of.rule.word())
+            .map(|of| of.rule.name())
             .collect::<Vec<_>>()
     };
     let replace = "trouble { sort: REPLACE at_s: 4 length_s: 3 part: 0.5 size: 9 extra: 20 } rules { drain_grace_s: 0.05 }";
--- a/crates/supervisor/src/commands/lab/play.rs
+++ b/crates/supervisor/src/commands/lab/play.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use chutegrade_limits::pb;
-use chutegrade_model::{play, scenario, Control, Outcome, Scenario, Setup, IDEAL_LATE_MS};
+use chutegrade_model::{play, scenario, Control, Outcome, Scenario, Setup, DEFAULT_IDEAL_DELAY_MS};
 use chutegrade_records::text;
 use chutegrade_traffic::Traffic;
 
@@ -49,8 +49,8 @@
     let scenario = scenario::read(&read_text(path)?)
         .map_err(|faults| CommandError::from_file_faults(path, &faults))?;
     let setup = load_setup(arguments)?;
-    setup.check().map_err(setup_error)?;
-    setup.fits(&scenario).map_err(setup_error)?;
+    setup.validate_plugins().map_err(setup_error)?;
+    setup.validate_for(&scenario).map_err(setup_error)?;
     let start = Instant::now();
     let outcome = play(&scenario, &setup, arguments.seed);
     write_outcome(&scenario, &outcome, output)?;
@@ -80,7 +80,7 @@
     Ok(Setup {
         control: arguments.control.into(),
         plugins: read_plugins(&arguments.plugins)?,
-        other: None,
+        alternative_policy: None,
         limits,
         traffic,
     })
@@ -92,7 +92,7 @@
             ControlPlane::Module => Control::Module,
             ControlPlane::Fixed => Control::Fixed,
             ControlPlane::Nobody => Control::Nobody,
-            ControlPlane::Ideal => Control::Ideal(IDEAL_LATE_MS),
+            ControlPlane::Ideal => Control::Ideal(DEFAULT_IDEAL_DELAY_MS),
         }
     }
 }
@@ -114,7 +114,7 @@
 }
 
 fn simulated_seconds(scenario: &Scenario) -> f64 {
-    scenario.length_us as f64 / US_PER_SECOND
+    scenario.duration_us as f64 / US_PER_SECOND
 }
 
 fn write_outcome(
@@ -127,7 +127,7 @@
         "{}: {} servers, {} front ends, {} supervisors, {:.0} requests/s for {:.0} s (simulated)",
         scenario.name,
         scenario.servers(),
-        scenario.front_ends,
+        scenario.proxies,
         scenario.supervisors,
         scenario.rate,
         simulated_seconds(scenario)
@@ -145,7 +145,7 @@
         write!(
             output,
             "  {}: {} came, service {:.4}, refused {:.4}, failed {:.4}, ",
-            class.name, class.came, class.service, class.refused, class.failed
+            class.name, class.requests, class.service, class.refused, class.failed
         )?;
         let [p50, p90, p99, p99_9] = class.quantiles_ms;
         writeln!(
@@ -157,7 +157,7 @@
 }
 
 fn write_level_transitions(outcome: &Outcome, output: &mut impl Write) -> std::io::Result<()> {
-    for level_change in &outcome.changes {
+    for level_change in &outcome.level_changes {
         let record = chutegrade_overload_control::transition_record(&level_change.change);
         let line = text::line(&record);
         let supervisor = level_change.supervisor + 1;
@@ -171,14 +171,14 @@
 }
 
 fn write_broken_rules(outcome: &Outcome, output: &mut impl Write) -> std::io::Result<()> {
-    for broken in &outcome.broken {
+    for broken in &outcome.broken_rules {
         writeln!(
             output,
             "  RULE BROKEN: {} {} times, first at {:.1} s: {}",
-            broken.rule.word(),
+            broken.rule.name(),
             broken.times,
             broken.at_s,
-            broken.how
+            broken.description
         )?;
     }
     Ok(())
