--- a/crates/adapter/src/codec/error.rs
+++ b/crates/adapter/src/codec/error.rs
@@ -1,10 +1,10 @@
-//! Errors of reading and writing lines.
+//! Errors of the codec.
 
-/// Why a line could not be read, or an action could not be written.
+/// Why a line could not be decoded or an action could not be encoded.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum CodecError {
-    /// A field that the message requires is absent.
-    #[error("{tag}: no {key}")]
+    /// A required field is absent.
+    #[error("{tag}: missing field {key}")]
     MissingField {
         /// Tag of the line.
         tag: String,
@@ -12,22 +12,22 @@
         key: &'static str,
     },
     /// A field has an invalid value.
-    #[error("{tag}: bad {key} {value:?}")]
+    #[error("{tag}: invalid value {value:?} of field {key}")]
     InvalidField {
         /// Tag of the line.
         tag: String,
         /// Key of the field.
         key: &'static str,
-        /// The value, cut off if it is long.
+        /// The value, truncated if it is long.
         value: String,
     },
-    /// No action has this tag.
-    #[error("{0}: no action of that name")]
+    /// The tag of a line is not that of an action.
+    #[error("unknown action {0}")]
     UnknownAction(String),
     /// The settings could not be read.
-    #[error("settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[from] chutegrade_settings::SettingsError),
-    /// The wire has no form for an action or for a number in it.
-    #[error("action not sendable: {0}")]
-    UnsendableAction(String),
+    /// The wire protocol cannot represent an action or a number in it.
+    #[error("cannot encode action: {0}")]
+    UnencodableAction(String),
 }
--- a/crates/limits/src/manager/config.rs
+++ b/crates/limits/src/manager/config.rs
@@ -1,4 +1,4 @@
-//! What the operators enabled, checked.
+//! The checked configuration of overload control.
 
 use crate::concurrency_limiter::{ConcurrencyLimitConfig, DEFAULT_TARGET_SATURATION};
 use crate::config_error::{ConfigError, ConfigProblem};
@@ -10,7 +10,7 @@
 /// Default multiple of the mean load from which a proxy is a heavy hitter.
 const DEFAULT_HEAVY_HITTER_FACTOR: f64 = 4.0;
 
-/// The figures that are accepted, both ends included.
+/// The accepted range of a value, both ends included.
 struct Bounds {
     min: f64,
     max: f64,
@@ -29,33 +29,33 @@
 /// Configuration of overload control; each part is off where it is `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OverloadConfig {
-    /// The service levels.
+    /// Service levels with their conditions.
     pub service_levels: Option<ServiceLevels>,
-    /// The adaptive concurrency limit.
+    /// Rule and target of the adaptive concurrency limit.
     pub concurrency_limit: Option<ConcurrencyLimitConfig>,
-    /// The retry budget.
+    /// Retries that are permitted per response.
     pub retry_budget: Option<RetryBudgetConfig>,
-    /// The multiple of the mean load from which a proxy is a heavy hitter, whose load is shed first.
+    /// Multiple of the mean load from which a proxy is a heavy hitter, whose load is shed first.
     pub heavy_hitter_factor: Option<f64>,
 }
 
 impl OverloadConfig {
-    /// Reads and checks the operators' configuration. Without classes, what depends on them is not checked.
+    /// Reads and checks the operators' configuration. Without classes, skips the checks that depend on them.
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// All errors.
     pub fn read(
         declared: &pb::Limits,
         classes: Option<&[Class]>,
     ) -> Result<OverloadConfig, Vec<ConfigError>> {
         let mut errors = Vec::new();
         let adaptive = declared.adaptive.as_ref();
-        let repeats = declared.repeats.as_ref();
+        let retry_budget = declared.repeats.as_ref();
         let fairness = declared.fairness.as_ref();
         let config = OverloadConfig {
             concurrency_limit: adaptive.map(|adaptive| read_limit(adaptive, &mut errors)),
-            retry_budget: repeats.map(|repeats| read_retry_budget(repeats, &mut errors)),
+            retry_budget: retry_budget.map(|budget| read_retry_budget(budget, &mut errors)),
             heavy_hitter_factor: fairness.map(|fairness| read_factor(fairness, &mut errors)),
             service_levels: read_levels(declared, classes, &mut errors),
         };
@@ -106,8 +106,8 @@
 ) -> Option<ServiceLevels> {
     match ServiceLevels::read(declared.ladder.as_ref()?, classes) {
         Ok(levels) => Some(levels),
-        Err(faults) => {
-            errors.extend(faults);
+        Err(level_errors) => {
+            errors.extend(level_errors);
             None
         }
     }
--- a/crates/policy/src/decisions/mod.rs
+++ b/crates/policy/src/decisions/mod.rs
@@ -1,8 +1,9 @@
-//! Every decision of chutegrade. [`Policy`] takes in events, and at each tick it scores the servers, updates admission
-//! and publishes what changed; it coordinates the modules beside it, each of which owns one concern and its state.
+//! The decisions of chutegrade. [`Policy`] applies events, and at each tick it scores the servers, updates admission
+//! and publishes the changes. It coordinates the other modules, each of which owns one concern and its state.
 //!
-//! A server's weight follows its score: the minimum of terms that fall from 1 to 0 with errors and latency, smoothed, with
-//! hysteresis and dwell, published as full, reduced or withdrawn weight in few shared tables.
+//! A server's weight depends on its score: the smoothed minimum of an error term and a latency term, each from 1 (no
+//! faults) to 0. Hysteresis and dwell times map scores to full, reduced or withdrawn weights, which are published in
+//! few shared tables.
 
 mod admission;
 mod advice;
@@ -45,22 +46,22 @@
 use channel::Channel;
 use limits::ActiveLimits;
 use proxies::Proxies;
-use publication::UpdatePace;
+use publication::UpdatePacer;
 use registry::Registry;
 use scoring::Scoring;
 use sharding::Sharding;
 use slices::Slices;
 use tables::Tables;
-use tick::{first_tick_delay, TICK_INTERVAL, TICK_TIMER};
+use tick::{first_tick_delay, TICK_INTERVAL, TICK_TIMER_ID};
 use zone_links::{extra_check_seconds, Reachability, References, ZoneLinks};
 
-/// One instance of the decisions.
+/// The decision state machine of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
     settings: Settings,
-    /// Differs between the instances of a deployment.
+    /// Determines the delay of the first tick; should differ between the instances of a deployment.
     seed: u64,
-    /// Whether the first events were handled.
+    /// Whether any events were handled.
     started: bool,
     /// The time of the last tick.
     ticked_at: Micros,
@@ -74,13 +75,13 @@
     tables: Tables,
     slices: Slices,
     channel: Channel,
-    update_pace: UpdatePace,
-    /// Whether servers that warm up are withheld from tables.
+    update_pacer: UpdatePacer,
+    /// Whether warming servers are withheld from tables.
     warming_withheld: bool,
 }
 
 impl Policy {
-    /// An instance that knows its settings and nothing else. Instances of a deployment should have different seeds.
+    /// Creates an instance without servers and proxies. Instances of a deployment should have different seeds.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Policy {
             seed,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Takes in what happened by `now` and returns the orders to give.
+    /// Applies events that happened by `now` and returns the resulting orders.
     pub fn handle_events(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.started {
@@ -100,10 +101,10 @@
         for event in events {
             self.apply_event(now, event);
         }
-        let is_tick = events.contains(&Event::Timer(TICK_TIMER));
+        let is_tick = events.contains(&Event::Timer(TICK_TIMER_ID));
         if is_tick {
             actions.push(Action::SetTimer {
-                id: TICK_TIMER,
+                id: TICK_TIMER_ID,
                 delay: TICK_INTERVAL,
             });
             self.tick(now, &mut actions);
@@ -122,19 +123,19 @@
             actions.push(Action::SubscribeEndpoints(true));
         }
         actions.push(Action::SetTimer {
-            id: TICK_TIMER,
+            id: TICK_TIMER_ID,
             delay: first_tick_delay(self.seed),
         });
     }
 
-    /// Whether orders follow an event at once. All others wait for the tick: work for each would make a large fleet
-    /// late.
+    /// Returns whether orders follow an event at once. All other events wait for the tick: publication after each of
+    /// them would delay the orders of a large fleet.
     fn is_urgent(&self, event: &Event) -> bool {
         match event {
             Event::EndpointList(..) | Event::ProxyJoined { .. } | Event::SliceOwnership { .. } => {
                 true
             }
-            // They may complete a hand-over.
+            // These may complete a hand-over.
             Event::Acknowledged { .. } | Event::ProxyLeft(_) | Event::StreamClosed(_) => {
                 self.settings.exclusive_ownership
             }
@@ -142,7 +143,7 @@
         }
     }
 
-    /// One tick: evidence becomes scores, and scores become saturation.
+    /// Runs one tick: updates scores, health states and saturation from the evidence.
     fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let elapsed_seconds = (now - self.ticked_at).secs().max(0.0);
         self.ticked_at = now;
@@ -151,7 +152,8 @@
             actions.push(Action::SubscribeEndpoints(true));
         }
         self.links.extra_check_seconds = extra_check_seconds(&self.registry, self.settings.zone);
-        self.channel.update_pace(elapsed_seconds, &self.settings);
+        self.channel
+            .update_send_rate(elapsed_seconds, &self.settings);
         let reachability = self.links.detect_partitions(&self.registry, actions);
         let references = self.links.update(&mut self.registry, &self.settings);
         self.detect_common_failures(now, &references, &reachability);
@@ -174,7 +176,7 @@
         self.limits.expire(now);
     }
 
-    /// Attempts that fail over every link while servers have headroom call for narrower tables.
+    /// Requests narrower tables if attempts fail over every link while servers have headroom.
     fn detect_common_failures(
         &mut self,
         now: Micros,
@@ -198,8 +200,8 @@
         self.proxies.decay(elapsed_seconds);
     }
 
-    /// Starts the health checks that are due. Without proxies there are none: while nobody has work for the servers,
-    /// their duration shows no usual speed.
+    /// Starts the health checks that are due. There are none without proxies, since the duration of health checks of
+    /// idle servers is no baseline for servers under load.
     fn start_health_checks(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.health_checks_allowed || self.proxies.is_empty() {
             return;
--- a/crates/policy/src/decisions/publish.rs
+++ b/crates/policy/src/decisions/publish.rs
@@ -1,4 +1,4 @@
-//! One round of publication: the phases by which decisions become orders, and the acknowledgement that is asked for them.
+//! One round of publication: the steps that derive orders from the decisions, and the acknowledgement request for them.
 
 use std::collections::BTreeMap;
 
@@ -14,14 +14,14 @@
 use super::registry::ByZone;
 use super::sharding::ShardingInputs;
 use super::slices::SliceInputs;
-use super::suspension::{clear_unused_tables, forget_removed, update_suspensions};
+use super::suspension::{clear_unused_tables, drop_removed_servers, update_suspensions};
 use super::table_layout::{ShardMembers, TablePlan, ZoneShard};
 use super::warm_up::WarmingDemand;
 use super::weights::update_weights;
 use super::zone_affinity::{ZoneAffinity, ZoneBalance};
 use super::Policy;
 
-/// The levels of each class, by the shard that a table names.
+/// The levels of each class at ordinary and at heavy proxies.
 #[derive(Debug)]
 struct ShardLevels {
     ordinary: Vec<AdmissionLevel>,
@@ -30,7 +30,7 @@
 }
 
 impl ShardLevels {
-    fn of(&self, plan: &TablePlan, shards: usize) -> &[AdmissionLevel] {
+    fn for_table(&self, plan: &TablePlan, shards: usize) -> &[AdmissionLevel] {
         if plan.shard == shards {
             &self.heavy
         } else {
@@ -40,13 +40,13 @@
 }
 
 impl Policy {
-    /// Turns the present decisions into orders, as far as the channel takes them.
+    /// Derives orders from the current decisions, within the budgets of the channel.
     pub(super) fn publish(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.channel.drop_expired(now, &self.settings);
         self.proxies
-            .forget_written_before(now - self.settings.message_window);
+            .drop_written_before(now - self.settings.message_window);
         let mut orders = Orders::new(now, &self.channel, &self.settings);
-        self.follow_lifecycles(now, &mut orders);
+        self.apply_lifecycle_changes(now, &mut orders);
         update_weights(&mut self.registry, &self.settings, now);
         if self.settings.slices > 0 {
             self.publish_slices(&mut orders);
@@ -59,13 +59,13 @@
         actions.append(&mut orders.actions);
     }
 
-    /// Suspends servers that leave and drops what is not needed any more.
-    fn follow_lifecycles(&mut self, now: Micros, orders: &mut Orders) {
+    /// Suspends leaving servers, and drops unused tables and the state of servers that were removed long ago.
+    fn apply_lifecycle_changes(&mut self, now: Micros, orders: &mut Orders) {
         clear_unused_tables(&self.sharding, &self.proxies, &mut self.tables, orders);
         self.registry
             .report_lifecycle_changes(now, &mut orders.actions);
         update_suspensions(&mut self.registry, &self.proxies, &self.tables, orders);
-        forget_removed(now, &mut self.registry, &self.tables, orders);
+        drop_removed_servers(now, &mut self.registry, &self.tables, orders);
     }
 
     fn publish_slices(&mut self, orders: &mut Orders) {
@@ -117,10 +117,10 @@
             proxies: &self.proxies,
             orders,
         };
-        self.update_pace.send(changes, interval, &mut publisher);
+        self.update_pacer.send(changes, interval, &mut publisher);
     }
 
-    /// Publishes the levels of all tables and returns the weights that changed.
+    /// Publishes the levels of all tables and returns their weight changes.
     fn update_tables<'u>(
         &mut self,
         demand: WarmingDemand,
@@ -159,7 +159,7 @@
             let desired = desired_tables.table(plan, factors, demand);
             changes.extend(publisher.weight_changes(plan, users, &desired.weights, &self.registry));
             publisher.report_overruled(plan.table, desired.advice_overruled);
-            publisher.publish_levels(plan, users, levels.of(plan, self.sharding.shards));
+            publisher.publish_levels(plan, users, levels.for_table(plan, self.sharding.shards));
         }
         changes
     }
@@ -174,7 +174,8 @@
         affinity.factors_by_zone()
     }
 
-    /// The levels of each class. Heavy proxies are shed first, where limits say so and they have tables of their own.
+    /// Returns the levels of each class. They differ for heavy proxies if the limits demand it and there are several
+    /// shards.
     fn shard_levels(&self) -> ShardLevels {
         let for_all = ShedShares {
             ordinary: self.admission.shed_share,
@@ -220,7 +221,7 @@
         assignment.assign(&mut self.proxies, orders);
     }
 
-    /// Asks the proxies that this round's orders reach for an acknowledgement.
+    /// Requests an acknowledgement from the proxies that this round's orders reach.
     fn request_acknowledgement(&mut self, now: Micros, orders: &mut Orders) {
         if orders.lines_by_proxy.is_empty() {
             return;
--- a/crates/policy/src/decisions/suspension.rs
+++ b/crates/policy/src/decisions/suspension.rs
@@ -1,4 +1,4 @@
-//! Suspension of servers that drain or are removed, and the end of what is known of them.
+//! Suspension of draining and removed servers, and the removal of their state and of unused tables.
 
 use crate::interface::{Action, Lifecycle, Micros, ProxyId, ServerId};
 
@@ -9,10 +9,10 @@
 use super::sharding::Sharding;
 use super::tables::Tables;
 
-/// A removed server is forgotten after this time, when no report on it can come any more.
-const FORGET_AFTER: Micros = Micros(60_000_000);
+/// Time after which the state of a removed server is dropped, when no more reports on it can arrive.
+const REMOVED_SERVER_RETENTION: Micros = Micros(60_000_000);
 
-/// Clears the tables of earlier layouts, once no proxy uses them.
+/// Clears the tables of earlier layouts once no proxy uses them.
 pub(super) fn clear_unused_tables(
     sharding: &Sharding,
     proxies: &Proxies,
@@ -27,8 +27,8 @@
     }
 }
 
-/// Suspends the servers that drain or are removed, at once and whatever tables name them. One that returns to service
-/// stays suspended until no table names it: it warms up, and proxies may hold its old weight.
+/// Suspends draining and removed servers at once, in all tables. A server that returns to service stays suspended until
+/// no table contains it: it warms up, and proxies may hold its old weight.
 pub(super) fn update_suspensions(
     registry: &mut Registry,
     proxies: &Proxies,
@@ -41,11 +41,11 @@
         .map(|(id, server)| (*id, server.is_leaving()))
         .collect();
     for (id, suspended) in changed {
-        let holders = holders_of(id, proxies, tables);
+        let recipients = proxies_listing(id, proxies, tables);
         let is_possible = if suspended {
-            orders.fits(proxies, &holders, 1.0, &SUSPENSION_BUDGET)
+            orders.fits(proxies, &recipients, 1.0, &SUSPENSION_BUDGET)
         } else {
-            !tables.any_names(id)
+            !tables.any_contains(id)
         };
         if !is_possible {
             continue;
@@ -57,12 +57,12 @@
             server: id,
             suspended,
         };
-        orders.push_to(&holders, 1.0, order);
+        orders.push_to(&recipients, 1.0, order);
     }
 }
 
-/// Drops the servers that were removed long ago, once no table names them.
-pub(super) fn forget_removed(
+/// Drops servers that were removed long ago, once no table contains them.
+pub(super) fn drop_removed_servers(
     now: Micros,
     registry: &mut Registry,
     tables: &Tables,
@@ -71,26 +71,26 @@
     let is_expired = |server: &Server| {
         server.suspended
             && server.reported_lifecycle == Lifecycle::Removed
-            && now - server.lifecycle_changed_at >= FORGET_AFTER
+            && now - server.lifecycle_changed_at >= REMOVED_SERVER_RETENTION
     };
-    let forgotten: Vec<ServerId> = registry
+    let expired: Vec<ServerId> = registry
         .iter()
-        .filter(|(id, server)| is_expired(server) && !tables.any_names(**id))
+        .filter(|(id, server)| is_expired(server) && !tables.any_contains(**id))
         .map(|(id, _)| *id)
         .collect();
-    for id in forgotten {
-        registry.forget(id);
-        orders.push(Action::ForgetServer(id));
+    for id in expired {
+        registry.remove(id);
+        orders.push(Action::DropServerState(id));
     }
 }
 
-/// The proxies that hold a table which names the server.
-fn holders_of(server: ServerId, proxies: &Proxies, tables: &Tables) -> Vec<ProxyId> {
+/// Returns the proxies with a table that contains the server.
+fn proxies_listing(server: ServerId, proxies: &Proxies, tables: &Tables) -> Vec<ProxyId> {
     proxies
         .iter()
         .filter(|(_, proxy)| {
             let mut own_tables = proxy.tables.iter();
-            own_tables.any(|table| tables.names(*table, server))
+            own_tables.any(|table| tables.contains(*table, server))
         })
         .map(|(id, _)| *id)
         .collect()
--- a/crates/supervisor/src/server/plugins.rs
+++ b/crates/supervisor/src/server/plugins.rs
@@ -1,11 +1,11 @@
-//! Plug-ins: their texts are read at the start and at SIGHUP, they are evaluated once a second, and their advice goes to the
-//! engine as a report. If a text is invalid, the plug-ins that were loaded stay; the supervisor serves in any case.
+//! Plug-ins: loads them at startup and at SIGHUP, evaluates them once a second, and reports their advice to the engine. If
+//! a file is invalid, the loaded plug-ins stay active; the supervisor serves in any case.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
 
 use chutegrade_plugin_advisor::PluginAdvisor;
-use chutegrade_plugins::host::{Refused, Word};
+use chutegrade_plugins::host::{PluginEvent, RejectedPlugin};
 use chutegrade_records::{pb, Kind};
 
 use crate::hexadecimal;
@@ -14,13 +14,13 @@
 use crate::shared::event_recorder::EventRecorder;
 use crate::text_file;
 
-/// What plug-ins use.
+/// Dependencies of plug-ins.
 pub struct PluginContext {
-    /// Gives plug-ins their inputs and takes their advice.
+    /// Provides the inputs of plug-ins and receives their advice.
     pub engine: EngineHandle,
-    /// Records what plug-ins do.
+    /// Records loaded and rejected plug-ins, and their events.
     pub recorder: EventRecorder,
-    /// The time base.
+    /// Time source of evaluations.
     pub clock: Clock,
 }
 
@@ -31,7 +31,7 @@
     advisor: RefCell<PluginAdvisor>,
 }
 
-/// What is recorded of one plug-in that was loaded or rejected.
+/// The record of a plug-in that was loaded or rejected.
 #[derive(Default)]
 struct LoadRecord {
     name: String,
@@ -41,7 +41,7 @@
 }
 
 impl Plugins {
-    /// Plug-ins from these files; none is loaded yet.
+    /// Creates the plug-ins of these files without loading them.
     pub fn new(context: PluginContext, files: Vec<PathBuf>) -> Self {
         Plugins {
             context,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Reloads all texts, or none if any of them is invalid. Does nothing if the operators named none.
+    /// Loads all files, or none if any of them is invalid. Does nothing if there are none.
     pub fn load(&self) {
         if self.files.is_empty() {
             return;
@@ -58,7 +58,7 @@
         let texts = match text_file::read_all(&self.files) {
             Ok(texts) => texts,
             Err(error) => {
-                tracing::error!(fault = %error, "plug-ins rejected, those that were loaded stay");
+                tracing::error!(fault = %error, "plug-ins rejected, the loaded ones stay active");
                 self.record_load(LoadRecord {
                     name: "all".to_string(),
                     rejection: error.to_string(),
@@ -103,11 +103,11 @@
         });
     }
 
-    fn log_rejected(&self, rejected: Refused) {
-        for fault in &rejected.faults {
-            tracing::error!(plugin = rejected.name, %fault, "plug-ins rejected, those that were loaded stay");
+    fn log_rejected(&self, rejected: RejectedPlugin) {
+        for fault in &rejected.diagnostics {
+            tracing::error!(plugin = rejected.name, %fault, "plug-ins rejected, the loaded ones stay active");
         }
-        let first_fault = rejected.faults.first();
+        let first_fault = rejected.diagnostics.first();
         self.record_load(LoadRecord {
             name: rejected.name,
             rejection: first_fault.map(ToString::to_string).unwrap_or_default(),
@@ -126,24 +126,24 @@
             }));
     }
 
-    fn record_event(&self, name: &str, event: Word) {
-        if let Word::Paused(turns) = event {
-            tracing::warn!(plugin = %name, "{}", pause_text(turns));
+    fn record_event(&self, name: &str, event: PluginEvent) {
+        if let PluginEvent::Suspended(evaluations) = event {
+            tracing::warn!(plugin = %name, "{}", pause_text(evaluations));
         }
         let record = event_record(name.to_string(), event);
         self.context.recorder.record(Kind::PluginSaid(record));
     }
 }
 
-/// The record of an event, with its code and text.
-fn event_record(name: String, event: Word) -> pb::PluginSaid {
+/// Converts an event of a plug-in to its record.
+fn event_record(name: String, event: PluginEvent) -> pb::PluginSaid {
     let (what, text) = match event {
-        Word::Noted(text) => ("note", text),
-        Word::Faulted(stopped) => ("fault", stopped.to_string()),
-        Word::Advises(text, line) => ("advises", format!("{text}, by line {line}")),
-        Word::Ends(text) => ("ends", text),
-        Word::Paused(turns) => ("paused", pause_text(turns)),
-        Word::Differs(text) => ("differs", text),
+        PluginEvent::Noted(text) => ("note", text),
+        PluginEvent::Faulted(fault) => ("fault", fault.to_string()),
+        PluginEvent::AdviceStarted(text, line) => ("advises", format!("{text}, by line {line}")),
+        PluginEvent::AdviceEnded(text) => ("ends", text),
+        PluginEvent::Suspended(evaluations) => ("paused", pause_text(evaluations)),
+        PluginEvent::Conflicted(text) => ("differs", text),
     };
     pb::PluginSaid {
         name,
@@ -152,6 +152,6 @@
     }
 }
 
-fn pause_text(turns: u64) -> String {
-    format!("left alone for {turns} turns after faults")
+fn pause_text(evaluations: u64) -> String {
+    format!("paused for {evaluations} evaluations after faults")
 }
