--- a/crates/plugin-advisor/benches/tick.rs
+++ b/crates/plugin-advisor/benches/tick.rs
@@ -1,5 +1,5 @@
-//! What plug-ins cost a supervisor: a second of ticks over a large fleet without any, with eight that are sound, and with
-//! eight that are hostile in ways that a supervisor meets in practice.
+//! Measures what plug-ins cost a supervisor: ticks over a large fleet without plug-ins, with eight audit rules, with eight
+//! endless loops, and with eight plug-ins that are hostile in various ways.
 
 use std::time::{Duration, Instant};
 
@@ -9,16 +9,16 @@
     Class, EndpointUpdateKind, Idempotency, LoadReport, ReportSource, Retry, Settings,
 };
 
-/// Plug-ins of a run that has any.
+/// Number of plug-ins in a run with plug-ins.
 const PLUGINS: usize = 8;
 const SERVERS: usize = 320;
 const PROXIES: u32 = 500;
 const ZONES: [&str; 2] = ["a", "b"];
-/// Seconds that are measured, after as many for the fleet to settle.
+/// Length of a measurement in seconds; the fleet settles for as long before it.
 const SECONDS: i64 = 40;
-/// Runs with each set of plug-ins.
+/// Number of runs with each set of plug-ins.
 const ROUNDS: usize = 5;
-/// Each tick has the reports of its part of the servers.
+/// Each server reports in one tick per second.
 const TICKS_PER_SECOND: i64 = 20;
 /// Time between two ticks, in microseconds.
 const TICK_US: i64 = 1_000_000 / TICKS_PER_SECOND;
@@ -110,7 +110,7 @@
     engine
 }
 
-/// Reports on the servers whose turn it is in this tick of a second.
+/// Reports on the servers that report in this tick of a second.
 fn report_outcomes(engine: &mut Engine, tick: i64) {
     for number in (0..SERVERS).filter(|number| *number as i64 % TICKS_PER_SECOND == tick) {
         for zone in ZONES {
@@ -151,7 +151,7 @@
     orders
 }
 
-/// What the ticks of a run cost, including the plug-ins.
+/// Time per tick in a run, including the plug-ins, and the total number of orders.
 #[derive(Clone, Copy)]
 struct Cost {
     mean: Duration,
@@ -204,8 +204,8 @@
     format!("plugin \"hostile-{number}\" version 1 host 1\n{body}")
 }
 
-fn plugins(text: fn(usize) -> String) -> Vec<String> {
-    (0..PLUGINS).map(text).collect()
+fn plugins(source: fn(usize) -> String) -> Vec<String> {
+    (0..PLUGINS).map(source).collect()
 }
 
 /// Measures only under `cargo bench`, not when the tests run.
@@ -213,10 +213,10 @@
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
-    let kinds = [
+    let plugin_sets = [
         ("none", Vec::new()),
         ("eight audit rules", plugins(audit)),
-        ("eight endless ones", plugins(endless)),
+        ("eight endless loops", plugins(endless)),
         ("eight endless, swinging and vetoing", plugins(hostile)),
     ];
     let unmeasured = Cost {
@@ -224,10 +224,10 @@
         longest: Duration::MAX,
         orders: 0,
     };
-    // The kinds take turns and the best run of each counts, so that other load on the machine affects all alike.
+    // The sets are run alternately and the best run of each counts, so that other load on the machine affects all equally.
     let mut best = [unmeasured; 4];
     for _ in 0..ROUNDS {
-        for (best, (_, texts)) in best.iter_mut().zip(&kinds) {
+        for (best, (_, texts)) in best.iter_mut().zip(&plugin_sets) {
             let cost = run(texts);
             best.mean = best.mean.min(cost.mean);
             best.longest = best.longest.min(cost.longest);
@@ -235,9 +235,9 @@
         }
     }
     println!(
-        "{SERVERS} servers, {PROXIES} front ends, {SECONDS} s of {TICKS_PER_SECOND} ticks a second, best of {ROUNDS}"
+        "{SERVERS} servers, {PROXIES} proxies, {SECONDS} s of {TICKS_PER_SECOND} ticks per second, best of {ROUNDS}"
     );
-    for ((name, _), cost) in kinds.iter().zip(best) {
+    for ((name, _), cost) in plugin_sets.iter().zip(best) {
         let ratio = cost.mean.as_secs_f64() / best[0].mean.as_secs_f64();
         let (mean, longest, orders) = (cost.mean, cost.longest, cost.orders);
         println!("{name:36} mean {mean:>9.1?}  longest {longest:>9.1?}  {ratio:.2} of none  {orders} orders");
--- a/crates/plugin-advisor/src/advice.rs
+++ b/crates/plugin-advisor/src/advice.rs
@@ -1,4 +1,4 @@
-//! Advice of plug-ins, which counts servers, classes and zones by position, as a report that names them.
+//! Translates the advice of plug-ins, which identifies servers, classes and zones by position, into a report that names them.
 
 use chutegrade_engine::{Micros, NamedClassShare, NamedExclusion, NamedWeightFactor, PluginAdvice};
 use chutegrade_plugins::{Advice, Inputs};
@@ -7,7 +7,7 @@
 
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Advice by names. Entries with positions that the inputs do not have are left out.
+/// The advice with names instead of positions. Entries whose positions are not in the inputs are dropped.
 pub fn advice_by_name(advice: &Advice, inputs: &Inputs, now: Micros) -> PluginAdvice {
     PluginAdvice {
         factors: weight_factors(advice, inputs),
--- a/crates/plugin-advisor/src/advisor.rs
+++ b/crates/plugin-advisor/src/advisor.rs
@@ -1,4 +1,4 @@
-//! The plug-ins of one supervisor, evaluated once a second.
+//! Evaluates the plug-ins of one supervisor once per second.
 
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
 pub struct PluginAdvisor {
     host: Host,
     next_evaluation: Micros,
-    /// Whether the engine has advice that is not empty, which the next report replaces or withdraws.
+    /// Whether the last reported advice was not empty, so that it has to be replaced or withdrawn.
     has_reported_advice: bool,
 }
 
 impl PluginAdvisor {
-    /// Replaces the loaded plug-ins with these, given as pairs of name and text. If any is refused, the loaded ones
-    /// remain.
+    /// Replaces all loaded plug-ins atomically with these, given as pairs of file name and source. On any error the loaded
+    /// ones stay.
     ///
     /// # Errors
     ///
@@ -31,8 +31,8 @@
         self.host.load(texts)
     }
 
-    /// Evaluates all plug-ins if an interval has passed, reports their advice to the engine, and returns the messages that
-    /// should be recorded, each with its plug-in's name.
+    /// Evaluates all plug-ins if an interval has passed, reports their advice to the engine, and returns the events to record,
+    /// each with its plug-in's name.
     pub fn evaluate(&mut self, now: Micros, engine: &mut Engine) -> Vec<(Arc<str>, PluginEvent)> {
         if now < self.next_evaluation || self.is_idle() {
             return Vec::new();
@@ -53,7 +53,7 @@
         self.host.is_empty() && !self.has_reported_advice
     }
 
-    /// Advice replaces what was reported before, so empty advice is reported only to withdraw other advice.
+    /// Advice replaces earlier advice, so empty advice is reported only to withdraw it.
     fn report(&mut self, advice: PluginAdvice, engine: &mut Engine) {
         let has_advice = !is_empty(&advice);
         if has_advice || self.has_reported_advice {
--- a/crates/plugin-advisor/src/inputs.rs
+++ b/crates/plugin-advisor/src/inputs.rs
@@ -1,4 +1,4 @@
-//! What plug-ins see: the fleet as an engine knows it, or as it was recorded.
+//! The inputs of plug-ins, from an engine or from records.
 
 use std::iter;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use chutegrade_records::replay::{Picture, Server as RecordedServer};
 use chutegrade_records::{pb, text};
 
-/// What plug-ins see of an engine.
+/// The inputs of plug-ins from the current state of an engine.
 pub fn inputs_from_engine(engine: &Engine) -> Inputs {
     let metrics = engine.fleet_metrics();
     let snapshot = engine.server_snapshot();
@@ -24,7 +24,7 @@
     }
 }
 
-/// What plug-ins would have seen of a recorded moment. The request rate is not recorded and is 0.
+/// The inputs of plug-ins from a recorded state of the fleet. The request rate is not recorded and is 0.
 pub fn inputs_from_records(fleet: &Picture, zones: &[String]) -> Inputs {
     let metrics = fleet.gauge.clone().unwrap_or_default();
     let classes = fleet.classes.iter().zip(admitted_shares(&metrics));
@@ -50,14 +50,14 @@
 fn class_from_engine(class: &ClassInfo, admitted_share: f64) -> Class {
     Class {
         name: class.name.as_str().into(),
-        effect: effect(class.class.idempotency).into(),
-        worth: class.class.priority_weight,
-        level: admitted_share,
+        idempotency: idempotency_name(class.class.idempotency).into(),
+        priority_weight: class.class.priority_weight,
+        admitted_share,
     }
 }
 
-/// The word of the hook language for what a repeated request does.
-fn effect(idempotency: Idempotency) -> &'static str {
+/// The value of `effect` in the hook language: whether a request can be repeated.
+fn idempotency_name(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "safe",
         Idempotency::Keyed(..) => "keyed",
@@ -67,8 +67,8 @@
 
 fn class_from_records(name: &str, admitted_share: f64) -> Class {
     Class {
-        level: admitted_share,
-        ..Class::plain(name)
+        admitted_share,
+        ..Class::idempotent(name)
     }
 }
 
@@ -81,7 +81,7 @@
         name: name.into(),
         zone: server.zone.as_str().into(),
         state: text::state(server.state).into(),
-        life: text::life(server.life).into(),
+        lifecycle: text::life(server.life).into(),
         score: server.score,
         errors: server.errors,
         latency: server.latency,
@@ -94,10 +94,10 @@
     zones.iter().map(|zone| zone.as_str().into()).collect()
 }
 
-/// `request_rate` is in requests a second.
+/// `request_rate` is in requests per second.
 fn fleet_from_metrics(metrics: &pb::Gauge, request_rate: f64) -> Fleet {
     Fleet {
-        strain: metrics.strain,
+        saturation: metrics.strain,
         refused: metrics.refused,
         waiting: metrics.waiting,
         streams: f64::from(metrics.streams),
--- a/crates/plugins/benches/machine.rs
+++ b/crates/plugins/benches/machine.rs
@@ -1,5 +1,6 @@
 #![allow(missing_docs)]
-//! A hook call, a turn of many plug-ins over a large fleet, bytecode against the walker, and loading.
+//! Benchmarks of a hook call as bytecode and in the tree-walking interpreter, of evaluations over a large fleet, and of
+//! loading.
 
 use chutegrade_plugins::code::Value;
 use chutegrade_plugins::inputs::{Class, Fleet, Inputs, Server};
@@ -18,12 +19,12 @@
     return clamp(sum / 100000, 0, 1)
 }"#;
 
-fn inputs(servers: usize) -> Inputs {
-    let named = |n: usize| Server::well(&format!("s-{n:08x}"), ["a", "b"][n % 2]);
+fn inputs(server_count: usize) -> Inputs {
+    let server = |n: usize| Server::healthy(&format!("s-{n:08x}"), ["a", "b"][n % 2]);
     Inputs {
-        servers: (0..servers).map(named).collect(),
+        servers: (0..server_count).map(server).collect(),
         classes: ["refund-order", "petition-file", "status-read"]
-            .map(Class::plain)
+            .map(Class::idempotent)
             .into(),
         zones: vec!["a".into(), "b".into()],
         fleet: Fleet {
@@ -33,12 +34,12 @@
     }
 }
 
-fn calls(c: &mut Criterion) {
+fn hook_calls(c: &mut Criterion) {
     let inputs = inputs(320);
-    let values = [Value::Server(7), Value::Class(0), Value::Text("a".into())];
+    let arguments = [Value::Server(7), Value::Class(0), Value::Text("a".into())];
     for (name, text) in [("audit rule", AUDIT), ("loop of 100", LOOP)] {
         let program = compile(text).expect("a program");
-        let plugin = parse(text).expect("a tree");
+        let plugin = parse(text).expect("a syntax tree");
         let (mut memory, mut machine) = (Memory::new(&program), Machine::default());
         let mut group = c.benchmark_group(name);
         group.bench_function("bytecode", |b| {
@@ -48,7 +49,7 @@
                 machine.call(
                     &program,
                     program.hooks.factor.expect("a hook"),
-                    &values,
+                    &arguments,
                     &mut context,
                     10_000,
                 )
@@ -58,17 +59,17 @@
             b.iter(|| {
                 let mut fuel = u64::MAX;
                 let mut context = Context::new(&program, &inputs, &mut memory, &mut fuel, 1);
-                Walker::new(&plugin).hook("factor", &values, &mut context)
+                Walker::new(&plugin).call_hook("factor", &arguments, &mut context)
             })
         });
         group.finish();
     }
 }
 
-fn turns(c: &mut Criterion) {
+fn evaluations(c: &mut Criterion) {
     let inputs = inputs(320);
-    // Each steers all three classes and looks at every server.
-    let eight: Vec<(String, String)> = (0..8)
+    // Each steers all three classes and checks every server.
+    let audits: Vec<(String, String)> = (0..8)
         .map(|n| {
             let text = AUDIT.replace("\"audit\"", &format!("\"audit-{n}\""));
             let text = text.replace(
@@ -79,10 +80,10 @@
         })
         .collect();
     let mut host = Host::default();
-    host.load(&eight).expect("plug-ins");
-    let turn = host.evaluate(&inputs);
-    assert!(turn.events.is_empty(), "{:?}", turn.events);
-    c.bench_function("turn of 320 servers, 3 classes, 8 plug-ins", |b| {
+    host.load(&audits).expect("plug-ins");
+    let evaluation = host.evaluate(&inputs);
+    assert!(evaluation.events.is_empty(), "{:?}", evaluation.events);
+    c.bench_function("evaluation of 320 servers, 3 classes, 8 plug-ins", |b| {
         b.iter(|| host.evaluate(&inputs))
     });
     let hostile: Vec<(String, String)> = (0..8)
@@ -91,8 +92,8 @@
             (n.to_string(), text)
         })
         .collect();
-    // Loaded anew for each turn: left alone for their faults they would cost nothing.
-    c.bench_function("first turn of 320 servers, 8 endless plug-ins", |b| {
+    // Loaded again for each evaluation: after a few faults they would be suspended and cost nothing.
+    c.bench_function("first evaluation of 320 servers, 8 endless plug-ins", |b| {
         b.iter_batched(
             || {
                 let mut host = Host::default();
@@ -106,10 +107,9 @@
     c.bench_function("load of the audit rule", |b| b.iter(|| compile(AUDIT)));
 }
 
-criterion_group!(benches, calls, turns);
+criterion_group!(benches, hook_calls, evaluations);
 
-/// Measures under `cargo bench` alone: as one of the targets of `cargo test` it is compiled, and a day of records is not
-/// written.
+/// Measures only under `cargo bench`; as a target of `cargo test` it is only compiled.
 fn main() {
     if std::env::args().any(|argument| argument == "--bench") {
         benches();
--- a/crates/plugins/src/ast.rs
+++ b/crates/plugins/src/ast.rs
@@ -1,24 +1,24 @@
-//! What a text says, as a tree.
+//! The abstract syntax tree of a plug-in.
 
 use crate::diagnostics::Span;
 
-/// Something with its place.
+/// A node of the tree with its position in the source.
 #[derive(Clone, Debug, PartialEq)]
-pub struct At<T> {
-    /// What.
-    pub of: T,
-    /// Where.
+pub struct Spanned<T> {
+    /// An expression, a name, or another part of the tree.
+    pub node: T,
+    /// The bytes of the source that the node was parsed from.
     pub span: Span,
 }
 
-impl<T> At<T> {
-    /// Something at a place.
-    pub fn new(of: T, span: Span) -> Self {
-        At { of, span }
+impl<T> Spanned<T> {
+    /// A node that was parsed from the bytes of `span`.
+    pub fn new(node: T, span: Span) -> Self {
+        Spanned { node, span }
     }
 }
 
-/// Operators with two sides.
+/// Binary operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(missing_docs)]
 pub enum Binary {
@@ -38,7 +38,7 @@
     Or,
 }
 
-/// Operators with one side.
+/// Unary operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(missing_docs)]
 pub enum Unary {
@@ -46,87 +46,89 @@
     Not,
 }
 
-/// An expression.
+/// An expression, as parsed: names and types are not checked.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub enum Expr {
     Number(f64),
     Bool(bool),
     Text(String),
-    Set(Vec<At<Expr>>),
+    Set(Vec<Spanned<Expr>>),
     Name(String),
-    Field(Box<At<Expr>>, At<String>),
-    Index(Box<At<Expr>>, Box<At<Expr>>),
-    Call(At<String>, Vec<At<Expr>>),
-    Unary(Unary, Box<At<Expr>>),
-    Binary(Binary, Box<At<Expr>>, Box<At<Expr>>),
+    Field(Box<Spanned<Expr>>, Spanned<String>),
+    Index(Box<Spanned<Expr>>, Box<Spanned<Expr>>),
+    Call(Spanned<String>, Vec<Spanned<Expr>>),
+    Unary(Unary, Box<Spanned<Expr>>),
+    Binary(Binary, Box<Spanned<Expr>>, Box<Spanned<Expr>>),
 }
 
-/// A statement.
+/// A statement, as parsed: names and types are not checked.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub enum Stmt {
-    Let(At<String>, At<Expr>),
-    Assign(At<String>, At<Expr>),
-    Put(At<String>, At<Expr>, At<Expr>),
-    If(Vec<(At<Expr>, Vec<Stmt>)>, Vec<Stmt>),
-    For(At<String>, At<Expr>, Vec<Stmt>),
-    Return(Span, Option<At<Expr>>),
-    Do(At<Expr>),
+    Let(Spanned<String>, Spanned<Expr>),
+    Assign(Spanned<String>, Spanned<Expr>),
+    Put(Spanned<String>, Spanned<Expr>, Spanned<Expr>),
+    If(Vec<(Spanned<Expr>, Vec<Stmt>)>, Vec<Stmt>),
+    For(Spanned<String>, Spanned<Expr>, Vec<Stmt>),
+    Return(Span, Option<Spanned<Expr>>),
+    Expr(Spanned<Expr>),
 }
 
-/// What lives between calls.
+/// The declaration of a state variable, which keeps its value between calls: its type and initial value.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
-pub enum Shape {
+pub enum StateKind {
     Number(f64),
     Bool(bool),
     Text(String),
-    /// A mean that fades by half in so many turns.
+    /// A decaying mean, with its half-life in evaluations.
     Mean(f64),
-    /// Numbers by text.
+    /// Numbers with text keys.
     Map,
 }
 
-/// A function or a hook.
+/// A function or a hook, as declared.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub struct Function {
-    pub name: At<String>,
-    /// Names with the words for their types; hooks have none.
-    pub params: Vec<(At<String>, Option<At<String>>)>,
-    /// The word for its type; none for nothing.
-    pub gives: Option<At<String>>,
+    pub name: Spanned<String>,
+    /// Names and type names; the parameters of hooks have no type names.
+    pub params: Vec<(Spanned<String>, Option<Spanned<String>>)>,
+    /// The name of the return type; absent if the function returns no value.
+    pub return_type: Option<Spanned<String>>,
     pub body: Vec<Stmt>,
 }
 
-/// A small case that a plug-in carries: what is given, and what is expected of its hooks.
+/// A test case of a plug-in: inputs, and the expected results of its hooks.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub struct Case {
-    pub name: At<String>,
-    pub given: Vec<(Vec<At<String>>, At<Expr>)>,
-    pub expected: Vec<(At<String>, At<Expr>)>,
+    pub name: Spanned<String>,
+    /// Paths of inputs, such as `server.zone`, and their values.
+    pub given: Vec<(Vec<Spanned<String>>, Spanned<Expr>)>,
+    /// Names of hooks and the results that they must return.
+    pub expected: Vec<(Spanned<String>, Spanned<Expr>)>,
 }
 
-/// One part of a plug-in.
+/// A top-level declaration of a plug-in.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub enum Item {
-    Steers(Vec<At<String>>),
-    State(At<String>, At<Shape>),
-    Let(At<String>, At<Expr>),
+    Steers(Vec<Spanned<String>>),
+    State(Spanned<String>, Spanned<StateKind>),
+    Let(Spanned<String>, Spanned<Expr>),
     Fn(Function),
     Hook(Function),
     Case(Case),
 }
 
-/// A plug-in.
+/// A plug-in, as parsed.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub struct Plugin {
-    pub name: At<String>,
-    pub version: At<f64>,
-    pub host: At<f64>,
+    pub name: Spanned<String>,
+    pub version: Spanned<f64>,
+    pub host: Spanned<f64>,
     pub items: Vec<Item>,
 }
--- a/crates/plugins/src/code.rs
+++ b/crates/plugins/src/code.rs
@@ -1,50 +1,50 @@
-//! Bytecode: what a compiled plug-in is.
+//! Bytecode: the operations, values and tables of a compiled plug-in.
 
 use std::sync::Arc;
 
-use crate::ast::{Case, Shape};
+use crate::ast::{Case, StateKind};
 
-/// Version of the hooks that this host offers; a plug-in names the least that it needs.
+/// Version of the hooks that this host offers. A plug-in declares the lowest version that it requires.
 pub const HOST_VERSION: u32 = 1;
-/// Entries of a map at most.
-pub const MAP_MOST: usize = 2048;
-/// Elements of a set at most.
-pub const SET_MOST: usize = 2048;
-/// Constants, functions, states and locals at most: what an operation can name.
-pub const CONSTANTS_MOST: usize = u16::MAX as usize;
-/// Functions, states, locals and loops of a function at most.
-pub const NAMES_MOST: usize = 64;
-/// Operations of a function at most.
-pub const CODE_MOST: usize = 20_000;
+/// Maximum number of entries of a map.
+pub const MAX_MAP_ENTRIES: usize = 2048;
+/// Maximum number of elements of a set.
+pub const MAX_SET_ELEMENTS: usize = 2048;
+/// Maximum number of constants: operations address them with 16 bits.
+pub const MAX_CONSTANTS: usize = u16::MAX as usize;
+/// Maximum number of functions and of state variables in a program, and of locals and of loops in a function.
+pub const MAX_SLOTS: usize = 64;
+/// Maximum number of operations in a function.
+pub const MAX_FUNCTION_OPS: usize = 20_000;
 
-/// A value.
+/// A value at run time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Nothing.
+    /// The result of a function without a return type.
     Nothing,
-    /// A number, never infinite and never none.
+    /// A finite number.
     Number(f64),
-    /// Yes or no.
+    /// True or false.
     Bool(bool),
-    /// A text.
+    /// A string, which the language calls a text.
     Text(Arc<str>),
-    /// A server of the inputs, by its place.
+    /// A server, by its position in the inputs.
     Server(u32),
-    /// A class of the inputs, by its place.
+    /// A class, by its position in the inputs.
     Class(u32),
     /// A set of numbers or texts.
     Set(Arc<[Value]>),
-    /// All servers.
+    /// All servers of the inputs.
     Servers,
-    /// All classes.
+    /// All classes of the inputs.
     Classes,
-    /// All zones.
+    /// All zones of the inputs.
     Zones,
-    /// Whole numbers from the first, before the second.
+    /// The integers from the first, inclusive, to the second, exclusive.
     Range(i64, i64),
 }
 
-/// A type.
+/// A type of the hook language. Of a set, it includes the type of the elements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(missing_docs)]
 pub enum Type {
@@ -64,8 +64,8 @@
 }
 
 impl Type {
-    /// The word for it.
-    pub fn word(self) -> &'static str {
+    /// The name of the type in source texts and diagnostics.
+    pub fn name(self) -> &'static str {
         match self {
             Type::Nothing => "nothing",
             Type::Number => "number",
@@ -83,8 +83,8 @@
         }
     }
 
-    /// The type that a word names in a function's head.
-    pub fn named(word: &str) -> Option<Self> {
+    /// The type that a name denotes in a function's signature, if any.
+    pub fn from_name(name: &str) -> Option<Self> {
         [
             Type::Number,
             Type::Bool,
@@ -93,11 +93,11 @@
             Type::Class,
         ]
         .into_iter()
-        .find(|of| of.word() == word)
+        .find(|known| known.name() == name)
     }
 
-    /// What a loop over it gives.
-    pub fn element(self) -> Option<Type> {
+    /// The type of the loop variable in a loop over it; none if it cannot be iterated.
+    pub fn element_type(self) -> Option<Type> {
         match self {
             Type::Numbers | Type::Range => Some(Type::Number),
             Type::Texts | Type::Zones => Some(Type::Text),
@@ -108,7 +108,7 @@
     }
 }
 
-/// A field of what is seen.
+/// A field that operations can read. Traces print the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(missing_docs)]
 pub enum Field {
@@ -137,8 +137,8 @@
 }
 
 impl Field {
-    /// Whether the fleet has it, and no server or class.
-    pub fn is_of_fleet(self) -> bool {
+    /// Whether it is a field of the fleet rather than of a server or class.
+    pub fn is_fleet_field(self) -> bool {
         use Field::*;
         matches!(
             self,
@@ -147,7 +147,7 @@
     }
 }
 
-/// Fields by the type that has them and their name; `fleet` has type nothing.
+/// All fields: the type that has the field ([`Type::Nothing`] for `fleet`), its name, the field, and its type.
 pub const FIELDS: [(Type, &str, Field, Type); 22] = [
     (Type::Server, "name", Field::ServerName, Type::Text),
     (Type::Server, "zone", Field::ServerZone, Type::Text),
@@ -173,7 +173,7 @@
     (Type::Nothing, "zones", Field::Zones, Type::Zones),
 ];
 
-/// Functions that the language has.
+/// Built-in functions. Traces print the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(missing_docs)]
 pub enum Builtin {
@@ -195,8 +195,8 @@
 }
 
 impl Builtin {
-    /// How many values it takes.
-    pub fn takes(self) -> usize {
+    /// Number of values that it pops from the stack.
+    pub fn argument_count(self) -> usize {
         match self {
             Builtin::Random => 0,
             Builtin::Min | Builtin::Max | Builtin::Range | Builtin::Starts | Builtin::Exclude => 2,
@@ -206,7 +206,7 @@
     }
 }
 
-/// An operation on the stack.
+/// An operation of the stack machine. Traces print the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Op {
@@ -237,9 +237,9 @@
     JumpIfNot(u16),
     Call(u8),
     Do(Builtin),
-    /// Begins a loop over the value on top.
+    /// Starts a loop over the value on top of the stack, in a loop slot.
     Each(u8),
-    /// The loop's next element into a local, or on to where the loop ends.
+    /// Stores the next element of the loop in a slot into a local, or jumps to the end of the loop: slot, local, target.
     Next(u8, u8, u16),
     Pop,
     Return,
@@ -248,57 +248,57 @@
 /// A compiled function.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Function {
-    /// Its name.
+    /// The name in the source, which faults and traces show.
     pub name: String,
-    /// Values that it takes, which are its first locals.
+    /// Number of parameters, which are the first locals.
     pub params: u8,
-    /// Locals, the parameters among them.
+    /// Number of locals, including the parameters.
     pub locals: u8,
-    /// Loops that may be open at once or one after the other.
+    /// Number of loop slots: each loop of the function has its own.
     pub loops: u8,
-    /// Its operations.
+    /// The operations; jump targets are positions in this list.
     pub code: Vec<Op>,
-    /// The line of each operation.
+    /// The source line of each operation.
     pub lines: Vec<u32>,
 }
 
-/// Functions that the host calls, by their places.
+/// The functions that the host calls, by their positions in [`Program::functions`]; none for a hook that is not defined.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Hooks {
-    /// `factor(server, class, zone)`: the share of its weight that a server keeps.
+    /// `factor(server, class, zone)`: returns the share of its weight that a server keeps; 1 or more has no effect.
     pub factor: Option<u8>,
-    /// `cap(class)`: the most of a class that is let in.
+    /// `cap(class)`: returns the largest share of a class that is admitted; 1 or more has no effect.
     pub cap: Option<u8>,
-    /// `retry(class)`: whether it may be tried again as ordered.
+    /// `retry(class)`: returns whether retries are permitted; true has no effect.
     pub retry: Option<u8>,
     /// `exclude(server)`: may call `exclude(reason, seconds)`.
     pub exclude: Option<u8>,
-    /// `turn()`: once before the others.
+    /// `turn()`: is called once per evaluation, before the other hooks.
     pub turn: Option<u8>,
 }
 
 /// A compiled plug-in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Program {
-    /// Its name.
+    /// The declared name, which is unique among loaded plug-ins.
     pub name: String,
-    /// Its version.
+    /// The declared version.
     pub version: u32,
-    /// Digest of its text.
+    /// BLAKE3 digest of the source.
     pub digest: [u8; 32],
-    /// Constants.
+    /// Values that [`Op::Const`] addresses, each once.
     pub constants: Vec<Value>,
-    /// Functions; one calls only those before it.
+    /// Functions and hooks. A function calls only earlier ones, so that there is no recursion.
     pub functions: Vec<Function>,
-    /// What lives between calls.
-    pub states: Vec<(String, Shape)>,
-    /// What the host calls.
+    /// Names and declarations of the state variables.
+    pub states: Vec<(String, StateKind)>,
+    /// The functions that the host calls.
     pub hooks: Hooks,
-    /// Classes that its factors steer apart from the others.
-    pub steers: Vec<String>,
-    /// Whether its factors look at the zone of the front ends.
-    pub by_zone: bool,
-    /// Its own cases.
+    /// Names of the classes that have factors of their own.
+    pub steered_classes: Vec<String>,
+    /// Whether the factor hook reads the zone of the proxies.
+    pub uses_zone: bool,
+    /// The test cases in the source.
     pub cases: Vec<Case>,
 }
 
--- a/crates/plugins/src/code/tests.rs
+++ b/crates/plugins/src/code/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn fields_know_whose_they_are() {
-    for (of, name, field, _) in FIELDS {
-        assert_eq!(field.is_of_fleet(), of == Type::Nothing, "{name}");
+fn fleet_fields_match_the_field_table() {
+    for (owner, name, field, _) in FIELDS {
+        assert_eq!(field.is_fleet_field(), owner == Type::Nothing, "{name}");
     }
 }
--- a/crates/plugins/src/compile.rs
+++ b/crates/plugins/src/compile.rs
@@ -1,105 +1,111 @@
-//! A tree to bytecode, with every name and type checked. All faults of a text are told at once.
+//! The compiler: checks all names and types of a tree and emits bytecode. It reports all errors of a source at once.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use crate::ast::{At, Binary, Case, Expr, Function as Tree, Item, Plugin, Shape, Stmt, Unary};
+use crate::ast::{
+    Binary, Case, Expr, Function as FunctionNode, Item, Plugin, Spanned, StateKind, Stmt, Unary,
+};
 use crate::code::*;
 use crate::diagnostics::{Diagnostic, Span};
 use crate::parse::parse;
 use crate::verify::verify;
 
-/// Turns over which a mean may fade, at least and at most.
-const MEAN: (f64, f64) = (1.0, 3600.0);
+/// Minimum half-life of a mean, in evaluations.
+const MIN_HALF_LIFE: f64 = 1.0;
+/// Maximum half-life of a mean, in evaluations.
+const MAX_HALF_LIFE: f64 = 3600.0;
 
-/// What a name stands for.
+/// The meaning of a name in the current scope.
 #[derive(Clone, Debug)]
-enum Named {
+enum Binding {
     Local(u8, Type),
-    State(u8, Shape),
-    Fixed(u16, Type),
+    State(u8, StateKind),
+    Constant(u16, Type),
     Function(u8, Vec<Type>, Type),
 }
 
 struct Compiler<'a> {
     source: &'a str,
-    faults: Vec<Diagnostic>,
-    names: HashMap<String, Named>,
+    diagnostics: Vec<Diagnostic>,
+    names: HashMap<String, Binding>,
     constants: Vec<Value>,
     functions: Vec<Function>,
-    states: Vec<(String, Shape)>,
+    states: Vec<(String, StateKind)>,
     hooks: Hooks,
-    steers: Vec<String>,
-    by_zone: bool,
-    class_used: Option<Span>,
-    /// The function under way.
+    steered_classes: Vec<String>,
+    uses_zone: bool,
+    /// Where the factor hook first reads the class, if it does.
+    first_class_use: Option<Span>,
+    /// The operations of the current function.
     code: Vec<Op>,
     lines: Vec<u32>,
     locals: usize,
     loops: usize,
-    gives: Type,
+    return_type: Type,
+    /// The hook that is being compiled; absent in a function.
     hook: Option<String>,
 }
 
-/// Compiles a text; the program has passed the verifier.
+/// Compiles a source. The program has passed the verifier.
 pub fn compile(source: &str) -> Result<Program, Vec<Diagnostic>> {
     let plugin = parse(source)?;
     let mut compiler = Compiler {
         source,
-        faults: Vec::new(),
+        diagnostics: Vec::new(),
         names: HashMap::new(),
         constants: Vec::new(),
         functions: Vec::new(),
         states: Vec::new(),
         hooks: Hooks::default(),
-        steers: Vec::new(),
-        by_zone: false,
-        class_used: None,
+        steered_classes: Vec::new(),
+        uses_zone: false,
+        first_class_use: None,
         code: Vec::new(),
         lines: Vec::new(),
         locals: 0,
         loops: 0,
-        gives: Type::Nothing,
+        return_type: Type::Nothing,
         hook: None,
     };
     compiler.plugin(&plugin);
     let Compiler {
-        faults,
+        diagnostics,
         constants,
         functions,
         states,
         hooks,
-        steers,
-        by_zone,
+        steered_classes,
+        uses_zone,
         ..
     } = compiler;
-    if !faults.is_empty() {
-        return Err(faults);
+    if !diagnostics.is_empty() {
+        return Err(diagnostics);
     }
     let cases = plugin.items.into_iter().filter_map(|item| match item {
         Item::Case(case) => Some(case),
         _ => None,
     });
     let program = Program {
-        name: plugin.name.of,
-        version: plugin.version.of as u32,
+        name: plugin.name.node,
+        version: plugin.version.node as u32,
         digest: *blake3::hash(source.as_bytes()).as_bytes(),
         constants,
         functions,
         states,
         hooks,
-        steers,
-        by_zone,
+        steered_classes,
+        uses_zone,
         cases: cases.collect(),
     };
-    verify(&program).map_err(|fault| vec![Diagnostic::new(source, 0..0, fault.to_string())])?;
+    verify(&program).map_err(|error| vec![Diagnostic::new(source, 0..0, error.to_string())])?;
     Ok(program)
 }
 
 impl Compiler<'_> {
-    fn fault(&mut self, span: &Span, text: impl Into<String>) {
-        self.faults
-            .push(Diagnostic::new(self.source, span.clone(), text));
+    fn error(&mut self, span: &Span, message: impl Into<String>) {
+        self.diagnostics
+            .push(Diagnostic::new(self.source, span.clone(), message));
     }
 
     fn line(&self, span: &Span) -> u32 {
@@ -113,23 +119,26 @@
         self.code.len() - 1
     }
 
-    fn here(&self) -> u16 {
+    fn next_operation(&self) -> u16 {
         u16::try_from(self.code.len()).unwrap_or(u16::MAX)
     }
 
-    fn patch(&mut self, at: usize) {
-        let here = self.here();
-        if let Some(Op::Jump(to) | Op::JumpIfNot(to) | Op::Next(_, _, to)) = self.code.get_mut(at) {
-            *to = here;
+    /// Sets the target of an earlier jump to the next operation.
+    fn patch_jump(&mut self, jump: usize) {
+        let target = self.next_operation();
+        if let Some(Op::Jump(to) | Op::JumpIfNot(to) | Op::Next(_, _, to)) = self.code.get_mut(jump)
+        {
+            *to = target;
         }
     }
 
+    /// The position of a constant, which is added if it is new.
     fn constant(&mut self, value: Value, span: &Span) -> u16 {
         if let Some(known) = self.constants.iter().position(|known| *known == value) {
             return known as u16;
         }
-        if self.constants.len() >= CONSTANTS_MOST {
-            self.fault(span, "too many constants");
+        if self.constants.len() >= MAX_CONSTANTS {
+            self.error(span, "too many constants");
             return 0;
         }
         self.constants.push(value);
@@ -137,134 +146,154 @@
     }
 
     fn plugin(&mut self, plugin: &Plugin) {
-        if plugin.version.of.fract() != 0.0 || plugin.version.of > f64::from(u32::MAX) {
-            self.fault(&plugin.version.span, "a version is a whole number");
+        if plugin.version.node.fract() != 0.0 || plugin.version.node > f64::from(u32::MAX) {
+            self.error(&plugin.version.span, "the version must be a whole number");
         }
-        if plugin.host.of > f64::from(HOST_VERSION) {
-            let text = format!("it needs host {}, this is {HOST_VERSION}", plugin.host.of);
-            self.fault(&plugin.host.span, text);
+        if plugin.host.node > f64::from(HOST_VERSION) {
+            let message = format!(
+                "the plug-in requires host version {}, this host has version {HOST_VERSION}",
+                plugin.host.node
+            );
+            self.error(&plugin.host.span, message);
         }
         for item in &plugin.items {
             match item {
                 Item::Steers(classes) => self
-                    .steers
-                    .extend(classes.iter().map(|class| class.of.clone())),
-                Item::State(name, shape) => self.state(name, shape),
-                Item::Let(name, value) => self.fixed(name, value),
+                    .steered_classes
+                    .extend(classes.iter().map(|class| class.node.clone())),
+                Item::State(name, kind) => self.state(name, kind),
+                Item::Let(name, value) => self.top_level_let(name, value),
                 Item::Fn(function) => self.function(function),
                 Item::Hook(hook) => self.hook(hook),
                 Item::Case(case) => self.case(case),
             }
         }
-        if let Some(span) = self.class_used.clone().filter(|_| self.steers.is_empty()) {
-            self.fault(
+        if let Some(span) = self
+            .first_class_use
+            .clone()
+            .filter(|_| self.steered_classes.is_empty())
+        {
+            self.error(
                 &span,
-                "this factor looks at the class: say which it steers, as in: steers \"refund-order\"",
+                "the factor hook reads the class: declare the classes that it steers, as in: steers \"refund-order\"",
             );
         }
     }
 
-    fn declare(&mut self, name: &At<String>, named: Named) {
-        if name.of == "fleet" || self.names.insert(name.of.clone(), named).is_some() {
-            self.fault(&name.span, format!("the name {:?} is taken", name.of));
+    fn declare(&mut self, name: &Spanned<String>, binding: Binding) {
+        if name.node == "fleet" || self.names.insert(name.node.clone(), binding).is_some() {
+            self.error(
+                &name.span,
+                format!("the name {:?} is already in use", name.node),
+            );
         }
     }
 
-    fn state(&mut self, name: &At<String>, shape: &At<Shape>) {
-        if let Shape::Mean(turns) = shape.of {
-            if !(MEAN.0..=MEAN.1).contains(&turns) {
-                let text = format!(
-                    "a mean fades by half in {} to {} turns, not in {turns}",
-                    MEAN.0, MEAN.1
+    fn state(&mut self, name: &Spanned<String>, kind: &Spanned<StateKind>) {
+        if let StateKind::Mean(half_life) = kind.node {
+            if !(MIN_HALF_LIFE..=MAX_HALF_LIFE).contains(&half_life) {
+                let message = format!(
+                    "the half-life of a mean must be {MIN_HALF_LIFE} to {MAX_HALF_LIFE} turns, found {half_life}"
                 );
-                self.fault(&shape.span, text);
+                self.error(&kind.span, message);
             }
         }
-        if self.states.len() >= NAMES_MOST {
-            self.fault(&name.span, format!("at most {NAMES_MOST} states"));
+        if self.states.len() >= MAX_SLOTS {
+            self.error(&name.span, format!("at most {MAX_SLOTS} states"));
             return;
         }
-        let at = self.states.len() as u8;
-        self.states.push((name.of.clone(), shape.of.clone()));
-        self.declare(name, Named::State(at, shape.of.clone()));
+        let index = self.states.len() as u8;
+        self.states.push((name.node.clone(), kind.node.clone()));
+        self.declare(name, Binding::State(index, kind.node.clone()));
     }
 
-    /// A literal, or a set of them; nothing that would have to be worked out.
-    fn literal(&mut self, value: &At<Expr>) -> Option<(Value, Type)> {
-        Some(match &value.of {
+    /// The value and type of a literal or a set of literals; none for an expression that has to be evaluated.
+    fn literal(&mut self, value: &Spanned<Expr>) -> Option<(Value, Type)> {
+        Some(match &value.node {
             Expr::Number(number) => (Value::Number(*number), Type::Number),
-            Expr::Bool(of) => (Value::Bool(*of), Type::Bool),
+            Expr::Bool(value) => (Value::Bool(*value), Type::Bool),
             Expr::Text(text) => (Value::Text(Arc::from(text.as_str())), Type::Text),
-            Expr::Unary(Unary::Neg, of) => match of.of {
+            Expr::Unary(Unary::Neg, operand) => match operand.node {
                 Expr::Number(number) => (Value::Number(-number), Type::Number),
                 _ => return None,
             },
             Expr::Set(elements) => {
-                if elements.len() > SET_MOST {
-                    self.fault(&value.span, format!("at most {SET_MOST} elements"));
+                if elements.len() > MAX_SET_ELEMENTS {
+                    self.error(&value.span, format!("at most {MAX_SET_ELEMENTS} elements"));
                 }
-                let mut all = Vec::new();
-                let mut of = Type::Text;
+                let mut values = Vec::new();
+                let mut element_type = Type::Text;
                 for element in elements {
-                    let (value, its) = self.literal(element)?;
-                    of = if all.is_empty() { its } else { of };
-                    if its != of || !matches!(its, Type::Number | Type::Text) {
-                        self.fault(
+                    let (value, value_type) = self.literal(element)?;
+                    element_type = if values.is_empty() {
+                        value_type
+                    } else {
+                        element_type
+                    };
+                    if value_type != element_type
+                        || !matches!(value_type, Type::Number | Type::Text)
+                    {
+                        self.error(
                             &element.span,
-                            "a set holds numbers or texts, all of one type",
+                            "a set must hold numbers or texts, all of one type",
                         );
                     }
-                    all.push(value);
+                    values.push(value);
                 }
-                let of = if of == Type::Number {
+                let set_type = if element_type == Type::Number {
                     Type::Numbers
                 } else {
                     Type::Texts
                 };
-                (Value::Set(all.into()), of)
+                (Value::Set(values.into()), set_type)
             }
             _ => return None,
         })
     }
 
-    fn fixed(&mut self, name: &At<String>, value: &At<Expr>) {
-        let Some((literal, of)) = self.literal(value) else {
-            self.fault(
+    fn top_level_let(&mut self, name: &Spanned<String>, value: &Spanned<Expr>) {
+        let Some((literal, value_type)) = self.literal(value) else {
+            self.error(
                 &value.span,
-                "a value for all calls is a number, a text, true, false, or a set of them",
+                "a constant must be a number, a text, true, false, or a set of numbers or texts",
             );
             return;
         };
-        let at = self.constant(literal, &value.span);
-        self.declare(name, Named::Fixed(at, of));
+        let index = self.constant(literal, &value.span);
+        self.declare(name, Binding::Constant(index, value_type));
     }
 
-    fn function(&mut self, function: &Tree) {
+    fn function(&mut self, function: &FunctionNode) {
         let mut types = Vec::new();
-        for (name, word) in &function.params {
-            let of = word.as_ref().and_then(|word| Type::named(&word.of));
-            if of.is_none() {
-                let text = "a parameter needs a type: number, bool, text, server or class, as in x: number";
-                self.fault(&name.span, text);
-            }
-            types.push(of.unwrap_or(Type::Number));
+        for (name, type_name) in &function.params {
+            let param_type = type_name
+                .as_ref()
+                .and_then(|type_name| Type::from_name(&type_name.node));
+            if param_type.is_none() {
+                let message = "a parameter needs a type: number, bool, text, server or class, as in x: number";
+                self.error(&name.span, message);
+            }
+            types.push(param_type.unwrap_or(Type::Number));
         }
-        let gives = match &function.gives {
+        let return_type = match &function.return_type {
             None => Type::Nothing,
-            Some(word) => Type::named(&word.of).unwrap_or_else(|| {
-                self.fault(
-                    &word.span,
-                    format!("no type {:?}: number, bool, text, server or class", word.of),
+            Some(name) => Type::from_name(&name.node).unwrap_or_else(|| {
+                self.error(
+                    &name.span,
+                    format!(
+                        "unknown type {:?}, expected number, bool, text, server or class",
+                        name.node
+                    ),
                 );
                 Type::Number
             }),
         };
-        // Not known within itself: a function calls only those before it, so that none calls itself.
-        let at = self.body(function, &types, gives);
-        self.declare(&function.name, Named::Function(at, types, gives));
+        // Declared after its body is compiled: a function can call only earlier ones, so there is no recursion.
+        let index = self.body(function, &types, return_type);
+        self.declare(&function.name, Binding::Function(index, types, return_type));
     }
 
-    fn hook(&mut self, hook: &Tree) {
+    fn hook(&mut self, hook: &FunctionNode) {
         let known: [(&str, &[Type], Type); 5] = [
             (
                 "factor",
@@ -276,40 +305,42 @@
             ("exclude", &[Type::Server], Type::Nothing),
             ("turn", &[], Type::Nothing),
         ];
-        let Some((_, types, gives)) = known.into_iter().find(|(name, _, _)| *name == hook.name.of)
+        let Some((_, types, return_type)) = known
+            .into_iter()
+            .find(|(name, _, _)| *name == hook.name.node)
         else {
-            let text = format!(
-                "no hook {:?}: factor, cap, retry, exclude or turn",
-                hook.name.of
+            let message = format!(
+                "unknown hook {:?}, expected factor, cap, retry, exclude or turn",
+                hook.name.node
             );
-            return self.fault(&hook.name.span, text);
+            return self.error(&hook.name.span, message);
         };
         if hook.params.len() != types.len()
-            || hook.params.iter().any(|(_, of)| of.is_some())
-            || hook.gives.is_some()
+            || hook.params.iter().any(|(_, type_name)| type_name.is_some())
+            || hook.return_type.is_some()
         {
-            let text = match hook.name.of.as_str() {
-                "factor" => "this hook is written factor(server, class, zone)",
-                "turn" => "this hook is written turn()",
-                "exclude" => "this hook is written exclude(server)",
-                _ => "this hook is written with (class)",
+            let message = match hook.name.node.as_str() {
+                "factor" => "the signature of this hook is factor(server, class, zone)",
+                "turn" => "the signature of this hook is turn()",
+                "exclude" => "the signature of this hook is exclude(server)",
+                _ => "the parameters of this hook are (class)",
             };
-            return self.fault(&hook.name.span, text);
+            return self.error(&hook.name.span, message);
         }
-        self.hook = Some(hook.name.of.clone());
-        let at = self.body(hook, types, gives);
+        self.hook = Some(hook.name.node.clone());
+        let index = self.body(hook, types, return_type);
         self.hook = None;
-        let slot = match hook.name.of.as_str() {
+        let slot = match hook.name.node.as_str() {
             "factor" => &mut self.hooks.factor,
             "cap" => &mut self.hooks.cap,
             "retry" => &mut self.hooks.retry,
             "exclude" => &mut self.hooks.exclude,
             _ => &mut self.hooks.turn,
         };
-        if slot.replace(at).is_some() {
-            self.fault(
+        if slot.replace(index).is_some() {
+            self.error(
                 &hook.name.span,
-                format!("the hook {} is there already", hook.name.of),
+                format!("the hook {} is defined twice", hook.name.node),
             );
         }
     }
@@ -317,55 +348,74 @@
     fn case(&mut self, case: &Case) {
         for (path, value) in &case.given {
             if self.literal(value).is_none() {
-                self.fault(&value.span, "a case gives numbers, texts, true or false");
+                self.error(
+                    &value.span,
+                    "an input of a case must be a number, a text, true or false",
+                );
             }
-            let words: Vec<&str> = path.iter().map(|word| word.of.as_str()).collect();
-            if !crate::cases::is_known(&words) {
-                let span = path.first().map_or(0..0, |word| word.span.clone());
-                self.fault(&span, format!("a case cannot give {}: server.name, class.name, zone, fleet.strain, turns and the like", words.join(".")));
+            let names: Vec<&str> = path.iter().map(|name| name.node.as_str()).collect();
+            if !crate::cases::is_input(&names) {
+                let span = path.first().map_or(0..0, |name| name.span.clone());
+                self.error(
+                    &span,
+                    format!(
+                        "a case has no input {}, only server.name, class.name, zone, fleet.strain, turns and others",
+                        names.join(".")
+                    ),
+                );
             }
         }
         for (hook, value) in &case.expected {
-            if !["factor", "cap", "retry", "exclude"].contains(&hook.of.as_str()) {
-                self.fault(&hook.span, "expected can be factor, cap, retry or exclude");
+            if !["factor", "cap", "retry", "exclude"].contains(&hook.node.as_str()) {
+                self.error(
+                    &hook.span,
+                    "a case can expect factor, cap, retry or exclude",
+                );
             }
             if self.literal(value).is_none() {
-                self.fault(&value.span, "a case expects a number, true or false");
+                self.error(
+                    &value.span,
+                    "the expected result must be a number, true or false",
+                );
             }
         }
     }
 
-    fn body(&mut self, function: &Tree, types: &[Type], gives: Type) -> u8 {
+    fn body(&mut self, function: &FunctionNode, types: &[Type], return_type: Type) -> u8 {
         let outer = self.names.clone();
-        (self.locals, self.loops, self.gives) = (0, 0, gives);
+        (self.locals, self.loops, self.return_type) = (0, 0, return_type);
         (self.code, self.lines) = (Vec::new(), Vec::new());
-        for ((name, _), of) in function.params.iter().zip(types) {
-            let at = self.local(&name.span);
-            // A hook's parameters may be called as its subjects are; anything else keeps its name.
-            self.names.insert(name.of.clone(), Named::Local(at, *of));
+        for ((name, _), param_type) in function.params.iter().zip(types) {
+            let local = self.local(&name.span);
+            // A parameter may shadow a name of the program.
+            self.names
+                .insert(name.node.clone(), Binding::Local(local, *param_type));
         }
         self.block(&function.body);
-        let end = function.name.span.clone();
-        if gives != Type::Nothing && !returns(&function.body) {
-            let text = format!(
-                "{} may end without a value: every way through it returns a {}",
-                function.name.of,
-                gives.word()
+        let span = function.name.span.clone();
+        if return_type != Type::Nothing && !returns(&function.body) {
+            let message = format!(
+                "{} may end without a value: every path must return a {}",
+                function.name.node,
+                return_type.name()
             );
-            self.fault(&end, text);
+            self.error(&span, message);
         }
-        let nothing = self.constant(Value::Nothing, &end);
-        self.emit(Op::Const(nothing), &end);
-        self.emit(Op::Return, &end);
+        let nothing = self.constant(Value::Nothing, &span);
+        self.emit(Op::Const(nothing), &span);
+        self.emit(Op::Return, &span);
         self.names = outer;
-        if self.code.len() > CODE_MOST {
-            self.fault(&end, format!("{} is too long", function.name.of));
+        if self.code.len() > MAX_FUNCTION_OPS {
+            self.error(
+                &span,
+                format!("{} has too many operations", function.name.node),
+            );
         }
-        if self.functions.len() >= NAMES_MOST {
-            self.fault(&end, format!("at most {NAMES_MOST} functions and hooks"));
+        if self.functions.len() >= MAX_SLOTS {
+            self.error(&span, format!("at most {MAX_SLOTS} functions and hooks"));
         }
         self.functions.push(Function {
-            name: function.name.of.clone(),
+            name: function.name.node.clone(),
             params: types.len() as u8,
             locals: self.locals as u8,
             loops: self.loops as u8,
@@ -375,9 +425,10 @@
         (self.functions.len() - 1) as u8
     }
 
+    /// Allocates a local.
     fn local(&mut self, span: &Span) -> u8 {
-        if self.locals >= NAMES_MOST {
-            self.fault(span, format!("at most {NAMES_MOST} names in a function"));
+        if self.locals >= MAX_SLOTS {
+            self.error(span, format!("at most {MAX_SLOTS} names in a function"));
             return 0;
         }
         self.locals += 1;
@@ -393,83 +444,89 @@
     fn statement(&mut self, statement: &Stmt) {
         match statement {
             Stmt::Let(name, value) => {
-                let of = self.expression(value);
-                if of == Some(Type::Nothing) {
-                    self.fault(&value.span, "this gives nothing");
+                let value_type = self.expression(value);
+                if value_type == Some(Type::Nothing) {
+                    self.error(&value.span, "this expression has no value");
                 }
-                let at = self.local(&name.span);
-                self.emit(Op::Store(at), &name.span);
-                if name.of == "fleet"
+                let local = self.local(&name.span);
+                self.emit(Op::Store(local), &name.span);
+                if name.node == "fleet"
                     || matches!(
-                        self.names.get(&name.of),
-                        Some(Named::Function(..) | Named::State(..))
+                        self.names.get(&name.node),
+                        Some(Binding::Function(..) | Binding::State(..))
                     )
                 {
-                    self.fault(&name.span, format!("the name {:?} is taken", name.of));
+                    self.error(
+                        &name.span,
+                        format!("the name {:?} is already in use", name.node),
+                    );
                 }
                 self.names.insert(
-                    name.of.clone(),
-                    Named::Local(at, of.unwrap_or(Type::Number)),
+                    name.node.clone(),
+                    Binding::Local(local, value_type.unwrap_or(Type::Number)),
                 );
             }
             Stmt::Assign(name, value) => self.assign(name, value),
             Stmt::Put(name, key, value) => self.put(name, key, value),
-            Stmt::If(arms, rest) => {
+            Stmt::If(arms, else_block) => {
                 let mut ends = Vec::new();
                 for (condition, block) in arms {
-                    self.wants(condition, Type::Bool);
+                    self.check_expression(condition, Type::Bool);
                     let skip = self.emit(Op::JumpIfNot(0), &condition.span);
                     self.block(block);
                     ends.push(self.emit(Op::Jump(0), &condition.span));
-                    self.patch(skip);
+                    self.patch_jump(skip);
                 }
-                self.block(rest);
-                ends.into_iter().for_each(|end| self.patch(end));
-            }
-            Stmt::For(name, over, block) => {
-                let of = self.expression(over);
-                let element = of.and_then(Type::element);
-                if let Some(of) = of.filter(|_| element.is_none()) {
-                    self.fault(
-                        &over.span,
+                self.block(else_block);
+                ends.into_iter().for_each(|end| self.patch_jump(end));
+            }
+            Stmt::For(name, iterable, block) => {
+                let iterable_type = self.expression(iterable);
+                let element_type = iterable_type.and_then(Type::element_type);
+                if let Some(found) = iterable_type.filter(|_| element_type.is_none()) {
+                    self.error(
+                        &iterable.span,
                         format!(
-                            "a loop goes over a set, range, servers, classes or zones, not a {}",
-                            of.word()
+                            "found a {}, expected a set, a range, servers, classes or zones",
+                            found.name()
                         ),
                     );
                 }
-                if self.loops >= NAMES_MOST {
-                    return self.fault(
-                        &over.span,
-                        format!("at most {NAMES_MOST} loops in a function"),
+                if self.loops >= MAX_SLOTS {
+                    return self.error(
+                        &iterable.span,
+                        format!("at most {MAX_SLOTS} loops in a function"),
                     );
                 }
                 let slot = self.loops as u8;
                 self.loops += 1;
-                self.emit(Op::Each(slot), &over.span);
-                let at = self.local(&name.span);
-                let begin = self.here();
-                let next = self.emit(Op::Next(slot, at, 0), &over.span);
+                self.emit(Op::Each(slot), &iterable.span);
+                let local = self.local(&name.span);
+                let loop_start = self.next_operation();
+                let next = self.emit(Op::Next(slot, local, 0), &iterable.span);
                 let outer = self.names.insert(
-                    name.of.clone(),
-                    Named::Local(at, element.unwrap_or(Type::Number)),
+                    name.node.clone(),
+                    Binding::Local(local, element_type.unwrap_or(Type::Number)),
                 );
                 self.block(block);
-                self.emit(Op::Jump(begin), &over.span);
-                self.patch(next);
+                self.emit(Op::Jump(loop_start), &iterable.span);
+                self.patch_jump(next);
                 match outer {
-                    Some(outer) => self.names.insert(name.of.clone(), outer),
-                    None => self.names.remove(&name.of),
+                    Some(outer) => self.names.insert(name.node.clone(), outer),
+                    None => self.names.remove(&name.node),
                 };
             }
             Stmt::Return(span, value) => {
-                let gives = self.gives;
+                let return_type = self.return_type;
                 match value {
-                    Some(value) => self.wants(value, gives),
-                    None if gives != Type::Nothing => {
-                        self.fault(
+                    Some(value) => self.check_expression(value, return_type),
+                    None if return_type != Type::Nothing => {
+                        self.error(
                             span,
-                            format!("this returns nothing, where a {} is expected", gives.word()),
+                            format!(
+                                "found a return without a value, expected a {}",
+                                return_type.name()
+                            ),
                         );
                     }
                     None => {
@@ -479,9 +536,12 @@
                 }
                 self.emit(Op::Return, span);
             }
-            Stmt::Do(value) => {
-                if !matches!(value.of, Expr::Call(..)) {
-                    self.fault(&value.span, "this does nothing: only calls stand alone");
+            Stmt::Expr(value) => {
+                if !matches!(value.node, Expr::Call(..)) {
+                    self.error(
+                        &value.span,
+                        "found an expression, expected a statement: only a call can stand alone",
+                    );
                 }
                 self.expression(value);
                 self.emit(Op::Pop, &value.span);
@@ -489,84 +549,89 @@
         }
     }
 
-    fn assign(&mut self, name: &At<String>, value: &At<Expr>) {
-        match self.names.get(&name.of).cloned() {
-            Some(Named::Local(at, of)) => {
-                self.wants(value, of);
-                self.emit(Op::Store(at), &name.span);
+    fn assign(&mut self, name: &Spanned<String>, value: &Spanned<Expr>) {
+        match self.names.get(&name.node).cloned() {
+            Some(Binding::Local(local, expected)) => {
+                self.check_expression(value, expected);
+                self.emit(Op::Store(local), &name.span);
             }
-            Some(Named::State(_, Shape::Map)) => {
-                self.fault(
+            Some(Binding::State(_, StateKind::Map)) => {
+                self.error(
                     &name.span,
                     format!(
-                        "{} is a map: set its parts, as in {}[\"key\"] = 1",
-                        name.of, name.of
+                        "{} is a map: assign to an entry, as in {}[\"key\"] = 1",
+                        name.node, name.node
                     ),
                 );
             }
-            Some(Named::State(at, shape)) => {
-                self.wants(value, shape_type(&shape));
-                self.emit(Op::StoreState(at), &name.span);
+            Some(Binding::State(state, kind)) => {
+                self.check_expression(value, state_type(&kind));
+                self.emit(Op::StoreState(state), &name.span);
             }
-            Some(_) => self.fault(&name.span, format!("{} cannot be changed", name.of)),
-            None => self.fault(&name.span, format!("no name {:?}: let makes one", name.of)),
+            Some(_) => self.error(&name.span, format!("{} cannot be assigned to", name.node)),
+            None => self.error(
+                &name.span,
+                format!("no name {:?}: declare it with let", name.node),
+            ),
         }
     }
 
-    fn put(&mut self, name: &At<String>, key: &At<Expr>, value: &At<Expr>) {
-        let Some(Named::State(at, Shape::Map)) = self.names.get(&name.of).cloned() else {
-            return self.fault(&name.span, format!("{} is no map", name.of));
+    fn put(&mut self, name: &Spanned<String>, key: &Spanned<Expr>, value: &Spanned<Expr>) {
+        let Some(Binding::State(map, StateKind::Map)) = self.names.get(&name.node).cloned() else {
+            return self.error(&name.span, format!("{} is not a map", name.node));
         };
-        self.wants(key, Type::Text);
-        self.wants(value, Type::Number);
-        self.emit(Op::MapPut(at), &name.span);
+        self.check_expression(key, Type::Text);
+        self.check_expression(value, Type::Number);
+        self.emit(Op::MapPut(map), &name.span);
     }
 
-    fn wants(&mut self, value: &At<Expr>, wanted: Type) {
-        if let Some(of) = self.expression(value).filter(|of| *of != wanted) {
-            self.fault(
+    /// Compiles an expression that must have the expected type.
+    fn check_expression(&mut self, value: &Spanned<Expr>, expected: Type) {
+        if let Some(found) = self.expression(value).filter(|found| *found != expected) {
+            self.error(
                 &value.span,
-                format!("found a {}, expected a {}", of.word(), wanted.word()),
+                format!("found a {}, expected a {}", found.name(), expected.name()),
             );
         }
     }
 
-    /// Compiles an expression; nothing if its type cannot be told for a fault that is told already.
-    fn expression(&mut self, value: &At<Expr>) -> Option<Type> {
+    /// Compiles an expression and returns its type; none if an error that is already reported leaves it unknown.
+    fn expression(&mut self, value: &Spanned<Expr>) -> Option<Type> {
         let span = &value.span;
-        match &value.of {
+        match &value.node {
             Expr::Number(_) | Expr::Bool(_) | Expr::Text(_) | Expr::Set(_) => {
-                let Some((literal, of)) = self.literal(value) else {
-                    self.fault(span, "a set holds literal numbers or texts");
+                let Some((literal, value_type)) = self.literal(value) else {
+                    self.error(span, "a set must hold literal numbers or texts");
                     return None;
                 };
-                let at = self.constant(literal, span);
-                self.emit(Op::Const(at), span);
-                Some(of)
+                let index = self.constant(literal, span);
+                self.emit(Op::Const(index), span);
+                Some(value_type)
             }
             Expr::Name(name) => self.name(name, span),
-            Expr::Field(of, field) => self.field(of, field, span),
-            Expr::Index(of, key) => {
-                let Expr::Name(name) = &of.of else {
-                    self.fault(&of.span, "only maps have parts");
+            Expr::Field(object, field) => self.field(object, field, span),
+            Expr::Index(object, key) => {
+                let Expr::Name(name) = &object.node else {
+                    self.error(&object.span, "only a map can be indexed");
                     return None;
                 };
-                let Some(Named::State(at, Shape::Map)) = self.names.get(name).cloned() else {
-                    self.fault(&of.span, format!("{name} is no map"));
+                let Some(Binding::State(map, StateKind::Map)) = self.names.get(name).cloned()
+                else {
+                    self.error(&object.span, format!("{name} is not a map"));
                     return None;
                 };
-                self.wants(key, Type::Text);
-                self.emit(Op::MapGet(at), span);
+                self.check_expression(key, Type::Text);
+                self.emit(Op::MapGet(map), span);
                 Some(Type::Number)
             }
             Expr::Call(name, arguments) => self.call(name, arguments, span),
-            Expr::Unary(Unary::Neg, of) => {
-                self.wants(of, Type::Number);
+            Expr::Unary(Unary::Neg, operand) => {
+                self.check_expression(operand, Type::Number);
                 self.emit(Op::Neg, span);
                 Some(Type::Number)
             }
-            Expr::Unary(Unary::Not, of) => {
-                self.wants(of, Type::Bool);
+            Expr::Unary(Unary::Not, operand) => {
+                self.check_expression(operand, Type::Bool);
                 self.emit(Op::Not, span);
                 Some(Type::Bool)
             }
@@ -576,94 +641,116 @@
 
     fn name(&mut self, name: &str, span: &Span) -> Option<Type> {
         match self.names.get(name).cloned() {
-            Some(Named::Local(at, of)) => {
-                self.watch(at, span);
-                self.emit(Op::Load(at), span);
-                Some(of)
+            Some(Binding::Local(local, local_type)) => {
+                self.note_parameter_use(local, span);
+                self.emit(Op::Load(local), span);
+                Some(local_type)
             }
-            Some(Named::Fixed(at, of)) => {
-                self.emit(Op::Const(at), span);
-                Some(of)
+            Some(Binding::Constant(index, constant_type)) => {
+                self.emit(Op::Const(index), span);
+                Some(constant_type)
             }
-            Some(Named::State(_, Shape::Map)) => {
-                self.fault(
+            Some(Binding::State(_, StateKind::Map)) => {
+                self.error(
                     span,
                     format!(
-                        "{name} is a map: ask for its parts, as in {name}[\"key\"], or len({name})"
+                        "{name} is a map: read an entry, as in {name}[\"key\"], or use len({name})"
                     ),
                 );
                 None
             }
-            Some(Named::State(at, shape)) => {
-                self.emit(Op::LoadState(at), span);
-                Some(shape_type(&shape))
+            Some(Binding::State(state, kind)) => {
+                self.emit(Op::LoadState(state), span);
+                Some(state_type(&kind))
             }
-            Some(Named::Function(..)) => {
-                self.fault(
+            Some(Binding::Function(..)) => {
+                self.error(
                     span,
                     format!("{name} is a function: call it, as in {name}()"),
                 );
                 None
             }
             None if name == "fleet" => {
-                self.fault(span, "fleet is seen by its fields, as in fleet.strain");
+                self.error(
+                    span,
+                    "fleet can be used only through its fields, as in fleet.strain",
+                );
                 None
             }
             None => {
-                self.fault(span, format!("no name {name:?}"));
+                self.error(span, format!("no name {name:?}"));
                 None
             }
         }
     }
 
-    /// Whether a factor looks at the class or the zone decides how often it is asked.
-    fn watch(&mut self, local: u8, span: &Span) {
+    /// Notes whether the factor hook reads its class or zone, which decides how many calls an evaluation needs.
+    fn note_parameter_use(&mut self, local: u8, span: &Span) {
         if self.hook.as_deref() == Some("factor") {
             match local {
-                1 => self.class_used = self.class_used.take().or_else(|| Some(span.clone())),
-                2 => self.by_zone = true,
+                1 => {
+                    self.first_class_use =
+                        self.first_class_use.take().or_else(|| Some(span.clone()))
+                }
+                2 => self.uses_zone = true,
                 _ => {}
             }
         }
     }
 
-    fn field(&mut self, of: &At<Expr>, field: &At<String>, span: &Span) -> Option<Type> {
-        let fleet = matches!(&of.of, Expr::Name(name) if name == "fleet");
-        let has = if fleet {
+    fn field(
+        &mut self,
+        object: &Spanned<Expr>,
+        field: &Spanned<String>,
+        span: &Span,
+    ) -> Option<Type> {
+        let is_fleet = matches!(&object.node, Expr::Name(name) if name == "fleet");
+        let owner_type = if is_fleet {
             Type::Nothing
         } else {
-            self.expression(of)?
+            self.expression(object)?
         };
         let known = FIELDS
             .iter()
-            .find(|(its, name, _, _)| *its == has && *name == field.of);
-        let Some((_, _, get, gives)) = known else {
-            let all: Vec<&str> = FIELDS
+            .find(|(owner, name, _, _)| *owner == owner_type && *name == field.node);
+        let Some((_, _, get, field_type)) = known else {
+            let names: Vec<&str> = FIELDS
                 .iter()
-                .filter(|(its, ..)| *its == has)
+                .filter(|(owner, ..)| *owner == owner_type)
                 .map(|(_, name, ..)| *name)
                 .collect();
-            let what = if fleet { "fleet" } else { has.word() };
-            let text = if all.is_empty() {
-                format!("a {what} has no fields")
+            let owner = if is_fleet { "fleet" } else { owner_type.name() };
+            let message = if names.is_empty() {
+                format!("a {owner} has no fields")
             } else {
-                format!("{what} has no field {:?}: {}", field.of, all.join(", "))
+                format!(
+                    "{owner} has no field {:?}, expected {}",
+                    field.node,
+                    names.join(", ")
+                )
             };
-            self.fault(&field.span, text);
+            self.error(&field.span, message);
             return None;
         };
         self.emit(Op::Get(*get), span);
-        Some(*gives)
+        Some(*field_type)
     }
 
-    fn call(&mut self, name: &At<String>, arguments: &[At<Expr>], span: &Span) -> Option<Type> {
-        if let Some(Named::Function(at, types, gives)) = self.names.get(&name.of).cloned() {
+    fn call(
+        &mut self,
+        name: &Spanned<String>,
+        arguments: &[Spanned<Expr>],
+        span: &Span,
+    ) -> Option<Type> {
+        if let Some(Binding::Function(function, types, return_type)) =
+            self.names.get(&name.node).cloned()
+        {
             self.arguments(name, arguments, &types);
-            self.emit(Op::Call(at), span);
-            return Some(gives);
+            self.emit(Op::Call(function), span);
+            return Some(return_type);
         }
         use Type::{Bool, Nothing, Number, Text};
-        let (builtin, types, gives): (Builtin, &[Type], Type) = match name.of.as_str() {
+        let (builtin, types, return_type): (Builtin, &[Type], Type) = match name.node.as_str() {
             "min" => (Builtin::Min, &[Number, Number], Number),
             "max" => (Builtin::Max, &[Number, Number], Number),
             "abs" => (Builtin::Abs, &[Number], Number),
@@ -678,46 +765,51 @@
                 (Builtin::Exclude, &[Text, Number], Nothing)
             }
             "exclude" => {
-                self.fault(
+                self.error(
                     &name.span,
-                    "exclude is called in the hook exclude(server) alone",
+                    "exclude can be called only in the hook exclude(server)",
                 );
                 return None;
             }
             "len" => return self.length(name, arguments, span),
             _ => {
-                let text = format!(
-                    "no function {:?}: one is made with fn, before it is called",
-                    name.of
+                let message = format!(
+                    "no function {:?}: define it with fn before it is called",
+                    name.node
                 );
-                self.fault(&name.span, text);
+                self.error(&name.span, message);
                 return None;
             }
         };
         self.arguments(name, arguments, types);
         self.emit(Op::Do(builtin), span);
-        Some(gives)
+        Some(return_type)
     }
 
-    fn length(&mut self, name: &At<String>, arguments: &[At<Expr>], span: &Span) -> Option<Type> {
-        let [of] = arguments else {
-            self.fault(&name.span, "len takes one value");
+    fn length(
+        &mut self,
+        name: &Spanned<String>,
+        arguments: &[Spanned<Expr>],
+        span: &Span,
+    ) -> Option<Type> {
+        let [argument] = arguments else {
+            self.error(&name.span, "len takes 1 argument");
             return None;
         };
-        if let Expr::Name(map) = &of.of {
-            if let Some(Named::State(at, Shape::Map)) = self.names.get(map).cloned() {
-                let at = self.constant(Value::Number(f64::from(at)), span);
-                self.emit(Op::Const(at), span);
+        if let Expr::Name(map) = &argument.node {
+            if let Some(Binding::State(state, StateKind::Map)) = self.names.get(map).cloned() {
+                let index = self.constant(Value::Number(f64::from(state)), span);
+                self.emit(Op::Const(index), span);
                 self.emit(Op::Do(Builtin::LenMap), span);
                 return Some(Type::Number);
             }
         }
-        let builtin = match self.expression(of)? {
+        let builtin = match self.expression(argument)? {
             Type::Text => Builtin::LenText,
             Type::Numbers | Type::Texts => Builtin::LenSet,
             Type::Servers | Type::Classes | Type::Zones => Builtin::LenServers,
             other => {
-                self.fault(&of.span, format!("a {} has no length", other.word()));
+                self.error(&argument.span, format!("a {} has no length", other.name()));
                 return None;
             }
         };
@@ -725,61 +817,71 @@
         Some(Type::Number)
     }
 
-    fn arguments(&mut self, name: &At<String>, arguments: &[At<Expr>], types: &[Type]) {
+    fn arguments(&mut self, name: &Spanned<String>, arguments: &[Spanned<Expr>], types: &[Type]) {
         if arguments.len() != types.len() {
-            let text = format!(
-                "{} takes {} values, found {}",
-                name.of,
+            let message = format!(
+                "{} takes {} arguments, found {}",
+                name.node,
                 types.len(),
                 arguments.len()
             );
-            self.fault(&name.span, text);
+            self.error(&name.span, message);
         }
-        for (argument, of) in arguments.iter().zip(types) {
-            self.wants(argument, *of);
+        for (argument, expected) in arguments.iter().zip(types) {
+            self.check_expression(argument, *expected);
         }
     }
 
     fn binary(
         &mut self,
         op: Binary,
-        left: &At<Expr>,
-        right: &At<Expr>,
+        left: &Spanned<Expr>,
+        right: &Spanned<Expr>,
         span: &Span,
     ) -> Option<Type> {
         use Binary as B;
         match op {
             B::And | B::Or => {
-                self.wants(left, Type::Bool);
+                self.check_expression(left, Type::Bool);
                 if op == B::Or {
                     self.emit(Op::Not, span);
                 }
                 let skip = self.emit(Op::JumpIfNot(0), span);
-                self.wants(right, Type::Bool);
+                self.check_expression(right, Type::Bool);
                 let end = self.emit(Op::Jump(0), span);
-                self.patch(skip);
-                let known = self.constant(Value::Bool(op == B::Or), span);
-                self.emit(Op::Const(known), span);
-                self.patch(end);
+                self.patch_jump(skip);
+                let short_circuit = self.constant(Value::Bool(op == B::Or), span);
+                self.emit(Op::Const(short_circuit), span);
+                self.patch_jump(end);
                 Some(Type::Bool)
             }
             B::Add => {
-                let of = self.expression(left)?;
-                if !matches!(of, Type::Number | Type::Text) {
-                    self.fault(
+                let operand_type = self.expression(left)?;
+                if !matches!(operand_type, Type::Number | Type::Text) {
+                    self.error(
                         &left.span,
-                        format!("found a {}, expected a number or a text", of.word()),
+                        format!(
+                            "found a {}, expected a number or a text",
+                            operand_type.name()
+                        ),
                     );
                     return None;
                 }
-                self.wants(right, of);
-                self.emit(if of == Type::Text { Op::Join } else { Op::Add }, span);
-                Some(of)
+                self.check_expression(right, operand_type);
+                self.emit(
+                    if operand_type == Type::Text {
+                        Op::Join
+                    } else {
+                        Op::Add
+                    },
+                    span,
+                );
+                Some(operand_type)
             }
             B::Sub | B::Mul | B::Div | B::Rem | B::Lt | B::Le | B::Gt | B::Ge => {
-                self.wants(left, Type::Number);
-                self.wants(right, Type::Number);
-                let (op, gives) = match op {
+                self.check_expression(left, Type::Number);
+                self.check_expression(right, Type::Number);
+                let (op, result_type) = match op {
                     B::Sub => (Op::Sub, Type::Number),
                     B::Mul => (Op::Mul, Type::Number),
                     B::Div => (Op::Div, Type::Number),
@@ -790,21 +892,27 @@
                     _ => (Op::Ge, Type::Bool),
                 };
                 self.emit(op, span);
-                Some(gives)
+                Some(result_type)
             }
             B::Eq | B::Ne => {
-                let of = self.expression(left)?;
-                self.wants(right, of);
+                let operand_type = self.expression(left)?;
+                self.check_expression(right, operand_type);
                 self.emit(if op == B::Eq { Op::Eq } else { Op::Ne }, span);
                 Some(Type::Bool)
             }
             B::In => {
-                let of = self.expression(left)?;
-                let over = self.expression(right)?;
-                if !matches!(over, Type::Numbers | Type::Texts) || over.element() != Some(of) {
-                    self.fault(
+                let element_type = self.expression(left)?;
+                let set_type = self.expression(right)?;
+                if !matches!(set_type, Type::Numbers | Type::Texts)
+                    || set_type.element_type() != Some(element_type)
+                {
+                    self.error(
                         &right.span,
-                        format!("found a {}, expected a set of {}s", over.word(), of.word()),
+                        format!(
+                            "found a {}, expected a set of {}s",
+                            set_type.name(),
+                            element_type.name()
+                        ),
                     );
                 }
                 self.emit(Op::In, span);
@@ -814,20 +922,22 @@
     }
 }
 
-fn shape_type(shape: &Shape) -> Type {
-    match shape {
-        Shape::Number(_) | Shape::Mean(_) => Type::Number,
-        Shape::Bool(_) => Type::Bool,
-        Shape::Text(_) => Type::Text,
-        Shape::Map => Type::Map,
+fn state_type(kind: &StateKind) -> Type {
+    match kind {
+        StateKind::Number(_) | StateKind::Mean(_) => Type::Number,
+        StateKind::Bool(_) => Type::Bool,
+        StateKind::Text(_) => Type::Text,
+        StateKind::Map => Type::Map,
     }
 }
 
-/// Whether every way through a block returns.
+/// Whether every path through a block returns.
 fn returns(block: &[Stmt]) -> bool {
     block.iter().any(|statement| match statement {
         Stmt::Return(..) => true,
-        Stmt::If(arms, rest) => returns(rest) && arms.iter().all(|(_, block)| returns(block)),
+        Stmt::If(arms, else_block) => {
+            returns(else_block) && arms.iter().all(|(_, block)| returns(block))
+        }
         _ => false,
     })
 }
--- a/crates/plugins/src/diagnostics.rs
+++ b/crates/plugins/src/diagnostics.rs
@@ -1,27 +1,27 @@
-//! What is wrong with a text: where, what was found, and what would be right.
+//! Diagnostics: errors in the source of a plug-in, with their positions.
 
 use ariadne::{Config, Label, Report, ReportKind, Source};
 
-/// A range of bytes in a text.
+/// A range of bytes in the source.
 pub type Span = std::ops::Range<usize>;
 
-/// One fault of a text.
+/// An error in the source of a plug-in.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{line}:{column}: {text}")]
+#[error("{line}:{column}: {message}")]
 pub struct Diagnostic {
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Column, from 1, in characters.
+    /// Column number in characters, from 1.
     pub column: usize,
-    /// What is wrong, and what would be right.
-    pub text: String,
-    /// Where it is.
+    /// What was found and what was expected, on one line.
+    pub message: String,
+    /// The bytes of the source that are in error.
     pub span: Span,
 }
 
 impl Diagnostic {
-    /// A fault at a place of a text.
-    pub fn new(source: &str, span: Span, text: impl Into<String>) -> Self {
+    /// An error at `span`, with line and column computed. Line breaks in the message become spaces.
+    pub fn new(source: &str, span: Span, message: impl Into<String>) -> Self {
         let before = source.get(..span.start.min(source.len())).unwrap_or(source);
         let line = before.matches('\n').count() + 1;
         let column = before
@@ -29,35 +29,35 @@
             .next()
             .map_or(0, |last| last.chars().count())
             + 1;
-        let text: String = text.into();
+        let message: String = message.into();
         Diagnostic {
             line,
             column,
-            text: text.replace(['\n', '\r'], " "),
+            message: message.replace(['\n', '\r'], " "),
             span,
         }
     }
 
-    /// The fault with the lines around it, for a terminal.
+    /// The error with an excerpt of the source, for a terminal.
     pub fn render(&self, name: &str, source: &str) -> String {
-        let at = |byte: usize| {
+        let character = |byte: usize| {
             source
                 .get(..byte.min(source.len()))
                 .map_or(0, |text| text.chars().count())
         };
-        let span = at(self.span.start)..at(self.span.end.max(self.span.start));
+        let span = character(self.span.start)..character(self.span.end.max(self.span.start));
         let config = Config::default().with_color(false).with_compact(true);
-        let label = Label::new((name, span.clone())).with_message(&self.text);
+        let label = Label::new((name, span.clone())).with_message(&self.message);
         let report = Report::build(ReportKind::Error, (name, span))
             .with_config(config)
-            .with_message(&self.text);
-        let mut out = Vec::new();
+            .with_message(&self.message);
+        let mut rendered = Vec::new();
         match report
             .with_label(label)
             .finish()
-            .write((name, Source::from(source)), &mut out)
+            .write((name, Source::from(source)), &mut rendered)
         {
-            Ok(()) => String::from_utf8_lossy(&out).into_owned(),
+            Ok(()) => String::from_utf8_lossy(&rendered).into_owned(),
             Err(_) => format!("{name}:{self}\n"),
         }
     }
--- a/crates/plugins/src/format.rs
+++ b/crates/plugins/src/format.rs
@@ -1,30 +1,30 @@
-//! The formatter: spaces and indents by one rule, line breaks and comments as they were written. What it gives means the
-//! same, and formatting it again changes nothing.
+//! The formatter: it normalizes spaces and indentation, and keeps line breaks and comments. The result has the same meaning,
+//! and formatting it again changes nothing.
 
 use logos::Logos;
 
 use crate::diagnostics::Diagnostic;
-use crate::lex::{tokens, Token};
+use crate::lex::{tokenize, Token};
 
-/// Spaces of an indent.
-const INDENT: usize = 4;
+/// Spaces for each level of brackets.
+const INDENT_SPACES: usize = 4;
 
-/// Where a comment begins in a line, outside of texts.
-fn comment(line: &str) -> Option<usize> {
-    let mut quoted = false;
-    for (at, c) in line.char_indices() {
+/// The byte offset of the comment in a line, if any. A `#` in a text literal starts none.
+fn comment_start(line: &str) -> Option<usize> {
+    let mut in_text = false;
+    for (offset, c) in line.char_indices() {
         match c {
-            '"' => quoted = !quoted,
-            '#' if !quoted => return Some(at),
+            '"' => in_text = !in_text,
+            '#' if !in_text => return Some(offset),
             _ => {}
         }
     }
     None
 }
 
-/// Whether a space stands between two tokens. A sign before a value has none behind it.
-fn spaced(before: &Token, sign: bool, next: &Token) -> bool {
-    let word = |token: &Token| {
+/// Whether a space separates two tokens. `is_sign` says that the first is a minus sign, which no space follows.
+fn needs_space(before: &Token, is_sign: bool, next: &Token) -> bool {
+    let ends_value = |token: &Token| {
         matches!(
             token,
             Token::Name(_) | Token::CloseSet | Token::Close | Token::Number(_) | Token::Text(_)
@@ -33,16 +33,16 @@
     match (before, next) {
         (_, Token::Comma | Token::Close | Token::CloseSet | Token::Dot | Token::Colon) => false,
         (Token::Open | Token::OpenSet | Token::Dot, _) => false,
-        (Token::Minus, _) if sign => false,
-        // A call, a part of a map, and a loop's or condition's bracket.
+        (Token::Minus, _) if is_sign => false,
+        // A call and an index follow a name without a space; other brackets are separated.
         (Token::Name(_), Token::Open) => false,
-        (before, Token::OpenSet) => !matches!(before, Token::Name(_)) || !word(before),
+        (before, Token::OpenSet) => !matches!(before, Token::Name(_)) || !ends_value(before),
         _ => true,
     }
 }
 
-/// Whether a minus after this is a sign.
-fn signs(before: Option<&Token>) -> bool {
+/// Whether a minus after this token is a sign rather than a subtraction.
+fn minus_is_sign(before: Option<&Token>) -> bool {
     !matches!(
         before,
         Some(
@@ -65,56 +65,56 @@
     matches!(token, Token::Close | Token::CloseBlock | Token::CloseSet)
 }
 
-/// The text of a line's tokens with one rule for spaces.
-fn line(code: &str) -> (String, Vec<Token>) {
-    let (mut out, mut all): (String, Vec<Token>) = (String::new(), Vec::new());
-    let mut sign = false;
+/// The code of one line with normalized spaces, and its tokens.
+fn format_line(code: &str) -> (String, Vec<Token>) {
+    let (mut out, mut tokens): (String, Vec<Token>) = (String::new(), Vec::new());
+    let mut after_sign = false;
     for (token, span) in Token::lexer(code).spanned() {
         let Ok(token) = token else { continue };
-        let is_sign = token == Token::Minus && signs(all.last());
-        if all
+        let is_sign = token == Token::Minus && minus_is_sign(tokens.last());
+        if tokens
             .last()
-            .is_some_and(|before| spaced(before, sign, &token))
+            .is_some_and(|before| needs_space(before, after_sign, &token))
         {
             out.push(' ');
         }
         out.push_str(code.get(span).unwrap_or_default());
-        sign = is_sign;
-        all.push(token);
+        after_sign = is_sign;
+        tokens.push(token);
     }
-    (out, all)
+    (out, tokens)
 }
 
-/// Formats a text; one whose words cannot be told apart is left alone, with its faults.
+/// Formats a source. One that cannot be split into tokens gives diagnostics instead; it need not parse.
 pub fn format(source: &str) -> Result<String, Vec<Diagnostic>> {
-    let (_, faults) = tokens(source);
-    if !faults.is_empty() {
-        return Err(faults);
+    let (_, diagnostics) = tokenize(source);
+    if !diagnostics.is_empty() {
+        return Err(diagnostics);
     }
-    let (mut out, mut depth, mut blank) = (String::new(), 0usize, true);
-    for text in source.lines() {
-        let (code, note) = text.split_at(comment(text).unwrap_or(text.len()));
-        let (code, all) = line(code);
-        let note = note.trim_end();
-        if code.is_empty() && note.is_empty() {
-            // Blank lines stay, one at a time, and none at the begin.
-            if !blank {
+    let (mut out, mut depth, mut after_blank) = (String::new(), 0usize, true);
+    for line in source.lines() {
+        let (code, comment) = line.split_at(comment_start(line).unwrap_or(line.len()));
+        let (code, tokens) = format_line(code);
+        let comment = comment.trim_end();
+        if code.is_empty() && comment.is_empty() {
+            // Consecutive blank lines become one, and leading ones are dropped.
+            if !after_blank {
                 out.push('\n');
             }
-            blank = true;
+            after_blank = true;
             continue;
         }
-        blank = false;
-        let leading = all.iter().take_while(|token| closes(token)).count();
-        let indent = depth.saturating_sub(leading) * INDENT;
+        after_blank = false;
+        let leading_closers = tokens.iter().take_while(|token| closes(token)).count();
+        let indent = depth.saturating_sub(leading_closers) * INDENT_SPACES;
         out.extend(std::iter::repeat_n(' ', indent));
         out.push_str(&code);
-        if !note.is_empty() {
+        if !comment.is_empty() {
             out.push_str(if code.is_empty() { "" } else { "  " });
-            out.push_str(note);
+            out.push_str(comment);
         }
         out.push('\n');
-        for token in &all {
+        for token in &tokens {
             depth = if opens(token) {
                 depth + 1
             } else {
@@ -122,8 +122,8 @@
             };
         }
     }
-    let end = out.trim_end_matches('\n').len();
-    out.truncate(end);
+    let length = out.trim_end_matches('\n').len();
+    out.truncate(length);
     if !out.is_empty() {
         out.push('\n');
     }
--- a/crates/plugins/src/format/tests.rs
+++ b/crates/plugins/src/format/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
 #[test]
-fn spaces_and_indents_follow_one_rule() {
+fn spaces_and_indentation_are_normalized() {
     let text = "plugin  \"p\"   version 1 host 1\n\n\n# why\nlet s=[ 1,-2 , 3]   # three\nstate m=map\nhook turn( ){\nif fleet.strain>0.5 and not(1<2){ m [ \"k\" ]=min( 1,- 2 )-3\n} else {\nnote( \"a # b\" )\n}\n}\n";
-    let wanted = "plugin \"p\" version 1 host 1\n\n# why\nlet s = [1, -2, 3]  # three\nstate m = map\nhook turn() {\n    if fleet.strain > 0.5 and not (1 < 2) { m[\"k\"] = min(1, -2) - 3\n    } else {\n        note(\"a # b\")\n    }\n}\n";
-    assert_eq!(format(text).expect("words"), wanted);
-    assert_eq!(format(wanted).expect("words"), wanted);
+    let expected = "plugin \"p\" version 1 host 1\n\n# why\nlet s = [1, -2, 3]  # three\nstate m = map\nhook turn() {\n    if fleet.strain > 0.5 and not (1 < 2) { m[\"k\"] = min(1, -2) - 3\n    } else {\n        note(\"a # b\")\n    }\n}\n";
+    assert_eq!(format(text).expect("tokens"), expected);
+    assert_eq!(format(expected).expect("tokens"), expected);
     assert!(format("let a = ~").is_err());
-    assert_eq!(format("\n\n").expect("nothing"), "");
+    assert_eq!(format("\n\n").expect("an empty source"), "");
 }
 
 #[test]
-fn the_plug_ins_of_the_repository_are_formatted() {
+fn repository_plugins_are_formatted() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../plugins");
     for entry in std::fs::read_dir(folder).expect("the folder") {
         let path = entry.expect("a file").path();
         let text = std::fs::read_to_string(&path).expect("its text");
-        assert_eq!(format(&text).expect("words"), text, "{}", path.display());
+        assert_eq!(format(&text).expect("tokens"), text, "{}", path.display());
     }
 }
--- a/crates/plugins/src/host.rs
+++ b/crates/plugins/src/host.rs
@@ -1,6 +1,5 @@
-//! The host: runs all plug-ins over a turn and composes what they advise, in their order. What it gives is advice; what
-//! becomes of it the decision module says. One that faults gives nothing for that turn; one that faults again and again
-//! is left alone for pauses that grow.
+//! The host: evaluates all loaded plug-ins in order and merges their advice, which the decision module may apply. A plug-in
+//! that faults gives no advice in that evaluation, and one that faults repeatedly is suspended with backoff.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,382 +10,423 @@
 use crate::inputs::Inputs;
 use crate::machine::{Context, Fault, Machine, Memory};
 
-/// Plug-ins that may be loaded at once.
-pub const PLUGINS_MOST: usize = 32;
-/// Operations of one call of `factor`, `cap`, `retry` or `exclude`, and of `turn`.
-const FUEL: (u64, u64) = (2_000, 50_000);
-/// Operations of all calls of a plug-in in a turn: so many for each answer that it is asked for, and some beside.
-const FUEL_TURN: (u64, u64) = (80, 60_000);
-/// Faulty turns in a row from which a plug-in is left alone.
-const FAULTS_MOST: u32 = 3;
-/// Turns for which it is left alone first, and at most; each time twice as long.
-const PAUSE: (u64, u64) = (10, 640);
-/// Sound turns after which earlier faults are forgotten.
-const FORGIVEN_AFTER: u32 = 600;
-/// New and ended pieces of advice of one plug-in that are told in a turn.
-const WORDS_MOST: usize = 16;
-/// Longest exclusion that one answer gives, in seconds: it is asked again each turn.
-const EXCLUDED_MOST: f64 = 3600.0;
+/// Maximum number of loaded plug-ins.
+pub const MAX_PLUGINS: usize = 32;
+/// Maximum number of operations of one call of `factor`, `cap`, `retry` or `exclude`.
+const HOOK_FUEL: u64 = 2_000;
+/// Maximum number of operations of one call of `turn`.
+const TURN_HOOK_FUEL: u64 = 50_000;
+/// Operations that a plug-in may use per evaluation for each result that its hooks can return, on average.
+const FUEL_PER_RESULT: u64 = 80;
+/// Operations that a plug-in may use per evaluation in addition to those for its results.
+const BASE_FUEL: u64 = 60_000;
+/// Number of faults from which a plug-in is suspended.
+const FAULTS_TO_SUSPEND: u32 = 3;
+/// Length of the first suspension, in evaluations. Each further one is twice as long.
+const MIN_SUSPENSION: u64 = 10;
+/// Maximum length of a suspension, in evaluations.
+const MAX_SUSPENSION: u64 = 640;
+/// Successful evaluations after which the fault count and the backoff are reset.
+const FAULT_RESET_EVALUATIONS: u32 = 600;
+/// Maximum number of events for new advice of one plug-in in an evaluation, and likewise for ended advice.
+const MAX_ADVICE_EVENTS: usize = 16;
+/// Maximum duration of an exclusion, in seconds. The hook can renew it in each evaluation.
+const MAX_EXCLUSION_S: f64 = 3600.0;
 
-/// What the plug-ins advise together, by places in the inputs. What is not named is left as it is.
+/// The merged advice of all plug-ins. Servers, zones and classes are positions in the inputs; those without an entry are not
+/// affected.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
-    /// Share of its weight that a server keeps: for the front ends of a zone, and for one class where it is steered apart.
+    /// Share of its weight that a server keeps, by server, zone of the proxies, and class. No class stands for all classes.
     pub factors: BTreeMap<(u32, u32, Option<u32>), f64>,
-    /// The most of a class that is let in.
+    /// The largest share of a class's requests that is admitted, from 0 to 1.
     pub caps: BTreeMap<u32, f64>,
-    /// Classes that are not to be tried again.
+    /// Classes whose requests are not retried.
     pub no_retry: Vec<u32>,
-    /// Servers left out, with the reason and for how many seconds.
+    /// Excluded servers, with the reason and the duration in seconds.
     pub excluded: BTreeMap<u32, (String, f64)>,
-    /// Classes that are steered apart from the others.
+    /// Classes that have factors of their own.
     pub steered: Vec<u32>,
 }
 
-/// What came of one plug-in in a turn.
+/// What happened to one plug-in in an evaluation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PluginEvent {
-    /// It noted something.
+    /// It called `note` with this text.
     Noted(String),
-    /// It faulted; its advice of this turn is dropped.
+    /// It faulted, and its advice in this evaluation is dropped.
     Faulted(Fault),
-    /// It advises something that it did not advise in its last sound turn, and on which line.
+    /// It gives advice that it did not give in its previous evaluation: the advice as text, and the source line.
     AdviceStarted(String, u32),
-    /// It does not advise that any more.
+    /// It no longer gives this advice.
     AdviceEnded(String),
-    /// It is left alone for so many turns.
+    /// It is suspended for this number of evaluations.
     Suspended(u64),
-    /// Its advice differs from an earlier one's on the same thing; which of them holds.
+    /// Its advice conflicts with that of an earlier plug-in; the text says which of them applies.
     Conflicted(String),
 }
 
-/// What a turn gives.
+/// The result of evaluating all plug-ins once.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evaluation {
-    /// The advice of all.
+    /// The merged advice of all plug-ins.
     pub advice: Advice,
-    /// What is worth a record, by the plug-in's name.
+    /// Events to record, each with its plug-in's name.
     pub events: Vec<(Arc<str>, PluginEvent)>,
-    /// Operations that each plug-in took, one that faulted too.
+    /// Number of operations that each plug-in used, including those that faulted.
     pub fuel_used: Vec<(Arc<str>, u64)>,
-    /// Calls about the watched server, by plug-in, in words.
+    /// Traces of the calls about the traced server, as lines of text, each with its plug-in's name.
     pub traces: Vec<(Arc<str>, Vec<String>)>,
 }
 
-/// What a plug-in advises, in words, with the line that says so.
-type Said = BTreeMap<String, u32>;
+/// The advice of a plug-in as text, each with the source line that returned it.
+type AdviceTexts = BTreeMap<String, u32>;
 
 #[derive(Debug)]
-struct Loaded {
+struct LoadedPlugin {
     name: Arc<str>,
     program: Program,
     memory: Memory,
-    faults: u32,
-    sound: u32,
-    pause: u64,
-    until: u64,
-    said: Said,
+    /// Faults since the last reset, as far as they count towards a suspension.
+    fault_count: u32,
+    /// Evaluations without a fault since the last fault.
+    successes: u32,
+    /// Length of the next suspension, in evaluations.
+    next_suspension: u64,
+    /// Number of the evaluation up to which the plug-in is suspended.
+    suspended_until: u64,
+    /// Advice of the previous evaluation.
+    advice_texts: AdviceTexts,
 }
 
-/// All plug-ins, in their order.
+/// The loaded plug-ins, in the order in which they are evaluated.
 #[derive(Default)]
 pub struct Host {
-    loaded: Vec<Loaded>,
+    loaded: Vec<LoadedPlugin>,
     machine: Machine,
+    /// Number of the current evaluation, from 1.
     turn: u64,
-    watched: Option<String>,
+    traced_server: Option<String>,
 }
 
-/// The name, version and digest of a text that was taken.
+/// The name, version and source digest of a loaded plug-in.
 pub type PluginIdentity = (String, u32, [u8; 32]);
 
-/// A text that is not taken, with all that is wrong with it.
+/// A plug-in that cannot be loaded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RejectedPlugin {
-    /// The name under which it was given.
+    /// The name of its file, or `all` if there are too many plug-ins.
     pub name: String,
-    /// What is wrong.
+    /// The errors, at least one.
     pub diagnostics: Vec<Diagnostic>,
 }
 
 impl Host {
-    /// Takes these texts in the place of those that are loaded, whole or not at all. What lives between calls goes on
-    /// under the same plug-in's name, where its shape is the same.
+    /// Replaces all loaded plug-ins atomically with these, given as pairs of file name and source. On any error the loaded
+    /// ones stay. A plug-in keeps the values of its state variables from a loaded one of the same name, if their kinds are
+    /// compatible.
+    ///
+    /// # Errors
+    ///
+    /// The plug-ins that do not compile, share a name, or are too many.
     pub fn load(
         &mut self,
         texts: &[(String, String)],
     ) -> Result<Vec<PluginIdentity>, Vec<RejectedPlugin>> {
-        let (mut loaded, mut refused) = (Vec::<Loaded>::new(), Vec::new());
-        for (name, text) in texts {
-            match compile(text) {
-                Ok(program) if loaded.iter().any(|known| *known.name == *program.name) => {
-                    let twice = Diagnostic::new(
-                        text,
+        let (mut loaded, mut rejected) = (Vec::<LoadedPlugin>::new(), Vec::new());
+        for (name, source) in texts {
+            match compile(source) {
+                Ok(program) if loaded.iter().any(|other| *other.name == *program.name) => {
+                    let duplicate = Diagnostic::new(
+                        source,
                         0..0,
-                        format!("a plug-in named {:?} is loaded already", program.name),
+                        format!("another plug-in has the name {:?}", program.name),
                     );
-                    refused.push(RejectedPlugin {
+                    rejected.push(RejectedPlugin {
                         name: name.clone(),
-                        diagnostics: vec![twice],
+                        diagnostics: vec![duplicate],
                     });
                 }
-                Ok(program) => loaded.push(self.carried(program)),
-                Err(diagnostics) => refused.push(RejectedPlugin {
+                Ok(program) => loaded.push(self.with_previous_state(program)),
+                Err(diagnostics) => rejected.push(RejectedPlugin {
                     name: name.clone(),
                     diagnostics,
                 }),
             }
         }
-        if texts.len() > PLUGINS_MOST {
-            let many = Diagnostic::new(
+        if texts.len() > MAX_PLUGINS {
+            let too_many = Diagnostic::new(
                 "",
                 0..0,
                 format!(
-                    "{} plug-ins are too many: at most {PLUGINS_MOST}",
+                    "{} plug-ins are too many, the maximum is {MAX_PLUGINS}",
                     texts.len()
                 ),
             );
-            refused.push(RejectedPlugin {
+            rejected.push(RejectedPlugin {
                 name: "all".to_string(),
-                diagnostics: vec![many],
+                diagnostics: vec![too_many],
             });
         }
-        if !refused.is_empty() {
-            return Err(refused);
+        if !rejected.is_empty() {
+            return Err(rejected);
         }
         self.loaded = loaded;
-        let told = |one: &Loaded| {
+        let identity = |plugin: &LoadedPlugin| {
             (
-                one.name.to_string(),
-                one.program.version,
-                one.program.digest,
+                plugin.name.to_string(),
+                plugin.program.version,
+                plugin.program.digest,
             )
         };
-        Ok(self.loaded.iter().map(told).collect())
+        Ok(self.loaded.iter().map(identity).collect())
     }
 
-    fn carried(&self, program: Program) -> Loaded {
-        let older = self
+    fn with_previous_state(&self, program: Program) -> LoadedPlugin {
+        let previous = self
             .loaded
             .iter()
-            .find(|known| *known.name == *program.name);
-        let memory = match older {
-            Some(older) => Memory::carried(&program, &older.program, &older.memory),
+            .find(|plugin| *plugin.name == *program.name);
+        let memory = match previous {
+            Some(previous) => Memory::carried_over(&program, &previous.program, &previous.memory),
             None => Memory::new(&program),
         };
-        // A changed text begins with a clean record; the same one keeps its pauses.
-        let same = older.filter(|older| older.program.digest == program.digest);
-        let (faults, pause, until) = same.map_or((0, PAUSE.0, 0), |older| {
-            (older.faults, older.pause, older.until)
-        });
-        Loaded {
+        // A changed source starts without faults; an unchanged one stays suspended.
+        let unchanged = previous.filter(|previous| previous.program.digest == program.digest);
+        let (fault_count, next_suspension, suspended_until) =
+            unchanged.map_or((0, MIN_SUSPENSION, 0), |previous| {
+                (
+                    previous.fault_count,
+                    previous.next_suspension,
+                    previous.suspended_until,
+                )
+            });
+        LoadedPlugin {
             name: program.name.as_str().into(),
             program,
             memory,
-            faults,
-            sound: 0,
-            pause,
-            until,
-            said: Said::new(),
+            fault_count,
+            successes: 0,
+            next_suspension,
+            suspended_until,
+            advice_texts: AdviceTexts::new(),
         }
     }
 
-    /// How many are loaded.
+    /// Number of loaded plug-ins, including suspended ones.
     pub fn len(&self) -> usize {
         self.loaded.len()
     }
 
-    /// Whether none is.
+    /// Whether no plug-in is loaded.
     pub fn is_empty(&self) -> bool {
         self.loaded.is_empty()
     }
 
-    /// From now on calls about this server leave a trace, operation by operation.
+    /// Traces the operations of all further calls with this server as an argument. Replaces a server that was set before.
     pub fn trace_server(&mut self, server: &str) {
-        self.watched = Some(server.to_string());
+        self.traced_server = Some(server.to_string());
     }
 
-    /// Whether the next turn asks nobody: all are left alone.
+    /// Whether all plug-ins are still suspended in the next evaluation, or none is loaded.
     pub fn all_suspended(&self) -> bool {
-        self.loaded.iter().all(|one| one.until > self.turn)
+        self.loaded
+            .iter()
+            .all(|plugin| plugin.suspended_until > self.turn)
     }
 
-    /// Lets a turn pass in which nobody is asked.
+    /// Counts an evaluation, which brings the end of suspensions closer, without calling any plug-in.
     pub fn skip_evaluation(&mut self) {
         self.turn += 1;
     }
 
-    /// Asks all plug-ins once.
+    /// Evaluates all plug-ins that are not suspended, and merges their advice.
     pub fn evaluate(&mut self, inputs: &Inputs) -> Evaluation {
         self.turn += 1;
-        let mut turn = Evaluation::default();
-        let place = |name: &String| {
+        let mut evaluation = Evaluation::default();
+        let position = |name: &String| {
             inputs
                 .servers
                 .iter()
                 .position(|server| *server.name == **name)
         };
-        self.machine.watched = self
-            .watched
+        self.machine.traced_server = self
+            .traced_server
             .as_ref()
-            .and_then(place)
-            .and_then(|at| u32::try_from(at).ok());
-        for one in &mut self.loaded {
-            if one.until >= self.turn {
+            .and_then(position)
+            .and_then(|position| u32::try_from(position).ok());
+        for plugin in &mut self.loaded {
+            if plugin.suspended_until >= self.turn {
                 continue;
             }
-            // What a faulty turn did to its memory is undone.
-            let before = one.memory.clone();
-            let mut spent = 0;
-            let asked = ask(one, &mut self.machine, inputs, self.turn, &mut spent);
-            turn.fuel_used.push((Arc::clone(&one.name), spent));
+            // Restored if the plug-in faults.
+            let memory_before = plugin.memory.clone();
+            let mut fuel_used = 0;
+            let result =
+                evaluate_plugin(plugin, &mut self.machine, inputs, self.turn, &mut fuel_used);
+            evaluation
+                .fuel_used
+                .push((Arc::clone(&plugin.name), fuel_used));
             let traces = std::mem::take(&mut self.machine.traces);
-            let told = traces
-                .iter()
-                .map(|trace| (Arc::clone(&one.name), trace.lines(&one.program, inputs)));
-            turn.traces.extend(told);
-            match asked {
-                Ok((advice, notes, said)) => {
-                    one.sound = one.sound.saturating_add(1);
-                    if one.sound >= FORGIVEN_AFTER {
-                        (one.faults, one.pause) = (0, PAUSE.0);
+            let trace_lines = traces.iter().map(|trace| {
+                (
+                    Arc::clone(&plugin.name),
+                    trace.lines(&plugin.program, inputs),
+                )
+            });
+            evaluation.traces.extend(trace_lines);
+            match result {
+                Ok((advice, notes, advice_texts)) => {
+                    plugin.successes = plugin.successes.saturating_add(1);
+                    if plugin.successes >= FAULT_RESET_EVALUATIONS {
+                        (plugin.fault_count, plugin.next_suspension) = (0, MIN_SUSPENSION);
                     }
-                    turn.events.extend(
+                    evaluation.events.extend(
                         notes
                             .into_iter()
-                            .map(|note| (Arc::clone(&one.name), PluginEvent::Noted(note))),
+                            .map(|note| (Arc::clone(&plugin.name), PluginEvent::Noted(note))),
                     );
-                    tell(&mut turn, one, said);
-                    compose(&mut turn, &one.name, advice, inputs);
+                    add_advice_events(&mut evaluation, plugin, advice_texts);
+                    merge_advice(&mut evaluation, &plugin.name, advice, inputs);
                 }
-                Err(stopped) => {
-                    one.memory = before;
-                    tell(&mut turn, one, Said::new());
-                    one.sound = 0;
-                    one.faults += 1;
-                    turn.events
-                        .push((Arc::clone(&one.name), PluginEvent::Faulted(stopped)));
-                    if one.faults >= FAULTS_MOST {
-                        one.until = self.turn + one.pause;
-                        turn.events
-                            .push((Arc::clone(&one.name), PluginEvent::Suspended(one.pause)));
-                        one.pause = (one.pause * 2).min(PAUSE.1);
-                        // After the pause a single fault is enough.
-                        one.faults = FAULTS_MOST - 1;
+                Err(fault) => {
+                    plugin.memory = memory_before;
+                    add_advice_events(&mut evaluation, plugin, AdviceTexts::new());
+                    plugin.successes = 0;
+                    plugin.fault_count += 1;
+                    evaluation
+                        .events
+                        .push((Arc::clone(&plugin.name), PluginEvent::Faulted(fault)));
+                    if plugin.fault_count >= FAULTS_TO_SUSPEND {
+                        plugin.suspended_until = self.turn + plugin.next_suspension;
+                        evaluation.events.push((
+                            Arc::clone(&plugin.name),
+                            PluginEvent::Suspended(plugin.next_suspension),
+                        ));
+                        plugin.next_suspension = (plugin.next_suspension * 2).min(MAX_SUSPENSION);
+                        // After the suspension, a single fault suspends the plug-in again.
+                        plugin.fault_count = FAULTS_TO_SUSPEND - 1;
                     }
                 }
             }
         }
-        turn
+        evaluation
     }
 }
 
-/// Tells what is new in a plug-in's advice, and what has ended.
-fn tell(turn: &mut Evaluation, one: &mut Loaded, said: Said) {
-    let word = |word| (Arc::clone(&one.name), word);
-    let new = said
+/// Adds events for the advice of a plug-in that is new or has ended since its previous evaluation.
+fn add_advice_events(
+    evaluation: &mut Evaluation,
+    plugin: &mut LoadedPlugin,
+    advice_texts: AdviceTexts,
+) {
+    let named = |event| (Arc::clone(&plugin.name), event);
+    let new = advice_texts
         .iter()
-        .filter(|(text, _)| !one.said.contains_key(*text));
-    turn.events.extend(
-        new.take(WORDS_MOST)
-            .map(|(text, line)| word(PluginEvent::AdviceStarted(text.clone(), *line))),
+        .filter(|(text, _)| !plugin.advice_texts.contains_key(*text));
+    evaluation.events.extend(
+        new.take(MAX_ADVICE_EVENTS)
+            .map(|(text, line)| named(PluginEvent::AdviceStarted(text.clone(), *line))),
     );
-    let ended = one.said.keys().filter(|text| !said.contains_key(*text));
-    turn.events.extend(
+    let ended = plugin
+        .advice_texts
+        .keys()
+        .filter(|text| !advice_texts.contains_key(*text));
+    evaluation.events.extend(
         ended
-            .take(WORDS_MOST)
-            .map(|text| word(PluginEvent::AdviceEnded(text.clone()))),
+            .take(MAX_ADVICE_EVENTS)
+            .map(|text| named(PluginEvent::AdviceEnded(text.clone()))),
     );
-    one.said = said;
+    plugin.advice_texts = advice_texts;
 }
 
-/// Asks one plug-in: its advice, its notes, and its advice in words.
-fn ask(
-    one: &mut Loaded,
+/// Evaluates one plug-in. Returns its advice, its notes, and its advice as text. `fuel_used` is set in any case.
+fn evaluate_plugin(
+    plugin: &mut LoadedPlugin,
     machine: &mut Machine,
     inputs: &Inputs,
     turn: u64,
-    spent: &mut u64,
-) -> Result<(Advice, Vec<String>, Said), Fault> {
-    let Loaded {
+    fuel_used: &mut u64,
+) -> Result<(Advice, Vec<String>, AdviceTexts), Fault> {
+    let LoadedPlugin {
         program, memory, ..
-    } = one;
-    memory.fade();
-    let steered: Vec<u32> = places(&program.steers, inputs);
-    let zones = if program.by_zone {
+    } = plugin;
+    memory.decay();
+    let steered: Vec<u32> = class_positions(&program.steered_classes, inputs);
+    let zone_count = if program.uses_zone {
         inputs.zones.len()
     } else {
         1
     };
-    let groups: Vec<Option<u32>> = if program.steers.is_empty() {
+    let class_groups: Vec<Option<u32>> = if program.steered_classes.is_empty() {
         vec![None]
     } else {
         steered.iter().map(|class| Some(*class)).collect()
     };
-    let answers = inputs.servers.len() * zones * groups.len().max(1)
+    let result_count = inputs.servers.len() * zone_count * class_groups.len().max(1)
         + inputs.servers.len()
         + 2 * inputs.classes.len();
-    let full = FUEL_TURN.0 * answers as u64 + FUEL_TURN.1;
-    let mut fuel = full;
-    let asked = questions(
+    let initial_fuel = FUEL_PER_RESULT * result_count as u64 + BASE_FUEL;
+    let mut fuel = initial_fuel;
+    let result = call_hooks(
         program,
         machine,
         inputs,
         (memory, &mut fuel, turn),
-        (steered, groups, zones),
+        (steered, class_groups, zone_count),
     );
-    *spent = full - fuel;
-    asked
+    *fuel_used = initial_fuel - fuel;
+    result
 }
 
-/// Asks a plug-in's hooks, one after the other.
-fn questions(
+/// Calls all hooks of a plug-in. `class_groups` are the classes that `factor` is called for, or none for all classes at once.
+fn call_hooks(
     program: &Program,
     machine: &mut Machine,
     inputs: &Inputs,
     (memory, fuel, turn): (&mut Memory, &mut u64, u64),
-    (steered, groups, zones): (Vec<u32>, Vec<Option<u32>>, usize),
-) -> Result<(Advice, Vec<String>, Said), Fault> {
+    (steered, class_groups, zone_count): (Vec<u32>, Vec<Option<u32>>, usize),
+) -> Result<(Advice, Vec<String>, AdviceTexts), Fault> {
     let mut context = Context::new(program, inputs, memory, fuel, turn);
-    let (mut advice, mut said) = (Advice::default(), Said::new());
+    let (mut advice, mut advice_texts) = (Advice::default(), AdviceTexts::new());
     if let Some(hook) = program.hooks.turn {
-        machine.call(program, hook, &[], &mut context, FUEL.1)?;
+        machine.call(program, hook, &[], &mut context, TURN_HOOK_FUEL)?;
     }
-    let class_places = || 0..u32::try_from(inputs.classes.len()).unwrap_or(u32::MAX);
-    let server_places = || 0..u32::try_from(inputs.servers.len()).unwrap_or(u32::MAX);
+    let class_positions = || 0..u32::try_from(inputs.classes.len()).unwrap_or(u32::MAX);
+    let server_positions = || 0..u32::try_from(inputs.servers.len()).unwrap_or(u32::MAX);
     if let Some(hook) = program.hooks.factor {
-        for group in &groups {
-            for zone in 0..zones {
+        for group in &class_groups {
+            for zone in 0..zone_count {
                 let name = inputs.zones.get(zone).cloned().unwrap_or_else(|| "".into());
-                // A factor that looks at no class gets any: it cannot ask for it.
+                // A factor hook without steered classes does not read the class, so any will do.
                 let class = Value::Class(group.unwrap_or(0));
-                for server in server_places() {
-                    let values = [
+                for server in server_positions() {
+                    let arguments = [
                         Value::Server(server),
                         class.clone(),
                         Value::Text(Arc::clone(&name)),
                     ];
-                    let value = machine.call(program, hook, &values, &mut context, FUEL.0)?;
+                    let value = machine.call(program, hook, &arguments, &mut context, HOOK_FUEL)?;
                     let Value::Number(factor) = value else {
                         continue;
                     };
                     if factor < 1.0 {
-                        said.insert(
-                            keeps(
+                        advice_texts.insert(
+                            factor_text(
                                 inputs,
                                 server,
                                 *group,
-                                program.by_zone.then_some(&name),
+                                program.uses_zone.then_some(&name),
                                 factor,
                             ),
-                            machine.line,
+                            machine.return_line,
                         );
-                        let all = if program.by_zone {
+                        let zones = if program.uses_zone {
                             zone..zone + 1
                         } else {
                             0..inputs.zones.len()
                         };
-                        for zone in all {
+                        for zone in zones {
                             let zone = u32::try_from(zone).unwrap_or(u32::MAX);
                             advice
                                 .factors
@@ -399,18 +439,23 @@
         advice.steered = steered;
     }
     if let Some(hook) = program.hooks.cap {
-        for class in class_places() {
-            let value =
-                machine.call(program, hook, &[Value::Class(class)], &mut context, FUEL.0)?;
+        for class in class_positions() {
+            let value = machine.call(
+                program,
+                hook,
+                &[Value::Class(class)],
+                &mut context,
+                HOOK_FUEL,
+            )?;
             if let Value::Number(cap) = value {
                 if cap < 1.0 {
-                    said.insert(
+                    advice_texts.insert(
                         format!(
                             "{} is capped at {:.0} %",
                             class_name(inputs, class),
                             100.0 * cap
                         ),
-                        machine.line,
+                        machine.return_line,
                     );
                     advice.caps.insert(class, cap.max(0.0));
                 }
@@ -418,59 +463,64 @@
         }
     }
     if let Some(hook) = program.hooks.retry {
-        for class in class_places() {
-            let value =
-                machine.call(program, hook, &[Value::Class(class)], &mut context, FUEL.0)?;
+        for class in class_positions() {
+            let value = machine.call(
+                program,
+                hook,
+                &[Value::Class(class)],
+                &mut context,
+                HOOK_FUEL,
+            )?;
             if value == Value::Bool(false) {
-                said.insert(
-                    format!("{} is not tried again", class_name(inputs, class)),
-                    machine.line,
+                advice_texts.insert(
+                    format!("{} is not retried", class_name(inputs, class)),
+                    machine.return_line,
                 );
                 advice.no_retry.push(class);
             }
         }
     }
     if let Some(hook) = program.hooks.exclude {
-        for server in server_places() {
+        for server in server_positions() {
             context.effects.excluded = None;
             machine.call(
                 program,
                 hook,
                 &[Value::Server(server)],
                 &mut context,
-                FUEL.0,
+                HOOK_FUEL,
             )?;
             if let Some((reason, seconds)) = context.effects.excluded.take() {
                 if seconds > 0.0 {
-                    said.insert(
-                        format!("{} is left out: {reason}", server_name(inputs, server)),
-                        machine.line,
+                    advice_texts.insert(
+                        format!("{} is excluded: {reason}", server_name(inputs, server)),
+                        machine.return_line,
                     );
                     advice
                         .excluded
-                        .insert(server, (reason, seconds.min(EXCLUDED_MOST)));
+                        .insert(server, (reason, seconds.min(MAX_EXCLUSION_S)));
                 }
             }
         }
     }
-    Ok((advice, context.effects.notes, said))
+    Ok((advice, context.effects.notes, advice_texts))
 }
 
-fn server_name(inputs: &Inputs, at: u32) -> &str {
+fn server_name(inputs: &Inputs, position: u32) -> &str {
     inputs
         .servers
-        .get(at as usize)
+        .get(position as usize)
         .map_or("", |server| &server.name)
 }
 
-fn class_name(inputs: &Inputs, at: u32) -> &str {
+fn class_name(inputs: &Inputs, position: u32) -> &str {
     inputs
         .classes
-        .get(at as usize)
+        .get(position as usize)
         .map_or("", |class| &class.name)
 }
 
-fn keeps(
+fn factor_text(
     inputs: &Inputs,
     server: u32,
     class: Option<u32>,
@@ -486,8 +536,9 @@
     )
 }
 
-fn places(names: &[String], inputs: &Inputs) -> Vec<u32> {
-    let place = |name: &String| {
+/// The positions of the classes with these names; unknown names are skipped.
+fn class_positions(names: &[String], inputs: &Inputs) -> Vec<u32> {
+    let position = |name: &String| {
         inputs
             .classes
             .iter()
@@ -495,62 +546,65 @@
     };
     names
         .iter()
-        .filter_map(place)
-        .filter_map(|at| u32::try_from(at).ok())
+        .filter_map(position)
+        .filter_map(|position| u32::try_from(position).ok())
         .collect()
 }
 
-/// Adds one plug-in's advice to what those before it gave: factors multiply, the lower cap holds, whoever forbids a second
-/// try or leaves a server out is heard, and of two exclusions the longer one. Caps and exclusions that differ are told.
-fn compose(turn: &mut Evaluation, name: &Arc<str>, own: Advice, inputs: &Inputs) {
-    let all = &mut turn.advice;
-    for (of, factor) in own.factors {
-        *all.factors.entry(of).or_insert(1.0) *= factor;
+/// Merges the advice of one plug-in into that of the earlier ones: factors multiply, and the lowest cap, any ban on retries
+/// and the longest exclusion apply. Different caps of a class and repeated exclusions of a server are reported as conflicts.
+fn merge_advice(evaluation: &mut Evaluation, name: &Arc<str>, advice: Advice, inputs: &Inputs) {
+    let merged = &mut evaluation.advice;
+    for (key, factor) in advice.factors {
+        *merged.factors.entry(key).or_insert(1.0) *= factor;
     }
-    for (class, cap) in own.caps {
-        match all.caps.get_mut(&class) {
-            Some(known) if *known != cap => {
-                let of = inputs
+    for (class, cap) in advice.caps {
+        match merged.caps.get_mut(&class) {
+            Some(earlier) if *earlier != cap => {
+                let class = inputs
                     .classes
                     .get(class as usize)
                     .map_or("", |class| &class.name);
-                let words =
-                    format!("the cap of {of} is {cap} here and {known} before: the lower holds");
-                *known = known.min(cap);
-                turn.events
-                    .push((Arc::clone(name), PluginEvent::Conflicted(words)));
+                let text = format!(
+                    "the cap of {class} is {cap}, and {earlier} by an earlier plug-in; the lower applies"
+                );
+                *earlier = earlier.min(cap);
+                evaluation
+                    .events
+                    .push((Arc::clone(name), PluginEvent::Conflicted(text)));
             }
             Some(_) => {}
             None => {
-                all.caps.insert(class, cap);
+                merged.caps.insert(class, cap);
             }
         }
     }
-    for (server, (reason, seconds)) in own.excluded {
-        match all.excluded.get_mut(&server) {
-            Some((known, length)) => {
-                let of = inputs
+    for (server, (reason, seconds)) in advice.excluded {
+        match merged.excluded.get_mut(&server) {
+            Some((earlier_reason, earlier_seconds)) => {
+                let server = inputs
                     .servers
                     .get(server as usize)
                     .map_or("", |server| &server.name);
-                let words = format!(
-                    "{of} is left out for {reason:?} here and {known:?} before: the longer holds"
+                let text = format!(
+                    "{server} is excluded for {reason:?}, and for {earlier_reason:?} by an earlier plug-in; the longer applies"
                 );
-                if seconds > *length {
-                    (*known, *length) = (reason, seconds);
+                if seconds > *earlier_seconds {
+                    (*earlier_reason, *earlier_seconds) = (reason, seconds);
                 }
-                turn.events
-                    .push((Arc::clone(name), PluginEvent::Conflicted(words)));
+                evaluation
+                    .events
+                    .push((Arc::clone(name), PluginEvent::Conflicted(text)));
             }
             None => {
-                all.excluded.insert(server, (reason, seconds));
+                merged.excluded.insert(server, (reason, seconds));
             }
         }
     }
-    all.no_retry.extend(own.no_retry);
-    all.no_retry.sort_unstable();
-    all.no_retry.dedup();
-    all.steered.extend(own.steered);
-    all.steered.sort_unstable();
-    all.steered.dedup();
+    merged.no_retry.extend(advice.no_retry);
+    merged.no_retry.sort_unstable();
+    merged.no_retry.dedup();
+    merged.steered.extend(advice.steered);
+    merged.steered.sort_unstable();
+    merged.steered.dedup();
 }
--- a/crates/plugins/src/inputs.rs
+++ b/crates/plugins/src/inputs.rs
@@ -1,9 +1,9 @@
-//! What plug-ins see: the fleet as it stood at the last turn, by the field's names. A plain copy, so that the same inputs
-//! give the same advice whenever they are played again.
+//! The inputs of plug-ins: a copy of the fleet's state for one evaluation. The same inputs give the same advice when an
+//! evaluation is repeated.
 
 use std::sync::Arc;
 
-/// A server.
+/// The fields of a server in the hook language.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub struct Server {
@@ -11,42 +11,44 @@
     pub zone: Arc<str>,
     /// `full`, `reduced` or `withdrawn`.
     pub state: Arc<str>,
-    /// `in service`, `draining` or `gone`.
-    pub life: Arc<str>,
+    /// `in service`, `draining` or `gone`. The language calls it `life`.
+    pub lifecycle: Arc<str>,
     pub score: f64,
     pub errors: f64,
     pub latency: f64,
     pub weight: f64,
-    /// Share of its capacity that it is sure to have since its start.
+    /// Share of its capacity that it is sure to have by the time since its start, from 0 to 1.
     pub warmth: f64,
 }
 
-/// A class of requests.
+/// The fields of a request class in the hook language.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub struct Class {
     pub name: Arc<str>,
-    /// `safe`, `keyed` or `unsafe`.
-    pub effect: Arc<str>,
-    pub worth: f64,
-    /// The lowest level in force.
-    pub level: f64,
+    /// `safe`, `keyed` or `unsafe`. The language calls it `effect`.
+    pub idempotency: Arc<str>,
+    /// The language calls it `worth`.
+    pub priority_weight: f64,
+    /// The lowest share of its requests that any table admits, from 0 to 1. The language calls it `level`.
+    pub admitted_share: f64,
 }
 
-/// The fleet in figures.
+/// The fields of the whole fleet in the hook language.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[allow(missing_docs)]
 pub struct Fleet {
-    pub strain: f64,
+    /// The language calls it `strain`.
+    pub saturation: f64,
     pub refused: f64,
-    /// Lines waiting in the channel.
+    /// Lines queued in the channel.
     pub waiting: f64,
     pub streams: f64,
-    /// Requests a second of all joined front ends.
+    /// Requests per second of all joined proxies.
     pub demand: f64,
 }
 
-/// All that a turn's hooks see.
+/// All that the hooks can read in one evaluation. Servers, classes and zones are identified by their positions here.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[allow(missing_docs)]
 pub struct Inputs {
@@ -57,13 +59,13 @@
 }
 
 impl Server {
-    /// A server that is well: what a case begins with.
-    pub fn well(name: &str, zone: &str) -> Self {
+    /// A healthy server, with which a test case starts.
+    pub fn healthy(name: &str, zone: &str) -> Self {
         Server {
             name: name.into(),
             zone: zone.into(),
             state: "full".into(),
-            life: "in service".into(),
+            lifecycle: "in service".into(),
             score: 1.0,
             errors: 1.0,
             latency: 1.0,
@@ -74,13 +76,13 @@
 }
 
 impl Class {
-    /// A class that may be read again: what a case begins with.
-    pub fn plain(name: &str) -> Self {
+    /// A class of idempotent requests that are all admitted, with which a test case starts.
+    pub fn idempotent(name: &str) -> Self {
         Class {
             name: name.into(),
-            effect: "safe".into(),
-            worth: 1.0,
-            level: 1.0,
+            idempotency: "safe".into(),
+            priority_weight: 1.0,
+            admitted_share: 1.0,
         }
     }
 }
--- a/crates/plugins/src/lex.rs
+++ b/crates/plugins/src/lex.rs
@@ -1,4 +1,4 @@
-//! Text to tokens.
+//! The lexer.
 
 use std::fmt;
 
@@ -6,14 +6,14 @@
 
 use crate::diagnostics::{Diagnostic, Span};
 
-/// Longest text of a plug-in, in bytes: rules of districts have a screen or two.
-pub const SOURCE_MOST: usize = 64 << 10;
-/// Brackets that may be open at once: expressions that people can read have four.
-pub const DEPTH_MOST: usize = 16;
-/// Longest text literal, in bytes.
-pub const TEXT_MOST: usize = 256;
+/// Maximum size of a plug-in's source.
+pub const MAX_SOURCE_BYTES: usize = 64 << 10;
+/// Maximum nesting of brackets, which bounds the recursion of the parser.
+pub const MAX_NESTING: usize = 16;
+/// Maximum size of a text literal.
+pub const MAX_TEXT_BYTES: usize = 256;
 
-/// A token. Figures keep their digits, so that tokens can be compared.
+/// A token. Numbers keep their digits as text, so that tokens can be compared and hashed.
 #[derive(Logos, Clone, Debug, PartialEq, Eq, Hash)]
 #[logos(skip r"[ \t\r\n]+")]
 #[logos(skip r"#[^\n]*")]
@@ -113,7 +113,7 @@
 
 impl fmt::Display for Token {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = match self {
+        let lexeme = match self {
             Token::Name(name) => return write!(f, "the name {name:?}"),
             Token::Number(digits) => return write!(f, "the number {digits}"),
             Token::Text(text) => return write!(f, "the text {text:?}"),
@@ -160,27 +160,27 @@
             Token::Dot => ".",
             Token::Colon => ":",
         };
-        write!(f, "'{word}'")
+        write!(f, "'{lexeme}'")
     }
 }
 
-/// The tokens of a text with their places, and every character that begins none.
-pub fn tokens(source: &str) -> (Vec<(Token, Span)>, Vec<Diagnostic>) {
-    let (mut tokens, mut faults) = (Vec::new(), Vec::new());
-    if source.len() > SOURCE_MOST {
-        let text = format!(
-            "{} bytes are too long for a plug-in: at most {SOURCE_MOST}",
+/// The tokens of a source with their spans, and a diagnostic for every character sequence that is no token.
+pub fn tokenize(source: &str) -> (Vec<(Token, Span)>, Vec<Diagnostic>) {
+    let (mut tokens, mut diagnostics) = (Vec::new(), Vec::new());
+    if source.len() > MAX_SOURCE_BYTES {
+        let message = format!(
+            "a plug-in of {} bytes is too long, the maximum is {MAX_SOURCE_BYTES}",
             source.len()
         );
-        return (tokens, vec![Diagnostic::new(source, 0..0, text)]);
+        return (tokens, vec![Diagnostic::new(source, 0..0, message)]);
     }
     let mut depth = 0usize;
     for (token, span) in Token::lexer(source).spanned() {
-        let fault = |text: String| Diagnostic::new(source, span.clone(), text);
+        let error = |message: String| Diagnostic::new(source, span.clone(), message);
         match token {
-            Ok(Token::Text(text)) if text.len() > TEXT_MOST => {
-                faults.push(fault(format!(
-                    "a text of {} bytes is too long: at most {TEXT_MOST}",
+            Ok(Token::Text(text)) if text.len() > MAX_TEXT_BYTES => {
+                diagnostics.push(error(format!(
+                    "a text of {} bytes is too long, the maximum is {MAX_TEXT_BYTES}",
                     text.len()
                 )));
             }
@@ -192,21 +192,21 @@
                     }
                     _ => {}
                 }
-                if depth > DEPTH_MOST {
-                    faults.push(fault(format!(
-                        "brackets are nested too deep: at most {DEPTH_MOST}"
+                if depth > MAX_NESTING {
+                    diagnostics.push(error(format!(
+                        "brackets are nested too deeply, the maximum depth is {MAX_NESTING}"
                     )));
-                    return (Vec::new(), faults);
+                    return (Vec::new(), diagnostics);
                 }
                 tokens.push((token, span));
             }
             Err(()) => {
                 let found = source.get(span.clone()).unwrap_or_default();
-                faults.push(fault(format!(
-                    "found {found:?}, which begins no word of the language"
+                diagnostics.push(error(format!(
+                    "found {found:?}, which is not a token of the language"
                 )));
             }
         }
     }
-    (tokens, faults)
+    (tokens, diagnostics)
 }
--- a/crates/plugins/src/lib.rs
+++ b/crates/plugins/src/lib.rs
@@ -1,6 +1,6 @@
-//! The hook language of chutegrade: what a district's own small rule is written in. A text is compiled to bytecode, which
-//! a verifier checks and a machine runs with bounded fuel and memory; what comes of it is advice, never orders. Nothing
-//! here does I/O, knows a clock, or panics on any text. See `docs/plugins.md` and `docs/plugin-language.md`.
+//! The hook language, in which operators write plug-ins. A source text is compiled to bytecode, which a verifier checks and
+//! a virtual machine runs with bounded fuel and memory. The result is advice, never orders. This crate does no I/O, reads no
+//! clock, and panics on no source text. See `docs/plugins.md` and `docs/plugin-language.md`.
 
 pub mod ast;
 pub mod cases;
--- a/crates/plugins/src/machine.rs
+++ b/crates/plugins/src/machine.rs
@@ -1,119 +1,119 @@
-//! The machine: runs verified bytecode over a turn's inputs, within fuel and memory, and nothing else. It has no clock, and
-//! its chance is seeded by the text and the turn, so that the same inputs give the same advice.
+//! The virtual machine: runs verified bytecode on the inputs of an evaluation, with bounded fuel and memory. It has no clock,
+//! and its random numbers are seeded by the source and the evaluation's number, so that the same inputs give the same advice.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::ast::Shape;
+use crate::ast::StateKind;
 use crate::code::*;
 use crate::inputs::Inputs;
 
-/// Longest text that a call may make, in bytes.
-pub const TEXT_MOST: usize = 256;
-/// Bytes of text that one call may make in all.
-pub const ARENA_MOST: usize = 16 << 10;
-/// Notes of one plug-in in a turn; what comes beyond is dropped, for a plug-in that notes each turn tells nobody anything.
-pub const NOTES_MOST: usize = 4;
+/// Maximum size of a text that a call creates.
+pub const MAX_TEXT_BYTES: usize = 256;
+/// Maximum total size of the texts that one call creates.
+pub const MAX_CALL_TEXT_BYTES: usize = 16 << 10;
+/// Maximum number of notes of one plug-in in an evaluation; further ones are dropped, so that they do not flood the records.
+pub const MAX_NOTES: usize = 4;
 
-/// Why a call ended without a value.
+/// Why a call ended without a result.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Trap {
-    /// It took too long.
+    /// The call, or the evaluation, used up its operations.
     #[error("out of fuel")]
     Fuel,
-    /// It made too much text, or too large a map.
+    /// A text, a map or the total text of a call exceeds its maximum size.
     #[error("out of memory: {0}")]
     Memory(&'static str),
-    /// A number that is none.
+    /// The result of a calculation is not a finite number, or a divisor is 0.
     #[error("{0}")]
     Number(&'static str),
-    /// The program is not what the verifier saw.
-    #[error("the program is not sound")]
-    Unsound,
+    /// The program has not passed the verifier.
+    #[error("invalid bytecode")]
+    InvalidBytecode,
 }
 
-/// A trap and where it was.
+/// A trap and its position in the source.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{trap} in {function}, line {line}")]
 pub struct Fault {
-    /// Why.
+    /// Why the call ended.
     pub trap: Trap,
-    /// In which function.
+    /// Name of the function that was running.
     pub function: String,
-    /// On which line of the text.
+    /// Source line of the operation; 0 if it has none.
     pub line: u32,
 }
 
-/// One thing that lives between calls.
+/// The value of a state variable, which is kept between calls.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Cell {
-    /// A plain value.
+pub enum StateCell {
+    /// A single value.
     Plain(Value),
-    /// A mean that fades.
+    /// A decaying mean.
     Mean {
-        /** Faded sum of what was added. */
+        /** Decayed sum of the values. */
         sum: f64,
-        /** Faded count of it. */
+        /** Decayed number of the values. */
         weight: f64,
-        /** Turns in which both fade by half. */
+        /** Half-life of both, in evaluations. */
         half_life: f64,
     },
-    /// Numbers by text.
+    /// Numbers with text keys; a missing key counts as 0.
     Map(BTreeMap<Arc<str>, f64>),
 }
 
-impl Cell {
-    fn new(shape: &Shape) -> Self {
-        match shape {
-            Shape::Number(number) => Cell::Plain(Value::Number(*number)),
-            Shape::Bool(of) => Cell::Plain(Value::Bool(*of)),
-            Shape::Text(text) => Cell::Plain(Value::Text(Arc::from(text.as_str()))),
-            Shape::Mean(half_life) => Cell::Mean {
+impl StateCell {
+    fn new(kind: &StateKind) -> Self {
+        match kind {
+            StateKind::Number(number) => StateCell::Plain(Value::Number(*number)),
+            StateKind::Bool(value) => StateCell::Plain(Value::Bool(*value)),
+            StateKind::Text(text) => StateCell::Plain(Value::Text(Arc::from(text.as_str()))),
+            StateKind::Mean(half_life) => StateCell::Mean {
                 sum: 0.0,
                 weight: 0.0,
                 half_life: *half_life,
             },
-            Shape::Map => Cell::Map(BTreeMap::new()),
+            StateKind::Map => StateCell::Map(BTreeMap::new()),
         }
     }
 
-    /// What reading it gives.
+    /// The current value; 0 for a mean without values, and [`Value::Nothing`] for a map.
     pub fn read(&self) -> Value {
         match self {
-            Cell::Plain(value) => value.clone(),
-            Cell::Mean { sum, weight, .. } if *weight > 0.0 => Value::Number(sum / weight),
-            Cell::Mean { .. } => Value::Number(0.0),
-            Cell::Map(_) => Value::Nothing,
+            StateCell::Plain(value) => value.clone(),
+            StateCell::Mean { sum, weight, .. } if *weight > 0.0 => Value::Number(sum / weight),
+            StateCell::Mean { .. } => Value::Number(0.0),
+            StateCell::Map(_) => Value::Nothing,
         }
     }
 
-    /// Sets it; a mean takes the value in.
+    /// Sets a single value, or adds a value to a mean. A value of another type is ignored.
     pub fn write(&mut self, value: Value) {
         match (self, value) {
-            (Cell::Mean { sum, weight, .. }, Value::Number(number)) => {
+            (StateCell::Mean { sum, weight, .. }, Value::Number(number)) => {
                 (*sum, *weight) = (*sum + number, *weight + 1.0)
             }
-            (Cell::Plain(known), value) => *known = value,
+            (StateCell::Plain(current), value) => *current = value,
             _ => {}
         }
     }
 
-    /// A part of a map; 0 where there is none.
+    /// An entry of a map; 0 for a missing key, or if this is not a map.
     pub fn get(&self, key: &str) -> f64 {
         match self {
-            Cell::Map(map) => map.get(key).copied().unwrap_or(0.0),
+            StateCell::Map(map) => map.get(key).copied().unwrap_or(0.0),
             _ => 0.0,
         }
     }
 
-    /// Sets a part of a map; 0 takes it out.
+    /// Sets an entry of a map; the value 0 removes the entry.
     pub fn put(&mut self, key: Arc<str>, value: f64) -> Result<(), Trap> {
-        let Cell::Map(map) = self else {
-            return Err(Trap::Unsound);
+        let StateCell::Map(map) = self else {
+            return Err(Trap::InvalidBytecode);
         };
         if value == 0.0 {
             map.remove(&key);
-        } else if map.len() < MAP_MOST || map.contains_key(&key) {
+        } else if map.len() < MAX_MAP_ENTRIES || map.contains_key(&key) {
             map.insert(key, value);
         } else {
             return Err(Trap::Memory("a map is full"));
@@ -122,90 +122,89 @@
     }
 }
 
-/// What lives between the calls of one plug-in.
+/// The state variables of one plug-in, in the order of their declarations.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Memory(pub Vec<Cell>);
+pub struct Memory(pub Vec<StateCell>);
 
 impl Memory {
-    /// As the text declares it.
+    /// The initial values.
     pub fn new(program: &Program) -> Self {
         Memory(
             program
                 .states
                 .iter()
-                .map(|(_, shape)| Cell::new(shape))
+                .map(|(_, kind)| StateCell::new(kind))
                 .collect(),
         )
     }
 
-    /// As the text declares it, with what an older version holds under the same name in the same shape.
-    pub fn carried(program: &Program, older: &Program, memory: &Memory) -> Self {
+    /// The initial values, replaced by those of the previous version's variables of the same name and a compatible kind.
+    pub fn carried_over(program: &Program, previous: &Program, memory: &Memory) -> Self {
         let mut new = Memory::new(program);
-        for ((name, shape), cell) in program.states.iter().zip(&mut new.0) {
-            let known = older
-                .states
-                .iter()
-                .position(|(its, of)| its == name && same_shape(of, shape));
-            if let Some(old) = known.and_then(|at| memory.0.get(at)) {
-                *cell = old.clone();
+        for ((name, kind), cell) in program.states.iter().zip(&mut new.0) {
+            let index = previous.states.iter().position(|(known_name, known_kind)| {
+                known_name == name && is_compatible(known_kind, kind)
+            });
+            if let Some(previous_cell) = index.and_then(|index| memory.0.get(index)) {
+                *cell = previous_cell.clone();
             }
         }
         new
     }
 
-    /// A turn has begun: means fade.
-    pub fn fade(&mut self) {
+    /// Decays all means by one evaluation.
+    pub fn decay(&mut self) {
         for cell in &mut self.0 {
-            if let Cell::Mean {
+            if let StateCell::Mean {
                 sum,
                 weight,
                 half_life,
             } = cell
             {
-                let keep = 0.5f64.powf(1.0 / *half_life);
-                (*sum, *weight) = (*sum * keep, *weight * keep);
+                let decay = 0.5f64.powf(1.0 / *half_life);
+                (*sum, *weight) = (*sum * decay, *weight * decay);
             }
         }
     }
 }
 
-/// Whether what one shape holds can go on in another: first values may differ, the half-life of a mean may not.
-fn same_shape(one: &Shape, other: &Shape) -> bool {
-    match (one, other) {
-        (Shape::Mean(one), Shape::Mean(other)) => one == other,
-        _ => std::mem::discriminant(one) == std::mem::discriminant(other),
+/// Whether the value of a variable of one kind fits another: initial values may differ, the half-life of a mean may not.
+fn is_compatible(kind: &StateKind, other: &StateKind) -> bool {
+    match (kind, other) {
+        (StateKind::Mean(half_life), StateKind::Mean(other)) => half_life == other,
+        _ => std::mem::discriminant(kind) == std::mem::discriminant(other),
     }
 }
 
-/// What one call leaves beside its value.
+/// Side effects of calls.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
-    /// Notes for the records.
+    /// Texts of `note`, at most [`MAX_NOTES`].
     pub notes: Vec<String>,
-    /// Why, and for how many seconds, the server is to be left out.
+    /// Reason and duration in seconds of the last `exclude`.
     pub excluded: Option<(String, f64)>,
 }
 
-/// What calls of one plug-in share in a turn.
+/// What the calls of one plug-in share in an evaluation.
 pub struct Context<'a> {
-    /// What they see.
+    /// What the calls can read.
     pub inputs: &'a Inputs,
-    /// What lives between them.
+    /// The state variables.
     pub memory: &'a mut Memory,
-    /// Operations that are left to the turn.
+    /// Operations that remain for the evaluation.
     pub fuel: &'a mut u64,
-    /// The number of the turn.
+    /// Number of the evaluation, which the language calls `fleet.turn`.
     pub turn: u64,
-    /// The state of chance.
-    pub chance: u64,
-    /// What they leave.
+    /// State of the random number generator.
+    pub random_state: u64,
+    /// Side effects so far.
     pub effects: Effects,
-    /// Bytes of text made in this call.
-    pub arena: usize,
+    /// Bytes of text that this call has created.
+    pub text_bytes: usize,
 }
 
 impl<'a> Context<'a> {
-    /// A turn's calls of one program.
+    /// The context for the calls of one program in one evaluation.
     pub fn new(
         program: &Program,
         inputs: &'a Inputs,
@@ -223,70 +222,79 @@
             memory,
             fuel,
             turn,
-            chance: seed ^ turn,
+            random_state: seed ^ turn,
             effects: Effects::default(),
-            arena: 0,
+            text_bytes: 0,
         }
     }
 
-    fn burn(&mut self, fuel: &mut u64, cost: u64) -> Result<(), Trap> {
-        match (fuel.checked_sub(cost), self.fuel.checked_sub(cost)) {
-            (Some(call), Some(turn)) => {
-                (*fuel, *self.fuel) = (call, turn);
+    /// Deducts a cost from the fuel of the call and of the evaluation.
+    fn consume(&mut self, call_fuel: &mut u64, cost: u64) -> Result<(), Trap> {
+        match (call_fuel.checked_sub(cost), self.fuel.checked_sub(cost)) {
+            (Some(call), Some(evaluation)) => {
+                (*call_fuel, *self.fuel) = (call, evaluation);
                 Ok(())
             }
             _ => Err(Trap::Fuel),
         }
     }
 
-    /// A text that a call made.
+    /// A new text, which counts against the limits on texts.
     pub fn text(&mut self, text: String) -> Result<Value, Trap> {
-        self.arena += text.len();
-        if text.len() > TEXT_MOST {
+        self.text_bytes += text.len();
+        if text.len() > MAX_TEXT_BYTES {
             return Err(Trap::Memory("a text is too long"));
         }
-        if self.arena > ARENA_MOST {
+        if self.text_bytes > MAX_CALL_TEXT_BYTES {
             return Err(Trap::Memory("too much text"));
         }
         Ok(Value::Text(text.into()))
     }
 
-    /// The next chance, from 0 to 1 (splitmix64).
-    pub fn chance(&mut self) -> f64 {
-        self.chance = self.chance.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let mut x = self.chance;
+    /// The next random number from 0, inclusive, to 1, exclusive (splitmix64).
+    pub fn next_random(&mut self) -> f64 {
+        self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mut x = self.random_state;
         x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
         x = (x ^ (x >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
         ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A field of a value, or of the fleet.
-    pub fn field(&self, field: Field, of: Option<&Value>) -> Result<Value, Trap> {
+    /// A field of a server or class, or of the fleet if there is no object.
+    pub fn field(&self, field: Field, object: Option<&Value>) -> Result<Value, Trap> {
         let text = |text: &Arc<str>| Ok(Value::Text(Arc::clone(text)));
-        let server = || match of {
-            Some(Value::Server(at)) => self.inputs.servers.get(*at as usize).ok_or(Trap::Unsound),
-            _ => Err(Trap::Unsound),
+        let server = || match object {
+            Some(Value::Server(position)) => self
+                .inputs
+                .servers
+                .get(*position as usize)
+                .ok_or(Trap::InvalidBytecode),
+            _ => Err(Trap::InvalidBytecode),
         };
-        let class = || match of {
-            Some(Value::Class(at)) => self.inputs.classes.get(*at as usize).ok_or(Trap::Unsound),
-            _ => Err(Trap::Unsound),
+        let class = || match object {
+            Some(Value::Class(position)) => self
+                .inputs
+                .classes
+                .get(*position as usize)
+                .ok_or(Trap::InvalidBytecode),
+            _ => Err(Trap::InvalidBytecode),
         };
         let fleet = &self.inputs.fleet;
         match field {
             Field::ServerName => text(&server()?.name),
             Field::ServerZone => text(&server()?.zone),
             Field::ServerState => text(&server()?.state),
-            Field::ServerLife => text(&server()?.life),
+            Field::ServerLife => text(&server()?.lifecycle),
             Field::ServerScore => finite(server()?.score),
             Field::ServerErrors => finite(server()?.errors),
             Field::ServerLatency => finite(server()?.latency),
             Field::ServerWeight => finite(server()?.weight),
             Field::ServerWarmth => finite(server()?.warmth),
             Field::ClassName => text(&class()?.name),
-            Field::ClassEffect => text(&class()?.effect),
-            Field::ClassWorth => finite(class()?.worth),
-            Field::ClassLevel => finite(class()?.level),
-            Field::Strain => finite(fleet.strain),
+            Field::ClassEffect => text(&class()?.idempotency),
+            Field::ClassWorth => finite(class()?.priority_weight),
+            Field::ClassLevel => finite(class()?.admitted_share),
+            Field::Strain => finite(fleet.saturation),
             Field::Refused => finite(fleet.refused),
             Field::Waiting => finite(fleet.waiting),
             Field::Streams => finite(fleet.streams),
@@ -298,47 +306,49 @@
         }
     }
 
-    /// How many elements a collection has.
-    pub fn length(&self, of: &Value) -> Result<usize, Trap> {
-        match of {
-            Value::Set(all) => Ok(all.len()),
+    /// Number of elements of a collection.
+    pub fn length(&self, collection: &Value) -> Result<usize, Trap> {
+        match collection {
+            Value::Set(values) => Ok(values.len()),
             Value::Servers => Ok(self.inputs.servers.len()),
             Value::Classes => Ok(self.inputs.classes.len()),
             Value::Zones => Ok(self.inputs.zones.len()),
             Value::Range(from, to) => Ok(usize::try_from(to.saturating_sub(*from)).unwrap_or(0)),
-            _ => Err(Trap::Unsound),
+            _ => Err(Trap::InvalidBytecode),
         }
     }
 
-    /// An element of a collection; nothing past its end.
-    pub fn element(&self, of: &Value, at: usize) -> Result<Option<Value>, Trap> {
-        let place = u32::try_from(at).unwrap_or(u32::MAX);
-        Ok(match of {
-            Value::Set(all) => all.get(at).cloned(),
-            Value::Servers => (at < self.inputs.servers.len()).then_some(Value::Server(place)),
-            Value::Classes => (at < self.inputs.classes.len()).then_some(Value::Class(place)),
+    /// The element of a collection at an index; none past its end.
+    pub fn element(&self, collection: &Value, index: usize) -> Result<Option<Value>, Trap> {
+        let position = u32::try_from(index).unwrap_or(u32::MAX);
+        Ok(match collection {
+            Value::Set(values) => values.get(index).cloned(),
+            Value::Servers => {
+                (index < self.inputs.servers.len()).then_some(Value::Server(position))
+            }
+            Value::Classes => (index < self.inputs.classes.len()).then_some(Value::Class(position)),
             Value::Zones => self
                 .inputs
                 .zones
-                .get(at)
+                .get(index)
                 .map(|zone| Value::Text(Arc::clone(zone))),
             Value::Range(from, to) => {
-                let value = from.saturating_add(i64::try_from(at).unwrap_or(i64::MAX));
+                let value = from.saturating_add(i64::try_from(index).unwrap_or(i64::MAX));
                 (value < *to).then_some(Value::Number(value as f64))
             }
-            _ => return Err(Trap::Unsound),
+            _ => return Err(Trap::InvalidBytecode),
         })
     }
 
-    /// What a function of the language gives.
-    pub fn builtin(&mut self, builtin: Builtin, values: &[Value]) -> Result<Value, Trap> {
-        let number = |at: usize| match values.get(at) {
+    /// Calls a built-in function.
+    pub fn builtin(&mut self, builtin: Builtin, arguments: &[Value]) -> Result<Value, Trap> {
+        let number = |index: usize| match arguments.get(index) {
             Some(Value::Number(number)) => Ok(*number),
-            _ => Err(Trap::Unsound),
+            _ => Err(Trap::InvalidBytecode),
         };
-        let text = |at: usize| match values.get(at) {
+        let text = |index: usize| match arguments.get(index) {
             Some(Value::Text(text)) => Ok(text),
-            _ => Err(Trap::Unsound),
+            _ => Err(Trap::InvalidBytecode),
         };
         match builtin {
             Builtin::Min => finite(number(0)?.min(number(1)?)),
@@ -346,19 +356,19 @@
             Builtin::Abs => finite(number(0)?.abs()),
             Builtin::Floor => finite(number(0)?.floor()),
             Builtin::Clamp => finite(number(0)?.min(number(2)?).max(number(1)?)),
-            // A cast of a float to an integer saturates; loops over what is too long run out of fuel.
+            // A cast of a float to an integer saturates; a loop over too long a range runs out of fuel.
             Builtin::Range => Ok(Value::Range(
                 number(0)?.ceil() as i64,
                 number(1)?.ceil() as i64,
             )),
             Builtin::LenSet | Builtin::LenServers => {
-                let of = values.first().ok_or(Trap::Unsound)?;
-                finite(self.length(of)? as f64)
+                let collection = arguments.first().ok_or(Trap::InvalidBytecode)?;
+                finite(self.length(collection)? as f64)
             }
             Builtin::LenText => finite(text(0)?.chars().count() as f64),
             Builtin::LenMap => match self.memory.0.get(number(0)? as usize) {
-                Some(Cell::Map(map)) => finite(map.len() as f64),
-                _ => Err(Trap::Unsound),
+                Some(StateCell::Map(map)) => finite(map.len() as f64),
+                _ => Err(Trap::InvalidBytecode),
             },
             Builtin::Starts => Ok(Value::Bool(text(0)?.starts_with(&**text(1)?))),
             Builtin::Words => {
@@ -370,9 +380,9 @@
                         .to_string(),
                 )
             }
-            Builtin::Random => finite(self.chance()),
+            Builtin::Random => finite(self.next_random()),
             Builtin::Note => {
-                if self.effects.notes.len() < NOTES_MOST {
+                if self.effects.notes.len() < MAX_NOTES {
                     self.effects.notes.push(text(0)?.to_string());
                 }
                 Ok(Value::Nothing)
@@ -385,121 +395,121 @@
     }
 }
 
-/// A number, if it is one.
+/// A number as a value, or a trap if it is infinite or not a number.
 pub fn finite(number: f64) -> Result<Value, Trap> {
     if number.is_finite() {
         Ok(Value::Number(number))
     } else {
-        Err(Trap::Number("a number grew beyond all bounds"))
+        Err(Trap::Number("number out of range"))
     }
 }
 
-/// What an operator of two numbers gives.
+/// The result of an arithmetic or comparison operation on two numbers. The remainder of a division is never negative.
 pub fn arithmetic(op: Op, left: f64, right: f64) -> Result<Value, Trap> {
     match op {
         Op::Add => finite(left + right),
         Op::Sub => finite(left - right),
         Op::Mul => finite(left * right),
-        Op::Div | Op::Rem if right == 0.0 => Err(Trap::Number("a division by zero")),
+        Op::Div | Op::Rem if right == 0.0 => Err(Trap::Number("division by zero")),
         Op::Div => finite(left / right),
         Op::Rem => finite(left.rem_euclid(right)),
         Op::Lt => Ok(Value::Bool(left < right)),
         Op::Le => Ok(Value::Bool(left <= right)),
         Op::Gt => Ok(Value::Bool(left > right)),
         Op::Ge => Ok(Value::Bool(left >= right)),
-        _ => Err(Trap::Unsound),
+        _ => Err(Trap::InvalidBytecode),
     }
 }
 
-/// Operations of one call that a trace keeps; the rest are counted.
-pub const STEPS_MOST: usize = 500;
+/// Maximum number of operations of one call that a trace lists; further ones are only counted.
+pub const MAX_TRACE_STEPS: usize = 500;
 
 /// One operation of a traced call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// The function, by its place in the program.
+    /// Position of the function in the program.
     pub function: usize,
-    /// The line of the text.
+    /// Source line.
     pub line: u32,
-    /// The operation.
+    /// The operation with its operands.
     pub op: Op,
-    /// What lay on top of the stack before it.
+    /// Top of the stack before the operation; none if the stack was empty.
     pub top: Option<Value>,
 }
 
-/// A call, operation by operation.
+/// The operations of one call.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Trace {
-    /// The function that was called.
+    /// Position of the called function in the program.
     pub function: usize,
-    /// With what.
-    pub values: Vec<Value>,
-    /// The first operations, as they came.
+    /// Arguments of the call.
+    pub arguments: Vec<Value>,
+    /// The first operations in order, at most [`MAX_TRACE_STEPS`].
     pub steps: Vec<Step>,
-    /// Operations beyond those.
-    pub more: u64,
-    /// How it ended.
-    pub answer: Option<Result<Value, Fault>>,
+    /// Number of further operations.
+    pub omitted: u64,
+    /// The result or fault of the call; none while it runs.
+    pub result: Option<Result<Value, Fault>>,
 }
 
 impl Trace {
-    /// The call in words: its head, a line for each operation, its answer.
+    /// The trace as text: the call, a line for each operation, and the result.
     pub fn lines(&self, program: &Program, inputs: &Inputs) -> Vec<String> {
         let name = |function: usize| {
             program
                 .functions
                 .get(function)
-                .map_or("", |of| of.name.as_str())
+                .map_or("", |function| function.name.as_str())
         };
-        let shown = |value: &Value| shown(value, inputs);
-        let values: Vec<String> = self.values.iter().map(shown).collect();
-        let mut lines = vec![format!("{}({})", name(self.function), values.join(", "))];
+        let display = |value: &Value| display_value(value, inputs);
+        let arguments: Vec<String> = self.arguments.iter().map(display).collect();
+        let mut lines = vec![format!("{}({})", name(self.function), arguments.join(", "))];
         for step in &self.steps {
-            let within = match step.function == self.function {
+            let callee = match step.function == self.function {
                 true => String::new(),
                 false => format!("{}, ", name(step.function)),
             };
             let top = step
                 .top
                 .as_ref()
-                .map(|top| format!(" on {}", shown(top)))
+                .map(|top| format!(" on {}", display(top)))
                 .unwrap_or_default();
-            lines.push(format!("  {within}line {}: {:?}{top}", step.line, step.op));
+            lines.push(format!("  {callee}line {}: {:?}{top}", step.line, step.op));
         }
-        if self.more > 0 {
-            lines.push(format!("  and {} operations more", self.more));
+        if self.omitted > 0 {
+            lines.push(format!("  and {} more operations", self.omitted));
         }
-        match &self.answer {
-            Some(Ok(value)) => lines.push(format!("  = {}", shown(value))),
-            Some(Err(stopped)) => lines.push(format!("  stopped: {stopped}")),
+        match &self.result {
+            Some(Ok(value)) => lines.push(format!("  = {}", display(value))),
+            Some(Err(fault)) => lines.push(format!("  fault: {fault}")),
             None => {}
         }
         lines
     }
 }
 
-/// A value as the text would write it; servers and classes by name.
-fn shown(value: &Value, inputs: &Inputs) -> String {
-    let server = |at: &u32| {
+/// A value in the notation of the language; servers and classes by name, and sets by their length.
+fn display_value(value: &Value, inputs: &Inputs) -> String {
+    let server = |position: &u32| {
         inputs
             .servers
-            .get(*at as usize)
+            .get(*position as usize)
             .map_or("?", |server| &server.name)
     };
-    let class = |at: &u32| {
+    let class = |position: &u32| {
         inputs
             .classes
-            .get(*at as usize)
+            .get(*position as usize)
             .map_or("?", |class| &class.name)
     };
     match value {
         Value::Nothing => "nothing".to_string(),
         Value::Number(number) => number.to_string(),
-        Value::Bool(of) => of.to_string(),
+        Value::Bool(value) => value.to_string(),
         Value::Text(text) => format!("{text:?}"),
-        Value::Server(at) => format!("server {}", server(at)),
-        Value::Class(at) => format!("class {}", class(at)),
-        Value::Set(all) => format!("a set of {}", all.len()),
+        Value::Server(position) => format!("server {}", server(position)),
+        Value::Class(position) => format!("class {}", class(position)),
+        Value::Set(values) => format!("a set of {}", values.len()),
         Value::Servers => "fleet.servers".to_string(),
         Value::Classes => "fleet.classes".to_string(),
         Value::Zones => "fleet.zones".to_string(),
@@ -507,76 +517,93 @@
     }
 }
 
-/// Stack, locals and loops of all functions under way; kept from call to call, so that a call asks for no memory.
+/// Position of a function in the program, and of an operation in the function.
+type CodePosition = (usize, usize);
+
+/// The stack, locals and loops of all active functions. They are reused between calls, so that a call allocates no memory.
 #[derive(Default)]
 pub struct Machine {
     stack: Vec<Value>,
     locals: Vec<Value>,
+    /// The iterable of each loop and the index of its next element.
     loops: Vec<(Value, usize)>,
-    /// The line of the text on which the last call returned.
-    pub line: u32,
-    /// Calls about this server, by its place in the inputs, leave a trace.
-    pub watched: Option<u32>,
-    /// The traces that were left.
+    /// Source line of the last return.
+    pub return_line: u32,
+    /// Position of a server in the inputs; calls with it as an argument are traced.
+    pub traced_server: Option<u32>,
+    /// Traces since the host last took them.
     pub traces: Vec<Trace>,
 }
 
 impl Machine {
-    /// Calls a function of a verified program with these values, within so many operations.
+    /// Calls a function of a verified program. The call may use `fuel` operations, and no more than the context has left.
     pub fn call(
         &mut self,
         program: &Program,
         function: u8,
-        values: &[Value],
+        arguments: &[Value],
         context: &mut Context,
         fuel: u64,
     ) -> Result<Value, Fault> {
         self.stack.clear();
         self.locals.clear();
         self.loops.clear();
-        self.stack.extend_from_slice(values);
-        context.arena = 0;
-        let mut left = fuel;
-        let mut place = (usize::from(function), 0);
-        let watched = self
-            .watched
-            .is_some_and(|server| values.contains(&Value::Server(server)));
-        let own = usize::from(function);
-        let ran = if watched {
+        self.stack.extend_from_slice(arguments);
+        context.text_bytes = 0;
+        let mut fuel_left = fuel;
+        let mut position = (usize::from(function), 0);
+        let is_traced = self
+            .traced_server
+            .is_some_and(|server| arguments.contains(&Value::Server(server)));
+        let function_index = usize::from(function);
+        let outcome = if is_traced {
             self.traces.push(Trace {
-                function: own,
-                values: values.to_vec(),
+                function: function_index,
+                arguments: arguments.to_vec(),
                 ..Trace::default()
             });
-            self.run::<true>(program, own, context, &mut left, &mut place)
+            self.run::<true>(
+                program,
+                function_index,
+                context,
+                &mut fuel_left,
+                &mut position,
+            )
         } else {
-            self.run::<false>(program, own, context, &mut left, &mut place)
+            self.run::<false>(
+                program,
+                function_index,
+                context,
+                &mut fuel_left,
+                &mut position,
+            )
         };
-        let ended = ran.map_err(|trap| {
-            let stopped = program.functions.get(place.0);
+        let result = outcome.map_err(|trap| {
+            let function = program.functions.get(position.0);
             Fault {
                 trap,
-                function: stopped
+                function: function
                     .map(|function| function.name.clone())
                     .unwrap_or_default(),
-                line: stopped
-                    .and_then(|function| function.lines.get(place.1))
+                line: function
+                    .and_then(|function| function.lines.get(position.1))
                     .copied()
                     .unwrap_or(0),
             }
         });
-        if let Some(trace) = self.traces.last_mut().filter(|_| watched) {
-            trace.answer = Some(ended.clone());
+        if let Some(trace) = self.traces.last_mut().filter(|_| is_traced) {
+            trace.result = Some(result.clone());
         }
-        ended
+        result
     }
 
-    fn step(&mut self, function: usize, line: u32, op: Op) {
+    /// Adds an operation to the current trace.
+    fn trace_step(&mut self, function: usize, line: u32, op: Op) {
         let top = self.stack.last().cloned();
         let Some(trace) = self.traces.last_mut() else {
             return;
         };
-        if trace.steps.len() < STEPS_MOST {
+        if trace.steps.len() < MAX_TRACE_STEPS {
             trace.steps.push(Step {
                 function,
                 line,
@@ -584,80 +611,91 @@
                 top,
             });
         } else {
-            trace.more += 1;
+            trace.omitted += 1;
         }
     }
 
     fn pop(&mut self) -> Result<Value, Trap> {
-        self.stack.pop().ok_or(Trap::Unsound)
+        self.stack.pop().ok_or(Trap::InvalidBytecode)
     }
 
-    fn number(&mut self) -> Result<f64, Trap> {
+    fn pop_number(&mut self) -> Result<f64, Trap> {
         match self.pop()? {
             Value::Number(number) => Ok(number),
-            _ => Err(Trap::Unsound),
+            _ => Err(Trap::InvalidBytecode),
         }
     }
 
-    fn text(&mut self) -> Result<Arc<str>, Trap> {
+    fn pop_text(&mut self) -> Result<Arc<str>, Trap> {
         match self.pop()? {
             Value::Text(text) => Ok(text),
-            _ => Err(Trap::Unsound),
+            _ => Err(Trap::InvalidBytecode),
         }
     }
 
-    fn bool(&mut self) -> Result<bool, Trap> {
+    fn pop_bool(&mut self) -> Result<bool, Trap> {
         match self.pop()? {
-            Value::Bool(of) => Ok(of),
-            _ => Err(Trap::Unsound),
+            Value::Bool(value) => Ok(value),
+            _ => Err(Trap::InvalidBytecode),
         }
     }
 
-    /// Runs one function; those that it calls lie before it, so that the depth is bounded by their number.
+    /// Runs one function. It calls only earlier functions, so the recursion is no deeper than the number of functions.
+    /// `position` is set to the function and operation that run.
     fn run<const TRACED: bool>(
         &mut self,
         program: &Program,
-        own: usize,
+        function_index: usize,
         context: &mut Context,
         fuel: &mut u64,
-        place: &mut (usize, usize),
+        position: &mut CodePosition,
     ) -> Result<Value, Trap> {
-        let function = program.functions.get(own).ok_or(Trap::Unsound)?;
-        let (base, loops) = (self.locals.len(), self.loops.len());
-        let from = self
+        let function = program
+            .functions
+            .get(function_index)
+            .ok_or(Trap::InvalidBytecode)?;
+        let (local_base, loop_base) = (self.locals.len(), self.loops.len());
+        let first_argument = self
             .stack
             .len()
             .checked_sub(function.params.into())
-            .ok_or(Trap::Unsound)?;
-        self.locals.extend(self.stack.drain(from..));
+            .ok_or(Trap::InvalidBytecode)?;
+        self.locals.extend(self.stack.drain(first_argument..));
         self.locals
-            .resize(base + usize::from(function.locals), Value::Nothing);
+            .resize(local_base + usize::from(function.locals), Value::Nothing);
         self.loops
-            .resize(loops + usize::from(function.loops), (Value::Nothing, 0));
-        let mut at = 0usize;
+            .resize(loop_base + usize::from(function.loops), (Value::Nothing, 0));
+        let mut next_operation = 0usize;
         loop {
-            *place = (own, at);
-            context.burn(fuel, 1)?;
-            let op = *function.code.get(at).ok_or(Trap::Unsound)?;
+            *position = (function_index, next_operation);
+            context.consume(fuel, 1)?;
+            let op = *function
+                .code
+                .get(next_operation)
+                .ok_or(Trap::InvalidBytecode)?;
             if TRACED {
-                self.step(own, function.lines.get(at).copied().unwrap_or(0), op);
+                self.trace_step(
+                    function_index,
+                    function.lines.get(next_operation).copied().unwrap_or(0),
+                    op,
+                );
             }
-            at += 1;
+            next_operation += 1;
             match op {
                 Op::Const(constant) => {
                     self.stack.push(
                         program
                             .constants
                             .get(usize::from(constant))
-                            .ok_or(Trap::Unsound)?
+                            .ok_or(Trap::InvalidBytecode)?
                             .clone(),
                     );
                 }
                 Op::Load(local) => {
                     let value = self
                         .locals
-                        .get(base + usize::from(local))
-                        .ok_or(Trap::Unsound)?
+                        .get(local_base + usize::from(local))
+                        .ok_or(Trap::InvalidBytecode)?
                         .clone();
                     self.stack.push(value);
                 }
@@ -665,15 +703,15 @@
                     let value = self.pop()?;
                     *self
                         .locals
-                        .get_mut(base + usize::from(local))
-                        .ok_or(Trap::Unsound)? = value;
+                        .get_mut(local_base + usize::from(local))
+                        .ok_or(Trap::InvalidBytecode)? = value;
                 }
                 Op::LoadState(state) => {
                     let value = context
                         .memory
                         .0
                         .get(usize::from(state))
-                        .ok_or(Trap::Unsound)?
+                        .ok_or(Trap::InvalidBytecode)?
                         .read();
                     self.stack.push(value);
                 }
@@ -683,32 +721,36 @@
                         .memory
                         .0
                         .get_mut(usize::from(state))
-                        .ok_or(Trap::Unsound)?
+                        .ok_or(Trap::InvalidBytecode)?
                         .write(value);
                 }
                 Op::MapGet(state) => {
-                    let key = self.text()?;
+                    let key = self.pop_text()?;
                     let value = context
                         .memory
                         .0
                         .get(usize::from(state))
-                        .ok_or(Trap::Unsound)?
+                        .ok_or(Trap::InvalidBytecode)?
                         .get(&key);
                     self.stack.push(Value::Number(value));
                 }
                 Op::MapPut(state) => {
-                    let (value, key) = (self.number()?, self.text()?);
+                    let (value, key) = (self.pop_number()?, self.pop_text()?);
                     context
                         .memory
                         .0
                         .get_mut(usize::from(state))
-                        .ok_or(Trap::Unsound)?
+                        .ok_or(Trap::InvalidBytecode)?
                         .put(key, value)?;
                 }
                 Op::Get(field) => {
-                    let fleet = field.is_of_fleet();
-                    let of = if fleet { None } else { Some(self.pop()?) };
-                    self.stack.push(context.field(field, of.as_ref())?);
+                    let is_fleet_field = field.is_fleet_field();
+                    let object = if is_fleet_field {
+                        None
+                    } else {
+                        Some(self.pop()?)
+                    };
+                    self.stack.push(context.field(field, object.as_ref())?);
                 }
                 Op::Add
                 | Op::Sub
@@ -719,77 +761,84 @@
                 | Op::Le
                 | Op::Gt
                 | Op::Ge => {
-                    let (right, left) = (self.number()?, self.number()?);
+                    let (right, left) = (self.pop_number()?, self.pop_number()?);
                     self.stack.push(arithmetic(op, left, right)?);
                 }
                 Op::Join => {
-                    let (right, left) = (self.text()?, self.text()?);
+                    let (right, left) = (self.pop_text()?, self.pop_text()?);
                     self.stack.push(context.text(format!("{left}{right}"))?);
                 }
                 Op::Neg => {
-                    let number = self.number()?;
+                    let number = self.pop_number()?;
                     self.stack.push(Value::Number(-number));
                 }
                 Op::Not => {
-                    let of = self.bool()?;
-                    self.stack.push(Value::Bool(!of));
+                    let value = self.pop_bool()?;
+                    self.stack.push(Value::Bool(!value));
                 }
                 Op::Eq | Op::Ne => {
                     let (right, left) = (self.pop()?, self.pop()?);
-                    context.burn(fuel, weight(&left))?;
+                    context.consume(fuel, comparison_cost(&left))?;
                     self.stack
                         .push(Value::Bool((left == right) == (op == Op::Eq)));
                 }
                 Op::In => {
-                    let (Value::Set(all), value) = (self.pop()?, self.pop()?) else {
-                        return Err(Trap::Unsound);
+                    let (Value::Set(elements), value) = (self.pop()?, self.pop()?) else {
+                        return Err(Trap::InvalidBytecode);
                     };
-                    context.burn(fuel, all.len() as u64 / 4)?;
-                    self.stack.push(Value::Bool(all.contains(&value)));
+                    context.consume(fuel, elements.len() as u64 / 4)?;
+                    self.stack.push(Value::Bool(elements.contains(&value)));
                 }
-                Op::Jump(to) => at = to.into(),
-                Op::JumpIfNot(to) => {
-                    if !self.bool()? {
-                        at = to.into();
+                Op::Jump(target) => next_operation = target.into(),
+                Op::JumpIfNot(target) => {
+                    if !self.pop_bool()? {
+                        next_operation = target.into();
                     }
                 }
                 Op::Call(function) => {
-                    let value =
-                        self.run::<TRACED>(program, usize::from(function), context, fuel, place)?;
+                    let value = self.run::<TRACED>(
+                        program,
+                        usize::from(function),
+                        context,
+                        fuel,
+                        position,
+                    )?;
                     self.stack.push(value);
                 }
                 Op::Do(builtin) => {
-                    let from = self
+                    let first_argument = self
                         .stack
                         .len()
-                        .checked_sub(builtin.takes())
-                        .ok_or(Trap::Unsound)?;
-                    let value =
-                        context.builtin(builtin, self.stack.get(from..).unwrap_or_default())?;
-                    self.stack.truncate(from);
+                        .checked_sub(builtin.argument_count())
+                        .ok_or(Trap::InvalidBytecode)?;
+                    let value = context.builtin(
+                        builtin,
+                        self.stack.get(first_argument..).unwrap_or_default(),
+                    )?;
+                    self.stack.truncate(first_argument);
                     self.stack.push(value);
                 }
                 Op::Each(slot) => {
-                    let over = self.pop()?;
+                    let iterable = self.pop()?;
                     *self
                         .loops
-                        .get_mut(loops + usize::from(slot))
-                        .ok_or(Trap::Unsound)? = (over, 0);
+                        .get_mut(loop_base + usize::from(slot))
+                        .ok_or(Trap::InvalidBytecode)? = (iterable, 0);
                 }
                 Op::Next(slot, local, end) => {
-                    let (over, next) = self
+                    let (iterable, next_index) = self
                         .loops
-                        .get_mut(loops + usize::from(slot))
-                        .ok_or(Trap::Unsound)?;
-                    match context.element(over, *next)? {
+                        .get_mut(loop_base + usize::from(slot))
+                        .ok_or(Trap::InvalidBytecode)?;
+                    match context.element(iterable, *next_index)? {
                         Some(value) => {
-                            *next += 1;
+                            *next_index += 1;
                             *self
                                 .locals
-                                .get_mut(base + usize::from(local))
-                                .ok_or(Trap::Unsound)? = value;
+                                .get_mut(local_base + usize::from(local))
+                                .ok_or(Trap::InvalidBytecode)? = value;
                         }
-                        None => at = end.into(),
+                        None => next_operation = end.into(),
                     }
                 }
                 Op::Pop => {
@@ -797,9 +846,9 @@
                 }
                 Op::Return => {
                     let value = self.pop()?;
-                    self.locals.truncate(base);
-                    self.loops.truncate(loops);
-                    self.line = function.lines.get(at - 1).copied().unwrap_or(0);
+                    self.locals.truncate(local_base);
+                    self.loops.truncate(loop_base);
+                    self.return_line = function.lines.get(next_operation - 1).copied().unwrap_or(0);
                     return Ok(value);
                 }
             }
@@ -807,11 +856,11 @@
     }
 }
 
-/// What comparing a value costs.
-fn weight(value: &Value) -> u64 {
+/// Additional fuel for a comparison, in proportion to the size of the value.
+fn comparison_cost(value: &Value) -> u64 {
     match value {
         Value::Text(text) => text.len() as u64 / 16,
-        Value::Set(all) => all.len() as u64,
+        Value::Set(values) => values.len() as u64,
         _ => 0,
     }
 }
