--- a/crates/plugins/src/parse.rs
+++ b/crates/plugins/src/parse.rs
@@ -1,5 +1,5 @@
-//! Tokens to a tree. Faults are told all at once: after one, reading goes on with the next part.
-// The parser library's own faults are large; they live only while one text is read.
+//! The parser. It reports the errors of all top-level items at once: after an error it continues with the next item.
+// The errors of the parser library are large, but exist only while one source is parsed.
 #![allow(clippy::result_large_err)]
 
 use chumsky::prelude::*;
@@ -9,72 +9,71 @@
 use crate::diagnostics::{Diagnostic, Span};
 use crate::lex::{self, Token};
 
-/// Stack of the thread that reads a text, in bytes: brackets are nested by at most [`lex::DEPTH_MOST`], each with some 30
-/// frames of the parser's.
-const STACK: usize = 64 << 20;
-/// Faults that are told of one text.
-const FAULTS_MOST: usize = 20;
+/// Stack of the parser's thread. Each of the at most [`lex::MAX_NESTING`] nested brackets takes about 30 stack frames.
+const STACK_BYTES: usize = 64 << 20;
+/// Maximum number of diagnostics for one source.
+const MAX_DIAGNOSTICS: usize = 20;
 
-type Faulty = Simple<Token>;
+type ParseError = Simple<Token>;
 
-fn at<T>(of: T, span: Span) -> At<T> {
-    At::new(of, span)
+fn spanned<T>(node: T, span: Span) -> Spanned<T> {
+    Spanned::new(node, span)
 }
 
-fn name() -> impl Parser<Token, At<String>, Error = Faulty> + Clone {
+fn name() -> impl Parser<Token, Spanned<String>, Error = ParseError> + Clone {
     select! { Token::Name(name) => name }
         .labelled("a name")
-        .map_with_span(at)
+        .map_with_span(spanned)
 }
 
-/// The name of a field, which may be a word of the language elsewhere.
-fn word() -> impl Parser<Token, At<String>, Error = Faulty> + Clone {
-    let word = select! {
+/// The name of a field; `state` is allowed, although it is a keyword elsewhere.
+fn field_name() -> impl Parser<Token, Spanned<String>, Error = ParseError> + Clone {
+    let name = select! {
         Token::Name(name) => name,
         Token::State => "state".to_string(),
     };
-    word.labelled("the name of a field").map_with_span(at)
+    name.labelled("a field name").map_with_span(spanned)
 }
 
-fn text() -> impl Parser<Token, At<String>, Error = Faulty> + Clone {
+fn text() -> impl Parser<Token, Spanned<String>, Error = ParseError> + Clone {
     select! { Token::Text(text) => text }
         .labelled("a text")
-        .map_with_span(at)
+        .map_with_span(spanned)
 }
 
-fn number() -> impl Parser<Token, At<f64>, Error = Faulty> + Clone {
-    // The lexer lets fifteen digits pass on either side, which is always a finite number.
+fn number() -> impl Parser<Token, Spanned<f64>, Error = ParseError> + Clone {
+    // The lexer accepts at most 15 digits on either side of the point, so the number is finite.
     select! { Token::Number(digits) => digits.parse().unwrap_or_default() }
         .labelled("a number")
-        .map_with_span(at)
+        .map_with_span(spanned)
 }
 
-fn both(op: Binary) -> impl Fn(At<Expr>, At<Expr>) -> At<Expr> + Clone {
+fn binary(op: Binary) -> impl Fn(Spanned<Expr>, Spanned<Expr>) -> Spanned<Expr> + Clone {
     move |left, right| {
         let span = left.span.start..right.span.end;
-        at(Expr::Binary(op, Box::new(left), Box::new(right)), span)
+        spanned(Expr::Binary(op, Box::new(left), Box::new(right)), span)
     }
 }
 
-/// One level of operators that lean to the left.
-fn level(
-    inner: impl Parser<Token, At<Expr>, Error = Faulty> + Clone + 'static,
+/// The binary operators of one precedence, left-associative.
+fn left_associative(
+    operand: impl Parser<Token, Spanned<Expr>, Error = ParseError> + Clone + 'static,
     ops: &[(Token, Binary)],
-) -> BoxedParser<'static, Token, At<Expr>, Faulty> {
+) -> BoxedParser<'static, Token, Spanned<Expr>, ParseError> {
     let op = choice(
         ops.iter()
             .map(|(token, op)| just(token.clone()).to(*op))
             .collect::<Vec<_>>(),
     );
-    inner
+    operand
         .clone()
-        .then(op.then(inner).repeated())
-        .foldl(|left, (op, right)| both(op)(left, right))
+        .then(op.then(operand).repeated())
+        .foldl(|left, (op, right)| binary(op)(left, right))
         .boxed()
 }
 
-fn expression() -> BoxedParser<'static, Token, At<Expr>, Faulty> {
-    recursive(|expr: Recursive<Token, At<Expr>, Faulty>| {
+fn expression() -> BoxedParser<'static, Token, Spanned<Expr>, ParseError> {
+    recursive(|expr: Recursive<Token, Spanned<Expr>, ParseError>| {
         let list = || {
             expr.clone()
                 .separated_by(just(Token::Comma))
@@ -86,65 +85,69 @@
         let set = list()
             .delimited_by(just(Token::OpenSet), just(Token::CloseSet))
             .map(Expr::Set);
-        let atom = choice((
-            number().map(|number| Expr::Number(number.of)),
-            text().map(|text| Expr::Text(text.of)),
+        let primary = choice((
+            number().map(|number| Expr::Number(number.node)),
+            text().map(|text| Expr::Text(text.node)),
             just(Token::True).to(Expr::Bool(true)),
             just(Token::False).to(Expr::Bool(false)),
             call,
-            name().map(|name| Expr::Name(name.of)),
+            name().map(|name| Expr::Name(name.node)),
             set,
         ))
-        .map_with_span(at)
+        .map_with_span(spanned)
         .or(expr
             .clone()
             .delimited_by(just(Token::Open), just(Token::Close)))
-        .labelled("a value")
+        .labelled("an expression")
         .boxed();
-        enum Tail {
-            Field(At<String>),
-            Index(At<Expr>),
+        enum Suffix {
+            Field(Spanned<String>),
+            Index(Spanned<Expr>),
         }
-        let field = just(Token::Dot).ignore_then(word()).map(Tail::Field);
+        let field = just(Token::Dot)
+            .ignore_then(field_name())
+            .map(Suffix::Field);
         let index = expr
             .clone()
             .delimited_by(just(Token::OpenSet), just(Token::CloseSet))
-            .map(Tail::Index);
-        let tails = field
+            .map(Suffix::Index);
+        let suffixes = field
             .or(index)
-            .map_with_span(|tail, span: Span| (tail, span))
+            .map_with_span(|suffix, span: Span| (suffix, span))
             .repeated();
-        let reach = atom.then(tails).foldl(|of, (tail, span)| {
-            let whole = of.span.start..span.end;
-            match tail {
-                Tail::Field(field) => at(Expr::Field(Box::new(of), field), whole),
-                Tail::Index(index) => at(Expr::Index(Box::new(of), Box::new(index)), whole),
+        let postfix = primary.then(suffixes).foldl(|object, (suffix, span)| {
+            let full_span = object.span.start..span.end;
+            match suffix {
+                Suffix::Field(field) => spanned(Expr::Field(Box::new(object), field), full_span),
+                Suffix::Index(index) => {
+                    spanned(Expr::Index(Box::new(object), Box::new(index)), full_span)
+                }
             }
         });
-        let sign = choice((
+        let operator = choice((
             just(Token::Minus).to(Unary::Neg),
             just(Token::Not).to(Unary::Not),
         ));
-        let sign = sign.map_with_span(|op, span: Span| (op, span));
-        let signed = sign
+        let operator = operator.map_with_span(|op, span: Span| (op, span));
+        let unary = operator
             .repeated()
             .at_most(4)
-            .then(reach)
-            .foldr(|(op, span), of| {
-                let whole = span.start..of.span.end;
-                at(Expr::Unary(op, Box::new(of)), whole)
+            .then(postfix)
+            .foldr(|(op, span), operand| {
+                let full_span = span.start..operand.span.end;
+                spanned(Expr::Unary(op, Box::new(operand)), full_span)
             });
         use Binary::*;
-        let product = level(
-            signed,
+        let product = left_associative(
+            unary,
             &[
                 (Token::Star, Mul),
                 (Token::Slash, Div),
                 (Token::Percent, Rem),
             ],
         );
-        let sum = level(product, &[(Token::Plus, Add), (Token::Minus, Sub)]);
-        let compares = [
+        let sum = left_associative(product, &[(Token::Plus, Add), (Token::Minus, Sub)]);
+        let comparison_operators = [
             (Token::Eq, Eq),
             (Token::Ne, Ne),
             (Token::Le, Le),
@@ -153,17 +156,17 @@
             (Token::Gt, Gt),
             (Token::In, In),
         ];
-        let compare = level(sum, &compares);
-        let and = level(compare, &[(Token::And, And)]);
-        level(and, &[(Token::Or, Or)])
+        let comparison = left_associative(sum, &comparison_operators);
+        let and = left_associative(comparison, &[(Token::And, And)]);
+        left_associative(and, &[(Token::Or, Or)])
     })
     .boxed()
 }
 
-fn block() -> BoxedParser<'static, Token, Vec<Stmt>, Faulty> {
-    recursive(|block: Recursive<Token, Vec<Stmt>, Faulty>| {
+fn block() -> BoxedParser<'static, Token, Vec<Stmt>, ParseError> {
+    recursive(|block: Recursive<Token, Vec<Stmt>, ParseError>| {
         let expr = expression();
-        let make = just(Token::Let)
+        let let_statement = just(Token::Let)
             .ignore_then(name())
             .then_ignore(just(Token::Assign))
             .then(expr.clone())
@@ -180,26 +183,39 @@
             .then_ignore(just(Token::Assign))
             .then(expr.clone())
             .map(|(name, value)| Stmt::Assign(name, value));
-        let arm = just(Token::If)
+        let if_arm = just(Token::If)
             .ignore_then(expr.clone())
             .then(block.clone());
-        let more = just(Token::Else).ignore_then(arm.clone()).repeated();
-        let rest = just(Token::Else).ignore_then(block.clone()).or_not();
-        let choose = arm.then(more).then(rest).map(|((first, more), rest)| {
-            let arms = std::iter::once(first).chain(more).collect();
-            Stmt::If(arms, rest.unwrap_or_default())
-        });
-        let each = just(Token::For)
+        let else_ifs = just(Token::Else).ignore_then(if_arm.clone()).repeated();
+        let else_block = just(Token::Else).ignore_then(block.clone()).or_not();
+        let if_statement =
+            if_arm
+                .then(else_ifs)
+                .then(else_block)
+                .map(|((first, else_ifs), else_block)| {
+                    let arms = std::iter::once(first).chain(else_ifs).collect();
+                    Stmt::If(arms, else_block.unwrap_or_default())
+                });
+        let for_statement = just(Token::For)
             .ignore_then(name())
             .then_ignore(just(Token::In))
             .then(expr.clone())
             .then(block)
-            .map(|((name, over), body)| Stmt::For(name, over, body));
-        let give = just(Token::Return)
+            .map(|((name, iterable), body)| Stmt::For(name, iterable, body));
+        let return_statement = just(Token::Return)
             .map_with_span(|_, span: Span| span)
             .then(expr.clone().or_not())
             .map(|(span, value)| Stmt::Return(span, value));
-        let statement = choice((make, put, assign, choose, each, give, expr.map(Stmt::Do))).boxed();
+        let statement = choice((
+            let_statement,
+            put,
+            assign,
+            if_statement,
+            for_statement,
+            return_statement,
+            expr.map(Stmt::Expr),
+        ))
+        .boxed();
         statement
             .repeated()
             .delimited_by(just(Token::OpenBlock), just(Token::CloseBlock))
@@ -207,51 +223,49 @@
     .boxed()
 }
 
-fn function() -> impl Parser<Token, Function, Error = Faulty> {
+fn function() -> impl Parser<Token, Function, Error = ParseError> {
     let param = name().then(just(Token::Colon).ignore_then(name()).or_not());
     let params = param
         .separated_by(just(Token::Comma))
         .allow_trailing()
         .delimited_by(just(Token::Open), just(Token::Close));
-    let gives = just(Token::Arrow).ignore_then(name()).or_not();
-    name()
-        .then(params)
-        .then(gives)
-        .then(block())
-        .map(|(((name, params), gives), body)| Function {
+    let return_type = just(Token::Arrow).ignore_then(name()).or_not();
+    name().then(params).then(return_type).then(block()).map(
+        |(((name, params), return_type), body)| Function {
             name,
             params,
-            gives,
+            return_type,
             body,
-        })
+        },
+    )
 }
 
-fn shape() -> impl Parser<Token, At<Shape>, Error = Faulty> {
+fn state_kind() -> impl Parser<Token, Spanned<StateKind>, Error = ParseError> {
     let signed = just(Token::Minus).or_not().then(number());
     let signed = signed.map(|(minus, number)| {
         if minus.is_some() {
-            -number.of
+            -number.node
         } else {
-            number.of
+            number.node
         }
     });
     let mean = just(Token::Name("mean".to_string()))
         .ignore_then(number().delimited_by(just(Token::Open), just(Token::Close)))
-        .map(|half_life| Shape::Mean(half_life.of));
+        .map(|half_life| StateKind::Mean(half_life.node));
     choice((
-        signed.map(Shape::Number),
-        just(Token::True).to(Shape::Bool(true)),
-        just(Token::False).to(Shape::Bool(false)),
-        text().map(|text| Shape::Text(text.of)),
+        signed.map(StateKind::Number),
+        just(Token::True).to(StateKind::Bool(true)),
+        just(Token::False).to(StateKind::Bool(false)),
+        text().map(|text| StateKind::Text(text.node)),
         mean,
-        just(Token::Name("map".to_string())).to(Shape::Map),
+        just(Token::Name("map".to_string())).to(StateKind::Map),
     ))
     .labelled("a number, a text, true, false, mean(turns) or map")
-    .map_with_span(at)
+    .map_with_span(spanned)
 }
 
-fn case() -> impl Parser<Token, Case, Error = Faulty> {
-    let path = word().separated_by(just(Token::Dot)).at_least(1);
+fn case() -> impl Parser<Token, Case, Error = ParseError> {
+    let path = field_name().separated_by(just(Token::Dot)).at_least(1);
     let given = path.then_ignore(just(Token::Assign)).then(expression());
     let expected = just(Token::Expect)
         .ignore_then(name())
@@ -269,7 +283,8 @@
         })
 }
 
-fn head() -> impl Parser<Token, (At<String>, At<f64>, At<f64>), Error = Faulty> {
+fn header() -> impl Parser<Token, (Spanned<String>, Spanned<f64>, Spanned<f64>), Error = ParseError>
+{
     just(Token::Plugin)
         .ignore_then(text())
         .then_ignore(just(Token::Version))
@@ -280,16 +295,16 @@
         .map(|((name, version), host)| (name, version, host))
 }
 
-fn item() -> BoxedParser<'static, Token, Item, Faulty> {
+fn item() -> BoxedParser<'static, Token, Item, ParseError> {
     let steers = just(Token::Steers)
         .ignore_then(text().separated_by(just(Token::Comma)).at_least(1))
         .map(Item::Steers);
     let state = just(Token::State)
         .ignore_then(name())
         .then_ignore(just(Token::Assign))
-        .then(shape())
-        .map(|(name, shape)| Item::State(name, shape));
-    let fixed = just(Token::Let)
+        .then(state_kind())
+        .map(|(name, kind)| Item::State(name, kind));
+    let constant = just(Token::Let)
         .ignore_then(name())
         .then_ignore(just(Token::Assign))
         .then(expression())
@@ -297,7 +312,7 @@
     let item = choice((
         steers,
         state,
-        fixed,
+        constant,
         just(Token::Fn).ignore_then(function()).map(Item::Fn),
         just(Token::Hook).ignore_then(function()).map(Item::Hook),
         just(Token::Case).ignore_then(case()).map(Item::Case),
@@ -305,124 +320,133 @@
     item.then_ignore(end()).boxed()
 }
 
-fn told(source: &str, fault: &Faulty, next: Option<&Token>) -> Diagnostic {
-    let mut expected: Vec<String> = fault
+fn diagnostic(source: &str, error: &ParseError, next: Option<&Token>) -> Diagnostic {
+    let mut expected: Vec<String> = error
         .expected()
         .flatten()
         .map(ToString::to_string)
         .collect();
-    if let Some(label) = fault.label() {
+    if let Some(label) = error.label() {
         expected = vec![label.to_string()];
     }
     expected.sort();
     expected.dedup();
     expected.truncate(6);
-    // The end of a part is where the next one begins.
-    let found = fault
+    // At the end of an item, the first token of the next one is what was found.
+    let found = error
         .found()
         .or(next)
-        .map_or("the end of the text".to_string(), ToString::to_string);
-    let text = if expected.is_empty() {
-        format!("found {found}, which cannot stand here")
+        .map_or("the end of the source".to_string(), ToString::to_string);
+    let message = if expected.is_empty() {
+        format!("found {found}, which is not allowed here")
     } else {
         format!("found {found}, expected {}", expected.join(", "))
     };
-    Diagnostic::new(source, fault.span(), text)
+    Diagnostic::new(source, error.span(), message)
 }
 
 type Tokens = Vec<(Token, Span)>;
 
-/// Parts of a plug-in, each by its first word: so that a fault in one does not hide those of the next. Words that begin
-/// parts occur nowhere else, but for `let` within blocks and `state` as a field.
-fn parts(tokens: Tokens) -> Vec<Tokens> {
-    let (mut parts, mut depth, mut dot): (Vec<Tokens>, usize, bool) = (Vec::new(), 0, false);
+/// Splits the tokens before each keyword that starts a top-level item, so that an error in one item does not hide errors in
+/// the next. These keywords occur nowhere else, except `let` in blocks and `state` as a field name.
+fn split_items(tokens: Tokens) -> Vec<Tokens> {
+    let (mut items, mut depth, mut after_dot): (Vec<Tokens>, usize, bool) = (Vec::new(), 0, false);
     for (token, span) in tokens {
-        let begins = match token {
+        let starts_item = match token {
             Token::Hook | Token::Fn | Token::Steers | Token::Case => true,
             Token::State => {
-                !dot && !matches!(
-                    parts.last().and_then(|part| part.first()),
-                    Some((Token::Case, _))
-                )
+                !after_dot
+                    && !matches!(
+                        items.last().and_then(|item| item.first()),
+                        Some((Token::Case, _))
+                    )
             }
             Token::Let => depth == 0,
             _ => false,
         };
         depth = match token {
-            _ if begins => 0,
+            _ if starts_item => 0,
             Token::Open | Token::OpenBlock | Token::OpenSet => depth + 1,
             Token::Close | Token::CloseBlock | Token::CloseSet => depth.saturating_sub(1),
             _ => depth,
         };
-        dot = token == Token::Dot;
-        match parts.last_mut().filter(|_| !begins) {
-            Some(part) => part.push((token, span)),
-            None => parts.push(vec![(token, span)]),
+        after_dot = token == Token::Dot;
+        match items.last_mut().filter(|_| !starts_item) {
+            Some(item) => item.push((token, span)),
+            None => items.push(vec![(token, span)]),
         }
     }
-    parts
+    items
 }
 
-fn read(source: &str) -> Result<Plugin, Vec<Diagnostic>> {
-    let (tokens, mut faults) = lex::tokens(source);
-    if tokens.is_empty() && !faults.is_empty() {
-        return Err(faults);
+fn parse_source(source: &str) -> Result<Plugin, Vec<Diagnostic>> {
+    let (tokens, mut diagnostics) = lex::tokenize(source);
+    if tokens.is_empty() && !diagnostics.is_empty() {
+        return Err(diagnostics);
     }
-    let whole = source.len()..source.len();
-    let mut parts = parts(tokens).into_iter().peekable();
-    let each = |part: Tokens, next: Option<&Tokens>| {
-        let next = next.and_then(|part| part.first()).cloned();
+    let source_end = source.len()..source.len();
+    let mut item_tokens = split_items(tokens).into_iter().peekable();
+    let stream_of = |tokens: Tokens, next: Option<&Tokens>| {
+        let next = next.and_then(|tokens| tokens.first()).cloned();
         let end = next
             .as_ref()
-            .map_or(whole.clone(), |(_, span)| span.clone());
+            .map_or(source_end.clone(), |(_, span)| span.clone());
         (
-            Stream::from_iter(end, part.into_iter()),
+            Stream::from_iter(end, tokens.into_iter()),
             next.map(|(token, _)| token),
         )
     };
-    let first =
-        parts.next_if(|part| matches!(part.first(), Some((Token::Plugin, _))) || part.len() < 6);
-    let (stream, next) = each(first.unwrap_or_default(), parts.peek());
-    let head = head().parse(stream).map_err(|found| {
-        faults.extend(found.iter().map(|fault| told(source, fault, next.as_ref())));
+    let first = item_tokens
+        .next_if(|tokens| matches!(tokens.first(), Some((Token::Plugin, _))) || tokens.len() < 6);
+    let (stream, next) = stream_of(first.unwrap_or_default(), item_tokens.peek());
+    let header = header().parse(stream).map_err(|errors| {
+        diagnostics.extend(
+            errors
+                .iter()
+                .map(|error| diagnostic(source, error, next.as_ref())),
+        );
     });
     let (item, mut items) = (item(), Vec::new());
-    while let Some(part) = parts.next() {
-        let (stream, next) = each(part, parts.peek());
+    while let Some(tokens) = item_tokens.next() {
+        let (stream, next) = stream_of(tokens, item_tokens.peek());
         match item.parse(stream) {
             Ok(item) => items.push(item),
-            Err(found) => {
-                faults.extend(found.iter().map(|fault| told(source, fault, next.as_ref())))
-            }
+            Err(errors) => diagnostics.extend(
+                errors
+                    .iter()
+                    .map(|error| diagnostic(source, error, next.as_ref())),
+            ),
         }
     }
-    faults.sort_by_key(|fault| fault.span.start);
-    faults.dedup_by_key(|fault| fault.span.start);
-    faults.truncate(FAULTS_MOST);
-    match head {
-        Ok((name, version, host)) if faults.is_empty() => Ok(Plugin {
+    diagnostics.sort_by_key(|diagnostic| diagnostic.span.start);
+    diagnostics.dedup_by_key(|diagnostic| diagnostic.span.start);
+    diagnostics.truncate(MAX_DIAGNOSTICS);
+    match header {
+        Ok((name, version, host)) if diagnostics.is_empty() => Ok(Plugin {
             name,
             version,
             host,
             items,
         }),
-        _ if faults.is_empty() => Err(vec![Diagnostic::new(source, 0..0, "this is no plug-in")]),
-        _ => Err(faults),
+        _ if diagnostics.is_empty() => {
+            Err(vec![Diagnostic::new(source, 0..0, "this is not a plug-in")])
+        }
+        _ => Err(diagnostics),
     }
 }
 
-/// Reads a text. Whatever it holds, reading ends, and tells what is wrong.
+/// Parses a source, on a thread of its own with a large stack. Any source yields a tree or diagnostics, without a panic.
 pub fn parse(source: &str) -> Result<Plugin, Vec<Diagnostic>> {
-    let refused = |text: &str| vec![Diagnostic::new(source, 0..0, text)];
+    let failure = |message: &str| vec![Diagnostic::new(source, 0..0, message)];
     std::thread::scope(|scope| {
-        let reader = std::thread::Builder::new()
-            .stack_size(STACK)
-            .spawn_scoped(scope, || read(source));
-        let Ok(reader) = reader else {
-            return Err(refused("no thread to read it"));
+        let parser = std::thread::Builder::new()
+            .stack_size(STACK_BYTES)
+            .spawn_scoped(scope, || parse_source(source));
+        let Ok(parser) = parser else {
+            return Err(failure("the parser thread could not be started"));
         };
-        reader
+        parser
             .join()
-            .unwrap_or_else(|_| Err(refused("this text cannot be read")))
+            .unwrap_or_else(|_| Err(failure("the parser failed on this source")))
     })
 }
--- a/crates/plugins/src/verify.rs
+++ b/crates/plugins/src/verify.rs
@@ -1,25 +1,25 @@
-//! The verifier: whatever made a program, it is run only if every operation names what there is and every way through a
-//! function keeps the stack in order. It trusts nothing of the compiler's.
+//! The bytecode verifier: a program runs only if the operands of every operation exist and every path through a function
+//! keeps the stack consistent. It does not rely on the compiler.
 
 use crate::code::*;
 
-/// Values that one function may have on the stack at once.
-pub const STACK_MOST: usize = 64;
+/// Maximum height of the stack within one function, in values.
+pub const MAX_STACK: usize = 64;
 
-/// Why a program is not run.
+/// Why a program is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("function {function} is not sound at operation {at}: {what}")]
-pub struct Unsound {
-    /// The function.
+#[error("invalid bytecode in function {function}, operation {operation}: {reason}")]
+pub struct VerifyError {
+    /// The position of the function in the program.
     pub function: usize,
-    /// The operation.
-    pub at: usize,
-    /// What is wrong.
-    pub what: &'static str,
+    /// The position of the operation in the function; 0 if the whole function is at fault.
+    pub operation: usize,
+    /// The rule that is broken.
+    pub reason: &'static str,
 }
 
-/// What an operation takes from the stack and puts there.
-fn effect(op: Op, program: &Program) -> (usize, usize) {
+/// How many values an operation pops from the stack, and how many it then pushes.
+fn stack_effect(op: Op, program: &Program) -> (usize, usize) {
     match op {
         Op::Const(_) | Op::Load(_) | Op::LoadState(_) => (0, 1),
         Op::Store(_)
@@ -37,127 +37,147 @@
         Op::Add | Op::Sub | Op::Mul | Op::Div | Op::Rem | Op::Join => (2, 1),
         Op::Eq | Op::Ne | Op::Lt | Op::Le | Op::Gt | Op::Ge | Op::In => (2, 1),
         Op::Jump(_) | Op::Next(..) => (0, 0),
-        Op::Call(at) => (
+        Op::Call(callee) => (
             program
                 .functions
-                .get(usize::from(at))
-                .map_or(0, |f| usize::from(f.params)),
+                .get(usize::from(callee))
+                .map_or(0, |function| usize::from(function.params)),
             1,
         ),
-        Op::Do(builtin) => (builtin.takes(), 1),
+        Op::Do(builtin) => (builtin.argument_count(), 1),
     }
 }
 
-/// Whether what an operation names is there.
-fn named(op: Op, own: usize, program: &Program) -> Result<(), &'static str> {
-    let Some(function) = program.functions.get(own) else {
-        return Err("no function");
+/// Checks that the operands of an operation exist.
+fn check_operands(op: Op, function_index: usize, program: &Program) -> Result<(), &'static str> {
+    let Some(function) = program.functions.get(function_index) else {
+        return Err("no such function");
     };
-    let code = function.code.len();
-    let check = |holds: bool, what| if holds { Ok(()) } else { Err(what) };
+    let code_length = function.code.len();
+    let check = |is_valid: bool, reason| if is_valid { Ok(()) } else { Err(reason) };
     match op {
-        Op::Const(at) => check(
-            usize::from(at) < program.constants.len(),
+        Op::Const(index) => check(
+            usize::from(index) < program.constants.len(),
             "no such constant",
         ),
-        Op::Load(at) | Op::Store(at) => check(at < function.locals, "no such local"),
-        Op::LoadState(at) | Op::StoreState(at) => {
-            let state = program.states.get(usize::from(at));
+        Op::Load(local) | Op::Store(local) => check(local < function.locals, "no such local"),
+        Op::LoadState(index) | Op::StoreState(index) => {
+            let state = program.states.get(usize::from(index));
             check(
-                state.is_some_and(|(_, shape)| *shape != crate::ast::Shape::Map),
+                state.is_some_and(|(_, kind)| *kind != crate::ast::StateKind::Map),
                 "no such state",
             )
         }
-        Op::MapGet(at) | Op::MapPut(at) => {
-            let state = program.states.get(usize::from(at));
+        Op::MapGet(index) | Op::MapPut(index) => {
+            let state = program.states.get(usize::from(index));
             check(
-                state.is_some_and(|(_, shape)| *shape == crate::ast::Shape::Map),
+                state.is_some_and(|(_, kind)| *kind == crate::ast::StateKind::Map),
                 "no such map",
             )
         }
-        Op::Jump(to) | Op::JumpIfNot(to) => {
-            check(usize::from(to) < code, "a jump out of the function")
-        }
-        Op::Next(slot, local, to) => check(
-            slot < function.loops && local < function.locals && usize::from(to) < code,
-            "a loop out of the function",
+        Op::Jump(target) | Op::JumpIfNot(target) => check(
+            usize::from(target) < code_length,
+            "the jump target is outside the function",
+        ),
+        Op::Next(slot, local, target) => check(
+            slot < function.loops && local < function.locals && usize::from(target) < code_length,
+            "no such loop slot or local, or the loop's end is outside the function",
         ),
-        Op::Each(slot) => check(slot < function.loops, "no such loop"),
-        Op::Call(at) => check(
-            usize::from(at) < own,
-            "a call of itself or of a later function",
+        Op::Each(slot) => check(slot < function.loops, "no such loop slot"),
+        Op::Call(callee) => check(
+            usize::from(callee) < function_index,
+            "a call of the function itself or of a later one",
         ),
         _ => Ok(()),
     }
 }
 
-/// Checks a whole program.
-pub fn verify(program: &Program) -> Result<(), Unsound> {
-    let unsound = |function, at, what| Unsound { function, at, what };
-    if program.functions.len() > NAMES_MOST || program.constants.len() > CONSTANTS_MOST {
-        return Err(unsound(0, 0, "too many functions or constants"));
+/// Checks a program; [`VerifyError`] names the first operation that is invalid.
+pub fn verify(program: &Program) -> Result<(), VerifyError> {
+    let error = |function, operation, reason| VerifyError {
+        function,
+        operation,
+        reason,
+    };
+    if program.functions.len() > MAX_SLOTS || program.constants.len() > MAX_CONSTANTS {
+        return Err(error(0, 0, "too many functions or constants"));
     }
-    for (own, function) in program.functions.iter().enumerate() {
+    for (function_index, function) in program.functions.iter().enumerate() {
         let code = &function.code;
-        if code.is_empty() || code.len() > CODE_MOST || code.len() != function.lines.len() {
-            return Err(unsound(
-                own,
+        if code.is_empty() || code.len() > MAX_FUNCTION_OPS || code.len() != function.lines.len() {
+            return Err(error(
+                function_index,
                 0,
-                "no code, too much of it, or lines that do not fit",
+                "no code, too much code, or another number of lines than operations",
             ));
         }
-        if function.params > function.locals || usize::from(function.locals) > NAMES_MOST {
-            return Err(unsound(own, 0, "locals that do not hold the parameters"));
+        if function.params > function.locals || usize::from(function.locals) > MAX_SLOTS {
+            return Err(error(
+                function_index,
+                0,
+                "too many locals, or fewer locals than parameters",
+            ));
         }
-        // The height of the stack before each operation that can be reached.
+        // The height of the stack before each reachable operation.
         let mut heights: Vec<Option<usize>> = vec![None; code.len()];
-        let mut open = vec![(0usize, 0usize)];
-        while let Some((at, height)) = open.pop() {
-            let (Some(op), Some(known)) = (code.get(at).copied(), heights.get_mut(at)) else {
-                return Err(unsound(own, at, "the code ends without a return"));
+        let mut pending = vec![(0usize, 0usize)];
+        while let Some((position, height)) = pending.pop() {
+            let (Some(op), Some(known)) = (code.get(position).copied(), heights.get_mut(position))
+            else {
+                return Err(error(
+                    function_index,
+                    position,
+                    "the code ends without a return",
+                ));
             };
             match known {
                 Some(known) if *known == height => continue,
                 Some(_) => {
-                    return Err(unsound(
-                        own,
-                        at,
-                        "two ways with stacks of different heights",
+                    return Err(error(
+                        function_index,
+                        position,
+                        "paths with different stack heights meet",
                     ))
                 }
                 None => *known = Some(height),
             }
-            named(op, own, program).map_err(|what| unsound(own, at, what))?;
-            let (takes, puts) = effect(op, program);
-            let Some(left) = height.checked_sub(takes) else {
-                return Err(unsound(own, at, "the stack is empty"));
+            check_operands(op, function_index, program)
+                .map_err(|reason| error(function_index, position, reason))?;
+            let (popped, pushed) = stack_effect(op, program);
+            let Some(remaining) = height.checked_sub(popped) else {
+                return Err(error(function_index, position, "stack underflow"));
             };
-            let after = left + puts;
-            if after > STACK_MOST {
-                return Err(unsound(own, at, "the stack is too high"));
+            let height_after = remaining + pushed;
+            if height_after > MAX_STACK {
+                return Err(error(function_index, position, "stack overflow"));
             }
             match op {
-                Op::Return if left != 0 => {
-                    return Err(unsound(own, at, "a return leaves values behind"))
+                Op::Return if remaining != 0 => {
+                    return Err(error(
+                        function_index,
+                        position,
+                        "a return with further values on the stack",
+                    ))
                 }
                 Op::Return => {}
-                Op::Jump(to) => open.push((to.into(), after)),
-                Op::JumpIfNot(to) | Op::Next(_, _, to) => {
-                    open.extend([(usize::from(to), after), (at + 1, after)])
-                }
-                _ => open.push((at + 1, after)),
+                Op::Jump(target) => pending.push((target.into(), height_after)),
+                Op::JumpIfNot(target) | Op::Next(_, _, target) => pending.extend([
+                    (usize::from(target), height_after),
+                    (position + 1, height_after),
+                ]),
+                _ => pending.push((position + 1, height_after)),
             }
         }
     }
     let hooks = program.hooks;
-    let all = [
+    let signatures = [
         (hooks.factor, 3),
         (hooks.cap, 1),
         (hooks.retry, 1),
         (hooks.exclude, 1),
         (hooks.turn, 0),
     ];
-    for (hook, params) in all
+    for (hook, params) in signatures
         .into_iter()
         .filter_map(|(hook, params)| Some((usize::from(hook?), params)))
     {
@@ -166,7 +186,11 @@
             .get(hook)
             .is_none_or(|function| function.params != params)
         {
-            return Err(unsound(hook, 0, "a hook that is no function of its form"));
+            return Err(error(
+                hook,
+                0,
+                "the function of a hook does not exist or has another number of parameters",
+            ));
         }
     }
     Ok(())
--- a/crates/plugins/src/walk.rs
+++ b/crates/plugins/src/walk.rs
@@ -1,5 +1,5 @@
-//! A plain evaluator that walks the tree: slow, simple, and written apart from compiler and machine, against which both
-//! are tested and measured. It serves no hook in the program.
+//! A tree-walking interpreter: simple, slow and independent of the compiler and the virtual machine, which tests and benches
+//! compare with it. Supervisors do not use it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,75 +9,78 @@
 use crate::code::{Builtin, Op, Value, FIELDS};
 use crate::machine::{arithmetic, finite, Context, Trap};
 
-/// Steps of one call.
-const STEPS_MOST: u64 = 1_000_000;
+/// Maximum number of statements, expressions and loop iterations of one call.
+const MAX_STEPS: u64 = 1_000_000;
 
+/// What follows a statement.
 enum Flow {
-    On,
-    Gives(Value),
+    Continue,
+    Return(Value),
 }
 
-/// Walks calls of one plug-in.
+/// Interprets calls of one plug-in.
 pub struct Walker<'a> {
     plugin: &'a Plugin,
-    steps: u64,
+    steps_left: u64,
 }
 
 type Scope = HashMap<String, Value>;
 
 impl<'a> Walker<'a> {
-    /// A walker over a tree that the compiler has taken.
+    /// An interpreter of a tree that compiles without errors.
     pub fn new(plugin: &'a Plugin) -> Self {
         Walker {
             plugin,
-            steps: STEPS_MOST,
+            steps_left: MAX_STEPS,
         }
     }
 
-    fn find(&self, name: &str, hook: bool) -> Option<&'a Function> {
+    fn find_function(&self, name: &str, is_hook: bool) -> Option<&'a Function> {
         self.plugin.items.iter().find_map(|item| match item {
-            Item::Fn(function) if !hook && function.name.of == name => Some(function),
-            Item::Hook(function) if hook && function.name.of == name => Some(function),
+            Item::Fn(function) if !is_hook && function.name.node == name => Some(function),
+            Item::Hook(function) if is_hook && function.name.node == name => Some(function),
             _ => None,
         })
     }
 
-    fn state(&self, name: &str) -> Option<usize> {
+    fn state_index(&self, name: &str) -> Option<usize> {
         let states = self.plugin.items.iter().filter_map(|item| match item {
-            Item::State(name, _) => Some(name.of.as_str()),
+            Item::State(name, _) => Some(name.node.as_str()),
             _ => None,
         });
         states.into_iter().position(|known| known == name)
     }
 
-    /// Calls a hook.
-    pub fn hook(
+    /// Calls a hook by its name.
+    pub fn call_hook(
         &mut self,
         name: &str,
-        values: &[Value],
+        arguments: &[Value],
         context: &mut Context,
     ) -> Result<Value, Trap> {
-        self.steps = STEPS_MOST;
-        context.arena = 0;
-        let function = self.find(name, true).ok_or(Trap::Unsound)?;
-        self.function(function, values, context)
+        self.steps_left = MAX_STEPS;
+        context.text_bytes = 0;
+        let function = self
+            .find_function(name, true)
+            .ok_or(Trap::InvalidBytecode)?;
+        self.function(function, arguments, context)
     }
 
     fn function(
         &mut self,
         function: &'a Function,
-        values: &[Value],
+        arguments: &[Value],
         context: &mut Context,
     ) -> Result<Value, Trap> {
-        let names = function.params.iter().map(|(name, _)| name.of.clone());
-        let mut scope: Scope = names.zip(values.iter().cloned()).collect();
+        let names = function.params.iter().map(|(name, _)| name.node.clone());
+        let mut scope: Scope = names.zip(arguments.iter().cloned()).collect();
         match self.block(&function.body, &mut scope, context)? {
-            Flow::Gives(value) => Ok(value),
-            Flow::On => Ok(Value::Nothing),
+            Flow::Return(value) => Ok(value),
+            Flow::Continue => Ok(Value::Nothing),
         }
     }
 
-    /// A block of its own: what it names is forgotten, what it changes outside is kept.
+    /// Runs a block in a scope of its own: its variables end with it, and changes to outer variables remain.
     fn block(
         &mut self,
         block: &'a [Stmt],
@@ -85,25 +88,25 @@
         context: &mut Context,
     ) -> Result<Flow, Trap> {
         let mut scope = outer.clone();
-        let mut own: Vec<&str> = Vec::new();
+        let mut declared: Vec<&str> = Vec::new();
         for statement in block {
             if let Stmt::Let(name, _) = statement {
-                own.push(&name.of);
+                declared.push(&name.node);
             }
             let flow = self.statement(statement, &mut scope, context)?;
             for (name, value) in outer
                 .iter_mut()
-                .filter(|(name, _)| !own.contains(&name.as_str()))
+                .filter(|(name, _)| !declared.contains(&name.as_str()))
             {
-                if let Some(changed) = scope.get(name) {
-                    value.clone_from(changed);
+                if let Some(new_value) = scope.get(name) {
+                    value.clone_from(new_value);
                 }
             }
-            if matches!(flow, Flow::Gives(_)) {
+            if matches!(flow, Flow::Return(_)) {
                 return Ok(flow);
             }
         }
-        Ok(Flow::On)
+        Ok(Flow::Continue)
     }
 
     fn statement(
@@ -112,93 +115,94 @@
         scope: &mut Scope,
         context: &mut Context,
     ) -> Result<Flow, Trap> {
-        self.steps = self.steps.checked_sub(1).ok_or(Trap::Fuel)?;
+        self.steps_left = self.steps_left.checked_sub(1).ok_or(Trap::Fuel)?;
         match statement {
             Stmt::Let(name, value) => {
-                let value = self.value(value, scope, context)?;
-                scope.insert(name.of.clone(), value);
+                let value = self.expression(value, scope, context)?;
+                scope.insert(name.node.clone(), value);
             }
             Stmt::Assign(name, value) => {
-                let value = self.value(value, scope, context)?;
-                match scope.get_mut(&name.of) {
-                    Some(known) => *known = value,
+                let value = self.expression(value, scope, context)?;
+                match scope.get_mut(&name.node) {
+                    Some(local) => *local = value,
                     None => {
-                        let at = self.state(&name.of).ok_or(Trap::Unsound)?;
+                        let state = self.state_index(&name.node).ok_or(Trap::InvalidBytecode)?;
                         context
                             .memory
                             .0
-                            .get_mut(at)
-                            .ok_or(Trap::Unsound)?
+                            .get_mut(state)
+                            .ok_or(Trap::InvalidBytecode)?
                             .write(value);
                     }
                 }
             }
             Stmt::Put(name, key, value) => {
-                let Value::Text(key) = self.value(key, scope, context)? else {
-                    return Err(Trap::Unsound);
+                let Value::Text(key) = self.expression(key, scope, context)? else {
+                    return Err(Trap::InvalidBytecode);
                 };
-                let Value::Number(value) = self.value(value, scope, context)? else {
-                    return Err(Trap::Unsound);
+                let Value::Number(value) = self.expression(value, scope, context)? else {
+                    return Err(Trap::InvalidBytecode);
                 };
-                let at = self.state(&name.of).ok_or(Trap::Unsound)?;
+                let state = self.state_index(&name.node).ok_or(Trap::InvalidBytecode)?;
                 context
                     .memory
                     .0
-                    .get_mut(at)
-                    .ok_or(Trap::Unsound)?
+                    .get_mut(state)
+                    .ok_or(Trap::InvalidBytecode)?
                     .put(key, value)?;
             }
-            Stmt::If(arms, rest) => {
+            Stmt::If(arms, else_block) => {
                 for (condition, block) in arms {
-                    if self.value(condition, scope, context)? == Value::Bool(true) {
+                    if self.expression(condition, scope, context)? == Value::Bool(true) {
                         return self.block(block, scope, context);
                     }
                 }
-                return self.block(rest, scope, context);
+                return self.block(else_block, scope, context);
             }
-            Stmt::For(name, over, block) => {
-                let over = self.value(over, scope, context)?;
-                let hidden = scope.get(&name.of).cloned();
-                let mut at = 0;
-                while let Some(value) = context.element(&over, at)? {
-                    self.steps = self.steps.checked_sub(1).ok_or(Trap::Fuel)?;
-                    at += 1;
-                    scope.insert(name.of.clone(), value);
-                    if let Flow::Gives(value) = self.block(block, scope, context)? {
-                        return Ok(Flow::Gives(value));
+            Stmt::For(name, iterable, block) => {
+                let iterable = self.expression(iterable, scope, context)?;
+                let shadowed = scope.get(&name.node).cloned();
+                let mut index = 0;
+                while let Some(value) = context.element(&iterable, index)? {
+                    self.steps_left = self.steps_left.checked_sub(1).ok_or(Trap::Fuel)?;
+                    index += 1;
+                    scope.insert(name.node.clone(), value);
+                    if let Flow::Return(value) = self.block(block, scope, context)? {
+                        return Ok(Flow::Return(value));
                     }
                 }
-                match hidden {
-                    Some(value) => scope.insert(name.of.clone(), value),
-                    None => scope.remove(&name.of),
+                match shadowed {
+                    Some(value) => scope.insert(name.node.clone(), value),
+                    None => scope.remove(&name.node),
                 };
             }
             Stmt::Return(_, value) => {
                 let value = value
                     .as_ref()
-                    .map(|value| self.value(value, scope, context))
+                    .map(|value| self.expression(value, scope, context))
                     .transpose()?;
-                return Ok(Flow::Gives(value.unwrap_or(Value::Nothing)));
+                return Ok(Flow::Return(value.unwrap_or(Value::Nothing)));
             }
-            Stmt::Do(value) => {
-                self.value(value, scope, context)?;
+            Stmt::Expr(value) => {
+                self.expression(value, scope, context)?;
             }
         }
-        Ok(Flow::On)
+        Ok(Flow::Continue)
     }
 
-    fn literal(value: &Expr) -> Option<Value> {
-        Some(match value {
+    fn literal(expression: &Expr) -> Option<Value> {
+        Some(match expression {
             Expr::Number(number) => Value::Number(*number),
-            Expr::Bool(of) => Value::Bool(*of),
+            Expr::Bool(value) => Value::Bool(*value),
             Expr::Text(text) => Value::Text(Arc::from(text.as_str())),
-            Expr::Unary(Unary::Neg, of) => match of.of {
+            Expr::Unary(Unary::Neg, operand) => match operand.node {
                 Expr::Number(number) => Value::Number(-number),
                 _ => return None,
             },
-            Expr::Set(all) => Value::Set(
-                all.iter()
-                    .map(|of| Walker::literal(&of.of))
+            Expr::Set(elements) => Value::Set(
+                elements
+                    .iter()
+                    .map(|element| Walker::literal(&element.node))
                     .collect::<Option<Vec<_>>>()?
                     .into(),
             ),
@@ -206,39 +210,44 @@
         })
     }
 
-    fn value(
+    fn expression(
         &mut self,
-        value: &'a At<Expr>,
+        expression: &'a Spanned<Expr>,
         scope: &mut Scope,
         context: &mut Context,
     ) -> Result<Value, Trap> {
-        self.steps = self.steps.checked_sub(1).ok_or(Trap::Fuel)?;
-        if let Some(literal) = Walker::literal(&value.of) {
+        self.steps_left = self.steps_left.checked_sub(1).ok_or(Trap::Fuel)?;
+        if let Some(literal) = Walker::literal(&expression.node) {
             return Ok(literal);
         }
-        match &value.of {
+        match &expression.node {
             Expr::Name(name) => self.name(name, scope, context),
-            Expr::Field(of, field) => self.field(of, &field.of, scope, context),
-            Expr::Index(of, key) => {
-                let Expr::Name(name) = &of.of else {
-                    return Err(Trap::Unsound);
+            Expr::Field(object, field) => self.field(object, &field.node, scope, context),
+            Expr::Index(map, key) => {
+                let Expr::Name(name) = &map.node else {
+                    return Err(Trap::InvalidBytecode);
                 };
-                let Value::Text(key) = self.value(key, scope, context)? else {
-                    return Err(Trap::Unsound);
+                let Value::Text(key) = self.expression(key, scope, context)? else {
+                    return Err(Trap::InvalidBytecode);
                 };
-                let at = self.state(name).ok_or(Trap::Unsound)?;
+                let state = self.state_index(name).ok_or(Trap::InvalidBytecode)?;
                 Ok(Value::Number(
-                    context.memory.0.get(at).ok_or(Trap::Unsound)?.get(&key),
+                    context
+                        .memory
+                        .0
+                        .get(state)
+                        .ok_or(Trap::InvalidBytecode)?
+                        .get(&key),
                 ))
             }
-            Expr::Call(name, arguments) => self.call(&name.of, arguments, scope, context),
-            Expr::Unary(op, of) => match (op, self.value(of, scope, context)?) {
+            Expr::Call(name, arguments) => self.call(&name.node, arguments, scope, context),
+            Expr::Unary(op, operand) => match (op, self.expression(operand, scope, context)?) {
                 (Unary::Neg, Value::Number(number)) => Ok(Value::Number(-number)),
-                (Unary::Not, Value::Bool(of)) => Ok(Value::Bool(!of)),
-                _ => Err(Trap::Unsound),
+                (Unary::Not, Value::Bool(value)) => Ok(Value::Bool(!value)),
+                _ => Err(Trap::InvalidBytecode),
             },
             Expr::Binary(op, left, right) => self.binary(*op, left, right, scope, context),
-            _ => Err(Trap::Unsound),
+            _ => Err(Trap::InvalidBytecode),
         }
     }
 
@@ -246,70 +255,76 @@
         if let Some(value) = scope.get(name) {
             return Ok(value.clone());
         }
-        if let Some(at) = self.state(name) {
-            return Ok(context.memory.0.get(at).ok_or(Trap::Unsound)?.read());
+        if let Some(state) = self.state_index(name) {
+            return Ok(context
+                .memory
+                .0
+                .get(state)
+                .ok_or(Trap::InvalidBytecode)?
+                .read());
         }
-        let fixed = self.plugin.items.iter().find_map(|item| match item {
-            Item::Let(its, value) if its.of == name => Walker::literal(&value.of),
+        let constant = self.plugin.items.iter().find_map(|item| match item {
+            Item::Let(constant, value) if constant.node == name => Walker::literal(&value.node),
             _ => None,
         });
-        fixed.ok_or(Trap::Unsound)
+        constant.ok_or(Trap::InvalidBytecode)
     }
 
     fn field(
         &mut self,
-        of: &'a At<Expr>,
+        object: &'a Spanned<Expr>,
         field: &str,
         scope: &mut Scope,
         context: &mut Context,
     ) -> Result<Value, Trap> {
-        let fleet = matches!(&of.of, Expr::Name(name) if name == "fleet");
-        let of = if fleet {
+        let is_fleet = matches!(&object.node, Expr::Name(name) if name == "fleet");
+        let object = if is_fleet {
             None
         } else {
-            Some(self.value(of, scope, context)?)
+            Some(self.expression(object, scope, context)?)
         };
-        let has = match &of {
+        let owner_type = match &object {
             None => Type::Nothing,
             Some(Value::Server(_)) => Type::Server,
             Some(Value::Class(_)) => Type::Class,
-            Some(_) => return Err(Trap::Unsound),
+            Some(_) => return Err(Trap::InvalidBytecode),
         };
-        let known = FIELDS
+        let found = FIELDS
             .iter()
-            .find(|(its, name, ..)| *its == has && *name == field);
-        context.field(known.ok_or(Trap::Unsound)?.2, of.as_ref())
+            .find(|(owner, name, ..)| *owner == owner_type && *name == field);
+        context.field(found.ok_or(Trap::InvalidBytecode)?.2, object.as_ref())
     }
 
     fn call(
         &mut self,
         name: &str,
-        arguments: &'a [At<Expr>],
+        arguments: &'a [Spanned<Expr>],
         scope: &mut Scope,
         context: &mut Context,
     ) -> Result<Value, Trap> {
         if let (
             "len",
-            [At {
-                of: Expr::Name(map),
+            [Spanned {
+                node: Expr::Name(map),
                 ..
             }],
         ) = (name, arguments)
         {
-            if let Some(crate::machine::Cell::Map(map)) =
-                self.state(map).and_then(|at| context.memory.0.get(at))
+            if let Some(crate::machine::StateCell::Map(map)) = self
+                .state_index(map)
+                .and_then(|state| context.memory.0.get(state))
             {
                 return finite(map.len() as f64);
             }
         }
-        let mut values = Vec::new();
+        let mut argument_values = Vec::new();
         for argument in arguments {
-            values.push(self.value(argument, scope, context)?);
+            argument_values.push(self.expression(argument, scope, context)?);
         }
-        if let Some(function) = self.find(name, false) {
-            return self.function(function, &values, context);
+        if let Some(function) = self.find_function(name, false) {
+            return self.function(function, &argument_values, context);
         }
-        let builtin = match (name, values.first()) {
+        let builtin = match (name, argument_values.first()) {
             ("min", _) => Builtin::Min,
             ("max", _) => Builtin::Max,
             ("abs", _) => Builtin::Abs,
@@ -323,35 +338,37 @@
             ("exclude", _) => Builtin::Exclude,
             ("len", Some(Value::Text(_))) => Builtin::LenText,
             ("len", _) => Builtin::LenSet,
-            _ => return Err(Trap::Unsound),
+            _ => return Err(Trap::InvalidBytecode),
         };
-        context.builtin(builtin, &values)
+        context.builtin(builtin, &argument_values)
     }
 
     fn binary(
         &mut self,
         op: Binary,
-        left: &'a At<Expr>,
-        right: &'a At<Expr>,
+        left: &'a Spanned<Expr>,
+        right: &'a Spanned<Expr>,
         scope: &mut Scope,
         context: &mut Context,
     ) -> Result<Value, Trap> {
-        let left = self.value(left, scope, context)?;
+        let left = self.expression(left, scope, context)?;
         match (op, &left) {
             (Binary::And, Value::Bool(false)) | (Binary::Or, Value::Bool(true)) => return Ok(left),
             _ => {}
         }
-        let right = self.value(right, scope, context)?;
+        let right = self.expression(right, scope, context)?;
         let op = match (op, left, right) {
             (Binary::And | Binary::Or, _, right) => return Ok(right),
             (Binary::Eq, left, right) => return Ok(Value::Bool(left == right)),
             (Binary::Ne, left, right) => return Ok(Value::Bool(left != right)),
-            (Binary::In, left, Value::Set(all)) => return Ok(Value::Bool(all.contains(&left))),
+            (Binary::In, left, Value::Set(elements)) => {
+                return Ok(Value::Bool(elements.contains(&left)))
+            }
             (Binary::Add, Value::Text(left), Value::Text(right)) => {
                 return context.text(format!("{left}{right}"))
             }
             (op, Value::Number(left), Value::Number(right)) => (op, left, right),
-            _ => return Err(Trap::Unsound),
+            _ => return Err(Trap::InvalidBytecode),
         };
         let (op, left, right) = op;
         let op = match op {
@@ -364,7 +381,7 @@
             Binary::Le => Op::Le,
             Binary::Gt => Op::Gt,
             Binary::Ge => Op::Ge,
-            _ => return Err(Trap::Unsound),
+            _ => return Err(Trap::InvalidBytecode),
         };
         arithmetic(op, left, right)
     }
--- a/crates/plugins/tests/corpus/mod.rs
+++ b/crates/plugins/tests/corpus/mod.rs
@@ -1,11 +1,11 @@
-//! Rules that mean harm and compile all the same.
+//! Hostile hooks that compile, also used by the tests of the supervisor.
 
-/// A plug-in of this name with this body.
+/// The source of a plug-in with this name and body.
 pub fn text(name: &str, body: &str) -> String {
     format!("plugin \"{name}\" version 1 host 1\n{body}")
 }
 
-/// Bodies that compile, and never give anything: they run out of what they may use, or trap.
+/// Bodies that give no advice: they exceed a limit or trap.
 pub const STOPPED: [&str; 24] = [
     "hook turn() { for n in range(0, 1000000000000) { } }",
     "hook turn() { for n in range(0, 100000) { for m in range(0, 100000) { } } }",
@@ -33,7 +33,7 @@
     "hook turn() { for z in fleet.zones { for c in fleet.classes { for n in range(0, 9999999) { } } } }",
 ];
 
-/// Bodies that compile and run, and whose advice is as bad as advice can be.
+/// Bodies that run without a fault and give the worst advice that is possible.
 pub const ADVISED: [&str; 12] = [
     "hook factor(server, class, zone) { return 0 }",
     "hook factor(server, class, zone) { return -999999999999999 }",
--- a/crates/plugins/tests/hostile.rs
+++ b/crates/plugins/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Texts that mean harm: each is refused with its faults, or runs within its bounds and harms nobody.
+//! Hostile plug-ins are rejected with diagnostics, or run within their limits without affecting others.
 
 mod corpus;
 
@@ -16,9 +16,12 @@
 fn inputs() -> Inputs {
     Inputs {
         servers: (0..40)
-            .map(|n| Server::well(&format!("s-{n}"), if n % 2 == 0 { "a" } else { "b" }))
+            .map(|n| Server::healthy(&format!("s-{n}"), if n % 2 == 0 { "a" } else { "b" }))
             .collect(),
-        classes: vec![Class::plain("lookup"), Class::plain("refund-order")],
+        classes: vec![
+            Class::idempotent("lookup"),
+            Class::idempotent("refund-order"),
+        ],
         zones: vec!["a".into(), "b".into()],
         fleet: Fleet::default(),
     }
@@ -28,15 +31,15 @@
     corpus::text("h", body)
 }
 
-fn turn(text: &str) -> Evaluation {
+fn evaluate_once(text: &str) -> Evaluation {
     let mut host = Host::default();
     host.load(&[("h".to_string(), text.to_string())])
-        .unwrap_or_else(|refused| panic!("{refused:?}"));
+        .unwrap_or_else(|rejected| panic!("{rejected:?}"));
     host.evaluate(&inputs())
 }
 
-/// Texts that are refused.
-fn refused() -> Vec<String> {
+/// Sources that do not compile.
+fn invalid_sources() -> Vec<String> {
     let deep = |open: &str, close: &str| {
         text(&format!(
             "hook cap(class) {{ return {}1{} }}",
@@ -112,54 +115,55 @@
     ]
 }
 
-/// What a person may wait for a text to be refused, far above what is measured.
-const SOON: Duration = Duration::from_secs(20);
+/// Limit on the time that compiling or evaluating hostile plug-ins takes. It is far above the usual time, so that other load
+/// on the machine does not fail a test.
+const TIME_LIMIT: Duration = Duration::from_secs(20);
 
 #[test]
 fn the_corpus_is_large_enough() {
-    assert!(STOPPED.len() + ADVISED.len() + refused().len() >= 60);
+    assert!(STOPPED.len() + ADVISED.len() + invalid_sources().len() >= 60);
 }
 
 #[test]
-fn what_can_not_be_meant_is_refused_with_its_place() {
-    for text in refused() {
-        let begun = Instant::now();
-        let faults = compile(&text).expect_err(&text.chars().take(200).collect::<String>());
-        assert!(!faults.is_empty() && faults.len() <= 4000);
-        assert!(faults
+fn invalid_sources_are_rejected_with_positions() {
+    for text in invalid_sources() {
+        let start = Instant::now();
+        let diagnostics = compile(&text).expect_err(&text.chars().take(200).collect::<String>());
+        assert!(!diagnostics.is_empty() && diagnostics.len() <= 4000);
+        assert!(diagnostics
             .iter()
-            .all(|fault| fault.line >= 1 && !fault.to_string().contains('\n')));
+            .all(|diagnostic| diagnostic.line >= 1 && !diagnostic.to_string().contains('\n')));
         assert!(
-            begun.elapsed() < SOON,
+            start.elapsed() < TIME_LIMIT,
             "{:?}",
             text.chars().take(100).collect::<String>()
         );
-        let rendered = faults[0].render("h", &text);
+        let rendered = diagnostics[0].render("h", &text);
         assert!(!rendered.is_empty());
     }
 }
 
 #[test]
-fn what_takes_too_much_is_stopped_and_gives_nothing() {
+fn plugins_that_exceed_a_limit_fault_without_advice() {
     for body in STOPPED {
-        let begun = Instant::now();
-        let turn = turn(&text(body));
-        assert_eq!(turn.advice, Default::default(), "{body}");
-        let stopped = turn
+        let start = Instant::now();
+        let evaluation = evaluate_once(&text(body));
+        assert_eq!(evaluation.advice, Default::default(), "{body}");
+        let faulted = evaluation
             .events
             .iter()
-            .any(|(_, word)| matches!(word, PluginEvent::Faulted(_)));
-        assert!(stopped, "{body}: {:?}", turn.events);
-        assert!(begun.elapsed() < SOON, "{body}");
+            .any(|(_, event)| matches!(event, PluginEvent::Faulted(_)));
+        assert!(faulted, "{body}: {:?}", evaluation.events);
+        assert!(start.elapsed() < TIME_LIMIT, "{body}");
     }
 }
 
 #[test]
-fn advice_stays_within_what_advice_may_be() {
+fn extreme_advice_is_limited() {
     for body in ADVISED {
         let mut host = Host::default();
         host.load(&[("h".to_string(), text(body))])
-            .expect("it compiles");
+            .expect("a valid source");
         for _ in 0..5 {
             let advice = host.evaluate(&inputs()).advice;
             assert!(
@@ -182,9 +186,9 @@
     }
 }
 
-/// Danger: one that never ends takes the turns of those after it.
+/// Guards against endless loops of one plug-in that use up the fuel of those evaluated after it.
 #[test]
-fn a_hostile_plug_in_does_not_keep_others_from_being_heard() {
+fn hostile_plugins_do_not_suppress_advice_of_others() {
     let good = "plugin \"good\" version 1 host 1\nhook cap(class) { return 0.5 }";
     let mut texts: Vec<(String, String)> = STOPPED
         .iter()
@@ -198,44 +202,45 @@
         .collect();
     texts.push(("good".to_string(), good.to_string()));
     let mut host = Host::default();
-    host.load(&texts).expect("they compile");
-    let begun = Instant::now();
+    host.load(&texts).expect("valid sources");
+    let start = Instant::now();
     for _ in 0..10 {
-        let turn = host.evaluate(&inputs());
-        assert_eq!((turn.advice.caps.len(), turn.advice.factors.len()), (2, 0));
+        let advice = host.evaluate(&inputs()).advice;
+        assert_eq!((advice.caps.len(), advice.factors.len()), (2, 0));
     }
-    assert!(begun.elapsed() < SOON, "{:?}", begun.elapsed());
+    assert!(start.elapsed() < TIME_LIMIT, "{:?}", start.elapsed());
 }
 
 #[test]
-fn one_that_behaves_and_then_does_not_is_left_alone() {
+fn a_plugin_that_faults_later_is_suspended() {
     let text = text("state n = 0\nhook turn() { n = n + 1 if n > 60 { for i in range(0, 1000000000) { } } }\nhook cap(class) { return 0.5 }");
     let mut host = Host::default();
-    host.load(&[("h".to_string(), text)]).expect("it compiles");
-    let heard = (0..400)
+    host.load(&[("h".to_string(), text)])
+        .expect("a valid source");
+    let with_advice = (0..400)
         .filter(|_| !host.evaluate(&inputs()).advice.caps.is_empty())
         .count();
-    assert_eq!(heard, 60);
+    assert_eq!(with_advice, 60);
 }
 
-/// Programs that the compiler made, once for all tests.
-fn sound() -> &'static [Program] {
-    static SOUND: std::sync::OnceLock<Vec<Program>> = std::sync::OnceLock::new();
-    SOUND.get_or_init(compiled)
+/// Valid programs, compiled once for all tests.
+fn valid_programs() -> &'static [Program] {
+    static PROGRAMS: std::sync::OnceLock<Vec<Program>> = std::sync::OnceLock::new();
+    PROGRAMS.get_or_init(compile_all)
 }
 
-fn compiled() -> Vec<Program> {
-    let mut all: Vec<Program> = ADVISED
+fn compile_all() -> Vec<Program> {
+    let mut programs: Vec<Program> = ADVISED
         .iter()
         .chain(&STOPPED)
         .map(|body| compile(&text(body)).expect("a program"))
         .collect();
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../plugins");
     for entry in std::fs::read_dir(folder).expect("the folder") {
-        let text = std::fs::read_to_string(entry.expect("a file").path()).expect("its text");
-        all.push(compile(&text).expect("a program"));
+        let text = std::fs::read_to_string(entry.expect("a file").path()).expect("its source");
+        programs.push(compile(&text).expect("a program"));
     }
-    all
+    programs
 }
 
 fn run(program: &Program) {
@@ -255,11 +260,11 @@
         (hooks.retry, vec![class]),
         (hooks.exclude, vec![server]),
     ];
-    for (hook, values) in calls {
+    for (hook, arguments) in calls {
         if let Some(hook) = hook {
-            // Whatever comes of it: it ends.
-            let ended = machine.call(program, hook, &values, &mut context, 5_000);
-            assert!(ended.is_ok() || ended.is_err());
+            // Any result is fine; the call has to terminate without a panic.
+            let result = machine.call(program, hook, &arguments, &mut context, 5_000);
+            assert!(result.is_ok() || result.is_err());
         }
     }
 }
@@ -293,46 +298,46 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any text: a program or faults, and no end of the program.
+    /// Guards against panics and endless loops: any source gives a program that terminates, or diagnostics.
     #[test]
-    fn any_text_is_read(text in "(plugin|hook|fn|state|let|if|else|for|in|return|case|expect|not|and|[a-z(){}\\[\\]=+*/.,:\"0-9 \n#-]){0,60}", whole in any::<bool>()) {
-        let text = if whole { format!("plugin \"h\" version 1 host 1\n{text}") } else { text };
+    fn any_source_compiles_or_gives_diagnostics(text in "(plugin|hook|fn|state|let|if|else|for|in|return|case|expect|not|and|[a-z(){}\\[\\]=+*/.,:\"0-9 \n#-]){0,60}", has_header in any::<bool>()) {
+        let text = if has_header { format!("plugin \"h\" version 1 host 1\n{text}") } else { text };
         match compile(&text) {
             Ok(program) => run(&program),
-            Err(faults) => prop_assert!(!faults.is_empty()),
+            Err(diagnostics) => prop_assert!(!diagnostics.is_empty()),
         }
     }
 
-    /// A good text with some of it changed.
+    /// Guards against panics on a valid source with a part replaced.
     #[test]
-    fn mangled_texts_are_read(cut in any::<prop::sample::Index>(), drop in 0..30usize, put in "[(){}\\[\\]=+a-z0-9\" \n]{0,8}") {
+    fn damaged_sources_compile_or_are_rejected(cut in any::<prop::sample::Index>(), removed in 0..30usize, inserted in "[(){}\\[\\]=+a-z0-9\" \n]{0,8}") {
         let text = include_str!("../../../plugins/canary.chute");
         let from = cut.index(text.len());
-        let to = (from + drop).min(text.len());
+        let to = (from + removed).min(text.len());
         let (head, tail) = (text.get(..from).unwrap_or(""), text.get(to..).unwrap_or(""));
-        if let Ok(program) = compile(&format!("{head}{put}{tail}")) {
+        if let Ok(program) = compile(&format!("{head}{inserted}{tail}")) {
             run(&program);
         }
     }
 
-    /// Bytecode that was damaged after it was made: refused, or run to an end within its bounds.
+    /// Damaged bytecode is rejected by the verifier, or terminates within its limits.
     #[test]
-    fn damaged_bytecode_is_refused_or_harmless(
-        which in any::<prop::sample::Index>(),
-        hits in proptest::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>(), op()), 1..6),
+    fn damaged_bytecode_is_rejected_or_terminates(
+        program_index in any::<prop::sample::Index>(),
+        replacements in proptest::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>(), op()), 1..6),
     ) {
-        let all = sound();
-        let mut program = all[which.index(all.len())].clone();
-        for (function, place, op) in hits {
-            let at = function.index(program.functions.len());
-            let code = &mut program.functions[at].code;
-            let place = place.index(code.len());
-            code[place] = op;
+        let programs = valid_programs();
+        let mut program = programs[program_index.index(programs.len())].clone();
+        for (function, operation, op) in replacements {
+            let function = function.index(program.functions.len());
+            let code = &mut program.functions[function].code;
+            let operation = operation.index(code.len());
+            code[operation] = op;
         }
         if verify(&program).is_ok() {
             run(&program);
         }
-        // And the machine alone, without the verifier before it, ends all the same.
+        // The virtual machine terminates even on bytecode that the verifier rejects.
         run(&program);
     }
 }
