--- a/crates/plugin-advisor/src/advisor.rs
+++ b/crates/plugin-advisor/src/advisor.rs
@@ -26,9 +26,9 @@
     /// The plug-ins that do not compile or cannot be loaded together with the others, with their diagnostics.
     pub fn load(
         &mut self,
-        texts: &[(String, String)],
+        sources: &[(String, String)],
     ) -> Result<Vec<PluginIdentity>, Vec<RejectedPlugin>> {
-        self.host.load(texts)
+        self.host.load(sources)
     }
 
     /// Evaluates all plug-ins if an interval has passed, reports their advice to the engine, and returns the events to record,
--- a/crates/plugins/src/compile.rs
+++ b/crates/plugins/src/compile.rs
@@ -36,7 +36,7 @@
     steered_classes: Vec<String>,
     uses_zone: bool,
     /// Where the factor hook first reads the class, if it does.
-    first_class_use: Option<Span>,
+    class_read_at: Option<Span>,
     /// The operations of the current function.
     code: Vec<Op>,
     lines: Vec<u32>,
@@ -60,7 +60,7 @@
         hooks: Hooks::default(),
         steered_classes: Vec::new(),
         uses_zone: false,
-        first_class_use: None,
+        class_read_at: None,
         code: Vec::new(),
         lines: Vec::new(),
         locals: 0,
@@ -169,7 +169,7 @@
             }
         }
         if let Some(span) = self
-            .first_class_use
+            .class_read_at
             .clone()
             .filter(|_| self.steered_classes.is_empty())
         {
@@ -323,7 +323,7 @@
                 "factor" => "the signature of this hook is factor(server, class, zone)",
                 "turn" => "the signature of this hook is turn()",
                 "exclude" => "the signature of this hook is exclude(server)",
-                _ => "the parameters of this hook are (class)",
+                _ => "this hook has the parameter list (class)",
             };
             return self.error(&hook.name.span, message);
         }
@@ -359,7 +359,7 @@
                 self.error(
                     &span,
                     format!(
-                        "a case has no input {}, only server.name, class.name, zone, fleet.strain, turns and others",
+                        "unknown input {}, expected for example server.name, class.name, zone, fleet.strain or turns",
                         names.join(".")
                     ),
                 );
@@ -688,10 +688,7 @@
     fn note_parameter_use(&mut self, local: u8, span: &Span) {
         if self.hook.as_deref() == Some("factor") {
             match local {
-                1 => {
-                    self.first_class_use =
-                        self.first_class_use.take().or_else(|| Some(span.clone()))
-                }
+                1 => self.class_read_at = self.class_read_at.take().or_else(|| Some(span.clone())),
                 2 => self.uses_zone = true,
                 _ => {}
             }
--- a/crates/plugins/src/host.rs
+++ b/crates/plugins/src/host.rs
@@ -1,5 +1,5 @@
-//! The host: evaluates all loaded plug-ins in order and merges their advice, which the decision module may apply. A plug-in
-//! that faults gives no advice in that evaluation, and one that faults repeatedly is suspended with backoff.
+//! The host: evaluates all loaded plug-ins in order and merges their advice; the policy decides how the advice takes effect.
+//! A plug-in that faults gives no advice in that evaluation, and one that faults repeatedly is suspended with backoff.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 const MIN_SUSPENSION: u64 = 10;
 /// Maximum length of a suspension, in evaluations.
 const MAX_SUSPENSION: u64 = 640;
-/// Successful evaluations after which the fault count and the backoff are reset.
+/// Successful evaluations in a row after which the fault count and the backoff are reset.
 const FAULT_RESET_EVALUATIONS: u32 = 600;
 /// Maximum number of events for new advice of one plug-in in an evaluation, and likewise for ended advice.
 const MAX_ADVICE_EVENTS: usize = 16;
@@ -37,7 +37,7 @@
 /// affected.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
-    /// Share of its weight that a server keeps, by server, zone of the proxies, and class. No class stands for all classes.
+    /// Share of its weight that a server keeps, by server, zone of the proxies, and class. `None` stands for all classes.
     pub factors: BTreeMap<(u32, u32, Option<u32>), f64>,
     /// The largest share of a class's requests that is admitted, from 0 to 1.
     pub caps: BTreeMap<u32, f64>,
@@ -131,10 +131,10 @@
     /// The plug-ins that do not compile, share a name, or are too many.
     pub fn load(
         &mut self,
-        texts: &[(String, String)],
+        sources: &[(String, String)],
     ) -> Result<Vec<PluginIdentity>, Vec<RejectedPlugin>> {
         let (mut loaded, mut rejected) = (Vec::<LoadedPlugin>::new(), Vec::new());
-        for (name, source) in texts {
+        for (name, source) in sources {
             match compile(source) {
                 Ok(program) if loaded.iter().any(|other| *other.name == *program.name) => {
                     let duplicate = Diagnostic::new(
@@ -154,13 +154,13 @@
                 }),
             }
         }
-        if texts.len() > MAX_PLUGINS {
+        if sources.len() > MAX_PLUGINS {
             let too_many = Diagnostic::new(
                 "",
                 0..0,
                 format!(
                     "{} plug-ins are too many, the maximum is {MAX_PLUGINS}",
-                    texts.len()
+                    sources.len()
                 ),
             );
             rejected.push(RejectedPlugin {
@@ -340,7 +340,7 @@
     plugin.advice_texts = advice_texts;
 }
 
-/// Evaluates one plug-in. Returns its advice, its notes, and its advice as text. `fuel_used` is set in any case.
+/// Evaluates one plug-in. Returns its advice, its notes, and its advice as text. `fuel_used` is set even if it faults.
 fn evaluate_plugin(
     plugin: &mut LoadedPlugin,
     machine: &mut Machine,
--- a/crates/plugins/src/lex.rs
+++ b/crates/plugins/src/lex.rs
@@ -194,7 +194,7 @@
                 }
                 if depth > MAX_NESTING {
                     diagnostics.push(error(format!(
-                        "brackets are nested too deeply, the maximum depth is {MAX_NESTING}"
+                        "brackets are nested too deep, the maximum depth is {MAX_NESTING}"
                     )));
                     return (Vec::new(), diagnostics);
                 }
--- a/crates/plugins/src/parse.rs
+++ b/crates/plugins/src/parse.rs
@@ -435,7 +435,7 @@
     }
 }
 
-/// Parses a source, on a thread of its own with a large stack. Any source yields a tree or diagnostics, without a panic.
+/// Parses a source on a separate thread with a large stack. Any source gives a tree or diagnostics, never a panic.
 pub fn parse(source: &str) -> Result<Plugin, Vec<Diagnostic>> {
     let failure = |message: &str| vec![Diagnostic::new(source, 0..0, message)];
     std::thread::scope(|scope| {
--- a/crates/plugins/src/verify.rs
+++ b/crates/plugins/src/verify.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// Checks a program; [`VerifyError`] names the first operation that is invalid.
+/// Checks a program; [`VerifyError`] names an operation that is invalid.
 pub fn verify(program: &Program) -> Result<(), VerifyError> {
     let error = |function, operation, reason| VerifyError {
         function,
--- a/crates/plugins/src/walk.rs
+++ b/crates/plugins/src/walk.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Runs a block in a scope of its own: its variables end with it, and changes to outer variables remain.
+    /// Runs a block in a new scope: its variables end with it, and changes to outer variables remain.
     fn block(
         &mut self,
         block: &'a [Stmt],
--- a/crates/plugins/tests/hostile.rs
+++ b/crates/plugins/tests/hostile.rs
@@ -186,7 +186,7 @@
     }
 }
 
-/// Guards against endless loops of one plug-in that use up the fuel of those evaluated after it.
+/// Guards against a plug-in with an endless loop that keeps later ones from being evaluated.
 #[test]
 fn hostile_plugins_do_not_suppress_advice_of_others() {
     let good = "plugin \"good\" version 1 host 1\nhook cap(class) { return 0.5 }";
