--- a/crates/plugins/src/host.rs
+++ b/crates/plugins/src/host.rs
@@ -37,7 +37,7 @@
 /// affected.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
-    /// Share of its weight that a server keeps, by server, zone of the proxies, and class. `None` stands for all classes.
+    /// Share of its weight that a server keeps, by server, zone of the proxies, and class. `None` means all classes.
     pub factors: BTreeMap<(u32, u32, Option<u32>), f64>,
     /// The largest share of a class's requests that is admitted, from 0 to 1.
     pub caps: BTreeMap<u32, f64>,
