--- a/crates/plugins/src/machine.rs
+++ b/crates/plugins/src/machine.rs
@@ -555,28 +555,16 @@
         let is_traced = self
             .traced_server
             .is_some_and(|server| arguments.contains(&Value::Server(server)));
-        let function_index = usize::from(function);
+        let index = usize::from(function);
         let outcome = if is_traced {
             self.traces.push(Trace {
-                function: function_index,
+                function: index,
                 arguments: arguments.to_vec(),
                 ..Trace::default()
             });
-            self.run::<true>(
-                program,
-                function_index,
-                context,
-                &mut fuel_left,
-                &mut position,
-            )
+            self.run::<true>(program, index, context, &mut fuel_left, &mut position)
         } else {
-            self.run::<false>(
-                program,
-                function_index,
-                context,
-                &mut fuel_left,
-                &mut position,
-            )
+            self.run::<false>(program, index, context, &mut fuel_left, &mut position)
         };
         let result = outcome.map_err(|trap| {
             let function = program.functions.get(position.0);
@@ -645,15 +633,12 @@
     fn run<const TRACED: bool>(
         &mut self,
         program: &Program,
-        function_index: usize,
+        index: usize,
         context: &mut Context,
         fuel: &mut u64,
         position: &mut CodePosition,
     ) -> Result<Value, Trap> {
-        let function = program
-            .functions
-            .get(function_index)
-            .ok_or(Trap::InvalidBytecode)?;
+        let function = program.functions.get(index).ok_or(Trap::InvalidBytecode)?;
         let (local_base, loop_base) = (self.locals.len(), self.loops.len());
         let first_argument = self
             .stack
@@ -667,7 +652,7 @@
             .resize(loop_base + usize::from(function.loops), (Value::Nothing, 0));
         let mut next_operation = 0usize;
         loop {
-            *position = (function_index, next_operation);
+            *position = (index, next_operation);
             context.consume(fuel, 1)?;
             let op = *function
                 .code
@@ -675,7 +660,7 @@
                 .ok_or(Trap::InvalidBytecode)?;
             if TRACED {
                 self.trace_step(
-                    function_index,
+                    index,
                     function.lines.get(next_operation).copied().unwrap_or(0),
                     op,
                 );
--- a/crates/plugins/src/verify.rs
+++ b/crates/plugins/src/verify.rs
@@ -102,18 +102,18 @@
     if program.functions.len() > MAX_SLOTS || program.constants.len() > MAX_CONSTANTS {
         return Err(error(0, 0, "too many functions or constants"));
     }
-    for (function_index, function) in program.functions.iter().enumerate() {
+    for (index, function) in program.functions.iter().enumerate() {
         let code = &function.code;
         if code.is_empty() || code.len() > MAX_FUNCTION_OPS || code.len() != function.lines.len() {
             return Err(error(
-                function_index,
+                index,
                 0,
                 "no code, too much code, or another number of lines than operations",
             ));
         }
         if function.params > function.locals || usize::from(function.locals) > MAX_SLOTS {
             return Err(error(
-                function_index,
+                index,
                 0,
                 "too many locals, or fewer locals than parameters",
             ));
@@ -124,37 +124,32 @@
         while let Some((position, height)) = pending.pop() {
             let (Some(op), Some(known)) = (code.get(position).copied(), heights.get_mut(position))
             else {
-                return Err(error(
-                    function_index,
-                    position,
-                    "the code ends without a return",
-                ));
+                return Err(error(index, position, "the code ends without a return"));
             };
             match known {
                 Some(known) if *known == height => continue,
                 Some(_) => {
                     return Err(error(
-                        function_index,
+                        index,
                         position,
                         "paths with different stack heights meet",
                     ))
                 }
                 None => *known = Some(height),
             }
-            check_operands(op, function_index, program)
-                .map_err(|reason| error(function_index, position, reason))?;
+            check_operands(op, index, program).map_err(|reason| error(index, position, reason))?;
             let (popped, pushed) = stack_effect(op, program);
             let Some(remaining) = height.checked_sub(popped) else {
-                return Err(error(function_index, position, "stack underflow"));
+                return Err(error(index, position, "stack underflow"));
             };
             let height_after = remaining + pushed;
             if height_after > MAX_STACK {
-                return Err(error(function_index, position, "stack overflow"));
+                return Err(error(index, position, "stack overflow"));
             }
             match op {
                 Op::Return if remaining != 0 => {
                     return Err(error(
-                        function_index,
+                        index,
                         position,
                         "a return with further values on the stack",
                     ))
