--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -4,7 +4,7 @@
 
 use std::path::PathBuf;
 
-use chutegrade_records::timeline::{Fault, Timeline};
+use chutegrade_records::timeline::{ReadError, Timeline};
 use chutegrade_records::Window;
 
 use crate::view::{RowKind, View};
@@ -70,7 +70,7 @@
     /// # Errors
     ///
     /// If the records cannot be read.
-    pub fn open(directories: &[PathBuf], at_us: Option<i64>) -> Result<Self, Fault> {
+    pub fn open(directories: &[PathBuf], at_us: Option<i64>) -> Result<Self, ReadError> {
         Ok(App {
             timeline: Timeline::open(directories)?,
             view: View::default(),
--- a/crates/console/src/draw.rs
+++ b/crates/console/src/draw.rs
@@ -82,11 +82,11 @@
         .bg(background)
         .add_modifier(Modifier::BOLD);
     let time = if area.width < MIN_DATE_WIDTH {
-        text::clock(app.at_us)
+        text::time_of_day(app.at_us)
     } else {
         text::time(app.at_us)
     };
-    let span = text::length(app.span_us());
+    let span = text::duration(app.span_us());
     let header = Line::from(vec![
         Span::styled(mode, mode_style),
         Span::raw(format!(" {time} ")),
--- a/crates/console/src/draw/events.rs
+++ b/crates/console/src/draw/events.rs
@@ -19,7 +19,7 @@
 /// Draws the events, the newest at the foot unless scrolled.
 pub(super) fn draw_events(frame: &mut Frame, app: &App, area: Rect) {
     let rows = &app.view.rows;
-    let span = text::length(app.span_us());
+    let span = text::duration(app.span_us());
     let block = titled_block(format!(" events · {} in the last {span} ", rows.len()));
     let inner = block.inner(area);
     frame.render_widget(block, area);
@@ -40,7 +40,7 @@
         RowKind::Fault => colored(Color::Red),
         RowKind::Gap => colored(Color::Yellow),
     };
-    let mut time = text::clock(row.at_us);
+    let mut time = text::time_of_day(row.at_us);
     if is_narrow {
         time = time
             .get(..SHORT_TIME_LENGTH)
--- a/crates/console/src/draw/fleet.rs
+++ b/crates/console/src/draw/fleet.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use chutegrade_records::pb::{Life, State};
-use chutegrade_records::replay::{Picture, Server};
+use chutegrade_records::replay::{FleetState, ServerState};
 use chutegrade_records::{text, Gap, GapReason};
 use ratatui::layout::Rect;
 use ratatui::style::{Color, Style};
@@ -55,12 +55,12 @@
 fn gap_lines(gap: &Gap, area: Rect) -> Vec<Line<'static>> {
     let reason = match gap.reason {
         GapReason::Stopped => "stopped as asked".to_string(),
-        reason => format!("not known: {}", reason.word()),
+        reason => format!("not known: {}", reason.as_str()),
     };
     let start = if gap.from_us == i64::MIN {
         String::new()
     } else {
-        format!("since {}", text::clock(gap.from_us))
+        format!("since {}", text::time_of_day(gap.from_us))
     };
     let hatching = Line::styled(HATCH.repeat(area.width.into()), dimmed());
     let mut lines = vec![
@@ -89,16 +89,16 @@
     lines
 }
 
-fn notices(picture: &Picture) -> Vec<Line<'static>> {
+fn notices(picture: &FleetState) -> Vec<Line<'static>> {
     let mut lines = Vec::new();
-    if picture.stopped {
+    if picture.is_stopped {
         lines.push(Line::styled("stopped as asked", colored(Color::Yellow)));
     }
-    if picture.discovery_silent {
+    if picture.is_discovery_unavailable {
         let notice = "discovery is silent: the list may be old";
         lines.push(Line::styled(notice, colored(Color::Red)));
     }
-    if picture.cold_held {
+    if picture.are_warming_servers_withheld {
         let notice = "cold servers are held out of tables";
         lines.push(Line::styled(notice, colored(Color::Yellow)));
     }
@@ -106,7 +106,7 @@
 }
 
 /// Streams, and the admitted share of each class.
-fn admitted_line(picture: &Picture) -> Line<'static> {
+fn admitted_line(picture: &FleetState) -> Line<'static> {
     let Some(gauge) = &picture.gauge else {
         return Line::styled("no figures yet", dimmed());
     };
@@ -125,7 +125,7 @@
     Line::from(spans)
 }
 
-fn zone_lines(picture: &Picture, width: u16) -> Vec<Line<'static>> {
+fn zone_lines(picture: &FleetState, width: u16) -> Vec<Line<'static>> {
     let servers = picture.servers.values();
     let mut zones: Vec<&str> = servers.map(|server| server.zone.as_str()).collect();
     zones.sort_unstable();
@@ -138,8 +138,8 @@
 }
 
 /// A zone with a symbol for each server, and the number of those beyond `max_servers`.
-fn zone_line(picture: &Picture, zone: &str, max_servers: usize) -> Line<'static> {
-    let (label, style) = if picture.cut.contains(zone) {
+fn zone_line(picture: &FleetState, zone: &str, max_servers: usize) -> Line<'static> {
+    let (label, style) = if picture.partitioned_zones.contains(zone) {
         (format!("zone {zone} CUT"), colored(Color::Red))
     } else {
         (format!("zone {zone}"), Style::new())
@@ -163,8 +163,8 @@
     Line::from(spans)
 }
 
-fn symbol(server: &Server) -> Span<'static> {
-    let (symbol, color) = match (server.life, server.state) {
+fn symbol(server: &ServerState) -> Span<'static> {
+    let (symbol, color) = match (server.lifecycle, server.state) {
         (Life::Draining | Life::Gone, _) => ("▷", Color::Blue),
         (_, State::Withdrawn) => ("✕", Color::Red),
         _ if server.failing => ("!", Color::Red),
@@ -176,8 +176,8 @@
 }
 
 /// The servers in the worst state, at most `max_lines`.
-fn worst_server_lines(picture: &Picture, max_lines: usize) -> Vec<Line<'static>> {
-    let mut servers: Vec<(&String, &Server)> = picture.servers.iter().collect();
+fn worst_server_lines(picture: &FleetState, max_lines: usize) -> Vec<Line<'static>> {
+    let mut servers: Vec<(&String, &ServerState)> = picture.servers.iter().collect();
     servers.sort_by(|(name, server), (other_name, other)| {
         compare_state(server, other).then(name.cmp(other_name))
     });
@@ -189,13 +189,13 @@
 }
 
 /// Orders unhealthy servers before healthy ones, then by score.
-fn compare_state(server: &Server, other: &Server) -> Ordering {
-    let state = (server.is_well(), server.score);
-    let other_state = (other.is_well(), other.score);
+fn compare_state(server: &ServerState, other: &ServerState) -> Ordering {
+    let state = (server.is_healthy(), server.score);
+    let other_state = (other.is_healthy(), other.score);
     state.partial_cmp(&other_state).unwrap_or(Ordering::Equal)
 }
 
-fn server_line(name: &str, server: &Server) -> Line<'static> {
+fn server_line(name: &str, server: &ServerState) -> Line<'static> {
     let printable = name.chars().filter(|character| !character.is_control());
     let name: String = printable.take(MAX_NAME_LENGTH).collect();
     let state = state_word(server);
@@ -211,10 +211,10 @@
     ])
 }
 
-fn state_word(server: &Server) -> &'static str {
-    match (server.life, server.state) {
+fn state_word(server: &ServerState) -> &'static str {
+    match (server.lifecycle, server.state) {
         (Life::InService, State::Full) if server.warmth < 1.0 => "cold",
         (Life::InService, state) => text::state(state),
-        (life, _) => text::life(life),
+        (life, _) => text::lifecycle(life),
     }
 }
--- a/crates/console/src/draw/level_band.rs
+++ b/crates/console/src/draw/level_band.rs
@@ -44,7 +44,7 @@
     };
     if gauge.level_since_us > 0 {
         let now_us = supervisor.picture.learned_us;
-        let age = text::length(now_us.saturating_sub(gauge.level_since_us));
+        let age = text::duration(now_us.saturating_sub(gauge.level_since_us));
         spans.push(Span::styled(format!(" for {age}"), dimmed()));
     }
     let used: usize = spans.iter().map(|span| span.content.chars().count()).sum();
--- a/crates/console/src/error.rs
+++ b/crates/console/src/error.rs
@@ -5,7 +5,7 @@
 pub enum ConsoleError {
     /// The records cannot be read.
     #[error(transparent)]
-    Records(#[from] chutegrade_records::timeline::Fault),
+    Records(#[from] chutegrade_records::timeline::ReadError),
     /// The terminal cannot be used.
     #[error("the terminal cannot be used: {0}")]
     Terminal(#[from] std::io::Error),
--- a/crates/console/src/view.rs
+++ b/crates/console/src/view.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use chutegrade_records::index::{Query, STALLED_US};
-use chutegrade_records::replay::{Picture, LOOK_BACK_US};
+use chutegrade_records::replay::{FleetState, LOOKBACK_US};
 use chutegrade_records::text::printable;
-use chutegrade_records::timeline::{gauge, is_event};
+use chutegrade_records::timeline::{gauge, is_discrete_event};
 use chutegrade_records::{kind, pb, text, Event, Gap, Timeline, Window};
 
 /// Most rows of events, of which the newest are kept.
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SupervisorView {
     /// The state that its records give.
-    pub picture: Picture,
+    pub picture: FleetState,
     /// The number of its start.
     pub incarnation: u64,
     /// Its samples in the window, by time.
@@ -81,11 +81,11 @@
 
 impl Row {
     fn of_event(event: &Event) -> Self {
-        let is_fault = event.record.kind.as_ref().is_some_and(kind::is_trouble);
+        let is_fault = event.record.kind.as_ref().is_some_and(kind::is_fault);
         let delay_us = event.learned_us().saturating_sub(event.at_us);
         let mut text = printable(&event.line());
         if delay_us >= MIN_SHOWN_DELAY_US {
-            text += &format!(" (learned {} later)", text::length(delay_us));
+            text += &format!(" (learned {} later)", text::duration(delay_us));
         }
         Row {
             at_us: event.at_us,
@@ -110,7 +110,7 @@
 
     /// Whether the time, the supervisor's name or the text contain each of the words, which are in lower case.
     fn contains_all(&self, words: &[String]) -> bool {
-        let time = text::clock(self.at_us);
+        let time = text::time_of_day(self.at_us);
         let searched = format!("{time} {} {}", self.supervisor, self.text).to_lowercase();
         words.iter().all(|word| searched.contains(word.as_str()))
     }
@@ -131,7 +131,7 @@
     pub fn read(timeline: &Timeline, window: Window, filter: &str) -> Self {
         let cursor_us = window.to_us;
         // The state at the cursor follows from records before the window.
-        let from_us = window.from_us.min(cursor_us.saturating_sub(LOOK_BACK_US));
+        let from_us = window.from_us.min(cursor_us.saturating_sub(LOOKBACK_US));
         let (events, gaps) = timeline.read(&Query::between(from_us, cursor_us));
         let mut view = View::default();
         for supervisor in &timeline.supervisors {
@@ -159,7 +159,7 @@
         if let Some(gauge) = gauge(event) {
             supervisor.samples.push(Sample::new(event.at_us, gauge));
         }
-        if is_event(event) {
+        if is_discrete_event(event) {
             self.rows.push(Row::of_event(event));
         }
     }
--- a/crates/emulators/src/bin/incident.rs
+++ b/crates/emulators/src/bin/incident.rs
@@ -53,7 +53,7 @@
     let mut stage = Stage::set(&arguments.program, &arguments.out, arguments.seed).await;
     println!("playing for some 75 seconds");
     let codes = stage.incident().await;
-    let fault = |fault: chutegrade_records::timeline::Fault| fault.to_string();
+    let fault = |fault: chutegrade_records::timeline::ReadError| fault.to_string();
     let timeline = Timeline::open(&[stage.records()]).map_err(fault)?;
     let (events, gaps) = timeline.read(&Query::default());
     let faults = truth::compare(&stage.diary.deeds(), &events, &gaps, &SUPERVISORS);
--- a/crates/emulators/src/truth.rs
+++ b/crates/emulators/src/truth.rs
@@ -91,17 +91,17 @@
 pub fn shift(from: &Path, to: &Path, by_us: i64) -> std::io::Result<()> {
     std::fs::create_dir_all(to)?;
     for id in segment::list(from)? {
-        let bytes = segment::bytes(&id.path(from), 0, segment::LENGTH_MOST)?;
+        let bytes = segment::bytes(&id.path(from), 0, segment::MAX_SEGMENT_BYTES)?;
         let mut out = Vec::new();
         for (_, item) in segment::items(&bytes, 0) {
             let content = match item {
                 Item::Header(header) => header.encode_to_vec(),
-                Item::Record { read, .. } => {
+                Item::Record { decoded, .. } => {
                     let Record {
                         at_us, learned_us, ..
-                    } = read.record;
+                    } = decoded.record;
                     // A server's start has the list's time, whatever the supervisor's clock says.
-                    let own = if matches!(read.record.kind, Some(Kind::ServerStarted(_))) {
+                    let own = if matches!(decoded.record.kind, Some(Kind::ServerStarted(_))) {
                         0
                     } else {
                         by_us
@@ -110,7 +110,7 @@
                     Record {
                         at_us,
                         learned_us,
-                        ..read.record
+                        ..decoded.record
                     }
                     .encode_to_vec()
                 }
--- a/crates/engine/src/log_events.rs
+++ b/crates/engine/src/log_events.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use chutegrade_policy::{Lifecycle, Micros, ServerId};
-use chutegrade_records::observe::Observer;
+use chutegrade_records::observe::FailingServers;
 use chutegrade_records::Kind;
 
 use crate::endpoint::NamedEndpoint;
@@ -51,7 +51,7 @@
     /// What the next tick learns of.
     observations: Vec<Observation>,
     is_recording: bool,
-    observer: Observer,
+    observer: FailingServers,
     /// The latest start of each server that the endpoint list named one for.
     latest_starts: HashMap<ServerId, Micros>,
 }
@@ -119,7 +119,7 @@
         if !self.is_recording {
             return;
         }
-        let failing = self.observer.heard(
+        let failing = self.observer.record_report(
             &outcomes.zone,
             &outcomes.server,
             outcomes.attempts,
@@ -155,7 +155,7 @@
     /// Removes a server that nothing refers to any more.
     pub fn forget(&mut self, server: ServerId, name: &str) {
         self.latest_starts.remove(&server);
-        self.observer.forget(name);
+        self.observer.remove(name);
     }
 
     /// Turns the observations since the last tick into events.
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-use chutegrade_records::text::cell;
+use chutegrade_records::text::csv_cell;
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 
 use crate::experiment::Plan;
@@ -167,7 +167,7 @@
         .iter()
         .flat_map(|result| result.figures.keys())
         .collect();
-    let head: Vec<String> = names.iter().map(|name| cell(name)).collect();
+    let head: Vec<String> = names.iter().map(|name| csv_cell(name)).collect();
     let mut text = format!("scenario,variant,digest,build,seed,{}\n", head.join(","));
     let mut results: Vec<&Result> = store.results().iter().collect();
     results.sort_by_key(|result| (&result.case, &result.variant, &result.build, result.seed));
@@ -179,7 +179,7 @@
                 .map_or(String::new(), f64::to_string)
         };
         let figures: Vec<String> = names.iter().map(figure).collect();
-        let (case, variant) = (cell(&result.case), cell(&result.variant));
+        let (case, variant) = (csv_cell(&result.case), csv_cell(&result.variant));
         let _ = writeln!(
             text,
             "{case},{variant},{},{},{},{}",
@@ -200,9 +200,9 @@
         let _ = writeln!(
             text,
             "{},{},{},{},{},{},{low},{high},{b_low},{b_high},{},{},{},{}",
-            cell(&of.case),
-            cell(&of.measure),
-            cell(&of.variant),
+            csv_cell(&of.case),
+            csv_cell(&of.measure),
+            csv_cell(&of.variant),
             of.means.0,
             of.means.1,
             of.difference.mean,
--- a/crates/plugin-advisor/src/inputs.rs
+++ b/crates/plugin-advisor/src/inputs.rs
@@ -5,7 +5,7 @@
 
 use chutegrade_engine::{ClassInfo, Engine, Idempotency};
 use chutegrade_plugins::inputs::{Class, Fleet, Inputs, Server};
-use chutegrade_records::replay::{Picture, Server as RecordedServer};
+use chutegrade_records::replay::{FleetState, ServerState as RecordedServer};
 use chutegrade_records::{pb, text};
 
 /// What plug-ins see of an engine.
@@ -25,7 +25,7 @@
 }
 
 /// What plug-ins would have seen of a recorded moment. The request rate is not recorded and is 0.
-pub fn inputs_from_records(fleet: &Picture, zones: &[String]) -> Inputs {
+pub fn inputs_from_records(fleet: &FleetState, zones: &[String]) -> Inputs {
     let metrics = fleet.gauge.clone().unwrap_or_default();
     let classes = fleet.classes.iter().zip(admitted_shares(&metrics));
     Inputs {
@@ -81,7 +81,7 @@
         name: name.into(),
         zone: server.zone.as_str().into(),
         state: text::state(server.state).into(),
-        life: text::life(server.life).into(),
+        life: text::lifecycle(server.lifecycle).into(),
         score: server.score,
         errors: server.errors,
         latency: server.latency,
--- a/crates/records/benches/store.rs
+++ b/crates/records/benches/store.rs
@@ -69,7 +69,7 @@
     }
     store.commit().expect("a commit");
     let active_segment = ActiveSegment::default();
-    active_segment.set(store.writing());
+    active_segment.set(store.active_segment());
     for mut job in maintenance::jobs(directory, KEEP, &active_segment) {
         while job.step().state == JobState::Ready {}
     }
@@ -200,7 +200,7 @@
 /// The number of wanted records, by a scan of all segments.
 fn scan(directory: &Path, query: &Query) -> usize {
     let is_wanted = |item: &Item| match item {
-        Item::Record { read, .. } => query.holds(&read.record, read.number),
+        Item::Record { decoded, .. } => query.matches(&decoded.record, decoded.number),
         _ => false,
     };
     let ids = segment::list(directory).expect("a list");
--- a/crates/records/src/clock.rs
+++ b/crates/records/src/clock.rs
@@ -11,7 +11,7 @@
 /// supervisor.
 pub const SERVER_STARTED: u32 = 22;
 /// The kinds that all supervisors learn alike, by number.
-pub const SHARED: [u32; 2] = [LIFECYCLE_CHANGED, SERVER_STARTED];
+pub const SHARED_KINDS: [u32; 2] = [LIFECYCLE_CHANGED, SERVER_STARTED];
 /// Least number of changes from which a difference is estimated.
 const MIN_PAIRS: usize = 3;
 /// A smaller difference is a delay of the endpoint list, in microseconds.
--- a/crates/records/src/incidents.rs
+++ b/crates/records/src/incidents.rs
@@ -23,7 +23,7 @@
     /// The endpoint list says that it is draining.
     Draining,
     /// It is warming up.
-    Cold,
+    WarmingUp,
     /// Nothing is known.
     Unknown,
 }
@@ -36,7 +36,7 @@
             ServerStatus::Reduced => "reduced",
             ServerStatus::Withdrawn => "withdrawn",
             ServerStatus::Draining => "draining",
-            ServerStatus::Cold => "cold",
+            ServerStatus::WarmingUp => "cold",
             ServerStatus::Unknown => "unknown",
         }
     }
@@ -81,7 +81,7 @@
     /// A zone is partitioned.
     Zone(String),
     /// Requests are rejected.
-    Refusing,
+    LoadShedding,
     /// A reduced service level is in force.
     Reduced(String),
     /// Discovery is unavailable.
@@ -97,7 +97,7 @@
             Fault::Server(name) => format!("server {name} out or reduced"),
             Fault::Failing(name) => format!("tries at {name} fail"),
             Fault::Zone(name) => format!("zone {name} cut off"),
-            Fault::Refusing => "requests refused".to_string(),
+            Fault::LoadShedding => "requests refused".to_string(),
             Fault::Reduced(level) => format!("service reduced to {level}"),
             Fault::Discovery => "discovery silent".to_string(),
             Fault::Supervisor(name) => format!("supervisor {name} away"),
@@ -159,9 +159,9 @@
     /// The lowest level, by class.
     pub lowest_levels: BTreeMap<String, Extreme>,
     /// The most lines that waited in a channel.
-    pub most_waiting: Option<Extreme>,
+    pub max_waiting: Option<Extreme>,
     /// The largest share of requests that was rejected.
-    pub most_refused: Option<Extreme>,
+    pub max_rejected: Option<Extreme>,
     /// The number of streams that ended, by reason.
     pub ended_streams: BTreeMap<String, u64>,
     /// The status of servers over time.
--- a/crates/records/src/incidents/extremes.rs
+++ b/crates/records/src/incidents/extremes.rs
@@ -33,9 +33,9 @@
         at_us: event.at_us,
         supervisor: Arc::clone(&event.supervisor),
     };
-    keep_greater(&mut reconstruction.most_waiting, extreme(gauge.waiting));
+    keep_greater(&mut reconstruction.max_waiting, extreme(gauge.waiting));
     if gauge.refused > 0.0 {
-        keep_greater(&mut reconstruction.most_refused, extreme(gauge.refused));
+        keep_greater(&mut reconstruction.max_rejected, extreme(gauge.refused));
     }
     for (class, level) in classes.iter().zip(&gauge.levels) {
         keep_lower(
--- a/crates/records/src/incidents/reconstruction.rs
+++ b/crates/records/src/incidents/reconstruction.rs
@@ -9,14 +9,14 @@
 use super::{extremes, Fault, Reconstruction};
 use crate::kind;
 use crate::pb::{self, record::Kind, Life, State};
-use crate::replay::Picture;
+use crate::replay::FleetState;
 use crate::timeline::{Event, Gap, GapReason, Window};
 
 /// Follows the events of several supervisors, and the gaps in their records.
 pub struct Reconstructor {
     window: Window,
     /// The state of the fleet, by the supervisor that sees it.
-    pictures: BTreeMap<Arc<str>, Picture>,
+    fleet_states: BTreeMap<Arc<str>, FleetState>,
     /// Intervals in which supervisors were absent, the next one last.
     absences: Vec<Gap>,
     incidents: FaultTracker,
@@ -29,7 +29,7 @@
 pub fn reconstruct(events: &[Event], gaps: &[Gap], window: Window) -> Reconstruction {
     let mut reconstructor = Reconstructor::new(gaps, window);
     for event in events {
-        reconstructor.follow(event);
+        reconstructor.process(event);
     }
     reconstructor.finish()
 }
@@ -41,7 +41,7 @@
         absences.sort_by_key(|gap| Reverse(gap.from_us));
         Reconstructor {
             window,
-            pictures: BTreeMap::new(),
+            fleet_states: BTreeMap::new(),
             absences,
             incidents: FaultTracker::default(),
             server_histories: ServerHistoryTracker::new(window),
@@ -50,23 +50,23 @@
     }
 
     /// The state of the fleet after the events so far, as one supervisor sees it.
-    pub fn picture(&self, supervisor: &str) -> Option<&Picture> {
-        self.pictures.get(supervisor)
+    pub fn fleet_state(&self, supervisor: &str) -> Option<&FleetState> {
+        self.fleet_states.get(supervisor)
     }
 
     /// Follows the next event; events must come in order.
-    pub fn follow(&mut self, event: &Event) {
+    pub fn process(&mut self, event: &Event) {
         while let Some(gap) = self.absences.pop_if(|gap| gap.from_us <= event.at_us) {
-            self.follow_absence(&gap);
+            self.process_absence(&gap);
         }
         let supervisor = Arc::clone(&event.supervisor);
-        let picture = self.pictures.entry(supervisor).or_default();
+        let fleet_state = self.fleet_states.entry(supervisor).or_default();
         let server = event.record.kind.as_ref().and_then(kind::server);
-        let before = server.and_then(|server| ObservedStatus::of(picture, server));
-        picture.apply(&event.record);
-        let after = server.and_then(|server| ObservedStatus::of(picture, server));
+        let before = server.and_then(|server| ObservedStatus::of(fleet_state, server));
+        fleet_state.apply(&event.record);
+        let after = server.and_then(|server| ObservedStatus::of(fleet_state, server));
         let changed_servers = match &event.record.kind {
-            Some(Kind::Fleet(_) | Kind::Started(_)) => ObservedStatus::of_all(picture),
+            Some(Kind::Fleet(_) | Kind::Started(_)) => ObservedStatus::of_all(fleet_state),
             _ if before == after => Vec::new(),
             _ => {
                 let status = after.or_else(|| before.map(ObservedStatus::into_unknown));
@@ -78,13 +78,13 @@
                 .set(event.at_us, &event.supervisor, status);
         }
         if (self.window.from_us..=self.window.to_us).contains(&event.at_us) {
-            extremes::add(&mut self.reconstruction, event, &picture.classes);
+            extremes::add(&mut self.reconstruction, event, &fleet_state.classes);
         }
-        self.follow_faults(event);
+        self.update_faults(event);
     }
 
     /// Nothing is known of the servers of an absent supervisor. The absence is a fault unless it was shut down.
-    fn follow_absence(&mut self, gap: &Gap) {
+    fn process_absence(&mut self, gap: &Gap) {
         let supervisor = &gap.supervisor;
         self.server_histories.set_unknown(gap.from_us, supervisor);
         if gap.reason == GapReason::Stopped {
@@ -97,54 +97,56 @@
         self.incidents.end(gap.to_us, supervisor, fault);
     }
 
-    fn follow_faults(&mut self, event: &Event) {
+    fn update_faults(&mut self, event: &Event) {
         let Some(kind) = &event.record.kind else {
             return;
         };
         match kind {
-            Kind::StateChanged(of) => self.follow_state(event, of),
+            Kind::StateChanged(of) => self.update_server_fault(event, of),
             Kind::LifeChanged(of) if of.life() != Life::InService => {
                 // A server that leaves is no fault any more.
-                self.set(event, false, Fault::Server(of.server.clone()));
-                self.set(event, false, Fault::Failing(of.server.clone()));
+                self.set_fault(event, false, Fault::Server(of.server.clone()));
+                self.set_fault(event, false, Fault::Failing(of.server.clone()));
             }
             Kind::Failing(of) => {
-                self.set(event, of.failing, Fault::Failing(of.server.clone()));
+                self.set_fault(event, of.failing, Fault::Failing(of.server.clone()));
+            }
+            Kind::ZoneCut(of) => self.set_fault(event, of.cut, Fault::Zone(of.zone.clone())),
+            Kind::Saturation(of) => self.set_fault(event, of.refused > 0.0, Fault::LoadShedding),
+            Kind::Gauge(of) if of.refused <= 0.0 => {
+                self.set_fault(event, false, Fault::LoadShedding);
             }
-            Kind::ZoneCut(of) => self.set(event, of.cut, Fault::Zone(of.zone.clone())),
-            Kind::Saturation(of) => self.set(event, of.refused > 0.0, Fault::Refusing),
-            Kind::Gauge(of) if of.refused <= 0.0 => self.set(event, false, Fault::Refusing),
             Kind::ServiceLevel(of) => {
-                self.set(event, of.number > 0, Fault::Reduced(of.to.clone()));
-                self.set(event, false, Fault::Reduced(of.from.clone()));
+                self.set_fault(event, of.number > 0, Fault::Reduced(of.to.clone()));
+                self.set_fault(event, false, Fault::Reduced(of.from.clone()));
             }
-            Kind::Discovery(of) => self.set(event, !of.tells, Fault::Discovery),
-            Kind::Fleet(of) => self.follow_fleet(event, of),
+            Kind::Discovery(of) => self.set_fault(event, !of.tells, Fault::Discovery),
+            Kind::Fleet(of) => self.end_faults_of_healthy(event, of),
             // A new incarnation knows of no faults.
             Kind::Started(_) => self.incidents.end_all(event.at_us, &event.supervisor),
             _ => {}
         }
     }
 
-    fn follow_state(&mut self, event: &Event, of: &pb::StateChanged) {
+    fn update_server_fault(&mut self, event: &Event, of: &pb::StateChanged) {
         let fault = Fault::Server(of.server.clone());
-        self.set(event, of.state() != State::Full, fault);
+        self.set_fault(event, of.state() != State::Full, fault);
         if of.state() == State::Withdrawn {
             self.incidents.add_withdrawn(&of.server);
         }
     }
 
     /// A record of all servers ends the faults of those that are healthy again, where an event was lost.
-    fn follow_fleet(&mut self, event: &Event, fleet: &pb::Fleet) {
+    fn end_faults_of_healthy(&mut self, event: &Event, fleet: &pb::Fleet) {
         for server in &fleet.servers {
             if server.state() == State::Full {
-                self.set(event, false, Fault::Server(server.name.clone()));
+                self.set_fault(event, false, Fault::Server(server.name.clone()));
             }
         }
     }
 
     /// Begins or ends a fault with an event.
-    fn set(&mut self, event: &Event, is_present: bool, fault: Fault) {
+    fn set_fault(&mut self, event: &Event, is_present: bool, fault: Fault) {
         let (at_us, supervisor) = (event.at_us, &event.supervisor);
         if is_present {
             self.incidents
@@ -157,7 +159,7 @@
     /// What happened in the window.
     pub fn finish(mut self) -> Reconstruction {
         while let Some(gap) = self.absences.pop() {
-            self.follow_absence(&gap);
+            self.process_absence(&gap);
         }
         Reconstruction {
             incidents: self.incidents.finish(self.window),
--- a/crates/records/src/incidents/server_history.rs
+++ b/crates/records/src/incidents/server_history.rs
@@ -5,7 +5,7 @@
 
 use super::{ObservedServer, ServerHistory, ServerStatus, Span};
 use crate::pb::{Life, State};
-use crate::replay::{Picture, Server};
+use crate::replay::{FleetState, ServerState};
 use crate::timeline::Window;
 
 /// The status of a server at one moment.
@@ -18,8 +18,8 @@
 
 impl ObservedStatus {
     /// The status of a server in the state of a fleet; `None` if it has no such server.
-    pub fn of(picture: &Picture, server: &str) -> Option<Self> {
-        let state = picture.servers.get(server)?;
+    pub fn of(fleet_state: &FleetState, server: &str) -> Option<Self> {
+        let state = fleet_state.servers.get(server)?;
         Some(ObservedStatus {
             server: server.to_string(),
             zone: state.zone.clone(),
@@ -28,10 +28,10 @@
     }
 
     /// The status of all servers in the state of a fleet.
-    pub fn of_all(picture: &Picture) -> Vec<Self> {
-        let names = picture.servers.keys();
+    pub fn of_all(fleet_state: &FleetState) -> Vec<Self> {
+        let names = fleet_state.servers.keys();
         names
-            .filter_map(|name| ObservedStatus::of(picture, name))
+            .filter_map(|name| ObservedStatus::of(fleet_state, name))
             .collect()
     }
 
@@ -44,12 +44,12 @@
     }
 }
 
-fn status(server: &Server) -> ServerStatus {
-    match (server.life, server.state) {
+fn status(server: &ServerState) -> ServerStatus {
+    match (server.lifecycle, server.state) {
         (Life::Draining, _) => ServerStatus::Draining,
         (Life::Gone, _) => ServerStatus::Unknown,
         (_, State::Withdrawn) => ServerStatus::Withdrawn,
-        _ if server.warmth < 1.0 => ServerStatus::Cold,
+        _ if server.warmth < 1.0 => ServerStatus::WarmingUp,
         (_, State::Reduced) => ServerStatus::Reduced,
         (_, State::Full) => ServerStatus::Full,
     }
--- a/crates/records/src/incidents/tests.rs
+++ b/crates/records/src/incidents/tests.rs
@@ -131,7 +131,7 @@
     ];
     let reconstruction = reconstruct(&events, &[], WINDOW);
     assert_eq!(
-        reconstruction.most_waiting,
+        reconstruction.max_waiting,
         Some(Extreme {
             value: 50.0,
             at_us: 3 * SECOND,
@@ -139,7 +139,7 @@
         })
     );
     assert_eq!(
-        reconstruction.most_refused.map(|refused| refused.value),
+        reconstruction.max_rejected.map(|refused| refused.value),
         Some(0.4)
     );
     assert_eq!(
--- a/crates/records/src/index.rs
+++ b/crates/records/src/index.rs
@@ -69,12 +69,12 @@
                 self.follows_damage = true;
             }
             Item::Torn(bytes) => self.index.torn_bytes += bytes,
-            Item::Record { at, bytes, read } => {
-                let record = &read.record;
+            Item::Record { at, bytes, decoded } => {
+                let record = &decoded.record;
                 self.add_hole_before(record);
                 self.add_recorded_hole(record);
-                self.add_to_block(*at, *bytes, read.number, record);
-                self.add_to_rollup(read.number, record);
+                self.add_to_block(*at, *bytes, decoded.number, record);
+                self.add_to_rollup(decoded.number, record);
                 self.index.records += 1;
                 self.index.last_seq = record.seq;
                 self.index.last_us = record.learned_us;
--- a/crates/records/src/index/query.rs
+++ b/crates/records/src/index/query.rs
@@ -32,33 +32,33 @@
     }
 
     /// Whether an interval overlaps that of the query.
-    pub fn spans(&self, min_us: i64, max_us: i64) -> bool {
+    pub fn overlaps(&self, min_us: i64, max_us: i64) -> bool {
         let ends_late_enough = self.from_us.is_none_or(|from_us| max_us >= from_us);
         let begins_early_enough = self.to_us.is_none_or(|to_us| min_us <= to_us);
         ends_late_enough && begins_early_enough
     }
 
     /// Whether a block may hold wanted records.
-    pub fn may_hold(&self, block: &Block) -> bool {
+    pub fn may_match(&self, block: &Block) -> bool {
         let has_kind = |number: &u32| block.kinds & kind_bit(*number) != 0;
         let may_hold_kinds = self.kinds.is_empty() || self.kinds.iter().any(has_kind);
         let wanted_bits = self.server.as_deref().map_or(0, server_bits);
         let may_hold_server = server_filter(block) & wanted_bits == wanted_bits;
-        may_hold_kinds && may_hold_server && self.spans(block.min_at_us, block.max_at_us)
+        may_hold_kinds && may_hold_server && self.overlaps(block.min_at_us, block.max_at_us)
     }
 
     /// Whether a record, whose kind has a number, is wanted.
-    pub fn holds(&self, record: &Record, number: u32) -> bool {
+    pub fn matches(&self, record: &Record, number: u32) -> bool {
         let server = record.kind.as_ref().and_then(kind::server);
         let is_wanted_kind = self.kinds.is_empty() || self.kinds.contains(&number);
         let is_wanted_server = self.server.is_none() || self.server.as_deref() == server;
-        self.spans(record.at_us, record.at_us) && is_wanted_kind && is_wanted_server
+        self.overlaps(record.at_us, record.at_us) && is_wanted_kind && is_wanted_server
     }
 }
 
 /// The bit of a kind in a block's set of kinds; none for a kind beyond the set.
 pub(super) fn kind_bit(number: u32) -> u64 {
-    let position = number.wrapping_sub(kind::FIRST);
+    let position = number.wrapping_sub(kind::FIRST_NUMBER);
     1u64.checked_shl(position).unwrap_or(0)
 }
 
--- a/crates/records/src/index/tests.rs
+++ b/crates/records/src/index/tests.rs
@@ -7,7 +7,7 @@
         .fold(0, |all, server| all | server_bits(server));
     let kinds = kinds
         .iter()
-        .fold(0, |all, number| all | 1u64 << (number - kind::FIRST));
+        .fold(0, |all, number| all | 1u64 << (number - kind::FIRST_NUMBER));
     Block {
         kinds,
         servers_low: servers as u64,
@@ -27,13 +27,17 @@
         kinds: kinds.to_vec(),
         server: server.map(str::to_string),
     };
-    assert!(query(20, 30, &[], None).may_hold(&block) && query(0, 10, &[], None).may_hold(&block));
-    assert!(!query(21, 30, &[], None).may_hold(&block) && !query(0, 9, &[], None).may_hold(&block));
-    assert!(query(0, 30, &[20], Some("s-2")).may_hold(&block));
-    assert!(!query(0, 30, &[21], Some("s-2")).may_hold(&block));
-    assert!(!query(0, 30, &[20], Some("s-77")).may_hold(&block));
     assert!(
-        !query(0, 30, &[9_999], None).may_hold(&block),
+        query(20, 30, &[], None).may_match(&block) && query(0, 10, &[], None).may_match(&block)
+    );
+    assert!(
+        !query(21, 30, &[], None).may_match(&block) && !query(0, 9, &[], None).may_match(&block)
+    );
+    assert!(query(0, 30, &[20], Some("s-2")).may_match(&block));
+    assert!(!query(0, 30, &[21], Some("s-2")).may_match(&block));
+    assert!(!query(0, 30, &[20], Some("s-77")).may_match(&block));
+    assert!(
+        !query(0, 30, &[9_999], None).may_match(&block),
         "a kind beyond the set is in no block"
     );
 }
@@ -56,7 +60,7 @@
             learned_us: at_us,
             kind: Some(Kind::Gauge(gauge)),
         };
-        let read = kind::Read {
+        let decoded = kind::DecodedRecord {
             number: 43,
             record,
             newer: None,
@@ -64,7 +68,7 @@
         builder.add(&Item::Record {
             at: 0,
             bytes: 1,
-            read,
+            decoded,
         });
     }
     let index = builder.finish();
--- a/crates/records/src/kind.rs
+++ b/crates/records/src/kind.rs
@@ -7,7 +7,7 @@
 use crate::pb::{self, record::Kind, Record};
 
 /// The first number of a kind; lower ones are fields that every record has.
-pub const FIRST: u32 = 10;
+pub const FIRST_NUMBER: u32 = 10;
 
 /// The number and the name of every kind, in the order of their numbers.
 pub const KINDS: [(u32, &str); 27] = [
@@ -107,7 +107,7 @@
 }
 
 /// Whether an event matters to whoever asks what went wrong; joins and ends of streams and the like do not.
-pub fn is_trouble(kind: &Kind) -> bool {
+pub fn is_fault(kind: &Kind) -> bool {
     match kind {
         Kind::StateChanged(of) => of.state() != pb::State::Full,
         Kind::LifeChanged(of) => of.life() != pb::Life::InService,
@@ -129,7 +129,7 @@
 
 /// A decoded record.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Read {
+pub struct DecodedRecord {
     /// The record; without a kind if this version does not know it.
     pub record: Record,
     /// The number of its kind; 0 if it has none at all.
@@ -139,7 +139,7 @@
 }
 
 /// Decodes a record; what this version can't decode is kept as bytes. `None` if it is no record.
-pub fn read(content: &[u8]) -> Option<Read> {
+pub fn decode(content: &[u8]) -> Option<DecodedRecord> {
     let record = Record::decode(content).ok()?;
     let number = record
         .kind
@@ -147,7 +147,7 @@
         .map_or_else(|| unknown_kind_number(content), number);
     let is_newer = record.encoded_len() != content.len();
     let newer = is_newer.then(|| content.to_vec());
-    Some(Read {
+    Some(DecodedRecord {
         record,
         number,
         newer,
@@ -158,7 +158,7 @@
 fn unknown_kind_number(mut content: &[u8]) -> u32 {
     let context = prost::encoding::DecodeContext::default();
     while let Ok((tag, wire_type)) = decode_key(&mut content) {
-        if tag >= FIRST {
+        if tag >= FIRST_NUMBER {
             return tag;
         }
         if prost::encoding::skip_field(wire_type, tag, &mut content, context.clone()).is_err() {
--- a/crates/records/src/kind/tests.rs
+++ b/crates/records/src/kind/tests.rs
@@ -7,7 +7,7 @@
             (name(kind_number), by_name(kind_name)),
             (kind_name, Some(kind_number))
         );
-        assert!((FIRST..FIRST + 64).contains(&kind_number));
+        assert!((FIRST_NUMBER..FIRST_NUMBER + 64).contains(&kind_number));
     }
     assert_eq!(number(&Kind::Fleet(pb::Fleet::default())), 47);
     assert_eq!((name(63), by_name("nothing")), ("unknown", None));
@@ -25,7 +25,7 @@
     .encode_to_vec();
     prost::encoding::encode_key(60, prost::encoding::WireType::LengthDelimited, &mut bytes);
     bytes.extend_from_slice(&[3, 1, 2, 3]);
-    let newer = read(&bytes).expect("a record");
+    let newer = decode(&bytes).expect("a record");
     assert_eq!(
         (newer.record.seq, newer.number, newer.newer.as_deref()),
         (7, 60, Some(&bytes[..]))
@@ -41,6 +41,6 @@
         ..Default::default()
     }
     .encode_to_vec();
-    assert_eq!(read(&known).expect("a record").newer, None);
-    assert!(read(&[0xff; 9]).is_none());
+    assert_eq!(decode(&known).expect("a record").newer, None);
+    assert!(decode(&[0xff; 9]).is_none());
 }
--- a/crates/records/src/observe.rs
+++ b/crates/records/src/observe.rs
@@ -23,13 +23,13 @@
 
 /// The servers that fail most attempts, by the zone of the proxies.
 #[derive(Debug, Default)]
-pub struct Observer {
+pub struct FailingServers {
     failing: BTreeSet<ObservedServer>,
 }
 
-impl Observer {
+impl FailingServers {
     /// Takes in a report of the proxies of a zone on a server. Returns a record if the server begins or ceases to fail.
-    pub fn heard(
+    pub fn record_report(
         &mut self,
         zone: &str,
         server: &str,
@@ -65,7 +65,7 @@
     }
 
     /// Forgets a server that is gone.
-    pub fn forget(&mut self, server: &str) {
+    pub fn remove(&mut self, server: &str) {
         self.failing.retain(|observed| observed.server != server);
     }
 }
--- a/crates/records/src/recorder/writer.rs
+++ b/crates/records/src/recorder/writer.rs
@@ -170,7 +170,7 @@
             return;
         };
         let result = store.append(&self.frames, first_seq, now_us);
-        self.active_segment.set(store.writing());
+        self.active_segment.set(store.active_segment());
         match result {
             Ok(()) => {
                 let count = last_seq - self.last_seq;
--- a/crates/records/src/replay.rs
+++ b/crates/records/src/replay.rs
@@ -6,17 +6,17 @@
 
 /// How long before a moment its records must be read to know the fleet at that moment, in microseconds: a little more than the
 /// interval between two records of all servers.
-pub const LOOK_BACK_US: i64 = 25_000_000;
+pub const LOOKBACK_US: i64 = 25_000_000;
 
 /// The state of a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Server {
+pub struct ServerState {
     /// The zone.
     pub zone: String,
     /// The health state.
     pub state: State,
     /// The lifecycle, as the endpoint list has it.
-    pub life: Life,
+    pub lifecycle: Life,
     /// The smoothed score, 1 for a healthy server.
     pub score: f64,
     /// The error term of the score; 1 without errors.
@@ -28,63 +28,63 @@
     /// The share of its capacity that it has reached since its start.
     pub warmth: f64,
     /// Whether it is suspended from all tables.
-    pub shut: bool,
+    pub is_suspended: bool,
     /// Whether reports show that most attempts fail.
     pub failing: bool,
     /// When its state or lifecycle last changed, in Unix microseconds; 0 if that was before the records.
     pub since_us: i64,
 }
 
-impl Default for Server {
+impl Default for ServerState {
     fn default() -> Self {
-        Server {
+        ServerState {
             zone: String::new(),
             state: State::Full,
-            life: Life::InService,
+            lifecycle: Life::InService,
             score: 1.0,
             errors: 1.0,
             latency: 1.0,
             weight: 0.0,
             warmth: 1.0,
-            shut: false,
+            is_suspended: false,
             failing: false,
             since_us: 0,
         }
     }
 }
 
-impl From<&pb::Server> for Server {
+impl From<&pb::Server> for ServerState {
     fn from(of: &pb::Server) -> Self {
-        Server {
+        ServerState {
             zone: of.zone.clone(),
             state: of.state(),
-            life: of.life(),
+            lifecycle: of.life(),
             score: of.score,
             errors: of.errors,
             latency: of.latency,
             weight: of.weight,
             warmth: of.warmth,
-            shut: of.shut,
+            is_suspended: of.shut,
             failing: false,
             since_us: 0,
         }
     }
 }
 
-impl Server {
+impl ServerState {
     /// Whether it serves requests without restrictions.
-    pub fn is_well(&self) -> bool {
-        self.state == State::Full && self.life == Life::InService && !self.failing
+    pub fn is_healthy(&self) -> bool {
+        self.state == State::Full && self.lifecycle == Life::InService && !self.failing
     }
 }
 
 /// The state of a fleet at one moment, as one supervisor saw it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Picture {
+pub struct FleetState {
     /// The servers, by name.
-    pub servers: BTreeMap<String, Server>,
+    pub servers: BTreeMap<String, ServerState>,
     /// The zones that are partitioned.
-    pub cut: BTreeSet<String>,
+    pub partitioned_zones: BTreeSet<String>,
     /// The names of the classes, as far as they are recorded.
     pub classes: Vec<String>,
     /// The last sample of metrics.
@@ -94,39 +94,41 @@
     /// The last change of the saturation.
     pub saturation: Option<pb::Saturation>,
     /// The retry policy, by class.
-    pub retries: BTreeMap<String, u32>,
+    pub retry_policies: BTreeMap<String, u32>,
     /// Whether servers that are warming up are withheld.
-    pub cold_held: bool,
+    pub are_warming_servers_withheld: bool,
     /// Whether discovery is unavailable.
-    pub discovery_silent: bool,
+    pub is_discovery_unavailable: bool,
     /// The proxies that are connected, as far as that is recorded.
     pub proxies: BTreeSet<u32>,
     /// Whether the supervisor was shut down.
-    pub stopped: bool,
+    pub is_stopped: bool,
     /// When the last record was learned, in Unix microseconds.
     pub learned_us: i64,
 }
 
-impl Picture {
+impl FleetState {
     /// Applies the next record.
     pub fn apply(&mut self, record: &Record) {
         self.learned_us = record.learned_us;
         let Some(kind) = &record.kind else { return };
         match kind {
             Kind::Started(of) => self.restart(of),
-            Kind::Stopped(_) => self.stopped = true,
+            Kind::Stopped(_) => self.is_stopped = true,
             Kind::StateChanged(of) => self.change_state(of, record.at_us),
             Kind::LifeChanged(of) => self.change_lifecycle(of, record.at_us),
             Kind::ServerStarted(of) => self.start_server(of, record.at_us),
-            Kind::Withdrawn(of) => self.update_server(&of.server, |server| server.shut = of.out),
+            Kind::Withdrawn(of) => {
+                self.update_server(&of.server, |server| server.is_suspended = of.out);
+            }
             Kind::Failing(of) => {
                 self.update_server(&of.server, |server| server.failing = of.failing);
             }
-            Kind::ColdHeld(of) => self.cold_held = of.held,
+            Kind::ColdHeld(of) => self.are_warming_servers_withheld = of.held,
             Kind::ZoneCut(of) => self.change_partition(of),
             Kind::Saturation(of) => self.saturation = Some(*of),
             Kind::Level(of) => {
-                self.retries.insert(of.class.clone(), of.retry);
+                self.retry_policies.insert(of.class.clone(), of.retry);
             }
             Kind::StreamJoined(of) => {
                 self.proxies.insert(of.proxy);
@@ -136,7 +138,7 @@
             }
             Kind::ServiceLevel(of) => self.service_level = Some(of.to.clone()),
             Kind::Gauge(of) => self.sample(of),
-            Kind::Discovery(of) => self.discovery_silent = !of.tells,
+            Kind::Discovery(of) => self.is_discovery_unavailable = !of.tells,
             Kind::Fleet(of) => self.replace_servers(of, record.at_us),
             _ => {}
         }
@@ -144,10 +146,10 @@
 
     /// A new incarnation knows nothing but the classes.
     fn restart(&mut self, of: &pb::Started) {
-        *self = Picture {
+        *self = FleetState {
             classes: of.classes.clone(),
             learned_us: self.learned_us,
-            ..Picture::default()
+            ..FleetState::default()
         };
     }
 
@@ -166,25 +168,25 @@
             return;
         }
         let server = self.server_mut(&of.server, &of.zone);
-        server.life = of.life();
+        server.lifecycle = of.life();
         server.since_us = at_us;
     }
 
     fn start_server(&mut self, of: &pb::ServerStarted, at_us: i64) {
-        let server = Server {
+        let server = ServerState {
             zone: of.zone.clone(),
             warmth: 0.0,
             since_us: at_us,
-            ..Server::default()
+            ..ServerState::default()
         };
         self.servers.insert(of.server.clone(), server);
     }
 
     fn change_partition(&mut self, of: &pb::ZoneCut) {
         if of.cut {
-            self.cut.insert(of.zone.clone());
+            self.partitioned_zones.insert(of.zone.clone());
         } else {
-            self.cut.remove(&of.zone);
+            self.partitioned_zones.remove(&of.zone);
         }
     }
 
@@ -194,14 +196,14 @@
         self.gauge = Some(of.clone());
     }
 
-    fn update_server(&mut self, name: &str, update: impl FnOnce(&mut Server)) {
+    fn update_server(&mut self, name: &str, update: impl FnOnce(&mut ServerState)) {
         if let Some(server) = self.servers.get_mut(name) {
             update(server);
         }
     }
 
     /// A server, which is added if it is not known.
-    fn server_mut(&mut self, name: &str, zone: &str) -> &mut Server {
+    fn server_mut(&mut self, name: &str, zone: &str) -> &mut ServerState {
         let server = self.servers.entry(name.to_string()).or_default();
         if server.zone.is_empty() {
             server.zone = zone.to_string();
@@ -223,13 +225,13 @@
 }
 
 /// A server of a record of all servers. What the record doesn't hold comes from the state before it.
-fn recorded_server(of: &pb::Server, old: Option<&Server>, at_us: i64) -> Server {
-    let server = Server::from(of);
+fn recorded_server(of: &pb::Server, old: Option<&ServerState>, at_us: i64) -> ServerState {
+    let server = ServerState::from(of);
     let Some(old) = old else {
         return server;
     };
-    let is_unchanged = old.state == server.state && old.life == server.life;
-    Server {
+    let is_unchanged = old.state == server.state && old.lifecycle == server.lifecycle;
+    ServerState {
         failing: old.failing,
         since_us: if is_unchanged { old.since_us } else { at_us },
         ..server
--- a/crates/records/src/replay/tests.rs
+++ b/crates/records/src/replay/tests.rs
@@ -21,46 +21,46 @@
 
 #[test]
 fn the_state_follows_events_and_is_corrected_by_a_record_of_all_servers() {
-    let mut picture = Picture::default();
-    picture.apply(&record(1, state("s-1", State::Withdrawn)));
-    assert_eq!(picture.servers["s-1"].state, State::Withdrawn);
+    let mut fleet_state = FleetState::default();
+    fleet_state.apply(&record(1, state("s-1", State::Withdrawn)));
+    assert_eq!(fleet_state.servers["s-1"].state, State::Withdrawn);
     let all = ["s-1", "s-2"].map(|name| pb::Server {
         name: name.into(),
         zone: "a".into(),
         ..Default::default()
     });
-    picture.apply(&record(
+    fleet_state.apply(&record(
         5,
         Kind::Fleet(pb::Fleet {
             servers: all.into(),
             ..pb::Fleet::default()
         }),
     ));
-    let (one, two) = (&picture.servers["s-1"], &picture.servers["s-2"]);
+    let (one, two) = (&fleet_state.servers["s-1"], &fleet_state.servers["s-2"]);
     assert_eq!((one.state, one.since_us, two.since_us), (State::Full, 5, 0));
     let gone = pb::LifeChanged {
         server: "s-1".into(),
         life: Life::Gone.into(),
         ..Default::default()
     };
-    picture.apply(&record(6, Kind::LifeChanged(gone)));
-    assert_eq!(picture.servers.len(), 1);
+    fleet_state.apply(&record(6, Kind::LifeChanged(gone)));
+    assert_eq!(fleet_state.servers.len(), 1);
 }
 
 /// A moment long after the start is read without it.
 #[test]
 fn a_moment_long_after_the_start_knows_the_classes() {
-    let mut picture = Picture::default();
+    let mut fleet_state = FleetState::default();
     let classes = vec!["x".to_string(), "y".to_string()];
     let fleet = pb::Fleet {
         classes: classes.clone(),
         ..pb::Fleet::default()
     };
-    picture.apply(&record(30_000_000, Kind::Fleet(fleet)));
-    assert_eq!(picture.classes, classes);
-    picture.apply(&record(50_000_000, Kind::Fleet(pb::Fleet::default())));
+    fleet_state.apply(&record(30_000_000, Kind::Fleet(fleet)));
+    assert_eq!(fleet_state.classes, classes);
+    fleet_state.apply(&record(50_000_000, Kind::Fleet(pb::Fleet::default())));
     assert_eq!(
-        picture.classes, classes,
+        fleet_state.classes, classes,
         "a record of an earlier version takes nothing away"
     );
 }
@@ -68,11 +68,11 @@
 /// A new incarnation must not show what the previous one knew.
 #[test]
 fn a_new_incarnation_begins_with_nothing() {
-    let mut picture = Picture::default();
-    picture.apply(&record(1, state("s-1", State::Reduced)));
-    picture.apply(&record(2, Kind::Stopped(pb::Stopped::default())));
-    assert!(picture.stopped);
-    picture.apply(&record(
+    let mut fleet_state = FleetState::default();
+    fleet_state.apply(&record(1, state("s-1", State::Reduced)));
+    fleet_state.apply(&record(2, Kind::Stopped(pb::Stopped::default())));
+    assert!(fleet_state.is_stopped);
+    fleet_state.apply(&record(
         3,
         Kind::Started(pb::Started {
             classes: vec!["x".into()],
@@ -81,9 +81,9 @@
     ));
     assert_eq!(
         (
-            picture.servers.len(),
-            picture.stopped,
-            picture.classes.len()
+            fleet_state.servers.len(),
+            fleet_state.is_stopped,
+            fleet_state.classes.len()
         ),
         (0, false, 1)
     );
--- a/crates/records/src/segment.rs
+++ b/crates/records/src/segment.rs
@@ -8,13 +8,13 @@
 use prost::Message;
 
 use crate::frame::{Piece, Pieces, HEADER_BYTES};
-use crate::kind::{self, Read};
+use crate::kind::{self, DecodedRecord};
 use crate::pb::{Index, SegmentHeader};
 
 /// Version of the framing and of the schema's meaning that this program writes.
 pub const VERSION: u32 = 1;
 /// Longest segment that is read, in bytes; segments are sealed far below it.
-pub const LENGTH_MOST: u64 = 256 << 20;
+pub const MAX_SEGMENT_BYTES: u64 = 256 << 20;
 const EXTENSION: &str = "seg";
 const INDEX_EXTENSION: &str = "idx";
 
@@ -87,7 +87,8 @@
     let mut file = File::open(path)?;
     file.seek(SeekFrom::Start(from))?;
     let mut bytes = Vec::new();
-    file.take(length.min(LENGTH_MOST)).read_to_end(&mut bytes)?;
+    file.take(length.min(MAX_SEGMENT_BYTES))
+        .read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
@@ -103,7 +104,7 @@
         /// The bytes of its frame.
         bytes: u64,
         /// The record.
-        read: Read,
+        decoded: DecodedRecord,
     },
     /// Bytes that belong to no record, with records after them.
     Damaged(u64),
@@ -130,7 +131,7 @@
     let item = if at == 0 {
         SegmentHeader::decode(content).ok().map(Item::Header)
     } else {
-        kind::read(content).map(|read| Item::Record { at, bytes, read })
+        kind::decode(content).map(|decoded| Item::Record { at, bytes, decoded })
     };
     item.unwrap_or(Item::Damaged(bytes))
 }
--- a/crates/records/src/store.rs
+++ b/crates/records/src/store.rs
@@ -111,7 +111,8 @@
             return Ok(None);
         };
         let path = last.path(&self.directory);
-        let bytes = segment::bytes(&path, 0, segment::LENGTH_MOST).map_err(with_path(&path))?;
+        let bytes =
+            segment::bytes(&path, 0, segment::MAX_SEGMENT_BYTES).map_err(with_path(&path))?;
         let index = index::build(last, &bytes);
         Ok(Some(Recovered {
             incarnation: last.incarnation,
@@ -208,7 +209,7 @@
     }
 
     /// The segment that is being written, if there is one; maintenance leaves it alone.
-    pub fn writing(&self) -> Option<SegmentId> {
+    pub fn active_segment(&self) -> Option<SegmentId> {
         self.open_segment.as_ref()?;
         Some(SegmentId {
             number: self.next_segment.number.saturating_sub(1),
--- a/crates/records/src/store/tests.rs
+++ b/crates/records/src/store/tests.rs
@@ -30,8 +30,8 @@
 fn read(directory: &Path, id: SegmentId) -> Vec<Record> {
     let bytes = segment::bytes(&id.path(directory), 0, u64::MAX).expect("a segment");
     let record = |(_, item)| {
-        if let Item::Record { read, .. } = item {
-            Some(read.record)
+        if let Item::Record { decoded, .. } = item {
+            Some(decoded.record)
         } else {
             None
         }
@@ -67,7 +67,7 @@
     let mut store = Store::open(directory.path(), "n0").expect("a store");
     store.append(&framed(&all), 1, 0).expect("an append");
     store.commit().expect("a commit");
-    let id = store.writing().expect("a segment");
+    let id = store.active_segment().expect("a segment");
     drop(store);
     let path = id.path(directory.path());
     let whole = std::fs::read(&path).expect("its bytes");
@@ -94,7 +94,7 @@
         let torn = cut - ends.iter().rfind(|end| **end <= cut).copied().unwrap_or(0);
         assert_eq!(recovered.torn_bytes, torn as u64, "cut at {cut}");
         next.append(&framed(&records(1)), 1, 0).expect("an append");
-        let segment = next.writing().expect("a segment");
+        let segment = next.active_segment().expect("a segment");
         assert_eq!(
             (segment.incarnation, read(directory.path(), segment).len()),
             (2, 1)
@@ -130,9 +130,9 @@
     let mut store = Store::open(directory.path(), "n0").expect("a store");
     let large = vec![0; SEAL_BYTES as usize];
     store.append(&large, 1, 0).expect("an append");
-    assert_eq!(store.writing().map(|id| id.number), Some(0));
+    assert_eq!(store.active_segment().map(|id| id.number), Some(0));
     store.append(&framed(&records(1)), 1, 0).expect("an append");
-    assert_eq!(store.writing().map(|id| id.number), Some(1));
+    assert_eq!(store.active_segment().map(|id| id.number), Some(1));
     assert!(store.has_uncommitted());
     store.commit().expect("a commit");
     assert!(!store.has_uncommitted());
--- a/crates/records/src/text.rs
+++ b/crates/records/src/text.rs
@@ -6,10 +6,10 @@
 use crate::pb::{Cause, Life, State};
 
 pub use kinds::{line, signal};
-pub use time::{clock, length, parse_time, time, NoTime};
+pub use time::{duration, parse_time, time, time_of_day, InvalidTime};
 
 /// A text as a cell of CSV: quoted where it must be.
-pub fn cell(text: &str) -> String {
+pub fn csv_cell(text: &str) -> String {
     if text.contains([',', '"', '\n', '\r']) {
         format!("\"{}\"", text.replace('"', "\"\""))
     } else {
@@ -27,7 +27,7 @@
 }
 
 /// The words for a lifecycle.
-pub fn life(life: Life) -> &'static str {
+pub fn lifecycle(life: Life) -> &'static str {
     match life {
         Life::InService => "in service",
         Life::Draining => "draining",
@@ -64,8 +64,8 @@
         .collect()
 }
 
-/// A figure as short as it can be without loss below a hundredth.
-pub fn figure(value: f64) -> String {
+/// A number as short as it can be without loss below a hundredth.
+pub fn short_decimal(value: f64) -> String {
     let text = format!("{value:.2}");
     text.trim_end_matches('0').trim_end_matches('.').to_string()
 }
--- a/crates/records/src/text/kinds.rs
+++ b/crates/records/src/text/kinds.rs
@@ -1,7 +1,7 @@
 //! One line for each kind of record.
 
-use super::time::signed;
-use super::{cause, figure, length, life, retry, state};
+use super::time::signed_duration;
+use super::{cause, duration, lifecycle, retry, short_decimal, state};
 use crate::pb::{self, record::Kind};
 
 /// A record's kind in one line, without its time.
@@ -9,14 +9,17 @@
     match kind {
         Kind::Started(of) => started(of),
         Kind::Stopped(of) => format!("stopped: {}", of.reason),
-        Kind::ClockStepped(of) => format!("the system's clock stepped by {}", signed(of.by_us)),
+        Kind::ClockStepped(of) => format!(
+            "the system's clock stepped by {}",
+            signed_duration(of.by_us)
+        ),
         Kind::Lost(of) => lost(of),
         Kind::Recovered(of) => recovered(of),
         Kind::StateChanged(of) => state_changed(of),
-        Kind::LifeChanged(of) => format!("{} {}", of.server, life(of.life())),
+        Kind::LifeChanged(of) => format!("{} {}", of.server, lifecycle(of.life())),
         Kind::ServerStarted(of) => format!("{} started", of.server),
         Kind::Withdrawn(of) => withdrawn(of),
-        Kind::ColdHeld(of) => cold_held(*of),
+        Kind::ColdHeld(of) => warming_servers_withheld(*of),
         Kind::ZoneCut(of) => zone_cut(of),
         Kind::Saturation(of) => saturation(*of),
         Kind::Level(of) => level(of),
@@ -24,7 +27,7 @@
         Kind::ServiceLevel(of) => service_level(of),
         Kind::PluginLoaded(of) => plugin_loaded(of),
         Kind::PluginSaid(of) => format!("plug-in {} {}: {}", of.name, of.what, of.text),
-        Kind::Parts(of) => parts(*of),
+        Kind::Parts(of) => shards(*of),
         Kind::Failing(of) => failing(of),
         Kind::StreamJoined(of) => stream_joined(of),
         Kind::StreamLeft(of) => stream_left(of),
@@ -45,7 +48,7 @@
 }
 
 fn lost(of: &pb::Lost) -> String {
-    let length = length(of.to_us.saturating_sub(of.from_us));
+    let length = duration(of.to_us.saturating_sub(of.from_us));
     let reason = match of.reason.as_str() {
         "queue" => "the writer was too slow",
         "disk" => "nothing could be written",
@@ -94,7 +97,7 @@
     format!("{} {change}, {} streams notified", of.server, of.streams)
 }
 
-fn cold_held(of: pb::ColdHeld) -> String {
+fn warming_servers_withheld(of: pb::ColdHeld) -> String {
     let change = if of.held {
         "withheld from tables"
     } else {
@@ -128,7 +131,7 @@
     format!(
         "admission level of {} {} in table {}, retries {}, saturation {:.2}",
         of.class,
-        figure(of.level),
+        short_decimal(of.level),
         of.table,
         retry(of.retry),
         of.strain
@@ -165,9 +168,11 @@
 
 /// A signal, with its age where that matters.
 pub fn signal(of: &pb::Signal) -> String {
-    let value = of.value.map_or_else(|| "unknown".to_string(), figure);
+    let value = of
+        .value
+        .map_or_else(|| "unknown".to_string(), short_decimal);
     let age = if of.age_ms >= 1000 {
-        format!(" {} ago", length(microseconds(of.age_ms)))
+        format!(" {} ago", duration(microseconds(of.age_ms)))
     } else {
         String::new()
     };
@@ -184,7 +189,7 @@
     )
 }
 
-fn parts(of: pb::Parts) -> String {
+fn shards(of: pb::Parts) -> String {
     let narrowed = if of.narrowed {
         ", narrowed: attempts fail everywhere"
     } else {
@@ -216,7 +221,7 @@
 }
 
 fn stream_left(of: &pb::StreamLeft) -> String {
-    let lasted = length(microseconds(of.lasted_ms));
+    let lasted = duration(microseconds(of.lasted_ms));
     format!(
         "proxy {}@{} left after {lasted}: {}",
         of.proxy, of.zone, of.reason
--- a/crates/records/src/text/tests.rs
+++ b/crates/records/src/text/tests.rs
@@ -5,15 +5,15 @@
     let last = parse_time("2026-12-01T10:00:00Z", 0).expect("a time");
     assert_eq!(time(last), "2026-12-01T10:00:00.000Z");
     assert_eq!(
-        clock(parse_time("09:12", last).expect("a time")),
+        time_of_day(parse_time("09:12", last).expect("a time")),
         "09:12:00.000"
     );
     assert_eq!(
-        clock(parse_time("09:12:30.5", last).expect("a time")),
+        time_of_day(parse_time("09:12:30.5", last).expect("a time")),
         "09:12:30.500"
     );
     assert_eq!(
-        clock(parse_time("10m", last).expect("a time")),
+        time_of_day(parse_time("10m", last).expect("a time")),
         "09:50:00.000"
     );
     for wrong in ["", "9", "25:00", "xm", "-5m", "09:12:30:1"] {
@@ -28,7 +28,7 @@
 #[test]
 fn lengths_of_time_are_printed() {
     let printed: Vec<String> = [0, 250_000, 1_500_000, 61_000_000, 7_260_000_000, -1_000_000]
-        .map(length)
+        .map(duration)
         .into();
     assert_eq!(
         printed,
--- a/crates/records/src/text/time.rs
+++ b/crates/records/src/text/time.rs
@@ -18,15 +18,15 @@
 }
 
 /// The time of day alone, with milliseconds, UTC.
-pub fn clock(us: i64) -> String {
+pub fn time_of_day(us: i64) -> String {
     time(us).get(11..23).unwrap_or_default().to_string()
 }
 
 /// A length of time, rounded to a readable precision.
-pub fn length(us: i64) -> String {
+pub fn duration(us: i64) -> String {
     let ms = us / 1000;
     match ms {
-        ..=-1 => format!("-{}", length(us.saturating_neg())),
+        ..=-1 => format!("-{}", duration(us.saturating_neg())),
         0..=999 => format!("{ms} ms"),
         1000..=59_999 => format!("{:.1} s", ms as f64 / 1000.0),
         60_000..=3_599_999 => format!("{} min {} s", ms / 60_000, ms % 60_000 / 1000),
@@ -35,18 +35,18 @@
 }
 
 /// A length of time with its sign.
-pub(super) fn signed(us: i64) -> String {
+pub(super) fn signed_duration(us: i64) -> String {
     if us < 0 {
-        length(us)
+        duration(us)
     } else {
-        format!("+{}", length(us))
+        format!("+{}", duration(us))
     }
 }
 
 /// A text that is no time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no time: give 2026-12-01T09:12:00Z, 09:12 or 09:12:30 (UTC, of the last record's day), or 10m, 90s, 2h before the last record")]
-pub struct NoTime(String);
+pub struct InvalidTime(String);
 
 /// Parses a point in time, in Unix microseconds. A time of day is that of the last record's day, a length of time counts back
 /// from the last record.
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// If the text is neither.
-pub fn parse_time(text: &str, last_us: i64) -> Result<i64, NoTime> {
+pub fn parse_time(text: &str, last_us: i64) -> Result<i64, InvalidTime> {
     if let Ok(time) = text.parse::<Timestamp>() {
         return Ok(time.as_microsecond());
     }
@@ -63,7 +63,7 @@
     } else {
         parse_time_of_day(text, last_us)
     };
-    time_us.ok_or_else(|| NoTime(text.to_string()))
+    time_us.ok_or_else(|| InvalidTime(text.to_string()))
 }
 
 /// Parses a number of seconds, minutes or hours as microseconds.
--- a/crates/records/src/timeline.rs
+++ b/crates/records/src/timeline.rs
@@ -15,20 +15,20 @@
 use crate::pb::Rollup;
 use crate::segment;
 
-pub use event::{gauge, in_order, is_event, Event};
+pub use event::{gauge, is_discrete_event, sort_events, Event};
 pub use gap::{Gap, GapReason, Window};
 pub use supervisor::{IndexedSegment, Supervisor};
-pub use verification::{verify, Verdict};
+pub use verification::{verify, VerificationReport};
 
 /// Most directories that are searched for segments below a given one, one for each supervisor.
 const MAX_DIRECTORIES: usize = 4096;
 
 /// Why records can't be read.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum ReadError {
     /// There are no records.
     #[error("no records in {0}")]
-    Nothing(PathBuf),
+    NoRecords(PathBuf),
     /// An I/O error.
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
@@ -55,7 +55,7 @@
     /// # Errors
     ///
     /// If one can't be read, or there are no records in it.
-    pub fn open(paths: &[PathBuf]) -> Result<Self, Fault> {
+    pub fn open(paths: &[PathBuf]) -> Result<Self, ReadError> {
         let mut supervisors = Vec::new();
         for path in paths {
             for directory in segment_directories(path)? {
@@ -73,7 +73,7 @@
     /// # Errors
     ///
     /// The first directory that can't be read.
-    pub fn refresh(&mut self) -> Result<(), Fault> {
+    pub fn refresh(&mut self) -> Result<(), ReadError> {
         let mut result = Ok(());
         for supervisor in &mut self.supervisors {
             result = result.and(supervisor.refresh());
@@ -93,7 +93,7 @@
         for (supervisor, changes) in self.supervisors.iter_mut().skip(1).zip(others) {
             let difference = clock::difference(first, changes);
             supervisor.ahead_us = difference.ahead_us;
-            supervisor.ahead_by = difference.pairs;
+            supervisor.clock_samples = difference.pairs;
         }
     }
 
@@ -122,7 +122,7 @@
                 events.push(event);
             }));
         }
-        in_order(&mut events);
+        sort_events(&mut events);
         let window = Window {
             from_us: query.from_us.unwrap_or(i64::MIN),
             to_us: query.to_us.unwrap_or(i64::MAX),
@@ -161,19 +161,19 @@
         let segments = self.supervisors.iter().flat_map(|s| &s.segments);
         let blocks = segments.flat_map(|segment| &segment.index.blocks);
         blocks
-            .filter(|block| query.may_hold(block))
+            .filter(|block| query.may_match(block))
             .map(|block| u64::from(block.records))
             .sum()
     }
 }
 
 /// The directories with segments: the given one, or those below it.
-fn segment_directories(path: &Path) -> Result<Vec<PathBuf>, Fault> {
-    let io_fault = |error| Fault::Io(path.to_path_buf(), error);
-    if !segment::list(path).map_err(io_fault)?.is_empty() {
+fn segment_directories(path: &Path) -> Result<Vec<PathBuf>, ReadError> {
+    let io_error = |error| ReadError::Io(path.to_path_buf(), error);
+    if !segment::list(path).map_err(io_error)?.is_empty() {
         return Ok(vec![path.to_path_buf()]);
     }
-    let entries = std::fs::read_dir(path).map_err(io_fault)?;
+    let entries = std::fs::read_dir(path).map_err(io_error)?;
     let mut directories: Vec<PathBuf> = entries
         .filter_map(|entry| Some(entry.ok()?.path()))
         .filter(|path| path.is_dir())
@@ -182,7 +182,7 @@
     directories.retain(|path| segment::list(path).is_ok_and(|segments| !segments.is_empty()));
     directories.sort();
     if directories.is_empty() {
-        return Err(Fault::Nothing(path.to_path_buf()));
+        return Err(ReadError::NoRecords(path.to_path_buf()));
     }
     Ok(directories)
 }
@@ -190,7 +190,7 @@
 /// What a supervisor recorded of changes in the endpoint list.
 fn list_changes(supervisor: &Supervisor) -> ListChanges {
     let query = Query {
-        kinds: clock::SHARED.to_vec(),
+        kinds: clock::SHARED_KINDS.to_vec(),
         ..Query::default()
     };
     let mut changes = ListChanges::default();
--- a/crates/records/src/timeline/event.rs
+++ b/crates/records/src/timeline/event.rs
@@ -42,7 +42,7 @@
 }
 
 /// Sorts events: by when they happened on the common clock, then as learned, then as written, then by supervisor.
-pub fn in_order(events: &mut [Event]) {
+pub fn sort_events(events: &mut [Event]) {
     let key = |event: &Event| {
         (
             event.at_us,
@@ -58,7 +58,7 @@
 }
 
 /// Whether an event is of interest by itself, and no sample of a time series.
-pub fn is_event(event: &Event) -> bool {
+pub fn is_discrete_event(event: &Event) -> bool {
     !event.record.kind.as_ref().is_some_and(kind::is_series)
 }
 
--- a/crates/records/src/timeline/gap.rs
+++ b/crates/records/src/timeline/gap.rs
@@ -27,7 +27,7 @@
 
 impl GapReason {
     /// The reason as reports print it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             GapReason::Stopped => "stopped",
             GapReason::Crashed => "crash",
@@ -71,8 +71,8 @@
 impl Gap {
     /// The gap in one line, without its times.
     pub fn line(&self) -> String {
-        let length = crate::text::length(self.to_us.saturating_sub(self.from_us));
-        let mut text = format!("{} for {length}", self.reason.word());
+        let length = crate::text::duration(self.to_us.saturating_sub(self.from_us));
+        let mut text = format!("{} for {length}", self.reason.as_str());
         if self.missing > 0 {
             text += &format!(", {} records missing", self.missing);
         }
--- a/crates/records/src/timeline/supervisor.rs
+++ b/crates/records/src/timeline/supervisor.rs
@@ -6,9 +6,9 @@
 
 use super::event::Event;
 use super::gap::{Gap, GapReason, Window};
-use super::Fault;
+use super::ReadError;
 use crate::index::{self, Query};
-use crate::kind::Read;
+use crate::kind::DecodedRecord;
 use crate::pb::{Block, Index};
 use crate::segment::{self, Item, SegmentId};
 
@@ -35,7 +35,7 @@
     /// How far its clock is ahead of that of the first supervisor, in microseconds, where that can be told.
     pub ahead_us: i64,
     /// The number of shared changes from which that was told.
-    pub ahead_by: usize,
+    pub clock_samples: usize,
 }
 
 /// A range of a segment's file whose blocks may hold wanted records.
@@ -73,9 +73,9 @@
 
 impl Supervisor {
     /// Opens the directory of a supervisor.
-    pub(super) fn open(directory: &Path) -> Result<Self, Fault> {
-        let ids =
-            segment::list(directory).map_err(|error| Fault::Io(directory.to_path_buf(), error))?;
+    pub(super) fn open(directory: &Path) -> Result<Self, ReadError> {
+        let ids = segment::list(directory)
+            .map_err(|error| ReadError::Io(directory.to_path_buf(), error))?;
         let segments: Vec<IndexedSegment> = ids
             .into_iter()
             .filter_map(|id| load_segment(directory, id))
@@ -85,7 +85,7 @@
             directory: directory.to_path_buf(),
             segments,
             ahead_us: 0,
-            ahead_by: 0,
+            clock_samples: 0,
         })
     }
 
@@ -94,9 +94,9 @@
     /// # Errors
     ///
     /// If the directory can't be read.
-    pub fn refresh(&mut self) -> Result<(), Fault> {
+    pub fn refresh(&mut self) -> Result<(), ReadError> {
         let ids = segment::list(&self.directory)
-            .map_err(|error| Fault::Io(self.directory.clone(), error))?;
+            .map_err(|error| ReadError::Io(self.directory.clone(), error))?;
         let known = std::mem::take(&mut self.segments);
         let mut known: BTreeMap<SegmentId, IndexedSegment> = known
             .into_iter()
@@ -145,26 +145,26 @@
         let bytes = segment::bytes(&path, range.from, range.to - range.from).unwrap_or_default();
         let mut records = 0;
         for (_, item) in segment::items(&bytes, range.from) {
-            let Item::Record { read, .. } = item else {
+            let Item::Record { decoded, .. } = item else {
                 continue;
             };
             records += 1;
-            if query.holds(&read.record, read.number) {
-                on_event(self.event(id, read));
+            if query.matches(&decoded.record, decoded.number) {
+                on_event(self.event(id, decoded));
             }
         }
         records
     }
 
-    fn event(&self, id: SegmentId, read: Read) -> Event {
+    fn event(&self, id: SegmentId, decoded: DecodedRecord) -> Event {
         Event {
             supervisor: Arc::clone(&self.name),
             incarnation: id.incarnation,
-            number: read.number,
-            newer: read.newer,
-            at_us: read.record.at_us,
+            number: decoded.number,
+            newer: decoded.newer,
+            at_us: decoded.record.at_us,
             ahead_us: 0,
-            record: read.record,
+            record: decoded.record,
         }
     }
 
@@ -197,7 +197,7 @@
     if let Some(index) = segment::stored_index(directory, id) {
         return Some(IndexedSegment { id, index });
     }
-    let bytes = segment::bytes(&id.path(directory), 0, segment::LENGTH_MOST).ok()?;
+    let bytes = segment::bytes(&id.path(directory), 0, segment::MAX_SEGMENT_BYTES).ok()?;
     let index = index::build(id, &bytes);
     Some(IndexedSegment { id, index })
 }
@@ -219,7 +219,7 @@
 /// The ranges of a segment that may hold wanted records.
 fn wanted_ranges(index: &Index, query: &Query) -> Vec<BlockRange> {
     let mut ranges: Vec<BlockRange> = Vec::new();
-    for block in index.blocks.iter().filter(|block| query.may_hold(block)) {
+    for block in index.blocks.iter().filter(|block| query.may_match(block)) {
         let is_adjacent = ranges.last_mut().is_some_and(|range| range.extend(block));
         if !is_adjacent {
             ranges.push(BlockRange::new(block));
--- a/crates/records/src/timeline/verification.rs
+++ b/crates/records/src/timeline/verification.rs
@@ -2,13 +2,13 @@
 
 use std::path::Path;
 
-use super::Fault;
+use super::ReadError;
 use crate::index;
 use crate::segment::{self, Item, SegmentId};
 
 /// What a full scan of a directory finds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Verdict {
+pub struct VerificationReport {
     /// Segments that were read.
     pub segments: u64,
     /// Records that were read.
@@ -22,18 +22,18 @@
     /// Sequence numbers that are missing.
     pub missing: u64,
     /// Segments whose header can't be read.
-    pub headless: u64,
+    pub segments_without_header: u64,
     /// Indexes that do not match their segments.
-    pub wrong_indexes: u64,
+    pub mismatched_indexes: u64,
 }
 
-impl Verdict {
+impl VerificationReport {
     /// Whether nothing is wrong; a torn tail is what a crash leaves.
-    pub fn sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.damaged_bytes == 0
             && self.missing == 0
-            && self.headless == 0
-            && self.wrong_indexes == 0
+            && self.segments_without_header == 0
+            && self.mismatched_indexes == 0
     }
 }
 
@@ -42,16 +42,16 @@
 /// # Errors
 ///
 /// If the directory or a segment can't be read.
-pub fn verify(directory: &Path) -> Result<Verdict, Fault> {
-    let io_fault = |error| Fault::Io(directory.to_path_buf(), error);
+pub fn verify(directory: &Path) -> Result<VerificationReport, ReadError> {
+    let io_error = |error| ReadError::Io(directory.to_path_buf(), error);
     let mut scan = Scan::default();
-    for id in segment::list(directory).map_err(io_fault)? {
+    for id in segment::list(directory).map_err(io_error)? {
         let path = id.path(directory);
-        let bytes = segment::bytes(&path, 0, segment::LENGTH_MOST).map_err(io_fault)?;
+        let bytes = segment::bytes(&path, 0, segment::MAX_SEGMENT_BYTES).map_err(io_error)?;
         scan.add_segment(id, &bytes);
         if id.index_path(directory).exists() {
             let is_right = segment::stored_index(directory, id) == Some(index::build(id, &bytes));
-            scan.verdict.wrong_indexes += u64::from(!is_right);
+            scan.verdict.mismatched_indexes += u64::from(!is_right);
         }
     }
     Ok(scan.verdict)
@@ -59,7 +59,7 @@
 
 #[derive(Default)]
 struct Scan {
-    verdict: Verdict,
+    verdict: VerificationReport,
     last_record: Option<RecordPosition>,
 }
 
@@ -77,18 +77,18 @@
                 Item::Header(_) => has_header = true,
                 Item::Damaged(bytes) => self.verdict.damaged_bytes += bytes,
                 Item::Torn(bytes) => self.verdict.torn_bytes += bytes,
-                Item::Record { read, .. } => {
+                Item::Record { decoded, .. } => {
                     self.verdict.records += 1;
-                    self.verdict.newer += u64::from(read.newer.is_some());
+                    self.verdict.newer += u64::from(decoded.newer.is_some());
                     self.add_position(RecordPosition {
                         incarnation: id.incarnation,
-                        seq: read.record.seq,
+                        seq: decoded.record.seq,
                     });
                 }
             }
         }
         self.verdict.segments += 1;
-        self.verdict.headless += u64::from(!has_header && !bytes.is_empty());
+        self.verdict.segments_without_header += u64::from(!has_header && !bytes.is_empty());
     }
 
     /// Counts the sequence numbers that are missing between two records of an incarnation.
--- a/crates/records/tests/damage.rs
+++ b/crates/records/tests/damage.rs
@@ -83,7 +83,7 @@
     let mut store = Store::open(directory, name).expect("a store");
     store.append(&framed(records), 1, 0).expect("an append");
     store.commit().expect("a commit");
-    store.writing().expect("a segment")
+    store.active_segment().expect("a segment")
 }
 
 fn read(directory: &Path) -> (Vec<Event>, Vec<Gap>) {
@@ -236,7 +236,7 @@
 fn scan(records: &[Record], query: &Query) -> Vec<Record> {
     let is_wanted = |record: &&Record| {
         let number = record.kind.as_ref().map_or(0, kind::number);
-        query.holds(record, number)
+        query.matches(record, number)
     };
     let mut wanted: Vec<Record> = records.iter().filter(is_wanted).cloned().collect();
     wanted.sort_by_key(|record| (record.at_us, record.learned_us, record.seq));
@@ -309,7 +309,7 @@
     );
     let verdict = verify(directory.path()).expect("a verdict");
     assert!(
-        !verdict.sound() && verdict.missing == 1 && verdict.wrong_indexes == 1,
+        !verdict.is_valid() && verdict.missing == 1 && verdict.mismatched_indexes == 1,
         "{verdict:?}"
     );
     // A damaged index is ignored.
@@ -343,7 +343,7 @@
     write(&directory.path().join("n1"), "n1", &start(3, 60, &shifted));
     let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("a timeline");
     let second = &timeline.supervisors[1];
-    assert_eq!((second.ahead_us, second.ahead_by), (ahead_us, 5));
+    assert_eq!((second.ahead_us, second.clock_samples), (ahead_us, 5));
     let (events, _) = timeline.read(&Query {
         kinds: vec![21],
         ..Query::default()
--- a/crates/report/src/chart/axis.rs
+++ b/crates/report/src/chart/axis.rs
@@ -62,7 +62,7 @@
         html! {
             @for tick_us in self.ticks() {
                 @let x = coordinate(self.x(tick_us));
-                @let time = text::clock(tick_us);
+                @let time = text::time_of_day(tick_us);
                 line.grid x1=(x) x2=(x) y1=(coordinate(top)) y2=(coordinate(bottom)) {}
                 text.tick x=(x) y=(coordinate(bottom + TIME_OFFSET)) {
                     (time.get(..SHORT_TIME_LENGTH).unwrap_or_default())
--- a/crates/report/src/chart/levels.rs
+++ b/crates/report/src/chart/levels.rs
@@ -66,7 +66,7 @@
     html! {
         rect class=(class) x=(coordinate(left)) y=(coordinate(y))
             width=(coordinate(width.max(MIN_SPAN_WIDTH))) height=(coordinate(height)) {
-            title { (span.level) " from " (text::clock(span.from_us)) " to " (text::clock(span.to_us)) }
+            title { (span.level) " from " (text::time_of_day(span.from_us)) " to " (text::time_of_day(span.to_us)) }
         }
         @if !is_full && name_fits {
             text.within x=(coordinate(left + 3.0)) y=(coordinate(top + ROW_HEIGHT - 5.0)) { (span.level) }
--- a/crates/report/src/chart/lines.rs
+++ b/crates/report/src/chart/lines.rs
@@ -149,7 +149,7 @@
             @let line_y = y(value, max);
             line.grid x1=(coordinate(LABELS_WIDTH)) x2=(coordinate(WIDTH)) y1=(coordinate(line_y)) y2=(coordinate(line_y)) {}
             text.label x=(coordinate(LABELS_WIDTH - LABEL_MARGIN)) y=(coordinate(line_y + 4.0 - 5.0 * (1.0 - share))) {
-                (text::figure(value))
+                (text::short_decimal(value))
             }
         }
     }
--- a/crates/report/src/chart/servers.rs
+++ b/crates/report/src/chart/servers.rs
@@ -55,7 +55,7 @@
     html! {
         rect class=(format!("state {state}")) x=(coordinate(left)) y=(coordinate(top + 2.0))
             width=(coordinate(width)) height=(coordinate(ROW_HEIGHT - 4.0)) {
-            title { (server) " " (state) " from " (text::clock(span.from_us)) " to " (text::clock(span.to_us)) }
+            title { (server) " " (state) " from " (text::time_of_day(span.from_us)) " to " (text::time_of_day(span.to_us)) }
         }
     }
 }
--- a/crates/report/src/findings.rs
+++ b/crates/report/src/findings.rs
@@ -47,7 +47,7 @@
         SupervisorClock {
             name: Arc::clone(&supervisor.name),
             ahead_us: supervisor.ahead_us,
-            shared_events: supervisor.ahead_by,
+            shared_events: supervisor.clock_samples,
         }
     }
 }
--- a/crates/report/src/gather.rs
+++ b/crates/report/src/gather.rs
@@ -5,8 +5,8 @@
 
 use chutegrade_records::incidents::Reconstructor;
 use chutegrade_records::index::Query;
-use chutegrade_records::replay::LOOK_BACK_US;
-use chutegrade_records::timeline::{in_order, is_event};
+use chutegrade_records::replay::LOOKBACK_US;
+use chutegrade_records::timeline::{is_discrete_event, sort_events};
 use chutegrade_records::{kind, Event, Gap, Kind, Timeline, Window};
 
 use crate::findings::{Findings, PageLimits, SupervisorClock};
@@ -24,7 +24,7 @@
     let mut gaps = timeline.gaps(window);
     let mut gatherer = Gatherer::new(window, limits, &gaps);
     gatherer.add_starts(timeline);
-    let mut from_us = window.from_us.saturating_sub(LOOK_BACK_US);
+    let mut from_us = window.from_us.saturating_sub(LOOKBACK_US);
     while from_us <= window.to_us {
         let to_us = from_us.saturating_add(SLICE_US - 1).min(window.to_us);
         let (events, slice_gaps) = timeline.read(&Query::between(from_us, to_us));
@@ -88,7 +88,7 @@
     }
 
     fn add(&mut self, event: Event) {
-        self.reconstructor.follow(&event);
+        self.reconstructor.process(&event);
         if event.at_us < self.window.from_us {
             return;
         }
@@ -96,13 +96,13 @@
         if let Some(Kind::Gauge(gauge)) = &event.record.kind {
             self.samples.add(&event.supervisor, event.at_us, gauge);
         }
-        if is_event(&event) {
+        if is_discrete_event(&event) {
             self.add_row(event);
         }
     }
 
     fn add_row(&mut self, event: Event) {
-        let is_fault = event.record.kind.as_ref().is_some_and(kind::is_trouble);
+        let is_fault = event.record.kind.as_ref().is_some_and(kind::is_fault);
         let (rows, max_rows) = if is_fault {
             (&mut self.faults, self.limits.faults)
         } else {
@@ -118,7 +118,7 @@
     fn finish(self, timeline: &Timeline, gaps: Vec<Gap>) -> Findings {
         let mut events = self.faults;
         events.extend(self.other_events);
-        in_order(&mut events);
+        sort_events(&mut events);
         let supervisors = timeline.supervisors.iter();
         Findings {
             window: self.window,
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -57,7 +57,7 @@
 
 /// The time of day to the second.
 fn short_time(at_us: i64) -> String {
-    let time = text::clock(at_us);
+    let time = text::time_of_day(at_us);
     time.get(..SHORT_TIME_LENGTH)
         .unwrap_or_default()
         .to_string()
--- a/crates/report/src/page/charts.rs
+++ b/crates/report/src/page/charts.rs
@@ -13,7 +13,7 @@
     ServerStatus::Reduced,
     ServerStatus::Withdrawn,
     ServerStatus::Draining,
-    ServerStatus::Cold,
+    ServerStatus::WarmingUp,
 ];
 
 /// Charts of servers, of service levels if there are any, and of samples.
--- a/crates/report/src/page/events.rs
+++ b/crates/report/src/page/events.rs
@@ -45,8 +45,8 @@
     let delay_us = event.learned_us().saturating_sub(event.at_us);
     html! {
         tr class=(row_class(event)) {
-            td { (text::clock(event.at_us)) }
-            td.number { @if delay_us >= MIN_SHOWN_DELAY_US { "+" (text::length(delay_us)) } }
+            td { (text::time_of_day(event.at_us)) }
+            td.number { @if delay_us >= MIN_SHOWN_DELAY_US { "+" (text::duration(delay_us)) } }
             td { (event.supervisor) }
             td { (kind::name(event.number)) }
             td { (event.line()) }
@@ -59,7 +59,7 @@
     match &event.record.kind {
         None => "newer",
         Some(Kind::Started(_) | Kind::Stopped(_) | Kind::Recovered(_)) => "mark",
-        Some(known) if kind::is_trouble(known) => "trouble",
+        Some(known) if kind::is_fault(known) => "trouble",
         Some(_) => "plain",
     }
 }
@@ -67,7 +67,7 @@
 fn gap_row(gap: &Gap) -> Markup {
     html! {
         tr.gap {
-            td { (text::clock(gap.from_us)) }
+            td { (text::time_of_day(gap.from_us)) }
             td {}
             td { (gap.supervisor) }
             td { "gap" }
--- a/crates/report/src/page/gaps.rs
+++ b/crates/report/src/page/gaps.rs
@@ -23,11 +23,11 @@
     let length_us = gap.to_us.saturating_sub(gap.from_us);
     html! {
         tr {
-            td { (text::clock(gap.from_us)) }
-            td { (text::clock(gap.to_us)) }
-            td.number { (text::length(length_us)) }
+            td { (text::time_of_day(gap.from_us)) }
+            td { (text::time_of_day(gap.to_us)) }
+            td.number { (text::duration(length_us)) }
             td { (gap.supervisor) }
-            td { (gap.reason.word()) }
+            td { (gap.reason.as_str()) }
             td { @if gap.missing > 0 { (gap.missing) " records missing. " } (gap.detail) }
         }
     }
--- a/crates/report/src/page/summary.rs
+++ b/crates/report/src/page/summary.rs
@@ -58,14 +58,14 @@
     html! {
         p {
             @if incident.from_us < window.from_us { "Trouble had begun before, at " } @else { "Trouble began at " }
-            b { (text::clock(incident.from_us)) }
+            b { (text::time_of_day(incident.from_us)) }
             @if index > 0 { " again" }
             ". First was: " (incident.first_event) ". "
             "In all: " (list_names(kinds.iter().map(String::as_str))) ". "
             @if incident.withdrawn.is_empty() { "No server was shut out for its failures. " }
             @else { "Shut out for a time: " b { (list_names(incident.withdrawn.iter().map(String::as_str))) } ". " }
             @match incident.ended_us {
-                Some(over_us) => { "It was over at " b { (text::clock(over_us)) } ", after " (text::length(over_us - incident.from_us)) "." }
+                Some(over_us) => { "It was over at " b { (text::time_of_day(over_us)) } ", after " (text::duration(over_us - incident.from_us)) "." }
                 None => b { "It was not over at the end of this time." }
             }
         }
@@ -76,11 +76,11 @@
 fn extremes(reconstruction: &Reconstruction) -> Markup {
     let lowered = lowered_levels(reconstruction);
     html! {
-        @if let Some(refused) = &reconstruction.most_refused {
+        @if let Some(refused) = &reconstruction.max_rejected {
             p { "At most " b { (percent(refused.value)) } " of all requests were refused, at " (short_time(refused.at_us)) " (" (refused.supervisor) ")." }
         }
         @if lowered.is_empty() { p { "No level fell." } } @else { p { "Levels fell: " (lowered.join(", ")) "." } }
-        @if let Some(waiting) = reconstruction.most_waiting.as_ref().filter(|most| most.value > 0.0) {
+        @if let Some(waiting) = reconstruction.max_waiting.as_ref().filter(|most| most.value > 0.0) {
             p { "At most " (format!("{:.0}", waiting.value)) " lines waited in a channel, at " (short_time(waiting.at_us)) " (" (waiting.supervisor) ")." }
         }
     }
@@ -128,7 +128,7 @@
     };
     html! {
         p.mind {
-            "The clock of " (clock.name) " was " (text::length(clock.ahead_us.abs())) (direction)
+            "The clock of " (clock.name) " was " (text::duration(clock.ahead_us.abs())) (direction)
             ", by " (clock.shared_events) " pieces of news that all supervisors learn alike; its times are put right here."
         }
     }
--- a/crates/supervisor/src/commands/error.rs
+++ b/crates/supervisor/src/commands/error.rs
@@ -47,7 +47,7 @@
     Configuration(#[from] config::ConfigError),
     /// Records cannot be read.
     #[error(transparent)]
-    Records(#[from] chutegrade_records::timeline::Fault),
+    Records(#[from] chutegrade_records::timeline::ReadError),
     /// The directories hold no records.
     #[error("no records in these directories")]
     NoRecords,
@@ -61,7 +61,7 @@
     },
     /// A time cannot be parsed.
     #[error(transparent)]
-    Time(#[from] chutegrade_records::text::NoTime),
+    Time(#[from] chutegrade_records::text::InvalidTime),
     /// A time window ends before it begins.
     #[error("nothing lies between {from} and {to}: --from is after --to")]
     EmptyWindow {
--- a/crates/supervisor/src/commands/levels/explain.rs
+++ b/crates/supervisor/src/commands/levels/explain.rs
@@ -8,7 +8,7 @@
 use chutegrade_limits::{ServiceLevels, SignalWindow};
 use chutegrade_records::index::Query;
 use chutegrade_records::pb;
-use chutegrade_records::text::{self, figure, length, printable};
+use chutegrade_records::text::{self, duration, printable, short_decimal};
 use chutegrade_records::timeline::{Event, Supervisor, Timeline};
 
 use super::recorded::{metrics_of, observe, RecordedMetrics};
@@ -80,7 +80,7 @@
     if since_us <= 0 {
         return String::new();
     }
-    format!(", for {}", length(metrics.at_us.saturating_sub(since_us)))
+    format!(", for {}", duration(metrics.at_us.saturating_sub(since_us)))
 }
 
 fn write_condition(status: &ConditionStatus, output: &mut impl Write) -> std::io::Result<()> {
@@ -99,7 +99,7 @@
     let stay = if status.remaining_duration_us > 0 {
         format!(
             "; stays {} more at least",
-            length(status.remaining_duration_us)
+            duration(status.remaining_duration_us)
         )
     } else {
         String::new()
@@ -116,13 +116,13 @@
     let signal = test.signal.name();
     let value = distance.newest.map_or_else(
         || "unknown".to_string(),
-        |observation| figure(observation.value),
+        |observation| short_decimal(observation.value),
     );
     let missing = match distance.shortfall {
         None => "its signal is missing".to_string(),
-        Some(short) if short > 0.0 => format!("{} short of it", figure(short)),
+        Some(short) if short > 0.0 => format!("{} short of it", short_decimal(short)),
         Some(_) if distance.remaining_hold_us > 0 => {
-            format!("met, {} more to hold", length(distance.remaining_hold_us))
+            format!("met, {} more to hold", duration(distance.remaining_hold_us))
         }
         Some(_) => "met".to_string(),
     };
--- a/crates/supervisor/src/commands/levels/show.rs
+++ b/crates/supervisor/src/commands/levels/show.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 
 use chutegrade_limits::service_levels::ServiceLevel;
-use chutegrade_records::text::length;
+use chutegrade_records::text::duration;
 
 use super::source::load;
 use crate::commands::arguments::LevelsSource;
@@ -22,9 +22,9 @@
     writeln!(
         output,
         "signals older than {} are missing; a level stands {} without; the list is doubted after {}",
-        length(levels.max_signal_age_us),
-        length(levels.signal_loss_timeout_us),
-        length(levels.endpoint_list_timeout_us)
+        duration(levels.max_signal_age_us),
+        duration(levels.signal_loss_timeout_us),
+        duration(levels.endpoint_list_timeout_us)
     )?;
     Ok(())
 }
@@ -42,7 +42,7 @@
     let (name, admitted) = (&level.name, admitted.join(", "));
     writeln!(output, "{number} {name}: keeps {admitted}")?;
     writeln!(output, "    entered when {}", level.enter)?;
-    let (leave, least_stay) = (&level.leave, length(level.min_duration_us));
+    let (leave, least_stay) = (&level.leave, duration(level.min_duration_us));
     writeln!(output, "    left when {leave}, after {least_stay} at least")?;
     if !level.notify.is_empty() {
         writeln!(output, "    told: {}", level.notify.join(", "))?;
--- a/crates/supervisor/src/commands/levels/simulate.rs
+++ b/crates/supervisor/src/commands/levels/simulate.rs
@@ -6,7 +6,7 @@
 use chutegrade_limits::transitions::LevelTransitions;
 use chutegrade_limits::{LevelTransition, ServiceLevels, SignalWindow};
 use chutegrade_records::index::Query;
-use chutegrade_records::text::{self, length, printable};
+use chutegrade_records::text::{self, duration, printable};
 use chutegrade_records::timeline::{Event, Supervisor, Timeline};
 
 use super::recorded::{metrics_of, observe, RecordedMetrics};
@@ -60,7 +60,7 @@
     };
     let span_us = last.at_us - first.at_us;
     let name = printable(&supervisor.name);
-    let duration = length(span_us);
+    let duration = duration(span_us);
     let start = text::time(first.at_us);
     writeln!(output, "{name}: {duration} of signals from {start}")?;
     let simulation = simulate(levels, &metrics);
@@ -113,7 +113,7 @@
     for timed in &simulation.transitions {
         let record = chutegrade_overload_control::transition_record(&timed.transition);
         let line = printable(&text::line(&record));
-        writeln!(output, "  {} {line}", text::clock(timed.at_us))?;
+        writeln!(output, "  {} {line}", text::time_of_day(timed.at_us))?;
     }
     let count = simulation.transitions.len();
     let hours = (span_us as f64 / US_PER_HOUR).max(MIN_HOURS);
--- a/crates/supervisor/src/commands/plugin/dry_run.rs
+++ b/crates/supervisor/src/commands/plugin/dry_run.rs
@@ -7,7 +7,7 @@
 use chutegrade_plugins::host::{Evaluation, Host, PluginEvent, RejectedPlugin};
 use chutegrade_plugins::Inputs;
 use chutegrade_records::index::Query;
-use chutegrade_records::replay::{Picture, LOOK_BACK_US};
+use chutegrade_records::replay::{FleetState, LOOKBACK_US};
 use chutegrade_records::text::{self, printable};
 use chutegrade_records::timeline::Timeline;
 
@@ -61,14 +61,14 @@
     }
 }
 
-fn fleet_at(timeline: &Timeline, now_us: i64) -> Picture {
-    let query = Query::between(now_us.saturating_sub(LOOK_BACK_US), now_us);
+fn fleet_at(timeline: &Timeline, now_us: i64) -> FleetState {
+    let query = Query::between(now_us.saturating_sub(LOOKBACK_US), now_us);
     let (events, _) = timeline.read(&query);
     replay(&events)
 }
 
 /// The zones of all servers, sorted, each once.
-fn zones(fleet: &Picture) -> Vec<String> {
+fn zones(fleet: &FleetState) -> Vec<String> {
     let servers = fleet.servers.values();
     let mut zones: Vec<String> = servers.map(|server| server.zone.clone()).collect();
     zones.sort();
@@ -78,7 +78,7 @@
 
 fn check_traced_server(
     traced: Option<&str>,
-    fleet: &Picture,
+    fleet: &FleetState,
     now_us: i64,
 ) -> Result<(), CommandError> {
     match traced {
--- a/crates/supervisor/src/commands/plugin/explain.rs
+++ b/crates/supervisor/src/commands/plugin/explain.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 
 use chutegrade_records::index::Query;
-use chutegrade_records::replay::Server;
+use chutegrade_records::replay::ServerState;
 use chutegrade_records::text::printable;
 use chutegrade_records::timeline::{Event, Timeline};
 use chutegrade_records::{kind, pb, text, Kind};
@@ -55,11 +55,11 @@
 fn write_status(
     supervisor: &str,
     name: &str,
-    status: &Server,
+    status: &ServerState,
     output: &mut impl Write,
 ) -> std::io::Result<()> {
     let (supervisor, name) = (printable(supervisor), printable(name));
-    let (lifecycle, state) = (text::life(status.life), text::state(status.state));
+    let (lifecycle, state) = (text::lifecycle(status.lifecycle), text::state(status.state));
     write!(output, "{supervisor}: {name} is {lifecycle}, {state}: ")?;
     write!(
         output,
@@ -70,7 +70,7 @@
         status.weight,
         100.0 * status.warmth,
     )?;
-    let suspended = if status.shut {
+    let suspended = if status.is_suspended {
         ", shut out of all tables"
     } else {
         ""
--- a/crates/supervisor/src/commands/records/csv_rows.rs
+++ b/crates/supervisor/src/commands/records/csv_rows.rs
@@ -54,6 +54,6 @@
 }
 
 fn write_row(cells: &[String; HEADER.len()], output: &mut impl Write) -> std::io::Result<()> {
-    let escaped: Vec<String> = cells.iter().map(|cell| text::cell(cell)).collect();
+    let escaped: Vec<String> = cells.iter().map(|cell| text::csv_cell(cell)).collect();
     writeln!(output, "{}", escaped.join(","))
 }
--- a/crates/supervisor/src/commands/records/export.rs
+++ b/crates/supervisor/src/commands/records/export.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use chutegrade_records::timeline::{is_event, Event, Gap, Timeline};
+use chutegrade_records::timeline::{is_discrete_event, Event, Gap, Timeline};
 
 use super::{csv_rows, json_rows, query, text_rows};
 use crate::commands::arguments::{ExportFormat, RecordSelection};
@@ -40,7 +40,7 @@
 
 /// Series, as the metrics of each second, are left out unless they are asked for.
 fn is_selected(event: &Event, selection: &RecordSelection) -> bool {
-    selection.all || !selection.kinds.is_empty() || is_event(event)
+    selection.all || !selection.kinds.is_empty() || is_discrete_event(event)
 }
 
 fn write_event(
--- a/crates/supervisor/src/commands/records/json_rows.rs
+++ b/crates/supervisor/src/commands/records/json_rows.rs
@@ -59,7 +59,7 @@
         from: text::time(gap.from_us),
         kind: "gap",
         missing: gap.missing,
-        reason: gap.reason.word(),
+        reason: gap.reason.as_str(),
         supervisor: &gap.supervisor,
         text: gap.line(),
         to: text::time(gap.to_us),
--- a/crates/supervisor/src/commands/records/text_rows.rs
+++ b/crates/supervisor/src/commands/records/text_rows.rs
@@ -23,7 +23,7 @@
     if delay_us < SHOWN_DELAY_US {
         return String::new();
     }
-    format!("  [learned {} later]", text::length(delay_us))
+    format!("  [learned {} later]", text::duration(delay_us))
 }
 
 /// Writes a gap. One that begins before all records has no begin to show.
@@ -31,7 +31,7 @@
     let supervisor = printable(&gap.supervisor);
     let line = gap.line();
     if gap.from_us == i64::MIN {
-        let reason = gap.reason.word();
+        let reason = gap.reason.as_str();
         let to = text::time(gap.to_us);
         return writeln!(output, "--- {supervisor} {reason}: {line}, until {to}");
     }
--- a/crates/supervisor/src/commands/records/verify.rs
+++ b/crates/supervisor/src/commands/records/verify.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-use chutegrade_records::timeline::{self, Supervisor, Timeline, Verdict};
+use chutegrade_records::timeline::{self, Supervisor, Timeline, VerificationReport};
 
 use crate::commands::CommandError;
 
@@ -17,7 +17,7 @@
     let mut unsound = 0;
     for supervisor in &timeline.supervisors {
         let verdict = timeline::verify(&supervisor.directory)?;
-        if !verdict.sound() {
+        if !verdict.is_valid() {
             unsound += 1;
         }
         write_verdict(supervisor, &verdict, output)?;
@@ -33,7 +33,7 @@
 
 fn write_verdict(
     supervisor: &Supervisor,
-    verdict: &Verdict,
+    verdict: &VerificationReport,
     output: &mut impl Write,
 ) -> std::io::Result<()> {
     let directory = supervisor.directory.display();
@@ -50,15 +50,15 @@
         ),
         (verdict.damaged_bytes, "bytes damaged"),
         (verdict.missing, "records missing"),
-        (verdict.headless, "segments without a head"),
-        (verdict.wrong_indexes, "indexes that do not fit"),
+        (verdict.segments_without_header, "segments without a head"),
+        (verdict.mismatched_indexes, "indexes that do not fit"),
     ];
     for (count, label) in counts {
         if count > 0 {
             write!(output, ", {count} {label}")?;
         }
     }
-    let conclusion = if verdict.sound() {
+    let conclusion = if verdict.is_valid() {
         "sound"
     } else {
         "not sound"
