--- a/crates/records/benches/store.rs
+++ b/crates/records/benches/store.rs
@@ -1,6 +1,6 @@
 #![allow(missing_docs)]
-//! The store: what a record costs the thread that makes decisions, how fast records are appended and recovered, and a query
-//! for eight minutes of a day, by the index and by a full scan; two database libraries for comparison.
+//! Benchmarks of the store: the cost of a record on the decision thread, the speed of appends and recovery, and a query
+//! for 8 minutes of a day by the index and by a full scan. Compares with two database libraries.
 
 use std::hint::black_box;
 use std::path::Path;
@@ -18,10 +18,10 @@
 use criterion::{criterion_group, BatchSize, Criterion, Throughput};
 use prost::Message;
 
-const DAY: u64 = 1_000_000;
+const RECORDS_PER_DAY: u64 = 1_000_000;
 const DAY_US: i64 = 86_400_000_000;
 const MINUTE_US: i64 = 60_000_000;
-const KEEP: Retention = Retention {
+const KEEP_ALL: Retention = Retention {
     bytes: 1 << 40,
     age: Duration::from_secs(1 << 30),
 };
@@ -42,7 +42,7 @@
 }
 
 fn record(n: u64) -> Record {
-    let at_us = (n as i64) * (DAY_US / DAY as i64);
+    let at_us = (n as i64) * (DAY_US / RECORDS_PER_DAY as i64);
     Record {
         seq: n + 1,
         at_us,
@@ -61,7 +61,7 @@
 
 fn write_day(directory: &Path) {
     let mut store = Store::open(directory, "n0").expect("a store");
-    for batch in 0..DAY / 2000 {
+    for batch in 0..RECORDS_PER_DAY / 2000 {
         let frames = framed(batch * 2000..(batch + 1) * 2000);
         store
             .append(&frames, batch * 2000 + 1, 0)
@@ -70,7 +70,7 @@
     store.commit().expect("a commit");
     let active_segment = ActiveSegment::default();
     active_segment.set(store.active_segment());
-    for mut job in maintenance::jobs(directory, KEEP, &active_segment) {
+    for mut job in maintenance::jobs(directory, KEEP_ALL, &active_segment) {
         while job.step().state == JobState::Ready {}
     }
 }
@@ -80,11 +80,11 @@
     let options = Options {
         directory: directory.path().to_path_buf(),
         supervisor: "n0".into(),
-        retention: KEEP,
+        retention: KEEP_ALL,
         budget: UNLIMITED,
     };
     let (recorder, recording) = begin(options, || 0).expect("threads");
-    // Batches that fit into the queue, with pauses for the writer.
+    // Batches fit into the queue; the writer drains it during the pauses.
     c.bench_function("note 2,000 records", |b| {
         b.iter_batched(
             || {
@@ -113,7 +113,7 @@
     store.commit().expect("a commit");
 }
 
-/// Inserts records by a key, and returns the database.
+/// Inserts records by a key and returns the database.
 fn insert_into_redb(directory: &Path, count: u64, key: impl Fn(u64) -> u64) -> redb::Database {
     let database = redb::Database::create(directory.join("r")).expect("a database");
     let write = database.begin_write().expect("a transaction");
@@ -168,7 +168,7 @@
     group.finish();
 }
 
-/// Opening after a crash reads the last segment; a reader without indexes scans the whole day.
+/// Opening after a crash reads only the last segment; a reader without indexes scans all segments.
 fn recover(c: &mut Criterion) {
     let directory = tempfile::tempdir().expect("a directory");
     write_day(directory.path());
@@ -197,9 +197,9 @@
     segment::bytes(&id.path(directory), 0, u64::MAX).expect("a readable segment")
 }
 
-/// The number of wanted records, by a scan of all segments.
+/// Counts the matching records by a scan of all segments.
 fn scan(directory: &Path, query: &Query) -> usize {
-    let is_wanted = |item: &Item| match item {
+    let is_match = |item: &Item| match item {
         Item::Record { decoded, .. } => query.matches(&decoded.record, decoded.number),
         _ => false,
     };
@@ -207,12 +207,12 @@
     let counts = ids.into_iter().map(|id| {
         let bytes = read_segment(directory, id);
         let items = segment::items(&bytes, 0);
-        items.filter(|(_, item)| is_wanted(item)).count()
+        items.filter(|(_, item)| is_match(item)).count()
     });
     counts.sum()
 }
 
-/// The number of records between two times in a database that is keyed by time.
+/// Counts the records between two times in a database that is keyed by time.
 fn query_redb(database: &redb::Database, from_us: i64, to_us: i64) -> usize {
     let read = database.begin_read().expect("a transaction");
     let table = read.open_table(TABLE).expect("a table");
@@ -229,30 +229,32 @@
     let query = Query::between(from_us, to_us);
     let open = || Timeline::open(&[directory.path().to_path_buf()]).expect("a timeline");
     let timeline = open();
-    let wanted = timeline.read(&query).0.len();
+    let expected = timeline.read(&query).0.len();
     let mut group = c.benchmark_group("8 minutes of a day");
     group.sample_size(10);
     group.bench_function("index", |b| {
-        b.iter(|| assert_eq!(timeline.read(&query).0.len(), wanted));
+        b.iter(|| assert_eq!(timeline.read(&query).0.len(), expected));
     });
     group.bench_function("index, opened each time", |b| {
-        b.iter(|| assert_eq!(open().read(&query).0.len(), wanted));
+        b.iter(|| assert_eq!(open().read(&query).0.len(), expected));
     });
     group.bench_function("scan", |b| {
-        b.iter(|| assert_eq!(scan(directory.path(), &query), wanted));
+        b.iter(|| assert_eq!(scan(directory.path(), &query), expected));
+    });
+    // The key is the time of the event, so that a window is a range of keys.
+    let database = insert_into_redb(directory.path(), RECORDS_PER_DAY, |n| {
+        record(n).at_us as u64
     });
-    // Here the time of a record is that of the event, so that a range of keys is a window.
-    let database = insert_into_redb(directory.path(), DAY, |n| record(n).at_us as u64);
     group.bench_function("redb, keyed by time", |b| {
-        b.iter(|| assert_eq!(query_redb(&database, from_us, to_us), wanted));
+        b.iter(|| assert_eq!(query_redb(&database, from_us, to_us), expected));
     });
     group.finish();
 }
 
 criterion_group!(benches, note, append, recover, window);
 
-/// Measures under `cargo bench` alone: as one of the targets of `cargo test` it is compiled, and a day of records is not
-/// written.
+/// Runs the benchmarks only under `cargo bench`. `cargo test` also runs this target and must not write a day of
+/// records.
 fn main() {
     if std::env::args().any(|argument| argument == "--bench") {
         benches();
--- a/crates/records/build.rs
+++ b/crates/records/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of the records.
+//! Generates Rust types from the schema of records.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=../../proto/records.proto");
--- a/crates/records/src/clock.rs
+++ b/crates/records/src/clock.rs
@@ -1,26 +1,26 @@
-//! Differences between the clocks of supervisors, estimated from what all of them learn at about the same time: changes in the
-//! endpoint list. No difference is assumed unless enough changes agree on it.
+//! Estimates differences between the clocks of supervisors from changes in the endpoint list, which all supervisors
+//! learn at about the same time. Without enough consistent changes, the difference counts as 0.
 
 use std::collections::BTreeMap;
 
 use crate::pb::{record::Kind, Record};
 
-/// The kind of changes of a server's lifecycle, by number.
+/// Number of the kind of record for changes of a server's lifecycle.
 const LIFECYCLE_CHANGED: u32 = 21;
-/// The kind of starts of a server, by number. Its time is that of the endpoint list, which is independent of the clock of the
-/// supervisor.
+/// Number of the kind of record for starts of a server. Its time comes from the endpoint list and is independent of the
+/// supervisor's clock.
 pub const SERVER_STARTED: u32 = 22;
-/// The kinds that all supervisors learn alike, by number.
+/// Numbers of the kinds that all supervisors record for the same change in the endpoint list.
 pub const SHARED_KINDS: [u32; 2] = [LIFECYCLE_CHANGED, SERVER_STARTED];
-/// Least number of changes from which a difference is estimated.
+/// Fewest changes from which a difference is estimated.
 const MIN_PAIRS: usize = 3;
-/// A smaller difference is a delay of the endpoint list, in microseconds.
+/// Smallest difference that is corrected, in microseconds: less may be a delay of the endpoint list.
 const MIN_DIFFERENCE_US: i64 = 1_000_000;
-/// Greatest median deviation of the differences from their median, in microseconds. Otherwise a list that reaches one
-/// supervisor late for one server would shift all that it recorded.
+/// Greatest median deviation of the differences from their median, in microseconds. Otherwise, one change that reaches
+/// a supervisor late would shift all of its records.
 const MAX_DEVIATION_US: i64 = 500_000;
 
-/// A change in the endpoint list that several supervisors learn.
+/// A change in the endpoint list, which several supervisors may have recorded.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ListChange {
     server: String,
@@ -29,7 +29,7 @@
 }
 
 impl ListChange {
-    fn of(record: &Record) -> Option<Self> {
+    fn from_record(record: &Record) -> Option<Self> {
         match &record.kind {
             Some(Kind::LifeChanged(of)) => Some(ListChange {
                 server: of.server.clone(),
@@ -44,30 +44,30 @@
     }
 }
 
-/// When one supervisor learned of changes in the endpoint list, in microseconds by its own clock.
+/// The times at which one supervisor learned of changes in the endpoint list, in microseconds by its own clock.
 #[derive(Clone, Debug, Default)]
 pub struct ListChanges(BTreeMap<ListChange, Vec<i64>>);
 
 impl ListChanges {
-    /// Adds a record, if it is on a change in the endpoint list.
+    /// Adds a record if it describes a change in the endpoint list.
     pub fn add(&mut self, record: &Record) {
-        if let Some(change) = ListChange::of(record) {
+        if let Some(change) = ListChange::from_record(record) {
             self.0.entry(change).or_default().push(record.learned_us);
         }
     }
 }
 
-/// How a clock differs from another one.
+/// The difference between two clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockDifference {
-    /// How far it is ahead, in microseconds; 0 if they agree or nothing is known.
+    /// How far the second clock is ahead of the first, in microseconds; 0 if they agree or the difference is unknown.
     pub ahead_us: i64,
-    /// The number of changes from which that was estimated.
+    /// The number of changes that were compared; 0 if there were too few.
     pub pairs: usize,
 }
 
-/// Estimates how far the second clock is ahead of the first. Changes that one of them learned more often, as after a restart,
-/// don't count.
+/// Estimates how far the second clock is ahead of the first. Ignores changes that one supervisor recorded more often
+/// than the other, as after a restart.
 pub fn difference(first: &ListChanges, second: &ListChanges) -> ClockDifference {
     let mut differences = Vec::new();
     for (change, first_times) in &first.0 {
@@ -83,22 +83,22 @@
     if pairs < MIN_PAIRS {
         return ClockDifference::default();
     }
-    let middle = median(&mut differences);
+    let median_us = median(&mut differences);
     let mut deviations: Vec<i64> = differences
         .iter()
-        .map(|difference| difference.saturating_sub(middle).saturating_abs())
+        .map(|difference| difference.saturating_sub(median_us).saturating_abs())
         .collect();
-    let do_agree = median(&mut deviations) <= MAX_DEVIATION_US;
-    let is_significant = middle.saturating_abs() >= MIN_DIFFERENCE_US;
-    let ahead_us = if do_agree && is_significant {
-        middle
+    let is_consistent = median(&mut deviations) <= MAX_DEVIATION_US;
+    let is_significant = median_us.saturating_abs() >= MIN_DIFFERENCE_US;
+    let ahead_us = if is_consistent && is_significant {
+        median_us
     } else {
         0
     };
     ClockDifference { ahead_us, pairs }
 }
 
-/// The upper median; 0 of no values.
+/// Returns the upper median, or 0 without values.
 fn median(values: &mut [i64]) -> i64 {
     values.sort_unstable();
     values.get(values.len() / 2).copied().unwrap_or(0)
--- a/crates/records/src/clock/tests.rs
+++ b/crates/records/src/clock/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_clock_that_is_ahead_is_found_by_shared_changes() {
+fn a_clock_that_is_ahead_is_detected_from_shared_changes() {
     let first = list_changes(&[
         ("a", 1_000_000),
         ("b", 5_000_000),
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn few_or_contradictory_changes_shift_nothing() {
+fn few_or_contradictory_changes_give_no_difference() {
     let first = list_changes(&[("a", 0), ("b", 0), ("c", 0)]);
     assert_eq!(
         difference(&first, &list_changes(&[("a", 3_000_000), ("b", 3_000_000)])),
--- a/crates/records/src/frame.rs
+++ b/crates/records/src/frame.rs
@@ -1,20 +1,21 @@
-//! Frames: how one record is stored in a file. A magic number, the length, a checksum of length and content, the content.
+//! Frames store one record each in a file: a magic number, the length of the content, a checksum of length and content,
+//! and the content.
 //!
-//! A reader skips what is no valid frame and continues with the next one that is, so that damage costs only the frames that it
-//! hits.
+//! A reader skips bytes that are not a valid frame and continues with the next valid one, so that damage loses only the
+//! frames that contain it.
 
-/// Begins each frame: no byte of it occurs twice, and it is no valid text.
+/// First bytes of each frame. All differ, and they are not valid UTF-8.
 pub const MAGIC: [u8; 4] = [0xC4, 0x75, 0x7E, 0x9D];
 /// Length of the magic number, the length and the checksum, in bytes.
 pub const HEADER_BYTES: usize = 12;
-/// Longest content of a frame, in bytes: a fleet of 10,000 servers in one record.
+/// Longest content of a frame, in bytes: holds a record of a fleet of 10,000 servers.
 pub const MAX_CONTENT_BYTES: usize = 1 << 20;
 /// Offset of the length in a frame.
 const LENGTH_OFFSET: usize = 4;
 /// Offset of the checksum in a frame.
 const CHECKSUM_OFFSET: usize = 8;
-/// Bytes that may be checksummed in the search for the next valid frame; the rest of the file counts as damaged beyond it. A
-/// file of nothing but magic numbers would take hours otherwise.
+/// Most bytes that are checksummed in the search for the next valid frame. Beyond this, the rest of the file counts as
+/// damaged: a file that contains only magic numbers would otherwise take hours.
 const MAX_SEARCH_BYTES: usize = 64 << 20;
 
 fn checksum(length: [u8; 4], content: &[u8]) -> u32 {
@@ -37,17 +38,17 @@
     true
 }
 
-/// A piece of a file.
+/// A contiguous part of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Piece<'a> {
     /// A valid frame.
     Whole {
         /// The offset of the frame.
         at: usize,
-        /// The content.
+        /// The bytes that the checksum covers, without the header.
         content: &'a [u8],
     },
-    /// Bytes that belong to no valid frame, with a valid one after them.
+    /// Bytes that belong to no valid frame, followed by a valid one.
     Damaged {
         /// The offset of the bytes.
         at: usize,
@@ -63,16 +64,16 @@
     },
 }
 
-/// What is at an offset.
+/// The result of parsing a frame at an offset.
 enum Parsed<'a> {
     /// A valid frame with this content.
     Frame(&'a [u8]),
-    /// No valid frame, which took a checksum over some bytes to see.
+    /// Not a valid frame; `checked_bytes` were checksummed to detect that.
     Invalid { checked_bytes: usize },
 }
 
-/// Four bytes at an offset.
-fn word(bytes: &[u8], at: usize) -> Option<[u8; 4]> {
+/// Returns the four bytes at an offset, or `None` beyond the end.
+fn four_bytes(bytes: &[u8], at: usize) -> Option<[u8; 4]> {
     bytes.get(at..at + 4)?.try_into().ok()
 }
 
@@ -81,9 +82,10 @@
     let Some(head) = bytes.get(at..at + HEADER_BYTES) else {
         return invalid;
     };
-    let (Some(length), Some(stored_checksum)) =
-        (word(head, LENGTH_OFFSET), word(head, CHECKSUM_OFFSET))
-    else {
+    let (Some(length), Some(stored_checksum)) = (
+        four_bytes(head, LENGTH_OFFSET),
+        four_bytes(head, CHECKSUM_OFFSET),
+    ) else {
         return invalid;
     };
     let content_bytes = u32::from_le_bytes(length) as usize;
@@ -110,12 +112,12 @@
 }
 
 impl<'a> Pieces<'a> {
-    /// The pieces from an offset on, which should be that of a frame.
+    /// Creates an iterator from an offset on, which should be the start of a frame.
     pub fn new(bytes: &'a [u8], from: usize) -> Self {
         Pieces { bytes, at: from }
     }
 
-    /// The offset of the next valid frame after the current position.
+    /// Returns the offset of the next valid frame after the current position.
     fn find_next_frame(&self) -> Option<usize> {
         let mut at = self.at + 1;
         let mut checked_bytes = 0;
--- a/crates/records/src/frame/tests.rs
+++ b/crates/records/src/frame/tests.rs
@@ -30,9 +30,9 @@
     assert!(out.is_empty());
 }
 
-/// A file made to be slow must not keep a report from opening.
+/// A file of frame headers without valid frames must not block a report for hours.
 #[test]
-fn the_search_in_a_file_of_marks_alone_ends() {
+fn the_search_in_a_file_of_only_magic_numbers_ends() {
     let mut bytes = Vec::new();
     for _ in 0..200_000 {
         bytes.extend_from_slice(&MAGIC);
@@ -46,7 +46,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Cut at any byte: all frames before the cut and no others, and the tail counts as torn.
+    /// A file that is truncated at any byte yields exactly the frames before the cut; the rest counts as torn.
     #[test]
     fn a_truncated_file_keeps_all_frames_before_the_cut(
         contents in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..40), 1..12),
@@ -62,9 +62,9 @@
         prop_assert_eq!(torn, cut - complete.checked_sub(1).map_or(0, |last| ends[last]));
     }
 
-    /// A flipped bit costs the frame it hits, and no other.
+    /// A flipped bit loses only the frame that contains it.
     #[test]
-    fn a_flipped_bit_costs_one_frame(
+    fn a_flipped_bit_loses_one_frame(
         contents in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..40), 1..12),
         position in any::<prop::sample::Index>(),
         bit in 0..8u8,
@@ -83,9 +83,9 @@
         prop_assert_eq!(all, bytes.len(), "every byte is in one piece");
     }
 
-    /// Whatever the bytes are: pieces cover them once, in order.
+    /// The pieces of arbitrary bytes cover each byte once, in order.
     #[test]
-    fn any_bytes_are_read(bytes in proptest::collection::vec(any::<u8>(), 0..400), from in 0..3usize) {
+    fn arbitrary_bytes_are_read_without_gaps(bytes in proptest::collection::vec(any::<u8>(), 0..400), from in 0..3usize) {
         let mut next = from.min(bytes.len());
         for piece in Pieces::new(&bytes, from) {
             let (at, length) = match piece {
--- a/crates/records/src/incidents.rs
+++ b/crates/records/src/incidents.rs
@@ -1,5 +1,5 @@
-//! Incident reconstruction: which of the recorded events were faults, when each incident began, what came first, how far it
-//! went, and when it was over. Without I/O, from events in order.
+//! Incident reconstruction: finds faults among recorded events and groups them into incidents with their begin, first
+//! event, extent and end. Reads events in order; does no I/O.
 
 mod extremes;
 mod faults;
@@ -20,7 +20,7 @@
     Reduced,
     /// It has no weight.
     Withdrawn,
-    /// The endpoint list says that it is draining.
+    /// It is draining according to the endpoint list.
     Draining,
     /// It is warming up.
     WarmingUp,
@@ -29,7 +29,7 @@
 }
 
 impl ServerStatus {
-    /// The status as reports print it.
+    /// Returns the name of the status in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             ServerStatus::Full => "full",
@@ -42,14 +42,14 @@
     }
 }
 
-/// An interval of one status.
+/// An interval in which a server had the same status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
     /// The begin, in Unix microseconds.
     pub from_us: i64,
     /// The end, in Unix microseconds.
     pub to_us: i64,
-    /// The status.
+    /// What the supervisor recorded of the server in this interval.
     pub status: ServerStatus,
 }
 
@@ -71,19 +71,19 @@
     pub spans: Vec<Span>,
 }
 
-/// A fault; there may be several at once.
+/// A fault. Several may be present at once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
     /// A server has a reduced weight, or none.
     Server(String),
-    /// Reports show that attempts at a server fail.
+    /// Most attempts at a server fail, according to load reports.
     Failing(String),
     /// A zone is partitioned.
     Zone(String),
-    /// Requests are rejected.
+    /// A share of requests is rejected.
     LoadShedding,
     /// A reduced service level is in force.
-    Reduced(String),
+    ReducedServiceLevel(String),
     /// Discovery is unavailable.
     Discovery,
     /// A supervisor crashed or stalled.
@@ -91,48 +91,48 @@
 }
 
 impl Fault {
-    /// The fault in words.
+    /// Returns a short description for reports.
     pub fn line(&self) -> String {
         match self {
             Fault::Server(name) => format!("server {name} out or reduced"),
             Fault::Failing(name) => format!("tries at {name} fail"),
             Fault::Zone(name) => format!("zone {name} cut off"),
             Fault::LoadShedding => "requests refused".to_string(),
-            Fault::Reduced(level) => format!("service reduced to {level}"),
+            Fault::ReducedServiceLevel(level) => format!("service reduced to {level}"),
             Fault::Discovery => "discovery silent".to_string(),
             Fault::Supervisor(name) => format!("supervisor {name} away"),
         }
     }
 }
 
-/// A fault and its begin.
+/// The first time that a fault occurred in an incident.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultBegin {
     /// The time, in Unix microseconds.
     pub at_us: i64,
-    /// The fault.
+    /// What failed.
     pub fault: Fault,
 }
 
-/// An incident: faults that overlap, or follow each other closely.
+/// An incident: faults that overlap or follow each other closely.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incident {
     /// The begin, in Unix microseconds.
     pub from_us: i64,
-    /// When its last fault ended, in Unix microseconds; `None` if it continues.
+    /// The end of its last fault, in Unix microseconds; `None` if it continues.
     pub ended_us: Option<i64>,
-    /// The first event, in the words of its record.
+    /// The supervisor and the text of the first event.
     pub first_event: String,
-    /// All faults, in the order in which they began.
+    /// All faults, each once, in the order in which they began.
     pub faults: Vec<FaultBegin>,
-    /// Servers that had no weight at some time.
+    /// Names of servers that had no weight at some time.
     pub withdrawn: BTreeSet<String>,
 }
 
-/// An extreme value, and where it occurred first.
+/// An extreme value, with the time and supervisor of its first occurrence.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Extreme {
-    /// The value.
+    /// A number of lines, a share or a level, depending on the field that holds it.
     pub value: f64,
     /// The time, in Unix microseconds.
     pub at_us: i64,
@@ -140,27 +140,27 @@
     pub supervisor: Arc<str>,
 }
 
-/// A server that the endpoint list took out of service.
+/// A server that began to drain according to the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Drain {
-    /// When, in Unix microseconds.
+    /// The time at which it began to drain, in Unix microseconds.
     pub at_us: i64,
     /// The name of the server.
     pub server: String,
 }
 
-/// What the events of an interval amount to.
+/// The incidents, extreme values and server histories of an interval.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reconstruction {
     /// The incidents, in order.
     pub incidents: Vec<Incident>,
     /// The intended drains, in order.
     pub drains: Vec<Drain>,
-    /// The lowest level, by class.
+    /// The lowest admission level, by class.
     pub lowest_levels: BTreeMap<String, Extreme>,
-    /// The most lines that waited in a channel.
+    /// The greatest number of lines queued in a channel.
     pub max_waiting: Option<Extreme>,
-    /// The largest share of requests that was rejected.
+    /// The greatest share of requests that were rejected; `None` if there were none.
     pub max_rejected: Option<Extreme>,
     /// The number of streams that ended, by reason.
     pub ended_streams: BTreeMap<String, u64>,
--- a/crates/records/src/incidents/extremes.rs
+++ b/crates/records/src/incidents/extremes.rs
@@ -7,7 +7,7 @@
 use crate::pb::{record::Kind, Gauge, Life};
 use crate::timeline::Event;
 
-/// Adds an event within the window. `classes` are the classes that its supervisor knows.
+/// Adds an event within the window. `classes` are the class names that its supervisor has recorded so far.
 pub(super) fn add(reconstruction: &mut Reconstruction, event: &Event, classes: &[String]) {
     match &event.record.kind {
         Some(Kind::Gauge(of)) => add_sample(reconstruction, event, of, classes),
@@ -33,12 +33,12 @@
         at_us: event.at_us,
         supervisor: Arc::clone(&event.supervisor),
     };
-    keep_greater(&mut reconstruction.max_waiting, extreme(gauge.waiting));
+    update_max(&mut reconstruction.max_waiting, extreme(gauge.waiting));
     if gauge.refused > 0.0 {
-        keep_greater(&mut reconstruction.max_rejected, extreme(gauge.refused));
+        update_max(&mut reconstruction.max_rejected, extreme(gauge.refused));
     }
     for (class, level) in classes.iter().zip(&gauge.levels) {
-        keep_lower(
+        update_min_level(
             &mut reconstruction.lowest_levels,
             class,
             extreme(*level),
@@ -47,7 +47,7 @@
     }
 }
 
-fn keep_greater(greatest: &mut Option<Extreme>, extreme: Extreme) {
+fn update_max(greatest: &mut Option<Extreme>, extreme: Extreme) {
     let is_greater = greatest
         .as_ref()
         .is_none_or(|greatest| extreme.value > greatest.value);
@@ -56,16 +56,16 @@
     }
 }
 
-/// Keeps the lower level of a class, which is compared with an initial one where none is known.
-fn keep_lower(
+/// Updates the lowest level of a class, starting from an initial level.
+fn update_min_level(
     lowest_levels: &mut BTreeMap<String, Extreme>,
     class: &str,
     extreme: Extreme,
     initial: Extreme,
 ) {
-    let lowest_levels = lowest_levels.entry(class.to_string()).or_insert(initial);
-    if extreme.value < lowest_levels.value {
-        *lowest_levels = extreme;
+    let lowest = lowest_levels.entry(class.to_string()).or_insert(initial);
+    if extreme.value < lowest.value {
+        *lowest = extreme;
     }
 }
 
--- a/crates/records/src/incidents/faults.rs
+++ b/crates/records/src/incidents/faults.rs
@@ -1,4 +1,4 @@
-//! Incidents: faults that overlap, or follow each other closely.
+//! Groups faults that overlap or follow each other closely into incidents.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,18 +6,18 @@
 use super::{Fault, FaultBegin, Incident};
 use crate::timeline::Window;
 
-/// Time without a fault after which the next one is another incident, in microseconds. Ejected servers return within twelve
-/// seconds, so that a server which keeps failing is one incident.
+/// Shortest time without faults between two incidents, in microseconds. Ejected servers return within 12 seconds, so
+/// that a server that keeps failing is one incident.
 const MIN_INCIDENT_GAP_US: i64 = 30_000_000;
 
-/// A fault that a supervisor has seen begin and not end.
+/// A fault of which a supervisor recorded the begin, but not the end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OpenFault {
     supervisor: Arc<str>,
     fault: Fault,
 }
 
-/// All incidents so far, and the faults that continue.
+/// The incidents so far and the faults that are present.
 #[derive(Default)]
 pub(super) struct FaultTracker {
     incidents: Vec<Incident>,
@@ -25,7 +25,7 @@
 }
 
 impl FaultTracker {
-    /// A supervisor sees a fault begin. `description` is the event in words.
+    /// Begins a fault as recorded by a supervisor. `description` is the text of the event.
     pub fn begin(&mut self, at_us: i64, supervisor: &Arc<str>, fault: Fault, description: &str) {
         let begin = FaultBegin {
             at_us,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The last incident, if it continues or has ended just before.
+    /// Returns the last incident if it continues or has ended less than [`MIN_INCIDENT_GAP_US`] before.
     fn continuing_incident(&mut self, at_us: i64) -> Option<&mut Incident> {
         let last = self.incidents.last_mut()?;
         let is_continuing = last
@@ -64,7 +64,7 @@
         is_continuing.then_some(last)
     }
 
-    /// A supervisor sees a fault end.
+    /// Ends a fault as recorded by a supervisor.
     pub fn end(&mut self, at_us: i64, supervisor: &Arc<str>, fault: Fault) {
         let was_open = self.open.remove(&OpenFault {
             supervisor: Arc::clone(supervisor),
@@ -78,26 +78,26 @@
         }
     }
 
-    /// All faults that a supervisor sees end.
+    /// Ends all faults of a supervisor.
     pub fn end_all(&mut self, at_us: i64, supervisor: &Arc<str>) {
         let open = self.open.iter();
-        let own: Vec<Fault> = open
+        let faults: Vec<Fault> = open
             .filter(|open| open.supervisor == *supervisor)
             .map(|open| open.fault.clone())
             .collect();
-        for fault in own {
+        for fault in faults {
             self.end(at_us, supervisor, fault);
         }
     }
 
-    /// A server has no weight in the last incident.
+    /// Adds a withdrawn server to the last incident.
     pub fn add_withdrawn(&mut self, server: &str) {
         if let Some(incident) = self.incidents.last_mut() {
             incident.withdrawn.insert(server.to_string());
         }
     }
 
-    /// The incidents that overlap a window.
+    /// Returns the incidents that overlap a window.
     pub fn finish(mut self, window: Window) -> Vec<Incident> {
         self.incidents.retain(|incident| {
             let ends_late_enough = incident
--- a/crates/records/src/incidents/reconstruction.rs
+++ b/crates/records/src/incidents/reconstruction.rs
@@ -1,4 +1,4 @@
-//! Follows events one by one, so that a day need not be in memory at once.
+//! Processes events one by one, so that a day of events does not have to fit in memory.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,20 +12,20 @@
 use crate::replay::FleetState;
 use crate::timeline::{Event, Gap, GapReason, Window};
 
-/// Follows the events of several supervisors, and the gaps in their records.
+/// Reconstructs incidents from the events of several supervisors and the gaps in their records.
 pub struct Reconstructor {
     window: Window,
-    /// The state of the fleet, by the supervisor that sees it.
+    /// The state of the fleet according to each supervisor.
     fleet_states: BTreeMap<Arc<str>, FleetState>,
-    /// Intervals in which supervisors were absent, the next one last.
+    /// Intervals in which supervisors recorded nothing, the earliest last.
     absences: Vec<Gap>,
     incidents: FaultTracker,
     server_histories: ServerHistoryTracker,
     reconstruction: Reconstruction,
 }
 
-/// Reconstructs what happened in a window. The events should begin some time before it, so that the state at its begin is
-/// known.
+/// Reconstructs the incidents in a window. The events should start some time before it
+/// ([`crate::replay::LOOKBACK_US`]), so that the state at its begin is known.
 pub fn reconstruct(events: &[Event], gaps: &[Gap], window: Window) -> Reconstruction {
     let mut reconstructor = Reconstructor::new(gaps, window);
     for event in events {
@@ -35,7 +35,7 @@
 }
 
 impl Reconstructor {
-    /// Follows what happens in a window, with the gaps in it.
+    /// Creates a reconstructor for a window and the gaps in it.
     pub fn new(gaps: &[Gap], window: Window) -> Self {
         let mut absences: Vec<Gap> = gaps.iter().filter(|gap| is_absence(gap)).cloned().collect();
         absences.sort_by_key(|gap| Reverse(gap.from_us));
@@ -49,12 +49,13 @@
         }
     }
 
-    /// The state of the fleet after the events so far, as one supervisor sees it.
+    /// Returns the state of the fleet after the events so far, as recorded by one supervisor; `None` without its
+    /// events.
     pub fn fleet_state(&self, supervisor: &str) -> Option<&FleetState> {
         self.fleet_states.get(supervisor)
     }
 
-    /// Follows the next event; events must come in order.
+    /// Processes the next event. Events must be in order, as [`crate::timeline::sort_events`] sorts them.
     pub fn process(&mut self, event: &Event) {
         while let Some(gap) = self.absences.pop_if(|gap| gap.from_us <= event.at_us) {
             self.process_absence(&gap);
@@ -83,7 +84,7 @@
         self.update_faults(event);
     }
 
-    /// Nothing is known of the servers of an absent supervisor. The absence is a fault unless it was shut down.
+    /// Sets the servers of an absent supervisor to unknown. Its absence is a fault unless it was shut down.
     fn process_absence(&mut self, gap: &Gap) {
         let supervisor = &gap.supervisor;
         self.server_histories.set_unknown(gap.from_us, supervisor);
@@ -104,7 +105,7 @@
         match kind {
             Kind::StateChanged(of) => self.update_server_fault(event, of),
             Kind::LifeChanged(of) if of.life() != Life::InService => {
-                // A server that leaves is no fault any more.
+                // A server that drains or is removed is no longer a fault.
                 self.set_fault(event, false, Fault::Server(of.server.clone()));
                 self.set_fault(event, false, Fault::Failing(of.server.clone()));
             }
@@ -117,12 +118,16 @@
                 self.set_fault(event, false, Fault::LoadShedding);
             }
             Kind::ServiceLevel(of) => {
-                self.set_fault(event, of.number > 0, Fault::Reduced(of.to.clone()));
-                self.set_fault(event, false, Fault::Reduced(of.from.clone()));
+                self.set_fault(
+                    event,
+                    of.number > 0,
+                    Fault::ReducedServiceLevel(of.to.clone()),
+                );
+                self.set_fault(event, false, Fault::ReducedServiceLevel(of.from.clone()));
             }
             Kind::Discovery(of) => self.set_fault(event, !of.tells, Fault::Discovery),
             Kind::Fleet(of) => self.end_faults_of_healthy(event, of),
-            // A new incarnation knows of no faults.
+            // A new incarnation starts without known faults.
             Kind::Started(_) => self.incidents.end_all(event.at_us, &event.supervisor),
             _ => {}
         }
@@ -136,7 +141,7 @@
         }
     }
 
-    /// A record of all servers ends the faults of those that are healthy again, where an event was lost.
+    /// Ends the faults of servers that a record of the whole fleet shows as healthy, in case an event was lost.
     fn end_faults_of_healthy(&mut self, event: &Event, fleet: &pb::Fleet) {
         for server in &fleet.servers {
             if server.state() == State::Full {
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Begins or ends a fault with an event.
+    /// Begins or ends a fault at the time of an event.
     fn set_fault(&mut self, event: &Event, is_present: bool, fault: Fault) {
         let (at_us, supervisor) = (event.at_us, &event.supervisor);
         if is_present {
@@ -156,7 +161,7 @@
         }
     }
 
-    /// What happened in the window.
+    /// Returns the reconstruction of the window.
     pub fn finish(mut self) -> Reconstruction {
         while let Some(gap) = self.absences.pop() {
             self.process_absence(&gap);
@@ -169,7 +174,7 @@
     }
 }
 
-/// Whether nothing is known of a supervisor's servers within a gap.
+/// Whether the servers of the supervisor are in an unknown state during a gap.
 fn is_absence(gap: &Gap) -> bool {
     matches!(
         gap.reason,
--- a/crates/records/src/incidents/server_history.rs
+++ b/crates/records/src/incidents/server_history.rs
@@ -17,7 +17,7 @@
 }
 
 impl ObservedStatus {
-    /// The status of a server in the state of a fleet; `None` if it has no such server.
+    /// Returns the status of a server, or `None` if the fleet does not contain it.
     pub fn of(fleet_state: &FleetState, server: &str) -> Option<Self> {
         let state = fleet_state.servers.get(server)?;
         Some(ObservedStatus {
@@ -27,7 +27,7 @@
         })
     }
 
-    /// The status of all servers in the state of a fleet.
+    /// Returns the status of all servers of a fleet.
     pub fn of_all(fleet_state: &FleetState) -> Vec<Self> {
         let names = fleet_state.servers.keys();
         names
@@ -35,7 +35,7 @@
             .collect()
     }
 
-    /// The same server, of which nothing is known any more.
+    /// Returns the same server with unknown status.
     pub fn into_unknown(self) -> Self {
         ObservedStatus {
             status: ServerStatus::Unknown,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The status of all servers over the time of a window.
+/// The status of all servers over the length of a window.
 pub(super) struct ServerHistoryTracker {
     window: Window,
     histories: BTreeMap<ObservedServer, ServerHistory>,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sets the status of a server from a time on.
+    /// Sets the status of a server from a time on, clamped to the window.
     pub fn set(&mut self, at_us: i64, supervisor: &Arc<str>, status: ObservedStatus) {
         let at_us = at_us.clamp(self.window.from_us, self.window.to_us);
         let observed = ObservedServer {
@@ -96,7 +96,7 @@
         });
     }
 
-    /// Nothing is known of the servers of a supervisor from a time on.
+    /// Sets all servers of a supervisor to unknown from a time on.
     pub fn set_unknown(&mut self, at_us: i64, supervisor: &Arc<str>) {
         let known: Vec<ObservedStatus> = self
             .histories
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The histories until the end of the window, without empty intervals before it.
+    /// Returns the histories up to the end of the window, without empty intervals before it.
     pub fn finish(mut self) -> BTreeMap<ObservedServer, ServerHistory> {
         let to_us = self.window.to_us;
         for history in self.histories.values_mut() {
--- a/crates/records/src/incidents/tests.rs
+++ b/crates/records/src/incidents/tests.rs
@@ -81,7 +81,7 @@
     );
 }
 
-/// The faults that a supervisor saw before it crashed must not last for good.
+/// Faults that a supervisor recorded before a crash have no recorded end; they must end when it starts again.
 #[test]
 fn a_crash_of_a_supervisor_ends_its_faults_and_is_a_fault_itself() {
     let gap = Gap {
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn metrics_show_how_far_an_incident_went() {
+fn metrics_show_the_extent_of_an_incident() {
     let started = pb::Started {
         classes: vec!["lookup".into(), "order".into()],
         ..Default::default()
--- a/crates/records/src/index.rs
+++ b/crates/records/src/index.rs
@@ -1,8 +1,7 @@
-//! The index of a segment, which answers what happened between two times, to a server, or of a kind.
+//! The index of a segment, for queries by time, server and kind.
 //!
-//! It summarizes blocks of a few hundred records by their interval, the set of their kinds and a small Bloom filter of their
-//! servers. Besides, it holds rollups of every ten seconds, and the intervals of which the segment itself shows that something
-//! is missing.
+//! It summarizes blocks of [`BLOCK_RECORDS`] records by their interval, the set of their kinds and a small Bloom filter
+//! of their servers. It also holds a rollup for every ten seconds, and the gaps that the segment itself shows.
 
 mod query;
 mod rollup;
@@ -15,14 +14,15 @@
 
 pub use query::Query;
 
-/// Records in a block: reading one costs some 10 KiB, and a day of a million records has 4,000 of them.
+/// Records in a block. A block takes about 10 KiB; a day of a million records has 4,000 blocks.
 pub const BLOCK_RECORDS: u32 = 256;
-/// Length of a rollup, in microseconds.
+/// Length of the interval of a rollup, in microseconds.
 pub const ROLLUP_US: i64 = 10_000_000;
-/// A supervisor that records nothing for longer than this has stalled, in microseconds: it samples its metrics each second.
+/// Time without records after which a supervisor counts as stalled, in microseconds. It samples its metrics each
+/// second.
 pub const STALLED_US: i64 = 4_000_000;
 
-/// Reasons of holes, as indexes store them.
+/// Reasons of gaps as stored in indexes.
 pub(crate) mod hole_reason {
     /// Bytes or sequence numbers are missing.
     pub const DAMAGED: &str = "damaged";
@@ -44,7 +44,7 @@
 }
 
 impl Builder {
-    /// The index of a segment of a length in bytes, without items.
+    /// Creates an empty index of a segment. `length` is the length of its file in bytes.
     pub fn new(id: SegmentId, length: u64) -> Self {
         let index = Index {
             length,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Adds the next item.
+    /// Adds the next item of the segment.
     pub fn add(&mut self, item: &Item) {
         match item {
             Item::Header(header) => self.index.supervisor.clone_from(&header.supervisor),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Adds what is missing between the last record and this one.
+    /// Adds a gap if records are missing between the last record and this one, or if it took too long.
     fn add_hole_before(&mut self, record: &Record) {
         if self.index.records == 0 {
             self.index.first_seq = record.seq;
@@ -111,7 +111,7 @@
         });
     }
 
-    /// Adds what a record itself says of missing ones.
+    /// Adds the gap that a record itself describes: lost records or a step of the clock.
     fn add_recorded_hole(&mut self, record: &Record) {
         let hole = match &record.kind {
             Some(Kind::Lost(lost)) => lost_hole(lost),
@@ -148,7 +148,7 @@
         block.servers_high = (filter >> 64) as u64;
     }
 
-    /// Rollups go by when records were learned, which never goes back.
+    /// Rollups use the time at which records were learned, which never decreases.
     fn add_to_rollup(&mut self, number: u32, record: &Record) {
         let from_us = record.learned_us.div_euclid(ROLLUP_US) * ROLLUP_US;
         let is_over = self
@@ -171,7 +171,7 @@
         self.index.rollups.extend(rollup);
     }
 
-    /// The index.
+    /// Completes the last block and rollup and returns the index.
     pub fn finish(mut self) -> Index {
         self.index.blocks.extend(self.block.take());
         self.finish_rollup();
@@ -199,7 +199,7 @@
     }
 }
 
-/// The index of the bytes of a whole segment.
+/// Builds the index of a segment from all of its bytes.
 pub fn build(id: SegmentId, bytes: &[u8]) -> Index {
     let mut builder = Builder::new(id, bytes.len() as u64);
     for (_, item) in segment::items(bytes, 0) {
--- a/crates/records/src/index/rollup.rs
+++ b/crates/records/src/index/rollup.rs
@@ -1,4 +1,4 @@
-//! Sums of the records of ten seconds.
+//! Aggregates of the records of ten seconds.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 
 use crate::pb::{record::Kind, Gauge, Record, Rollup};
 
-/// Greatest number of waiting lines that the histogram distinguishes.
+/// Greatest number of queued lines that the histogram can represent.
 const MAX_WAITING: u64 = 10_000_000;
-/// Significant digits of the histogram: finer than a chart.
+/// Significant decimal digits of the histogram, more than a chart shows.
 const WAITING_DIGITS: u8 = 2;
 
-/// The range of a number of streams.
+/// The least and greatest number of streams.
 #[derive(Clone, Copy)]
 struct StreamRange {
     min: u32,
     max: u32,
 }
 
-/// A rollup that is being summed up.
+/// A rollup to which records are being added.
 pub(super) struct RollupBuilder {
     /// The begin of the rollup, in Unix microseconds.
     pub from_us: i64,
@@ -29,12 +29,12 @@
     samples: u32,
     streams: Option<StreamRange>,
     withdrawn_max: u32,
-    /// The least level of each class.
+    /// The lowest admission level of each class.
     levels: Vec<f64>,
 }
 
 impl RollupBuilder {
-    /// An empty rollup; `None` if its histogram can't be created.
+    /// Creates an empty rollup, or returns `None` if its histogram can't be created.
     pub fn new(from_us: i64) -> Option<Self> {
         let waiting = Histogram::new_with_max(MAX_WAITING, WAITING_DIGITS).ok()?;
         Some(RollupBuilder {
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Adds a record, whose kind has a number.
+    /// Adds a record. `number` is the number of its kind.
     pub fn add(&mut self, number: u32, record: &Record) {
         *self.counts.entry(number).or_default() += 1;
         if let Some(Kind::Gauge(gauge)) = &record.kind {
@@ -75,12 +75,12 @@
         });
         let classes = self.levels.len().max(gauge.levels.len());
         self.levels.resize(classes, 1.0);
-        for (least, level) in self.levels.iter_mut().zip(&gauge.levels) {
-            *least = least.min(*level);
+        for (lowest, level) in self.levels.iter_mut().zip(&gauge.levels) {
+            *lowest = lowest.min(*level);
         }
     }
 
-    /// The rollup.
+    /// Returns the rollup; its quantiles and means are 0 without samples of metrics.
     pub fn finish(self) -> Rollup {
         let streams = self.streams.unwrap_or(StreamRange { min: 0, max: 0 });
         let quantile = |share: f64| self.waiting.value_at_quantile(share) as f64;
--- a/crates/records/src/index/tests.rs
+++ b/crates/records/src/index/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_block_is_skipped_only_if_it_holds_no_wanted_record() {
+fn a_block_is_skipped_only_if_no_record_can_match() {
     let block = block(&["s-1", "s-2"], &[20, 43]);
     let query = |from, to, kinds: &[u32], server: Option<&str>| Query {
         from_us: Some(from),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn rollups_sum_up_the_samples_of_ten_seconds() {
+fn rollups_aggregate_the_samples_of_ten_seconds() {
     let mut builder = Builder::new(SegmentId::default(), 0);
     for (seq, second) in (0..25u64).enumerate() {
         let gauge = pb::Gauge {
--- a/crates/records/src/kind.rs
+++ b/crates/records/src/kind.rs
@@ -1,15 +1,15 @@
-//! The kinds of records: their numbers in the schema, their names, the server that each is about; and the decoding of records
-//! that are newer than this version.
+//! The kinds of records: their numbers in the schema, their names and the server that each concerns. Also decodes
+//! records, including those of newer versions.
 
 use prost::encoding::decode_key;
 use prost::Message;
 
 use crate::pb::{self, record::Kind, Record};
 
-/// The first number of a kind; lower ones are fields that every record has.
+/// The first number of a kind; lower ones are fields of every record.
 pub const FIRST_NUMBER: u32 = 10;
 
-/// The number and the name of every kind, in the order of their numbers.
+/// The number and the name of every kind, ordered by number.
 pub const KINDS: [(u32, &str); 27] = [
     (10, "started"),
     (11, "stopped"),
@@ -40,7 +40,7 @@
     (51, "plugin-said"),
 ];
 
-/// The number of a kind.
+/// Returns the field number of a kind in the schema.
 pub fn number(kind: &Kind) -> u32 {
     match kind {
         Kind::Started(_) => 10,
@@ -73,7 +73,7 @@
     }
 }
 
-/// The name of a kind by its number.
+/// Returns the name of the kind with a number, or `unknown`.
 pub fn name(number: u32) -> &'static str {
     KINDS
         .iter()
@@ -81,7 +81,7 @@
         .map_or("unknown", |(_, name)| name)
 }
 
-/// The number of a kind by its name.
+/// Returns the number of the kind with a name, or `None` if there is none.
 pub fn by_name(name: &str) -> Option<u32> {
     KINDS
         .iter()
@@ -89,7 +89,7 @@
         .map(|(number, _)| *number)
 }
 
-/// The server that a record is about, where it is about one.
+/// Returns the name of the server that a record concerns, if it concerns a single one.
 pub fn server(kind: &Kind) -> Option<&str> {
     match kind {
         Kind::StateChanged(of) => Some(&of.server),
@@ -101,12 +101,13 @@
     }
 }
 
-/// Whether a record is a sample of a time series, which charts show, rather than an event.
+/// Whether a record is a sample of a time series, as shown in charts, rather than an event.
 pub fn is_series(kind: &Kind) -> bool {
     matches!(kind, Kind::Gauge(_) | Kind::Fleet(_) | Kind::Published(_))
 }
 
-/// Whether an event matters to whoever asks what went wrong; joins and ends of streams and the like do not.
+/// Whether an event shows a fault, a restriction of service or lost data. Recoveries and joins and ends of streams do
+/// not.
 pub fn is_fault(kind: &Kind) -> bool {
     match kind {
         Kind::StateChanged(of) => of.state() != pb::State::Full,
@@ -127,18 +128,18 @@
     }
 }
 
-/// A decoded record.
+/// A record as far as this version can decode it, with the number of its kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedRecord {
-    /// The record; without a kind if this version does not know it.
+    /// The record, without a kind if this version does not know it.
     pub record: Record,
-    /// The number of its kind; 0 if it has none at all.
+    /// The number of its kind, or 0 if it has none.
     pub number: u32,
-    /// Its bytes, if they contain more than this version can decode.
+    /// The encoded record if it contains more than this version can decode.
     pub newer: Option<Vec<u8>>,
 }
 
-/// Decodes a record; what this version can't decode is kept as bytes. `None` if it is no record.
+/// Decodes a record. Keeps the bytes if this version can't decode all of them; returns `None` if they are not a record.
 pub fn decode(content: &[u8]) -> Option<DecodedRecord> {
     let record = Record::decode(content).ok()?;
     let number = record
@@ -154,7 +155,7 @@
     })
 }
 
-/// The number of the first field beyond those that every record has; 0 if there is none.
+/// Returns the number of the first field beyond those of every record, or 0 if there is none.
 fn unknown_kind_number(mut content: &[u8]) -> u32 {
     let context = prost::encoding::DecodeContext::default();
     while let Ok((tag, wire_type)) = decode_key(&mut content) {
--- a/crates/records/src/kind/tests.rs
+++ b/crates/records/src/kind/tests.rs
@@ -13,7 +13,7 @@
     assert_eq!((name(63), by_name("nothing")), ("unknown", None));
 }
 
-/// Records of a newer version must not silently vanish when an older one reads them.
+/// A reader of an older version must not drop records of newer kinds silently.
 #[test]
 fn newer_kinds_are_kept_and_named_unknown() {
     let mut bytes = Record {
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -1,10 +1,10 @@
-//! Typed, crash-safe records of what a supervisor did.
+//! Typed, crash-safe records of the events and decisions of a supervisor.
 //!
-//! The thread that makes decisions passes records to a [`Recorder`] and never waits for a disk; a writer thread frames them into
-//! segments. Readers merge the segments of several supervisors by time, and mark every interval of which not everything is
-//! known. No sockets and no async here.
+//! The decision thread passes records to a [`Recorder`] and never waits for the disk; a writer thread appends them to
+//! segments as frames. Readers merge the segments of several supervisors by time and mark every gap. This crate uses no
+//! sockets and no async code.
 //!
-//! `docs/records.md` describes the format and its alternatives, `proto/records.proto` is the schema.
+//! `docs/records.md` describes the format and its alternatives; `proto/records.proto` is the schema.
 
 pub mod clock;
 pub mod frame;
@@ -20,7 +20,7 @@
 pub mod text;
 pub mod timeline;
 
-/// The types of the schema `proto/records.proto`, as generated.
+/// The types generated from the schema `proto/records.proto`.
 #[allow(missing_docs, clippy::all, clippy::doc_markdown)]
 pub mod pb {
     include!(concat!(env!("OUT_DIR"), "/chutegrade.records.v1.rs"));
--- a/crates/records/src/maintenance.rs
+++ b/crates/records/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! Background maintenance of a directory of records: the indexes of sealed segments, and the removal of old segments.
+//! Background maintenance of a directory of records: indexes sealed segments and removes old ones.
 
 mod indexing;
 mod retention;
@@ -15,20 +15,20 @@
 
 pub use retention::Retention;
 
-/// Time between two checks of a directory without work.
+/// Time between two checks of a directory when there is no work.
 const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The segment that is being written, which the writer tells the maintenance jobs.
+/// The segment that is being written, shared between the writer and the maintenance jobs.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveSegment(Arc<Mutex<Option<SegmentId>>>);
 
 impl ActiveSegment {
-    /// The segment that is being written.
+    /// Returns the segment that is being written, or `None` if there is none.
     pub fn get(&self) -> Option<SegmentId> {
         self.0.lock().map_or(None, |segment| *segment)
     }
 
-    /// Says that another segment is being written.
+    /// Sets the segment that is being written.
     pub fn set(&self, id: Option<SegmentId>) {
         if let Ok(mut segment) = self.0.lock() {
             *segment = id;
@@ -36,7 +36,7 @@
     }
 }
 
-/// The maintenance jobs of a directory.
+/// Creates the maintenance jobs of a directory.
 pub fn jobs(
     directory: &Path,
     retention: Retention,
--- a/crates/records/src/maintenance/indexing.rs
+++ b/crates/records/src/maintenance/indexing.rs
@@ -12,11 +12,11 @@
 use crate::index::Builder;
 use crate::segment::{self, Item, SegmentId};
 
-/// Bytes of a segment that one step reads and indexes: some ten milliseconds, and enough for any frame.
+/// Bytes of a segment that one step reads and indexes: takes about 10 ms, and holds any frame.
 const STEP_BYTES: u64 = 2 << 20;
 /// Longest frame, in bytes.
 const MAX_FRAME_BYTES: u64 = (frame::HEADER_BYTES + frame::MAX_CONTENT_BYTES) as u64;
-/// The greatest cost of a step.
+/// The greatest expected cost of a step.
 const STEP_COST_BOUND: Cost = Cost {
     time: Duration::from_millis(100),
     bytes: 2 * STEP_BYTES,
@@ -26,12 +26,13 @@
 struct IndexInProgress {
     id: SegmentId,
     segment_bytes: u64,
-    /// Bytes of the segment that are indexed.
+    /// Bytes of the segment that have been indexed.
     indexed_bytes: u64,
     builder: Builder,
 }
 
-/// Writes the indexes of sealed segments, a part of one in each step. One that is interrupted starts again.
+/// Writes the indexes of sealed segments, one range of a segment per step. An interrupted index is built again from the
+/// beginning.
 pub(super) struct IndexingJob {
     directory: PathBuf,
     active_segment: ActiveSegment,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The oldest sealed segment without an index.
+    /// Returns the oldest sealed segment without an index.
     fn next_segment(&self) -> Option<SegmentId> {
         let active = self.active_segment.get();
         let mut ids = segment::list(&self.directory).ok()?.into_iter();
@@ -65,7 +66,7 @@
         })
     }
 
-    /// Reads the next part of a segment and indexes its complete frames; returns the bytes that were read.
+    /// Reads the next range of a segment and indexes its complete frames. Returns the number of bytes read.
     fn index_next_range(&self, index: &mut IndexInProgress) -> io::Result<u64> {
         let start = index.indexed_bytes;
         let bytes = segment::bytes(&index.id.path(&self.directory), start, STEP_BYTES)?;
@@ -73,7 +74,7 @@
         let is_last = start + read_bytes >= index.segment_bytes || bytes.is_empty();
         for (end, item) in segment::items(&bytes, start) {
             match item {
-                // A frame that the end of the part cuts is read again with the next one.
+                // A frame that crosses the end of the range is read again with the next range.
                 Item::Torn(_) if !is_last && index.indexed_bytes > start => break,
                 Item::Torn(torn_bytes) if !is_last => {
                     let damaged_bytes = torn_bytes.saturating_sub(MAX_FRAME_BYTES).max(1);
@@ -92,7 +93,7 @@
         Ok(read_bytes)
     }
 
-    /// Writes the file of an index as a whole or not at all, by renaming a temporary file.
+    /// Writes the file of an index atomically, by renaming a temporary file.
     fn write(&self, id: SegmentId, contents: &[u8]) -> io::Result<()> {
         let path = id.index_path(&self.directory);
         let temporary = path.with_extension("tmp");
--- a/crates/records/src/maintenance/retention.rs
+++ b/crates/records/src/maintenance/retention.rs
@@ -8,22 +8,22 @@
 use super::{ActiveSegment, CHECK_INTERVAL};
 use crate::segment::{self, SegmentId};
 
-/// The greatest cost of a step.
+/// The greatest expected cost of a step.
 const STEP_COST_BOUND: Cost = Cost {
     time: Duration::from_millis(20),
     bytes: 0,
 };
 
-/// How long records are kept: until the first limit is reached. The newest segment always stays.
+/// Limits on stored records. A segment is removed when either limit is exceeded, except the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// Bytes of all segments of one supervisor.
+    /// Most bytes of all segments of one supervisor.
     pub bytes: u64,
-    /// Time since a segment was last written.
+    /// Greatest time since a segment was last written.
     pub age: Duration,
 }
 
-/// A segment's file.
+/// The size and age of a segment's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct SegmentFile {
     id: SegmentId,
@@ -31,7 +31,7 @@
     age: Duration,
 }
 
-/// Removes old segments. It comes before other jobs, as a full disk stops recording.
+/// Removes old segments. It runs before other jobs, since a full disk stops recording.
 pub(super) struct RetentionJob {
     directory: PathBuf,
     retention: Retention,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The segments of the directory, the oldest first.
+    /// Returns the segments of the directory, the oldest first.
     fn files(&self) -> Vec<SegmentFile> {
         let ids = segment::list(&self.directory).unwrap_or_default();
         let now = SystemTime::now();
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Removes a segment, its index first: a segment without an index is scanned, an index without a segment is useless.
+    /// Removes the index first: a segment without an index can be scanned, an index without a segment is useless.
     fn remove(&self, id: SegmentId) {
         let _ = std::fs::remove_file(id.index_path(&self.directory));
         let _ = std::fs::remove_file(id.path(&self.directory));
@@ -97,7 +97,7 @@
     }
 }
 
-/// The segments to remove, of all in order; never the newest.
+/// Returns the segments to remove, the oldest first; never the newest segment. `files` must be in order.
 fn expired(files: &[SegmentFile], retention: Retention) -> Vec<SegmentId> {
     let mut bytes: u64 = files.iter().map(|file| file.bytes).sum();
     let mut expired = Vec::new();
--- a/crates/records/src/observe.rs
+++ b/crates/records/src/observe.rs
@@ -1,17 +1,17 @@
-//! Which servers fail most attempts, as reports show before any state follows from them. It decides nothing; it is for whoever
-//! asks later what came first.
+//! Detects servers that fail most attempts from load reports, before their health state changes. Used only for records,
+//! to show later how an incident began; no decision depends on it.
 
 use std::collections::BTreeSet;
 
 use crate::pb::Failing;
 
-/// Least attempts in a report that count.
+/// Fewest attempts in a report that is evaluated.
 const MIN_ATTEMPTS: f64 = 4.0;
-/// Share of failed attempts from which a server is failing.
+/// Least share of failed attempts at which a server is failing.
 const FAILING_FROM: f64 = 0.5;
 /// Share of failed attempts below which a failing server has recovered.
 const RECOVERED_BELOW: f64 = 0.1;
-/// Most failing servers that are remembered: all of a large fleet, seen from several zones.
+/// Most failing servers that are tracked: all of a large fleet, as seen from several zones.
 const MAX_FAILING: usize = 20_000;
 
 /// A server as the proxies of a zone see it.
@@ -28,7 +28,8 @@
 }
 
 impl FailingServers {
-    /// Takes in a report of the proxies of a zone on a server. Returns a record if the server begins or ceases to fail.
+    /// Evaluates a load report of the proxies of a zone on a server. Returns a record if the server starts or stops
+    /// failing.
     pub fn record_report(
         &mut self,
         zone: &str,
@@ -64,7 +65,7 @@
         })
     }
 
-    /// Forgets a server that is gone.
+    /// Stops tracking a server, as when it leaves the endpoint list.
     pub fn remove(&mut self, server: &str) {
         self.failing.retain(|observed| observed.server != server);
     }
--- a/crates/records/src/recorder.rs
+++ b/crates/records/src/recorder.rs
@@ -1,8 +1,8 @@
-//! Recording: from the thread that makes decisions to the disk.
+//! Recording, from the decision thread to the disk.
 //!
-//! [`Recorder::note`] pushes a value to a bounded lock-free queue and returns; a writer thread takes values from it, numbers and
-//! frames them, and commits in groups. What doesn't fit into the queue and what the disk doesn't accept is counted, and a `lost`
-//! record with its interval follows as soon as one can be written.
+//! [`Recorder::note`] pushes a record to a bounded lock-free queue and returns. A writer thread pops records, numbers
+//! and frames them, and commits in groups. Records that don't fit into the queue or can't be written are counted; a
+//! `lost` record with their number and interval follows as soon as one can be written.
 
 mod missing;
 mod writer;
@@ -23,30 +23,31 @@
 use missing::MissingRecords;
 use writer::Writer;
 
-/// Capacity of the queue, in records: a burst of two for each of 8,000 proxies; some 3 MiB once it was full.
+/// Capacity of the queue, in records: a burst of two for each of 8,000 proxies. A full queue takes about 3 MiB.
 const QUEUE_CAPACITY: usize = 16_384;
-/// Longest time that a shutdown waits for the last records.
+/// Longest time that [`Recording::close`] waits for the threads to write the last records and end.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time between two checks whether the threads have ended.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A record before it has its number.
+/// A record that has no sequence number yet.
 struct QueuedRecord {
-    /// When it happened, in Unix microseconds.
+    /// The time of the event, in Unix microseconds.
     at_us: i64,
-    /// When it was learned, in Unix microseconds.
+    /// The time at which the supervisor learned of it, in Unix microseconds.
     learned_us: i64,
     kind: Kind,
 }
 
-/// Accepts records on the thread that makes decisions.
+/// Accepts records on the decision thread.
 pub struct Recorder {
     queue: Arc<ArrayQueue<QueuedRecord>>,
     missing: RefCell<MissingRecords>,
 }
 
 impl Recorder {
-    /// Records what happened at one time and was learned at another, in Unix microseconds. Never blocks.
+    /// Queues a record without blocking. `at_us` is the time of the event and `learned_us` the time at which the
+    /// supervisor learned of it, in Unix microseconds.
     pub fn note(&self, at_us: i64, learned_us: i64, kind: Kind) {
         let mut missing = self.missing.borrow_mut();
         if let Some(lost) = missing.to_kind("queue") {
@@ -72,20 +73,20 @@
     }
 }
 
-/// Where records go, and how long they are kept.
+/// The destination of records, their retention, and the budget of maintenance.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The supervisor's own directory.
+    /// The directory of this supervisor's segments, not shared with another supervisor.
     pub directory: PathBuf,
-    /// The supervisor's name.
+    /// The name of the supervisor, stored in each segment.
     pub supervisor: String,
-    /// How long records are kept.
+    /// The limits beyond which old segments are removed.
     pub retention: Retention,
-    /// What maintenance may cost in any ten seconds.
+    /// The cost that maintenance must not exceed in any ten seconds.
     pub budget: Cost,
 }
 
-/// The writer thread and the maintenance thread.
+/// Handles of the writer thread and the maintenance thread.
 pub struct Recording {
     stop: Arc<AtomicBool>,
     written: Arc<AtomicU64>,
@@ -93,7 +94,7 @@
     maintenance: Option<JoinHandle<()>>,
 }
 
-/// Starts recording. The writer opens the directory: the caller doesn't wait for it, whatever its state.
+/// Starts recording. The writer thread opens the directory, so that the caller never waits for the disk.
 ///
 /// # Errors
 ///
@@ -141,17 +142,17 @@
 }
 
 impl Recording {
-    /// The number of records that have reached the file.
+    /// Returns the number of records that were written to files.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Acquire)
     }
 
-    /// Writes and commits what is queued, and ends both threads. Returns whether they ended in time.
+    /// Writes and commits all queued records and stops both threads. Returns whether they ended in time.
     pub fn close(self) -> bool {
         self.close_within(CLOSE_TIMEOUT)
     }
 
-    /// The same, with a timeout.
+    /// Does the same as [`Recording::close`] with another timeout.
     pub fn close_within(mut self, timeout: Duration) -> bool {
         self.stop.store(true, Ordering::Release);
         let started_at = Instant::now();
--- a/crates/records/src/recorder/missing.rs
+++ b/crates/records/src/recorder/missing.rs
@@ -1,8 +1,8 @@
-//! The count of records that could not be written.
+//! Counts records that could not be written.
 
 use crate::pb::{record::Kind, Lost};
 
-/// The number of missing records, and the interval in which they happened, in Unix microseconds.
+/// The number of missing records, and the interval of their events in Unix microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct MissingRecords {
     pub count: u64,
@@ -11,7 +11,7 @@
 }
 
 impl MissingRecords {
-    /// Counts a record that happened at a time.
+    /// Counts a missing record by the time of its event.
     pub fn add(&mut self, at_us: i64) {
         if self.count == 0 {
             self.from_us = at_us;
@@ -22,7 +22,7 @@
         self.to_us = self.to_us.max(at_us);
     }
 
-    /// The record that says so; `None` if nothing is missing.
+    /// Returns the `lost` record, or `None` if no record is missing.
     pub fn to_kind(self, reason: &str) -> Option<Kind> {
         if self.count == 0 {
             return None;
--- a/crates/records/src/recorder/writer.rs
+++ b/crates/records/src/recorder/writer.rs
@@ -15,32 +15,32 @@
 use crate::store::{Store, StoreError};
 use crate::text;
 
-/// Time between two polls of the queue: what a killed process may lose.
+/// Time between two polls of the queue. A killed process may lose the records of this time.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between commits: what a power failure may lose, besides the time of the commit itself.
+/// Time between commits. A power failure may lose the records of this time and of the commit itself.
 const COMMIT_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between attempts while the disk accepts nothing.
+/// Time between attempts while the disk fails.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Bytes that are written at once, roughly.
+/// Approximate number of bytes in one write.
 const BATCH_BYTES: usize = 256 << 10;
-/// Bytes of a record in a file, roughly.
+/// Approximate size of a record in a file, in bytes.
 const RECORD_BYTES: usize = 128;
-/// Bytes of a server in a record of the fleet, roughly.
+/// Approximate size of a server in a record of the fleet, in bytes.
 const FLEET_SERVER_BYTES: usize = 64;
 
 pub(super) struct Writer {
     options: Options,
     active_segment: ActiveSegment,
-    /// The number of records that have reached the file, shared with the recording's owner.
+    /// The number of records that were written to files, shared with [`super::Recording`].
     written: Arc<AtomicU64>,
     store: Option<Store>,
-    /// The number of the last record that was written.
+    /// The sequence number of the last record that was written.
     last_seq: u64,
     attempted_at: Option<Instant>,
     committed_at: Instant,
-    /// The log says that nothing can be written; not repeated until something was.
+    /// Whether the current failure was logged. Cleared by a successful write.
     is_failing: bool,
-    /// The program ends: this is the last round.
+    /// Whether the program is shutting down and this is the last iteration.
     is_closing: bool,
     missing: MissingRecords,
     frames: Vec<u8>,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Writes what is queued until it is stopped.
+    /// Writes queued records until `stop` is set.
     pub fn run(
         mut self,
         queue: &ArrayQueue<QueuedRecord>,
@@ -73,7 +73,7 @@
         now_us: impl Fn() -> i64,
     ) {
         loop {
-            // Read before the queue is emptied: what was queued before the stop is written.
+            // Read before the queue is drained, so that records queued before the stop are written.
             self.is_closing = stop.load(Ordering::Acquire);
             self.open(now_us());
             while self.write_batch(queue, now_us()) {}
@@ -87,7 +87,8 @@
         }
     }
 
-    /// A commit of nothing does not show that the disk works again, so that only failures are reported.
+    /// Commits written records. Reports failures only: a commit without new records doesn't show that the disk works
+    /// again.
     fn commit(&mut self) {
         self.committed_at = Instant::now();
         let Some(store) = &mut self.store else {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Whether the next attempt at a failing disk is not due yet. The last round makes one in any case.
+    /// Whether the next attempt to use a failing disk is not due yet. The last iteration always makes an attempt.
     fn is_backing_off(&self) -> bool {
         let was_attempted = self
             .attempted_at
@@ -106,7 +107,7 @@
         !self.is_closing && was_attempted
     }
 
-    /// Opens the directory if that hasn't succeeded yet, and records what the previous incarnation has left.
+    /// Opens the directory if that hasn't succeeded yet, and records what was recovered of the previous incarnation.
     fn open(&mut self, now_us: i64) {
         if self.store.is_some() || self.is_backing_off() {
             return;
@@ -138,7 +139,7 @@
         self.write(&[record], now_us);
     }
 
-    /// Writes as much of the queue as one write should hold. Returns whether there may be more.
+    /// Writes one batch of queued records. Returns whether there may be more.
     fn write_batch(&mut self, queue: &ArrayQueue<QueuedRecord>, now_us: i64) -> bool {
         let mut records = Vec::new();
         let mut bytes = 0;
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Encodes a record on what is missing, if anything is, and the given ones as frames. Returns the number of the last.
+    /// Encodes the records as frames, after a `lost` record if any are missing. Returns the last sequence number.
     fn encode(&mut self, records: &[QueuedRecord], now_us: i64) -> u64 {
         self.frames.clear();
         let mut last_seq = self.last_seq;
@@ -201,10 +202,10 @@
         last_seq
     }
 
-    /// Appends a record to the frames. Returns whether it fits into one.
+    /// Appends a record to the frames. Returns false, and appends nothing, if it doesn't fit into a frame.
     fn encode_record(&mut self, record: &QueuedRecord, seq: u64) -> bool {
         self.content.clear();
-        // The kind is encoded after the other fields, which saves a clone of it.
+        // The kind is encoded separately after the other fields to avoid cloning it.
         let head = Record {
             seq,
             at_us: record.at_us,
@@ -224,14 +225,14 @@
         }
     }
 
-    /// Logs once that recording continues.
+    /// Logs once that recording works again after a failure.
     fn report_success(&mut self) {
         if std::mem::take(&mut self.is_failing) {
             tracing::info!("recording again");
         }
     }
 
-    /// Logs once that recording has stopped.
+    /// Logs once that recording fails.
     fn report_failure(&mut self, fault: &StoreError) {
         if !std::mem::replace(&mut self.is_failing, true) {
             tracing::error!(%fault, "recording stops, serving goes on");
@@ -239,7 +240,7 @@
     }
 }
 
-/// The bytes of a record in a file, precise enough to bound a batch.
+/// Returns the approximate size of a record in a file, to limit the size of a batch.
 fn estimated_bytes(kind: &Kind) -> usize {
     match kind {
         Kind::Fleet(fleet) => FLEET_SERVER_BYTES * (1 + fleet.servers.len()),
--- a/crates/records/src/replay.rs
+++ b/crates/records/src/replay.rs
@@ -1,37 +1,37 @@
-//! The state of a fleet at one moment, as one supervisor saw it, replayed from its records.
+//! The state of a fleet at one moment as recorded by one supervisor, replayed from its records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::pb::{self, record::Kind, Life, Record, State};
 
-/// How long before a moment its records must be read to know the fleet at that moment, in microseconds: a little more than the
-/// interval between two records of all servers.
+/// How far before a moment records must be read to know the state of the fleet at that moment, in microseconds. A
+/// little more than the interval between two records of the whole fleet.
 pub const LOOKBACK_US: i64 = 25_000_000;
 
-/// The state of a server.
+/// The health, lifecycle, score and weight of one server at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerState {
-    /// The zone.
+    /// The name of its zone; empty if no record has named it yet.
     pub zone: String,
     /// The health state.
     pub state: State,
-    /// The lifecycle, as the endpoint list has it.
+    /// The lifecycle according to the endpoint list.
     pub lifecycle: Life,
-    /// The smoothed score, 1 for a healthy server.
+    /// The smoothed score; 1 for a healthy server.
     pub score: f64,
     /// The error term of the score; 1 without errors.
     pub errors: f64,
-    /// The latency term of the score; 1 at the usual latency.
+    /// The latency term of the score; 1 at the normal latency.
     pub latency: f64,
-    /// The weight in the tables.
+    /// The weight in the tables; 0 until a record of the whole fleet contains the server.
     pub weight: f64,
-    /// The share of its capacity that it has reached since its start.
+    /// The share of its capacity that it has reached during slow start; 1 after it.
     pub warmth: f64,
     /// Whether it is suspended from all tables.
     pub is_suspended: bool,
-    /// Whether reports show that most attempts fail.
+    /// Whether most attempts fail according to load reports.
     pub failing: bool,
-    /// When its state or lifecycle last changed, in Unix microseconds; 0 if that was before the records.
+    /// The time of the last change of its state or lifecycle, in Unix microseconds; 0 if that was before the records.
     pub since_us: i64,
 }
 
@@ -78,37 +78,37 @@
     }
 }
 
-/// The state of a fleet at one moment, as one supervisor saw it.
+/// The state of a fleet at one moment as recorded by one supervisor.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetState {
     /// The servers, by name.
     pub servers: BTreeMap<String, ServerState>,
     /// The zones that are partitioned.
     pub partitioned_zones: BTreeSet<String>,
-    /// The names of the classes, as far as they are recorded.
+    /// The names of the classes, in the order of the recorded levels; empty until a record lists them.
     pub classes: Vec<String>,
     /// The last sample of metrics.
     pub gauge: Option<pb::Gauge>,
-    /// The service level in force, where there are levels.
+    /// The name of the service level in force; `None` if none is recorded.
     pub service_level: Option<String>,
-    /// The last change of the saturation.
+    /// The last recorded change of the share of rejected requests.
     pub saturation: Option<pb::Saturation>,
-    /// The retry policy, by class.
+    /// The number of the retry policy by class, as [`crate::text::retry`] prints it.
     pub retry_policies: BTreeMap<String, u32>,
     /// Whether servers that are warming up are withheld.
     pub are_warming_servers_withheld: bool,
-    /// Whether discovery is unavailable.
+    /// Whether the last record about discovery reported an outage.
     pub is_discovery_unavailable: bool,
-    /// The proxies that are connected, as far as that is recorded.
+    /// The numbers of the connected proxies, as far as their streams are recorded.
     pub proxies: BTreeSet<u32>,
     /// Whether the supervisor was shut down.
     pub is_stopped: bool,
-    /// When the last record was learned, in Unix microseconds.
+    /// The time at which the last record was learned, in Unix microseconds.
     pub learned_us: i64,
 }
 
 impl FleetState {
-    /// Applies the next record.
+    /// Updates the state by the next record. Records must be in order.
     pub fn apply(&mut self, record: &Record) {
         self.learned_us = record.learned_us;
         let Some(kind) = &record.kind else { return };
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A new incarnation knows nothing but the classes.
+    /// Resets the state for a new incarnation; only the classes are known at its start.
     fn restart(&mut self, of: &pb::Started) {
         *self = FleetState {
             classes: of.classes.clone(),
@@ -190,7 +190,7 @@
         }
     }
 
-    /// A sample corrects the service level where levels were disabled or a change was lost.
+    /// Stores a sample of metrics, which corrects the service level if levels were disabled or a change was lost.
     fn sample(&mut self, of: &pb::Gauge) {
         self.service_level.clone_from(&of.service_level);
         self.gauge = Some(of.clone());
@@ -202,7 +202,7 @@
         }
     }
 
-    /// A server, which is added if it is not known.
+    /// Returns a server, which is added if it is not known.
     fn server_mut(&mut self, name: &str, zone: &str) -> &mut ServerState {
         let server = self.servers.entry(name.to_string()).or_default();
         if server.zone.is_empty() {
@@ -211,7 +211,7 @@
         server
     }
 
-    /// A record of all servers corrects the state where an event was lost.
+    /// Replaces all servers by a record of the whole fleet, which corrects the state if an event was lost.
     fn replace_servers(&mut self, fleet: &pb::Fleet, at_us: i64) {
         if !fleet.classes.is_empty() {
             self.classes.clone_from(&fleet.classes);
@@ -224,7 +224,8 @@
     }
 }
 
-/// A server of a record of all servers. What the record doesn't hold comes from the state before it.
+/// Returns a server from a record of the whole fleet. Fields that the record does not contain come from the former
+/// state.
 fn recorded_server(of: &pb::Server, old: Option<&ServerState>, at_us: i64) -> ServerState {
     let server = ServerState::from(of);
     let Some(old) = old else {
--- a/crates/records/src/replay/tests.rs
+++ b/crates/records/src/replay/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_state_follows_events_and_is_corrected_by_a_record_of_all_servers() {
+fn events_change_the_state_and_a_fleet_record_corrects_it() {
     let mut fleet_state = FleetState::default();
     fleet_state.apply(&record(1, state("s-1", State::Withdrawn)));
     assert_eq!(fleet_state.servers["s-1"].state, State::Withdrawn);
@@ -47,9 +47,9 @@
     assert_eq!(fleet_state.servers.len(), 1);
 }
 
-/// A moment long after the start is read without it.
+/// Records are read from shortly before a moment, so that the start of the supervisor may not be among them.
 #[test]
-fn a_moment_long_after_the_start_knows_the_classes() {
+fn classes_are_known_without_the_start_record() {
     let mut fleet_state = FleetState::default();
     let classes = vec!["x".to_string(), "y".to_string()];
     let fleet = pb::Fleet {
@@ -61,13 +61,13 @@
     fleet_state.apply(&record(50_000_000, Kind::Fleet(pb::Fleet::default())));
     assert_eq!(
         fleet_state.classes, classes,
-        "a record of an earlier version takes nothing away"
+        "a fleet record without classes, of an earlier version, keeps them"
     );
 }
 
-/// A new incarnation must not show what the previous one knew.
+/// The state of the previous incarnation must not be shown for a new one.
 #[test]
-fn a_new_incarnation_begins_with_nothing() {
+fn a_new_incarnation_starts_with_an_empty_state() {
     let mut fleet_state = FleetState::default();
     fleet_state.apply(&record(1, state("s-1", State::Reduced)));
     fleet_state.apply(&record(2, Kind::Stopped(pb::Stopped::default())));
--- a/crates/records/src/segment.rs
+++ b/crates/records/src/segment.rs
@@ -1,5 +1,5 @@
-//! Segments: files of frames, written by one incarnation of one supervisor. The file name holds the incarnation and the number
-//! of the segment, so that order and gaps are known even where a file can't be read.
+//! Segments: files of frames, written by one incarnation of one supervisor. The file name contains the incarnation and
+//! the number of the segment, so that order and gaps are known even if a file can't be read.
 
 use std::fs::File;
 use std::io::{Read as _, Seek as _, SeekFrom};
@@ -11,14 +11,14 @@
 use crate::kind::{self, DecodedRecord};
 use crate::pb::{Index, SegmentHeader};
 
-/// Version of the framing and of the schema's meaning that this program writes.
+/// Version of the framing and of the schema's semantics that this program writes.
 pub const VERSION: u32 = 1;
-/// Longest segment that is read, in bytes; segments are sealed far below it.
+/// Most bytes of a segment that are read. Segments are sealed far below this size.
 pub const MAX_SEGMENT_BYTES: u64 = 256 << 20;
 const EXTENSION: &str = "seg";
 const INDEX_EXTENSION: &str = "idx";
 
-/// Identifies a segment within a directory; the order is that of writing.
+/// Identifies a segment within a directory. Ordered by the time of writing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SegmentId {
     /// The incarnation of the supervisor that wrote it, from 1.
@@ -28,7 +28,7 @@
 }
 
 impl SegmentId {
-    /// The path of the segment.
+    /// Returns the path of the segment's file in a directory.
     pub fn path(self, directory: &Path) -> PathBuf {
         directory.join(format!(
             "{:08}-{:06}.{EXTENSION}",
@@ -36,12 +36,12 @@
         ))
     }
 
-    /// The path of its index.
+    /// Returns the path of the file of the segment's index in a directory.
     pub fn index_path(self, directory: &Path) -> PathBuf {
         self.path(directory).with_extension(INDEX_EXTENSION)
     }
 
-    /// The segment with a file name; `None` if that is no segment.
+    /// Parses a file name. Returns `None` if it is not that of a segment.
     fn from_file_name(name: &str) -> Option<Self> {
         let (incarnation, number) = name
             .strip_suffix(&format!(".{EXTENSION}"))?
@@ -53,13 +53,13 @@
     }
 }
 
-/// A number without a sign.
+/// Parses a number without a sign.
 fn parse_digits(text: &str) -> Option<u64> {
     let are_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     are_digits.then(|| text.parse().ok())?
 }
 
-/// The segments of a directory, in order. A directory that does not exist has none.
+/// Lists the segments of a directory, in order. A directory that does not exist has none.
 ///
 /// # Errors
 ///
@@ -78,7 +78,8 @@
     Ok(segments)
 }
 
-/// A range of a file's bytes; fewer where the file is shorter.
+/// Reads `length` bytes of a file from an offset, fewer if the file is shorter or `length` exceeds
+/// [`MAX_SEGMENT_BYTES`].
 ///
 /// # Errors
 ///
@@ -95,25 +96,25 @@
 /// A part of a segment.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
-    /// The header.
+    /// The first frame of the segment, with the supervisor and the incarnation.
     Header(SegmentHeader),
-    /// A record.
+    /// A frame that contains a record.
     Record {
         /// The offset of its frame.
         at: u64,
         /// The bytes of its frame.
         bytes: u64,
-        /// The record.
+        /// Its content.
         decoded: DecodedRecord,
     },
-    /// Bytes that belong to no record, with records after them.
+    /// The number of bytes that belong to no record: damaged, or a frame whose content can't be decoded.
     Damaged(u64),
-    /// Bytes that belong to no record, at the end.
+    /// The number of bytes at the end that belong to no record.
     Torn(u64),
 }
 
-/// The items of a range of a segment's bytes that begins at an offset, each with the offset of its end. The frame at offset 0
-/// is the header.
+/// Returns the items in a range of a segment's bytes, each with the offset of its end. `from` is the offset of the
+/// range in the segment. The frame at offset 0 is the header.
 pub fn items(bytes: &[u8], from: u64) -> impl Iterator<Item = (u64, Item)> + '_ {
     Pieces::new(bytes, 0).map(move |piece| match piece {
         Piece::Whole { at, content } => {
@@ -126,7 +127,7 @@
     })
 }
 
-/// The item of a frame at an offset.
+/// Decodes the item of a frame at an offset.
 fn frame_item(at: u64, bytes: u64, content: &[u8]) -> Item {
     let item = if at == 0 {
         SegmentHeader::decode(content).ok().map(Item::Header)
@@ -136,7 +137,7 @@
     item.unwrap_or(Item::Damaged(bytes))
 }
 
-/// The stored index of a segment; `None` if there is none, it is damaged, or the segment has grown since.
+/// Reads the stored index of a segment. Returns `None` if there is none, it is damaged, or the segment has grown since.
 pub fn stored_index(directory: &Path, id: SegmentId) -> Option<Index> {
     let bytes = std::fs::read(id.index_path(directory)).ok()?;
     let Some(Piece::Whole { content, .. }) = Pieces::new(&bytes, 0).next() else {
--- a/crates/records/src/segment/tests.rs
+++ b/crates/records/src/segment/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn file_names_are_parsed_and_other_files_are_no_segments() {
+fn file_names_are_parsed_and_other_files_are_ignored() {
     let id = SegmentId {
         incarnation: 12,
         number: 3,
--- a/crates/records/src/store.rs
+++ b/crates/records/src/store.rs
@@ -1,5 +1,5 @@
-//! The write side of a directory of records, for one supervisor at a time. An incarnation never changes what an earlier one
-//! wrote; it begins a segment of its own, so that nothing has to be repaired before it starts.
+//! Writes records to a directory, for one supervisor at a time. An incarnation never changes segments of an earlier one
+//! but starts its own, so that no repair is needed before it starts.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::Write as _;
@@ -12,12 +12,13 @@
 use crate::pb::{Recovered, SegmentHeader};
 use crate::segment::{self, SegmentId, VERSION};
 
-/// Length from which a segment is sealed, in bytes: readers can hold one in memory, and a day has a few dozen.
+/// Size at which a segment is sealed, in bytes: a reader can hold a segment in memory, and a day has a few dozen of
+/// them.
 pub const SEAL_BYTES: u64 = 8 << 20;
-/// The file whose lock shows other processes that the directory is in use; the lock ends with the process that holds it.
+/// File whose lock marks the directory as in use. The operating system releases the lock when the process ends.
 const LOCK_FILE: &str = "lock";
 
-/// Why records can't be written.
+/// Error when records can't be written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// Another supervisor uses the directory.
@@ -28,12 +29,12 @@
     Io(PathBuf, std::io::Error),
 }
 
-/// Adds the path to an I/O error.
+/// Returns a function that adds the path to an I/O error.
 fn with_path(path: &Path) -> impl Fn(std::io::Error) -> StoreError + '_ {
     |error| StoreError::Io(path.to_path_buf(), error)
 }
 
-/// A locked directory, and the segment that is being written.
+/// A locked directory and the segment that is being written.
 #[derive(Debug)]
 pub struct Store {
     directory: PathBuf,
@@ -52,7 +53,7 @@
     has_uncommitted: bool,
 }
 
-/// Locks a directory, which is created if it does not exist.
+/// Locks a directory and creates it if it does not exist.
 fn lock(directory: &Path) -> Result<File, StoreError> {
     std::fs::create_dir_all(directory).map_err(with_path(directory))?;
     let path = directory.join(LOCK_FILE);
@@ -91,12 +92,12 @@
         })
     }
 
-    /// The number of this incarnation.
+    /// Returns the number of this incarnation, from 1.
     pub fn incarnation(&self) -> u64 {
         self.next_segment.incarnation
     }
 
-    /// What the last segment of the previous incarnation holds, if there is one.
+    /// Summarizes the last segment of the previous incarnation. Returns `None` if there is no segment.
     ///
     /// # Errors
     ///
@@ -124,12 +125,11 @@
         }))
     }
 
-    /// Appends frames, to a new segment if the current one is full.
+    /// Appends frames to the current segment, or to a new one if it is full.
     ///
     /// # Errors
     ///
-    /// If they can't be written. The segment is left as it is, whatever part of them it holds, and the next append begins
-    /// another one.
+    /// If they can't be written. The segment may then contain a part of them; the next append starts a new segment.
     pub fn append(&mut self, frames: &[u8], first_seq: u64, now_us: i64) -> Result<(), StoreError> {
         let is_full = self
             .open_segment
@@ -190,11 +190,11 @@
             .is_some_and(|segment| segment.has_uncommitted)
     }
 
-    /// Returns once everything that was appended would survive a power failure.
+    /// Synchronizes appended frames to the disk, so that they survive a power failure.
     ///
     /// # Errors
     ///
-    /// If the segment can't be synchronized; the next append begins another one.
+    /// If the segment can't be synchronized; the next append starts a new one.
     pub fn commit(&mut self) -> Result<(), StoreError> {
         let Some(mut segment) = self.open_segment.take() else {
             return Ok(());
@@ -208,7 +208,7 @@
         Ok(())
     }
 
-    /// The segment that is being written, if there is one; maintenance leaves it alone.
+    /// Returns the segment that is being written, if any. Maintenance must not change it.
     pub fn active_segment(&self) -> Option<SegmentId> {
         self.open_segment.as_ref()?;
         Some(SegmentId {
--- a/crates/records/src/store/tests.rs
+++ b/crates/records/src/store/tests.rs
@@ -43,23 +43,24 @@
 fn a_directory_is_locked_until_its_store_is_closed() {
     let directory = tempfile::tempdir().expect("a directory");
     let first = Store::open(directory.path(), "n0").expect("a store");
-    let refused = Store::open(directory.path(), "n0")
+    let error = Store::open(directory.path(), "n0")
         .expect_err("it is in use")
         .to_string();
     assert!(
-        refused.contains("in use by another supervisor") && !refused.contains('\n'),
-        "{refused}"
+        error.contains("in use by another supervisor") && !error.contains('\n'),
+        "{error}"
     );
     drop(first);
     assert_eq!(
         Store::open(directory.path(), "n0")
-            .expect("a stale file is no lock")
+            .expect("a lock file without a process does not lock")
             .incarnation(),
         1
     );
 }
 
-/// A crash must cost neither records that were safe nor the next incarnation, at whatever byte it happens.
+/// A crash during a write truncates the segment at an arbitrary byte. Complete records before it must be kept, and the
+/// next incarnation must start.
 #[test]
 fn a_crash_at_any_byte_keeps_all_records_before_it() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_full_segment_is_sealed_and_another_one_begun() {
+fn a_full_segment_is_sealed_and_a_new_one_started() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut store = Store::open(directory.path(), "n0").expect("a store");
     let large = vec![0; SEAL_BYTES as usize];
--- a/crates/records/src/text.rs
+++ b/crates/records/src/text.rs
@@ -1,4 +1,4 @@
-//! Records as text: the one place that words log lines, the events of the console and the rows of reports.
+//! Text of records, for log lines, the events of the console and the rows of reports.
 
 mod kinds;
 mod time;
@@ -8,7 +8,7 @@
 pub use kinds::{line, signal};
 pub use time::{duration, parse_time, time, time_of_day, InvalidTime};
 
-/// A text as a cell of CSV: quoted where it must be.
+/// Formats a text as a cell of CSV, quoted if necessary.
 pub fn csv_cell(text: &str) -> String {
     if text.contains([',', '"', '\n', '\r']) {
         format!("\"{}\"", text.replace('"', "\"\""))
@@ -17,7 +17,7 @@
     }
 }
 
-/// The word for a health state.
+/// Returns the name of a health state.
 pub fn state(state: State) -> &'static str {
     match state {
         State::Full => "full",
@@ -26,7 +26,7 @@
     }
 }
 
-/// The words for a lifecycle.
+/// Returns the name of a lifecycle.
 pub fn lifecycle(life: Life) -> &'static str {
     match life {
         Life::InService => "in service",
@@ -35,7 +35,7 @@
     }
 }
 
-/// The words for a cause.
+/// Describes the cause of a change of the health state.
 pub fn cause(cause: Cause) -> &'static str {
     match cause {
         Cause::Score => "its score",
@@ -47,7 +47,7 @@
     }
 }
 
-/// The words for a retry policy, by its number.
+/// Describes a retry policy by its number in the schema.
 pub fn retry(retry: u32) -> &'static str {
     match retry {
         0 => "never",
@@ -57,14 +57,14 @@
     }
 }
 
-/// Text from a name that a peer gave, without what moves a terminal's cursor.
+/// Replaces control characters in text from a peer, which could otherwise control the terminal.
 pub fn printable(text: &str) -> String {
     text.chars()
         .map(|c| if c.is_control() { '\u{fffd}' } else { c })
         .collect()
 }
 
-/// A number as short as it can be without loss below a hundredth.
+/// Formats a number with at most two decimals, without trailing zeros.
 pub fn short_decimal(value: f64) -> String {
     let text = format!("{value:.2}");
     text.trim_end_matches('0').trim_end_matches('.').to_string()
--- a/crates/records/src/text/kinds.rs
+++ b/crates/records/src/text/kinds.rs
@@ -1,10 +1,10 @@
-//! One line for each kind of record.
+//! Text for each kind of record.
 
 use super::time::signed_duration;
 use super::{cause, duration, lifecycle, retry, short_decimal, state};
 use crate::pb::{self, record::Kind};
 
-/// A record's kind in one line, without its time.
+/// Describes a record in one line, without its time.
 pub fn line(kind: &Kind) -> String {
     match kind {
         Kind::Started(of) => started(of),
@@ -166,7 +166,7 @@
     text
 }
 
-/// A signal, with its age where that matters.
+/// Describes a signal, with its age if that is a second or more.
 pub fn signal(of: &pb::Signal) -> String {
     let value = of
         .value
@@ -258,7 +258,7 @@
     }
 }
 
-/// Milliseconds as microseconds; the greatest value if they are too many.
+/// Converts milliseconds to microseconds, saturating.
 fn microseconds(ms: u64) -> i64 {
     i64::try_from(ms).unwrap_or(i64::MAX).saturating_mul(1000)
 }
--- a/crates/records/src/text/tests.rs
+++ b/crates/records/src/text/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn lengths_of_time_are_printed() {
+fn durations_are_printed() {
     let printed: Vec<String> = [0, 250_000, 1_500_000, 61_000_000, 7_260_000_000, -1_000_000]
         .map(duration)
         .into();
--- a/crates/records/src/text/time.rs
+++ b/crates/records/src/text/time.rs
@@ -1,4 +1,4 @@
-//! Times and lengths of time as people write them.
+//! Formats and parses times and durations.
 
 use jiff::Timestamp;
 
@@ -6,7 +6,7 @@
 const MICROSECONDS_PER_MINUTE: i64 = 60 * MICROSECONDS_PER_SECOND;
 const MICROSECONDS_PER_HOUR: i64 = 60 * MICROSECONDS_PER_MINUTE;
 
-/// A point in time, RFC 3339 with milliseconds, UTC.
+/// Formats a time in Unix microseconds as RFC 3339 with milliseconds, UTC.
 pub fn time(us: i64) -> String {
     let nearest = if us < 0 {
         Timestamp::MIN
@@ -17,12 +17,12 @@
     time.strftime("%Y-%m-%dT%H:%M:%S%.3fZ").to_string()
 }
 
-/// The time of day alone, with milliseconds, UTC.
+/// Formats the time of day of a time in Unix microseconds, with milliseconds, UTC.
 pub fn time_of_day(us: i64) -> String {
     time(us).get(11..23).unwrap_or_default().to_string()
 }
 
-/// A length of time, rounded to a readable precision.
+/// Formats a duration in microseconds as milliseconds, seconds, minutes and seconds, or hours and minutes.
 pub fn duration(us: i64) -> String {
     let ms = us / 1000;
     match ms {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A length of time with its sign.
+/// Formats a duration in microseconds with its sign.
 pub(super) fn signed_duration(us: i64) -> String {
     if us < 0 {
         duration(us)
@@ -43,17 +43,17 @@
     }
 }
 
-/// A text that is no time.
+/// Error for a text that is not a time. Contains the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no time: give 2026-12-01T09:12:00Z, 09:12 or 09:12:30 (UTC, of the last record's day), or 10m, 90s, 2h before the last record")]
 pub struct InvalidTime(String);
 
-/// Parses a point in time, in Unix microseconds. A time of day is that of the last record's day, a length of time counts back
-/// from the last record.
+/// Parses a time and returns it in Unix microseconds. A time of day is on the day of the last record; a duration counts
+/// back from the last record.
 ///
 /// # Errors
 ///
-/// If the text is neither.
+/// If the text is not a time, a time of day or a duration.
 pub fn parse_time(text: &str, last_us: i64) -> Result<i64, InvalidTime> {
     if let Ok(time) = text.parse::<Timestamp>() {
         return Ok(time.as_microsecond());
@@ -66,7 +66,7 @@
     time_us.ok_or_else(|| InvalidTime(text.to_string()))
 }
 
-/// Parses a number of seconds, minutes or hours as microseconds.
+/// Parses a number of seconds, minutes or hours and returns microseconds.
 fn parse_length(text: &str) -> Option<i64> {
     let (count, unit_us) = if let Some(count) = text.strip_suffix('s') {
         (count, MICROSECONDS_PER_SECOND)
--- a/crates/records/src/timeline.rs
+++ b/crates/records/src/timeline.rs
@@ -1,5 +1,5 @@
-//! Reading records: those of one or more supervisors as one sequence of events, with every interval of which not everything is
-//! known. A directory that grows, is trimmed or is removed while it is read is no fault.
+//! Reads the records of one or more supervisors as one sequence of events with all gaps. Directories may grow, be
+//! trimmed or be removed while they are read.
 
 mod event;
 mod gap;
@@ -20,23 +20,23 @@
 pub use supervisor::{IndexedSegment, Supervisor};
 pub use verification::{verify, VerificationReport};
 
-/// Most directories that are searched for segments below a given one, one for each supervisor.
+/// Most subdirectories of a given directory that are searched for segments. Each supervisor has one.
 const MAX_DIRECTORIES: usize = 4096;
 
-/// Why records can't be read.
+/// Error when records can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// There are no records.
+    /// The directory and its subdirectories contain no segments.
     #[error("no records in {0}")]
     NoRecords(PathBuf),
-    /// An I/O error.
+    /// A directory or file can't be read.
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
 }
 
 /// The records of several supervisors.
 pub struct Timeline {
-    /// The supervisors, by name.
+    /// The supervisors, sorted by name.
     pub supervisors: Vec<Supervisor>,
 }
 
@@ -50,11 +50,11 @@
 }
 
 impl Timeline {
-    /// Opens directories, each of one supervisor or with directories of several below it.
+    /// Opens directories. Each contains the segments of one supervisor, or a subdirectory for each of several.
     ///
     /// # Errors
     ///
-    /// If one can't be read, or there are no records in it.
+    /// If a directory can't be read or contains no records.
     pub fn open(paths: &[PathBuf]) -> Result<Self, ReadError> {
         let mut supervisors = Vec::new();
         for path in paths {
@@ -68,11 +68,12 @@
         Ok(timeline)
     }
 
-    /// Reads what was written since. A supervisor whose directory can't be read keeps what is known of it.
+    /// Reads records that were written since the last read. A supervisor whose directory can't be read keeps its known
+    /// records.
     ///
     /// # Errors
     ///
-    /// The first directory that can't be read.
+    /// If a directory can't be read; returns the first such error after refreshing all other directories.
     pub fn refresh(&mut self) -> Result<(), ReadError> {
         let mut result = Ok(());
         for supervisor in &mut self.supervisors {
@@ -81,7 +82,7 @@
         result
     }
 
-    /// Estimates how far the clocks of the others are ahead of that of the first supervisor.
+    /// Estimates how far the clocks of the other supervisors are ahead of that of the first.
     fn estimate_clocks(&mut self) {
         if self.supervisors.len() < 2 {
             return;
@@ -97,7 +98,8 @@
         }
     }
 
-    /// From the first to the last record of all, by the common clock.
+    /// Returns the interval from the first to the last record of all supervisors, by the common clock; `None` without
+    /// records.
     pub fn span(&self) -> Option<Window> {
         let spans = || self.supervisors.iter().filter_map(common_span);
         Some(Window {
@@ -106,15 +108,15 @@
         })
     }
 
-    /// The wanted records of all supervisors in order, and the gaps within the window of the query, including those that only
-    /// reading shows.
+    /// Returns the matching records of all supervisors in order, and the gaps within the window of the query. These
+    /// include records that are indexed but can't be read.
     pub fn read(&self, query: &Query) -> (Vec<Event>, Vec<Gap>) {
         let mut events = Vec::new();
         let mut unreadable = Vec::new();
         for supervisor in &self.supervisors {
             let ahead_us = supervisor.ahead_us;
-            let own_query = shifted_query(query, ahead_us);
-            unreadable.extend(supervisor.for_each_event(&own_query, |mut event| {
+            let shifted = shifted_query(query, ahead_us);
+            unreadable.extend(supervisor.for_each_event(&shifted, |mut event| {
                 event.ahead_us = ahead_us;
                 if event.number != clock::SERVER_STARTED {
                     event.at_us = event.at_us.saturating_sub(ahead_us);
@@ -133,12 +135,12 @@
         (events, gaps)
     }
 
-    /// All gaps that overlap a window, clipped to it, by the common clock.
+    /// Returns all gaps that overlap a window, clipped to it, by the common clock.
     pub fn gaps(&self, window: Window) -> Vec<Gap> {
         let mut gaps = Vec::new();
         for supervisor in &self.supervisors {
-            let own_gaps = gap_detection::gaps(supervisor);
-            let clipped = own_gaps
+            let supervisor_gaps = gap_detection::gaps(supervisor);
+            let clipped = supervisor_gaps
                 .into_iter()
                 .filter_map(|gap| clipped_gap(gap, supervisor.ahead_us, window));
             gaps.extend(clipped);
@@ -147,7 +149,7 @@
         gaps
     }
 
-    /// The rollups that overlap a window, by supervisor.
+    /// Returns the rollups that overlap a window, for each supervisor.
     pub fn rollups(&self, window: Window) -> Vec<SupervisorRollups> {
         self.supervisors
             .iter()
@@ -155,8 +157,8 @@
             .collect()
     }
 
-    /// The number of records in the blocks that overlap a window: an upper bound of those within it.
-    pub fn records_within(&self, window: Window) -> u64 {
+    /// Returns the number of records in the blocks that overlap a window: an upper bound of the records within it.
+    pub fn max_records_within(&self, window: Window) -> u64 {
         let query = Query::between(window.from_us, window.to_us);
         let segments = self.supervisors.iter().flat_map(|s| &s.segments);
         let blocks = segments.flat_map(|segment| &segment.index.blocks);
@@ -167,7 +169,7 @@
     }
 }
 
-/// The directories with segments: the given one, or those below it.
+/// Returns the given directory if it contains segments, or else its subdirectories that do.
 fn segment_directories(path: &Path) -> Result<Vec<PathBuf>, ReadError> {
     let io_error = |error| ReadError::Io(path.to_path_buf(), error);
     if !segment::list(path).map_err(io_error)?.is_empty() {
@@ -187,7 +189,7 @@
     Ok(directories)
 }
 
-/// What a supervisor recorded of changes in the endpoint list.
+/// Reads a supervisor's records of changes in the endpoint list.
 fn list_changes(supervisor: &Supervisor) -> ListChanges {
     let query = Query {
         kinds: clock::SHARED_KINDS.to_vec(),
@@ -198,7 +200,7 @@
     changes
 }
 
-/// The span of a supervisor's records by the common clock.
+/// Returns the interval of a supervisor's records by the common clock.
 fn common_span(supervisor: &Supervisor) -> Option<Window> {
     let span = supervisor.span()?;
     Some(Window {
@@ -207,7 +209,7 @@
     })
 }
 
-/// A query by the common clock as one by a clock that is ahead of it.
+/// Converts the times of a query from the common clock to a clock that is ahead of it.
 fn shifted_query(query: &Query, ahead_us: i64) -> Query {
     let shifted = |us: Option<i64>| us.map(|us| us.saturating_add(ahead_us));
     Query {
@@ -217,7 +219,8 @@
     }
 }
 
-/// A gap by the common clock, clipped to a window; `None` if it does not overlap the window, or says nothing of it.
+/// Converts a gap to the common clock and clips it to a window. Returns `None` if it does not overlap the window, or is
+/// the open end after the last record.
 fn clipped_gap(gap: Gap, ahead_us: i64, window: Window) -> Option<Gap> {
     let from_us = common_time(gap.from_us, ahead_us);
     let to_us = common_time(gap.to_us, ahead_us);
@@ -226,7 +229,7 @@
     }
     let from_us = from_us.max(window.from_us);
     let to_us = to_us.min(window.to_us);
-    // A gap after the last record says nothing of a window that ends with that record.
+    // A short gap after the last record is not a gap of a window that ends with that record.
     let is_trailing = matches!(gap.reason, GapReason::Open | GapReason::Stopped);
     if is_trailing && to_us - from_us <= STALLED_US && gap.to_us == i64::MAX {
         return None;
@@ -238,7 +241,8 @@
     })
 }
 
-/// A time of a clock that is ahead as one of the common clock. The ends of time stay.
+/// Converts a time from a clock that is ahead to the common clock. Keeps `i64::MIN` and `i64::MAX`, which mark open
+/// ends.
 fn common_time(us: i64, ahead_us: i64) -> i64 {
     match us {
         i64::MIN | i64::MAX => us,
--- a/crates/records/src/timeline/gap.rs
+++ b/crates/records/src/timeline/gap.rs
@@ -1,15 +1,15 @@
-//! Intervals of which not everything is known.
+//! Intervals with missing records.
 
 use std::sync::Arc;
 
 use crate::index::hole_reason;
 
-/// Why not everything is known of an interval.
+/// The reason for a gap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GapReason {
     /// The supervisor was shut down, until its next incarnation.
     Stopped,
-    /// The supervisor ended without a last record, until its next incarnation.
+    /// The supervisor ended without a shutdown record, until its next incarnation.
     Crashed,
     /// Records did not reach the disk.
     Lost,
@@ -21,12 +21,12 @@
     Stalled,
     /// The system clock stepped. Nothing is missing, but times do not match those of other clocks.
     ClockStep,
-    /// Nothing follows: the supervisor runs or has ended, which can't be told.
+    /// No record follows. The supervisor may be running or may have ended.
     Open,
 }
 
 impl GapReason {
-    /// The reason as reports print it.
+    /// Returns the name of the reason in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             GapReason::Stopped => "stopped",
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The reason that an index stores.
+    /// Parses the reason that an index stores. An unknown one counts as damage.
     pub(super) fn from_stored(reason: &str) -> Self {
         match reason {
             hole_reason::LOST => GapReason::Lost,
@@ -51,25 +51,25 @@
     }
 }
 
-/// An interval of one supervisor of which not everything is known, by the common clock.
+/// An interval of one supervisor with missing or unreliable records, by the common clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gap {
     /// The name of the supervisor.
     pub supervisor: Arc<str>,
-    /// The begin, in Unix microseconds.
+    /// The begin, in Unix microseconds; `i64::MIN` if it is open.
     pub from_us: i64,
-    /// The end, in Unix microseconds.
+    /// The end, in Unix microseconds; `i64::MAX` if it is open.
     pub to_us: i64,
-    /// Why.
+    /// Why records are missing or unreliable.
     pub reason: GapReason,
-    /// The number of missing records, where it is known; 0 otherwise.
+    /// The number of missing records; 0 if it is not known.
     pub missing: u64,
     /// Further details; empty if there are none.
     pub detail: String,
 }
 
 impl Gap {
-    /// The gap in one line, without its times.
+    /// Describes the gap in one line, without its times.
     pub fn line(&self) -> String {
         let length = crate::text::duration(self.to_us.saturating_sub(self.from_us));
         let mut text = format!("{} for {length}", self.reason.as_str());
--- a/crates/records/src/timeline/gap_detection.rs
+++ b/crates/records/src/timeline/gap_detection.rs
@@ -1,4 +1,4 @@
-//! The gaps that the indexes of a supervisor's segments show.
+//! Detects gaps from the indexes of a supervisor's segments.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::index::STALLED_US;
 use crate::pb::Index;
 
-/// The gaps of a supervisor, by its own clock.
+/// Returns the gaps of a supervisor, by its own clock.
 pub(super) fn gaps(supervisor: &Supervisor) -> Vec<Gap> {
     let mut detector = GapDetector {
         supervisor: &supervisor.name,
@@ -16,7 +16,7 @@
     let mut previous: Option<&IndexedSegment> = None;
     for segment in &supervisor.segments {
         detector.add_stored(&segment.index);
-        // A segment without records shows only that there was an incarnation.
+        // A segment without records has no times to compare.
         if segment.index.records == 0 {
             continue;
         }
@@ -56,7 +56,7 @@
         &mut self.gaps[index]
     }
 
-    /// The gaps within a segment, which its index lists.
+    /// Adds the gaps within a segment, which its index lists.
     fn add_stored(&mut self, index: &Index) {
         for hole in &index.holes {
             let reason = GapReason::from_stored(&hole.reason);
@@ -114,7 +114,7 @@
     }
 }
 
-/// What a gap says of the torn tail of the segment before it.
+/// Describes the torn tail of the segment before a gap; empty if it has none.
 fn torn_tail(index: &Index) -> String {
     match index.torn_bytes {
         0 => String::new(),
--- a/crates/records/src/timeline/supervisor.rs
+++ b/crates/records/src/timeline/supervisor.rs
@@ -12,33 +12,33 @@
 use crate::pb::{Block, Index};
 use crate::segment::{self, Item, SegmentId};
 
-/// Adjacent blocks are read at once up to this many bytes.
+/// Size up to which adjacent blocks are read at once, in bytes. The last of them may exceed it.
 const MAX_RANGE_BYTES: u64 = 4 << 20;
 
-/// A segment and its index.
+/// A segment with its index, stored or built while reading.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexedSegment {
-    /// The segment.
+    /// The incarnation and the number of the segment.
     pub id: SegmentId,
-    /// Its index.
+    /// The summary of its records, blocks and gaps.
     pub index: Index,
 }
 
 /// The records of one supervisor.
 pub struct Supervisor {
-    /// The name.
+    /// The name stored in its segments, or else that of the directory.
     pub name: Arc<str>,
     /// The directory of the segments.
     pub directory: PathBuf,
     /// The segments, in order.
     pub segments: Vec<IndexedSegment>,
-    /// How far its clock is ahead of that of the first supervisor, in microseconds, where that can be told.
+    /// How far its clock is ahead of that of the first supervisor, in microseconds; 0 if that can't be estimated.
     pub ahead_us: i64,
-    /// The number of shared changes from which that was told.
+    /// The number of shared changes in the endpoint list that were compared for `ahead_us`.
     pub clock_samples: usize,
 }
 
-/// A range of a segment's file whose blocks may hold wanted records.
+/// A range of a segment's file whose blocks may contain matching records.
 struct BlockRange {
     from: u64,
     to: u64,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Extends the range by a block if that is adjacent; returns whether it is.
+    /// Extends the range by a block if it is adjacent and the range is not too large. Returns whether it was extended.
     fn extend(&mut self, block: &Block) -> bool {
         if block.offset != self.to || self.to - self.from >= MAX_RANGE_BYTES {
             return false;
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Reads what was written since; only segments that have grown are read.
+    /// Reads records that were written since the last read, from new segments and those of another size.
     ///
     /// # Errors
     ///
@@ -114,8 +114,8 @@
         Ok(())
     }
 
-    /// Passes the wanted records to a function in the order in which they were written, with times by this supervisor's clock.
-    /// Returns a gap for each range that is indexed but can't be read.
+    /// Passes the matching records to a function in the order of writing, with times by this supervisor's clock.
+    /// Returns a gap for each range in which fewer records could be read than are indexed.
     pub(super) fn for_each_event(
         &self,
         query: &Query,
@@ -123,7 +123,7 @@
     ) -> Vec<Gap> {
         let mut gaps = Vec::new();
         for segment in &self.segments {
-            for range in wanted_ranges(&segment.index, query) {
+            for range in matching_ranges(&segment.index, query) {
                 let records = self.read_range(segment.id, &range, query, &mut on_event);
                 if records < range.records {
                     gaps.push(self.unreadable(&range, range.records - records));
@@ -133,7 +133,7 @@
         gaps
     }
 
-    /// Passes the wanted records of a range to a function. Returns the number of records in the range, wanted or not.
+    /// Passes the matching records of a range to a function. Returns the number of all records that were read.
     fn read_range(
         &self,
         id: SegmentId,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// From the first to the last time at which something was learned, by this supervisor's clock.
+    /// Returns the interval from the first to the last time at which a record was learned, by this supervisor's clock.
     pub fn span(&self) -> Option<Window> {
         let indexes = || {
             let indexes = self.segments.iter().map(|segment| &segment.index);
@@ -192,7 +192,8 @@
     }
 }
 
-/// A segment with its index, stored or built now; `None` for one that has just been removed.
+/// Loads the index of a segment, or builds it if none is stored. Returns `None` if the segment can't be read, as when
+/// it was just removed.
 fn load_segment(directory: &Path, id: SegmentId) -> Option<IndexedSegment> {
     if let Some(index) = segment::stored_index(directory, id) {
         return Some(IndexedSegment { id, index });
@@ -202,7 +203,7 @@
     Some(IndexedSegment { id, index })
 }
 
-/// The name that the newest segment with one has, or else that of the directory.
+/// Returns the name in the newest segment that has one, or else that of the directory.
 fn supervisor_name(directory: &Path, segments: &[IndexedSegment]) -> String {
     let names = segments
         .iter()
@@ -216,8 +217,8 @@
     directory_name.to_string_lossy().into_owned()
 }
 
-/// The ranges of a segment that may hold wanted records.
-fn wanted_ranges(index: &Index, query: &Query) -> Vec<BlockRange> {
+/// Returns the ranges of a segment that may contain matching records.
+fn matching_ranges(index: &Index, query: &Query) -> Vec<BlockRange> {
     let mut ranges: Vec<BlockRange> = Vec::new();
     for block in index.blocks.iter().filter(|block| query.may_match(block)) {
         let is_adjacent = ranges.last_mut().is_some_and(|range| range.extend(block));
--- a/crates/records/src/timeline/verification.rs
+++ b/crates/records/src/timeline/verification.rs
@@ -1,4 +1,4 @@
-//! A full scan of a directory, whatever its indexes say.
+//! Verifies a directory by a full scan, without relying on its indexes.
 
 use std::path::Path;
 
@@ -6,29 +6,29 @@
 use crate::index;
 use crate::segment::{self, Item, SegmentId};
 
-/// What a full scan of a directory finds.
+/// The result of a full scan of a directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VerificationReport {
-    /// Segments that were read.
+    /// The number of segments that were read.
     pub segments: u64,
-    /// Records that were read.
+    /// The number of records that were read.
     pub records: u64,
-    /// Records of kinds, or with fields, that are newer than this version.
+    /// The number of records with a kind or fields that are newer than this version.
     pub newer: u64,
-    /// Bytes that belong to no record, within segments.
+    /// The number of bytes within segments that belong to no record.
     pub damaged_bytes: u64,
-    /// Bytes that belong to no record, at the end of segments.
+    /// The number of bytes at the end of segments that belong to no record.
     pub torn_bytes: u64,
-    /// Sequence numbers that are missing.
+    /// The number of missing sequence numbers.
     pub missing: u64,
-    /// Segments whose header can't be read.
+    /// The number of non-empty segments whose header can't be read.
     pub segments_without_header: u64,
-    /// Indexes that do not match their segments.
+    /// The number of indexes that do not match their segments.
     pub mismatched_indexes: u64,
 }
 
 impl VerificationReport {
-    /// Whether nothing is wrong; a torn tail is what a crash leaves.
+    /// Whether no damage was found. A torn tail does not count, since a crash leaves one.
     pub fn is_valid(&self) -> bool {
         self.damaged_bytes == 0
             && self.missing == 0
@@ -51,15 +51,15 @@
         scan.add_segment(id, &bytes);
         if id.index_path(directory).exists() {
             let is_right = segment::stored_index(directory, id) == Some(index::build(id, &bytes));
-            scan.verdict.mismatched_indexes += u64::from(!is_right);
+            scan.report.mismatched_indexes += u64::from(!is_right);
         }
     }
-    Ok(scan.verdict)
+    Ok(scan.report)
 }
 
 #[derive(Default)]
 struct Scan {
-    verdict: VerificationReport,
+    report: VerificationReport,
     last_record: Option<RecordPosition>,
 }
 
@@ -75,11 +75,11 @@
         for (_, item) in segment::items(bytes, 0) {
             match item {
                 Item::Header(_) => has_header = true,
-                Item::Damaged(bytes) => self.verdict.damaged_bytes += bytes,
-                Item::Torn(bytes) => self.verdict.torn_bytes += bytes,
+                Item::Damaged(bytes) => self.report.damaged_bytes += bytes,
+                Item::Torn(bytes) => self.report.torn_bytes += bytes,
                 Item::Record { decoded, .. } => {
-                    self.verdict.records += 1;
-                    self.verdict.newer += u64::from(decoded.newer.is_some());
+                    self.report.records += 1;
+                    self.report.newer += u64::from(decoded.newer.is_some());
                     self.add_position(RecordPosition {
                         incarnation: id.incarnation,
                         seq: decoded.record.seq,
@@ -87,8 +87,8 @@
                 }
             }
         }
-        self.verdict.segments += 1;
-        self.verdict.segments_without_header += u64::from(!has_header && !bytes.is_empty());
+        self.report.segments += 1;
+        self.report.segments_without_header += u64::from(!has_header && !bytes.is_empty());
     }
 
     /// Counts the sequence numbers that are missing between two records of an incarnation.
@@ -98,7 +98,7 @@
             .filter(|last| last.incarnation == position.incarnation);
         if let Some(previous) = previous {
             let distance = position.seq.saturating_sub(previous.seq);
-            self.verdict.missing += distance.saturating_sub(1);
+            self.report.missing += distance.saturating_sub(1);
         }
         self.last_record = Some(position);
     }
--- a/crates/records/tests/damage.rs
+++ b/crates/records/tests/damage.rs
@@ -1,5 +1,5 @@
-//! Records in a real directory after crashes, damage, failing disks and trims: what remains is read in order, nothing is
-//! invented, and what is missing is marked.
+//! Records in a real directory after crashes, damage, disk failures and removal of segments: the remaining records are
+//! read in order, none is invented, and missing ones are marked by gaps.
 
 use std::fs;
 use std::path::Path;
@@ -18,7 +18,7 @@
 use prost::Message;
 
 const SECOND: i64 = 1_000_000;
-const KEEP: Retention = Retention {
+const KEEP_ALL: Retention = Retention {
     bytes: 1 << 40,
     age: Duration::from_secs(1 << 30),
 };
@@ -46,8 +46,8 @@
     })
 }
 
-/// Records of one incarnation: a sample each second from a time on, with others in between.
-fn start(from_s: i64, seconds: i64, others: &[(i64, Kind)]) -> Vec<Record> {
+/// Returns the records of one incarnation: a sample each second from a time on, with other records in between.
+fn incarnation(from_s: i64, seconds: i64, others: &[(i64, Kind)]) -> Vec<Record> {
     let started = pb::Started {
         classes: vec!["lookup".into()],
         ..pb::Started::default()
@@ -55,10 +55,10 @@
     let mut kinds = vec![(from_s * SECOND, Kind::Started(started))];
     for second in 0..seconds {
         kinds.push(((from_s + second) * SECOND, gauge(second as f64)));
-        let here = others
+        let in_second = others
             .iter()
             .filter(|(at, _)| (from_s + second..from_s + second + 1).contains(&(at / SECOND)));
-        kinds.extend(here.map(|(at, kind)| (*at, kind.clone())));
+        kinds.extend(in_second.map(|(at, kind)| (*at, kind.clone())));
     }
     let numbered = kinds.into_iter().zip(1..);
     numbered
@@ -99,7 +99,7 @@
 fn seal(directory: &Path, writing: SegmentId) {
     let active_segment = ActiveSegment::default();
     active_segment.set(Some(writing));
-    for mut job in maintenance::jobs(directory, KEEP, &active_segment) {
+    for mut job in maintenance::jobs(directory, KEEP_ALL, &active_segment) {
         while job.step().state == JobState::Ready {}
     }
 }
@@ -107,8 +107,8 @@
 #[test]
 fn a_crash_and_a_shutdown_are_distinguished() {
     let directory = tempfile::tempdir().expect("a directory");
-    write(directory.path(), "n0", &start(100, 10, &[]));
-    let mut second = start(120, 10, &[]);
+    write(directory.path(), "n0", &incarnation(100, 10, &[]));
+    let mut second = incarnation(120, 10, &[]);
     let stopped = Kind::Stopped(pb::Stopped {
         reason: "SIGTERM".into(),
     });
@@ -119,7 +119,7 @@
         kind: Some(stopped),
     });
     write(directory.path(), "n0", &second);
-    write(directory.path(), "n0", &start(135, 5, &[]));
+    write(directory.path(), "n0", &incarnation(135, 5, &[]));
     let (events, gaps) = read(directory.path());
     assert_eq!(events.len(), 11 + 12 + 6);
     assert_eq!(
@@ -137,9 +137,9 @@
 }
 
 #[test]
-fn a_stall_and_lost_records_are_marked_as_gaps() {
+fn a_stall_lost_records_and_a_clock_step_are_marked_as_gaps() {
     let directory = tempfile::tempdir().expect("a directory");
-    let mut records = start(0, 5, &[]);
+    let mut records = incarnation(0, 5, &[]);
     let lost = pb::Lost {
         count: 7,
         from_us: 20 * SECOND,
@@ -185,12 +185,15 @@
     let directory = tempfile::tempdir().expect("a directory");
     let mut last = SegmentId::default();
     for at in 0..4 {
-        last = write(directory.path(), "n0", &start(at * 100, 50, &[]));
+        last = write(directory.path(), "n0", &incarnation(at * 100, 50, &[]));
     }
     let active_segment = ActiveSegment::default();
-    let small = Retention { bytes: 1, ..KEEP };
+    let minimal = Retention {
+        bytes: 1,
+        ..KEEP_ALL
+    };
     active_segment.set(Some(last));
-    maintenance::jobs(directory.path(), small, &active_segment)
+    maintenance::jobs(directory.path(), minimal, &active_segment)
         .iter_mut()
         .for_each(|job| assert!(job.step().bytes < 1 << 20));
     assert_eq!(segment::list(directory.path()).expect("a list"), [last]);
@@ -202,7 +205,7 @@
 #[test]
 fn a_missing_segment_is_a_gap_of_known_size() {
     let directory = tempfile::tempdir().expect("a directory");
-    let all = start(0, 40, &[]);
+    let all = incarnation(0, 40, &[]);
     let mut store = Store::open(directory.path(), "n0").expect("a store");
     let padding = vec![0; chutegrade_records::store::SEAL_BYTES as usize];
     for chunk in all.chunks(15) {
@@ -225,25 +228,25 @@
     assert_eq!((events.len(), missing), (all.len() - 15, vec![15]));
 }
 
-/// The records of a directory that a query wants.
+/// Returns the records of a directory that match a query.
 fn find(directory: &Path, query: &Query) -> Vec<Record> {
     let timeline = Timeline::open(&[directory.to_path_buf()]).expect("a timeline");
     let (events, _) = timeline.read(query);
     events.into_iter().map(|event| event.record).collect()
 }
 
-/// The same by a look at each of them.
+/// Returns the records that match a query by checking each of them.
 fn scan(records: &[Record], query: &Query) -> Vec<Record> {
-    let is_wanted = |record: &&Record| {
+    let is_match = |record: &&Record| {
         let number = record.kind.as_ref().map_or(0, kind::number);
         query.matches(record, number)
     };
-    let mut wanted: Vec<Record> = records.iter().filter(is_wanted).cloned().collect();
-    wanted.sort_by_key(|record| (record.at_us, record.learned_us, record.seq));
-    wanted
+    let mut matches: Vec<Record> = records.iter().filter(is_match).cloned().collect();
+    matches.sort_by_key(|record| (record.at_us, record.learned_us, record.seq));
+    matches
 }
 
-/// The index answers as a full scan does, also for records on the past.
+/// A query by the index finds what a full scan finds, also records whose event lies before that of earlier records.
 #[test]
 fn the_index_finds_what_a_scan_finds() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -253,7 +256,7 @@
             (n * SECOND, state(&server, pb::State::Reduced))
         })
         .collect();
-    let mut records = start(0, 3000, &state_changes);
+    let mut records = incarnation(0, 3000, &state_changes);
     for record in records.iter_mut().skip(100).step_by(7) {
         record.at_us -= 5 * SECOND;
     }
@@ -269,12 +272,12 @@
             ..Query::between(5 * SECOND, 900 * SECOND)
         },
         about("s-7"),
-        about("nobody"),
+        about("no-such-server"),
     ];
     let before = queries
         .each_ref()
         .map(|query| find(directory.path(), query));
-    let writing = write(directory.path(), "n0", &start(9000, 1, &[]));
+    let writing = write(directory.path(), "n0", &incarnation(9000, 1, &[]));
     seal(directory.path(), writing);
     assert!(
         segment::stored_index(directory.path(), first).is_some(),
@@ -288,12 +291,12 @@
     }
 }
 
-/// An index that was made before the damage must not vouch for records that are gone.
+/// An index that was built before the damage lists records that are gone; reading them must report a gap.
 #[test]
-fn damage_behind_an_index_is_found_when_it_is_read() {
+fn damage_after_indexing_is_found_when_the_segment_is_read() {
     let directory = tempfile::tempdir().expect("a directory");
-    let id = write(directory.path(), "n0", &start(0, 600, &[]));
-    let writing = write(directory.path(), "n0", &start(700, 1, &[]));
+    let id = write(directory.path(), "n0", &incarnation(0, 600, &[]));
+    let writing = write(directory.path(), "n0", &incarnation(700, 1, &[]));
     seal(directory.path(), writing);
     let path = id.path(directory.path());
     let mut bytes = fs::read(&path).expect("its bytes");
@@ -307,10 +310,10 @@
             .any(|gap| gap.reason == GapReason::Damaged && gap.missing == 1),
         "{gaps:?}"
     );
-    let verdict = verify(directory.path()).expect("a verdict");
+    let report = verify(directory.path()).expect("a report");
     assert!(
-        !verdict.is_valid() && verdict.missing == 1 && verdict.mismatched_indexes == 1,
-        "{verdict:?}"
+        !report.is_valid() && report.missing == 1 && report.mismatched_indexes == 1,
+        "{report:?}"
     );
     // A damaged index is ignored.
     let index = id.index_path(directory.path());
@@ -339,8 +342,16 @@
         .iter()
         .map(|(at_us, kind)| (at_us + ahead_us, kind.clone()))
         .collect();
-    write(&directory.path().join("n0"), "n0", &start(0, 60, &changes));
-    write(&directory.path().join("n1"), "n1", &start(3, 60, &shifted));
+    write(
+        &directory.path().join("n0"),
+        "n0",
+        &incarnation(0, 60, &changes),
+    );
+    write(
+        &directory.path().join("n1"),
+        "n1",
+        &incarnation(3, 60, &shifted),
+    );
     let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("a timeline");
     let second = &timeline.supervisors[1];
     assert_eq!((second.ahead_us, second.clock_samples), (ahead_us, 5));
@@ -363,7 +374,7 @@
         .collect();
     assert!(
         delays.iter().all(|delay| *delay == 0),
-        "what was learned at once has no delay: {delays:?}"
+        "events that were learned immediately have no delay: {delays:?}"
     );
 }
 
@@ -371,7 +382,7 @@
     Options {
         directory: directory.to_path_buf(),
         supervisor: "n0".into(),
-        retention: KEEP,
+        retention: KEEP_ALL,
         budget: UNLIMITED,
     }
 }
@@ -403,7 +414,7 @@
     assert_eq!(reasons(&gaps), [GapReason::Open]);
 }
 
-/// A burst beyond the queue must neither block the caller nor vanish.
+/// Records beyond the capacity of the queue must not block the caller, and must be counted as lost.
 #[test]
 fn records_beyond_the_queue_are_counted_and_marked() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -430,18 +441,18 @@
     );
 }
 
-/// A disk that accepts nothing, here a file where the directory should be, stops recording and nothing else; what was lost
-/// meanwhile is marked once that is possible.
+/// A disk failure, here a file in place of the directory, must stop recording only. Records that were lost meanwhile
+/// are marked as soon as writing succeeds.
 #[test]
 fn a_failing_disk_is_retried_and_leaves_a_marked_gap() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("n0");
-    fs::write(&path, "in the way").expect("a file");
+    fs::write(&path, "not a directory").expect("a file");
     let (recorder, recording) = begin(options(&path), || 0).expect("threads");
     (1..=40).for_each(|n| recorder.note(n * SECOND, n * SECOND, gauge(0.0)));
     std::thread::sleep(Duration::from_millis(300));
     fs::remove_file(&path).expect("a removed file");
-    wait_until("records again", || {
+    wait_until("written records", || {
         recorder.note(50 * SECOND, 50 * SECOND, gauge(0.0));
         recording.written() > 0
     });
@@ -476,20 +487,20 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever bytes are damaged, and however: no record is invented or changed, every one that is missing lies within
-    /// a marked gap, and reading does not fail.
+    /// After arbitrary damage, no record is invented or changed, every missing one lies within a gap, and reading does
+    /// not fail.
     #[test]
-    fn damage_is_marked_and_never_invents(
-        hits in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 1..60usize), 1..6),
+    fn damage_is_marked_and_no_record_is_invented(
+        ranges in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 1..60usize), 1..6),
         cut in proptest::option::of(any::<prop::sample::Index>()),
     ) {
         let directory = tempfile::tempdir().expect("a directory");
         let others: Vec<(i64, Kind)> = (0..60).step_by(4).map(|n| (n * SECOND + 5, state("s-1", pb::State::Reduced))).collect();
-        let all = start(0, 60, &others);
+        let all = incarnation(0, 60, &others);
         let id = write(directory.path(), "n0", &all);
         let path = id.path(directory.path());
         let mut bytes = fs::read(&path).expect("its bytes");
-        for (position, value, length) in &hits {
+        for (position, value, length) in &ranges {
             let from = position.index(bytes.len());
             bytes.iter_mut().skip(from).take(*length).for_each(|byte| *byte ^= value);
         }
@@ -497,12 +508,12 @@
             bytes.truncate(cut.index(bytes.len()));
         }
         fs::write(&path, &bytes).expect("the damage");
-        write(directory.path(), "n0", &start(100, 3, &[]));
+        write(directory.path(), "n0", &incarnation(100, 3, &[]));
         let (events, gaps) = read(directory.path());
         let first: Vec<&Record> = events.iter().filter(|e| e.incarnation == 1).map(|e| &e.record).collect();
-        let known = |record: &Record| first.iter().any(|read| **read == *record);
+        let was_read = |record: &Record| first.iter().any(|read| **read == *record);
         prop_assert!(first.iter().all(|read| all.contains(read)), "a record was invented");
-        for missing in all.iter().filter(|record| !known(record)) {
+        for missing in all.iter().filter(|record| !was_read(record)) {
             let marked = gaps.iter().any(|gap| gap.from_us <= missing.at_us && missing.at_us <= gap.to_us);
             prop_assert!(marked, "no gap over {}: {gaps:?}", missing.at_us);
         }
@@ -511,13 +522,17 @@
     }
 }
 
-/// A directory for each supervisor, as many as a fleet may have: none is missed, in whatever order the disk lists them.
+/// All subdirectories of a large fleet are read, independent of the order in which the file system lists them.
 #[test]
 fn the_records_of_a_thousand_supervisors_are_read_together() {
     let directory = tempfile::tempdir().expect("a directory");
     for supervisor in 0..1024 {
         let name = format!("n{supervisor}");
-        write(&directory.path().join(&name), &name, &start(100, 1, &[]));
+        write(
+            &directory.path().join(&name),
+            &name,
+            &incarnation(100, 1, &[]),
+        );
     }
     let timeline = Timeline::open(&[directory.path().to_path_buf()]).expect("records");
     let names: std::collections::BTreeSet<&str> = timeline
--- a/crates/scheduler/src/cost.rs
+++ b/crates/scheduler/src/cost.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-/// The cost of one or several steps, or a budget for it.
+/// The cost of one or more steps, or a budget for them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
-    /// Processor time.
+    /// Time that the steps took, as an upper bound of their processor time.
     pub time: Duration,
     /// Bytes read and written.
     pub bytes: u64,
 }
 
 impl Cost {
-    /// Both costs together.
+    /// Returns the sum of both costs.
     pub(crate) fn plus(self, other: Cost) -> Cost {
         Cost {
             time: self.time + other.time,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// The greater time and the greater number of bytes.
+    /// Returns the greater time and the greater number of bytes.
     pub(crate) fn max(self, other: Cost) -> Cost {
         Cost {
             time: self.time.max(other.time),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether neither time nor bytes exceed a budget.
+    /// Whether both time and bytes are within a budget.
     pub(crate) fn is_within(self, budget: Cost) -> bool {
         self.time <= budget.time && self.bytes <= budget.bytes
     }
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -1,28 +1,28 @@
-//! Jobs, and what the scheduler has to know of them.
+//! The interface between jobs and the scheduler.
 
 use std::time::Duration;
 
 use crate::cost::Cost;
 
-/// The priority class of a job; lower values run first.
+/// The priority class of a job. Lower values run first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// Work that other work depends on.
     Urgent,
-    /// Maintenance.
+    /// Ordinary maintenance.
     Normal,
     /// Work that may be delayed.
     Idle,
 }
 
-/// What remains to be done after a step.
+/// When a job has to run again after a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// The next step is due at once.
+    /// The next step is due immediately.
     Ready,
     /// The next step is due after this time.
     Delayed(Duration),
-    /// No step remains.
+    /// There are no further steps.
     Finished,
 }
 
@@ -31,17 +31,17 @@
 pub struct StepReport {
     /// Bytes read and written.
     pub bytes: u64,
-    /// What remains to be done.
+    /// When the next step is due, if there is one.
     pub state: JobState,
 }
 
-/// Work in steps of a few milliseconds. The program may stop after any step, so what a step did must be of use by itself, or
-/// harmless to repeat.
+/// Work that runs in steps of a few milliseconds. The program may stop after any step, so the result of a step must be
+/// useful by itself or safe to repeat.
 pub trait Job {
     /// Runs one step.
     fn step(&mut self) -> StepReport;
-    /// The priority class.
+    /// Returns the class that decides which due job runs first.
     fn priority(&self) -> Priority;
-    /// The greatest cost of the first step.
+    /// Returns an upper bound of the cost of the first step.
     fn cost_bound(&self) -> Cost;
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,7 @@
-//! Scheduling of background work on one thread: jobs run in small steps, by priority, within budgets of processor time and
-//! bytes that hold over **any** interval of length [`WINDOW`].
+//! Schedules background work on one thread: jobs run in small steps, by priority, within budgets of time and bytes that
+//! hold over **any** interval of length [`WINDOW`].
 //!
-//! [`Scheduler`] decides, without a clock or a thread of its own; [`run`] is the loop that executes jobs on the calling thread.
+//! [`Scheduler`] selects jobs and has no clock or thread; [`run`] is the loop that runs jobs on the calling thread.
 
 mod cost;
 mod job;
--- a/crates/scheduler/src/runner.rs
+++ b/crates/scheduler/src/runner.rs
@@ -1,4 +1,4 @@
-//! The loop that runs jobs.
+//! Runs scheduled jobs on the calling thread.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,8 @@
 /// Longest time between two checks for a stop request.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs jobs on this thread until `is_stopped` returns true; it is called before every step and at least every 50 ms.
+/// Runs jobs on this thread until `is_stopped` returns true. It is called before every step, and at least
+/// every 50 ms while waiting.
 pub fn run(mut jobs: Vec<Box<dyn Job + Send>>, budget: Cost, is_stopped: impl Fn() -> bool) {
     let mut scheduler = Scheduler::new(budget);
     let started_at = Instant::now();
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,8 +1,8 @@
-//! Which job runs next, and whether the budget permits it.
+//! Selects the next job and checks the budget.
 //!
-//! A step is admitted only if the greatest cost of any step of its job so far (or the stated bound before the first one) still
-//! fits, so that the budget is never exceeded. No priority class starves: one that was passed over often enough runs first
-//! once.
+//! A step is admitted only if the greatest cost of a step of its job so far (or the stated bound before the first step)
+//! fits into the remaining budget. To prevent starvation of lower priority classes, a job that was passed over often
+//! enough runs first once.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -10,23 +10,23 @@
 use crate::cost::Cost;
 use crate::job::{JobState, Priority};
 
-/// Length of the interval over which budgets hold.
+/// Length of the sliding window over which budgets hold.
 pub const WINDOW: Duration = Duration::from_secs(10);
-/// Decisions in a row that may pass over a job that is due before it runs first once. The lowest class thus gets at least one
-/// step in nine even while another job never ends.
+/// Consecutive decisions that may pass over a due job before it runs first once. A job of the lowest class thus gets at
+/// least one step in nine while another job never ends.
 const MAX_TIMES_PASSED_OVER: u32 = 8;
-/// Longest wait while nothing is due.
+/// Longest wait returned by [`Scheduler::next`].
 const IDLE_WAIT: Duration = Duration::from_secs(1);
-/// Added to the wait for the budget, because an expense exactly as old as the window still counts.
+/// Added to the wait for the budget, since an expense exactly as old as the window still counts.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(1);
-/// Most expenses that are stored. Further ones are merged with the newest, so that part of their cost counts for longer.
+/// Most expenses that are stored. Further ones are merged with the newest, so that older costs count for longer.
 const MAX_EXPENSES: usize = 4096;
 
-/// A job of the scheduler, numbered in the order in which jobs were added.
+/// Identifies a job by the order in which jobs were added, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub usize);
 
-/// What to do now.
+/// The next action of the caller of [`Scheduler::next`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Run a step of this job.
@@ -43,7 +43,7 @@
     max_step_cost: Cost,
     /// The number of its last step among those of all jobs, for round robin within its class.
     last_step: u64,
-    /// Decisions in a row that passed over it although it was due.
+    /// Consecutive decisions that passed over it while it was due.
     times_passed_over: u32,
     is_stopped: bool,
 }
@@ -53,31 +53,32 @@
         !self.is_stopped && self.due_at.is_some_and(|due_at| due_at <= now)
     }
 
-    /// The class by which it is ordered: `None`, the first of all, if it was passed over too often.
+    /// Returns the class by which due jobs are ordered; `None`, which sorts first, if it was passed over too often.
     fn effective_priority(&self) -> Option<Priority> {
         (self.times_passed_over < MAX_TIMES_PASSED_OVER).then_some(self.priority)
     }
 }
 
-/// The cost of a step, or of several that were merged.
+/// The cost of a step or of several merged steps.
 #[derive(Clone, Copy, Debug)]
 struct Expense {
     ended_at: Instant,
     cost: Cost,
 }
 
-/// Decides which job runs next.
+/// Selects the job that runs next.
 #[derive(Debug)]
 pub struct Scheduler {
     budget: Cost,
     jobs: Vec<ScheduledJob>,
-    /// The expenses of the window, the oldest first.
+    /// The expenses within the window, the oldest first.
     expenses: VecDeque<Expense>,
     steps: u64,
 }
 
 impl Scheduler {
-    /// A scheduler whose jobs together cost no more than a budget in any interval of length [`WINDOW`].
+    /// Creates a scheduler whose jobs together cost no more than a budget in any interval of length [`WINDOW`], unless
+    /// a step costs more than the earlier ones of its job and its stated bound.
     pub fn new(budget: Cost) -> Self {
         Scheduler {
             budget,
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Adds a job that is due now; `cost_bound` is the greatest cost of its first step. A job with a step that costs more than
-    /// the whole budget never runs again.
+    /// Adds a job that is due now. `cost_bound` is an upper bound of the cost of its first step. A job does not run
+    /// again after a step that costs more than the whole budget.
     pub fn add(&mut self, priority: Priority, cost_bound: Cost, now: Instant) -> JobId {
         self.jobs.push(ScheduledJob {
             priority,
@@ -101,21 +102,21 @@
         JobId(self.jobs.len() - 1)
     }
 
-    /// Stops a job for good.
+    /// Stops a job permanently.
     pub fn stop(&mut self, job: JobId) {
         if let Some(job) = self.jobs.get_mut(job.0) {
             job.is_stopped = true;
         }
     }
 
-    /// Makes a job due now, whatever its state.
+    /// Makes a job due now, also a finished one. A stopped job stays stopped.
     pub fn wake(&mut self, job: JobId, now: Instant) {
         if let Some(job) = self.jobs.get_mut(job.0) {
             job.due_at = Some(now);
         }
     }
 
-    /// The cost of all steps in the window that ends now.
+    /// Returns the cost of all steps that ended within the window before now.
     pub fn cost_in_window(&mut self, now: Instant) -> Cost {
         while let Some(oldest) = self.expenses.front() {
             if now.duration_since(oldest.ended_at) <= WINDOW {
@@ -127,13 +128,13 @@
         costs.fold(Cost::default(), Cost::plus)
     }
 
-    /// The job whose step should run now, or how long to wait.
+    /// Returns the job whose step should run now, or the time to wait.
     pub fn next(&mut self, now: Instant) -> Decision {
         let spent = self.cost_in_window(now);
         let Some(index) = self.first_due(now) else {
             return Decision::Wait(self.wait_for_due_job(now));
         };
-        // The first job in turn waits for the budget: smaller jobs of lower classes must not starve it.
+        // The selected job waits for the budget; otherwise smaller jobs of lower classes would use it up repeatedly.
         let expected = spent.plus(self.jobs[index].max_step_cost);
         if !expected.is_within(self.budget) {
             return Decision::Wait(self.wait_for_budget(now));
@@ -142,7 +143,7 @@
         Decision::Run(JobId(index))
     }
 
-    /// Counts for each job that is due that the one at this index runs before it.
+    /// Counts for each other due job that it was passed over, and resets the count of the running job.
     fn count_passed_over(&mut self, running: usize, now: Instant) {
         for (index, job) in self.jobs.iter_mut().enumerate() {
             if index == running {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The first job in turn: by class, then by its last step, then by its number.
+    /// Returns the index of the due job that is first by effective class, then by its last step, then by its index.
     fn first_due(&self, now: Instant) -> Option<usize> {
         let due = self
             .jobs
@@ -165,14 +166,14 @@
     }
 
     fn wait_for_due_job(&self, now: Instant) -> Duration {
-        let waiting = self.jobs.iter().filter(|job| !job.is_stopped);
-        match waiting.filter_map(|job| job.due_at).min() {
+        let active = self.jobs.iter().filter(|job| !job.is_stopped);
+        match active.filter_map(|job| job.due_at).min() {
             Some(due_at) => due_at.duration_since(now).min(IDLE_WAIT),
             None => IDLE_WAIT,
         }
     }
 
-    /// How long until the oldest expense leaves the window.
+    /// Returns the time until the oldest expense leaves the window.
     fn wait_for_budget(&self, now: Instant) -> Duration {
         let Some(oldest) = self.expenses.front() else {
             return IDLE_WAIT;
@@ -182,7 +183,7 @@
         wait.min(IDLE_WAIT)
     }
 
-    /// Records a step that has ended now, its cost, and what remains to be done.
+    /// Records the cost of a step that has ended now, and when the job has to run again.
     pub fn record_step(&mut self, job: JobId, cost: Cost, state: JobState, now: Instant) {
         self.steps += 1;
         if let Some(job) = self.jobs.get_mut(job.0) {
--- a/crates/scheduler/src/scheduler/tests.rs
+++ b/crates/scheduler/src/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! Fairness between jobs, and the budget.
+//! Tests of fairness between jobs and of the budget.
 
 use proptest::prelude::*;
 
@@ -15,14 +15,14 @@
     }
 }
 
-/// A step that was run.
+/// A step that ran in a simulation.
 struct Step {
     ended_at: Instant,
     job: usize,
     cost: Cost,
 }
 
-/// Runs jobs that never end, each with steps of a fixed cost; returns the steps in order.
+/// Simulates jobs that never end, each with steps of a fixed cost. Returns the steps in order.
 fn simulate(budget: Cost, jobs: &[(Priority, Cost)], length: Duration) -> Vec<Step> {
     let started_at = Instant::now();
     let mut now = started_at;
@@ -49,7 +49,7 @@
     steps
 }
 
-/// A job without an end must not take all turns: retention would never run, and the disk would fill.
+/// A job that never ends must not starve the others; otherwise, retention might never run and the disk would fill.
 #[test]
 fn the_lowest_class_is_not_starved() {
     let jobs = [
@@ -65,13 +65,13 @@
     }
     assert!(
         steps_of(0) * 2 > steps.len(),
-        "the first class has most of the turns"
+        "the first class has most of the steps"
     );
 }
 
-/// A large step must not wait for good while small ones of lower classes use up the budget that it needs.
+/// Small steps of lower classes must not use up the budget that a large step waits for.
 #[test]
-fn a_large_step_is_not_overtaken_by_small_ones_of_lower_classes() {
+fn a_large_step_is_not_starved_by_small_ones_of_lower_classes() {
     let jobs = [
         (Priority::Normal, cost(800, 0)),
         (Priority::Idle, cost(10, 0)),
@@ -101,7 +101,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Over any window, whatever the jobs, no more than the budget is spent.
+    /// The steps of arbitrary jobs cost no more than the budget in any window.
     #[test]
     fn the_budget_holds_over_any_window(
         jobs in proptest::collection::vec((0..3u8, 1..400u64, 0..5000u64), 1..6),
