--- a/crates/records/src/incidents.rs
+++ b/crates/records/src/incidents.rs
@@ -94,13 +94,13 @@
     /// Returns a short description for reports.
     pub fn line(&self) -> String {
         match self {
-            Fault::Server(name) => format!("server {name} out or reduced"),
-            Fault::Failing(name) => format!("tries at {name} fail"),
-            Fault::Zone(name) => format!("zone {name} cut off"),
-            Fault::LoadShedding => "requests refused".to_string(),
+            Fault::Server(name) => format!("server {name} withdrawn or reduced"),
+            Fault::Failing(name) => format!("attempts at {name} fail"),
+            Fault::Zone(name) => format!("zone {name} partitioned"),
+            Fault::LoadShedding => "requests rejected".to_string(),
             Fault::ReducedServiceLevel(level) => format!("service reduced to {level}"),
-            Fault::Discovery => "discovery silent".to_string(),
-            Fault::Supervisor(name) => format!("supervisor {name} away"),
+            Fault::Discovery => "discovery unavailable".to_string(),
+            Fault::Supervisor(name) => format!("supervisor {name} crashed or stalled"),
         }
     }
 }
--- a/crates/records/src/recorder/writer.rs
+++ b/crates/records/src/recorder/writer.rs
@@ -235,7 +235,7 @@
     /// Logs once that recording fails.
     fn report_failure(&mut self, fault: &StoreError) {
         if !std::mem::replace(&mut self.is_failing, true) {
-            tracing::error!(%fault, "recording stops, serving goes on");
+            tracing::error!(%fault, "recording failed, serving continues without records");
         }
     }
 }
--- a/crates/records/src/text/kinds.rs
+++ b/crates/records/src/text/kinds.rs
@@ -141,7 +141,7 @@
 fn advice_void(of: &pb::AdviceVoid) -> String {
     if of.void {
         format!(
-            "advice on table {} overruled: it would leave too little",
+            "advice on table {} overruled: it would leave too little capacity",
             of.table
         )
     } else {
@@ -155,7 +155,7 @@
     let details = [
         (": ", of.condition.clone()),
         ("; ", signals.join(", ")),
-        ("; tell ", of.tell.join(", ")),
+        ("; notify ", of.tell.join(", ")),
     ];
     for (separator, detail) in details {
         if !detail.is_empty() {
--- a/crates/records/src/text/tests.rs
+++ b/crates/records/src/text/tests.rs
@@ -19,7 +19,7 @@
     for wrong in ["", "9", "25:00", "xm", "-5m", "09:12:30:1"] {
         let error = parse_time(wrong, last).expect_err(wrong).to_string();
         assert!(
-            error.contains("is no time") && !error.contains('\n'),
+            error.contains("is not a valid time") && !error.contains('\n'),
             "{error}"
         );
     }
--- a/crates/records/src/text/time.rs
+++ b/crates/records/src/text/time.rs
@@ -45,7 +45,7 @@
 
 /// Error for a text that is not a time. Contains the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no time: give 2026-12-01T09:12:00Z, 09:12 or 09:12:30 (UTC, of the last record's day), or 10m, 90s, 2h before the last record")]
+#[error("{0:?} is not a valid time: use 2026-12-01T09:12:00Z, 09:12 or 09:12:30 (UTC, of the last record's day), or 10m, 90s, 2h before the last record")]
 pub struct InvalidTime(String);
 
 /// Parses a time and returns it in Unix microseconds. A time of day is on the day of the last record; a duration counts
--- a/crates/records/src/timeline/gap_detection.rs
+++ b/crates/records/src/timeline/gap_detection.rs
@@ -97,7 +97,7 @@
         let skipped = next.id.incarnation - previous.id.incarnation - 1;
         let mut details = vec![torn_tail(&previous.index)];
         if skipped > 0 {
-            details.push(format!("{skipped} starts in between left nothing"));
+            details.push(format!("{skipped} starts in between left no records"));
         }
         details.retain(|detail| !detail.is_empty());
         let gap = self.add(previous.index.last_us, next.index.first_us, reason);
--- a/crates/report/tests/page.rs
+++ b/crates/report/tests/page.rs
@@ -301,7 +301,7 @@
         .expect("the change");
     assert!(
         change.contains(
-            "SATURATION above 0.6 for 2 s; SATURATION 0.71 1.5 s ago; tell desk &lt;b&gt;"
+            "SATURATION above 0.6 for 2 s; SATURATION 0.71 1.5 s ago; notify desk &lt;b&gt;"
         ),
         "{change}"
     );
--- a/crates/supervisor/tests/commands/operator_config.rs
+++ b/crates/supervisor/tests/commands/operator_config.rs
@@ -79,11 +79,11 @@
         .applies("a table", |proxy| proxy.picks("lookup") == ["s-1"])
         .await;
     supervisor
-        .logs(1, &["recording stops, serving goes on"])
+        .logs(1, &["recording failed, serving continues without records"])
         .await;
     sleep(Duration::from_millis(2500)).await;
     supervisor
-        .logs(1, &["recording stops, serving goes on"])
+        .logs(1, &["recording failed, serving continues without records"])
         .await;
     std::fs::remove_file(&blocked).expect("a removal");
     until("recording", || {
--- a/crates/supervisor/tests/commands/usage.rs
+++ b/crates/supervisor/tests/commands/usage.rs
@@ -24,7 +24,7 @@
         ),
         (
             vec!["records", "list", records, "--from", "yesterday"],
-            "\"yesterday\" is no time",
+            "\"yesterday\" is not a valid time",
         ),
         (
             vec!["records", "list", records, "--kind", "stat"],
