--- a/crates/records/src/clock.rs
+++ b/crates/records/src/clock.rs
@@ -5,12 +5,11 @@
 
 use crate::pb::{record::Kind, Record};
 
-/// Number of the kind of record for changes of a server's lifecycle.
+/// Kind number of lifecycle changes of a server.
 const LIFECYCLE_CHANGED: u32 = 21;
-/// Number of the kind of record for starts of a server. Its time comes from the endpoint list and is independent of the
-/// supervisor's clock.
+/// Kind number of server starts. Their time comes from the endpoint list and is independent of the supervisor's clock.
 pub const SERVER_STARTED: u32 = 22;
-/// Numbers of the kinds that all supervisors record for the same change in the endpoint list.
+/// Kind numbers of the records that all supervisors write for the same change in the endpoint list.
 pub const SHARED_KINDS: [u32; 2] = [LIFECYCLE_CHANGED, SERVER_STARTED];
 /// Fewest changes from which a difference is estimated.
 const MIN_PAIRS: usize = 3;
--- a/crates/records/src/incidents.rs
+++ b/crates/records/src/incidents.rs
@@ -154,7 +154,7 @@
 pub struct Reconstruction {
     /// The incidents, in order.
     pub incidents: Vec<Incident>,
-    /// The intended drains, in order.
+    /// The servers that began to drain in the interval, each once, in order.
     pub drains: Vec<Drain>,
     /// The lowest admission level, by class.
     pub lowest_levels: BTreeMap<String, Extreme>,
--- a/crates/records/src/index.rs
+++ b/crates/records/src/index.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Adds a gap if records are missing between the last record and this one, or if it took too long.
+    /// Adds a gap before a record if sequence numbers or bytes are missing there, or if the supervisor stalled.
     fn add_hole_before(&mut self, record: &Record) {
         if self.index.records == 0 {
             self.index.first_seq = record.seq;
--- a/crates/records/src/text/time.rs
+++ b/crates/records/src/text/time.rs
@@ -59,7 +59,7 @@
         return Ok(time.as_microsecond());
     }
     let time_us = if text.ends_with(['s', 'm', 'h']) {
-        parse_length(text).map(|length_us| last_us.saturating_sub(length_us))
+        parse_duration(text).map(|duration_us| last_us.saturating_sub(duration_us))
     } else {
         parse_time_of_day(text, last_us)
     };
@@ -67,7 +67,7 @@
 }
 
 /// Parses a number of seconds, minutes or hours and returns microseconds.
-fn parse_length(text: &str) -> Option<i64> {
+fn parse_duration(text: &str) -> Option<i64> {
     let (count, unit_us) = if let Some(count) = text.strip_suffix('s') {
         (count, MICROSECONDS_PER_SECOND)
     } else if let Some(count) = text.strip_suffix('m') {
--- a/crates/records/src/timeline.rs
+++ b/crates/records/src/timeline.rs
@@ -220,7 +220,7 @@
 }
 
 /// Converts a gap to the common clock and clips it to a window. Returns `None` if it does not overlap the window, or is
-/// the open end after the last record.
+/// a short open end after the last record.
 fn clipped_gap(gap: Gap, ahead_us: i64, window: Window) -> Option<Gap> {
     let from_us = common_time(gap.from_us, ahead_us);
     let to_us = common_time(gap.to_us, ahead_us);
