--- a/crates/supervisor/src/commands/arguments.rs
+++ b/crates/supervisor/src/commands/arguments.rs
@@ -19,88 +19,88 @@
 pub use plugin::{DryRunArguments, ExplainServerArguments, PluginArguments, PluginCommand};
 pub use records::{ExportFormat, RecordSelection, RecordsArguments, RecordsCommand};
 
-/// A table manager that assigns servers to proxies, and the tools round it.
+/// A control plane that assigns servers to proxies, and its tools.
 ///
-/// Without a command it serves, as `serve` does.
+/// Without a command it runs the server, as `serve` does.
 #[derive(Debug, Parser)]
 #[command(name = "chutegrade", version, args_conflicts_with_subcommands = true)]
 pub struct Cli {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Option<Command>,
-    /// How to serve, where no command is given.
+    /// Options of the server, used if no command is given.
     #[command(flatten)]
     pub serve: ServeArguments,
 }
 
-/// What can be done.
+/// Commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Serve proxies in the foreground, configured by LB_CONFIG, until SIGTERM.
     #[allow(clippy::doc_markdown, reason = "backticks would show in the help text")]
     Serve(ServeArguments),
-    /// Check a configuration and an operators' file, and say what is wrong and where.
+    /// Check a configuration and an operators' file, and list their faults with their positions.
     Check(CheckArguments),
-    /// Look at what supervisors recorded.
+    /// Verify, list and export the records of supervisors.
     Records(RecordsArguments),
-    /// Check, test and try rules in the hook language.
+    /// Check, test, format, explain and dry-run plug-ins in the hook language.
     Plugin(PluginArguments),
-    /// Show the fleet on the terminal, from records: now, or at any moment of the past.
+    /// Show the fleet on the terminal from records, live or at a time in the past.
     Console(ConsoleArguments),
-    /// Write one HTML page that tells the course of an incident.
+    /// Write an HTML page that reconstructs an incident from records.
     Report(ReportArguments),
-    /// Show, explain and try levels of reduced service.
+    /// Show, explain and simulate service levels.
     Levels(LevelsArguments),
-    /// Play scenarios on the fleet model, and compare variants with error bars.
+    /// Simulate scenarios on the fleet model, and compare variants with error bars.
     Lab(LabArguments),
 }
 
-/// How to serve.
+/// Options of the server.
 #[derive(Args, Clone, Debug, Default)]
 pub struct ServeArguments {
-    /// The operators' own file, protobuf text format; what it does not switch on is off.
+    /// Operators' file in protobuf text format; features that it does not enable are off.
     #[arg(long, value_name = "FILE", env = "CHUTEGRADE_OPERATOR")]
     pub operator: Option<PathBuf>,
 }
 
-/// What to check.
+/// Files to check.
 #[derive(Args, Debug)]
 pub struct CheckArguments {
-    /// The configuration, JSON.
+    /// Configuration file, JSON.
     #[arg(long, value_name = "FILE", env = "LB_CONFIG")]
     pub config: Option<PathBuf>,
-    /// The operators' own file.
+    /// Operators' file in protobuf text format.
     #[arg(long, value_name = "FILE", env = "CHUTEGRADE_OPERATOR")]
     pub operator: Option<PathBuf>,
 }
 
-/// What to show.
+/// Records and time to show.
 #[derive(Args, Debug)]
 pub struct ConsoleArguments {
-    /// Directories of records: of one supervisor, or of several below.
+    /// Directories with the records of one supervisor, or with one subdirectory per supervisor.
     #[arg(required = true, value_name = "DIR")]
     pub directories: Vec<PathBuf>,
-    /// Begin at this moment, written as for `records list`; without it, live.
+    /// Start at this time, in the formats of `records list`; live by default.
     #[arg(long, value_name = "TIME")]
     pub at: Option<String>,
-    /// Print one frame as text and end.
+    /// Print one frame as text and exit.
     #[arg(long)]
     pub once: bool,
 }
 
-/// Of what to tell.
+/// Records and time window of a report.
 #[derive(Args, Debug)]
 pub struct ReportArguments {
-    /// Directories of records: of one supervisor, or of several below.
+    /// Directories with the records of one supervisor, or with one subdirectory per supervisor.
     #[arg(required = true, value_name = "DIR")]
     pub directories: Vec<PathBuf>,
-    /// Begin, written as for `records list`; without it, the first record.
+    /// Start of the time window, in the formats of `records list`; the first record by default.
     #[arg(long, value_name = "TIME")]
     pub from: Option<String>,
-    /// End; without it, the last record.
+    /// End of the time window; the last record by default.
     #[arg(long, value_name = "TIME")]
     pub to: Option<String>,
-    /// The file to write; it is replaced.
+    /// HTML file to write; an existing one is replaced.
     #[arg(long, value_name = "FILE")]
     pub out: PathBuf,
 }
--- a/crates/supervisor/src/commands/arguments/lab.rs
+++ b/crates/supervisor/src/commands/arguments/lab.rs
@@ -4,30 +4,30 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 
-/// What to do in the laboratory.
+/// Arguments of `lab`.
 #[derive(Args, Debug)]
 pub struct LabArguments {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: LabCommand,
 }
 
-/// What can be done in the laboratory.
+/// Commands of `lab`.
 #[derive(Debug, Subcommand)]
 pub enum LabCommand {
-    /// Play one scenario once and print what came of it.
+    /// Simulate a scenario once and print its outcome.
     Play(PlayArguments),
-    /// Play an experiment until its differences are known as well as asked; goes on where it was stopped.
+    /// Run an experiment until its comparisons reach the requested precision; resumes a stopped run.
     Run(ExperimentArguments),
-    /// Print what the results of an experiment say so far; plays nothing.
+    /// Print the comparisons from the results of an experiment so far, without running simulations.
     Compare(ResultsArguments),
-    /// Write the report of an experiment anew from its results; plays nothing.
+    /// Rewrite the report of an experiment from its results, without running simulations.
     Report(ResultsArguments),
-    /// Search troubles for the scenario on which a rule breaks or most is lost, and shrink it.
+    /// Search faults for the scenario that breaks a rule or loses the most service, and shrink it.
     Hunt(HuntArguments),
 }
 
-/// What decides on the model.
+/// Control plane of a simulated fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum ControlPlane {
     /// The decision module.
@@ -35,76 +35,76 @@
     Module,
     /// All listed servers by their listed weight; for comparison only.
     Fixed,
-    /// Nobody: front ends keep the tables they start with.
+    /// None: proxies keep their initial tables.
     Nobody,
-    /// One that sees the truth half a second late.
+    /// An ideal one that sees the true state of the fleet half a second late.
     Ideal,
 }
 
-/// Which scenario to play, and with what.
+/// The scenario to simulate, and its control plane.
 #[derive(Args, Debug)]
 pub struct PlayArguments {
-    /// The scenario.
+    /// Scenario file in protobuf text format.
     #[arg(value_name = "FILE")]
     pub scenario: PathBuf,
-    /// Seed of chance.
+    /// Seed of the random generator.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// What decides.
+    /// Control plane of the fleet.
     #[arg(long, value_enum, default_value_t)]
     pub control: ControlPlane,
-    /// Texts of plug-ins, in their order.
+    /// Plug-in file; may be repeated, the order is kept.
     #[arg(long = "plugin", value_name = "FILE")]
     pub plugins: Vec<PathBuf>,
-    /// Reduced service, limits and budgets as in the `limits` part of this operators' file.
+    /// Operators' file with a `limits` section: service levels, limits and retry budgets.
     #[arg(long, value_name = "FILE")]
     pub limits: Option<PathBuf>,
-    /// What comes, recorded, in the place of what the scenario draws.
+    /// Recorded traffic, in place of the random arrivals of the scenario.
     #[arg(long, value_name = "FILE")]
     pub traffic: Option<PathBuf>,
 }
 
-/// Which experiment to play.
+/// The experiment to run.
 #[derive(Args, Debug)]
 pub struct ExperimentArguments {
-    /// The experiment.
+    /// Experiment file in protobuf text format.
     #[arg(value_name = "FILE")]
     pub experiment: PathBuf,
-    /// Where results, tables and the report go.
+    /// Directory for results, tables and the report.
     #[arg(long, value_name = "DIR")]
     pub out: PathBuf,
-    /// Threads; without it, one for each core.
+    /// Number of threads; 0 for one per core.
     #[arg(long, default_value_t = 0)]
     pub threads: usize,
 }
 
-/// Results of an experiment.
+/// An experiment and its results.
 #[derive(Args, Debug)]
 pub struct ResultsArguments {
-    /// The experiment.
+    /// Experiment file in protobuf text format.
     #[arg(value_name = "FILE")]
     pub experiment: PathBuf,
-    /// Where its results are.
+    /// Directory with its results.
     #[arg(long, value_name = "DIR")]
     pub out: PathBuf,
 }
 
-/// Where to search, and for how long.
+/// Start, budget and target of a search.
 #[derive(Args, Debug)]
 pub struct HuntArguments {
-    /// The scenario to begin with.
+    /// Scenario file to start from.
     #[arg(value_name = "FILE")]
     pub scenario: PathBuf,
-    /// Where the scenario that was found goes.
+    /// File for the scenario that was found.
     #[arg(long, value_name = "FILE")]
     pub out: PathBuf,
-    /// Runs that the search may take.
+    /// Maximum number of simulations.
     #[arg(long, default_value_t = 1000)]
     pub budget: usize,
     /// Seed of the search.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Look for broken rules only.
+    /// Search for broken rules only.
     #[arg(long)]
     pub rules: bool,
 }
--- a/crates/supervisor/src/commands/arguments/levels.rs
+++ b/crates/supervisor/src/commands/arguments/levels.rs
@@ -4,63 +4,63 @@
 
 use clap::{Args, Subcommand};
 
-/// What to do with levels of service.
+/// Arguments of `levels`.
 #[derive(Args, Debug)]
 pub struct LevelsArguments {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: LevelsCommand,
 }
 
-/// Where a ladder stands.
+/// Files that declare service levels.
 #[derive(Args, Debug)]
 pub struct LevelsSource {
-    /// The operators' own file with the ladder.
+    /// Operators' file that declares the service levels in `limits.ladder`.
     #[arg(long, value_name = "FILE", env = "CHUTEGRADE_OPERATOR")]
     pub operator: PathBuf,
-    /// The configuration, which has the classes; the usual ladder derives from them.
+    /// Configuration file with the classes, from which the default service levels are derived.
     #[arg(long, value_name = "FILE", env = "LB_CONFIG")]
     pub config: Option<PathBuf>,
 }
 
-/// What can be done with levels.
+/// Commands of `levels`.
 #[derive(Debug, Subcommand)]
 pub enum LevelsCommand {
-    /// Print the ladder with its conditions, the usual one as it derives from the classes.
+    /// Print the service levels with their conditions, including default levels derived from the classes.
     Show(LevelsSource),
-    /// Tell from records which level is in force, and how far each condition is from being met.
+    /// Show from records which level is in force, and how far each condition is from being met.
     Explain(ExplainLevelArguments),
-    /// Play a ladder over the signals that supervisors recorded, before it is used. Nothing comes of it.
+    /// Simulate service levels over recorded signals before they are deployed; changes nothing.
     Simulate(SimulateArguments),
 }
 
-/// Which level to explain, and when.
+/// Service levels, records and time of an explanation.
 #[derive(Args, Debug)]
 pub struct ExplainLevelArguments {
-    /// The ladder.
+    /// Files that declare the service levels.
     #[command(flatten)]
     pub source: LevelsSource,
-    /// Directories of records: of one supervisor, or of several below.
+    /// Directories with the records of one supervisor, or with one subdirectory per supervisor.
     #[arg(required = true, value_name = "DIR")]
     pub directories: Vec<PathBuf>,
-    /// At this moment, written as for `records list`; without it, at the last record.
+    /// Time to explain, in the formats of `records list`; the last record by default.
     #[arg(long, value_name = "TIME")]
     pub at: Option<String>,
 }
 
-/// Which levels to simulate, over which records.
+/// Service levels and records of a simulation.
 #[derive(Args, Debug)]
 pub struct SimulateArguments {
-    /// The ladder.
+    /// Files that declare the service levels.
     #[command(flatten)]
     pub source: LevelsSource,
-    /// Directories of records: of one supervisor, or of several below.
+    /// Directories with the records of one supervisor, or with one subdirectory per supervisor.
     #[arg(required = true, value_name = "DIR")]
     pub directories: Vec<PathBuf>,
-    /// Not before, written as for `records list`.
+    /// Start of the time window, in the formats of `records list`; the first record by default.
     #[arg(long, value_name = "TIME")]
     pub from: Option<String>,
-    /// Not after.
+    /// End of the time window; the last record by default.
     #[arg(long, value_name = "TIME")]
     pub to: Option<String>,
 }
--- a/crates/supervisor/src/commands/arguments/plugin.rs
+++ b/crates/supervisor/src/commands/arguments/plugin.rs
@@ -4,73 +4,73 @@
 
 use clap::{Args, Subcommand};
 
-/// What to do with plug-ins.
+/// Arguments of `plugin`.
 #[derive(Args, Debug)]
 pub struct PluginArguments {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: PluginCommand,
 }
 
-/// What can be done with plug-ins.
+/// Commands of `plugin`.
 #[derive(Debug, Subcommand)]
 pub enum PluginCommand {
-    /// Compile texts and show every fault with its place.
+    /// Compile plug-ins and show every fault with its position.
     Check {
-        /// The texts.
+        /// Plug-in files.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Run the cases that texts carry; code 1 if one fails.
+    /// Run the test cases in plug-ins; exit code 1 if one fails.
     Test {
-        /// The texts.
+        /// Plug-in files.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Write texts anew with one rule for spaces and indents.
+    /// Rewrite plug-ins in the canonical format.
     Format {
-        /// The texts.
+        /// Plug-in files.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
-        /// Change nothing; code 1 if a text is written otherwise.
+        /// Only list unformatted files; exit code 1 if there are any.
         #[arg(long)]
         check: bool,
     },
-    /// Tell from records why a server has the weight that it has: its state and causes, and what plug-ins advise of it.
+    /// Explain from records the weight of a server: its state, the causes, and the advice of plug-ins.
     Explain(ExplainServerArguments),
-    /// Ask plug-ins what they would advise of a recorded fleet, turn by turn. Nothing comes of it.
+    /// Evaluate plug-ins on a recorded fleet once for each second and print their advice; changes nothing.
     Run(DryRunArguments),
 }
 
-/// Which server to explain, and when.
+/// Server, records and time of an explanation.
 #[derive(Args, Debug)]
 pub struct ExplainServerArguments {
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// Directories of records: of one supervisor, or of several below.
+    /// Directories with the records of one supervisor, or with one subdirectory per supervisor.
     #[arg(required = true, value_name = "DIR")]
     pub directories: Vec<PathBuf>,
-    /// At this moment, written as for `records list`; without it, at the last record.
+    /// Time to explain, in the formats of `records list`; the last record by default.
     #[arg(long, value_name = "TIME")]
     pub at: Option<String>,
 }
 
-/// Which plug-ins to run over which records.
+/// Plug-ins and records of a dry run.
 #[derive(Args, Debug)]
 pub struct DryRunArguments {
-    /// The texts, in their order.
+    /// Plug-in files, in evaluation order.
     #[arg(required = true, value_name = "FILE")]
     pub files: Vec<PathBuf>,
-    /// A directory of records.
+    /// Directory of records.
     #[arg(long, value_name = "DIR")]
     pub records: PathBuf,
-    /// Begin at this moment, written as for `records list`; without it, at the last record.
+    /// Start at this time, in the formats of `records list`; the last record by default.
     #[arg(long, value_name = "TIME")]
     pub at: Option<String>,
-    /// Seconds, which are turns.
+    /// Number of evaluations, one for each second.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=3600))]
     pub turns: u32,
-    /// Show every operation of the calls about this server.
+    /// Trace every operation of the hook calls for this server.
     #[arg(long, value_name = "SERVER")]
     pub trace: Option<String>,
 }
--- a/crates/supervisor/src/commands/arguments/records.rs
+++ b/crates/supervisor/src/commands/arguments/records.rs
@@ -4,66 +4,66 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 
-/// What to do with records.
+/// Arguments of `records`.
 #[derive(Args, Debug)]
 pub struct RecordsArguments {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: RecordsCommand,
 }
 
-/// What can be done with records.
+/// Commands of `records`.
 #[derive(Debug, Subcommand)]
 pub enum RecordsCommand {
-    /// Read every byte and say what is damaged or missing; code 1 if anything is.
+    /// Verify all records and list damaged or missing ones; exit code 1 if there are any.
     Verify {
-        /// Directories of records: of one supervisor, or of several below.
+        /// Directories with the records of one supervisor, or with one subdirectory per supervisor.
         #[arg(required = true, value_name = "DIR")]
         directories: Vec<PathBuf>,
     },
-    /// Print events in true order, one a line, with every gap.
+    /// Print events and gaps in chronological order, one per line.
     List(RecordSelection),
-    /// Write records out, whole.
+    /// Export events and gaps as JSON lines, CSV or text.
     Export {
-        /// Which records.
+        /// Records to export.
         #[command(flatten)]
         selection: RecordSelection,
-        /// The form.
+        /// Output format.
         #[arg(long, value_enum, default_value_t = ExportFormat::Jsonl)]
         format: ExportFormat,
     },
 }
 
-/// Which records.
+/// Selected records.
 #[derive(Args, Debug, Default)]
 pub struct RecordSelection {
-    /// Directories of records: of one supervisor, or of several below.
+    /// Directories with the records of one supervisor, or with one subdirectory per supervisor.
     #[arg(required = true, value_name = "DIR")]
     pub directories: Vec<PathBuf>,
-    /// Not before: 2026-12-01T09:12:00Z, 09:12 of the last record's day (UTC), or 10m before the last record.
+    /// Start of the time window: 2026-12-01T09:12:00Z, 09:12 on the day of the last record (UTC), or 10m before it.
     #[arg(long, value_name = "TIME")]
     pub from: Option<String>,
-    /// Not after.
+    /// End of the time window.
     #[arg(long, value_name = "TIME")]
     pub to: Option<String>,
-    /// Of this kind only, as `state` or `left`; may be given again.
+    /// Only events of this kind, such as `state` or `left`; may be repeated.
     #[arg(long = "kind", value_name = "KIND")]
     pub kinds: Vec<String>,
-    /// About this server only.
+    /// Only events about this server.
     #[arg(long, value_name = "NAME")]
     pub server: Option<String>,
-    /// The figures of each second and the like too.
+    /// Include series, such as the metrics of each second.
     #[arg(long)]
     pub all: bool,
 }
 
-/// How records are written out.
+/// Formats of an export.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum ExportFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Jsonl,
-    /// Comma-separated values with a head.
+    /// Comma-separated values with a header line.
     Csv,
-    /// As `list` prints them.
+    /// The format of `records list`.
     Text,
 }
--- a/crates/supervisor/src/commands/arguments/tests.rs
+++ b/crates/supervisor/src/commands/arguments/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_command_line_is_sound() {
+fn the_command_line_definition_is_valid() {
     Cli::command().debug_assert();
 }
 
--- a/crates/supervisor/src/commands/check.rs
+++ b/crates/supervisor/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: what is wrong with a configuration and an operators' file.
+//! `check`: lists the faults of a configuration and an operators' file.
 
 use std::io::Write;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use super::CommandError;
 use crate::config;
 
-/// Writes every fault on a line of its own.
+/// Writes each fault on its own line.
 ///
 /// # Errors
 ///
@@ -29,23 +29,23 @@
     if !faults.is_empty() {
         return Err(CommandError::FaultsListed(faults.len()));
     }
-    writeln!(output, "nothing is wrong")?;
+    writeln!(output, "no faults found")?;
     Ok(())
 }
 
-/// The configuration's fault, if it has one; otherwise its warnings are written.
+/// Returns the configuration's fault, if there is one; otherwise writes its warnings.
 fn check_config(path: &Path, output: &mut impl Write) -> Result<Option<String>, CommandError> {
     let warnings = match config::check(&path.to_string_lossy()) {
         Ok(warnings) => warnings,
         Err(error) => return Ok(Some(format!("{}: {error}", path.display()))),
     };
     for warning in warnings {
-        writeln!(output, "{}: taken, but {warning}", path.display())?;
+        writeln!(output, "{}: warning: {warning}", path.display())?;
     }
     Ok(None)
 }
 
-/// All faults of an operators' file. What depends on the classes is checked only with a configuration that can be read.
+/// Returns all faults of an operators' file. What depends on the classes is checked only with a readable configuration.
 fn check_operator_file(path: &Path, config: Option<&Path>) -> Vec<String> {
     let operator = match chutegrade_operator_config::load(path) {
         Ok(operator) => operator,
--- a/crates/supervisor/src/commands/console.rs
+++ b/crates/supervisor/src/commands/console.rs
@@ -1,4 +1,4 @@
-//! `console`: the fleet on the terminal, from records.
+//! `console`: shows the fleet on the terminal, from records.
 
 use chutegrade_records::Timeline;
 
@@ -6,7 +6,7 @@
 use super::time_window::resolve_time;
 use super::CommandError;
 
-/// Shows the fleet until the user ends it, or one frame.
+/// Shows the fleet until the user quits, or prints one frame.
 ///
 /// # Errors
 ///
@@ -22,7 +22,7 @@
     Ok(())
 }
 
-/// The time to begin at in Unix microseconds; none for live.
+/// Returns the start time in Unix microseconds, `None` for live mode.
 fn start_time(arguments: &ConsoleArguments) -> Result<Option<i64>, CommandError> {
     let Some(at) = &arguments.at else {
         return Ok(None);
--- a/crates/supervisor/src/commands/error.rs
+++ b/crates/supervisor/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed. Each error displays as the text that the user reads after `chutegrade: `.
+//! Errors of commands. Each displays as the text that follows `chutegrade: ` on the terminal.
 
 use std::fmt::Display;
 use std::io::ErrorKind;
@@ -7,14 +7,14 @@
 use crate::config;
 use crate::text_file::TextFileError;
 
-/// Separates several faults in one message, so that each is on its own line after the program's name.
+/// Separates several faults in one message: each gets its own line, prefixed by the program's name.
 const FAULT_SEPARATOR: &str = "\nchutegrade: ";
 
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The reader of the output closed it, which is no failure.
-    #[error("the reader has gone")]
+    /// The reader closed the output, which does not count as a failure.
+    #[error("the reader closed the output")]
     OutputClosed,
     /// The output cannot be written.
     #[error("the output cannot be written: {0}")]
@@ -22,21 +22,21 @@
     /// A file cannot be written.
     #[error("{} cannot be written: {source}", path.display())]
     WriteFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system reported.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A text that a person wrote cannot be read; the message names its file.
+    /// A text file cannot be read; the message names it.
     #[error(transparent)]
     ReadText(#[from] TextFileError),
-    /// The running program cannot be read.
+    /// The executable of this program cannot be read.
     #[error("{0}")]
     ReadProgram(std::io::Error),
     /// `check` was given no file.
     #[error("nothing to check: give --config FILE, --operator FILE, or both")]
     NothingToCheck,
-    /// The output lists faults, as many as this.
+    /// Number of faults that the output lists.
     #[error("{}", fault_count(*.0))]
     FaultsListed(usize),
     /// All faults of a file.
@@ -52,10 +52,10 @@
     #[error("no records in these directories")]
     NoRecords,
     /// Some directories hold damaged or incomplete records.
-    #[error("{unsound} of {directories} directories are not sound")]
-    UnsoundRecords {
+    #[error("{damaged} of {directories} directories are damaged or incomplete")]
+    DamagedRecords {
         /// Directories that are damaged or incomplete.
-        unsound: usize,
+        damaged: usize,
         /// Directories that were verified.
         directories: usize,
     },
@@ -63,19 +63,19 @@
     #[error(transparent)]
     Time(#[from] chutegrade_records::text::NoTime),
     /// A time window ends before it begins.
-    #[error("nothing lies between {from} and {to}: --from is after --to")]
+    #[error("empty time window from {from} to {to}: --from is after --to")]
     EmptyWindow {
-        /// Its begin, as a timestamp.
+        /// Its start, as a timestamp.
         from: String,
         /// Its end, as a timestamp.
         to: String,
     },
     /// No event kind has this name.
-    #[error("no kind {name:?}: give one of {}", known.join(", "))]
+    #[error("unknown kind {name:?}: give one of {}", known.join(", "))]
     UnknownKind {
-        /// The name that was given.
+        /// The unknown name.
         name: String,
-        /// All names.
+        /// All valid names.
         known: Vec<&'static str>,
     },
     /// The console failed.
@@ -90,7 +90,7 @@
         diagnostic: String,
     },
     /// A plug-in does not compile, and no diagnostic explains why.
-    #[error("{0} cannot be read")]
+    #[error("{0} cannot be compiled")]
     PluginUnreadable(String),
     /// The plug-ins do not load, and no diagnostic explains why.
     #[error("the plug-ins cannot be loaded")]
@@ -103,57 +103,57 @@
         /// Cases that ran.
         total: usize,
     },
-    /// Some texts differ from their canonical format.
-    #[error("{unformatted} of {total} texts are written otherwise")]
+    /// Some plug-ins are not in the canonical format.
+    #[error("{unformatted} of {total} files are not formatted")]
     Unformatted {
-        /// Texts that differ.
+        /// Files that formatting would change.
         unformatted: usize,
-        /// Texts that were read.
+        /// Files that were read.
         total: usize,
     },
     /// No supervisor has a record of the server before this time.
-    #[error("no supervisor knows a server {server:?} at {at}")]
+    #[error("no supervisor has a record of server {server:?} at {at}")]
     ServerNotRecorded {
-        /// The server.
+        /// Name of the server, as it was given.
         server: String,
         /// The time, as a timestamp.
         at: String,
     },
     /// The server to trace is not in the recorded fleet.
-    #[error("no server {server:?} is known at {at}")]
+    #[error("no server {server:?} is recorded at {at}")]
     TracedServerUnknown {
-        /// The server.
+        /// Name of the server, as it was given.
         server: String,
         /// The time, as a timestamp.
         at: String,
     },
     /// The operators' file declares no limits.
-    #[error("{}: no limits are given", .0.display())]
+    #[error("{}: there is no limits section", .0.display())]
     NoLimits(PathBuf),
     /// The operators' file declares no service levels.
-    #[error("{}: no ladder is given", .0.display())]
+    #[error("{}: the limits section has no ladder", .0.display())]
     NoServiceLevels(PathBuf),
-    /// The default levels derive from the classes, and no configuration was given.
-    #[error("the usual ladder derives from the classes: give --config FILE")]
+    /// The default levels are derived from the classes, and no configuration was given.
+    #[error("the default service levels are derived from the classes: give --config FILE")]
     ClassesNeeded,
     /// No supervisor recorded metrics up to this time, a timestamp.
-    #[error("no supervisor recorded figures before {0}")]
+    #[error("no supervisor recorded metrics before {0}")]
     NoMetricsBefore(String),
     /// No supervisor recorded metrics in the time window.
-    #[error("no supervisor recorded figures in this time")]
+    #[error("no supervisor recorded metrics in the time window")]
     NoMetricsInWindow,
     /// Recorded traffic cannot be read.
     #[error("{}: {reason}", path.display())]
     Traffic {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Why it cannot be read.
         reason: String,
     },
     /// The simulation's setup is invalid, or does not fit the scenario.
     #[error("{0}")]
     SimulationSetup(String),
-    /// The scenario is invalid; all faults, separated by semicolons.
+    /// The scenario is invalid; the message lists all faults, separated by semicolons.
     #[error("{0}")]
     Scenario(String),
     /// Threads cannot be started.
@@ -165,12 +165,12 @@
 }
 
 impl CommandError {
-    /// All faults of a file.
+    /// Creates an error from all faults of a file.
     pub(super) fn from_faults(faults: &[impl Display]) -> Self {
         CommandError::Faults(faults.iter().map(ToString::to_string).collect())
     }
 
-    /// All faults of a file that do not name it themselves.
+    /// Creates an error from faults whose texts do not name their file.
     pub(super) fn from_file_faults(path: &Path, faults: &[impl Display]) -> Self {
         let path = path.display();
         let lines = faults.iter().map(|fault| format!("{path}:{fault}"));
--- a/crates/supervisor/src/commands/files.rs
+++ b/crates/supervisor/src/commands/files.rs
@@ -7,20 +7,20 @@
 use super::CommandError;
 use crate::text_file;
 
-/// A text that a person wrote, with the file that it was read from.
+/// The content of a text file, with its name.
 pub struct SourceText {
-    /// The file's path, as it is displayed.
+    /// Path of the file, as it is displayed.
     pub name: String,
-    /// The content.
+    /// Content of the file.
     pub text: String,
 }
 
-/// Reads a text that a person wrote: an experiment, a scenario or a plug-in.
+/// Reads a text file, such as an experiment, a scenario or a plug-in.
 pub fn read_text(path: &Path) -> Result<String, CommandError> {
     Ok(text_file::read(path)?)
 }
 
-/// Reads the texts of plug-ins, in their order.
+/// Reads plug-in files; the result has their order.
 pub fn read_texts(paths: &[PathBuf]) -> Result<Vec<SourceText>, CommandError> {
     paths
         .iter()
@@ -38,7 +38,7 @@
     Ok(text_file::read_all(paths)?)
 }
 
-/// Replaces a file atomically: other programs see either its former content or the new one, never a part.
+/// Replaces a file atomically: other programs see either the old content or the new one, never a part.
 pub fn write_atomically(path: &Path, text: &str) -> Result<(), CommandError> {
     let draft = path.with_extension("draft");
     let written = std::fs::write(&draft, text).and_then(|()| std::fs::rename(&draft, path));
@@ -48,7 +48,7 @@
     })
 }
 
-/// A path without control characters, for the terminal.
+/// Returns a path without control characters, for the terminal.
 pub fn printable_path(path: &Path) -> String {
     printable(&path.display().to_string())
 }
--- a/crates/supervisor/src/commands/lab/experiment.rs
+++ b/crates/supervisor/src/commands/lab/experiment.rs
@@ -1,4 +1,4 @@
-//! `lab run`, `lab compare` and `lab report`: an experiment and its results.
+//! `lab run`, `lab compare` and `lab report`: run an experiment and evaluate its results.
 
 use std::io::Write;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use crate::commands::files::{read_text, write_atomically};
 use crate::commands::CommandError;
 
-/// Digits of the hash that identifies a build.
+/// Hexadecimal digits of the hash that identifies a build.
 const BUILD_ID_DIGITS: usize = 12;
 
 /// Runs an experiment, resuming where it was stopped, and writes its comparisons and report.
@@ -30,9 +30,9 @@
     let mut store = Store::open(directory)?;
     let existing = store.results().len();
     if existing > 0 {
-        writeln!(output, "{existing} runs are there already")?;
+        writeln!(output, "{existing} runs are already stored")?;
     }
-    play(&plan, &build, &mut store)?;
+    run_missing(&plan, &build, &mut store)?;
     write!(output, "{}", report::table(&plan, &build, &store))?;
     write_report(&plan, &build, &store, directory, output)
 }
@@ -67,7 +67,7 @@
         .map_err(|faults| CommandError::from_file_faults(path, &faults))
 }
 
-/// Identifies this build of the program, so that results of other builds are not mixed with its own.
+/// Returns an identifier of this build, which keeps its results apart from those of other builds.
 fn build_id() -> Result<String, CommandError> {
     let program = std::env::current_exe()
         .and_then(std::fs::read)
@@ -77,12 +77,12 @@
     Ok(id.unwrap_or_default().to_string())
 }
 
-/// Plays what the store does not hold yet, with a progress bar.
-fn play(plan: &Plan, build: &str, store: &mut Store) -> Result<(), CommandError> {
+/// Runs the simulations whose results the store lacks, with a progress bar.
+fn run_missing(plan: &Plan, build: &str, store: &mut Store) -> Result<(), CommandError> {
     let bar = new_bar();
-    let mut shown_look = 0;
+    let mut shown_analysis = 0;
     let on_progress = |progress: Progress| {
-        show_progress(&bar, progress, &mut shown_look);
+        show_progress(&bar, progress, &mut shown_analysis);
         true
     };
     lab_run::play(plan, build, store, on_progress)?;
@@ -90,16 +90,16 @@
     Ok(())
 }
 
-/// Shows the progress. Each look, an interim analysis, requests more runs, so the remaining time is estimated from scratch.
-fn show_progress(bar: &ProgressBar, progress: Progress, shown_look: &mut usize) {
-    let (look, most_looks) = progress.look;
-    if look != *shown_look {
-        *shown_look = look;
+/// Shows the progress. Each interim analysis requests more runs, which restarts the estimate of the remaining time.
+fn show_progress(bar: &ProgressBar, progress: Progress, shown_analysis: &mut usize) {
+    let (analysis, max_analyses) = progress.look;
+    if analysis != *shown_analysis {
+        *shown_analysis = analysis;
         bar.reset_eta();
     }
     bar.set_length(progress.wanted as u64);
     bar.set_position(progress.done as u64);
-    bar.set_message(format!("look {look} of {most_looks} at most"));
+    bar.set_message(format!("analysis {analysis} of at most {max_analyses}"));
 }
 
 fn write_report(
@@ -117,7 +117,7 @@
     write_atomically(&directory.join("report.html"), &page)?;
     writeln!(
         output,
-        "{}: runs.csv, comparisons.csv and report.html are written",
+        "{}: wrote runs.csv, comparisons.csv and report.html",
         directory.display()
     )?;
     Ok(())
--- a/crates/supervisor/src/commands/lab/mod.rs
+++ b/crates/supervisor/src/commands/lab/mod.rs
@@ -1,5 +1,4 @@
-//! `lab`: simulations, experiments and searches. `chutegrade-lab` runs them; these modules read and write their files and
-//! the terminal.
+//! `lab`: simulations, experiments and searches. `chutegrade-lab` runs them; these modules handle files and the terminal.
 
 mod experiment;
 mod play;
@@ -11,11 +10,11 @@
 use super::arguments::{LabArguments, LabCommand};
 use super::CommandError;
 
-/// Runs one of the commands of the laboratory.
+/// Runs one of the `lab` commands.
 ///
 /// # Errors
 ///
-/// If a file cannot be read or written, or what it holds is invalid.
+/// If a file cannot be read or written, or its content is invalid.
 pub fn run(arguments: &LabArguments, output: &mut impl Write) -> Result<(), CommandError> {
     match &arguments.command {
         LabCommand::Play(arguments) => play::run(arguments, output),
--- a/crates/supervisor/src/commands/lab/play.rs
+++ b/crates/supervisor/src/commands/lab/play.rs
@@ -1,4 +1,4 @@
-//! `lab play`: one scenario, once.
+//! `lab play`: simulates one scenario once.
 
 use std::fmt::Display;
 use std::io::Write;
@@ -16,10 +16,10 @@
 use crate::commands::CommandError;
 
 const US_PER_SECOND: f64 = 1e6;
-/// Minimum duration that a speed is computed over, in seconds: avoids a division by zero.
+/// Minimum duration for computing a speed, in seconds; avoids a division by zero.
 const MIN_SECONDS: f64 = 1e-9;
 
-/// Figures of the whole run, in the order in which they are written.
+/// Figures of the whole run, in output order.
 const FIGURES: [&str; 16] = [
     "service",
     "whole",
@@ -39,7 +39,7 @@
     "shut_out_s",
 ];
 
-/// Plays the scenario and writes its outcome.
+/// Simulates the scenario and writes its outcome.
 ///
 /// # Errors
 ///
@@ -124,7 +124,7 @@
 ) -> std::io::Result<()> {
     writeln!(
         output,
-        "{}: {} servers, {} front ends, {} supervisors, {:.0} requests/s for {:.0} s (simulated)",
+        "{}: {} servers, {} proxies, {} supervisors, {:.0} requests/s for {:.0} s (simulated)",
         scenario.name,
         scenario.servers(),
         scenario.front_ends,
@@ -144,7 +144,7 @@
     for class in &outcome.classes {
         write!(
             output,
-            "  {}: {} came, service {:.4}, refused {:.4}, failed {:.4}, ",
+            "  {}: {} requests, service {:.4}, refused {:.4}, failed {:.4}, ",
             class.name, class.came, class.service, class.refused, class.failed
         )?;
         let [p50, p90, p99, p99_9] = class.quantiles_ms;
--- a/crates/supervisor/src/commands/lab/progress.rs
+++ b/crates/supervisor/src/commands/lab/progress.rs
@@ -6,7 +6,7 @@
 
 const TEMPLATE: &str = "{msg} [{bar:30}] {pos}/{len} runs, {eta} left";
 
-/// A bar with the time that is left; hidden where the error output is no terminal.
+/// Returns a progress bar with the remaining time, hidden unless the error output is a terminal.
 pub fn new_bar() -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
--- a/crates/supervisor/src/commands/lab/search.rs
+++ b/crates/supervisor/src/commands/lab/search.rs
@@ -1,4 +1,4 @@
-//! `lab hunt`: a search for the scenario on which a rule breaks or most is lost.
+//! `lab hunt`: searches for the scenario that breaks a rule or loses the most service.
 
 use std::io::Write;
 use std::path::Path;
@@ -12,11 +12,11 @@
 use crate::commands::files::{read_text, write_atomically};
 use crate::commands::CommandError;
 
-/// Searches, and writes the scenario that was found.
+/// Searches and writes the scenario that was found.
 ///
 /// # Errors
 ///
-/// If the scenario cannot be read or is invalid, or the one that was found cannot be written.
+/// If the scenario cannot be read or is invalid, or the found one cannot be written.
 pub fn run(arguments: &HuntArguments, output: &mut impl Write) -> Result<(), CommandError> {
     let path = &arguments.scenario;
     let declaration = scenario::parse(&read_text(path)?)
@@ -41,7 +41,7 @@
     );
     bar.finish_and_clear();
     let Some(found) = found else {
-        writeln!(output, "nothing was found")?;
+        writeln!(output, "no scenario was found")?;
         return Ok(());
     };
     write_found(&found, arguments.seed, &arguments.out, output)
@@ -55,7 +55,7 @@
     let (service, ideal_service) = worst.service;
     let broken = worst.broken.len();
     bar.set_message(format!(
-        "worst {service:.3} of {ideal_service:.3}, {broken} rules"
+        "worst {service:.3} of {ideal_service:.3}, {broken} rules broken"
     ));
 }
 
@@ -72,17 +72,17 @@
     for line in &summary {
         writeln!(output, "{line}")?;
     }
-    writeln!(output, "{} is written", file.display())?;
+    writeln!(output, "wrote {}", file.display())?;
     Ok(())
 }
 
-/// What was found, one sentence a line.
+/// Returns sentences that describe the found scenario, one per line.
 fn summarize(found: &Found, seed: u64) -> Vec<String> {
     let runs = found.runs;
     let (service, ideal_service) = found.service;
     let mut lines = vec![
         format!("Found by a search of {runs} runs with seed {seed}."),
-        format!("Service {service:.3}; one that sees the truth late has {ideal_service:.3}."),
+        format!("Service {service:.3}; with the ideal control plane {ideal_service:.3}."),
     ];
     let broken = found.broken.iter();
     lines.extend(broken.map(|rule| format!("Rule broken: {rule}.")));
--- a/crates/supervisor/src/commands/levels/explain.rs
+++ b/crates/supervisor/src/commands/levels/explain.rs
@@ -1,4 +1,4 @@
-//! `levels explain`: the level in force at a moment, and how far each condition was from being met.
+//! `levels explain`: shows the level in force at a given time, and how far each condition was from being met.
 
 use std::io::Write;
 
@@ -17,10 +17,10 @@
 use crate::commands::time_window::resolve_time;
 use crate::commands::CommandError;
 
-/// How far back signals are read, in microseconds: as long as a window keeps them.
+/// How far back signals are read, in microseconds: as long as a signal window keeps them.
 const LOOK_BACK_US: i64 = 70_000_000;
 
-/// Explains the level of each supervisor.
+/// Explains the level in force at each supervisor.
 ///
 /// # Errors
 ///
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-/// Whether the supervisor recorded metrics, from which its level is explained.
+/// Explains the level of one supervisor from its metrics. Returns whether it recorded any.
 fn explain_supervisor(
     levels: &ServiceLevels,
     supervisor: &Supervisor,
@@ -57,7 +57,10 @@
     writeln!(output, "{name}: {} is in force{duration}", printable(level))?;
     let mut transitions = LevelTransitions::new(levels.clone());
     if !transitions.resume(level, last.gauge.level_since_us) {
-        writeln!(output, "  the ladder given here has no such level")?;
+        writeln!(
+            output,
+            "  the given service levels have no level of this name"
+        )?;
         return Ok(true);
     }
     let mut window = SignalWindow::default();
@@ -74,7 +77,7 @@
     gauge.service_level.as_deref().unwrap_or(FULL_SERVICE)
 }
 
-/// For how long the level has been in force; empty where that was not recorded.
+/// Formats how long the level has been in force; empty if that was not recorded.
 fn time_in_force(metrics: &RecordedMetrics) -> String {
     let since_us = metrics.gauge.level_since_us;
     if since_us <= 0 {
@@ -94,37 +97,43 @@
     let state = match status.state {
         ConditionState::Met => "holds",
         ConditionState::NotMet => "does not hold",
-        ConditionState::Unknown => "is not known",
+        ConditionState::Unknown => "is unknown",
     };
-    let stay = if status.remaining_duration_us > 0 {
+    let min_duration = if status.remaining_duration_us > 0 {
         format!(
-            "; stays {} more at least",
+            "; the level stays in force for at least {} more",
             length(status.remaining_duration_us)
         )
     } else {
         String::new()
     };
-    writeln!(output, "  {direction} {level}: {condition} {state}{stay}")?;
-    for distance in &status.tests {
-        write_distance(distance, output)?;
+    writeln!(
+        output,
+        "  {direction} {level}: {condition} {state}{min_duration}"
+    )?;
+    for test_status in &status.tests {
+        write_test_status(test_status, output)?;
     }
     Ok(())
 }
 
-fn write_distance(distance: &TestStatus, output: &mut impl Write) -> std::io::Result<()> {
-    let test = &distance.test;
+fn write_test_status(status: &TestStatus, output: &mut impl Write) -> std::io::Result<()> {
+    let test = &status.test;
     let signal = test.signal.name();
-    let value = distance.newest.map_or_else(
+    let value = status.newest.map_or_else(
         || "unknown".to_string(),
         |observation| figure(observation.value),
     );
-    let missing = match distance.shortfall {
+    let distance = match status.shortfall {
         None => "its signal is missing".to_string(),
         Some(short) if short > 0.0 => format!("{} short of it", figure(short)),
-        Some(_) if distance.remaining_hold_us > 0 => {
-            format!("met, {} more to hold", length(distance.remaining_hold_us))
+        Some(_) if status.remaining_hold_us > 0 => {
+            format!(
+                "met, for at least {} more",
+                length(status.remaining_hold_us)
+            )
         }
         Some(_) => "met".to_string(),
     };
-    writeln!(output, "      {test}: {signal} is {value}, {missing}")
+    writeln!(output, "      {test}: {signal} is {value}, {distance}")
 }
--- a/crates/supervisor/src/commands/levels/mod.rs
+++ b/crates/supervisor/src/commands/levels/mod.rs
@@ -1,5 +1,5 @@
-//! `levels`: what service levels are declared, how far their conditions are from being met, and what they would have done
-//! with recorded signals.
+//! `levels`: shows declared service levels, explains how far their conditions are from being met, and simulates them over
+//! recorded signals.
 
 mod explain;
 mod recorded;
@@ -12,11 +12,11 @@
 use super::arguments::{LevelsArguments, LevelsCommand};
 use super::CommandError;
 
-/// Runs one of the commands on service levels.
+/// Runs one of the `levels` commands.
 ///
 /// # Errors
 ///
-/// If the operators' file, the configuration or records cannot be read, or hold nothing to show.
+/// If the operators' file, the configuration or records cannot be read, or contain no levels or metrics.
 pub fn run(arguments: &LevelsArguments, output: &mut impl Write) -> Result<(), CommandError> {
     match &arguments.command {
         LevelsCommand::Show(source) => show::run(source, output),
--- a/crates/supervisor/src/commands/levels/recorded.rs
+++ b/crates/supervisor/src/commands/levels/recorded.rs
@@ -1,4 +1,4 @@
-//! The signals that a supervisor recorded, once a second with its metrics.
+//! Signals from the metrics that a supervisor records once a second.
 
 use std::sync::Arc;
 
@@ -8,15 +8,15 @@
 
 const US_PER_MS: i64 = 1000;
 
-/// Metrics of one moment.
+/// Metrics recorded at one time.
 pub struct RecordedMetrics<'a> {
-    /// When, in Unix microseconds.
+    /// When they were recorded, in Unix microseconds.
     pub at_us: i64,
-    /// The metrics.
+    /// The recorded metrics, with the signals and the level in force.
     pub gauge: &'a pb::Gauge,
 }
 
-/// The metrics among events that one supervisor recorded.
+/// Returns the metrics that one supervisor recorded, in the order of the events.
 pub fn metrics_of<'a>(events: &'a [Event], supervisor: &Arc<str>) -> Vec<RecordedMetrics<'a>> {
     events
         .iter()
@@ -30,7 +30,7 @@
         .collect()
 }
 
-/// Adds the signals of one moment to a window. Records made without limits hold no signals; their saturation is one.
+/// Adds recorded signals to a window. Metrics recorded without limits contain no signals; their saturation is used instead.
 pub fn observe(window: &mut SignalWindow, metrics: &RecordedMetrics) {
     let gauge = metrics.gauge;
     if gauge.signals.is_empty() {
--- a/crates/supervisor/src/commands/levels/show.rs
+++ b/crates/supervisor/src/commands/levels/show.rs
@@ -1,4 +1,4 @@
-//! `levels show`: the service levels with their conditions.
+//! `levels show`: prints the service levels with their conditions.
 
 use std::io::Write;
 
@@ -21,7 +21,8 @@
     }
     writeln!(
         output,
-        "signals older than {} are missing; a level stands {} without; the list is doubted after {}",
+        "signals older than {} count as missing; without signals a level lasts {}; signals that depend on the endpoint list are \
+         overruled after {} of recovery",
         length(levels.max_signal_age_us),
         length(levels.signal_loss_timeout_us),
         length(levels.endpoint_list_timeout_us)
@@ -37,15 +38,18 @@
     let admitted: Vec<String> = level
         .admitted_shares
         .iter()
-        .map(|of| format!("{:.0} % of {}", 100.0 * of.share, of.class))
+        .map(|admitted| format!("{:.0} % of {}", 100.0 * admitted.share, admitted.class))
         .collect();
     let (name, admitted) = (&level.name, admitted.join(", "));
     writeln!(output, "{number} {name}: keeps {admitted}")?;
     writeln!(output, "    entered when {}", level.enter)?;
-    let (leave, least_stay) = (&level.leave, length(level.min_duration_us));
-    writeln!(output, "    left when {leave}, after {least_stay} at least")?;
+    let (leave, min_duration) = (&level.leave, length(level.min_duration_us));
+    writeln!(
+        output,
+        "    left when {leave}, after at least {min_duration}"
+    )?;
     if !level.notify.is_empty() {
-        writeln!(output, "    told: {}", level.notify.join(", "))?;
+        writeln!(output, "    notifies: {}", level.notify.join(", "))?;
     }
     Ok(())
 }
--- a/crates/supervisor/src/commands/levels/simulate.rs
+++ b/crates/supervisor/src/commands/levels/simulate.rs
@@ -1,4 +1,4 @@
-//! `levels simulate`: the transitions that service levels would have made over recorded signals.
+//! `levels simulate`: prints the transitions that service levels would have made over recorded signals.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -16,7 +16,7 @@
 use crate::commands::CommandError;
 
 const US_PER_HOUR: f64 = 3.6e9;
-/// Minimum duration that a rate is computed over, in hours: a single record spans none.
+/// Minimum duration for computing a rate, in hours; avoids a division by zero for a single record.
 const MIN_HOURS: f64 = 1e-9;
 
 /// Simulates the levels over what each supervisor recorded.
@@ -42,12 +42,12 @@
     }
     writeln!(
         output,
-        "(signals are as recorded: what another level would have done to them is not known)"
+        "(the signals are as recorded: the effect of other levels on them is not simulated)"
     )?;
     Ok(())
 }
 
-/// Whether the supervisor recorded metrics, over which the levels are simulated.
+/// Simulates the levels over the metrics of one supervisor. Returns whether it recorded any.
 fn simulate_supervisor(
     levels: &ServiceLevels,
     supervisor: &Supervisor,
@@ -68,10 +68,10 @@
     Ok(true)
 }
 
-/// What levels would have done over the signals of one supervisor.
+/// The result of a simulation over the signals of one supervisor.
 struct Simulation {
     transitions: Vec<TimedTransition>,
-    /// The time at each level in microseconds, by the level's number.
+    /// Time at each level in microseconds, by the number of the level.
     time_at_level_us: BTreeMap<usize, i64>,
 }
 
@@ -119,10 +119,13 @@
     let hours = (span_us as f64 / US_PER_HOUR).max(MIN_HOURS);
     let per_hour = count as f64 / hours;
     let shares = level_shares(levels, simulation, span_us).join(", ");
-    writeln!(output, "  {count} changes, {per_hour:.1} an hour; {shares}")
+    writeln!(
+        output,
+        "  {count} changes, {per_hour:.1} per hour; {shares}"
+    )
 }
 
-/// The share of time at each level, in percent.
+/// Formats the share of time at each level, in percent.
 fn level_shares(levels: &ServiceLevels, simulation: &Simulation, span_us: i64) -> Vec<String> {
     let span_us = span_us.max(1) as f64;
     simulation
--- a/crates/supervisor/src/commands/levels/source.rs
+++ b/crates/supervisor/src/commands/levels/source.rs
@@ -1,4 +1,4 @@
-//! Where service levels are declared: the operators' file, with the classes of a configuration.
+//! Loads service levels from the operators' file, with the classes of a configuration.
 
 use std::path::Path;
 
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 ///
-/// If a file cannot be read, is invalid or declares no levels, or default levels lack the classes.
+/// If a file cannot be read, is invalid or declares no levels, or default levels are used without a configuration.
 pub fn load(source: &LevelsSource) -> Result<ServiceLevels, CommandError> {
     let operator = chutegrade_operator_config::load(&source.operator)
         .map_err(|errors| CommandError::from_faults(&errors))?;
@@ -29,7 +29,7 @@
         .ok_or_else(|| CommandError::NoServiceLevels(source.operator.clone()))
 }
 
-/// The classes of the configuration. Only default levels cannot do without one.
+/// Returns the classes of the configuration, which only default levels require.
 fn load_classes(
     config: Option<&Path>,
     limits: &LimitsSection,
--- a/crates/supervisor/src/commands/plugin/check.rs
+++ b/crates/supervisor/src/commands/plugin/check.rs
@@ -39,6 +39,6 @@
     let (name, version) = (&program.name, program.version);
     writeln!(
         output,
-        "{file}: {name} version {version}, {operations} operations, sound"
+        "{file}: {name} version {version}, {operations} operations, valid"
     )
 }
--- a/crates/supervisor/src/commands/plugin/dry_run.rs
+++ b/crates/supervisor/src/commands/plugin/dry_run.rs
@@ -1,4 +1,4 @@
-//! `plugin run`: what plug-ins would advise of a recorded fleet, one turn for each second. Nothing comes of the advice.
+//! `plugin run`: evaluates plug-ins on a recorded fleet, once for each second, and prints their advice without applying it.
 
 use std::io::Write;
 
@@ -17,25 +17,25 @@
 use crate::commands::time_window::resolve_time;
 use crate::commands::CommandError;
 
-/// Time between two turns, in microseconds.
-const TURN_US: i64 = 1_000_000;
+/// Time between two evaluations, in microseconds.
+const EVALUATION_INTERVAL_US: i64 = 1_000_000;
 
-/// Runs the plug-ins over all turns.
+/// Evaluates the plug-ins at each second and writes the results.
 ///
 /// # Errors
 ///
-/// If a plug-in or records cannot be read, the time cannot be parsed, or the server to trace is not known.
+/// If a plug-in or records cannot be read, the time cannot be parsed, or the server to trace is not recorded.
 pub fn run(arguments: &DryRunArguments, output: &mut impl Write) -> Result<(), CommandError> {
     let mut host = load_host(arguments)?;
     let timeline = Timeline::open(std::slice::from_ref(&arguments.records))?;
     let start_us = resolve_time(&timeline, arguments.at.as_deref())?;
-    for turn in 0..i64::from(arguments.turns) {
-        let now_us = start_us.saturating_add(turn * TURN_US);
+    for evaluation in 0..i64::from(arguments.turns) {
+        let now_us = start_us.saturating_add(evaluation * EVALUATION_INTERVAL_US);
         let fleet = fleet_at(&timeline, now_us);
         let inputs = inputs_from_records(&fleet, &zones(&fleet));
         check_traced_server(arguments.trace.as_deref(), &fleet, now_us)?;
         let result = host.evaluate(&inputs);
-        write_turn(now_us, &inputs, &result, output)?;
+        write_evaluation(now_us, &inputs, &result, output)?;
     }
     Ok(())
 }
@@ -46,12 +46,12 @@
         host.trace_server(server);
     }
     host.load(&read_plugins(&arguments.files)?)
-        .map_err(|refused| load_error(&refused))?;
+        .map_err(|rejected| load_error(&rejected))?;
     Ok(host)
 }
 
-fn load_error(refused: &[RejectedPlugin]) -> CommandError {
-    let Some(plugin) = refused.first() else {
+fn load_error(rejected: &[RejectedPlugin]) -> CommandError {
+    let Some(plugin) = rejected.first() else {
         return CommandError::PluginsNotLoaded;
     };
     let diagnostic = plugin.diagnostics.first().map(ToString::to_string);
@@ -67,7 +67,7 @@
     replay(&events)
 }
 
-/// The zones of all servers, sorted, each once.
+/// Returns the zones of all servers, sorted and without duplicates.
 fn zones(fleet: &Picture) -> Vec<String> {
     let servers = fleet.servers.values();
     let mut zones: Vec<String> = servers.map(|server| server.zone.clone()).collect();
@@ -92,7 +92,7 @@
     }
 }
 
-fn write_turn(
+fn write_evaluation(
     now_us: i64,
     inputs: &Inputs,
     result: &Evaluation,
@@ -125,7 +125,7 @@
         writeln!(output, "  {} is capped at {percent:.0} %", cap.class)?;
     }
     for class in &advice.no_retry {
-        writeln!(output, "  {class} is not tried again")?;
+        writeln!(output, "  {class} is not retried")?;
     }
     Ok(())
 }
@@ -139,7 +139,7 @@
         let server = inputs.servers.get(*position as usize);
         let name = server.map_or("", |server| &*server.name);
         let (name, reason) = (printable(name), printable(reason));
-        writeln!(output, "  {name} is left out for {seconds} s: {reason}")?;
+        writeln!(output, "  {name} is excluded for {seconds} s: {reason}")?;
     }
     Ok(())
 }
@@ -151,7 +151,7 @@
         }
     }
     for (plugin, operations) in &result.fuel_used {
-        writeln!(output, "  {plugin} took {operations} operations")?;
+        writeln!(output, "  {plugin} used {operations} operations")?;
     }
     Ok(())
 }
@@ -167,12 +167,14 @@
 fn message_text(message: &PluginEvent) -> String {
     match message {
         PluginEvent::AdviceStarted(text, line) => {
-            format!("says from now on, by line {line}: {text}")
+            format!("advises, by line {line}: {text}")
         }
-        PluginEvent::AdviceEnded(text) => format!("says no more: {text}"),
+        PluginEvent::AdviceEnded(text) => format!("ends its advice: {text}"),
         PluginEvent::Noted(text) => format!("notes: {text}"),
         PluginEvent::Faulted(fault) => format!("faulted: {fault}"),
-        PluginEvent::Suspended(turns) => format!("is left alone for {turns} turns"),
-        PluginEvent::Conflicted(text) => format!("differs: {text}"),
+        PluginEvent::Suspended(evaluations) => {
+            format!("is paused for {evaluations} evaluations after faults")
+        }
+        PluginEvent::Conflicted(text) => format!("conflicts: {text}"),
     }
 }
--- a/crates/supervisor/src/commands/plugin/explain.rs
+++ b/crates/supervisor/src/commands/plugin/explain.rs
@@ -1,4 +1,4 @@
-//! `plugin explain`: why a server has its weight, as each supervisor recorded it.
+//! `plugin explain`: explains the weight of a server from the records of each supervisor.
 
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -14,7 +14,7 @@
 use crate::commands::time_window::resolve_time;
 use crate::commands::CommandError;
 
-/// How far back records are read for advice that still holds, in microseconds: a day.
+/// How far back records are read for advice that is still in force, in microseconds: 24 hours.
 const LOOK_BACK_US: i64 = 86_400_000_000;
 
 /// Explains the server as each supervisor recorded it.
@@ -29,7 +29,7 @@
     let timeline = Timeline::open(&arguments.directories)?;
     let at_us = resolve_time(&timeline, arguments.at.as_deref())?;
     let (events, _) = timeline.read(&Query::between(at_us.saturating_sub(LOOK_BACK_US), at_us));
-    let mut is_known = false;
+    let mut is_recorded = false;
     for supervisor in &timeline.supervisors {
         let own_events: Vec<&Event> = events
             .iter()
@@ -39,11 +39,11 @@
         let Some(status) = fleet.servers.get(&arguments.server) else {
             continue;
         };
-        is_known = true;
+        is_recorded = true;
         write_status(&supervisor.name, &arguments.server, status, output)?;
         write_causes(&own_events, &arguments.server, output)?;
     }
-    if !is_known {
+    if !is_recorded {
         return Err(CommandError::ServerNotRecorded {
             server: arguments.server.clone(),
             at: text::time(at_us),
@@ -71,14 +71,14 @@
         100.0 * status.warmth,
     )?;
     let suspended = if status.shut {
-        ", shut out of all tables"
+        ", excluded from all tables"
     } else {
         ""
     };
     writeln!(output, "{suspended}")
 }
 
-/// The last event about the server, what plug-ins advise of it, and the tables on which advice is void.
+/// Writes the last event about the server, the advice of plug-ins on it, and the tables for which advice is void.
 fn write_causes(events: &[&Event], server: &str, output: &mut impl Write) -> std::io::Result<()> {
     if let Some(event) = last_event_about(events, server) {
         let at = text::time(event.at_us);
@@ -93,7 +93,7 @@
     for table in tables_with_void_advice(events) {
         writeln!(
             output,
-            "  advice on table {table} is void: it would leave too little"
+            "  advice on table {table} is void: it would leave too little capacity"
         )?;
     }
     Ok(())
@@ -104,26 +104,28 @@
     newest_first.find(|event| server_of(event) == Some(server))
 }
 
-/// The server that an event concerns, if it concerns one.
+/// Returns the server that an event is about, if any.
 fn server_of(event: &Event) -> Option<&str> {
     let kind = event.record.kind.as_ref()?;
     kind::server(kind)
 }
 
-/// One piece of advice, as a plug-in gave it.
+/// One piece of advice from a plug-in.
 struct GivenAdvice<'a> {
     plugin: &'a str,
     text: &'a str,
 }
 
 impl GivenAdvice<'_> {
-    /// The text that ends advice lacks the line of the rule, which the text that gave it has at its end.
+    /// Compares prefixes: the event that starts advice has the line number of the rule after the text, the one that ends it
+    /// has not.
     fn is_ended_by(&self, message: &pb::PluginSaid) -> bool {
         self.plugin == message.name && self.text.starts_with(&message.text)
     }
 }
 
-/// What plug-ins advise of a server and have not ended. A restart and a reload of a plug-in end its advice.
+/// Returns the advice on a server that is in force. A restart of the supervisor ends all advice, a reload of a plug-in ends
+/// its own.
 fn advice_in_force<'a>(events: &[&'a Event], server: &str) -> Vec<GivenAdvice<'a>> {
     let server_prefix = format!("{server} ");
     let mut advice: Vec<GivenAdvice> = Vec::new();
--- a/crates/supervisor/src/commands/plugin/format.rs
+++ b/crates/supervisor/src/commands/plugin/format.rs
@@ -13,11 +13,11 @@
 pub enum FormatMode {
     /// Rewrite them.
     Rewrite,
-    /// Only name them.
+    /// Only list them.
     CheckOnly,
 }
 
-/// Formats all files, or names those that formatting would change.
+/// Formats all files, or lists those that formatting would change.
 ///
 /// # Errors
 ///
@@ -35,7 +35,7 @@
         }
         unformatted += 1;
         match mode {
-            FormatMode::CheckOnly => writeln!(output, "{} is written otherwise", source.name)?,
+            FormatMode::CheckOnly => writeln!(output, "{} is not formatted", source.name)?,
             FormatMode::Rewrite => {
                 write_atomically(path, &formatted)?;
                 writeln!(output, "{} formatted", source.name)?;
--- a/crates/supervisor/src/commands/plugin/mod.rs
+++ b/crates/supervisor/src/commands/plugin/mod.rs
@@ -1,4 +1,4 @@
-//! `plugin`: checks, tests, formats, explains and tries rules in the hook language.
+//! `plugin`: checks, tests, formats, explains and dry-runs plug-ins in the hook language.
 
 mod check;
 mod dry_run;
@@ -13,11 +13,11 @@
 use super::CommandError;
 use format::FormatMode;
 
-/// Runs one of the commands on plug-ins.
+/// Runs one of the `plugin` commands.
 ///
 /// # Errors
 ///
-/// If a text or records cannot be read, or a text has faults, fails its test cases or differs from its canonical format.
+/// If a plug-in or records cannot be read, or a plug-in has faults, fails its test cases or is not formatted.
 pub fn run(arguments: &PluginArguments, output: &mut impl Write) -> Result<(), CommandError> {
     match &arguments.command {
         PluginCommand::Check { files } => check::run(files, output),
--- a/crates/supervisor/src/commands/plugin/test.rs
+++ b/crates/supervisor/src/commands/plugin/test.rs
@@ -1,4 +1,4 @@
-//! `plugin test`: runs the test cases that plug-ins carry.
+//! `plugin test`: runs the test cases in plug-ins.
 
 use std::io::Write;
 use std::path::PathBuf;
--- a/crates/supervisor/src/commands/records/csv_rows.rs
+++ b/crates/supervisor/src/commands/records/csv_rows.rs
@@ -5,7 +5,7 @@
 use chutegrade_records::timeline::{Event, Gap};
 use chutegrade_records::{kind, text};
 
-/// The columns, in their order.
+/// Names of the columns.
 const HEADER: [&str; 8] = [
     "at",
     "learned",
@@ -17,12 +17,12 @@
     "text",
 ];
 
-/// Writes the names of the columns.
+/// Writes the row with the column names.
 pub fn write_header(output: &mut impl Write) -> std::io::Result<()> {
     writeln!(output, "{}", HEADER.join(","))
 }
 
-/// Writes an event.
+/// Writes an event as one row.
 pub fn write_event(event: &Event, output: &mut impl Write) -> std::io::Result<()> {
     let server = event.record.kind.as_ref().and_then(kind::server);
     let cells = [
@@ -38,7 +38,7 @@
     write_row(&cells, output)
 }
 
-/// Writes a gap, with its begin and end in the columns `at` and `learned`.
+/// Writes a gap as one row, with its start and end in the columns `at` and `learned`.
 pub fn write_gap(gap: &Gap, output: &mut impl Write) -> std::io::Result<()> {
     let cells = [
         text::time(gap.from_us),
--- a/crates/supervisor/src/commands/records/export.rs
+++ b/crates/supervisor/src/commands/records/export.rs
@@ -1,4 +1,4 @@
-//! `records list` and `records export`: events and gaps in the order of time, one row each.
+//! `records list` and `records export`: write events and gaps in chronological order, one row each.
 
 use std::io::Write;
 
@@ -8,7 +8,7 @@
 use crate::commands::arguments::{ExportFormat, RecordSelection};
 use crate::commands::CommandError;
 
-/// Writes the selected events, and each gap before the first event that follows its begin.
+/// Writes the selected events, and each gap before the first event after its start.
 ///
 /// # Errors
 ///
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// Series, as the metrics of each second, are left out unless they are asked for.
+/// Series, such as the metrics of each second, are omitted unless requested.
 fn is_selected(event: &Event, selection: &RecordSelection) -> bool {
     selection.all || !selection.kinds.is_empty() || is_event(event)
 }
--- a/crates/supervisor/src/commands/records/json_rows.rs
+++ b/crates/supervisor/src/commands/records/json_rows.rs
@@ -1,4 +1,4 @@
-//! Events and gaps as JSON objects, one a line. Keys are in alphabetical order, on which scripts may rely.
+//! Events and gaps as JSON objects, one per line. Keys are in alphabetical order, on which scripts may rely.
 
 use std::io::Write;
 
@@ -16,7 +16,7 @@
     kind: &'static str,
     learned: String,
     number: u32,
-    /// The record's bytes as hexadecimal digits, where they hold more than this version understands.
+    /// The bytes of the record as hexadecimal digits, if it has fields that this version does not know.
     #[serde(skip_serializing_if = "Option::is_none")]
     record_hex: Option<String>,
     seq: u64,
@@ -36,7 +36,7 @@
     to: String,
 }
 
-/// Writes an event.
+/// Writes an event as one line.
 pub fn write_event(event: &Event, output: &mut impl Write) -> std::io::Result<()> {
     let row = EventRow {
         at: text::time(event.at_us),
@@ -53,7 +53,7 @@
     write_row(&row, output)
 }
 
-/// Writes a gap.
+/// Writes a gap as one line.
 pub fn write_gap(gap: &Gap, output: &mut impl Write) -> std::io::Result<()> {
     let row = GapRow {
         from: text::time(gap.from_us),
@@ -72,7 +72,7 @@
     writeln!(output, "{json}")
 }
 
-/// The fields of a record, without the name of its kind; null for a record of an unknown kind.
+/// Returns the fields of a record, without the name of its kind; null for an unknown kind.
 fn fields(kind: Option<&Kind>) -> Value {
     let Ok(Value::Object(tagged)) = serde_json::to_value(kind) else {
         return Value::Null;
--- a/crates/supervisor/src/commands/records/mod.rs
+++ b/crates/supervisor/src/commands/records/mod.rs
@@ -12,11 +12,11 @@
 use super::arguments::{ExportFormat, RecordsArguments, RecordsCommand};
 use super::CommandError;
 
-/// Runs one of the commands on records.
+/// Runs one of the `records` commands.
 ///
 /// # Errors
 ///
-/// If records cannot be read, what is asked for cannot be parsed, or `verify` finds damage.
+/// If records cannot be read, the selection cannot be parsed, or `verify` finds damaged or missing records.
 pub fn run(arguments: &RecordsArguments, output: &mut impl Write) -> Result<(), CommandError> {
     match &arguments.command {
         RecordsCommand::Verify { directories } => verify::run(directories, output),
--- a/crates/supervisor/src/commands/records/query.rs
+++ b/crates/supervisor/src/commands/records/query.rs
@@ -1,4 +1,4 @@
-//! The query that `records list` and `records export` are asked.
+//! Builds the query for `records list` and `records export`.
 
 use chutegrade_records::index::Query;
 use chutegrade_records::kind::{self, KINDS};
@@ -8,7 +8,7 @@
 use crate::commands::time_window::{check_order, last_record_us, parse_optional};
 use crate::commands::CommandError;
 
-/// The query for a selection.
+/// Returns the query for a selection.
 ///
 /// # Errors
 ///
--- a/crates/supervisor/src/commands/records/text_rows.rs
+++ b/crates/supervisor/src/commands/records/text_rows.rs
@@ -1,14 +1,14 @@
-//! Events and gaps as lines for the terminal.
+//! Events and gaps as lines of text for the terminal.
 
 use std::io::Write;
 
 use chutegrade_records::text::{self, printable};
 use chutegrade_records::timeline::{Event, Gap};
 
-/// Delay from which an event shows that it was learned late, in microseconds.
+/// Minimum delay between an event and its detection that is shown, in microseconds.
 const SHOWN_DELAY_US: i64 = 1000;
 
-/// Writes an event.
+/// Writes an event as one line.
 pub fn write_event(event: &Event, output: &mut impl Write) -> std::io::Result<()> {
     let at = text::time(event.at_us);
     let supervisor = printable(&event.supervisor);
@@ -17,7 +17,7 @@
     writeln!(output, "{at}  {supervisor}  {line}{delay}")
 }
 
-/// How much later the supervisor learned of the event; empty where that does not matter.
+/// Formats how much later the supervisor learned of the event; empty below the minimum delay.
 fn learned_later(event: &Event) -> String {
     let delay_us = event.learned_us().saturating_sub(event.at_us);
     if delay_us < SHOWN_DELAY_US {
@@ -26,7 +26,7 @@
     format!("  [learned {} later]", text::length(delay_us))
 }
 
-/// Writes a gap. One that begins before all records has no begin to show.
+/// Writes a gap as one line, without a start if the gap begins before all records.
 pub fn write_gap(gap: &Gap, output: &mut impl Write) -> std::io::Result<()> {
     let supervisor = printable(&gap.supervisor);
     let line = gap.line();
--- a/crates/supervisor/src/commands/records/verify.rs
+++ b/crates/supervisor/src/commands/records/verify.rs
@@ -1,4 +1,4 @@
-//! `records verify`: damage and missing records, for each directory.
+//! `records verify`: reports damaged and missing records, for each directory.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -7,24 +7,24 @@
 
 use crate::commands::CommandError;
 
-/// Verifies all directories and writes a line for each.
+/// Verifies all directories and writes one line for each.
 ///
 /// # Errors
 ///
-/// If a directory cannot be read, or any is not sound.
+/// If a directory cannot be read, or one is damaged or incomplete.
 pub fn run(directories: &[PathBuf], output: &mut impl Write) -> Result<(), CommandError> {
     let timeline = Timeline::open(directories)?;
-    let mut unsound = 0;
+    let mut damaged = 0;
     for supervisor in &timeline.supervisors {
         let verdict = timeline::verify(&supervisor.directory)?;
         if !verdict.sound() {
-            unsound += 1;
+            damaged += 1;
         }
         write_verdict(supervisor, &verdict, output)?;
     }
-    if unsound > 0 {
-        return Err(CommandError::UnsoundRecords {
-            unsound,
+    if damaged > 0 {
+        return Err(CommandError::DamagedRecords {
+            damaged,
             directories: timeline.supervisors.len(),
         });
     }
@@ -44,14 +44,14 @@
     )?;
     let counts = [
         (verdict.newer, "of a newer version"),
-        (
-            verdict.torn_bytes,
-            "bytes of torn tails, which a crash leaves",
-        ),
+        (verdict.torn_bytes, "bytes of torn tails, left by a crash"),
         (verdict.damaged_bytes, "bytes damaged"),
         (verdict.missing, "records missing"),
-        (verdict.headless, "segments without a head"),
-        (verdict.wrong_indexes, "indexes that do not fit"),
+        (verdict.headless, "segments without a valid header"),
+        (
+            verdict.wrong_indexes,
+            "indexes that do not match their segments",
+        ),
     ];
     for (count, label) in counts {
         if count > 0 {
--- a/crates/supervisor/src/commands/report.rs
+++ b/crates/supervisor/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `report`: one HTML page on an incident.
+//! `report`: writes an HTML page that reconstructs an incident.
 
 use std::io::Write;
 
--- a/crates/supervisor/src/commands/time_window.rs
+++ b/crates/supervisor/src/commands/time_window.rs
@@ -1,11 +1,10 @@
-//! Times and time windows that commands are given, resolved against the records. Times of day and relative times count
-//! from the last record.
+//! Resolves the times and time windows in command-line arguments. Times of day and relative times refer to the last record.
 
 use chutegrade_records::{text, Timeline, Window};
 
 use super::CommandError;
 
-/// The window between two given times; a time that is not given is that of the first or the last record.
+/// Returns the window between two times, by default those of the first and the last record.
 ///
 /// # Errors
 ///
@@ -22,7 +21,7 @@
     Ok(Window { from_us, to_us })
 }
 
-/// A given time, or that of the last record, in Unix microseconds.
+/// Returns the given time, by default that of the last record, in Unix microseconds.
 ///
 /// # Errors
 ///
@@ -32,12 +31,12 @@
     Ok(parse_optional(at, last_us)?.unwrap_or(last_us))
 }
 
-/// The time of the last record in Unix microseconds, 0 without records.
+/// Returns the time of the last record in Unix microseconds, 0 without records.
 pub fn last_record_us(timeline: &Timeline) -> i64 {
     timeline.span().map_or(0, |recorded| recorded.to_us)
 }
 
-/// A time in Unix microseconds, if one is given.
+/// Parses an optional time to Unix microseconds.
 ///
 /// # Errors
 ///
--- a/crates/supervisor/tests/commands/lab.rs
+++ b/crates/supervisor/tests/commands/lab.rs
@@ -70,7 +70,7 @@
     assert_eq!(count_results(), 6);
     let (_, second_output, _) = program.tool(&run).await;
     assert!(
-        second_output.contains("6 runs are there already") && count_results() == 6,
+        second_output.contains("6 runs are already stored") && count_results() == 6,
         "{second_output}"
     );
     let (code, comparison, _) = program
--- a/crates/supervisor/tests/commands/operator_config.rs
+++ b/crates/supervisor/tests/commands/operator_config.rs
@@ -25,7 +25,7 @@
     } = run(&["check", "--config", &good, "--operator", repository]);
     assert_eq!(
         (code, output.as_str(), error.as_str()),
-        (Some(0), "nothing is wrong\n", "")
+        (Some(0), "no faults found\n", "")
     );
     let bad = file(
         "bad.json",
--- a/crates/supervisor/tests/commands/usage.rs
+++ b/crates/supervisor/tests/commands/usage.rs
@@ -28,7 +28,7 @@
         ),
         (
             vec!["records", "list", records, "--kind", "stat"],
-            "no kind \"stat\": give one of started,",
+            "unknown kind \"stat\": give one of started,",
         ),
         (
             vec![
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -169,7 +169,7 @@
         &[
             "1 few lookups: keeps 20 % of lookup",
             "entered when SATURATION above 0.35 for 1 s",
-            "told: desk",
+            "notifies: desk",
         ],
     )
     .await;
@@ -242,7 +242,7 @@
     assert_output_contains(
         &tools,
         &[&["check"], &files[..]].concat(),
-        &["nothing is wrong"],
+        &["no faults found"],
     )
     .await;
 }
--- a/crates/supervisor/tests/plugins.rs
+++ b/crates/supervisor/tests/plugins.rs
@@ -143,7 +143,7 @@
         "{output}"
     );
     assert!(
-        output.contains("audit says from now on, by line 3") && output.contains("operations"),
+        output.contains("audit advises, by line 3") && output.contains("operations"),
         "{output}"
     );
     let (code, output, _) = tools.tool(&["plugin", "explain", "s-b4", &records]).await;
@@ -160,7 +160,7 @@
     );
     let (code, _, error) = tools.tool(&["plugin", "explain", "nobody", &records]).await;
     assert!(
-        code == Some(1) && error.contains("no supervisor knows a server \"nobody\""),
+        code == Some(1) && error.contains("no supervisor has a record of server \"nobody\""),
         "{error}"
     );
     let (code, output, _) = tools.tool(&["plugin", "check", &file]).await;
