--- a/crates/supervisor/src/commands/lab/mod.rs
+++ b/crates/supervisor/src/commands/lab/mod.rs
@@ -1,4 +1,5 @@
-//! `lab`: simulations, experiments and searches. `chutegrade-lab` runs them; these modules handle files and the terminal.
+//! `lab`: simulations, experiments and searches. `chutegrade-lab` runs them; these modules handle files and the
+//! terminal.
 
 mod experiment;
 mod play;
--- a/crates/supervisor/src/commands/levels/mod.rs
+++ b/crates/supervisor/src/commands/levels/mod.rs
@@ -1,5 +1,5 @@
-//! `levels`: shows declared service levels, explains how far their conditions are from being met, and simulates them over
-//! recorded signals.
+//! `levels`: shows declared service levels, explains how far their conditions are from being met, and simulates them
+//! over recorded signals.
 
 mod explain;
 mod recorded;
--- a/crates/supervisor/src/commands/levels/recorded.rs
+++ b/crates/supervisor/src/commands/levels/recorded.rs
@@ -30,7 +30,8 @@
         .collect()
 }
 
-/// Adds recorded signals to a window. Metrics recorded without limits contain no signals; their saturation is used instead.
+/// Adds recorded signals to a window. Metrics recorded without limits contain no signals; their saturation is used
+/// instead.
 pub fn observe(window: &mut SignalWindow, metrics: &RecordedMetrics) {
     let gauge = metrics.gauge;
     if gauge.signals.is_empty() {
--- a/crates/supervisor/src/commands/plugin/dry_run.rs
+++ b/crates/supervisor/src/commands/plugin/dry_run.rs
@@ -1,4 +1,5 @@
-//! `plugin run`: evaluates plug-ins on a recorded fleet, once for each second, and prints their advice without applying it.
+//! `plugin run`: evaluates plug-ins on a recorded fleet, once for each second, and prints their advice without applying
+//! it.
 
 use std::io::Write;
 
--- a/crates/supervisor/src/commands/plugin/explain.rs
+++ b/crates/supervisor/src/commands/plugin/explain.rs
@@ -117,15 +117,15 @@
 }
 
 impl GivenAdvice<'_> {
-    /// Compares prefixes: the event that starts advice has the line number of the rule after the text, the one that ends it
-    /// has not.
+    /// Compares prefixes: the event that starts advice has the line number of the rule after the text, the one that
+    /// ends it has not.
     fn is_ended_by(&self, message: &pb::PluginSaid) -> bool {
         self.plugin == message.name && self.text.starts_with(&message.text)
     }
 }
 
-/// Returns the advice on a server that is in force. A restart of the supervisor ends all advice, a reload of a plug-in ends
-/// its own.
+/// Returns the advice on a server that is in force. A restart of the supervisor ends all advice, a reload of a plug-in
+/// ends its own.
 fn advice_in_force<'a>(events: &[&'a Event], server: &str) -> Vec<GivenAdvice<'a>> {
     let server_prefix = format!("{server} ");
     let mut advice: Vec<GivenAdvice> = Vec::new();
--- a/crates/supervisor/src/commands/time_window.rs
+++ b/crates/supervisor/src/commands/time_window.rs
@@ -1,4 +1,5 @@
-//! Resolves the times and time windows in command-line arguments. Times of day and relative times refer to the last record.
+//! Resolves the times and time windows in command-line arguments. Times of day and relative times refer to the last
+//! record.
 
 use chutegrade_records::{text, Timeline, Window};
 
--- a/crates/supervisor/src/tests/rules/channel.rs
+++ b/crates/supervisor/src/tests/rules/channel.rs
@@ -1,4 +1,4 @@
-//! The channel to the proxies: it sends messages in order at a limited pace, and proxies apply and acknowledge them.
+//! The channel to the proxies: sends messages in order at a limited rate; proxies apply and acknowledge them.
 
 use std::collections::VecDeque;
 
@@ -7,46 +7,46 @@
 
 use super::simulation::{Simulation, STEP};
 
-/// One message in the channel.
+/// A message in the channel.
 pub struct Message {
     pub proxy: u32,
     pub stream: StreamId,
-    /// Lines that are still to be sent.
+    /// Lines that remain to be sent.
     pub lines: f64,
     pub text: String,
 }
 
-/// A message on its way from the channel to its proxy.
+/// A message in transit from the channel to its proxy.
 pub struct Arrival {
     pub at: Micros,
     pub message: Message,
 }
 
-/// An acknowledgement on its way to the supervisor.
+/// An acknowledgement in transit to the supervisor.
 pub struct PendingAcknowledgement {
     pub at: Micros,
     pub stream: StreamId,
     pub sequence: u16,
 }
 
-/// What a proxy holds.
+/// State of a proxy.
 #[derive(Default)]
 pub struct ProxyState {
     pub stream: Option<StreamId>,
     pub joined_at: Micros,
-    /// When it last had a server to pick for each class.
-    pub served_at: Micros,
+    /// When the proxy last had a server to pick for every class.
+    pub last_served_at: Micros,
     pub tables: Tables,
-    /// When messages were written to it, within the update window.
+    /// When messages to the proxy were queued, within the update window.
     pub written_at: VecDeque<Micros>,
-    /// When its first table arrived.
+    /// When the first table arrived.
     pub first_table_at: Option<Micros>,
-    /// When the last message on its way arrives: the next one does not overtake it.
+    /// When the last message in transit arrives; the next one does not overtake it.
     pub last_arrival_at: Micros,
 }
 
-/// Lines of a message by the protocol: every line, server suspended or resumed, level, sequence number and `replace`, and
-/// the head.
+/// Counts the lines of a message by the protocol: one for each row, suspended or resumed server, level, sequence number
+/// and `replace`, and those of the head.
 pub fn count_lines(text: &str, head_lines: u32) -> f64 {
     let lines_of_field = |field: &str| match field.split_once('=') {
         Some(("rows" | "drop" | "undrop", list)) => list.split(',').count(),
@@ -58,13 +58,13 @@
 }
 
 impl Simulation {
-    /// The channel sends in order, one message after another.
+    /// Sends queued messages in order, as far as the capacity of one step allows.
     pub fn send_messages(&mut self) {
         if self.stalled_steps > 0 {
             self.stalled_steps -= 1;
             return;
         }
-        let mut capacity = self.conditions.pace * self.lines_per_s * STEP.secs();
+        let mut capacity = self.conditions.rate_factor * self.lines_per_s * STEP.secs();
         while let Some(first) = self.channel.front_mut() {
             if first.lines > capacity {
                 first.lines -= capacity;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Messages and acknowledgements that are due arrive.
+    /// Delivers the messages and acknowledgements that are due.
     pub fn deliver(&mut self) {
         let now = self.now;
         let (due, later): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.arrivals)
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The proxy of a message applies and acknowledges it, unless its stream has ended.
+    /// Applies a message at its proxy and acknowledges it, unless its stream has ended.
     fn apply_message(&mut self, message: &Message) {
         let now = self.now;
         let proxy = &mut self.proxies[message.proxy as usize];
--- a/crates/supervisor/src/tests/rules/checks.rs
+++ b/crates/supervisor/src/tests/rules/checks.rs
@@ -1,4 +1,4 @@
-//! The rules, checked on what the channel holds and what the proxies have.
+//! The rules, checked on the backlog of the channel and the tables of the proxies.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,14 +8,14 @@
 
 use super::channel::ProxyState;
 use super::simulation::{
-    request_rate, Simulation, CHECK_INTERVAL, FALL_MULTIPLE, FALL_WINDOW, UNSERVED_LIMIT,
+    request_rate, Simulation, CHECK_INTERVAL, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, UNSERVED_LIMIT,
     UPDATE_WINDOW, WARM_UP_START, WARM_UP_TIME,
 };
 
-/// What the rules on sockets add to their times, and a tick of the decisions, which act no more often.
+/// Tolerance of the time limits: that of the rules in the tests over sockets, and one tick of the engine.
 const SLACK: Micros = Micros(800_000);
 
-/// Work that arrived at a server that warms up, and what it could do, in one check.
+/// Work that arrives at a warming server and its capacity, at one check.
 pub struct WarmUpSample {
     at: Micros,
     work: f64,
@@ -23,12 +23,12 @@
 }
 
 impl Simulation {
-    /// The channel holds no more than it may, and one proxy gets no more messages than it may.
+    /// Checks the limits on the backlog of the channel and on the messages to one proxy.
     pub fn check_channel(&mut self, proxy: usize) -> Result<(), TestCaseError> {
-        let waiting: f64 = self.channel.iter().map(|message| message.lines).sum();
+        let queued_lines: f64 = self.channel.iter().map(|message| message.lines).sum();
         prop_assert!(
-            waiting <= self.backlog,
-            "{waiting} lines wait where {} may, at {:?}",
+            queued_lines <= self.backlog,
+            "{queued_lines} lines are queued, above the maximum of {}, at {:?}",
             self.backlog,
             self.now
         );
@@ -45,8 +45,8 @@
         Ok(())
     }
 
-    /// Drains are kept, unsafe retries are not allowed, and no proxy is left without a server, with the rules' times
-    /// stretched as the channel is slow.
+    /// Checks that proxies stop picking draining servers, get no unsafe retries and have servers to pick. Time limits
+    /// are scaled to the rate of the channel.
     pub fn check_proxies(&self) -> Result<(), TestCaseError> {
         let warm_server_since = self.warm_server_since();
         for (id, proxy) in self.joined_proxies() {
@@ -55,11 +55,11 @@
                 check_retries(id, proxy, class)?;
                 if proxy.tables.picks(class).is_empty() {
                     let unserved = warm_server_since.map_or(Micros(0), |since| {
-                        self.known_for(proxy, since.max(proxy.served_at))
+                        self.known_for(proxy, since.max(proxy.last_served_at))
                     });
                     prop_assert!(
-                        unserved <= self.stretched(UNSERVED_LIMIT),
-                        "{id} has had nothing for {unserved:?}"
+                        unserved <= self.scaled_limit(UNSERVED_LIMIT),
+                        "{id} has had no server for {unserved:?}"
                     );
                 }
             }
@@ -67,7 +67,7 @@
         Ok(())
     }
 
-    /// A proxy picks no server that drains for longer than the grace.
+    /// Checks that a proxy picks no draining server for longer than the grace.
     fn check_drains(
         &self,
         id: usize,
@@ -78,7 +78,7 @@
             let server = &self.servers[name];
             let known_for = self.known_for(proxy, server.reported_at);
             let is_allowed = server.lifecycle == Lifecycle::InService
-                || known_for <= self.stretched(self.drain_grace);
+                || known_for <= self.scaled_limit(self.drain_grace);
             prop_assert!(
                 is_allowed,
                 "{id} picks {name}, {:?} for {known_for:?}",
@@ -88,11 +88,11 @@
         Ok(())
     }
 
-    /// No warming server is overloaded: what arrives at it over any window, by the tables that proxies hold, stays below the
-    /// stated multiple of what it can do. It counts from when all had to know of its start, and while the servers listed are
-    /// no less than a third of what would bear the demand.
+    /// Checks that no warming server is overloaded: the work that arrives at it over any window, by the tables of the
+    /// proxies, stays below [`OVERLOAD_MULTIPLE`] times its capacity. Checked from the time at which all proxies must
+    /// know of its start, and while the servers in service have at least a third of the capacity that the demand needs.
     pub fn check_warming_servers(&mut self) -> Result<(), TestCaseError> {
-        let known_after = self.stretched(self.drain_grace);
+        let known_after = self.scaled_limit(self.drain_grace);
         let in_service = self
             .servers
             .values()
@@ -122,7 +122,7 @@
         Ok(())
     }
 
-    /// Work that arrives at each server, by the tables that proxies hold.
+    /// Returns the work that arrives at each server, by the tables of the proxies.
     fn work_by_server(&self) -> BTreeMap<String, f64> {
         let total_rate: f64 = self.joined_proxies().map(|(id, _)| request_rate(id)).sum();
         let mut work: BTreeMap<String, f64> = BTreeMap::new();
@@ -137,7 +137,7 @@
         work
     }
 
-    /// Since when there has been a server that is warm and reported.
+    /// Returns the earliest time from which a server in service has been reported and fully warmed up.
     fn warm_server_since(&self) -> Option<Micros> {
         let in_service = self.servers.values().filter(|server| server.in_service());
         in_service
@@ -150,27 +150,27 @@
             .min()
     }
 
-    /// How long a proxy has been able to know of what was reported at this time.
+    /// Returns for how long a joined proxy could have known of a report made at this time.
     fn known_for(&self, proxy: &ProxyState, reported_at: Micros) -> Micros {
         self.now - reported_at.max(proxy.joined_at)
     }
 
-    /// A time of the rules, stretched as the channel is slow.
-    fn stretched(&self, time: Micros) -> Micros {
-        Micros((time.0 as f64 / self.conditions.pace) as i64) + SLACK
+    /// Scales a time limit to the rate of the channel, and adds the tolerance.
+    fn scaled_limit(&self, time: Micros) -> Micros {
+        Micros((time.0 as f64 / self.conditions.rate_factor) as i64) + SLACK
     }
 }
 
-/// Only the class that is safe to repeat may be sent again without proof that it was not executed.
+/// Checks that only the idempotent class may be retried without proof that the request was not executed.
 fn check_retries(id: usize, proxy: &ProxyState, class: &str) -> Result<(), TestCaseError> {
     let retry = proxy.tables.retries.get(class).map(String::as_str);
     let is_safe =
         class == CLASSES[0] || proxy.first_table_at.is_none() || matches!(retry, Some("0" | "1"));
-    prop_assert!(is_safe, "{id} may send {class} again after {retry:?}");
+    prop_assert!(is_safe, "{id} may retry {class} with policy {retry:?}");
     Ok(())
 }
 
-/// Checks a complete window of samples.
+/// Checks the samples of one window, if it is complete.
 fn check_warm_up_window(
     name: &str,
     now: Micros,
@@ -178,7 +178,7 @@
 ) -> Result<(), TestCaseError> {
     while samples
         .front()
-        .is_some_and(|sample| now - sample.at > FALL_WINDOW)
+        .is_some_and(|sample| now - sample.at > OVERLOAD_WINDOW)
     {
         samples.pop_front();
     }
@@ -188,10 +188,10 @@
         .fold(0.0, |sum, sample| sum + sample.capacity);
     let is_complete = samples
         .front()
-        .is_some_and(|sample| now - sample.at >= FALL_WINDOW - CHECK_INTERVAL);
+        .is_some_and(|sample| now - sample.at >= OVERLOAD_WINDOW - CHECK_INTERVAL);
     prop_assert!(
-        !is_complete || work <= FALL_MULTIPLE * capacity,
-        "{name} is sent {work} where it can do {capacity}"
+        !is_complete || work <= OVERLOAD_MULTIPLE * capacity,
+        "{name} receives {work} with a capacity of {capacity}"
     );
     Ok(())
 }
--- a/crates/supervisor/src/tests/rules/disturbances.rs
+++ b/crates/supervisor/src/tests/rules/disturbances.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet, its streams and its channel.
+//! Disturbances of the fleet, its streams and its channel.
 
 use chutegrade_emulators::tables::CLASSES;
 use chutegrade_engine::{
@@ -8,11 +8,11 @@
 
 use super::channel::ProxyState;
 use super::conditions::Disturbance;
-use super::simulation::{Dial, Simulation};
+use super::simulation::{Reconnect, Simulation};
 
-/// The longest time until a proxy whose stream broke dials again, in microseconds.
-const MAX_DIAL_DELAY_US: u64 = 600_000;
-/// How long requested retries are allowed.
+/// Maximum time until a proxy reconnects after its stream broke, in microseconds.
+const MAX_RECONNECT_DELAY_US: u64 = 600_000;
+/// How long requested retries stay in force.
 const RETRIES_TTL: Micros = Micros(10_000_000);
 
 impl Simulation {
@@ -25,7 +25,10 @@
                 self.change_servers(names, Lifecycle::InService, Some(self.now));
             }
             Disturbance::AddServers(count) => self.add_servers(count, Some(self.now)),
-            Disturbance::BreakStreams { percent, as_new } => self.break_streams(percent, as_new),
+            Disturbance::BreakStreams {
+                percent,
+                loses_state,
+            } => self.break_streams(percent, loses_state),
             Disturbance::CloseStream(proxy) => self.close_stream(proxy % self.conditions.proxies),
             Disturbance::SetQueues(queued) => self.queued = f64::from(queued),
             Disturbance::Stall => self.stalled_steps = self.conditions.max_stall_steps,
@@ -39,14 +42,14 @@
             Disturbance::StaleAcknowledgement(proxy) => {
                 self.acknowledge_out_of_order(proxy % self.conditions.proxies);
             }
-            Disturbance::HoldHealthChecks => self.hold_or_fail_health_checks(),
+            Disturbance::DeferHealthChecks => self.defer_or_fail_health_checks(),
             Disturbance::RequestRetries => self.request_retries(),
         }
     }
 
     fn drain(&mut self, max: u32) {
-        let drained = self.draw_servers(u32::MAX, &[Lifecycle::Draining]);
-        self.change_servers(drained, Lifecycle::Removed, None);
+        let already_draining = self.draw_servers(u32::MAX, &[Lifecycle::Draining]);
+        self.change_servers(already_draining, Lifecycle::Removed, None);
         let names = self.draw_servers(max, &[Lifecycle::InService]);
         self.change_servers(names, Lifecycle::Draining, None);
     }
@@ -59,16 +62,17 @@
         self.change_servers(names, Lifecycle::InService, Some(self.now));
     }
 
-    fn break_streams(&mut self, percent: u32, as_new: bool) {
+    fn break_streams(&mut self, percent: u32, loses_state: bool) {
         for proxy in 0..self.conditions.proxies {
             if self.draw(100) < u64::from(percent) {
-                self.break_stream(proxy, as_new);
+                self.break_stream(proxy, loses_state);
             }
         }
     }
 
-    /// A stream breaks: what waits for it is lost, and the supervisor learns of it at once or with the next one.
-    fn break_stream(&mut self, proxy: u32, as_new: bool) {
+    /// Breaks a stream: its queued messages are lost, and the supervisor detects it at once or when the next stream
+    /// opens.
+    fn break_stream(&mut self, proxy: u32, loses_state: bool) {
         let Some(stream) = self.proxies[proxy as usize].stream.take() else {
             return;
         };
@@ -76,22 +80,34 @@
         if self.draw(2) == 0 {
             self.report(Report::StreamLost(stream));
         }
-        let delay = Micros(self.draw(MAX_DIAL_DELAY_US) as i64);
+        let delay = Micros(self.draw(MAX_RECONNECT_DELAY_US) as i64);
         let at = self.now + delay;
-        self.dials.insert(proxy, Dial { at, as_new });
+        self.reconnects.insert(
+            proxy,
+            Reconnect {
+                at,
+                has_lost_state: loses_state,
+            },
+        );
     }
 
-    /// This side closes a stream; the proxy dials again at once.
+    /// Closes a stream as the supervisor does; the proxy reconnects at once.
     fn close_stream(&mut self, proxy: u32) {
         let Some(stream) = self.proxies[proxy as usize].stream.take() else {
             return;
         };
         self.report(Report::StreamClosed(stream));
         let at = self.now;
-        self.dials.insert(proxy, Dial { at, as_new: false });
+        self.reconnects.insert(
+            proxy,
+            Reconnect {
+                at,
+                has_lost_state: false,
+            },
+        );
     }
 
-    /// All in one turn: two newer streams, and the end of the older one before, between or after them.
+    /// Opens two streams in one tick, with the end of the older stream before, between or after them.
     fn rejoin(&mut self, proxy: u32) {
         let Some(older) = self.proxies[proxy as usize].stream else {
             return;
@@ -107,7 +123,7 @@
             }
             self.report_stream_opened(stream, proxy, false);
         }
-        // The late ends of streams that were replaced change nothing.
+        // Late ends of replaced streams have no effect.
         self.report(Report::StreamLost(older));
         self.report(Report::StreamClosed(between));
         self.join(proxy, newest);
@@ -120,25 +136,25 @@
         state.written_at.clear();
     }
 
-    /// Proxies that are due to dial join with new streams.
+    /// Opens new streams for the proxies whose reconnect is due.
     pub fn open_due_streams(&mut self) {
         let due: Vec<u32> = self
-            .dials
+            .reconnects
             .iter()
-            .filter(|(_, dial)| dial.at <= self.now)
+            .filter(|(_, reconnect)| reconnect.at <= self.now)
             .map(|(proxy, _)| *proxy)
             .collect();
         for proxy in due {
-            let Some(dial) = self.dials.remove(&proxy) else {
+            let Some(reconnect) = self.reconnects.remove(&proxy) else {
                 continue;
             };
             self.last_stream += 1;
             let stream = StreamId(self.last_stream);
-            if dial.as_new {
+            if reconnect.has_lost_state {
                 self.proxies[proxy as usize] = ProxyState::default();
             }
             self.join(proxy, stream);
-            self.report_stream_opened(stream, proxy, dial.as_new);
+            self.report_stream_opened(stream, proxy, reconnect.has_lost_state);
         }
     }
 
@@ -155,12 +171,12 @@
         }
     }
 
-    fn hold_or_fail_health_checks(&mut self) {
-        let Some(held_checks) = self.held_checks.take() else {
-            self.held_checks = Some(Vec::new());
+    fn defer_or_fail_health_checks(&mut self) {
+        let Some(deferred_checks) = self.deferred_checks.take() else {
+            self.deferred_checks = Some(Vec::new());
             return;
         };
-        for check in held_checks {
+        for check in deferred_checks {
             self.report_health_check(check, HealthCheckOutcome::Unreachable);
         }
     }
--- a/crates/supervisor/src/tests/rules/mod.rs
+++ b/crates/supervisor/src/tests/rules/mod.rs
@@ -1,5 +1,6 @@
-//! The rules on sockets, judged from the bytes alone: random conditions and disturbances drive the engine, its orders are
-//! encoded as they would be written, and an account of the channel is kept from the text, independent of the policy's own.
+//! The rules of the tests over sockets, checked on encoded messages: random conditions and disturbances drive the
+//! engine, its orders are encoded, and the backlog of the channel is computed from the text, independently of the
+//! policy.
 
 mod channel;
 mod checks;
@@ -16,12 +17,12 @@
 };
 use simulation::{Checks, Simulation};
 
-/// Conditions under which the channel could carry two complete fleets of tables within the drain grace.
-fn with_a_fast_channel(conditions: Conditions, pace: f64) -> Conditions {
+/// Conditions under which the channel can send complete tables to all proxies twice within the drain grace.
+fn with_a_fast_channel(conditions: Conditions, rate_factor: f64) -> Conditions {
     Conditions {
         backlog: 3.0 + conditions.backlog,
         fleets_per_s: 2.0,
-        pace,
+        rate_factor,
         lost_acknowledgements: 0.1 * conditions.lost_acknowledgements,
         max_stall_steps: 0,
         max_messages: 0,
@@ -29,7 +30,7 @@
     }
 }
 
-/// Conditions under which the channel takes seconds for a complete fleet of tables, but loses nothing.
+/// Conditions under which the channel takes seconds to send complete tables to all proxies, but loses nothing.
 fn slow_lossless_channel() -> Conditions {
     Conditions {
         seed: 3,
@@ -39,7 +40,7 @@
         max_messages: 0,
         backlog: 3.0,
         fleets_per_s: 0.115,
-        pace: 1.0,
+        rate_factor: 1.0,
         lost_acknowledgements: 0.0,
         max_stall_steps: 0,
         added_servers: 0,
@@ -56,13 +57,13 @@
         .is_some_and(|rows| rows.contains_key(server))
 }
 
-fn is_withheld(proxy: &ProxyState, server: &str) -> bool {
+fn is_suspended(proxy: &ProxyState, server: &str) -> bool {
     proxy.tables.dropped.contains(server) && has_weight(proxy, server)
 }
 
-/// A restarted supervisor does not know servers that were removed before its start: only complete tables remove them from
-/// the proxies that join it at once, so all tables must be sent within the grace. The channel here sends 60 of them in
-/// 2.3 s, with each server resumed in 3.9 s; the grace and the slack allow 2.8. The rest follows as capacity allows.
+/// A restarted supervisor does not know servers that were removed before its start: only complete tables remove them
+/// from proxies, so all must be sent within the grace. The channel sends 60 tables in 2.3 s, and takes 3.9 s if it also
+/// resumes each server; grace and slack allow 2.8 s, so servers are resumed afterwards.
 #[test]
 fn all_proxies_of_another_supervisor_join_within_the_grace() {
     let mut simulation = Simulation::new(slow_lossless_channel());
@@ -73,12 +74,12 @@
         proxy
             .tables
             .apply("push drop=s20,s21")
-            .expect("another supervisor's order");
+            .expect("an order of another supervisor");
     }
     simulation.conditions.disturbances = [
         Disturbance::BreakStreams {
             percent: 100,
-            as_new: false,
+            loses_state: false,
         },
         Disturbance::Drain(4),
     ]
@@ -98,7 +99,7 @@
         );
         let mut proxies = simulation.proxies.iter();
         assert!(
-            !proxies.any(|proxy| is_withheld(proxy, server)),
+            !proxies.any(|proxy| is_suspended(proxy, server)),
             "{server} is resumed"
         );
     }
@@ -107,35 +108,35 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the settings, the pace of the channel, and the acknowledgements that are lost: no message goes beyond what
-    /// may wait, nor beyond what one proxy may get.
+    /// With any settings, channel rate and lost acknowledgements, no message exceeds the backlog or the limit of one
+    /// proxy.
     #[test]
-    fn the_channel_never_holds_more_than_it_may(conditions in any_conditions()) {
+    fn the_backlog_and_the_messages_per_proxy_stay_within_their_limits(conditions in any_conditions()) {
         Simulation::new(conditions).run(Checks::Channel)?;
     }
 
-    /// Where the channel could carry two complete fleets of tables within the grace, drains are kept and no proxy is left
-    /// without a server, though the channel is slow and acknowledgements are lost.
+    /// If the channel can send complete tables to all proxies twice within the grace, proxies stop picking draining
+    /// servers and always have servers, although the channel is slow and acknowledgements are lost.
     #[test]
-    fn drains_are_kept_and_no_proxy_is_without_servers_in_a_short_queue(
+    fn drains_take_effect_and_every_proxy_has_servers_on_a_slow_channel(
         conditions in any_conditions(),
-        pace in 0.2..1.0f64,
+        rate_factor in 0.2..1.0f64,
     ) {
-        Simulation::new(with_a_fast_channel(conditions, pace)).run(Checks::ChannelAndProxies)?;
+        Simulation::new(with_a_fast_channel(conditions, rate_factor)).run(Checks::ChannelAndProxies)?;
     }
 
-    /// The five rules, whatever happens in one turn and in whatever order: streams that replace one another, drains and
-    /// returns under other addresses, snapshots, acknowledgements long past, health checks of processes that are gone, and
-    /// retries requested that would run twice.
+    /// The five rules hold for events of one tick in any order: replaced streams, drains and returns at other
+    /// addresses, snapshots, old acknowledgements, health checks of former processes, and requests for unsafe retries.
     #[test]
-    fn the_rules_are_kept_whatever_happens_in_one_turn(
+    fn the_rules_hold_for_any_events_in_one_tick(
         conditions in any_conditions(),
         disturbances in any_crossing_disturbances(),
-        pace in 0.2..1.0f64,
+        rate_factor in 0.2..1.0f64,
     ) {
-        // A channel made for the fleet as it grows: what it cannot carry within the grace no order of events mends.
+        // The channel is dimensioned for the grown fleet: no order of events helps if it cannot carry the tables within
+        // the grace.
         let added_servers = disturbances.iter().map(ScheduledDisturbance::added_servers).sum();
-        let conditions = with_a_fast_channel(conditions, pace);
+        let conditions = with_a_fast_channel(conditions, rate_factor);
         let conditions = Conditions { added_servers, disturbances, ..conditions };
         Simulation::new(conditions).run(Checks::ChannelAndProxies)?;
     }
--- a/crates/supervisor/src/tests/rules/simulation.rs
+++ b/crates/supervisor/src/tests/rules/simulation.rs
@@ -1,4 +1,4 @@
-//! A fleet round one engine: its clock, its servers, its proxies, and what they report.
+//! A simulated fleet around one engine: its clock, servers and proxies, and their reports.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,49 +15,49 @@
 use super::conditions::Conditions;
 use crate::protocol::encode::encode_order;
 
-/// Time between two steps.
+/// Simulated time of one step.
 pub const STEP: Micros = Micros(20_000);
-/// Steps of one run.
+/// Number of steps in one run.
 const STEPS: u32 = 1200;
-/// Steps before the first disturbance.
+/// Number of steps before the first disturbance.
 const FIRST_DISTURBANCE_STEP: u32 = 100;
-/// Steps between two reports of servers and proxies.
+/// Interval of the reports on servers and proxies, in steps.
 const REPORT_STEPS: u32 = 50;
-/// Steps between two checks of what proxies hold.
+/// Interval of the checks of proxies and servers, in steps.
 const CHECK_STEPS: u32 = 10;
-/// Time between two checks of what proxies hold.
+/// Interval of the checks of proxies and servers.
 pub const CHECK_INTERVAL: Micros = Micros(CHECK_STEPS as i64 * STEP.0);
-/// How long a server warms up.
+/// Duration of a server's warm-up.
 pub const WARM_UP_TIME: Micros = Micros(8_000_000);
-/// The share of its capacity that a server has at its start.
+/// Fraction of its capacity that a server has at its start.
 pub const WARM_UP_START: f64 = 0.3;
-/// What the rule on warming servers allows over its window, as a multiple of what the server can do.
-pub const FALL_MULTIPLE: f64 = 3.0;
-/// The window of the rule on warming servers.
-pub const FALL_WINDOW: Micros = Micros(3_000_000);
-/// How long a proxy may be without a server.
+/// Work that a warming server may receive over [`OVERLOAD_WINDOW`], as a multiple of its capacity.
+pub const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// Window over which the work and the capacity of a warming server are compared.
+pub const OVERLOAD_WINDOW: Micros = Micros(3_000_000);
+/// Maximum time for which a proxy may have no server to pick.
 pub const UNSERVED_LIMIT: Micros = Micros(5_000_000);
-/// The window in which one proxy may get a limited number of messages.
+/// Window of the limit on messages to one proxy.
 pub const UPDATE_WINDOW: Micros = Micros(10_000_000);
-/// How long proxies may pick a server that drains.
+/// How long proxies may pick a server after it starts to drain.
 const DRAIN_GRACE: Micros = Micros(2_000_000);
-/// The longest time that a message or an acknowledgement is on its way.
+/// Maximum transit time of a message or an acknowledgement.
 const MAX_DELAY: Micros = Micros(200_000);
-/// How long a health check takes.
+/// Duration of a health check.
 const HEALTH_CHECK_TIME: Micros = Micros(5000);
 
-/// What a run checks.
+/// The rules that a run checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Checks {
-    /// Only the limits of the channel.
+    /// The limits of the channel only.
     Channel,
-    /// Also what proxies hold, where the channel is fast enough for the rules on time.
+    /// Also the tables of proxies and the load of warming servers; the channel must be fast enough for the time limits.
     ChannelAndProxies,
 }
 
 pub const ZONES: [&str; 2] = ["a", "b"];
 
-/// A server, as it was last reported.
+/// State of a server as last reported.
 pub struct ServerState {
     pub lifecycle: Lifecycle,
     pub started_at: Option<Micros>,
@@ -70,19 +70,19 @@
     }
 }
 
-/// A proxy that dials.
-pub struct Dial {
+/// A scheduled reconnect of a proxy.
+pub struct Reconnect {
     pub at: Micros,
-    /// Whether it has lost what it held.
-    pub as_new: bool,
+    /// Whether the proxy has lost its tables.
+    pub has_lost_state: bool,
 }
 
 pub struct Simulation {
     pub conditions: Conditions,
     pub engine: Engine,
     pub now: Micros,
-    random: u64,
-    /// Lines that may wait in the channel.
+    random_state: u64,
+    /// Maximum number of lines queued in the channel.
     pub backlog: f64,
     pub lines_per_s: f64,
     pub drain_grace: Micros,
@@ -92,27 +92,27 @@
     pub arrivals: VecDeque<Arrival>,
     pub acknowledgements: VecDeque<PendingAcknowledgement>,
     pub proxies: Vec<ProxyState>,
-    pub dials: BTreeMap<u32, Dial>,
+    pub reconnects: BTreeMap<u32, Reconnect>,
     pub last_stream: u64,
     pub servers: BTreeMap<String, ServerState>,
-    /// Requests queued at every server.
+    /// Number of queued requests that every server reports.
     pub queued: f64,
-    /// Health checks that are held back, while they are.
-    pub held_checks: Option<Vec<HealthCheck>>,
-    /// How often each server has restarted.
+    /// Health checks whose results are deferred; `None` while they are reported at once.
+    pub deferred_checks: Option<Vec<HealthCheck>>,
+    /// Number of restarts of each server.
     pub restarts: BTreeMap<String, u16>,
-    /// What arrived at warming servers since proxies had to know of their start.
+    /// Load samples of each warming server from the time at which all proxies must know of its start.
     pub warm_up_samples: BTreeMap<String, VecDeque<WarmUpSample>>,
-    /// Work that arrives, as a multiple of what one server can do.
+    /// Arriving work as a multiple of the capacity of one server.
     pub demand: f64,
 }
 
-/// The zone of a proxy or server.
+/// Returns the zone of a proxy or server.
 pub fn zone_of(number: usize) -> String {
     ZONES[number % ZONES.len()].to_string()
 }
 
-/// Requests per second that arrive at a proxy.
+/// Returns the requests per second that arrive at a proxy.
 pub fn request_rate(proxy: usize) -> f64 {
     5.0 + (proxy % 7) as f64
 }
@@ -121,7 +121,7 @@
     names.iter().map(|name| name.to_string()).collect()
 }
 
-/// Settings for these conditions; at most `backlog` lines wait, and `lines_per_s` are sent in a second.
+/// Returns the settings for these conditions, with at most `backlog` queued lines and `lines_per_s` sent per second.
 fn settings(conditions: &Conditions, backlog: f64, lines_per_s: f64) -> Settings {
     let classes = CLASSES.map(|name| {
         json!({"name": name, "aimMs": 600, "hardLimitMs": 2000, "worth": 2,
@@ -135,7 +135,7 @@
             "levelKind": "fraction", "unservedMaxMs": UNSERVED_LIMIT.0 / 1000, "usualHow": 3,
             "messagesMost": conditions.max_messages, "updateWindowMs": UPDATE_WINDOW.0 / 1000},
         "guarantees": {"drainGraceMs": DRAIN_GRACE.0 / 1000, "coldMs": WARM_UP_TIME.0 / 1000, "coldFrom": WARM_UP_START,
-            "fallMultiple": FALL_MULTIPLE, "overloadForMs": FALL_WINDOW.0 / 1000},
+            "fallMultiple": OVERLOAD_MULTIPLE, "overloadForMs": OVERLOAD_WINDOW.0 / 1000},
         "limits": {"probes": true, "idleCloseMs": 15_000}, "weights": "rough",
         "report": {"source": "piggyback", "fields": ["queue"]},
     });
@@ -146,10 +146,10 @@
     pub fn new(conditions: Conditions) -> Simulation {
         let (proxies, servers) = (f64::from(conditions.proxies), f64::from(conditions.servers));
         let head_lines = f64::from(conditions.head_lines);
-        // No order is divided: a complete table to one proxy, and a server suspended at all of them, are the least there is.
+        // Orders are not divided: the backlog must fit a complete table for one proxy, and a suspension at all proxies.
         let table_lines = head_lines + 8.0 + 4.0 * (servers + f64::from(conditions.added_servers));
-        let least_backlog = (table_lines / 0.6).max(proxies * (head_lines + 2.0) / 0.85);
-        let backlog = (conditions.backlog * least_backlog).ceil();
+        let min_backlog = (table_lines / 0.6).max(proxies * (head_lines + 2.0) / 0.85);
+        let backlog = (conditions.backlog * min_backlog).ceil();
         let lines_per_s = (conditions.fleets_per_s * proxies * table_lines).ceil();
         let engine = Engine::new(
             settings(&conditions, backlog, lines_per_s),
@@ -161,7 +161,7 @@
             },
         );
         let mut simulation = Simulation {
-            random: conditions.seed,
+            random_state: conditions.seed,
             engine,
             now: Micros(1_000_000_000),
             backlog,
@@ -175,11 +175,11 @@
             proxies: (0..conditions.proxies)
                 .map(|_| ProxyState::default())
                 .collect(),
-            dials: BTreeMap::new(),
+            reconnects: BTreeMap::new(),
             last_stream: 0,
             servers: BTreeMap::new(),
             queued: 0.0,
-            held_checks: None,
+            deferred_checks: None,
             restarts: BTreeMap::new(),
             warm_up_samples: BTreeMap::new(),
             demand: servers,
@@ -187,30 +187,30 @@
         };
         simulation.add_servers(simulation.conditions.servers, None);
         for proxy in 0..simulation.conditions.proxies {
-            let dial = Dial {
+            let reconnect = Reconnect {
                 at: simulation.now,
-                as_new: true,
+                has_lost_state: true,
             };
-            simulation.dials.insert(proxy, dial);
+            simulation.reconnects.insert(proxy, reconnect);
         }
         simulation
     }
 
-    /// A number below `limit`, of a linear congruential generator.
+    /// Returns a number below `limit` from a linear congruential generator.
     pub fn draw(&mut self, limit: u64) -> u64 {
-        self.random = self
-            .random
+        self.random_state = self
+            .random_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.random >> 33) % limit.max(1)
+        (self.random_state >> 33) % limit.max(1)
     }
 
     pub fn report(&mut self, report: Report) {
-        // The engine refuses reports on streams that have ended, as it should.
+        // The engine correctly rejects reports on streams that have ended.
         let _ = self.engine.report(report);
     }
 
-    /// The endpoint of a server, as discovery delivers it.
+    /// Returns the endpoint of a server as discovery delivers it.
     pub fn endpoint(&self, name: &str) -> NamedEndpoint {
         let server = &self.servers[name];
         let number: usize = name[1..].parse().expect("a number");
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Changes servers, and reports the changes.
+    /// Changes servers and reports the changes.
     pub fn change_servers(
         &mut self,
         names: Vec<String>,
@@ -259,7 +259,7 @@
         self.change_servers(names, Lifecycle::InService, started_at);
     }
 
-    /// At most `max` servers of these lifecycles, drawn at random.
+    /// Returns at most `max` random servers with one of these lifecycles.
     pub fn draw_servers(&mut self, max: u32, lifecycles: &[Lifecycle]) -> Vec<String> {
         let mut names: Vec<String> = self
             .servers
@@ -274,7 +274,7 @@
         names
     }
 
-    /// The proxies that have a stream, by number.
+    /// Returns the proxies that have a stream, with their ids.
     pub fn joined_proxies(&self) -> impl Iterator<Item = (usize, &ProxyState)> {
         self.proxies
             .iter()
@@ -282,7 +282,7 @@
             .filter(|(_, proxy)| proxy.stream.is_some())
     }
 
-    /// A new stream of a proxy, which joins with it.
+    /// Reports that a proxy has opened a stream.
     pub fn report_stream_opened(&mut self, stream: StreamId, proxy: u32, has_no_table: bool) {
         self.report(Report::StreamOpened {
             stream,
@@ -293,7 +293,7 @@
         });
     }
 
-    /// Proxies and collectors report what arrived in the last second.
+    /// Reports the traffic of the last second, as proxies and collectors do.
     fn report_traffic(&mut self) {
         let load = LoadReport {
             queued: Some(self.queued),
@@ -323,12 +323,12 @@
         }
     }
 
-    /// The engine ticks; its health checks are answered, and its orders go into the channel.
+    /// Runs one tick of the engine, answers its health checks and queues its orders in the channel.
     fn tick(&mut self) -> Result<(), TestCaseError> {
         self.engine.tick(self.now);
         while let Some(check) = self.engine.take_health_check() {
-            match &mut self.held_checks {
-                Some(held_checks) => held_checks.push(check),
+            match &mut self.deferred_checks {
+                Some(deferred_checks) => deferred_checks.push(check),
                 None => self.report_health_check(check, HealthCheckOutcome::Passed),
             }
         }
@@ -361,7 +361,7 @@
         });
     }
 
-    /// Runs all steps, with these checks.
+    /// Runs all steps with these checks.
     pub fn run(&mut self, checks: Checks) -> Result<(), TestCaseError> {
         let mut disturbances = self.conditions.disturbances.clone().into_iter();
         let mut next_disturbance_step = FIRST_DISTURBANCE_STEP;
@@ -370,7 +370,7 @@
             self.send_messages();
             self.deliver();
             self.open_due_streams();
-            // Disturbances without a pause between them happen in one turn.
+            // Disturbances without a pause between them happen in the same tick.
             while step == next_disturbance_step {
                 let Some(next) = disturbances.next() else {
                     break;
@@ -397,7 +397,7 @@
                 .iter()
                 .all(|class| !proxy.tables.picks(class).is_empty());
             if is_served {
-                proxy.served_at = self.now;
+                proxy.last_served_at = self.now;
             }
         }
     }
--- a/crates/supervisor/tests/arrivals.rs
+++ b/crates/supervisor/tests/arrivals.rs
@@ -1,4 +1,4 @@
-//! Patterns of arriving bytes: one at a time, many messages in one segment, and connections that end at once.
+//! Arrival patterns of bytes: one at a time, many messages in one segment, and connections that are reset at once.
 
 mod common;
 
@@ -6,7 +6,7 @@
 
 use common::{joined, serving};
 
-/// Writes bytes one at a time, each in a segment of its own.
+/// Writes bytes one at a time, each in its own segment.
 async fn trickle(peer: &mut Peer, text: &str) {
     for byte in text.as_bytes() {
         assert!(peer.raw(&[*byte]).await, "the connection is open");
@@ -14,7 +14,7 @@
     }
 }
 
-/// The next line that is not an order.
+/// Returns the next line that is not an order.
 async fn next_answer(peer: &mut Peer) -> Option<String> {
     loop {
         let line = soon("an answer", peer.line()).await;
@@ -83,9 +83,9 @@
     );
 }
 
-/// Connections that are reset before they are read must not use up descriptors, or stop the listener.
+/// Connections that are reset before they are read must not leak descriptors or stop the listener.
 #[tokio::test]
-async fn connections_reset_right_after_they_were_accepted_harm_nobody() {
+async fn connections_reset_right_after_accept_do_not_affect_others() {
     let (_discovery, _servers, supervisor) = serving().await;
     for _ in 0..300 {
         Peer::connect(supervisor.address).await.reset();
@@ -94,7 +94,7 @@
     assert!(supervisor.alive().await);
 }
 
-/// A proxy that resets its stream right after its hello can join again, and gets its complete table.
+/// A proxy that resets its stream right after its hello can rejoin and gets its complete table.
 #[tokio::test]
 async fn a_stream_reset_right_after_its_hello_can_be_opened_again() {
     let (_discovery, _servers, supervisor) = serving().await;
--- a/crates/supervisor/tests/commands/lab.rs
+++ b/crates/supervisor/tests/commands/lab.rs
@@ -1,4 +1,4 @@
-//! Experiments from the command line.
+//! Simulations and experiments from the command line.
 
 use std::path::Path;
 
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn a_scenario_is_played_and_a_wrong_one_is_described() {
+async fn a_scenario_is_simulated_and_an_invalid_one_is_reported() {
     let directory = tempfile::tempdir().expect("a directory");
     let program = Program::new(PROGRAM, directory.path());
     let scenario = write_file(directory.path(), "s.txtpb", SCENARIO);
@@ -84,6 +84,6 @@
     let report = std::fs::read_to_string(report).expect("the report");
     assert!(
         report.contains("<svg") && !report.contains("http"),
-        "the report needs nothing from elsewhere"
+        "the report loads no external resources"
     );
 }
--- a/crates/supervisor/tests/commands/main.rs
+++ b/crates/supervisor/tests/commands/main.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes, one sentence for each fault, and the output.
+//! The command line: exit codes, one line per fault, and the output.
 
 mod lab;
 mod operator_config;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Writes a record for each of these seconds, learned a second later.
+/// Writes one record for each of these seconds, learned a second later.
 fn write_records(directory: &Path, supervisor: &str, seconds: Range<i64>) {
     let mut frames = Vec::new();
     for (second, seq) in seconds.zip(1..) {
--- a/crates/supervisor/tests/commands/operator_config.rs
+++ b/crates/supervisor/tests/commands/operator_config.rs
@@ -1,4 +1,4 @@
-//! The operators' file: what `check` finds, and what a start does with it.
+//! The operators' file: the faults that `check` finds, and its effect on the start.
 
 use std::time::Duration;
 
@@ -55,9 +55,9 @@
     );
 }
 
-/// If a missing disk prevented the start, proxies would be without a supervisor.
+/// A missing disk must not prevent the start, which would leave proxies without a supervisor.
 #[tokio::test]
-async fn without_a_usable_directory_it_serves_and_logs_that_once() {
+async fn an_unusable_records_directory_is_logged_once_and_does_not_stop_serving() {
     let directory = tempfile::tempdir().expect("a directory");
     let blocked = directory.path().join("file");
     std::fs::write(&blocked, "").expect("a file in the way");
@@ -98,9 +98,9 @@
     );
 }
 
-/// With an invalid operators' file it would start without the configured features.
+/// A supervisor with an invalid operators' file would run without the configured features.
 #[tokio::test]
-async fn a_wrong_operators_file_prevents_the_start() {
+async fn an_invalid_operators_file_prevents_the_start() {
     let directory = tempfile::tempdir().expect("a directory");
     let operator = directory.path().join("o.txtpb");
     std::fs::write(&operator, "records { directry: \"/x\" }").expect("a file");
--- a/crates/supervisor/tests/commands/records.rs
+++ b/crates/supervisor/tests/commands/records.rs
@@ -1,9 +1,9 @@
-//! Commands on records.
+//! The `records` commands.
 
 use crate::{run, utf8, write_records, Outcome};
 
 #[test]
-fn lists_and_exports_hold_what_is_requested() {
+fn lists_and_exports_contain_the_selected_records() {
     let directory = tempfile::tempdir().expect("a directory");
     let records = utf8(directory.path());
     write_records(&directory.path().join("n0"), "n0", 0..10);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn damage_is_found_and_named() {
+fn damage_is_found_and_reported() {
     let directory = tempfile::tempdir().expect("a directory");
     write_records(directory.path(), "n0", 0..50);
     assert_eq!(
--- a/crates/supervisor/tests/commands/usage.rs
+++ b/crates/supervisor/tests/commands/usage.rs
@@ -1,11 +1,11 @@
-//! Wrong usage, faults in arguments, and readers that stop.
+//! Wrong usage, invalid arguments, and output that is closed early.
 
 use std::process::Command;
 
 use crate::{run, utf8, write_records, Outcome, PROGRAM};
 
 #[test]
-fn wrong_usage_exits_with_2_and_a_fault_with_1_and_one_sentence() {
+fn wrong_usage_exits_with_2_and_a_fault_with_1_and_one_line() {
     for wrong in [
         &["nonsense"][..],
         &["records"],
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_closed_pipe_is_no_fault() {
+fn a_closed_pipe_is_not_an_error() {
     let directory = tempfile::tempdir().expect("a directory");
     write_records(directory.path(), "n0", 0..20_000);
     let line = format!(
--- a/crates/supervisor/tests/common/mod.rs
+++ b/crates/supervisor/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! A program, three servers and a proxy, for the tests of a supervisor over sockets. Not every test target uses all of it.
+//! Program, servers and proxies for the tests of a supervisor over sockets. Not every test target uses all of it.
 #![allow(dead_code)]
 
 use chutegrade_emulators::{config, Discovery, Manner, Program, Proxy, Server, Supervisor};
 
-/// The names of the three servers.
+/// Names of the three servers.
 pub const NAMES: [&str; 3] = ["s-1", "s-2", "s-3"];
 
-/// The program under test.
+/// Returns the program under test.
 pub fn program() -> Program {
     Program::new(
         env!("CARGO_BIN_EXE_chutegrade"),
@@ -14,7 +14,7 @@
     )
 }
 
-/// The three servers, all healthy.
+/// Starts the three servers, all healthy.
 pub async fn servers() -> Vec<Server> {
     let mut servers = Vec::new();
     for name in NAMES {
@@ -23,7 +23,7 @@
     servers
 }
 
-/// Discovery with three servers.
+/// Starts discovery with the three servers in service.
 pub async fn fleet() -> (Discovery, Vec<Server>) {
     let (discovery, servers) = (Discovery::start().await, servers().await);
     for server in &servers {
@@ -32,7 +32,7 @@
     (discovery, servers)
 }
 
-/// A supervisor that serves three servers from its known list.
+/// Starts a supervisor with the three servers in its cached endpoint list.
 pub async fn serving() -> (Discovery, Vec<Server>, Supervisor) {
     let (discovery, servers) = fleet().await;
     let supervisor = program()
@@ -48,7 +48,7 @@
         .all(|class| proxy.picks(class) == NAMES)
 }
 
-/// A proxy that has joined and holds its complete table.
+/// Joins a proxy and waits for its complete table.
 pub async fn joined(supervisor: &Supervisor, id: u32) -> Proxy {
     let mut proxy = Proxy::join(supervisor, id, true).await;
     proxy.applies("a complete table", has_all).await;
--- a/crates/supervisor/tests/crossings/connections.rs
+++ b/crates/supervisor/tests/crossings/connections.rs
@@ -4,7 +4,7 @@
 
 use crate::common::{fleet, program, NAMES};
 
-/// Connections to servers are reopened each second; a proxy that dials must still get a descriptor.
+/// Connections to servers are reopened each second; a proxy that connects must still get a descriptor.
 #[tokio::test]
 async fn idle_connections_are_closed_for_proxies() {
     let discovery = Discovery::start().await;
@@ -30,9 +30,8 @@
     assert!(supervisor.runs());
 }
 
-/// Only the server itself is withdrawn.
 #[tokio::test]
-async fn a_server_that_resets_every_health_check_harms_nobody_else() {
+async fn only_the_server_that_resets_every_health_check_is_withdrawn() {
     let script = Scripted::start().await;
     let (discovery, _servers) = fleet().await;
     discovery.set("s-4", script.address, "up");
--- a/crates/supervisor/tests/crossings/discovery.rs
+++ b/crates/supervisor/tests/crossings/discovery.rs
@@ -1,4 +1,4 @@
-//! Deliveries of the endpoint list that cross with failures, moves and health checks.
+//! Deliveries of the endpoint list that race with failures, address changes and health checks.
 
 use std::time::{Duration, Instant};
 
@@ -12,15 +12,15 @@
 /// The first part of a delivery.
 const PARTIAL_DELIVERY: &str =
     r#"{"index":42,"snapshot":false,"endpoints":[{"name":"s-1","status":"draining""#;
-/// A little more than the time for which a list with an older version is ignored.
+/// Slightly more than the time for which a list with an older version is ignored.
 const STALE_TIMEOUT: Duration = Duration::from_millis(6100);
 
-/// A server as discovery delivers it.
+/// Returns a server as discovery delivers it.
 fn endpoint(server: &Server, status: &str) -> Value {
     entry(server.name, server.address, status, 0)
 }
 
-/// The content of an unreadable endpoint would not be delivered again on a watch from a newer version.
+/// A watch from a newer version would not deliver the unreadable endpoint again.
 #[tokio::test]
 async fn a_delivery_with_an_unreadable_endpoint_is_requested_again() {
     let ScriptedFleet {
@@ -49,9 +49,9 @@
     applies_picks(&mut proxy, &["s-1"]).await;
 }
 
-/// A delivery that is malformed each time is used without its unreadable endpoints, and the next one is read.
+/// A delivery that is malformed each time is applied without its unreadable endpoints, and later deliveries are read.
 #[tokio::test]
-async fn a_permanently_unreadable_endpoint_holds_back_no_news() {
+async fn a_permanently_unreadable_endpoint_does_not_block_later_updates() {
     let ScriptedFleet {
         script,
         servers,
@@ -81,7 +81,7 @@
     script.asked_for("/api/targets?watch=1&from=43").await;
 }
 
-/// A complete list that lacks a removed server has to read as its removal although another endpoint is malformed.
+/// A complete list that lacks a server must remove it although another endpoint is malformed.
 #[tokio::test]
 async fn a_snapshot_with_a_malformed_endpoint_still_removes_missing_servers() {
     let ScriptedFleet {
@@ -105,9 +105,9 @@
     applies_picks(&mut proxy, &["s-1", "s-2"]).await;
 }
 
-/// The content of an unreadable endpoint is older than the version of the known list, so the watch starts from 0.
+/// The unreadable endpoint may be older than the version of the cached list, so the watch starts from 0.
 #[tokio::test]
-async fn a_partially_read_known_list_is_watched_from_the_first_version() {
+async fn a_partially_read_cached_list_is_watched_from_the_first_version() {
     let (script, servers) = (Scripted::start().await, servers().await);
     let in_service = entry("s-1", servers[0].address, "up", 0);
     let known = delivery(41, true, &[in_service, json!({"name": "s-2", "status": 7})]);
@@ -121,7 +121,7 @@
     script.asked_for("/api/targets?watch=1&from=0").await;
 }
 
-/// When the version count restarts, the changes that are finally accepted lack those that were ignored as stale.
+/// When the version count restarts, the changes that are accepted again lack those that were ignored as stale.
 #[tokio::test]
 async fn a_list_whose_version_count_restarts_is_fetched_completely() {
     let ScriptedFleet {
@@ -155,7 +155,7 @@
     applies_picks(&mut proxy, &["s-3"]).await;
 }
 
-/// With one silent watch after the other, changes would take longer than the 6 s that they may take.
+/// With one silent watch after the other, changes would exceed their limit of 6 s.
 #[tokio::test]
 async fn the_complete_list_is_fetched_after_a_silent_watch() {
     let ScriptedFleet {
@@ -179,9 +179,9 @@
         .await;
 }
 
-/// Discovery moves in the middle of a line, and again between the head of an answer and its body.
+/// The discovery address changes in the middle of a line, and again between the header of a response and its body.
 #[tokio::test]
-async fn requests_in_flight_are_dropped_when_discovery_moves() {
+async fn requests_in_flight_are_dropped_when_the_discovery_address_changes() {
     let ScriptedFleet {
         script,
         servers,
@@ -203,7 +203,7 @@
     configuration["discovery"] = json!(third.address.to_string());
     supervisor.reload(&configuration.to_string()).await;
     let mut request = third.asked_for(LIST_PATH).await;
-    // A malformed list is requested again, not watched from.
+    // A malformed list is requested again; no watch starts from it.
     request.answer(200, "{\"index\":4").await;
     let mut request = third.asked_for(LIST_PATH).await;
     let in_service = |position: usize| endpoint(&servers[position], "up");
@@ -229,8 +229,8 @@
     assert!(!proxy.picks("lookup").contains(&"s-1"));
 }
 
-/// The server is removed while its health check is in flight, and answers it afterwards; then it returns at another address
-/// with another start, in one delivery with the removal.
+/// The server is removed while its health check is in flight and answers it afterwards. Then it returns at another
+/// address with another start time, in the same delivery as the removal.
 #[tokio::test]
 async fn a_server_removed_during_its_health_check_returns_at_another_address() {
     let (script, servers) = (Scripted::start().await, servers().await);
--- a/crates/supervisor/tests/crossings/main.rs
+++ b/crates/supervisor/tests/crossings/main.rs
@@ -1,5 +1,5 @@
-//! Races between two events, each forced: the process is stopped while both arrive, or a peer of the test holds one back
-//! until the other has happened. `docs/crossings.md` lists what has to hold in each.
+//! Races between two events, each forced: the process is stopped while both arrive, or a peer of the test delays one
+//! until the other has happened. `docs/crossings.md` lists the requirements for each.
 
 mod connections;
 mod discovery;
@@ -17,12 +17,12 @@
 
 use common::{program, servers};
 
-/// The path of a watch from the known version of a scripted fleet.
+/// Path of a watch from the cached version of a scripted fleet.
 const WATCH_PATH: &str = "/api/targets?watch=1&from=41";
-/// The path of the complete list.
+/// Path of the complete list.
 const LIST_PATH: &str = "/api/targets";
 
-/// A scripted discovery, three servers, and a supervisor whose known list has them as version 41.
+/// A scripted discovery, three servers, and a supervisor whose cached endpoint list has them at version 41.
 struct ScriptedFleet {
     script: Scripted,
     servers: Vec<Server>,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Applies orders until a proxy may pick exactly these servers for every class.
+/// Applies orders until the proxy may pick exactly these servers for every class.
 async fn applies_picks(proxy: &mut Proxy, picks: &[&str]) {
     proxy
         .applies(&format!("{picks:?}"), |proxy| {
@@ -60,14 +60,14 @@
         .await;
 }
 
-/// The next line on a stream, without acknowledging it.
+/// Returns the next line on a stream without acknowledging it.
 async fn next_line(peer: &mut Peer) -> String {
     soon("an order", peer.line())
         .await
         .expect("the stream is open")
 }
 
-/// The sequence number that an order asks to acknowledge.
+/// Returns the sequence number of an order.
 fn sequence_number(order: &str) -> &str {
     order.split("stamp=").nth(1).expect("a sequence number")
 }
--- a/crates/supervisor/tests/crossings/settings.rs
+++ b/crates/supervisor/tests/crossings/settings.rs
@@ -6,7 +6,7 @@
 use crate::applies_picks;
 use crate::common::{fleet, joined, program};
 
-/// A reload of keys that take effect only at a start logs that, and changes nothing.
+/// A reload of keys that take effect only at a start logs this and changes nothing.
 #[tokio::test]
 async fn a_reload_of_settings_requires_a_restart() {
     let (discovery, servers) = fleet().await;
@@ -28,9 +28,9 @@
         .await;
 }
 
-/// Killed or terminated, a run leaves no files that the next one could read.
+/// A run that is killed or terminated leaves no files that the next one could read.
 #[tokio::test]
-async fn a_run_leaves_nothing_behind() {
+async fn a_run_leaves_no_files() {
     let scratch = tempfile::tempdir().expect("a directory");
     let (discovery, _servers) = fleet().await;
     let program = program().with_scratch(scratch.path());
--- a/crates/supervisor/tests/crossings/shutdown.rs
+++ b/crates/supervisor/tests/crossings/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals that race with the start, with peers and with requests in flight.
+//! Signals that race with the start, with peers, and with requests in flight.
 
 use chutegrade_emulators::{config, delivery, entry, until, Discovery, Peer, Scripted, Supervisor};
 use serde_json::{json, Value};
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn a_shutdown_while_the_configuration_is_read_is_orderly() {
+async fn a_shutdown_while_the_configuration_is_read_is_graceful() {
     let (discovery, _servers) = fleet().await;
     let paused = program().start_held().await;
     paused.signals(&["-TERM"]).await;
@@ -40,7 +40,7 @@
     );
 }
 
-/// Connections whose `probe` was answered, half of them collectors.
+/// Opens connections and awaits the answer to their `probe`; half of them are collectors.
 async fn answered_peers(supervisor: &Supervisor) -> Vec<Peer> {
     let mut peers = Vec::new();
     for number in 0..8 {
@@ -55,7 +55,7 @@
     peers
 }
 
-/// Connections that have sent `probe` to a stopped process, which are established but not accepted.
+/// Opens connections to a stopped process and sends `probe`: they are established but not accepted.
 async fn connections_not_accepted(supervisor: &Supervisor) -> Vec<Peer> {
     let mut peers = Vec::new();
     for _ in 0..4 {
@@ -66,7 +66,7 @@
     peers
 }
 
-/// An answered probe means that proxies may be sent to the supervisor, which would be wrong while it shuts down.
+/// An answered `probe` means that proxies may be directed to the supervisor, which would be wrong while it shuts down.
 #[tokio::test]
 async fn probes_are_not_answered_after_sigterm() {
     let (discovery, servers, mut supervisor) = serving().await;
@@ -113,7 +113,7 @@
     );
 }
 
-/// A proxy that does not read gets a part of an order. It ends within a line, so it does not count as a message.
+/// A proxy that does not read receives only part of an order. It ends within a line, so it does not count as a message.
 #[tokio::test]
 async fn a_partially_written_order_ends_with_its_connection() {
     let (discovery, script) = (Discovery::start().await, Scripted::start().await);
--- a/crates/supervisor/tests/crossings/streams.rs
+++ b/crates/supervisor/tests/crossings/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of a proxy that cross with orders, acknowledgements and one another.
+//! Streams of a proxy that race with orders, acknowledgements and one another.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::common::{fleet, has_all, joined, program, serving};
 use crate::{applies_picks, next_line, sequence_number};
 
-/// A proxy that still reports but applies no order would keep its old tables, and removed servers, forever.
+/// A proxy that reports demand but applies no orders would otherwise keep its old tables and removed servers forever.
 #[tokio::test]
 async fn demand_reports_do_not_replace_acknowledgements() {
     let (_discovery, _servers, supervisor) = serving().await;
@@ -61,7 +61,7 @@
 
 /// Several streams of one proxy and a drain arrive in one tick; the older streams are reset or left open.
 #[tokio::test]
-async fn the_newest_of_several_streams_wins_and_gets_the_drain() {
+async fn the_newest_of_several_streams_is_used_and_gets_the_drain() {
     let (discovery, servers, supervisor) = serving().await;
     until("a watch", || discovery.opened() == 1).await;
     let mut proxy = joined(&supervisor, 0).await;
@@ -94,7 +94,7 @@
     applies_picks(&mut proxy, &["s-1"]).await;
 }
 
-/// An order that was taken for a stream and lost with it is sent again, complete, on the next.
+/// An order that was lost with its stream is sent again on the next one, as a complete table.
 #[tokio::test]
 async fn an_order_lost_with_its_stream_is_sent_on_the_next() {
     let (discovery, servers, supervisor) = serving().await;
@@ -112,7 +112,7 @@
     applies_picks(&mut proxy, &["s-1", "s-3"]).await;
 }
 
-/// A proxy goes to another supervisor and comes back with what either had suspended.
+/// A proxy joins another supervisor and returns, each time with the suspensions of the previous one.
 #[tokio::test]
 async fn servers_suspended_by_two_supervisors_are_resumed_by_either() {
     let (discovery, servers, first) = serving().await;
@@ -136,7 +136,7 @@
         .await;
 }
 
-/// To execute nothing twice, each complete table carries the retry policy of the unsafe class.
+/// Each complete table includes the retry policy of the unsafe class, so that no request is executed twice.
 #[tokio::test]
 async fn a_complete_table_always_has_the_retry_policy() {
     let (discovery, _servers) = fleet().await;
--- a/crates/supervisor/tests/incident.rs
+++ b/crates/supervisor/tests/incident.rs
@@ -1,4 +1,4 @@
-//! The scripted incident against the program: records and report show what happened, in true order, and nothing else.
+//! The scripted incident against the program: records and report show exactly what happened, in the true order.
 
 use std::path::Path;
 
@@ -16,7 +16,7 @@
     timeline.span().expect("records")
 }
 
-/// What happened, as the report should show it.
+/// Returns the text with which the report should show an event, if it is checked.
 fn report_text(truth: &Truth) -> Option<String> {
     match &truth.deed {
         Deed::Drains { server } => Some(format!("{server} draining")),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Asserts that the records agree with what happened, in the true order.
+/// Asserts that the records agree with the ground truth, in the true order.
 fn assert_agrees(timeline: &Timeline, truth: &[Truth]) {
     let (events, gaps) = timeline.read(&Query::default());
     let faults = compare(truth, &events, &gaps, &SUPERVISORS);
@@ -68,11 +68,11 @@
     }
     assert!(
         report.contains("<td>crash</td>"),
-        "the crash is in the list of what is not known"
+        "the report lists the crash as a gap"
     );
 }
 
-async fn assert_records_are_sound(tools: &Program, records: &Path) {
+async fn assert_records_verify(tools: &Program, records: &Path) {
     let (code, output, _) = tools.tool(&["records", "verify", utf8(records)]).await;
     assert_eq!(
         (code, output.matches(": sound").count()),
@@ -102,7 +102,7 @@
     assert_eq!(
         stage.fleet.ran_twice(),
         0,
-        "a request that must not run twice did"
+        "a request that must not be executed twice was"
     );
 
     let records = stage.records();
@@ -113,6 +113,6 @@
 
     let tools = Program::new(program, directory.path());
     assert_report_shows(&tools, &records, directory.path(), &truth).await;
-    assert_records_are_sound(&tools, &records).await;
+    assert_records_verify(&tools, &records).await;
     assert_console_shows_the_middle(&tools, &records, span_of(&timeline)).await;
 }
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -1,5 +1,5 @@
-//! Service levels over sockets: load rises and falls across the threshold, a supervisor restarts while a level is in force,
-//! and the ladder is replaced while one is; every change is recorded with its cause, and no rule is broken.
+//! Service levels over sockets: load rises and falls across the threshold, a supervisor restarts while a level is in
+//! force, and the levels are replaced while one is; every change is recorded with its cause, and no rule is broken.
 
 use std::path::Path;
 use std::time::Duration;
@@ -18,12 +18,12 @@
     leave { all { signal: SATURATION below: 0.3 for_s: 2 } } least_stay_s: 4 tell: \"desk\" } }\n\
     adaptive { rule: CAPACITY } repeats {} fairness {} }";
 
-/// Demand that enters the level, as a multiple of the normal one.
+/// Demand at which the level is entered, as a multiple of the normal demand.
 const HIGH_DEMAND: f64 = 6.0;
-/// Demand that leaves the level.
+/// Demand at which the level is left, as a multiple of the normal demand.
 const NORMAL_DEMAND: f64 = 1.0;
 
-/// What a supervisor has recorded.
+/// Returns what a supervisor has recorded.
 fn recorded_kinds(stage: &Stage, supervisor: &str) -> Vec<Kind> {
     let timeline = Timeline::open(&[stage.records().join(supervisor)]).expect("records");
     let (events, _) = timeline.read(&Query::default());
@@ -33,7 +33,7 @@
         .collect()
 }
 
-/// The changes of the service level that a supervisor has recorded.
+/// Returns the changes of the service level that a supervisor has recorded.
 fn recorded_changes(stage: &Stage, supervisor: &str) -> Vec<pb::ServiceLevel> {
     let change = |kind| match kind {
         Kind::ServiceLevel(change) => Some(change),
@@ -66,7 +66,8 @@
     })
 }
 
-/// Raises and lowers the load; a supervisor that is killed while a level is in force restores it from its records.
+/// Raises and lowers the load. A supervisor that is killed while a level is in force restores the level from its
+/// records.
 async fn restart_while_a_level_is_in_force(stage: &mut Stage) {
     sleep(Duration::from_secs(3)).await;
     stage.fleet.demand(HIGH_DEMAND);
@@ -94,22 +95,22 @@
     assert!(stage.alive().await);
 }
 
-/// Replaces the ladder by an invalid one, then by one without the level in force.
-async fn replace_the_ladder(stage: &mut Stage, operator: &Path) {
+/// Replaces the service levels by invalid ones, then by valid ones without the level in force.
+async fn replace_the_levels(stage: &mut Stage, operator: &Path) {
     stage.fleet.demand(HIGH_DEMAND);
     until("reduced again", || has_entered(stage, "n0", 2)).await;
     let text = std::fs::read_to_string(operator).expect("the file");
-    std::fs::write(operator, text.replace("leave {", "leaves {")).expect("a wrong file");
+    std::fs::write(operator, text.replace("leave {", "leaves {")).expect("an invalid file");
     stage.reload().await;
     stage
         .logs(1, &["new limits rejected, the old ones stay"])
         .await;
-    let other_ladder = text
+    let other_levels = text
         .replace("fewer lookups", "few lookups")
         .replace("keep: 0.3", "keep: 0.2");
-    std::fs::write(operator, other_ladder).expect("another ladder");
+    std::fs::write(operator, other_levels).expect("other levels");
     stage.reload().await;
-    until("the ladder is replaced", || {
+    until("the levels are replaced", || {
         recorded_changes(stage, "n0")
             .iter()
             .any(|change| change.to == "few lookups" && change.reason == "ladder replaced")
@@ -134,7 +135,8 @@
     }
 }
 
-/// The shedding of the level reached the tables, for the class of higher priority weight no more than for the other.
+/// Asserts that the tables reflect the shedding of the level, which affects the class with the higher priority weight
+/// no more than the other.
 fn assert_shedding_reached_the_tables(stage: &Stage) {
     let lowest = |class: &str| {
         let level = |kind| match kind {
@@ -204,7 +206,7 @@
     let operator = directory.path().join("operator.txtpb");
     let mut stage = Stage::set_with(Path::new(PROGRAM), directory.path(), 5, LIMITS).await;
     restart_while_a_level_is_in_force(&mut stage).await;
-    replace_the_ladder(&mut stage, &operator).await;
+    replace_the_levels(&mut stage, &operator).await;
     assert_eq!(stage.end().await, [Some(0), Some(0)]);
     assert_eq!(stage.fleet.broken(20), Vec::<String>::new());
     assert_eq!(stage.fleet.ran_twice(), 0);
@@ -213,9 +215,10 @@
     assert_commands_explain_the_levels(directory.path(), &stage.records(), &operator).await;
 }
 
-/// The default ladder derives from the classes of the configuration; without one, the error names the missing option.
+/// The default service levels are derived from the classes of the configuration; without it, the error names the
+/// missing option.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_default_ladder_needs_the_classes() {
+async fn the_default_service_levels_require_the_classes() {
     let directory = tempfile::tempdir().expect("a directory");
     let operator = directory.path().join("operator.txtpb");
     std::fs::write(&operator, "limits { ladder { usual: true } }").expect("a file");
--- a/crates/supervisor/tests/plugins.rs
+++ b/crates/supervisor/tests/plugins.rs
@@ -1,4 +1,4 @@
-//! Plug-ins over sockets: their advice reaches proxies, and hostile ones harm nobody.
+//! Plug-ins over sockets: their advice reaches proxies, and hostile ones affect neither supervisors nor proxies.
 
 #[path = "../../plugins/tests/corpus/mod.rs"]
 mod corpus;
@@ -24,7 +24,7 @@
     path
 }
 
-/// The section of the operators' file that names these texts.
+/// Returns the section of the operators' file that loads these files.
 fn plugins_section(files: &[PathBuf]) -> String {
     let mut section = "plugins {".to_string();
     for file in files {
@@ -33,7 +33,7 @@
     section + " }"
 }
 
-/// What all supervisors have recorded.
+/// Returns what all supervisors have recorded.
 fn recorded_kinds(stage: &Stage) -> Vec<Kind> {
     let timeline = Timeline::open(&[stage.records()]).expect("records");
     let (events, _) = timeline.read(&Query::default());
@@ -64,9 +64,9 @@
 const AUDIT: &str = "plugin \"audit\" version 1 host 1\nsteers \"order\"\n\
     hook factor(server, class, zone) { if class.name == \"order\" and server.name == \"s-a2\" { return 0 } return 1 }";
 
-/// One class is routed around a server, the others are not, until the plug-in is replaced at SIGHUP; a wrong text is
-/// rejected. Health checks are off: on a shared machine they may take so long that the fleet counts as saturated, and then
-/// advice on servers is void.
+/// One class is routed around a server and the others are not, until the plug-in is replaced at SIGHUP; an invalid one
+/// is rejected. Health checks are off: on a loaded machine they may be so slow that the fleet counts as saturated,
+/// which makes advice on servers void.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_class_is_routed_around_a_server_until_the_plugin_is_replaced() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -86,7 +86,10 @@
     stage.reload().await;
     stage.logs(1, &["plug-ins rejected", "no name"]).await;
     sleep(Duration::from_secs(3)).await;
-    assert!(none_picks(&stage, "order", "s-a2"), "the old rule holds");
+    assert!(
+        none_picks(&stage, "order", "s-a2"),
+        "the old rule stays in force"
+    );
 
     let replacement = AUDIT
         .replace("version 1", "version 2")
@@ -128,7 +131,7 @@
     );
 }
 
-/// Asserts that the commands find the advice in the records, and can try the plug-in without a supervisor.
+/// Asserts that the commands find the advice in the records, and run the plug-in without a supervisor.
 async fn assert_commands_show_the_advice(directory: &Path, stage: &Stage, file: &Path) {
     let tools = Program::new(PROGRAM, directory);
     let file = file.display().to_string();
@@ -170,7 +173,7 @@
     );
 }
 
-/// Writes the hostile plug-ins that compile, at most as many as can be loaded.
+/// Writes hostile plug-ins that compile, up to the maximum that can be loaded.
 fn write_hostile_plugins(directory: &Path) -> Vec<PathBuf> {
     let bodies = corpus::ADVISED.iter().chain(&corpus::STOPPED);
     bodies
@@ -186,7 +189,7 @@
         .collect()
 }
 
-/// Drains, fails and restarts servers, and reloads, while the supervisors have to answer each second.
+/// Drains, fails and restarts servers and reloads, and checks each second that the supervisors respond.
 async fn disturb_the_fleet(stage: &Stage) {
     for second in 0..24 {
         match second {
@@ -213,11 +216,11 @@
 }
 
 fn assert_hostile_plugins_were_contained(kinds: &[Kind]) {
-    let count_said = |what: &str| {
-        let said = |kind: &&Kind| matches!(kind, Kind::PluginSaid(said) if said.what == what);
-        kinds.iter().filter(said).count()
+    let count_events = |what: &str| {
+        let is_match = |kind: &&Kind| matches!(kind, Kind::PluginSaid(event) if event.what == what);
+        kinds.iter().filter(is_match).count()
     };
-    let (faults, pauses) = (count_said("fault"), count_said("paused"));
+    let (faults, pauses) = (count_events("fault"), count_events("paused"));
     assert!(
         faults >= 40 && pauses >= 20,
         "{faults} faults, {pauses} pauses"
@@ -225,11 +228,11 @@
     let any = |predicate: fn(&Kind) -> bool| kinds.iter().any(predicate);
     assert!(
         any(|kind| matches!(kind, Kind::AdviceVoid(advice) if advice.void)),
-        "a veto of all is void"
+        "advice against all servers is void"
     );
     assert!(
         !any(|kind| matches!(kind, Kind::Level(level) if level.retry > 1)),
-        "no retry without proof"
+        "no retry without proof that the request was not executed"
     );
     assert!(
         !any(|kind| matches!(kind, Kind::ReportsDropped(_))),
@@ -237,7 +240,7 @@
     );
 }
 
-/// With hostile plug-ins loaded, all rules hold, the supervisors answer and tick in time, and no report is lost.
+/// With hostile plug-ins loaded, all rules hold, supervisors respond and tick in time, and no report is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn hostile_plugins_break_no_rule() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -262,7 +265,7 @@
 const FORMATTED: &str = "plugin \"w\" version 1 host 1\nhook turn() {\n    note(\"x\")\n}\n";
 
 #[tokio::test]
-async fn the_commands_describe_faults() {
+async fn the_commands_report_faults() {
     let directory = tempfile::tempdir().expect("a directory");
     let program = Program::new(PROGRAM, directory.path());
     let wrong = write_plugin(directory.path(), "wrong", WRONG);
--- a/crates/supervisor/tests/recorded.rs
+++ b/crates/supervisor/tests/recorded.rs
@@ -1,6 +1,6 @@
-//! Records written by an earlier build (4813afa, `make incident`) read the same today. What `records verify` and `export`
-//! print of them is compared with what that build printed, but for the wording of events; what `records list` prints has
-//! today's wording.
+//! Records written by an earlier build (4813afa, `make incident`) are still read correctly. The output of `records
+//! verify` and `records export` is compared with that of the earlier build, except for the wording of events; the
+//! expected output of `records list` has the current wording.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -9,7 +9,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_chutegrade");
 
-/// The recorded incident with the output of the build that wrote it.
+/// Returns the directory with the recorded incident and the expected output.
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/incident")
 }
@@ -18,7 +18,7 @@
     std::fs::read_to_string(fixture().join(name)).expect("an expected output")
 }
 
-/// Copies the records, since readers may write an index beside them.
+/// Copies the records, since reading may write index files next to them.
 fn copied_records(target: &Path) {
     for supervisor in ["n0", "n1"] {
         let from = fixture().join("records").join(supervisor);
@@ -31,7 +31,7 @@
     }
 }
 
-/// What `chutegrade records` prints on a fresh copy of the records.
+/// Returns the output of `chutegrade records` on a fresh copy of the records.
 fn records(arguments: &[&str]) -> String {
     let directory = tempfile::tempdir().expect("a directory");
     copied_records(directory.path());
@@ -45,7 +45,7 @@
     String::from_utf8(output.stdout).expect("text")
 }
 
-/// One exported row without the sentence that describes it, which may be reworded.
+/// Returns an exported row without its description, whose wording may change.
 fn row_without_wording(line: &str) -> Value {
     let mut row: Value = serde_json::from_str(line).expect(line);
     let wording = row.as_object_mut().and_then(|fields| fields.remove("text"));
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn records_of_an_earlier_build_verify_as_sound() {
+fn records_of_an_earlier_build_verify_without_faults() {
     assert_eq!(records(&["verify", "records"]), expected("verify.txt"));
 }
 
 #[test]
-fn records_of_an_earlier_build_list_as_they_did() {
+fn records_of_an_earlier_build_list_the_expected_events() {
     assert_eq!(records(&["list", "records"]), expected("list.txt"));
 }
 
--- a/crates/supervisor/tests/serving/connections.rs
+++ b/crates/supervisor/tests/serving/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that are not identified, too many, or rejected.
+//! Unidentified, excess and rejected connections.
 
 use chutegrade_emulators::{config, until, Peer};
 
@@ -26,7 +26,7 @@
     joined(&supervisor, 0).await;
 }
 
-/// A supervisor that spins or stops accepting when no descriptor is left would serve nobody afterwards.
+/// The supervisor must not spin or stop accepting connections when no descriptor is left.
 #[tokio::test]
 async fn it_recovers_from_running_out_of_descriptors() {
     let (discovery, _servers) = fleet().await;
@@ -65,7 +65,7 @@
     assert_eq!(collectors[4].line().await.as_deref(), Some("alive"));
 }
 
-/// With half a line, nothing, or endless probes, an unidentified connection gets the reason and is closed.
+/// A connection that sends half a line, nothing or only `probe` lines gets the reason and is closed.
 #[tokio::test]
 async fn an_unidentified_connection_is_rejected_in_time() {
     let (_discovery, _servers, supervisor) = serving().await;
@@ -95,7 +95,7 @@
     assert!(supervisor.alive().await);
 }
 
-/// The message must be sent before the close: unread input would turn the close into a reset, which may discard it.
+/// Closing a connection with unread input resets it, which may discard the message with the reason.
 #[tokio::test]
 async fn a_rejected_connection_gets_the_reason() {
     let (_discovery, _servers, supervisor) = serving().await;
--- a/crates/supervisor/tests/serving/discovery.rs
+++ b/crates/supervisor/tests/serving/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: watches, other agents, and restarts without discovery.
+//! The endpoint list: watches, changes of the agent, and restarts without discovery.
 
 use chutegrade_emulators::{config, until, Discovery, Supervisor};
 use serde_json::{json, Value};
@@ -50,9 +50,9 @@
         .await;
 }
 
-/// Where the list is requested, the engine subscribes, is notified of the failure, and subscribes again.
+/// In the `subscribe` mode the engine requests the list; after a failed subscription it subscribes again.
 #[tokio::test]
-async fn a_broken_subscription_is_renewed_where_the_list_is_requested() {
+async fn a_broken_subscription_is_renewed() {
     let (discovery, servers) = fleet().await;
     let mut configuration = config(&discovery, None, 1024);
     configuration["settings"]["discovery"] = json!("subscribe");
@@ -69,7 +69,7 @@
         .await;
 }
 
-/// Reloads twice, with different agents, while the process is stopped: the last file counts.
+/// Reloads twice with different agents while the process is stopped; the last file takes effect.
 async fn reload_twice_at_once(
     supervisor: &Supervisor,
     configuration: &mut Value,
@@ -92,7 +92,7 @@
     until("a watch at the last address", || last.opened() == 1).await;
 }
 
-/// Reloads a file that can't be read, and one with a change that takes effect only at a start.
+/// Reloads a file that can't be parsed, and one with a change that takes effect only at a start.
 async fn reload_without_effect(supervisor: &Supervisor, configuration: &mut Value) {
     supervisor
         .reload("{\"discovery\": \"127.0.0.1:9\", \"settings\"")
@@ -103,9 +103,9 @@
     supervisor.logs(1, &["reloaded", "limits"]).await;
 }
 
-/// SIGHUP would end a program without a handler, and the environment keeps the old address.
+/// SIGHUP would end a program without a handler, and the environment still has the old address.
 #[tokio::test]
-async fn a_reload_moves_it_to_another_discovery_agent() {
+async fn a_reload_switches_to_another_discovery_agent() {
     let (discovery, servers) = fleet().await;
     let mut configuration = config(&discovery, Some(discovery.list()), 1024);
     let mut supervisor = program().start_with_env(&configuration).await;
@@ -148,7 +148,7 @@
     assert_eq!(supervisor.terminate().await, Some(0));
 }
 
-/// An agent that lags behind the last one reports a draining server as in service.
+/// An agent that lags behind the previous one reports a draining server as in service.
 #[tokio::test]
 async fn a_stale_agent_reverts_nothing() {
     let (discovery, servers) = fleet().await;
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test]
-async fn a_restart_serves_from_the_known_list_while_discovery_is_down() {
+async fn a_restart_serves_from_the_cached_list_while_discovery_is_down() {
     let (discovery, _servers) = fleet().await;
     let known = discovery.list();
     let first = program()
--- a/crates/supervisor/tests/serving/health_checks.rs
+++ b/crates/supervisor/tests/serving/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers that answer badly.
+//! Health checks of servers with faulty responses.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use crate::common::program;
 
 #[tokio::test]
-async fn servers_with_bad_answers_harm_nothing() {
+async fn servers_with_faulty_responses_do_not_disrupt_serving() {
     let discovery = Discovery::start().await;
     let mut servers = Vec::new();
     for (name, manner) in [
--- a/crates/supervisor/tests/serving/lifecycle.rs
+++ b/crates/supervisor/tests/serving/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The start with an invalid configuration, and the end at SIGTERM.
+//! The start with an invalid configuration, and the shutdown at SIGTERM.
 
 use chutegrade_emulators::{config, Discovery, Peer};
 use serde_json::json;
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn an_invalid_configuration_fails_with_one_sentence() {
+async fn an_invalid_configuration_fails_with_one_log_line() {
     let discovery = Discovery::start().await;
     let complete = config(&discovery, None, 1024);
     let mut no_settings = complete.clone();
--- a/crates/supervisor/tests/serving/main.rs
+++ b/crates/supervisor/tests/serving/main.rs
@@ -1,4 +1,4 @@
-//! The program over sockets: the tests start it, act as its peers, and check its log.
+//! The program over sockets: tests start it, act as its peers, and check its log.
 
 mod connections;
 mod discovery;
--- a/crates/supervisor/tests/serving/malformed_input.rs
+++ b/crates/supervisor/tests/serving/malformed_input.rs
@@ -6,12 +6,12 @@
 
 use crate::common::{joined, serving};
 
-/// Input that ends its connection.
+/// Input that closes its connection.
 struct MalformedInput {
     pieces: Vec<Vec<u8>>,
-    /// The kind of peer that the log names.
+    /// Kind of the peer in the log.
     peer_kind: &'static str,
-    /// The code of the reason that the log names.
+    /// Code of the reason in the log.
     code: &'static str,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Input of connections that have not identified themselves.
+/// Input of unidentified connections.
 fn unidentified_inputs() -> Vec<MalformedInput> {
     let long_line = "x".repeat(5000);
     let inputs: [(&str, &[u8]); 7] = [
@@ -47,7 +47,7 @@
         .into()
 }
 
-/// Input of peers that have identified themselves.
+/// Input of identified peers.
 fn peer_inputs() -> Vec<MalformedInput> {
     let many_reports = "outcomes site=a target=s-1 count=-1 over=1\r\n".repeat(100);
     let hello = b"hello id=4 site=a rps=1 new=1\r\n";
@@ -84,7 +84,7 @@
     let mut inputs = unidentified_inputs();
     inputs.extend(peer_inputs());
     assert_each_closes_its_connection(&supervisor, inputs).await;
-    // Half a line, then the end.
+    // A truncated line at the end of the connection.
     let mut truncated = Peer::connect(supervisor.address).await;
     truncated.raw(b"agent si").await;
     drop(truncated);
@@ -108,7 +108,7 @@
     assert_eq!(supervisor.logged(&["connection ended", "0@a"]), 0);
 }
 
-/// Closing a connection for one bad field would lose its good messages, and cut a proxy off from new tables.
+/// Closing a connection for one invalid field would lose its valid messages, and new tables would not reach the proxy.
 #[tokio::test]
 async fn a_malformed_message_is_skipped_and_its_connection_stays() {
     let (discovery, servers, supervisor) = serving().await;
--- a/crates/supervisor/tests/serving/streams.rs
+++ b/crates/supervisor/tests/serving/streams.rs
@@ -1,4 +1,4 @@
-//! Proxies' streams: orders, replacements and timeouts.
+//! Streams of proxies: orders, replacements and timeouts.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -63,7 +63,7 @@
             .await;
         assert!(!proxy.picks("order").contains(&"s-2"));
     }
-    // A proxy that joins now, with the old table, must not go there either.
+    // A proxy that joins later with the old table must not use the server either.
     let mut late_proxy = Proxy::join(&supervisor, 5, false).await;
     late_proxy
         .applies("a table without it", |proxy| {
@@ -72,9 +72,9 @@
         .await;
 }
 
-/// Suspensions stay with a proxy across streams; those of another supervisor would otherwise stay forever.
+/// A proxy keeps suspensions across streams; those of another supervisor would otherwise never end.
 #[tokio::test]
-async fn servers_withheld_by_another_supervisor_are_resumed() {
+async fn servers_suspended_by_another_supervisor_are_resumed() {
     let (_discovery, _servers, supervisor) = serving().await;
     let mut proxy = Proxy::join(&supervisor, 1, false).await;
     proxy.dropped.extend(["s-1".to_string(), "s-3".to_string()]);
@@ -82,11 +82,11 @@
 }
 
 #[tokio::test]
-async fn a_proxy_that_does_not_read_delays_nobody() {
+async fn a_proxy_that_does_not_read_does_not_delay_others() {
     let (discovery, servers, supervisor) = serving().await;
     let mut stalled = Proxy::join(&supervisor, 0, true).await;
     let mut other = joined(&supervisor, 1).await;
-    // Megabytes of reports from a proxy that reads nothing are still read.
+    // Megabytes of reports from a proxy that does not read are still processed.
     let reports = "demand id=0 lane=lookup count=4 fail=0 over=200.0\r\n".repeat(40_000);
     assert!(stalled.peer.raw(reports.as_bytes()).await);
     discovery.set("s-1", servers[0].address, "draining");
@@ -118,8 +118,8 @@
         .await;
 }
 
-/// A stream counts as silent only once something is due: demand is reported every period by a proxy that has reported it
-/// before.
+/// A stream counts as silent only if a message is due: a proxy that has reported demand before must report it every
+/// period.
 #[tokio::test]
 async fn a_silent_stream_is_closed() {
     let (_discovery, _servers, supervisor) = serving().await;
@@ -140,18 +140,18 @@
     assert!(supervisor.alive().await);
 }
 
-/// Where few requests arrive at each of many proxies, most have none to report in most periods, and must not lose their
-/// streams for it. After a pause of 2 s, this stream may be idle for 7 s; that of a busy proxy is closed after 5 s.
+/// A proxy with few requests has none to report in most periods and must not lose its stream for that. After a pause of
+/// 2 s, this stream may be idle for 7 s; that of a busy proxy is closed after 5 s.
 #[tokio::test]
 async fn a_proxy_with_few_requests_keeps_its_stream() {
     let (_discovery, _servers, supervisor) = serving().await;
     let mut proxy = joined(&supervisor, 0).await;
     sleep(Duration::from_secs(2)).await;
     proxy.demand().await;
-    // A weight that changes meanwhile brings an order, which it acknowledges like any proxy.
+    // If a weight changes meanwhile, an order arrives, which the proxy acknowledges.
     proxy.applies_for(Duration::from_secs(7)).await;
     proxy.peer.send("probe").await;
-    // Orders that arrived meanwhile are ahead of the answer.
+    // Orders that arrived meanwhile precede the answer.
     let mut line = proxy.peer.line().await;
     while line.as_ref().is_some_and(|line| line.starts_with("push")) {
         line = proxy.peer.line().await;
@@ -159,8 +159,8 @@
     assert_eq!(line.as_deref(), Some("alive"), "its stream stays open");
 }
 
-/// A proxy with few requests reports nothing before its table has arrived, and must not lose its stream while the table is
-/// queued in a slow channel, here for some ten seconds.
+/// A proxy with few requests reports nothing before its table arrives, and must not lose its stream while the table is
+/// queued in a slow channel, here for about ten seconds.
 #[tokio::test]
 async fn an_acknowledgement_is_not_due_before_the_order_has_arrived() {
     let (discovery, _servers) = fleet().await;
