--- a/crates/supervisor/src/commands/arguments.rs
+++ b/crates/supervisor/src/commands/arguments.rs
@@ -33,7 +33,6 @@
     pub serve: ServeArguments,
 }
 
-/// Commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Serve proxies in the foreground, configured by LB_CONFIG, until SIGTERM.
--- a/crates/supervisor/src/commands/arguments/lab.rs
+++ b/crates/supervisor/src/commands/arguments/lab.rs
@@ -4,7 +4,6 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 
-/// Arguments of `lab`.
 #[derive(Args, Debug)]
 pub struct LabArguments {
     /// The command to run.
@@ -12,7 +11,6 @@
     pub command: LabCommand,
 }
 
-/// Commands of `lab`.
 #[derive(Debug, Subcommand)]
 pub enum LabCommand {
     /// Simulate a scenario once and print its outcome.
--- a/crates/supervisor/src/commands/arguments/levels.rs
+++ b/crates/supervisor/src/commands/arguments/levels.rs
@@ -4,7 +4,6 @@
 
 use clap::{Args, Subcommand};
 
-/// Arguments of `levels`.
 #[derive(Args, Debug)]
 pub struct LevelsArguments {
     /// The command to run.
@@ -23,7 +22,6 @@
     pub config: Option<PathBuf>,
 }
 
-/// Commands of `levels`.
 #[derive(Debug, Subcommand)]
 pub enum LevelsCommand {
     /// Print the service levels with their conditions, including default levels derived from the classes.
--- a/crates/supervisor/src/commands/arguments/plugin.rs
+++ b/crates/supervisor/src/commands/arguments/plugin.rs
@@ -4,7 +4,6 @@
 
 use clap::{Args, Subcommand};
 
-/// Arguments of `plugin`.
 #[derive(Args, Debug)]
 pub struct PluginArguments {
     /// The command to run.
@@ -12,7 +11,6 @@
     pub command: PluginCommand,
 }
 
-/// Commands of `plugin`.
 #[derive(Debug, Subcommand)]
 pub enum PluginCommand {
     /// Compile plug-ins and show every fault with its position.
--- a/crates/supervisor/src/commands/arguments/records.rs
+++ b/crates/supervisor/src/commands/arguments/records.rs
@@ -4,7 +4,6 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 
-/// Arguments of `records`.
 #[derive(Args, Debug)]
 pub struct RecordsArguments {
     /// The command to run.
@@ -12,7 +11,6 @@
     pub command: RecordsCommand,
 }
 
-/// Commands of `records`.
 #[derive(Debug, Subcommand)]
 pub enum RecordsCommand {
     /// Verify all records and list damaged or missing ones; exit code 1 if there are any.
@@ -57,7 +55,6 @@
     pub all: bool,
 }
 
-/// Formats of an export.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum ExportFormat {
     /// One JSON object per line.
--- a/crates/supervisor/src/commands/error.rs
+++ b/crates/supervisor/src/commands/error.rs
@@ -131,7 +131,7 @@
     #[error("{}: there is no limits section", .0.display())]
     NoLimits(PathBuf),
     /// The operators' file declares no service levels.
-    #[error("{}: the limits section has no ladder", .0.display())]
+    #[error("{}: the limits section declares no service levels", .0.display())]
     NoServiceLevels(PathBuf),
     /// The default levels are derived from the classes, and no configuration was given.
     #[error("the default service levels are derived from the classes: give --config FILE")]
--- a/crates/supervisor/src/commands/records/json_rows.rs
+++ b/crates/supervisor/src/commands/records/json_rows.rs
@@ -16,7 +16,7 @@
     kind: &'static str,
     learned: String,
     number: u32,
-    /// The bytes of the record as hexadecimal digits, if it has fields that this version does not know.
+    /// The bytes of the record as hexadecimal digits, if it contains more than this version can decode.
     #[serde(skip_serializing_if = "Option::is_none")]
     record_hex: Option<String>,
     seq: u64,
--- a/crates/supervisor/src/tests/rules/channel.rs
+++ b/crates/supervisor/src/tests/rules/channel.rs
@@ -29,7 +29,6 @@
     pub sequence: u16,
 }
 
-/// State of a proxy.
 #[derive(Default)]
 pub struct ProxyState {
     pub stream: Option<StreamId>,
--- a/crates/supervisor/src/tests/rules/mod.rs
+++ b/crates/supervisor/src/tests/rules/mod.rs
@@ -125,8 +125,9 @@
         Simulation::new(with_a_fast_channel(conditions, rate_factor)).run(Checks::ChannelAndProxies)?;
     }
 
-    /// The five rules hold for events of one tick in any order: replaced streams, drains and returns at other
-    /// addresses, snapshots, old acknowledgements, health checks of former processes, and requests for unsafe retries.
+    /// The five rules must hold when events arrive in one tick in any order: replaced streams, drains and returns at
+    /// other addresses, snapshots, old acknowledgements, health checks of former processes, and requests for unsafe
+    /// retries.
     #[test]
     fn the_rules_hold_for_any_events_in_one_tick(
         conditions in any_conditions(),
--- a/crates/supervisor/tests/commands/lab.rs
+++ b/crates/supervisor/tests/commands/lab.rs
@@ -9,7 +9,7 @@
 const SCENARIO: &str =
     "name: 'small' seconds: 8\nkind { servers: 4 }\nclass { name: 'read' work_ms: 40 }\n\
     trouble { sort: SLOW at_s: 2 part: 0.5 size: 6 }\n";
-const WRONG_SCENARIO: &str =
+const INVALID_SCENARIO: &str =
     "kind { servers: 4 }\nclass { }\nclients { try_share: 7 }\nrules { fall_multiple: 0 }\n";
 const EXPERIMENT: &str = "name: 'e' case { file: 's.txtpb' }\n\
     variant { name: 'module' } variant { name: 'fixed' control: FIXED }\n\
@@ -36,7 +36,7 @@
             && !output.contains("RULE"),
         "{output}"
     );
-    let wrong = write_file(directory.path(), "w.txtpb", WRONG_SCENARIO);
+    let wrong = write_file(directory.path(), "w.txtpb", INVALID_SCENARIO);
     let (code, _, error) = program.tool(&["lab", "play", &wrong]).await;
     assert!(
         code == Some(1) && error.contains("w.txtpb:3:11: try_share is 7"),
--- a/crates/supervisor/tests/commands/operator_config.rs
+++ b/crates/supervisor/tests/commands/operator_config.rs
@@ -15,19 +15,19 @@
         std::fs::write(&path, text).expect("a file");
         utf8(&path).to_string()
     };
-    let good = config(&Discovery::start().await, None, 64).to_string();
-    let good = file("good.json", &good);
+    let valid_config = config(&Discovery::start().await, None, 64).to_string();
+    let valid_config = file("good.json", &valid_config);
     let repository = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.txtpb");
     let Outcome {
         code,
         output,
         error,
-    } = run(&["check", "--config", &good, "--operator", repository]);
+    } = run(&["check", "--config", &valid_config, "--operator", repository]);
     assert_eq!(
         (code, output.as_str(), error.as_str()),
         (Some(0), "no faults found\n", "")
     );
-    let bad = file(
+    let invalid_config = file(
         "bad.json",
         "{\"listen\": \"127.0.0.1:0\",\n \"discovery\" 7}",
     );
@@ -39,7 +39,13 @@
         code,
         output,
         error,
-    } = run(&["check", "--config", &bad, "--operator", &operator]);
+    } = run(&[
+        "check",
+        "--config",
+        &invalid_config,
+        "--operator",
+        &operator,
+    ]);
     assert_eq!(
         (code, error.as_str()),
         (Some(1), "chutegrade: 3 faults\n"),
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -71,7 +71,7 @@
 async fn restart_while_a_level_is_in_force(stage: &mut Stage) {
     sleep(Duration::from_secs(3)).await;
     stage.fleet.demand(HIGH_DEMAND);
-    until("both are reduced", || {
+    until("both enter the level", || {
         has_entered(stage, "n0", 1) && has_entered(stage, "n1", 1)
     })
     .await;
@@ -88,7 +88,7 @@
     })
     .await;
     stage.fleet.demand(NORMAL_DEMAND);
-    until("both serve in full", || {
+    until("both return to full service", || {
         has_left(stage, "n0") && has_left(stage, "n1")
     })
     .await;
@@ -98,7 +98,7 @@
 /// Replaces the service levels by invalid ones, then by valid ones without the level in force.
 async fn replace_the_levels(stage: &mut Stage, operator: &Path) {
     stage.fleet.demand(HIGH_DEMAND);
-    until("reduced again", || has_entered(stage, "n0", 2)).await;
+    until("n0 enters the level again", || has_entered(stage, "n0", 2)).await;
     let text = std::fs::read_to_string(operator).expect("the file");
     std::fs::write(operator, text.replace("leave {", "leaves {")).expect("an invalid file");
     stage.reload().await;
--- a/crates/supervisor/tests/plugins.rs
+++ b/crates/supervisor/tests/plugins.rs
@@ -161,9 +161,9 @@
         output.contains("s-a2 is in service") && !output.contains("plug-in"),
         "its advice has ended: {output}"
     );
-    let (code, _, error) = tools.tool(&["plugin", "explain", "nobody", &records]).await;
+    let (code, _, error) = tools.tool(&["plugin", "explain", "s-none", &records]).await;
     assert!(
-        code == Some(1) && error.contains("no supervisor has a record of server \"nobody\""),
+        code == Some(1) && error.contains("no supervisor has a record of server \"s-none\""),
         "{error}"
     );
     let (code, output, _) = tools.tool(&["plugin", "check", &file]).await;
@@ -257,7 +257,7 @@
     assert_hostile_plugins_were_contained(&recorded_kinds(&stage));
 }
 
-const WRONG: &str =
+const INVALID_PLUGIN: &str =
     "plugin \"w\" version 1 host 1\nhook cap(class) { return speed }\nhook turn() { x = 1 }\n";
 const WITH_A_FAILING_CASE: &str = "plugin \"f\" version 1 host 1\nhook cap(class) { return 0.5 }\n\
     case \"half\" { expect cap == 0.5 }\ncase \"all\" { expect cap == 1 }\n";
@@ -268,7 +268,7 @@
 async fn the_commands_report_faults() {
     let directory = tempfile::tempdir().expect("a directory");
     let program = Program::new(PROGRAM, directory.path());
-    let wrong = write_plugin(directory.path(), "wrong", WRONG);
+    let wrong = write_plugin(directory.path(), "wrong", INVALID_PLUGIN);
     let failing = write_plugin(directory.path(), "failing", WITH_A_FAILING_CASE);
     let (wrong, failing) = (wrong.display().to_string(), failing.display().to_string());
     let (code, output, error) = program.tool(&["plugin", "check", &wrong]).await;
@@ -300,7 +300,7 @@
 async fn the_format_command_checks_and_formats() {
     let directory = tempfile::tempdir().expect("a directory");
     let program = Program::new(PROGRAM, directory.path());
-    let file = write_plugin(directory.path(), "wrong", WRONG);
+    let file = write_plugin(directory.path(), "wrong", INVALID_PLUGIN);
     let failing = write_plugin(directory.path(), "failing", WITH_A_FAILING_CASE);
     let (path, failing) = (file.display().to_string(), failing.display().to_string());
     let (code, output, _) = program
