--- a/crates/supervisor/src/commands/levels/explain.rs
+++ b/crates/supervisor/src/commands/levels/explain.rs
@@ -129,7 +129,7 @@
         Some(short) if short > 0.0 => format!("{} short of it", figure(short)),
         Some(_) if status.remaining_hold_us > 0 => {
             format!(
-                "met, for at least {} more",
+                "met, must stay met for {} more",
                 length(status.remaining_hold_us)
             )
         }
--- a/crates/supervisor/src/commands/levels/source.rs
+++ b/crates/supervisor/src/commands/levels/source.rs
@@ -29,7 +29,7 @@
         .ok_or_else(|| CommandError::NoServiceLevels(source.operator.clone()))
 }
 
-/// Returns the classes of the configuration, which only default levels require.
+/// Returns the classes of the configuration, without which default levels cannot be derived.
 fn load_classes(
     config: Option<&Path>,
     limits: &LimitsSection,
--- a/crates/supervisor/src/commands/plugin/explain.rs
+++ b/crates/supervisor/src/commands/plugin/explain.rs
@@ -117,8 +117,8 @@
 }
 
 impl GivenAdvice<'_> {
-    /// Compares prefixes: the event that starts advice has the line number of the rule after the text, the one that
-    /// ends it has not.
+    /// Compares by prefix: the text that starts advice ends with the line number of the rule, which the text that ends
+    /// advice lacks.
     fn is_ended_by(&self, message: &pb::PluginSaid) -> bool {
         self.plugin == message.name && self.text.starts_with(&message.text)
     }
--- a/crates/supervisor/src/tests/rules/conditions.rs
+++ b/crates/supervisor/src/tests/rules/conditions.rs
@@ -47,9 +47,9 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Disturbance {
-    /// This number of servers drain; those that are already draining are removed.
+    /// Up to this number of servers drain; those that are already draining are removed.
     Drain(u32),
-    /// This number of draining or removed servers restart and return to service.
+    /// Up to this number of draining or removed servers restart and return to service.
     ReturnToService(u32),
     /// This number of servers are added.
     AddServers(u32),
@@ -63,7 +63,7 @@
     Stall,
     /// A proxy opens two more streams in one tick, before or after the end of its older stream is detected.
     Rejoin(u32),
-    /// This number of servers in service restart at other addresses, in one delivery.
+    /// Up to this number of servers in service restart at other addresses, in one delivery.
     Restart(u32),
     /// The complete current list is delivered.
     Snapshot,
