--- a/crates/supervisor/tests/commands/lab.rs
+++ b/crates/supervisor/tests/commands/lab.rs
@@ -1,4 +1,4 @@
-//! Experiments from the command line.
+//! Simulations and experiments from the command line.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 const SCENARIO: &str =
     "name: 'small' seconds: 8\nkind { servers: 4 }\nclass { name: 'read' work_ms: 40 }\n\
     trouble { sort: SLOW at_s: 2 part: 0.5 size: 6 }\n";
-const WRONG_SCENARIO: &str =
+const INVALID_SCENARIO: &str =
     "kind { servers: 4 }\nclass { }\nclients { try_share: 7 }\nrules { fall_multiple: 0 }\n";
 const EXPERIMENT: &str = "name: 'e' case { file: 's.txtpb' }\n\
     variant { name: 'module' } variant { name: 'fixed' control: FIXED }\n\
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn a_scenario_is_played_and_a_wrong_one_is_described() {
+async fn a_scenario_is_simulated_and_an_invalid_one_is_reported() {
     let directory = tempfile::tempdir().expect("a directory");
     let program = Program::new(PROGRAM, directory.path());
     let scenario = write_file(directory.path(), "s.txtpb", SCENARIO);
@@ -36,7 +36,7 @@
             && !output.contains("RULE"),
         "{output}"
     );
-    let wrong = write_file(directory.path(), "w.txtpb", WRONG_SCENARIO);
+    let wrong = write_file(directory.path(), "w.txtpb", INVALID_SCENARIO);
     let (code, _, error) = program.tool(&["lab", "play", &wrong]).await;
     assert!(
         code == Some(1) && error.contains("w.txtpb:3:11: try_share is 7"),
@@ -70,7 +70,7 @@
     assert_eq!(count_results(), 6);
     let (_, second_output, _) = program.tool(&run).await;
     assert!(
-        second_output.contains("6 runs are there already") && count_results() == 6,
+        second_output.contains("6 runs are already stored") && count_results() == 6,
         "{second_output}"
     );
     let (code, comparison, _) = program
@@ -84,6 +84,6 @@
     let report = std::fs::read_to_string(report).expect("the report");
     assert!(
         report.contains("<svg") && !report.contains("http"),
-        "the report needs nothing from elsewhere"
+        "the report loads no external resources"
     );
 }
