--- a/crates/emulators/src/bin/demo.rs
+++ b/crates/emulators/src/bin/demo.rs
@@ -6,7 +6,7 @@
 use std::process::{ExitCode, Stdio};
 use std::time::Duration;
 
-use chutegrade_emulators::script::Stage;
+use chutegrade_emulators::script::EmulatedDeployment;
 use clap::Parser;
 use tokio::process::Command;
 use tokio::signal::unix::{signal, SignalKind};
@@ -75,26 +75,27 @@
         signals(SignalKind::terminate())?,
     );
     println!("starting 10 servers, 8 front ends and 2 supervisors on loopback");
-    let mut stage = Stage::set_with(&arguments.program, out, 11, LEVELS).await;
-    let records = stage.records();
+    let mut deployment =
+        EmulatedDeployment::start_with_operator_config(&arguments.program, out, 11, LEVELS).await;
+    let records = deployment.records();
     let ended = tokio::select! {
         ended = console(&arguments.program, &records, arguments.seconds) => ended.map_err(|fault| format!("the console: {fault}")),
-        () = stage.trouble() => Ok(()),
+        () = deployment.inject_recurring_faults() => Ok(()),
         _ = interrupt.recv() => Ok(()),
         _ = terminate.recv() => Ok(()),
     };
-    let codes = stage.end().await;
+    let codes = deployment.terminate().await;
     if codes.iter().any(|code| *code != Some(0)) {
         return Err(format!("supervisors ended with codes {codes:?}"));
     }
-    let served = stage.fleet.served();
+    let counters = deployment.fleet.counters();
     let count = |of: &std::sync::atomic::AtomicU64| of.load(std::sync::atomic::Ordering::Relaxed);
     println!(
         "{} requests came, {} answered, {} refused, {} failed",
-        count(&served.came),
-        count(&served.done),
-        count(&served.refused),
-        count(&served.failed)
+        count(&counters.received),
+        count(&counters.answered),
+        count(&counters.rejected),
+        count(&counters.failed)
     );
     let page = out.join("report.html");
     let mut report = Command::new(&arguments.program);
--- a/crates/emulators/src/bin/incident.rs
+++ b/crates/emulators/src/bin/incident.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use chutegrade_emulators::script::{Stage, SUPERVISORS};
+use chutegrade_emulators::script::{EmulatedDeployment, SUPERVISORS};
 use chutegrade_emulators::truth;
 use chutegrade_records::index::Query;
 use chutegrade_records::Timeline;
@@ -50,25 +50,31 @@
         ));
     }
     empty(&arguments.out)?;
-    let mut stage = Stage::set(&arguments.program, &arguments.out, arguments.seed).await;
+    let mut deployment =
+        EmulatedDeployment::start(&arguments.program, &arguments.out, arguments.seed).await;
     println!("playing for some 75 seconds");
-    let codes = stage.incident().await;
+    let codes = deployment.run_incident().await;
     let fault = |fault: chutegrade_records::timeline::Fault| fault.to_string();
-    let timeline = Timeline::open(&[stage.records()]).map_err(fault)?;
+    let timeline = Timeline::open(&[deployment.records()]).map_err(fault)?;
     let (events, gaps) = timeline.read(&Query::default());
-    let faults = truth::compare(&stage.diary.deeds(), &events, &gaps, &SUPERVISORS);
+    let faults = truth::compare(
+        &deployment.ground_truth.entries(),
+        &events,
+        &gaps,
+        &SUPERVISORS,
+    );
     faults.iter().for_each(|fault| println!("{fault}"));
     println!(
         "{} events and {} gaps recorded, {} deeds",
         events.len(),
         gaps.len(),
-        stage.diary.deeds().len()
+        deployment.ground_truth.entries().len()
     );
     println!(
         "ended with codes {codes:?}; requests that ran twice: {}",
-        stage.fleet.ran_twice()
+        deployment.fleet.duplicate_executions()
     );
-    println!("records in {}", stage.records().display());
+    println!("records in {}", deployment.records().display());
     match faults.len() {
         0 => Ok(()),
         count => Err(format!(
--- a/crates/emulators/src/discovery.rs
+++ b/crates/emulators/src/discovery.rs
@@ -57,7 +57,7 @@
             loop {
                 sleep(Duration::from_millis(500)).await;
                 if !beating.told().mute {
-                    beating.say("");
+                    beating.send_line("");
                 }
             }
         });
@@ -111,12 +111,19 @@
 
     /// Lists a server of the zone `a` in this state, and tells the watches.
     pub fn set(&self, name: &str, address: SocketAddr, status: &str) {
-        self.set_in("a", name, address, status, 0);
+        self.set_in_zone("a", name, address, status, 0);
     }
 
     /// Lists a server of a zone in this state, with its last start in Unix milliseconds, and tells the watches. One that
     /// is removed leaves the list.
-    pub fn set_in(&self, zone: &str, name: &str, address: SocketAddr, status: &str, since_ms: i64) {
+    pub fn set_in_zone(
+        &self,
+        zone: &str,
+        name: &str,
+        address: SocketAddr,
+        status: &str,
+        since_ms: i64,
+    ) {
         let mut entry = entry(name, address, status, since_ms);
         entry["zone"] = json!(zone);
         let line = {
@@ -129,11 +136,11 @@
             }
             delivery(told.index, false, &[entry])
         };
-        self.say(&line);
+        self.send_line(&line);
     }
 
     /// Writes a line to all watches, unless discovery is down.
-    pub fn say(&self, line: &str) {
+    pub fn send_line(&self, line: &str) {
         let mut told = self.told();
         if !told.mute {
             told.watches
@@ -142,12 +149,12 @@
     }
 
     /// Ends all watches.
-    pub fn hang_up(&self) {
+    pub fn close_watches(&self) {
         self.told().watches.clear();
     }
 
     /// Another agent that has been sent the same list.
-    pub async fn second(&self) -> Self {
+    pub async fn start_replica(&self) -> Self {
         let other = Discovery::start().await;
         {
             let (told, mut its) = (self.told(), other.told());
@@ -157,17 +164,17 @@
     }
 
     /// Has been sent nothing newer than this version, or counts from there.
-    pub fn count_from(&self, index: u64) {
+    pub fn set_version(&self, index: u64) {
         self.told().index = index;
     }
 
     /// From now on nothing is said, on old watches and new ones; or everything again on new ones.
-    pub fn mute(&self, mute: bool) {
+    pub fn set_silent(&self, mute: bool) {
         self.told().mute = mute;
     }
 
     /// How many watches were ever opened.
-    pub fn opened(&self) -> usize {
+    pub fn watches_opened(&self) -> usize {
         self.told().opened
     }
 }
--- a/crates/emulators/src/fleet.rs
+++ b/crates/emulators/src/fleet.rs
@@ -248,34 +248,34 @@
     ways: Arc<Ways>,
     tallies: Tallies,
     tasks: Mutex<Vec<tokio::task::JoinHandle<()>>>,
-    served: Served,
+    counters: RequestCounters,
     seed: u64,
 }
 
 /// Requests by how they ended, all front ends together.
 #[derive(Clone, Default)]
-pub struct Served {
+pub struct RequestCounters {
     /// Came in.
-    pub came: Arc<AtomicU64>,
+    pub received: Arc<AtomicU64>,
     /// Turned away by a level.
-    pub refused: Arc<AtomicU64>,
+    pub rejected: Arc<AtomicU64>,
     /// Answered.
-    pub done: Arc<AtomicU64>,
+    pub answered: Arc<AtomicU64>,
     /// Given up.
     pub failed: Arc<AtomicU64>,
     /// Found nobody to pick, which is a rule broken if it lasts.
-    pub unserved: Arc<AtomicU64>,
+    pub without_server: Arc<AtomicU64>,
     /// Came to a server that had drained for longer than the rule allows.
     pub after_drain: Arc<AtomicU64>,
     /// Orders that the protocol does not allow.
-    pub bad_orders: Arc<AtomicU64>,
+    pub invalid_orders: Arc<AtomicU64>,
     /// How each request ended, once somebody asked for it: when it came, its class, and how long its answer took.
-    pub answers: Arc<Mutex<Option<Vec<Answer>>>>,
+    pub results: Arc<Mutex<Option<Vec<RequestResult>>>>,
 }
 
 /// How one request ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct RequestResult {
     /// When it came.
     pub came: Instant,
     /// Its class, by its place.
@@ -287,18 +287,18 @@
 }
 
 /// Requests whose ends are kept at most: an hour of the small fleet.
-const ANSWERS_MOST: usize = 2_000_000;
+const MAX_KEPT_RESULTS: usize = 2_000_000;
 
-impl Served {
+impl RequestCounters {
     /// From now on the end of each request is kept.
-    pub fn keep(&self) {
-        *held(&self.answers) = Some(Vec::new());
+    pub fn keep_results(&self) {
+        *held(&self.results) = Some(Vec::new());
     }
 
-    fn ended(&self, answer: Answer) {
-        if let Some(kept) = held(&self.answers)
+    fn ended(&self, answer: RequestResult) {
+        if let Some(kept) = held(&self.results)
             .as_mut()
-            .filter(|kept| kept.len() < ANSWERS_MOST)
+            .filter(|kept| kept.len() < MAX_KEPT_RESULTS)
         {
             kept.push(answer);
         }
@@ -331,14 +331,16 @@
             ways,
             tallies: Tallies::default(),
             tasks: Mutex::default(),
-            served: Served::default(),
+            counters: RequestCounters::default(),
             seed,
         });
         for zone in ZONES {
             for number in 1..=servers {
                 let name = format!("s-{zone}{number}");
                 let worker = Worker::start(name.clone(), zone, Arc::clone(&fleet.ways)).await;
-                fleet.discovery.set_in(zone, &name, worker.address, "up", 0);
+                fleet
+                    .discovery
+                    .set_in_zone(zone, &name, worker.address, "up", 0);
                 held(&fleet.workers).insert(name, worker);
             }
         }
@@ -346,16 +348,16 @@
     }
 
     /// Front ends and collectors begin, for so many supervisors.
-    pub fn work(self: &Arc<Self>, supervisors: usize) {
+    pub fn start_traffic(self: &Arc<Self>, supervisors: usize) {
         let mut tasks = Vec::new();
         for (at, front) in self.fronts.iter().enumerate() {
             let first = at % supervisors;
-            let served = self.served.clone();
+            let counters = self.counters.clone();
             tasks.push(tokio::spawn(streams(
                 Arc::clone(front),
                 self.addresses.clone(),
                 first,
-                served,
+                counters,
             )));
             let rng = StdRng::seed_from_u64(self.seed ^ (u64::from(front.id) << 32));
             tasks.push(tokio::spawn(requests(
@@ -380,8 +382,8 @@
     }
 
     /// How requests ended so far.
-    pub fn served(&self) -> &Served {
-        &self.served
+    pub fn counters(&self) -> &RequestCounters {
+        &self.counters
     }
 
     fn worker(&self, name: &str) -> Arc<Worker> {
@@ -394,23 +396,26 @@
 
     /// What of the rules was broken so far, as front ends and servers saw it: in words, none if nothing was. Nobody to pick
     /// counts only beyond so many requests, since a table may be empty for a moment.
-    pub fn broken(&self, unserved_most: u64) -> Vec<String> {
+    pub fn rule_violations(&self, unserved_most: u64) -> Vec<String> {
         let count = |of: &AtomicU64| of.load(Ordering::Relaxed);
-        let served = &self.served;
+        let counters = &self.counters;
         let found = [
             (
-                count(&served.unserved).saturating_sub(unserved_most),
+                count(&counters.without_server).saturating_sub(unserved_most),
                 "requests found nobody to pick",
             ),
             (
-                count(&served.after_drain),
+                count(&counters.after_drain),
                 "tries went to a server that had drained",
             ),
             (
-                count(&served.bad_orders),
+                count(&counters.invalid_orders),
                 "orders are not allowed by the protocol",
             ),
-            (self.ran_twice() as u64, "requests ran twice that must not"),
+            (
+                self.duplicate_executions() as u64,
+                "requests ran twice that must not",
+            ),
         ];
         found
             .iter()
@@ -420,7 +425,7 @@
     }
 
     /// Requests of the class that must not run twice that did.
-    pub fn ran_twice(&self) -> usize {
+    pub fn duplicate_executions(&self) -> usize {
         let mut runs: BTreeMap<u64, u32> = BTreeMap::new();
         for worker in held(&self.workers).values() {
             for (request, times) in held(&worker.ran).iter() {
@@ -435,7 +440,7 @@
         let worker = self.worker(name);
         *held(&worker.drained) = Some(Instant::now());
         self.discovery
-            .set_in(worker.zone, name, worker.address, "draining", 0);
+            .set_in_zone(worker.zone, name, worker.address, "draining", 0);
     }
 
     /// The list drops a server, which ends.
@@ -443,7 +448,7 @@
         let worker = self.worker(name);
         worker.gone.store(true, Ordering::Relaxed);
         self.discovery
-            .set_in(worker.zone, name, worker.address, "removed", 0);
+            .set_in_zone(worker.zone, name, worker.address, "removed", 0);
     }
 
     /// A server that was removed starts anew and is listed again.
@@ -452,33 +457,33 @@
         worker.gone.store(false, Ordering::Relaxed);
         *held(&worker.drained) = None;
         self.discovery
-            .set_in(worker.zone, name, worker.address, "up", now_us() / 1000);
+            .set_in_zone(worker.zone, name, worker.address, "up", now_us() / 1000);
     }
 
     /// A server fails all that it gets, or nothing any more.
-    pub fn fail(&self, name: &str, on: bool) {
+    pub fn set_failing(&self, name: &str, on: bool) {
         self.worker(name).fails.store(on, Ordering::Relaxed);
     }
 
     /// A server takes so many times longer.
-    pub fn slow(&self, name: &str, factor: f64) {
+    pub fn set_slowdown(&self, name: &str, factor: f64) {
         *held(&self.worker(name).work_ms) = factor * WORK.0.as_secs_f64() * 1000.0;
     }
 
     /// A zone is cut off from the others, or not any more.
-    pub fn cut(&self, zone: &str, on: bool) {
+    pub fn set_partitioned(&self, zone: &str, on: bool) {
         let mut cut = held(&self.ways.cut);
         cut.retain(|known| known != zone);
         cut.extend(on.then(|| zone.to_string()));
     }
 
     /// So much more comes than usually.
-    pub fn demand(&self, factor: f64) {
+    pub fn set_demand_factor(&self, factor: f64) {
         *held(&self.ways.demand) = factor;
     }
 
     /// Reports of a zone's collectors come so much later.
-    pub fn late(&self, zone: &str, length: Duration) {
+    pub fn set_report_delay(&self, zone: &str, length: Duration) {
         held(&self.ways.late).insert(zone.to_string(), length);
     }
 
@@ -502,7 +507,7 @@
     }
 
     /// Waits until every front end holds a table with somebody to pick.
-    pub async fn tables(&self) {
+    pub async fn wait_for_tables(&self) {
         let holds = |front: &Arc<FrontEnd>| {
             let tables = held(&front.tables);
             CLASSES.iter().all(|class| !tables.picks(class).is_empty())
@@ -530,14 +535,19 @@
 }
 
 /// Keeps a stream to a supervisor, and goes to the next when it breaks.
-async fn streams(front: Arc<FrontEnd>, addresses: Addresses, first: usize, served: Served) {
+async fn streams(
+    front: Arc<FrontEnd>,
+    addresses: Addresses,
+    first: usize,
+    counters: RequestCounters,
+) {
     let mut next = first;
     loop {
         if let Some((at, address)) = addresses.from(next) {
             front.joined.store(at, Ordering::Relaxed);
             let ended = stream(&front, address).await;
             if ended.is_err_and(|fault| fault.kind() == std::io::ErrorKind::InvalidData) {
-                served.bad_orders.fetch_add(1, Ordering::Relaxed);
+                counters.invalid_orders.fetch_add(1, Ordering::Relaxed);
             }
             front.joined.store(usize::MAX, Ordering::Relaxed);
             // One that was merely broken off comes back; one whose supervisor has gone finds the next.
@@ -624,11 +634,11 @@
         CLASSES[1]
     };
     let number = (u64::from(front.id) << 40) | front.requests.fetch_add(1, Ordering::Relaxed);
-    fleet.served.came.fetch_add(1, Ordering::Relaxed);
+    fleet.counters.received.fetch_add(1, Ordering::Relaxed);
     let came = Instant::now();
     let at = usize::from(class == CLASSES[1]);
     let ended = |refused, ms| {
-        fleet.served.ended(Answer {
+        fleet.counters.ended(RequestResult {
             came,
             class: at,
             refused,
@@ -644,7 +654,7 @@
     };
     held(&front.usage).entry(class).or_default().came += 1;
     if !admitted {
-        fleet.served.refused.fetch_add(1, Ordering::Relaxed);
+        fleet.counters.rejected.fetch_add(1, Ordering::Relaxed);
         ended(true, None);
         return;
     }
@@ -662,9 +672,9 @@
     let done = matches!(outcome, Some(Outcome::Done(_)));
     ended(false, done.then(|| came.elapsed().as_secs_f64() * 1000.0));
     if done {
-        fleet.served.done.fetch_add(1, Ordering::Relaxed);
+        fleet.counters.answered.fetch_add(1, Ordering::Relaxed);
     } else {
-        fleet.served.failed.fetch_add(1, Ordering::Relaxed);
+        fleet.counters.failed.fetch_add(1, Ordering::Relaxed);
         held(&front.usage).entry(class).or_default().failed += 1;
     }
 }
@@ -680,13 +690,16 @@
         let tables = held(&front.tables);
         let (names, weights): (Vec<&str>, Vec<f64>) = tables.weights(request.1).unzip();
         if names.is_empty() {
-            fleet.served.unserved.fetch_add(1, Ordering::Relaxed);
+            fleet
+                .counters
+                .without_server
+                .fetch_add(1, Ordering::Relaxed);
         }
         names[WeightedIndex::new(weights).ok()?.sample(rng)].to_string()
     };
     let worker = fleet.worker(&name);
     if held(&worker.drained).is_some_and(|told| told.elapsed() > DRAIN_MOST) {
-        fleet.served.after_drain.fetch_add(1, Ordering::Relaxed);
+        fleet.counters.after_drain.fetch_add(1, Ordering::Relaxed);
     }
     let through = front.joined.load(Ordering::Relaxed);
     let mean = *held(&worker.work_ms);
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use discovery::Discovery;
 pub use peer::{Peer, Proxy};
-pub use program::{config, Held, Program, Supervisor};
-pub use scripted::{delivery, entry, Scripted};
-pub use server::{Manner, Server};
-pub use wait::{soon, until};
+pub use program::{config, PausedProgram, Program, Supervisor};
+pub use scripted::{delivery, entry, ScriptedListener};
+pub use server::{HealthCheckMode, Server};
+pub use wait::{until, wait_for};
--- a/crates/emulators/src/peer.rs
+++ b/crates/emulators/src/peer.rs
@@ -9,7 +9,7 @@
 
 use crate::program::Supervisor;
 use crate::tables::Tables;
-use crate::wait::soon;
+use crate::wait::wait_for;
 
 /// Whoever connects to the supervisor.
 pub struct Peer {
@@ -19,7 +19,7 @@
 impl Peer {
     /// Connects.
     pub async fn connect(address: SocketAddr) -> Self {
-        let stream = soon("a connection", TcpStream::connect(address))
+        let stream = wait_for("a connection", TcpStream::connect(address))
             .await
             .expect("a connection");
         Peer::over(stream)
@@ -34,11 +34,11 @@
     }
 
     /// Connects with as little room for what it does not read as the system allows.
-    pub async fn connect_narrow(address: SocketAddr) -> Self {
+    pub async fn connect_with_small_buffer(address: SocketAddr) -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(1).expect("an option");
         Peer::over(
-            soon("a connection", socket.connect(address))
+            wait_for("a connection", socket.connect(address))
                 .await
                 .expect("a connection"),
         )
@@ -48,13 +48,13 @@
     pub async fn send(&mut self, line: &str) {
         let line = format!("{line}\r\n");
         let (first, rest) = line.split_at(line.len() / 2);
-        self.raw(first.as_bytes()).await;
-        self.raw(rest.as_bytes()).await;
+        self.send_bytes(first.as_bytes()).await;
+        self.send_bytes(rest.as_bytes()).await;
     }
 
     /// Writes bytes; a connection that the other side has ended takes none.
-    pub async fn raw(&mut self, bytes: &[u8]) -> bool {
-        soon("room to write", self.stream.get_mut().write_all(bytes))
+    pub async fn send_bytes(&mut self, bytes: &[u8]) -> bool {
+        wait_for("room to write", self.stream.get_mut().write_all(bytes))
             .await
             .is_ok()
     }
@@ -70,41 +70,44 @@
 
     /// The path of the next HTTP request; none once the connection has ended.
     pub async fn request(&mut self) -> Option<String> {
-        let first = soon("a request", self.line()).await?;
-        while !soon("the rest of a request", self.line()).await?.is_empty() {}
+        let first = wait_for("a request", self.line()).await?;
+        while !wait_for("the rest of a request", self.line())
+            .await?
+            .is_empty()
+        {}
         first.split(' ').nth(1).map(str::to_string)
     }
 
     /// Answers a request whole.
-    pub async fn answer(&mut self, status: u16, body: &str) {
+    pub async fn respond(&mut self, status: u16, body: &str) {
         let head = format!(
             "HTTP/1.1 {status} As\r\ncontent-length: {}\r\n\r\n",
             body.len()
         );
-        self.raw(format!("{head}{body}").as_bytes()).await;
+        self.send_bytes(format!("{head}{body}").as_bytes()).await;
     }
 
     /// Begins the answer to a watch.
-    pub async fn begin(&mut self) {
-        self.raw(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
+    pub async fn begin_watch(&mut self) {
+        self.send_bytes(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
             .await;
     }
 
     /// Says a piece of a watch.
-    pub async fn piece(&mut self, text: &str) {
-        self.raw(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+    pub async fn send_chunk(&mut self, text: &str) {
+        self.send_bytes(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
             .await;
     }
 
     /// Says a line of a watch.
-    pub async fn tell(&mut self, line: &str) {
-        self.piece(&format!("{line}\n")).await;
+    pub async fn send_watch_line(&mut self, line: &str) {
+        self.send_chunk(&format!("{line}\n")).await;
     }
 
     /// All that came and is still unread, until the connection ends.
-    pub async fn rest(&mut self) -> String {
+    pub async fn read_to_end(&mut self) -> String {
         let mut rest = Vec::new();
-        let _ = soon(
+        let _ = wait_for(
             "the end of the connection",
             self.stream.read_to_end(&mut rest),
         )
@@ -118,8 +121,8 @@
     }
 
     /// Waits until the other side ends the connection.
-    pub async fn ended(&mut self) {
-        self.rest().await;
+    pub async fn wait_for_close(&mut self) {
+        self.read_to_end().await;
     }
 }
 
@@ -163,7 +166,7 @@
     }
 
     /// The same proxy on a new stream, with all that it holds.
-    pub async fn join_again(&mut self, supervisor: &Supervisor) {
+    pub async fn rejoin(&mut self, supervisor: &Supervisor) {
         self.peer = Peer::connect(supervisor.address).await;
         self.peer
             .send(&format!("hello id={} site=a rps=20.0 new=0", self.id))
@@ -171,9 +174,9 @@
     }
 
     /// Applies messages until something holds.
-    pub async fn applies(&mut self, what: &str, holds: impl Fn(&Proxy) -> bool) {
+    pub async fn apply_until(&mut self, what: &str, holds: impl Fn(&Proxy) -> bool) {
         while !holds(self) {
-            let line = soon(what, self.peer.line())
+            let line = wait_for(what, self.peer.line())
                 .await
                 .unwrap_or_else(|| panic!("the stream ended: {what}"));
             self.follow(&line).await;
@@ -181,7 +184,7 @@
     }
 
     /// Applies whatever comes for so long; the stream must not end.
-    pub async fn applies_for(&mut self, length: Duration) {
+    pub async fn apply_for(&mut self, length: Duration) {
         let end = tokio::time::Instant::now() + length;
         while let Ok(line) = tokio::time::timeout_at(end, self.peer.line()).await {
             self.follow(&line.expect("a stream that goes on")).await;
@@ -202,7 +205,7 @@
     }
 
     /// Reports usage.
-    pub async fn demand(&mut self) {
+    pub async fn report_demand(&mut self) {
         let line = format!(
             "demand id={} lane=lookup count=4 fail=0 over=200.0",
             self.id
--- a/crates/emulators/src/predict.rs
+++ b/crates/emulators/src/predict.rs
@@ -8,7 +8,7 @@
 use chutegrade_model::{run, scenario, Control, Outcome, Scenario};
 use tokio::time::sleep;
 
-use crate::script::Stage;
+use crate::script::EmulatedDeployment;
 use crate::tables::CLASSES;
 
 /// Front ends of every day.
@@ -168,7 +168,7 @@
 
 /// Plays a day on loopback with the program.
 pub async fn real(day: &Day, program: &Path, directory: &Path, seed: u64) -> Figures {
-    let mut stage = Stage::sized(
+    let mut deployment = EmulatedDeployment::start_with_size(
         program,
         directory,
         (day.servers, FRONTS, day.rate),
@@ -176,9 +176,9 @@
         "",
     )
     .await;
-    let fleet = std::sync::Arc::clone(&stage.fleet);
+    let fleet = std::sync::Arc::clone(&deployment.fleet);
     let begun = Instant::now();
-    fleet.served().keep();
+    fleet.counters().keep_results();
     let mut deeds: Vec<(u64, bool, Happens)> = day
         .happens
         .iter()
@@ -198,7 +198,7 @@
             match of {
                 Happens::Fail(count) => {
                     for server in (0..count).map(name) {
-                        fleet.fail(&server, on);
+                        fleet.set_failing(&server, on);
                         let picked = CLASSES
                             .iter()
                             .flat_map(|class| fleet.picks(class))
@@ -211,15 +211,15 @@
                     }
                 }
                 Happens::Slow(count, size) => {
-                    (0..count)
-                        .map(name)
-                        .for_each(|server| fleet.slow(&server, if on { size } else { 1.0 }));
+                    (0..count).map(name).for_each(|server| {
+                        fleet.set_slowdown(&server, if on { size } else { 1.0 })
+                    });
                 }
-                Happens::Burst(size) => fleet.demand(if on { size } else { 1.0 }),
+                Happens::Burst(size) => fleet.set_demand_factor(if on { size } else { 1.0 }),
                 Happens::Streams if on => (0..FRONTS).for_each(|front| fleet.break_stream(front)),
                 Happens::Streams => {}
-                Happens::Kill if on => stage.kill(1).await,
-                Happens::Kill => stage.again(1).await,
+                Happens::Kill if on => deployment.kill_supervisor(1).await,
+                Happens::Kill => deployment.restart_supervisor(1).await,
             }
         }
         let picks: Vec<Vec<String>> = CLASSES
@@ -243,10 +243,10 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_millis(2200)).await;
-    stage.end().await;
+    deployment.terminate().await;
     let kept = fleet
-        .served()
-        .answers
+        .counters()
+        .results
         .lock()
         .expect("no panic while held")
         .take()
--- a/crates/emulators/src/program.rs
+++ b/crates/emulators/src/program.rs
@@ -14,7 +14,7 @@
 
 use crate::discovery::Discovery;
 use crate::peer::Peer;
-use crate::wait::{soon, until};
+use crate::wait::{until, wait_for};
 
 /// The program's file, and where its configurations are written.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
 }
 
 /// The program while it reads its configuration, out of a pipe that the test has not written to yet.
-pub struct Held {
+pub struct PausedProgram {
     child: Child,
     path: String,
     pipe: File,
@@ -95,7 +95,7 @@
     }
 
     /// Starts the program and holds it while it reads its configuration, whose file is a pipe from then on.
-    pub async fn start_held(&self) -> Held {
+    pub async fn start_paused(&self) -> PausedProgram {
         let (mut command, path) = self.command(&Value::Null);
         std::fs::remove_file(&path).expect("its file");
         let made = Command::new("mkfifo")
@@ -106,7 +106,7 @@
         assert!(made.success());
         let child = command.spawn().expect("the program");
         let pipe = opened(&path).await;
-        Held { child, path, pipe }
+        PausedProgram { child, path, pipe }
     }
 
     fn command(&self, config: &Value) -> (Command, String) {
@@ -148,8 +148,8 @@
     }
 
     /// Starts it with a configuration that it can't run with; its exit code and what it said.
-    pub async fn fails_to_start(&self, config: &Value) -> (Option<i32>, String) {
-        let output = soon("the end of the program", self.command(config).0.output())
+    pub async fn run_until_exit(&self, config: &Value) -> (Option<i32>, String) {
+        let output = wait_for("the end of the program", self.command(config).0.output())
             .await
             .expect("the program");
         (
@@ -159,7 +159,7 @@
     }
 
     /// Runs one of its other commands; its exit code, and what it wrote to either side.
-    pub async fn tool(&self, arguments: &[&str]) -> (Option<i32>, String, String) {
+    pub async fn run_command(&self, arguments: &[&str]) -> (Option<i32>, String, String) {
         let mut command = Command::new(&self.path);
         command
             .args(arguments)
@@ -168,7 +168,7 @@
         command
             .env_remove("LB_CONFIG")
             .env_remove("CHUTEGRADE_OPERATOR");
-        let output = soon("the end of the tool", command.output())
+        let output = wait_for("the end of the tool", command.output())
             .await
             .expect("the program");
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -185,7 +185,11 @@
     }
 
     /// Starts the program where the system gives it no more than so many descriptors.
-    pub async fn start_within(&self, config: &Value, descriptors: usize) -> Supervisor {
+    pub async fn start_with_descriptor_limit(
+        &self,
+        config: &Value,
+        descriptors: usize,
+    ) -> Supervisor {
         let mut shell = Command::new("/bin/sh");
         shell
             .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\"")])
@@ -194,7 +198,7 @@
     }
 
     /// Starts the program with the address of discovery in its environment too, as the operators do.
-    pub async fn start_with_env(&self, config: &Value) -> Supervisor {
+    pub async fn start_with_discovery_env(&self, config: &Value) -> Supervisor {
         let (mut command, path) = self.command(config);
         command.env(
             "LB_DISCOVERY",
@@ -208,7 +212,7 @@
 async fn opened(path: &str) -> File {
     let path = path.to_string();
     let opening = tokio::task::spawn_blocking(move || OpenOptions::new().write(true).open(path));
-    soon("a reader of the pipe", opening)
+    wait_for("a reader of the pipe", opening)
         .await
         .expect("no panic")
         .expect("a pipe")
@@ -226,15 +230,15 @@
     }
 }
 
-impl Held {
+impl PausedProgram {
     /// Sends signals, one after another.
     pub async fn signals(&self, names: &[&str]) {
         kill(&self.child, names).await;
     }
 
     /// Gives it its configuration, and waits until it serves.
-    pub async fn go_on(self, config: &Value) -> Supervisor {
-        let Held {
+    pub async fn resume_with_config(self, config: &Value) -> Supervisor {
+        let PausedProgram {
             child,
             path,
             mut pipe,
@@ -247,12 +251,12 @@
 
     /// Gives it its configuration, and waits until it ends; its exit code and what it said.
     pub async fn ends(self, config: &Value) -> (Option<i32>, String) {
-        let Held {
+        let PausedProgram {
             child, mut pipe, ..
         } = self;
         let _ = pipe.write_all(config.to_string().as_bytes());
         drop(pipe);
-        let output = soon("the end of the program", child.wait_with_output())
+        let output = wait_for("the end of the program", child.wait_with_output())
             .await
             .expect("its output");
         (
@@ -297,7 +301,7 @@
     }
 
     /// Lines that hold all of these words.
-    pub fn logged(&self, words: &[&str]) -> usize {
+    pub fn count_log_lines(&self, words: &[&str]) -> usize {
         let log = self.log.lock().expect("no panic while held");
         log.iter()
             .filter(|line| words.iter().all(|word| line.contains(word)))
@@ -305,12 +309,16 @@
     }
 
     /// Waits for so many such lines.
-    pub async fn logs(&self, times: usize, words: &[&str]) {
+    pub async fn expect_log_lines(&self, times: usize, words: &[&str]) {
         until(&format!("{times} log lines with {words:?}"), || {
-            self.logged(words) >= times
+            self.count_log_lines(words) >= times
         })
         .await;
-        assert_eq!(self.logged(words), times, "log lines with {words:?}");
+        assert_eq!(
+            self.count_log_lines(words),
+            times,
+            "log lines with {words:?}"
+        );
     }
 
     async fn signal(&self, name: &str) {
@@ -318,7 +326,7 @@
     }
 
     /// Stops the process where it is: all that comes until it goes on comes at once.
-    pub async fn freeze(&self) {
+    pub async fn pause(&self) {
         self.signal("-STOP").await;
         let stat = format!("/proc/{}/stat", self.child.id().expect("it runs"));
         let stopped = || {
@@ -330,21 +338,21 @@
     }
 
     /// Goes on, with these signals sent meanwhile, in this order.
-    pub async fn thaw(&self, signals: &[&str]) {
+    pub async fn resume(&self, signals: &[&str]) {
         kill(&self.child, signals).await;
         self.signal("-CONT").await;
     }
 
     /// Gives the next reload its configuration, where that is read out of a pipe.
-    pub async fn feed(&self, config: &Value) {
+    pub async fn write_config_to_pipe(&self, config: &Value) {
         let mut pipe = opened(&self.path).await;
         pipe.write_all(config.to_string().as_bytes())
             .expect("a reader");
     }
 
     /// Waits for its end; its exit code.
-    pub async fn ends(&mut self) -> Option<i32> {
-        soon("its end", self.child.wait())
+    pub async fn wait_for_exit(&mut self) -> Option<i32> {
+        wait_for("its end", self.child.wait())
             .await
             .expect("its status")
             .code()
@@ -357,14 +365,14 @@
     }
 
     /// Sends SIGHUP.
-    pub async fn hang_up(&self) {
+    pub async fn send_sighup(&self) {
         self.signal("-HUP").await;
     }
 
     /// Sends SIGTERM; its exit code.
     pub async fn terminate(&mut self) -> Option<i32> {
         self.signal("-TERM").await;
-        self.ends().await
+        self.wait_for_exit().await
     }
 
     /// Kills it outright.
@@ -373,14 +381,17 @@
     }
 
     /// Whether it has not ended.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("its status").is_none()
     }
 
     /// Asks `probe` on a connection of its own.
-    pub async fn alive(&self) -> bool {
+    pub async fn is_responsive(&self) -> bool {
         let mut peer = Peer::connect(self.address).await;
         peer.send("probe").await;
-        soon("the answer to probe", peer.line()).await.as_deref() == Some("alive")
+        wait_for("the answer to probe", peer.line())
+            .await
+            .as_deref()
+            == Some("alive")
     }
 }
--- a/crates/emulators/src/script.rs
+++ b/crates/emulators/src/script.rs
@@ -10,7 +10,7 @@
 
 use crate::fleet::{Fleet, ZONES};
 use crate::program::{config, Program, Supervisor};
-use crate::truth::{Deed, Diary};
+use crate::truth::{GroundTruthLog, InjectedEvent};
 
 /// Names of the supervisors.
 pub const SUPERVISORS: [&str; 2] = ["n0", "n1"];
@@ -18,11 +18,11 @@
 const SIZE: (usize, u32, f64) = (5, 8, 40.0);
 
 /// A fleet with its supervisors.
-pub struct Stage {
+pub struct EmulatedDeployment {
     /// The fleet.
     pub fleet: Arc<Fleet>,
     /// What is done to it.
-    pub diary: Diary,
+    pub ground_truth: GroundTruthLog,
     /// Where everything that is kept goes.
     pub directory: PathBuf,
     program: Program,
@@ -30,49 +30,59 @@
     supervisors: Vec<Option<Supervisor>>,
 }
 
-fn told(fleet: &Fleet, name: &str, probes: bool) -> Value {
-    let mut told = config(&fleet.discovery, Some(fleet.discovery.list()), 1024);
-    told["name"] = json!(name);
-    told["settings"]["peersTotal"] = json!(SUPERVISORS.len());
-    told["settings"]["zones"] = json!(ZONES);
-    told["settings"]["guarantees"]["coldMs"] = json!(4000.0);
+fn configuration_of(fleet: &Fleet, name: &str, probes: bool) -> Value {
+    let mut configuration = config(&fleet.discovery, Some(fleet.discovery.list()), 1024);
+    configuration["name"] = json!(name);
+    configuration["settings"]["peersTotal"] = json!(SUPERVISORS.len());
+    configuration["settings"]["zones"] = json!(ZONES);
+    configuration["settings"]["guarantees"]["coldMs"] = json!(4000.0);
     // As the fleet's collectors and servers do it: sums each second, load with the results of probes alone.
-    told["settings"]["familyInfo"]["cycleMs"] = json!(1000.0);
-    told["settings"]["familyInfo"]["firstWait"] = json!(1.0);
-    told["settings"]["report"]["source"] = json!("pull");
-    told["settings"]["limits"]["probes"] = json!(probes);
-    told["settings"]["prices"] = json!({"probe": 0.02, "crossZone": 0.01});
-    told
+    configuration["settings"]["familyInfo"]["cycleMs"] = json!(1000.0);
+    configuration["settings"]["familyInfo"]["firstWait"] = json!(1.0);
+    configuration["settings"]["report"]["source"] = json!("pull");
+    configuration["settings"]["limits"]["probes"] = json!(probes);
+    configuration["settings"]["prices"] = json!({"probe": 0.02, "crossZone": 0.01});
+    configuration
 }
 
-impl Stage {
+impl EmulatedDeployment {
     /// Starts fleet and supervisors, whose records go below the directory.
-    pub async fn set(program: &Path, directory: &Path, seed: u64) -> Self {
-        Stage::set_with(program, directory, seed, "").await
+    pub async fn start(program: &Path, directory: &Path, seed: u64) -> Self {
+        EmulatedDeployment::start_with_operator_config(program, directory, seed, "").await
     }
 
     /// The same with more in the operators' file.
-    pub async fn set_with(program: &Path, directory: &Path, seed: u64, more: &str) -> Self {
-        Stage::sized(program, directory, SIZE, seed, more).await
+    pub async fn start_with_operator_config(
+        program: &Path,
+        directory: &Path,
+        seed: u64,
+        more: &str,
+    ) -> Self {
+        EmulatedDeployment::start_with_size(program, directory, SIZE, seed, more).await
     }
 
     /// The same where servers may not be probed: what probes take on a machine that others use too then says nothing.
-    pub async fn unprobed(program: &Path, directory: &Path, seed: u64, more: &str) -> Self {
-        Stage::made(program, directory, SIZE, (seed, false), more).await
+    pub async fn start_without_health_checks(
+        program: &Path,
+        directory: &Path,
+        seed: u64,
+        more: &str,
+    ) -> Self {
+        EmulatedDeployment::start_configured(program, directory, SIZE, (seed, false), more).await
     }
 
     /// The same with so many servers a zone, so many front ends, and so many requests a second at each.
-    pub async fn sized(
+    pub async fn start_with_size(
         program: &Path,
         directory: &Path,
         size: (usize, u32, f64),
         seed: u64,
         more: &str,
     ) -> Self {
-        Stage::made(program, directory, size, (seed, true), more).await
+        EmulatedDeployment::start_configured(program, directory, size, (seed, true), more).await
     }
 
-    async fn made(
+    async fn start_configured(
         program: &Path,
         directory: &Path,
         size: (usize, u32, f64),
@@ -89,9 +99,9 @@
         );
         std::fs::write(&operator, text).expect("an operators' file");
         let fleet = Fleet::start(size.0, size.1, size.2, seed).await;
-        let mut stage = Stage {
+        let mut stage = EmulatedDeployment {
             fleet,
-            diary: Diary::default(),
+            ground_truth: GroundTruthLog::default(),
             directory: directory.to_path_buf(),
             program: Program::new(program, directory).with_operator(operator),
             probes,
@@ -99,10 +109,10 @@
         };
         for at in 0..SUPERVISORS.len() {
             stage.supervisors.push(None);
-            stage.begin(at).await;
+            stage.start_supervisor(at).await;
         }
-        stage.fleet.work(SUPERVISORS.len());
-        stage.fleet.tables().await;
+        stage.fleet.start_traffic(SUPERVISORS.len());
+        stage.fleet.wait_for_tables().await;
         stage
     }
 
@@ -112,28 +122,28 @@
     }
 
     /// Starts a supervisor that was killed.
-    pub async fn again(&mut self, at: usize) {
-        self.begin(at).await;
+    pub async fn restart_supervisor(&mut self, at: usize) {
+        self.start_supervisor(at).await;
     }
 
-    async fn begin(&mut self, at: usize) {
-        self.diary.note(Deed::Begun {
+    async fn start_supervisor(&mut self, at: usize) {
+        self.ground_truth.record(InjectedEvent::Begun {
             supervisor: SUPERVISORS[at].to_string(),
         });
         let supervisor = self
             .program
-            .start(&told(&self.fleet, SUPERVISORS[at], self.probes))
+            .start(&configuration_of(&self.fleet, SUPERVISORS[at], self.probes))
             .await;
         self.fleet.addresses.set(at, Some(supervisor.address));
         self.supervisors[at] = Some(supervisor);
     }
 
     /// Kills a supervisor; `again` starts it anew.
-    pub async fn kill(&mut self, at: usize) {
+    pub async fn kill_supervisor(&mut self, at: usize) {
         let Some(supervisor) = self.supervisors[at].take() else {
             return;
         };
-        self.diary.note(Deed::Killed {
+        self.ground_truth.record(InjectedEvent::Killed {
             supervisor: SUPERVISORS[at].to_string(),
         });
         self.fleet.addresses.set(at, None);
@@ -143,14 +153,14 @@
     /// Sends SIGHUP to all supervisors.
     pub async fn reload(&self) {
         for supervisor in self.supervisors.iter().flatten() {
-            supervisor.hang_up().await;
+            supervisor.send_sighup().await;
         }
     }
 
     /// Whether every supervisor answers `probe`.
-    pub async fn alive(&self) -> bool {
+    pub async fn is_responsive(&self) -> bool {
         for supervisor in self.supervisors.iter().flatten() {
-            if !supervisor.alive().await {
+            if !supervisor.is_responsive().await {
                 return false;
             }
         }
@@ -158,19 +168,19 @@
     }
 
     /// Waits until all supervisors have logged these words so many times.
-    pub async fn logs(&self, times: usize, words: &[&str]) {
+    pub async fn wait_for_log_lines(&self, times: usize, words: &[&str]) {
         for supervisor in self.supervisors.iter().flatten() {
             let what = format!("{times} log lines with {words:?}");
-            crate::wait::until(&what, || supervisor.logged(words) >= times).await;
+            crate::wait::until(&what, || supervisor.count_log_lines(words) >= times).await;
         }
     }
 
     /// Asks all supervisors to end, one after the other; their exit codes.
-    pub async fn end(&mut self) -> Vec<Option<i32>> {
+    pub async fn terminate(&mut self) -> Vec<Option<i32>> {
         let mut codes = Vec::new();
         for (at, supervisor) in self.supervisors.iter_mut().enumerate() {
             if let Some(mut supervisor) = supervisor.take() {
-                self.diary.note(Deed::Ended {
+                self.ground_truth.record(InjectedEvent::Ended {
                     supervisor: SUPERVISORS[at].to_string(),
                 });
                 self.fleet.addresses.set(at, None);
@@ -181,123 +191,127 @@
     }
 
     /// Plays a day with every trouble, some 75 seconds. Ends the supervisors, and writes down what was done.
-    pub async fn incident(&mut self) -> Vec<Option<i32>> {
+    pub async fn run_incident(&mut self) -> Vec<Option<i32>> {
         let seconds = |n| sleep(Duration::from_secs(n));
         let (drained, failing, cut) = ("s-a1", "s-b2", "b");
         seconds(6).await;
-        self.diary.note(Deed::Drains {
+        self.ground_truth.record(InjectedEvent::Drains {
             server: drained.into(),
         });
         self.fleet.drain(drained);
         seconds(3).await;
-        self.diary.note(Deed::Removed {
+        self.ground_truth.record(InjectedEvent::Removed {
             server: drained.into(),
         });
         self.fleet.remove(drained);
         seconds(2).await;
-        self.diary.note(Deed::Fails {
+        self.ground_truth.record(InjectedEvent::Fails {
             server: failing.into(),
             on: true,
         });
-        self.fleet.fail(failing, true);
+        self.fleet.set_failing(failing, true);
         seconds(7).await;
-        self.diary.note(Deed::Fails {
+        self.ground_truth.record(InjectedEvent::Fails {
             server: failing.into(),
             on: false,
         });
-        self.fleet.fail(failing, false);
+        self.fleet.set_failing(failing, false);
         seconds(3).await;
-        self.diary.note(Deed::Late {
+        self.ground_truth.record(InjectedEvent::Late {
             zone: "a".into(),
             ms: 3000,
         });
-        self.fleet.late("a", Duration::from_secs(3));
+        self.fleet.set_report_delay("a", Duration::from_secs(3));
         seconds(1).await;
-        self.diary.note(Deed::Cut {
+        self.ground_truth.record(InjectedEvent::Cut {
             zone: cut.into(),
             on: true,
         });
-        self.fleet.cut(cut, true);
+        self.fleet.set_partitioned(cut, true);
         seconds(7).await;
-        self.diary.note(Deed::Cut {
+        self.ground_truth.record(InjectedEvent::Cut {
             zone: cut.into(),
             on: false,
         });
-        self.fleet.cut(cut, false);
+        self.fleet.set_partitioned(cut, false);
         seconds(6).await;
-        self.diary.note(Deed::Late {
+        self.ground_truth.record(InjectedEvent::Late {
             zone: "a".into(),
             ms: 0,
         });
-        self.fleet.late("a", Duration::ZERO);
+        self.fleet.set_report_delay("a", Duration::ZERO);
         for proxy in [2, 4, 6] {
-            self.diary.note(Deed::Broken { proxy });
+            self.ground_truth.record(InjectedEvent::Broken { proxy });
             self.fleet.break_stream(proxy);
         }
         seconds(3).await;
-        self.kill(1).await;
+        self.kill_supervisor(1).await;
         seconds(6).await;
-        self.begin(1).await;
+        self.start_supervisor(1).await;
         seconds(5).await;
-        self.diary.note(Deed::Started {
+        self.ground_truth.record(InjectedEvent::Started {
             server: drained.into(),
         });
         self.fleet.restart(drained);
         seconds(6).await;
-        self.diary.note(Deed::Mute { on: true });
-        self.fleet.discovery.mute(true);
+        self.ground_truth.record(InjectedEvent::Mute { on: true });
+        self.fleet.discovery.set_silent(true);
         seconds(5).await;
-        self.diary.note(Deed::Mute { on: false });
-        self.fleet.discovery.mute(false);
+        self.ground_truth.record(InjectedEvent::Mute { on: false });
+        self.fleet.discovery.set_silent(false);
         seconds(3).await;
-        self.diary.note(Deed::Demand { factor: 6.0 });
-        self.fleet.demand(6.0);
+        self.ground_truth
+            .record(InjectedEvent::Demand { factor: 6.0 });
+        self.fleet.set_demand_factor(6.0);
         seconds(8).await;
-        self.diary.note(Deed::Demand { factor: 1.0 });
-        self.fleet.demand(1.0);
+        self.ground_truth
+            .record(InjectedEvent::Demand { factor: 1.0 });
+        self.fleet.set_demand_factor(1.0);
         seconds(8).await;
-        let codes = self.end().await;
-        self.diary
+        let codes = self.terminate().await;
+        self.ground_truth
             .save(&self.directory.join("truth.jsonl"))
             .expect("the ground truth");
         codes
     }
 
     /// Small troubles in turn, for as long as it is polled.
-    pub async fn trouble(&mut self) {
+    pub async fn inject_recurring_faults(&mut self) {
         let servers = ["s-b3", "s-a4", "s-b1", "s-a2"];
         let seconds = |n| sleep(Duration::from_secs(n));
         for server in servers.iter().cycle() {
             seconds(5).await;
-            self.diary.note(Deed::Fails {
+            self.ground_truth.record(InjectedEvent::Fails {
                 server: server.to_string(),
                 on: true,
             });
-            self.fleet.fail(server, true);
+            self.fleet.set_failing(server, true);
             seconds(6).await;
-            self.diary.note(Deed::Fails {
+            self.ground_truth.record(InjectedEvent::Fails {
                 server: server.to_string(),
                 on: false,
             });
-            self.fleet.fail(server, false);
+            self.fleet.set_failing(server, false);
             seconds(6).await;
-            self.diary.note(Deed::Demand { factor: 5.0 });
-            self.fleet.demand(5.0);
+            self.ground_truth
+                .record(InjectedEvent::Demand { factor: 5.0 });
+            self.fleet.set_demand_factor(5.0);
             seconds(5).await;
-            self.diary.note(Deed::Demand { factor: 1.0 });
-            self.fleet.demand(1.0);
+            self.ground_truth
+                .record(InjectedEvent::Demand { factor: 1.0 });
+            self.fleet.set_demand_factor(1.0);
             seconds(8).await;
-            self.diary.note(Deed::Drains {
+            self.ground_truth.record(InjectedEvent::Drains {
                 server: server.to_string(),
             });
             self.fleet.drain(server);
             seconds(4).await;
-            self.diary.note(Deed::Removed {
+            self.ground_truth.record(InjectedEvent::Removed {
                 server: server.to_string(),
             });
             self.fleet.remove(server);
             seconds(2).await;
-            self.diary.note(Deed::Started {
+            self.ground_truth.record(InjectedEvent::Started {
                 server: server.to_string(),
             });
             self.fleet.restart(server);
--- a/crates/emulators/src/scripted.rs
+++ b/crates/emulators/src/scripted.rs
@@ -8,40 +8,40 @@
 
 use crate::http::listen;
 use crate::peer::Peer;
-use crate::wait::soon;
+use crate::wait::wait_for;
 
 /// A listener whose every step is the test's.
-pub struct Scripted {
+pub struct ScriptedListener {
     listener: TcpListener,
     /// Where it listens.
     pub address: SocketAddr,
 }
 
-impl Scripted {
+impl ScriptedListener {
     /// Listens; nothing is accepted yet.
     pub async fn start() -> Self {
         let (listener, address) = listen().await;
-        Scripted { listener, address }
+        ScriptedListener { listener, address }
     }
 
     /// The next connection.
     pub async fn accept(&self) -> Peer {
-        let (stream, _) = soon("a connection", self.listener.accept())
+        let (stream, _) = wait_for("a connection", self.listener.accept())
             .await
             .expect("a connection");
         Peer::over(stream)
     }
 
     /// The next connection, and the path that is asked for on it.
-    pub async fn asked(&self) -> (Peer, String) {
+    pub async fn next_request(&self) -> (Peer, String) {
         let mut peer = self.accept().await;
         let path = peer.request().await.expect("a request");
         (peer, path)
     }
 
     /// The next connection, which has to ask for this path.
-    pub async fn asked_for(&self, path: &str) -> Peer {
-        let (peer, asked) = self.asked().await;
+    pub async fn expect_request(&self, path: &str) -> Peer {
+        let (peer, asked) = self.next_request().await;
         assert_eq!(asked, path);
         peer
     }
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -10,15 +10,15 @@
 
 /// What a server does with a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum HealthCheckMode {
     /// Answers with a load report.
-    Well,
+    Healthy,
     /// Turns probes away.
-    Busy,
+    Unavailable,
     /// Answers with far too much.
-    Huge,
+    OversizedResponse,
     /// Never answers.
-    Hangs,
+    Unresponsive,
 }
 
 /// A server.
@@ -31,25 +31,28 @@
     /// Connections that it accepted.
     pub connections: Arc<AtomicUsize>,
     /// Probes that it was asked.
-    pub probes: Arc<AtomicUsize>,
+    pub health_checks: Arc<AtomicUsize>,
 }
 
 impl Server {
     /// Starts one.
-    pub async fn start(name: &'static str, manner: Manner) -> Self {
+    pub async fn start(name: &'static str, manner: HealthCheckMode) -> Self {
         let (listener, address) = listen().await;
-        let (connections, probes) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
-        let counted = probes.clone();
+        let (connections, health_checks) =
+            (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
+        let counted = health_checks.clone();
         serve(listener, connections.clone(), move |request| {
             let counted = counted.clone();
             async move {
                 counted.fetch_add(1, Ordering::SeqCst);
                 assert_eq!(request.uri().path(), "/-/load");
                 match manner {
-                    Manner::Well => text(StatusCode::OK, "TEXT queue=0, latency_ms=12.5"),
-                    Manner::Busy => text(StatusCode::SERVICE_UNAVAILABLE, ""),
-                    Manner::Huge => text(StatusCode::OK, vec![b'x'; 1 << 20]),
-                    Manner::Hangs => std::future::pending().await,
+                    HealthCheckMode::Healthy => {
+                        text(StatusCode::OK, "TEXT queue=0, latency_ms=12.5")
+                    }
+                    HealthCheckMode::Unavailable => text(StatusCode::SERVICE_UNAVAILABLE, ""),
+                    HealthCheckMode::OversizedResponse => text(StatusCode::OK, vec![b'x'; 1 << 20]),
+                    HealthCheckMode::Unresponsive => std::future::pending().await,
                 }
             }
         });
@@ -57,12 +60,12 @@
             name,
             address,
             connections,
-            probes,
+            health_checks,
         }
     }
 
     /// How many probes it was asked.
-    pub fn probed(&self) -> usize {
-        self.probes.load(Ordering::SeqCst)
+    pub fn health_check_count(&self) -> usize {
+        self.health_checks.load(Ordering::SeqCst)
     }
 }
--- a/crates/emulators/src/tables.rs
+++ b/crates/emulators/src/tables.rs
@@ -12,7 +12,7 @@
     /// Weights by class and server.
     pub rows: BTreeMap<String, BTreeMap<String, f64>>,
     /// Servers that are shut out.
-    pub dropped: BTreeSet<String>,
+    pub suspended: BTreeSet<String>,
     /// Way of trying again by class.
     pub retries: BTreeMap<String, String>,
     /// Admitted share by class.
@@ -25,7 +25,8 @@
     /// Servers that may be picked for a class, with their weights.
     pub fn weights(&self, class: &str) -> impl Iterator<Item = (&str, f64)> + Clone {
         let rows = self.rows.get(class).into_iter().flatten();
-        let usable = rows.filter(|(name, weight)| **weight > 0.0 && !self.dropped.contains(*name));
+        let usable =
+            rows.filter(|(name, weight)| **weight > 0.0 && !self.suspended.contains(*name));
         usable.map(|(name, weight)| (name.as_str(), *weight))
     }
 
@@ -88,9 +89,9 @@
                 .flat_map(|names| names.split(','))
                 .map(String::from)
         };
-        self.dropped.extend(names("drop"));
+        self.suspended.extend(names("drop"));
         names("undrop").for_each(|name| {
-            self.dropped.remove(&name);
+            self.suspended.remove(&name);
         });
         self.messages += usize::from(!words.contains_key("part"));
         Ok(words.get("stamp").map(|mark| mark.to_string()))
--- a/crates/emulators/src/truth.rs
+++ b/crates/emulators/src/truth.rs
@@ -14,7 +14,7 @@
 #[allow(missing_docs)]
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "what")]
-pub enum Deed {
+pub enum InjectedEvent {
     /// The list says that a server drains.
     Drains { server: String },
     /// The list drops a server.
@@ -43,12 +43,12 @@
 
 /// A deed and when it was done.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Truth {
+pub struct GroundTruthEntry {
     /// Unix microseconds.
     pub at_us: i64,
     /// What was done.
     #[serde(flatten)]
-    pub deed: Deed,
+    pub deed: InjectedEvent,
 }
 
 /// Unix time now, in microseconds.
@@ -61,26 +61,29 @@
 
 /// The deeds of one run, in order.
 #[derive(Clone, Debug, Default)]
-pub struct Diary(Arc<Mutex<Vec<Truth>>>);
+pub struct GroundTruthLog(Arc<Mutex<Vec<GroundTruthEntry>>>);
 
-impl Diary {
+impl GroundTruthLog {
     /// Writes down what is being done now.
-    pub fn note(&self, deed: Deed) {
-        self.0.lock().expect("no panic while held").push(Truth {
-            at_us: now_us(),
-            deed,
-        });
+    pub fn record(&self, deed: InjectedEvent) {
+        self.0
+            .lock()
+            .expect("no panic while held")
+            .push(GroundTruthEntry {
+                at_us: now_us(),
+                deed,
+            });
     }
 
     /// All that was written down.
-    pub fn deeds(&self) -> Vec<Truth> {
+    pub fn entries(&self) -> Vec<GroundTruthEntry> {
         self.0.lock().expect("no panic while held").clone()
     }
 
     /// Writes it to a file, a JSON object a line.
     pub fn save(&self, path: &Path) -> std::io::Result<()> {
         let mut file = std::fs::File::create(path)?;
-        for truth in self.deeds() {
+        for truth in self.entries() {
             writeln!(file, "{}", serde_json::to_string(&truth)?)?;
         }
         Ok(())
@@ -88,7 +91,7 @@
 }
 
 /// Writes a supervisor's records anew as if its clock had been so much ahead, into another directory.
-pub fn shift(from: &Path, to: &Path, by_us: i64) -> std::io::Result<()> {
+pub fn shift_clock(from: &Path, to: &Path, by_us: i64) -> std::io::Result<()> {
     std::fs::create_dir_all(to)?;
     for id in segment::list(from)? {
         let bytes = segment::bytes(&id.path(from), 0, segment::LENGTH_MOST)?;
@@ -132,7 +135,7 @@
 /// Compares what was recorded with what was done, for these supervisors. Every sentence is a fault: a deed without its
 /// event, an event without a deed, or a silence that is not marked.
 pub fn compare(
-    truth: &[Truth],
+    truth: &[GroundTruthEntry],
     events: &[Event],
     gaps: &[Gap],
     supervisors: &[&str],
@@ -145,15 +148,16 @@
 }
 
 /// Times at which a supervisor did not run.
-fn away(truth: &[Truth], supervisor: &str) -> Vec<(i64, i64)> {
+fn away(truth: &[GroundTruthEntry], supervisor: &str) -> Vec<(i64, i64)> {
     let mut away = Vec::new();
     let mut since = Some(i64::MIN);
     for one in truth {
         match &one.deed {
-            Deed::Begun { supervisor: its } if its == supervisor => {
+            InjectedEvent::Begun { supervisor: its } if its == supervisor => {
                 away.extend(since.take().map(|since| (since, one.at_us)));
             }
-            Deed::Killed { supervisor: its } | Deed::Ended { supervisor: its }
+            InjectedEvent::Killed { supervisor: its }
+            | InjectedEvent::Ended { supervisor: its }
                 if its == supervisor =>
             {
                 since = Some(one.at_us);
@@ -170,51 +174,61 @@
 }
 
 /// Whether an event shows a deed.
-fn shows(event: &Event, deed: &Deed) -> bool {
+fn shows(event: &Event, deed: &InjectedEvent) -> bool {
     let Some(kind) = &event.record.kind else {
         return false;
     };
     match (deed, kind) {
-        (Deed::Drains { server }, Kind::LifeChanged(of)) => {
+        (InjectedEvent::Drains { server }, Kind::LifeChanged(of)) => {
             of.server == *server && of.life() == pb::Life::Draining
         }
-        (Deed::Removed { server }, Kind::LifeChanged(of)) => {
+        (InjectedEvent::Removed { server }, Kind::LifeChanged(of)) => {
             of.server == *server && of.life() == pb::Life::Gone
         }
-        (Deed::Started { server }, Kind::ServerStarted(of)) => of.server == *server,
-        (Deed::Fails { server, on: true }, Kind::Failing(of)) => of.server == *server && of.failing,
-        (Deed::Fails { server, on: true }, Kind::StateChanged(of)) => {
+        (InjectedEvent::Started { server }, Kind::ServerStarted(of)) => of.server == *server,
+        (InjectedEvent::Fails { server, on: true }, Kind::Failing(of)) => {
+            of.server == *server && of.failing
+        }
+        (InjectedEvent::Fails { server, on: true }, Kind::StateChanged(of)) => {
             of.server == *server && of.state() == pb::State::Withdrawn
         }
-        (Deed::Cut { zone, on }, Kind::ZoneCut(of)) => of.zone == *zone && of.cut == *on,
-        (Deed::Demand { factor }, Kind::Saturation(of)) => *factor > 1.0 && of.refused > 0.0,
-        (Deed::Broken { proxy }, Kind::StreamLeft(of)) => of.proxy == *proxy,
-        (Deed::Mute { on }, Kind::Discovery(of)) => of.tells != *on,
-        (Deed::Begun { .. }, Kind::Started(_)) | (Deed::Ended { .. }, Kind::Stopped(_)) => true,
+        (InjectedEvent::Cut { zone, on }, Kind::ZoneCut(of)) => of.zone == *zone && of.cut == *on,
+        (InjectedEvent::Demand { factor }, Kind::Saturation(of)) => {
+            *factor > 1.0 && of.refused > 0.0
+        }
+        (InjectedEvent::Broken { proxy }, Kind::StreamLeft(of)) => of.proxy == *proxy,
+        (InjectedEvent::Mute { on }, Kind::Discovery(of)) => of.tells != *on,
+        (InjectedEvent::Begun { .. }, Kind::Started(_))
+        | (InjectedEvent::Ended { .. }, Kind::Stopped(_)) => true,
         _ => false,
     }
 }
 
 /// Whether every supervisor that runs learns of a deed, or only the one concerned.
-fn concerns(deed: &Deed, supervisor: &str) -> bool {
+fn concerns(deed: &InjectedEvent, supervisor: &str) -> bool {
     match deed {
-        Deed::Begun { supervisor: its }
-        | Deed::Ended { supervisor: its }
-        | Deed::Killed { supervisor: its } => its == supervisor,
+        InjectedEvent::Begun { supervisor: its }
+        | InjectedEvent::Ended { supervisor: its }
+        | InjectedEvent::Killed { supervisor: its } => its == supervisor,
         _ => true,
     }
 }
 
-fn missing(truth: &[Truth], events: &[Event], gaps: &[Gap], supervisors: &[&str]) -> Vec<String> {
+fn missing(
+    truth: &[GroundTruthEntry],
+    events: &[Event],
+    gaps: &[Gap],
+    supervisors: &[&str],
+) -> Vec<String> {
     let mut faults = Vec::new();
     for one in truth {
         // What is only the end of something, or has no event of its own, is not looked for.
         let silent = matches!(
             one.deed,
-            Deed::Killed { .. }
-                | Deed::Late { .. }
-                | Deed::Fails { on: false, .. }
-                | Deed::Demand { .. }
+            InjectedEvent::Killed { .. }
+                | InjectedEvent::Late { .. }
+                | InjectedEvent::Fails { on: false, .. }
+                | InjectedEvent::Demand { .. }
         );
         if silent {
             continue;
@@ -232,10 +246,13 @@
             let absent = away(truth, supervisor)
                 .iter()
                 .any(|(since, until)| *since <= to && *until >= from);
-            let own = matches!(one.deed, Deed::Begun { .. } | Deed::Ended { .. });
+            let own = matches!(
+                one.deed,
+                InjectedEvent::Begun { .. } | InjectedEvent::Ended { .. }
+            );
             // A front end's stream ends at the one supervisor that it had joined.
-            let elsewhere =
-                matches!(one.deed, Deed::Broken { .. }) && supervisors.iter().any(|by| found(by));
+            let elsewhere = matches!(one.deed, InjectedEvent::Broken { .. })
+                && supervisors.iter().any(|by| found(by));
             let hidden = gaps.iter().any(|gap| {
                 *gap.supervisor == **supervisor
                     && gap.reason == GapReason::Lost
@@ -253,7 +270,7 @@
     // An overload need not reach every supervisor's threshold; one must have told of it.
     let heavy = truth
         .iter()
-        .filter(|one| matches!(one.deed, Deed::Demand { factor } if factor > 1.0));
+        .filter(|one| matches!(one.deed, InjectedEvent::Demand { factor } if factor > 1.0));
     for one in heavy {
         if !events
             .iter()
@@ -266,7 +283,7 @@
 }
 
 /// Events of kinds that only a deed can bring about, without one.
-fn invented(truth: &[Truth], events: &[Event]) -> Vec<String> {
+fn invented(truth: &[GroundTruthEntry], events: &[Event]) -> Vec<String> {
     let mut faults = Vec::new();
     for event in events {
         let Some(kind) = &event.record.kind else {
@@ -287,7 +304,7 @@
         // A supervisor that begins learns again what the list holds.
         let again = matches!(kind, Kind::LifeChanged(_) | Kind::ServerStarted(_))
             && truth.iter().any(|one| {
-                matches!(one.deed, Deed::Begun { .. })
+                matches!(one.deed, InjectedEvent::Begun { .. })
                     && event.learned_us() - one.at_us < LATE_MOST_US
             });
         if needs && !told && !again {
@@ -302,13 +319,13 @@
 }
 
 /// Times at which a supervisor did not run and that no gap marks.
-fn unmarked(truth: &[Truth], gaps: &[Gap]) -> Vec<String> {
+fn unmarked(truth: &[GroundTruthEntry], gaps: &[Gap]) -> Vec<String> {
     let mut faults = Vec::new();
     for (at, one) in truth.iter().enumerate() {
-        let Deed::Killed { supervisor } = &one.deed else {
+        let InjectedEvent::Killed { supervisor } = &one.deed else {
             continue;
         };
-        let again = |next: &&Truth| matches!(&next.deed, Deed::Begun { supervisor: its } if its == supervisor);
+        let again = |next: &&GroundTruthEntry| matches!(&next.deed, InjectedEvent::Begun { supervisor: its } if its == supervisor);
         let Some(next) = truth.iter().skip(at).find(again) else {
             continue;
         };
--- a/crates/emulators/src/wait.rs
+++ b/crates/emulators/src/wait.rs
@@ -9,7 +9,7 @@
 const LIMIT: Duration = Duration::from_secs(60);
 
 /// Waits for an event.
-pub async fn soon<T>(what: &str, event: impl Future<Output = T>) -> T {
+pub async fn wait_for<T>(what: &str, event: impl Future<Output = T>) -> T {
     timeout(LIMIT, event)
         .await
         .unwrap_or_else(|_| panic!("never came: {what}"))
@@ -22,5 +22,5 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    soon(what, holding).await;
+    wait_for(what, holding).await;
 }
--- a/crates/supervisor/src/peers/health_check/tests.rs
+++ b/crates/supervisor/src/peers/health_check/tests.rs
@@ -1,4 +1,4 @@
-use chutegrade_emulators::{Peer, Scripted};
+use chutegrade_emulators::{Peer, ScriptedListener};
 use chutegrade_engine::{
     DeploymentNames, EndpointUpdateKind, Engine, NamedEndpoint, Settings, StreamId,
 };
@@ -115,11 +115,11 @@
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let script = Scripted::start().await;
+        let script = ScriptedListener::start().await;
         let address = script.address.to_string();
         tokio::task::spawn_local(async move {
-            let mut peer = script.asked_for("/-/load").await;
-            peer.raw(&GOOD_ANSWER.as_bytes()[..bytes]).await;
+            let mut peer = script.expect_request("/-/load").await;
+            peer.send_bytes(&GOOD_ANSWER.as_bytes()[..bytes]).await;
         });
         checker().outcome_at(&address).await.0
     })
@@ -175,18 +175,18 @@
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let script = Scripted::start().await;
+        let script = ScriptedListener::start().await;
         let address = script.address.to_string();
         tokio::task::spawn_local(async move {
-            let mut idle = script.asked_for("/-/load").await;
-            idle.answer(200, "TEXT queue=1").await;
+            let mut idle = script.expect_request("/-/load").await;
+            idle.respond(200, "TEXT queue=1").await;
             assert!(idle.request().await.is_some());
             break_connection(&mut idle).await;
             idle.reset();
             script
-                .asked_for("/-/load")
+                .expect_request("/-/load")
                 .await
-                .answer(200, "TEXT queue=3")
+                .respond(200, "TEXT queue=3")
                 .await;
         });
         let checker = checker();
@@ -208,7 +208,7 @@
 #[test]
 fn a_partial_answer_on_an_idle_connection_is_retried_on_a_new_one() {
     let answer_partially = async |peer: &mut Peer| {
-        peer.raw(b"HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\nTEXT qu")
+        peer.send_bytes(b"HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\nTEXT qu")
             .await;
     };
     let load = LoadReport {
--- a/crates/supervisor/src/tests/rules/mod.rs
+++ b/crates/supervisor/src/tests/rules/mod.rs
@@ -57,7 +57,7 @@
 }
 
 fn is_withheld(proxy: &ProxyState, server: &str) -> bool {
-    proxy.tables.dropped.contains(server) && has_weight(proxy, server)
+    proxy.tables.suspended.contains(server) && has_weight(proxy, server)
 }
 
 /// A restarted supervisor does not know servers that were removed before its start: only complete tables remove them from
--- a/crates/supervisor/tests/arrivals.rs
+++ b/crates/supervisor/tests/arrivals.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use chutegrade_emulators::{soon, Peer, Proxy};
+use chutegrade_emulators::{wait_for, Peer, Proxy};
 
 use common::{joined, serving};
 
 /// Writes bytes one at a time, each in a segment of its own.
 async fn trickle(peer: &mut Peer, text: &str) {
     for byte in text.as_bytes() {
-        assert!(peer.raw(&[*byte]).await, "the connection is open");
+        assert!(peer.send_bytes(&[*byte]).await, "the connection is open");
         tokio::task::yield_now().await;
     }
 }
@@ -17,7 +17,7 @@
 /// The next line that is not an order.
 async fn next_answer(peer: &mut Peer) -> Option<String> {
     loop {
-        let line = soon("an answer", peer.line()).await;
+        let line = wait_for("an answer", peer.line()).await;
         if !line.as_ref().is_some_and(|line| line.starts_with("push")) {
             return line;
         }
@@ -29,7 +29,7 @@
     let (_discovery, _servers, supervisor) = serving().await;
     let mut proxy = Peer::connect(supervisor.address).await;
     trickle(&mut proxy, "hello id=0 site=a rps=20.0 new=1\r\n").await;
-    let table = soon("a table", proxy.line())
+    let table = wait_for("a table", proxy.line())
         .await
         .expect("the stream is open");
     assert!(table.contains("replace=1"), "{table}");
@@ -52,11 +52,11 @@
     let reports = [outcomes("s-1", 40), outcomes("s-2", 0), outcomes("s-3", 0)].concat();
     let mut collector = Peer::connect(supervisor.address).await;
     collector
-        .raw(format!("agent site=a\r\n{reports}probe\r\n").as_bytes())
+        .send_bytes(format!("agent site=a\r\n{reports}probe\r\n").as_bytes())
         .await;
     assert_eq!(next_answer(&mut collector).await.as_deref(), Some("alive"));
     supervisor
-        .logs(1, &["s-1", "withdrawn", "attempts failed"])
+        .expect_log_lines(1, &["s-1", "withdrawn", "attempts failed"])
         .await;
 }
 
@@ -66,12 +66,12 @@
     let mut peer = Peer::connect(supervisor.address).await;
     let hello = "hello id=3 site=a rps=20.0 new=1\r\n";
     let demand = "demand id=3 lane=lookup count=4 fail=0 over=200.0\r\n";
-    peer.raw(format!("{hello}{demand}probe\r\n").as_bytes())
+    peer.send_bytes(format!("{hello}{demand}probe\r\n").as_bytes())
         .await;
     let mut lines = Vec::new();
     while lines.len() < 2 {
         lines.push(
-            soon("a line", peer.line())
+            wait_for("a line", peer.line())
                 .await
                 .expect("the stream is open"),
         );
@@ -91,7 +91,7 @@
         Peer::connect(supervisor.address).await.reset();
     }
     joined(&supervisor, 0).await;
-    assert!(supervisor.alive().await);
+    assert!(supervisor.is_responsive().await);
 }
 
 /// A proxy that resets its stream right after its hello can join again, and gets its complete table.
@@ -102,5 +102,5 @@
         Proxy::join(&supervisor, 1, true).await.peer.reset();
     }
     joined(&supervisor, 1).await;
-    assert!(supervisor.alive().await);
+    assert!(supervisor.is_responsive().await);
 }
--- a/crates/supervisor/tests/commands/lab.rs
+++ b/crates/supervisor/tests/commands/lab.rs
@@ -27,7 +27,7 @@
     let program = Program::new(PROGRAM, directory.path());
     let scenario = write_file(directory.path(), "s.txtpb", SCENARIO);
     let (code, output, error) = program
-        .tool(&["lab", "play", &scenario, "--seed", "3"])
+        .run_command(&["lab", "play", &scenario, "--seed", "3"])
         .await;
     assert!(code == Some(0) && error.is_empty(), "{error}");
     assert!(
@@ -37,7 +37,7 @@
         "{output}"
     );
     let wrong = write_file(directory.path(), "w.txtpb", WRONG_SCENARIO);
-    let (code, _, error) = program.tool(&["lab", "play", &wrong]).await;
+    let (code, _, error) = program.run_command(&["lab", "play", &wrong]).await;
     assert!(
         code == Some(1) && error.contains("w.txtpb:3:11: try_share is 7"),
         "{error}"
@@ -57,7 +57,7 @@
     let results = directory.path().join("out").display().to_string();
     let run = ["lab", "run", &experiment, "--out", &results];
     let (code, output, error) = program
-        .tool(&[&run[..], &["--threads", "2"]].concat())
+        .run_command(&[&run[..], &["--threads", "2"]].concat())
         .await;
     assert!(
         code == Some(0) && output.contains("fixed") && output.contains("report.html"),
@@ -68,13 +68,13 @@
         results.expect("results").lines().count()
     };
     assert_eq!(count_results(), 6);
-    let (_, second_output, _) = program.tool(&run).await;
+    let (_, second_output, _) = program.run_command(&run).await;
     assert!(
         second_output.contains("6 runs are there already") && count_results() == 6,
         "{second_output}"
     );
     let (code, comparison, _) = program
-        .tool(&["lab", "compare", &experiment, "--out", &results])
+        .run_command(&["lab", "compare", &experiment, "--out", &results])
         .await;
     assert!(
         code == Some(0) && second_output.contains(comparison.trim_end()),
--- a/crates/supervisor/tests/commands/operator_config.rs
+++ b/crates/supervisor/tests/commands/operator_config.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chutegrade_emulators::{config, until, Discovery, Manner, Program, Proxy, Server};
+use chutegrade_emulators::{config, until, Discovery, HealthCheckMode, Program, Proxy, Server};
 use tokio::time::sleep;
 
 use crate::{run, utf8, Outcome, PROGRAM};
@@ -68,7 +68,7 @@
     )
     .expect("a file");
     let discovery = Discovery::start().await;
-    let server = Server::start("s-1", Manner::Well).await;
+    let server = Server::start("s-1", HealthCheckMode::Healthy).await;
     discovery.set("s-1", server.address, "up");
     let program = Program::new(PROGRAM, directory.path()).with_operator(&operator);
     let mut supervisor = program
@@ -76,18 +76,18 @@
         .await;
     let mut proxy = Proxy::join(&supervisor, 0, true).await;
     proxy
-        .applies("a table", |proxy| proxy.picks("lookup") == ["s-1"])
+        .apply_until("a table", |proxy| proxy.picks("lookup") == ["s-1"])
         .await;
     supervisor
-        .logs(1, &["recording stops, serving goes on"])
+        .expect_log_lines(1, &["recording stops, serving goes on"])
         .await;
     sleep(Duration::from_millis(2500)).await;
     supervisor
-        .logs(1, &["recording stops, serving goes on"])
+        .expect_log_lines(1, &["recording stops, serving goes on"])
         .await;
     std::fs::remove_file(&blocked).expect("a removal");
     until("recording", || {
-        supervisor.logged(&["recording directory"]) > 0
+        supervisor.count_log_lines(&["recording directory"]) > 0
     })
     .await;
     assert_eq!(supervisor.terminate().await, Some(0));
@@ -106,7 +106,7 @@
     std::fs::write(&operator, "records { directry: \"/x\" }").expect("a file");
     let program = Program::new(PROGRAM, directory.path()).with_operator(&operator);
     let (code, error) = program
-        .fails_to_start(&config(&Discovery::start().await, None, 64))
+        .run_until_exit(&config(&Discovery::start().await, None, 64))
         .await;
     assert!(
         code == Some(1)
@@ -126,7 +126,7 @@
     let mut configuration = config(&discovery, None, 64);
     configuration["listen"] = "nowhere".into();
     let program = Program::new(PROGRAM, directory.path()).with_operator(&operator);
-    let (code, error) = program.fails_to_start(&configuration).await;
+    let (code, error) = program.run_until_exit(&configuration).await;
     let line: serde_json::Value =
         serde_json::from_str(error.lines().next().expect("a line")).expect("JSON");
     assert_eq!(
--- a/crates/supervisor/tests/common/mod.rs
+++ b/crates/supervisor/tests/common/mod.rs
@@ -1,7 +1,9 @@
 //! A program, three servers and a proxy, for the tests of a supervisor over sockets. Not every test target uses all of it.
 #![allow(dead_code)]
 
-use chutegrade_emulators::{config, Discovery, Manner, Program, Proxy, Server, Supervisor};
+use chutegrade_emulators::{
+    config, Discovery, HealthCheckMode, Program, Proxy, Server, Supervisor,
+};
 
 /// The names of the three servers.
 pub const NAMES: [&str; 3] = ["s-1", "s-2", "s-3"];
@@ -18,7 +20,7 @@
 pub async fn servers() -> Vec<Server> {
     let mut servers = Vec::new();
     for name in NAMES {
-        servers.push(Server::start(name, Manner::Well).await);
+        servers.push(Server::start(name, HealthCheckMode::Healthy).await);
     }
     servers
 }
@@ -51,6 +53,6 @@
 /// A proxy that has joined and holds its complete table.
 pub async fn joined(supervisor: &Supervisor, id: u32) -> Proxy {
     let mut proxy = Proxy::join(supervisor, id, true).await;
-    proxy.applies("a complete table", has_all).await;
+    proxy.apply_until("a complete table", has_all).await;
     proxy
 }
--- a/crates/supervisor/tests/crossings/discovery.rs
+++ b/crates/supervisor/tests/crossings/discovery.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use chutegrade_emulators::{config, delivery, entry, until, Discovery, Proxy, Scripted, Server};
+use chutegrade_emulators::{
+    config, delivery, entry, until, Discovery, Proxy, ScriptedListener, Server,
+};
 use serde_json::{json, Value};
 use tokio::time::{sleep, timeout};
 
@@ -34,17 +36,17 @@
     let removed = entry("s-3", servers[2].address, "removed", 0);
     let mut malformed = draining.clone();
     malformed["status"] = json!("dra\u{fffd}ning");
-    let mut watch = script.asked_for(WATCH_PATH).await;
-    watch.begin().await;
+    let mut watch = script.expect_request(WATCH_PATH).await;
+    watch.begin_watch().await;
     watch
-        .tell(&delivery(42, false, &[malformed, removed.clone()]))
+        .send_watch_line(&delivery(42, false, &[malformed, removed.clone()]))
         .await;
     // The readable endpoint is applied at once.
     applies_picks(&mut proxy, &["s-1", "s-2"]).await;
-    let mut second_watch = script.asked_for(WATCH_PATH).await;
-    second_watch.begin().await;
+    let mut second_watch = script.expect_request(WATCH_PATH).await;
+    second_watch.begin_watch().await;
     second_watch
-        .tell(&delivery(42, false, &[draining, removed]))
+        .send_watch_line(&delivery(42, false, &[draining, removed]))
         .await;
     applies_picks(&mut proxy, &["s-1"]).await;
 }
@@ -60,16 +62,16 @@
     } = ScriptedFleet::start().await;
     let mut proxy = joined(&supervisor, 0).await;
     let unreadable = delivery(42, false, &[json!({"name": "s-9", "status": "resting"})]);
-    let mut watch = script.asked_for(WATCH_PATH).await;
+    let mut watch = script.expect_request(WATCH_PATH).await;
     for _ in 0..4 {
-        watch.begin().await;
-        watch.tell(&unreadable).await;
-        watch = script.asked_for(WATCH_PATH).await;
+        watch.begin_watch().await;
+        watch.send_watch_line(&unreadable).await;
+        watch = script.expect_request(WATCH_PATH).await;
     }
-    watch.begin().await;
-    watch.tell(&unreadable).await;
+    watch.begin_watch().await;
+    watch.send_watch_line(&unreadable).await;
     watch
-        .tell(&delivery(
+        .send_watch_line(&delivery(
             43,
             false,
             &[entry("s-1", servers[0].address, "draining", 0)],
@@ -78,7 +80,7 @@
     applies_picks(&mut proxy, &["s-2", "s-3"]).await;
     // The fifth watch stays open, and the next one starts after both deliveries.
     drop(watch);
-    script.asked_for("/api/targets?watch=1&from=43").await;
+    script.expect_request("/api/targets?watch=1&from=43").await;
 }
 
 /// A complete list that lacks a removed server has to read as its removal although another endpoint is malformed.
@@ -91,12 +93,12 @@
         ..
     } = ScriptedFleet::start().await;
     let mut proxy = joined(&supervisor, 0).await;
-    let mut watch = script.asked_for(WATCH_PATH).await;
-    watch.begin().await;
+    let mut watch = script.expect_request(WATCH_PATH).await;
+    watch.begin_watch().await;
     let mut malformed = entry("s-2", servers[1].address, "up", 0);
     malformed["weight"] = json!(-1.0);
     watch
-        .tell(&delivery(
+        .send_watch_line(&delivery(
             50,
             true,
             &[entry("s-1", servers[0].address, "up", 0), malformed],
@@ -108,7 +110,7 @@
 /// The content of an unreadable endpoint is older than the version of the known list, so the watch starts from 0.
 #[tokio::test]
 async fn a_partially_read_known_list_is_watched_from_the_first_version() {
-    let (script, servers) = (Scripted::start().await, servers().await);
+    let (script, servers) = (ScriptedListener::start().await, servers().await);
     let in_service = entry("s-1", servers[0].address, "up", 0);
     let known = delivery(41, true, &[in_service, json!({"name": "s-2", "status": 7})]);
     let mut configuration = config(
@@ -118,7 +120,7 @@
     );
     configuration["discovery"] = json!(script.address.to_string());
     let _supervisor = program().start(&configuration).await;
-    script.asked_for("/api/targets?watch=1&from=0").await;
+    script.expect_request("/api/targets?watch=1&from=0").await;
 }
 
 /// When the version count restarts, the changes that are finally accepted lack those that were ignored as stale.
@@ -134,24 +136,32 @@
     let draining = |position: usize| endpoint(&servers[position], "draining");
     let in_service = endpoint(&servers[2], "up");
     let complete_list = delivery(3, true, &[draining(0), draining(1), in_service]);
-    let mut watch = script.asked_for(WATCH_PATH).await;
-    watch.begin().await;
-    watch.tell(&delivery(2, false, &[draining(0)])).await;
-    supervisor.logs(1, &["discovery is behind"]).await;
+    let mut watch = script.expect_request(WATCH_PATH).await;
+    watch.begin_watch().await;
+    watch
+        .send_watch_line(&delivery(2, false, &[draining(0)]))
+        .await;
+    supervisor
+        .expect_log_lines(1, &["discovery is behind"])
+        .await;
     let stale_since = Instant::now();
     while stale_since.elapsed() < STALE_TIMEOUT {
         sleep(Duration::from_millis(500)).await;
-        watch.tell(&delivery(2, false, &[])).await;
-        if let Ok((mut request, path)) = timeout(Duration::from_millis(1), script.asked()).await {
+        watch.send_watch_line(&delivery(2, false, &[])).await;
+        if let Ok((mut request, path)) =
+            timeout(Duration::from_millis(1), script.next_request()).await
+        {
             assert_eq!(path, LIST_PATH, "before any change is accepted");
-            request.answer(200, &complete_list).await;
+            request.respond(200, &complete_list).await;
             applies_picks(&mut proxy, &["s-3"]).await;
             return;
         }
     }
-    watch.tell(&delivery(3, false, &[draining(1)])).await;
-    let mut request = script.asked_for(LIST_PATH).await;
-    request.answer(200, &complete_list).await;
+    watch
+        .send_watch_line(&delivery(3, false, &[draining(1)]))
+        .await;
+    let mut request = script.expect_request(LIST_PATH).await;
+    request.respond(200, &complete_list).await;
     applies_picks(&mut proxy, &["s-3"]).await;
 }
 
@@ -165,17 +175,17 @@
         ..
     } = ScriptedFleet::start().await;
     let mut proxy = joined(&supervisor, 0).await;
-    let mut silent_watch = script.asked_for(WATCH_PATH).await;
-    silent_watch.begin().await;
-    let mut request = script.asked_for(LIST_PATH).await;
+    let mut silent_watch = script.expect_request(WATCH_PATH).await;
+    silent_watch.begin_watch().await;
+    let mut request = script.expect_request(LIST_PATH).await;
     let in_service = |position: usize| endpoint(&servers[position], "up");
     request
-        .answer(200, &delivery(42, true, &[in_service(0), in_service(2)]))
+        .respond(200, &delivery(42, true, &[in_service(0), in_service(2)]))
         .await;
     applies_picks(&mut proxy, &["s-1", "s-3"]).await;
-    script.asked_for("/api/targets?watch=1&from=42").await;
+    script.expect_request("/api/targets?watch=1&from=42").await;
     supervisor
-        .logs(1, &["discovery unavailable", "reason=silent"])
+        .expect_log_lines(1, &["discovery unavailable", "reason=silent"])
         .await;
 }
 
@@ -188,41 +198,52 @@
         supervisor,
         mut configuration,
     } = ScriptedFleet::start().await;
-    let (second, third) = (Scripted::start().await, Scripted::start().await);
+    let (second, third) = (
+        ScriptedListener::start().await,
+        ScriptedListener::start().await,
+    );
     let mut proxy = joined(&supervisor, 0).await;
-    let mut watch = script.asked_for(WATCH_PATH).await;
-    watch.begin().await;
-    watch.piece(PARTIAL_DELIVERY).await;
+    let mut watch = script.expect_request(WATCH_PATH).await;
+    watch.begin_watch().await;
+    watch.send_chunk(PARTIAL_DELIVERY).await;
     configuration["discovery"] = json!(second.address.to_string());
     supervisor.reload(&configuration.to_string()).await;
-    let mut request = second.asked_for(LIST_PATH).await;
-    watch.ended().await;
+    let mut request = second.expect_request(LIST_PATH).await;
+    watch.wait_for_close().await;
     request
-        .raw(b"HTTP/1.1 200 OK\r\ncontent-length: 4000\r\n\r\n")
+        .send_bytes(b"HTTP/1.1 200 OK\r\ncontent-length: 4000\r\n\r\n")
         .await;
     configuration["discovery"] = json!(third.address.to_string());
     supervisor.reload(&configuration.to_string()).await;
-    let mut request = third.asked_for(LIST_PATH).await;
+    let mut request = third.expect_request(LIST_PATH).await;
     // A malformed list is requested again, not watched from.
-    request.answer(200, "{\"index\":4").await;
-    let mut request = third.asked_for(LIST_PATH).await;
+    request.respond(200, "{\"index\":4").await;
+    let mut request = third.expect_request(LIST_PATH).await;
     let in_service = |position: usize| endpoint(&servers[position], "up");
     request
-        .answer(200, &delivery(42, true, &[in_service(0), in_service(1)]))
+        .respond(200, &delivery(42, true, &[in_service(0), in_service(1)]))
         .await;
     applies_picks(&mut proxy, &["s-1", "s-2"]).await;
-    let mut watch = third.asked_for("/api/targets?watch=1&from=42").await;
-    watch.begin().await;
+    let mut watch = third.expect_request("/api/targets?watch=1&from=42").await;
+    watch.begin_watch().await;
     // An older complete list after newer changes reverts nothing.
     let draining = endpoint(&servers[0], "draining");
-    watch.tell(&delivery(44, false, &[draining])).await;
+    watch
+        .send_watch_line(&delivery(44, false, &[draining]))
+        .await;
     applies_picks(&mut proxy, &["s-2"]).await;
     let older_list = [in_service(0), in_service(1), in_service(2)];
-    watch.tell(&delivery(43, true, &older_list)).await;
-    supervisor.logs(1, &["discovery is behind"]).await;
-    watch.tell(&delivery(45, false, &[in_service(2)])).await;
+    watch
+        .send_watch_line(&delivery(43, true, &older_list))
+        .await;
+    supervisor
+        .expect_log_lines(1, &["discovery is behind"])
+        .await;
+    watch
+        .send_watch_line(&delivery(45, false, &[in_service(2)]))
+        .await;
     proxy
-        .applies("the next change", |proxy| {
+        .apply_until("the next change", |proxy| {
             proxy.picks("lookup").contains(&"s-3")
         })
         .await;
@@ -233,7 +254,7 @@
 /// with another start, in one delivery with the removal.
 #[tokio::test]
 async fn a_server_removed_during_its_health_check_returns_at_another_address() {
-    let (script, servers) = (Scripted::start().await, servers().await);
+    let (script, servers) = (ScriptedListener::start().await, servers().await);
     let discovery = Discovery::start().await;
     for (name, address) in [("s-1", script.address), ("s-2", servers[1].address)] {
         discovery.set(name, address, "up");
@@ -241,13 +262,13 @@
     let supervisor = program()
         .start(&config(&discovery, Some(discovery.list()), 1024))
         .await;
-    until("a watch", || discovery.opened() == 1).await;
+    until("a watch", || discovery.watches_opened() == 1).await;
     let mut proxy = Proxy::join(&supervisor, 0, true).await;
-    let mut health_check = script.asked_for("/-/load").await;
+    let mut health_check = script.expect_request("/-/load").await;
     discovery.set("s-1", script.address, "removed");
     applies_picks(&mut proxy, &["s-2"]).await;
-    health_check.answer(200, "TEXT queue=0").await;
-    supervisor.logs(1, &["s-1 gone"]).await;
+    health_check.respond(200, "TEXT queue=0").await;
+    supervisor.expect_log_lines(1, &["s-1 gone"]).await;
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .expect("after 1970");
@@ -256,14 +277,14 @@
         entry("s-1", script.address, "removed", 0),
         entry("s-1", servers[0].address, "up", started_ms),
     ];
-    discovery.count_from(90);
-    discovery.say(&delivery(90, false, &endpoints));
+    discovery.set_version(90);
+    discovery.send_line(&delivery(90, false, &endpoints));
     until("a health check at the new address", || {
-        servers[0].probed() > 0
+        servers[0].health_check_count() > 0
     })
     .await;
     proxy
-        .applies("its return", |proxy| proxy.picks("lookup").contains(&"s-1"))
+        .apply_until("its return", |proxy| proxy.picks("lookup").contains(&"s-1"))
         .await;
     let weight_of = |server: &str| {
         let mut weights = proxy.weights("lookup");
--- a/crates/supervisor/tests/crossings/main.rs
+++ b/crates/supervisor/tests/crossings/main.rs
@@ -11,7 +11,7 @@
 mod common;
 
 use chutegrade_emulators::{
-    config, delivery, entry, soon, Discovery, Peer, Proxy, Scripted, Server, Supervisor,
+    config, delivery, entry, wait_for, Discovery, Peer, Proxy, ScriptedListener, Server, Supervisor,
 };
 use serde_json::{json, Value};
 
@@ -24,7 +24,7 @@
 
 /// A scripted discovery, three servers, and a supervisor whose known list has them as version 41.
 struct ScriptedFleet {
-    script: Scripted,
+    script: ScriptedListener,
     servers: Vec<Server>,
     supervisor: Supervisor,
     configuration: Value,
@@ -32,7 +32,7 @@
 
 impl ScriptedFleet {
     async fn start() -> Self {
-        let script = Scripted::start().await;
+        let script = ScriptedListener::start().await;
         let servers = servers().await;
         let endpoints: Vec<Value> = servers
             .iter()
@@ -54,7 +54,7 @@
 /// Applies orders until a proxy may pick exactly these servers for every class.
 async fn applies_picks(proxy: &mut Proxy, picks: &[&str]) {
     proxy
-        .applies(&format!("{picks:?}"), |proxy| {
+        .apply_until(&format!("{picks:?}"), |proxy| {
             proxy.picks("lookup") == picks && proxy.picks("order") == picks
         })
         .await;
@@ -62,7 +62,7 @@
 
 /// The next line on a stream, without acknowledging it.
 async fn next_line(peer: &mut Peer) -> String {
-    soon("an order", peer.line())
+    wait_for("an order", peer.line())
         .await
         .expect("the stream is open")
 }
--- a/crates/supervisor/tests/crossings/settings.rs
+++ b/crates/supervisor/tests/crossings/settings.rs
@@ -18,13 +18,13 @@
     configuration["settings"]["familyInfo"]["proxies"] = json!(1);
     supervisor.reload(&configuration.to_string()).await;
     supervisor
-        .logs(1, &["reloaded", "restart_for=\"settings\""])
+        .expect_log_lines(1, &["reloaded", "restart_for=\"settings\""])
         .await;
     discovery.set("s-1", servers[0].address, "draining");
     applies_picks(&mut proxy, &["s-2", "s-3"]).await;
     Proxy::join(&supervisor, 7, true)
         .await
-        .applies("a table", |proxy| !proxy.picks("order").is_empty())
+        .apply_until("a table", |proxy| !proxy.picks("order").is_empty())
         .await;
 }
 
--- a/crates/supervisor/tests/crossings/streams.rs
+++ b/crates/supervisor/tests/crossings/streams.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chutegrade_emulators::{config, soon, until, Peer};
+use chutegrade_emulators::{config, until, wait_for, Peer};
 use serde_json::json;
 use tokio::time::sleep;
 
@@ -17,21 +17,21 @@
     let mut stalled = Peer::connect(supervisor.address).await;
     stalled.send("hello id=0 site=a rps=20.0 new=0").await;
     let report_until_closed = async {
-        while supervisor.logged(&["0@a", "reason=silent", "no acknowledgement"]) == 0 {
+        while supervisor.count_log_lines(&["0@a", "reason=silent", "no acknowledgement"]) == 0 {
             stalled
-                .raw(b"demand id=0 lane=lookup count=4 fail=0 over=200.0\r\n")
+                .send_bytes(b"demand id=0 lane=lookup count=4 fail=0 over=200.0\r\n")
                 .await;
-            proxy.demand().await;
+            proxy.report_demand().await;
             sleep(Duration::from_millis(100)).await;
         }
     };
-    soon(
+    wait_for(
         "the end of a stream without acknowledgements",
         report_until_closed,
     )
     .await;
     assert_eq!(
-        supervisor.logged(&["1@a", "connection ended"]),
+        supervisor.count_log_lines(&["1@a", "connection ended"]),
         0,
         "one that acknowledges stays"
     );
@@ -53,9 +53,9 @@
     proxy_peer
         .send(&format!("ack id=0 seq={} ms=1.0", sequence_number(&first)))
         .await;
-    proxy_peer.ended().await;
+    proxy_peer.wait_for_close().await;
     supervisor
-        .logs(1, &["0@a", "reason=silent", "no acknowledgement"])
+        .expect_log_lines(1, &["0@a", "reason=silent", "no acknowledgement"])
         .await;
 }
 
@@ -63,13 +63,14 @@
 #[tokio::test]
 async fn the_newest_of_several_streams_wins_and_gets_the_drain() {
     let (discovery, servers, supervisor) = serving().await;
-    until("a watch", || discovery.opened() == 1).await;
+    until("a watch", || discovery.watches_opened() == 1).await;
     let mut proxy = joined(&supervisor, 0).await;
-    supervisor.freeze().await;
+    supervisor.pause().await;
     let mut older = Vec::new();
     for _ in 0..3 {
         let mut peer = Peer::connect(supervisor.address).await;
-        peer.raw(b"hello id=0 site=a rps=20.0 new=0\r\n").await;
+        peer.send_bytes(b"hello id=0 site=a rps=20.0 new=0\r\n")
+            .await;
         older.push(peer);
     }
     older.remove(0).reset();
@@ -77,16 +78,16 @@
     let mut first = std::mem::replace(&mut proxy.peer, Peer::connect(supervisor.address).await);
     proxy
         .peer
-        .raw(b"hello id=0 site=a rps=20.0 new=0\r\n")
+        .send_bytes(b"hello id=0 site=a rps=20.0 new=0\r\n")
         .await;
-    supervisor.thaw(&[]).await;
+    supervisor.resume(&[]).await;
     proxy
-        .applies("the drain", |proxy| {
+        .apply_until("the drain", |proxy| {
             proxy.picks("order") == ["s-1", "s-3"] && proxy.messages > 1
         })
         .await;
     for peer in older.iter_mut().chain([&mut first]) {
-        peer.ended().await;
+        peer.wait_for_close().await;
     }
     proxy.peer.send("probe").await;
     while next_line(&mut proxy.peer).await != "alive" {}
@@ -98,16 +99,18 @@
 #[tokio::test]
 async fn an_order_lost_with_its_stream_is_sent_on_the_next() {
     let (discovery, servers, supervisor) = serving().await;
-    until("a watch", || discovery.opened() == 1).await;
+    until("a watch", || discovery.watches_opened() == 1).await;
     let mut proxy = joined(&supervisor, 0).await;
     let mut other = joined(&supervisor, 1).await;
-    supervisor.freeze().await;
+    supervisor.pause().await;
     discovery.set("s-2", servers[1].address, "draining");
     let next = Peer::connect(supervisor.address).await;
     std::mem::replace(&mut proxy.peer, next).reset();
-    supervisor.thaw(&[]).await;
+    supervisor.resume(&[]).await;
     applies_picks(&mut other, &["s-1", "s-3"]).await;
-    supervisor.logs(1, &["0@a", "connection ended"]).await;
+    supervisor
+        .expect_log_lines(1, &["0@a", "connection ended"])
+        .await;
     proxy.peer.send("hello id=0 site=a rps=20.0 new=0").await;
     applies_picks(&mut proxy, &["s-1", "s-3"]).await;
 }
@@ -119,20 +122,22 @@
     let second = program()
         .start(&config(&discovery, Some(discovery.list()), 1024))
         .await;
-    until("both watches", || discovery.opened() == 2).await;
+    until("both watches", || discovery.watches_opened() == 2).await;
     let mut proxy = joined(&first, 0).await;
     discovery.set("s-1", servers[0].address, "draining");
     applies_picks(&mut proxy, &["s-2", "s-3"]).await;
-    assert!(proxy.dropped.contains("s-1"));
-    proxy.join_again(&second).await;
+    assert!(proxy.suspended.contains("s-1"));
+    proxy.rejoin(&second).await;
     discovery.set("s-1", servers[0].address, "up");
-    proxy.applies("all servers, at the second", has_all).await;
+    proxy
+        .apply_until("all servers, at the second", has_all)
+        .await;
     discovery.set("s-3", servers[2].address, "draining");
     applies_picks(&mut proxy, &["s-1", "s-2"]).await;
-    proxy.join_again(&first).await;
+    proxy.rejoin(&first).await;
     discovery.set("s-3", servers[2].address, "up");
     proxy
-        .applies("all servers, back at the first", has_all)
+        .apply_until("all servers, back at the first", has_all)
         .await;
 }
 
--- a/crates/supervisor/tests/incident.rs
+++ b/crates/supervisor/tests/incident.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-use chutegrade_emulators::script::{Stage, SUPERVISORS};
-use chutegrade_emulators::truth::{compare, shift, Deed, Truth};
+use chutegrade_emulators::script::{EmulatedDeployment, SUPERVISORS};
+use chutegrade_emulators::truth::{compare, shift_clock, GroundTruthEntry, InjectedEvent};
 use chutegrade_emulators::Program;
 use chutegrade_records::index::Query;
 use chutegrade_records::{text, Timeline, Window};
@@ -17,33 +17,37 @@
 }
 
 /// What happened, as the report should show it.
-fn report_text(truth: &Truth) -> Option<String> {
+fn report_text(truth: &GroundTruthEntry) -> Option<String> {
     match &truth.deed {
-        Deed::Drains { server } => Some(format!("{server} draining")),
-        Deed::Removed { server } => Some(format!("{server} gone")),
-        Deed::Started { server } => Some(format!("{server} started")),
-        Deed::Cut { zone, on: true } => Some(format!("zone {zone} partitioned")),
-        Deed::Cut { zone, on: false } => Some(format!("zone {zone} reachable again")),
-        Deed::Mute { on: true } => Some("discovery unavailable".to_string()),
-        Deed::Mute { on: false } => Some("discovery available again".to_string()),
-        Deed::Broken { proxy } => Some(format!("proxy {proxy}@")),
+        InjectedEvent::Drains { server } => Some(format!("{server} draining")),
+        InjectedEvent::Removed { server } => Some(format!("{server} gone")),
+        InjectedEvent::Started { server } => Some(format!("{server} started")),
+        InjectedEvent::Cut { zone, on: true } => Some(format!("zone {zone} partitioned")),
+        InjectedEvent::Cut { zone, on: false } => Some(format!("zone {zone} reachable again")),
+        InjectedEvent::Mute { on: true } => Some("discovery unavailable".to_string()),
+        InjectedEvent::Mute { on: false } => Some("discovery available again".to_string()),
+        InjectedEvent::Broken { proxy } => Some(format!("proxy {proxy}@")),
         _ => None,
     }
 }
 
 /// Asserts that the records agree with what happened, in the true order.
-fn assert_agrees(timeline: &Timeline, truth: &[Truth]) {
+fn assert_agrees(timeline: &Timeline, truth: &[GroundTruthEntry]) {
     let (events, gaps) = timeline.read(&Query::default());
     let faults = compare(truth, &events, &gaps, &SUPERVISORS);
     assert!(faults.is_empty(), "{faults:#?}");
 }
 
 /// Shifts the clock of one supervisor's records by 3 s, and asserts that the offset is found and the order stays true.
-fn assert_agrees_with_a_shifted_clock(records: &Path, directory: &Path, truth: &[Truth]) {
+fn assert_agrees_with_a_shifted_clock(
+    records: &Path,
+    directory: &Path,
+    truth: &[GroundTruthEntry],
+) {
     let shifted = directory.join("shifted");
     std::fs::create_dir(&shifted).expect("a directory");
-    shift(&records.join("n0"), &shifted.join("n0"), 0).expect("a copy");
-    shift(&records.join("n1"), &shifted.join("n1"), 3_000_000).expect("a copy");
+    shift_clock(&records.join("n0"), &shifted.join("n0"), 0).expect("a copy");
+    shift_clock(&records.join("n1"), &shifted.join("n1"), 3_000_000).expect("a copy");
     let timeline = Timeline::open(&[shifted]).expect("records");
     let offset_us = timeline.supervisors[1].ahead_us;
     assert!(
@@ -56,10 +60,15 @@
     assert!(faults.is_empty(), "{faults:#?}");
 }
 
-async fn assert_report_shows(tools: &Program, records: &Path, directory: &Path, truth: &[Truth]) {
+async fn assert_report_shows(
+    tools: &Program,
+    records: &Path,
+    directory: &Path,
+    truth: &[GroundTruthEntry],
+) {
     let report = directory.join("report.html");
     let (code, output, error) = tools
-        .tool(&["report", utf8(records), "--out", utf8(&report)])
+        .run_command(&["report", utf8(records), "--out", utf8(&report)])
         .await;
     assert_eq!(code, Some(0), "{output}{error}");
     let report = std::fs::read_to_string(report).expect("the report");
@@ -73,7 +82,9 @@
 }
 
 async fn assert_records_are_sound(tools: &Program, records: &Path) {
-    let (code, output, _) = tools.tool(&["records", "verify", utf8(records)]).await;
+    let (code, output, _) = tools
+        .run_command(&["records", "verify", utf8(records)])
+        .await;
     assert_eq!(
         (code, output.matches(": sound").count()),
         (Some(0), 2),
@@ -84,7 +95,7 @@
 async fn assert_console_shows_the_middle(tools: &Program, records: &Path, span: Window) {
     let middle = text::time((span.from_us + span.to_us) / 2);
     let (code, frame, _) = tools
-        .tool(&["console", utf8(records), "--at", &middle, "--once"])
+        .run_command(&["console", utf8(records), "--at", &middle, "--once"])
         .await;
     assert!(
         code == Some(0) && frame.contains("PAST") && frame.contains("zone a"),
@@ -96,17 +107,17 @@
 async fn the_report_of_a_scripted_incident_agrees_with_the_ground_truth() {
     let directory = tempfile::tempdir().expect("a directory");
     let program = Path::new(env!("CARGO_BIN_EXE_chutegrade"));
-    let mut stage = Stage::set(program, directory.path(), 7).await;
-    let codes = stage.incident().await;
+    let mut stage = EmulatedDeployment::start(program, directory.path(), 7).await;
+    let codes = stage.run_incident().await;
     assert_eq!(codes, [Some(0), Some(0)]);
     assert_eq!(
-        stage.fleet.ran_twice(),
+        stage.fleet.duplicate_executions(),
         0,
         "a request that must not run twice did"
     );
 
     let records = stage.records();
-    let truth = stage.diary.deeds();
+    let truth = stage.ground_truth.entries();
     let timeline = Timeline::open(std::slice::from_ref(&records)).expect("records");
     assert_agrees(&timeline, &truth);
     assert_agrees_with_a_shifted_clock(&records, directory.path(), &truth);
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use chutegrade_emulators::script::Stage;
+use chutegrade_emulators::script::EmulatedDeployment;
 use chutegrade_emulators::{until, Program};
 use chutegrade_records::index::Query;
 use chutegrade_records::{pb, Kind, Timeline};
@@ -24,7 +24,7 @@
 const NORMAL_DEMAND: f64 = 1.0;
 
 /// What a supervisor has recorded.
-fn recorded_kinds(stage: &Stage, supervisor: &str) -> Vec<Kind> {
+fn recorded_kinds(stage: &EmulatedDeployment, supervisor: &str) -> Vec<Kind> {
     let timeline = Timeline::open(&[stage.records().join(supervisor)]).expect("records");
     let (events, _) = timeline.read(&Query::default());
     events
@@ -34,7 +34,7 @@
 }
 
 /// The changes of the service level that a supervisor has recorded.
-fn recorded_changes(stage: &Stage, supervisor: &str) -> Vec<pb::ServiceLevel> {
+fn recorded_changes(stage: &EmulatedDeployment, supervisor: &str) -> Vec<pb::ServiceLevel> {
     let change = |kind| match kind {
         Kind::ServiceLevel(change) => Some(change),
         _ => None,
@@ -46,30 +46,30 @@
 }
 
 /// Whether a supervisor has entered the first level at least `times` times.
-fn has_entered(stage: &Stage, supervisor: &str, times: usize) -> bool {
+fn has_entered(stage: &EmulatedDeployment, supervisor: &str, times: usize) -> bool {
     let changes = recorded_changes(stage, supervisor);
     let entries = changes.iter().filter(|change| change.to == "fewer lookups");
     entries.count() >= times
 }
 
 /// Whether a supervisor's last change was back to full service.
-fn has_left(stage: &Stage, supervisor: &str) -> bool {
+fn has_left(stage: &EmulatedDeployment, supervisor: &str) -> bool {
     recorded_changes(stage, supervisor)
         .last()
         .is_some_and(|change| change.to == "full")
 }
 
 /// Whether a supervisor has recorded metrics with this level, from which it restores the level after a restart.
-fn has_recorded_level(stage: &Stage, supervisor: &str, level: &str) -> bool {
+fn has_recorded_level(stage: &EmulatedDeployment, supervisor: &str, level: &str) -> bool {
     recorded_kinds(stage, supervisor).iter().any(|kind| {
         matches!(kind, Kind::Gauge(metrics) if metrics.service_level.as_deref() == Some(level))
     })
 }
 
 /// Raises and lowers the load; a supervisor that is killed while a level is in force restores it from its records.
-async fn restart_while_a_level_is_in_force(stage: &mut Stage) {
+async fn restart_while_a_level_is_in_force(stage: &mut EmulatedDeployment) {
     sleep(Duration::from_secs(3)).await;
-    stage.fleet.demand(HIGH_DEMAND);
+    stage.fleet.set_demand_factor(HIGH_DEMAND);
     until("both are reduced", || {
         has_entered(stage, "n0", 1) && has_entered(stage, "n1", 1)
     })
@@ -78,31 +78,31 @@
         has_recorded_level(stage, "n1", "fewer lookups")
     })
     .await;
-    stage.kill(1).await;
-    stage.again(1).await;
+    stage.kill_supervisor(1).await;
+    stage.restart_supervisor(1).await;
     until("the level is restored", || {
         recorded_changes(stage, "n1")
             .iter()
             .any(|change| change.reason == "restored")
     })
     .await;
-    stage.fleet.demand(NORMAL_DEMAND);
+    stage.fleet.set_demand_factor(NORMAL_DEMAND);
     until("both serve in full", || {
         has_left(stage, "n0") && has_left(stage, "n1")
     })
     .await;
-    assert!(stage.alive().await);
+    assert!(stage.is_responsive().await);
 }
 
 /// Replaces the ladder by an invalid one, then by one without the level in force.
-async fn replace_the_ladder(stage: &mut Stage, operator: &Path) {
-    stage.fleet.demand(HIGH_DEMAND);
+async fn replace_the_ladder(stage: &mut EmulatedDeployment, operator: &Path) {
+    stage.fleet.set_demand_factor(HIGH_DEMAND);
     until("reduced again", || has_entered(stage, "n0", 2)).await;
     let text = std::fs::read_to_string(operator).expect("the file");
     std::fs::write(operator, text.replace("leave {", "leaves {")).expect("a wrong file");
     stage.reload().await;
     stage
-        .logs(1, &["new limits rejected, the old ones stay"])
+        .wait_for_log_lines(1, &["new limits rejected, the old ones stay"])
         .await;
     let other_ladder = text
         .replace("fewer lookups", "few lookups")
@@ -115,11 +115,11 @@
             .any(|change| change.to == "few lookups" && change.reason == "ladder replaced")
     })
     .await;
-    stage.fleet.demand(NORMAL_DEMAND);
+    stage.fleet.set_demand_factor(NORMAL_DEMAND);
     until("the level is left", || has_left(stage, "n0")).await;
 }
 
-fn assert_changes_have_causes(stage: &Stage) {
+fn assert_changes_have_causes(stage: &EmulatedDeployment) {
     let mut changes = recorded_changes(stage, "n0");
     changes.extend(recorded_changes(stage, "n1"));
     for change in changes {
@@ -135,7 +135,7 @@
 }
 
 /// The shedding of the level reached the tables, for the class of higher priority weight no more than for the other.
-fn assert_shedding_reached_the_tables(stage: &Stage) {
+fn assert_shedding_reached_the_tables(stage: &EmulatedDeployment) {
     let lowest = |class: &str| {
         let level = |kind| match kind {
             Kind::Level(level) if level.class == class => Some(level.level),
@@ -152,7 +152,7 @@
 
 /// Asserts that a command succeeds with these texts in its output.
 async fn assert_output_contains(tools: &Program, arguments: &[&str], texts: &[&str]) {
-    let (code, output, _) = tools.tool(arguments).await;
+    let (code, output, _) = tools.run_command(arguments).await;
     assert_eq!(code, Some(0), "{output}");
     for text in texts {
         assert!(output.contains(text), "{output}");
@@ -190,7 +190,7 @@
     )
     .await;
     let (code, _, error) = tools
-        .tool(&["levels", "show", "--operator", "/nowhere"])
+        .run_command(&["levels", "show", "--operator", "/nowhere"])
         .await;
     assert!(
         code == Some(1) && error.lines().count() == 1 && error.contains("cannot be opened"),
@@ -202,12 +202,18 @@
 async fn levels_follow_load_survive_a_restart_and_are_recorded_with_their_cause() {
     let directory = tempfile::tempdir().expect("a directory");
     let operator = directory.path().join("operator.txtpb");
-    let mut stage = Stage::set_with(Path::new(PROGRAM), directory.path(), 5, LIMITS).await;
+    let mut stage = EmulatedDeployment::start_with_operator_config(
+        Path::new(PROGRAM),
+        directory.path(),
+        5,
+        LIMITS,
+    )
+    .await;
     restart_while_a_level_is_in_force(&mut stage).await;
     replace_the_ladder(&mut stage, &operator).await;
-    assert_eq!(stage.end().await, [Some(0), Some(0)]);
-    assert_eq!(stage.fleet.broken(20), Vec::<String>::new());
-    assert_eq!(stage.fleet.ran_twice(), 0);
+    assert_eq!(stage.terminate().await, [Some(0), Some(0)]);
+    assert_eq!(stage.fleet.rule_violations(20), Vec::<String>::new());
+    assert_eq!(stage.fleet.duplicate_executions(), 0);
     assert_changes_have_causes(&stage);
     assert_shedding_reached_the_tables(&stage);
     assert_commands_explain_the_levels(directory.path(), &stage.records(), &operator).await;
@@ -226,7 +232,7 @@
     let tools = Program::new(PROGRAM, directory.path());
     let (operator, config) = (operator.display().to_string(), config.display().to_string());
     let (code, _, error) = tools
-        .tool(&["levels", "show", "--operator", &operator])
+        .run_command(&["levels", "show", "--operator", &operator])
         .await;
     assert!(
         code == Some(1) && error.contains("give --config FILE"),
--- a/crates/supervisor/tests/plugins.rs
+++ b/crates/supervisor/tests/plugins.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use chutegrade_emulators::script::Stage;
+use chutegrade_emulators::script::EmulatedDeployment;
 use chutegrade_emulators::{until, Program};
 use chutegrade_records::index::Query;
 use chutegrade_records::{GapReason, Kind, Timeline};
@@ -34,7 +34,7 @@
 }
 
 /// What all supervisors have recorded.
-fn recorded_kinds(stage: &Stage) -> Vec<Kind> {
+fn recorded_kinds(stage: &EmulatedDeployment) -> Vec<Kind> {
     let timeline = Timeline::open(&[stage.records()]).expect("records");
     let (events, _) = timeline.read(&Query::default());
     events
@@ -44,7 +44,7 @@
 }
 
 /// Whether every proxy may pick a server for a class.
-fn all_pick(stage: &Stage, class: &str, server: &str) -> bool {
+fn all_pick(stage: &EmulatedDeployment, class: &str, server: &str) -> bool {
     stage
         .fleet
         .picks(class)
@@ -53,7 +53,7 @@
 }
 
 /// Whether no proxy may pick a server for a class.
-fn none_picks(stage: &Stage, class: &str, server: &str) -> bool {
+fn none_picks(stage: &EmulatedDeployment, class: &str, server: &str) -> bool {
     stage
         .fleet
         .picks(class)
@@ -73,7 +73,9 @@
     let file = write_plugin(directory.path(), "audit", AUDIT);
     let section = plugins_section(std::slice::from_ref(&file));
     let program = Path::new(PROGRAM);
-    let mut stage = Stage::unprobed(program, directory.path(), 3, &section).await;
+    let mut stage =
+        EmulatedDeployment::start_without_health_checks(program, directory.path(), 3, &section)
+            .await;
     until("orders are routed around it", || {
         none_picks(&stage, "order", "s-a2")
     })
@@ -84,7 +86,9 @@
     let wrong = AUDIT.replace("return 0", "return speed");
     write_plugin(directory.path(), "audit", &wrong);
     stage.reload().await;
-    stage.logs(1, &["plug-ins rejected", "no name"]).await;
+    stage
+        .wait_for_log_lines(1, &["plug-ins rejected", "no name"])
+        .await;
     sleep(Duration::from_secs(3)).await;
     assert!(none_picks(&stage, "order", "s-a2"), "the old rule holds");
 
@@ -98,14 +102,14 @@
     })
     .await;
 
-    assert_eq!(stage.end().await, [Some(0), Some(0)]);
-    assert_eq!(stage.fleet.broken(20), Vec::<String>::new());
+    assert_eq!(stage.terminate().await, [Some(0), Some(0)]);
+    assert_eq!(stage.fleet.rule_violations(20), Vec::<String>::new());
     assert_loads_are_recorded(&stage);
     assert_commands_show_the_advice(directory.path(), &stage, &file).await;
 }
 
 /// Asserts that each of the two supervisors has loaded both versions and rejected the invalid text.
-fn assert_loads_are_recorded(stage: &Stage) {
+fn assert_loads_are_recorded(stage: &EmulatedDeployment) {
     let load = |kind| match kind {
         Kind::PluginLoaded(load) => {
             Some((load.version, load.digest.len(), load.refused.is_empty()))
@@ -129,13 +133,17 @@
 }
 
 /// Asserts that the commands find the advice in the records, and can try the plug-in without a supervisor.
-async fn assert_commands_show_the_advice(directory: &Path, stage: &Stage, file: &Path) {
+async fn assert_commands_show_the_advice(
+    directory: &Path,
+    stage: &EmulatedDeployment,
+    file: &Path,
+) {
     let tools = Program::new(PROGRAM, directory);
     let file = file.display().to_string();
     let records = stage.records().display().to_string();
     let records_of_one = format!("{records}/n0");
     let (code, output, _) = tools
-        .tool(&["plugin", "run", &file, "--records", &records_of_one])
+        .run_command(&["plugin", "run", &file, "--records", &records_of_one])
         .await;
     assert_eq!(code, Some(0), "{output}");
     assert!(
@@ -146,24 +154,30 @@
         output.contains("audit says from now on, by line 3") && output.contains("operations"),
         "{output}"
     );
-    let (code, output, _) = tools.tool(&["plugin", "explain", "s-b4", &records]).await;
+    let (code, output, _) = tools
+        .run_command(&["plugin", "explain", "s-b4", &records])
+        .await;
     assert_eq!(code, Some(0), "{output}");
     assert!(output.contains("n1: s-b4 is in service, full"), "{output}");
     assert!(
         output.contains("plug-in audit: s-b4 keeps 0 % for order, by line 3"),
         "{output}"
     );
-    let (_, output, _) = tools.tool(&["plugin", "explain", "s-a2", &records]).await;
+    let (_, output, _) = tools
+        .run_command(&["plugin", "explain", "s-a2", &records])
+        .await;
     assert!(
         output.contains("s-a2 is in service") && !output.contains("plug-in"),
         "its advice has ended: {output}"
     );
-    let (code, _, error) = tools.tool(&["plugin", "explain", "nobody", &records]).await;
+    let (code, _, error) = tools
+        .run_command(&["plugin", "explain", "nobody", &records])
+        .await;
     assert!(
         code == Some(1) && error.contains("no supervisor knows a server \"nobody\""),
         "{error}"
     );
-    let (code, output, _) = tools.tool(&["plugin", "check", &file]).await;
+    let (code, output, _) = tools.run_command(&["plugin", "check", &file]).await;
     assert!(
         code == Some(0) && output.contains("audit version 2"),
         "{output}"
@@ -187,23 +201,23 @@
 }
 
 /// Drains, fails and restarts servers, and reloads, while the supervisors have to answer each second.
-async fn disturb_the_fleet(stage: &Stage) {
+async fn disturb_the_fleet(stage: &EmulatedDeployment) {
     for second in 0..24 {
         match second {
             4 => stage.fleet.drain("s-a1"),
             8 => stage.fleet.remove("s-a1"),
-            9 => stage.fleet.fail("s-b2", true),
-            15 => stage.fleet.fail("s-b2", false),
+            9 => stage.fleet.set_failing("s-b2", true),
+            15 => stage.fleet.set_failing("s-b2", false),
             16 => stage.fleet.restart("s-a1"),
             18 => stage.reload().await,
             _ => {}
         }
-        assert!(stage.alive().await);
+        assert!(stage.is_responsive().await);
         sleep(Duration::from_secs(1)).await;
     }
 }
 
-fn assert_no_supervisor_stalled(stage: &Stage) {
+fn assert_no_supervisor_stalled(stage: &EmulatedDeployment) {
     let timeline = Timeline::open(&[stage.records()]).expect("records");
     let gaps = timeline.gaps(timeline.span().expect("records"));
     let stalls = gaps
@@ -243,12 +257,20 @@
     let directory = tempfile::tempdir().expect("a directory");
     let files = write_hostile_plugins(directory.path());
     let section = plugins_section(&files);
-    let mut stage = Stage::set_with(Path::new(PROGRAM), directory.path(), 5, &section).await;
-    stage.logs(files.len(), &["plug-in loaded"]).await;
+    let mut stage = EmulatedDeployment::start_with_operator_config(
+        Path::new(PROGRAM),
+        directory.path(),
+        5,
+        &section,
+    )
+    .await;
+    stage
+        .wait_for_log_lines(files.len(), &["plug-in loaded"])
+        .await;
     disturb_the_fleet(&stage).await;
-    let answered = stage.fleet.served().done.load(Ordering::Relaxed);
-    assert_eq!(stage.end().await, [Some(0), Some(0)]);
-    assert_eq!(stage.fleet.broken(20), Vec::<String>::new());
+    let answered = stage.fleet.counters().answered.load(Ordering::Relaxed);
+    assert_eq!(stage.terminate().await, [Some(0), Some(0)]);
+    assert_eq!(stage.fleet.rule_violations(20), Vec::<String>::new());
     assert!(answered > 500, "only {answered} requests were answered");
     assert_no_supervisor_stalled(&stage);
     assert_hostile_plugins_were_contained(&recorded_kinds(&stage));
@@ -268,7 +290,7 @@
     let wrong = write_plugin(directory.path(), "wrong", WRONG);
     let failing = write_plugin(directory.path(), "failing", WITH_A_FAILING_CASE);
     let (wrong, failing) = (wrong.display().to_string(), failing.display().to_string());
-    let (code, output, error) = program.tool(&["plugin", "check", &wrong]).await;
+    let (code, output, error) = program.run_command(&["plugin", "check", &wrong]).await;
     assert!(
         code == Some(1) && error == "chutegrade: 2 faults\n",
         "{error}"
@@ -276,7 +298,7 @@
     for fault in ["no name \"speed\"", "no name \"x\"", ":2:26"] {
         assert!(output.contains(fault), "{output}");
     }
-    let (code, output, error) = program.tool(&["plugin", "test", &failing]).await;
+    let (code, output, error) = program.run_command(&["plugin", "test", &failing]).await;
     assert!(
         code == Some(1) && error.contains("1 of 2 cases failed"),
         "{error}"
@@ -286,7 +308,9 @@
             && output.contains("all ... FAILED: cap answered 0.5, expected 1"),
         "{output}"
     );
-    let (code, _, error) = program.tool(&["plugin", "check", "/nowhere.chute"]).await;
+    let (code, _, error) = program
+        .run_command(&["plugin", "check", "/nowhere.chute"])
+        .await;
     assert!(
         code == Some(1) && error.contains("/nowhere.chute"),
         "{error}"
@@ -301,13 +325,15 @@
     let failing = write_plugin(directory.path(), "failing", WITH_A_FAILING_CASE);
     let (path, failing) = (file.display().to_string(), failing.display().to_string());
     let (code, output, _) = program
-        .tool(&["plugin", "format", "--check", &path, &failing])
+        .run_command(&["plugin", "format", "--check", &path, &failing])
         .await;
     assert!(code == Some(0) && output.is_empty(), "{output}");
     std::fs::write(&file, UNFORMATTED).expect("a text");
-    let (code, _, _) = program.tool(&["plugin", "format", "--check", &path]).await;
+    let (code, _, _) = program
+        .run_command(&["plugin", "format", "--check", &path])
+        .await;
     assert_eq!(code, Some(1));
-    let (code, _, _) = program.tool(&["plugin", "format", &path]).await;
+    let (code, _, _) = program.run_command(&["plugin", "format", &path]).await;
     assert_eq!(code, Some(0));
     let formatted = std::fs::read_to_string(&file).expect("the text");
     assert_eq!(formatted, FORMATTED);
--- a/crates/supervisor/tests/serving/connections.rs
+++ b/crates/supervisor/tests/serving/connections.rs
@@ -17,12 +17,12 @@
         unidentified.push(Peer::connect(supervisor.address).await);
     }
     supervisor
-        .logs(32, &["peer=\"stranger\"", "reason=crowded"])
+        .expect_log_lines(32, &["peer=\"stranger\"", "reason=crowded"])
         .await;
     for connection in unidentified.iter_mut().take(32) {
-        connection.ended().await;
+        connection.wait_for_close().await;
     }
-    assert!(supervisor.alive().await);
+    assert!(supervisor.is_responsive().await);
     joined(&supervisor, 0).await;
 }
 
@@ -31,19 +31,21 @@
 async fn it_recovers_from_running_out_of_descriptors() {
     let (discovery, _servers) = fleet().await;
     let configuration = config(&discovery, Some(discovery.list()), 1024);
-    let mut supervisor = program().start_within(&configuration, 24).await;
+    let mut supervisor = program()
+        .start_with_descriptor_limit(&configuration, 24)
+        .await;
     let mut unidentified = Vec::new();
     for _ in 0..40 {
         unidentified.push(Peer::connect(supervisor.address).await);
     }
     until("the shortage in the log", || {
-        supervisor.logged(&["cannot accept connections"]) > 0
+        supervisor.count_log_lines(&["cannot accept connections"]) > 0
     })
     .await;
     drop(unidentified);
-    assert!(supervisor.alive().await);
+    assert!(supervisor.is_responsive().await);
     joined(&supervisor, 0).await;
-    assert!(supervisor.runs());
+    assert!(supervisor.is_running());
 }
 
 #[tokio::test]
@@ -57,9 +59,9 @@
         assert_eq!(collector.line().await.as_deref(), Some("alive"));
         collectors.push(collector);
     }
-    collectors[0].ended().await;
+    collectors[0].wait_for_close().await;
     supervisor
-        .logs(1, &["peer=\"collector\"", "reason=crowded"])
+        .expect_log_lines(1, &["peer=\"collector\"", "reason=crowded"])
         .await;
     collectors[4].send("probe").await;
     assert_eq!(collectors[4].line().await.as_deref(), Some("alive"));
@@ -70,7 +72,7 @@
 async fn an_unidentified_connection_is_rejected_in_time() {
     let (_discovery, _servers, supervisor) = serving().await;
     let mut half_a_line = Peer::connect(supervisor.address).await;
-    half_a_line.raw(b"hello id=1 si").await;
+    half_a_line.send_bytes(b"hello id=1 si").await;
     let mut silent = Peer::connect(supervisor.address).await;
     let mut one_probe = Peer::connect(supervisor.address).await;
     one_probe.send("probe").await;
@@ -78,7 +80,7 @@
     let mut many_probes = Peer::connect(supervisor.address).await;
     let mut answer = Some("alive".to_string());
     while answer.as_deref() == Some("alive") {
-        many_probes.raw(b"probe\r\n").await;
+        many_probes.send_bytes(b"probe\r\n").await;
         answer = many_probes.line().await;
     }
     assert_eq!(answer.as_deref(), Some("error reason=unnamed"));
@@ -87,12 +89,12 @@
             connection.line().await.as_deref(),
             Some("error reason=unnamed")
         );
-        connection.ended().await;
+        connection.wait_for_close().await;
     }
     supervisor
-        .logs(4, &["peer=\"stranger\"", "reason=unnamed"])
+        .expect_log_lines(4, &["peer=\"stranger\"", "reason=unnamed"])
         .await;
-    assert!(supervisor.alive().await);
+    assert!(supervisor.is_responsive().await);
 }
 
 /// The message must be sent before the close: unread input would turn the close into a reset, which may discard it.
@@ -113,13 +115,15 @@
         (&"y".repeat(2000), "too-long"),
     ] {
         let mut connection = Peer::connect(supervisor.address).await;
-        connection.raw(format!("{line}\r\n{rest}").as_bytes()).await;
-        connection.raw(rest.as_bytes()).await;
+        connection
+            .send_bytes(format!("{line}\r\n{rest}").as_bytes())
+            .await;
+        connection.send_bytes(rest.as_bytes()).await;
         let answer = connection.line().await;
         assert_eq!(answer, Some(format!("error reason={code}")), "{line}");
-        connection.ended().await;
+        connection.wait_for_close().await;
     }
-    assert!(supervisor.alive().await);
+    assert!(supervisor.is_responsive().await);
 }
 
 #[tokio::test]
@@ -131,7 +135,7 @@
         b"agent site=nowhere\r\n".repeat(200),
     ] {
         let mut endless = Peer::connect(supervisor.address).await;
-        while endless.raw(&piece).await {}
+        while endless.send_bytes(&piece).await {}
     }
-    assert!(supervisor.alive().await);
+    assert!(supervisor.is_responsive().await);
 }
--- a/crates/supervisor/tests/serving/discovery.rs
+++ b/crates/supervisor/tests/serving/discovery.rs
@@ -9,35 +9,35 @@
 async fn a_failed_watch_is_replaced_and_withdraws_nothing() {
     let (discovery, servers, supervisor) = serving().await;
     let mut proxy = joined(&supervisor, 0).await;
-    until("a watch", || discovery.opened() == 1).await;
-    discovery.hang_up();
-    until("a second watch", || discovery.opened() == 2).await;
+    until("a watch", || discovery.watches_opened() == 1).await;
+    discovery.close_watches();
+    until("a second watch", || discovery.watches_opened() == 2).await;
     discovery.set("s-1", servers[0].address, "draining");
     proxy
-        .applies("a change on the second watch", |proxy| {
+        .apply_until("a change on the second watch", |proxy| {
             proxy.picks("lookup") == ["s-2", "s-3"]
         })
         .await;
 
-    discovery.say("{\"index\":9,\"snapshot\":true,\"endpoints\":[");
-    until("a third watch", || discovery.opened() == 3).await;
+    discovery.send_line("{\"index\":9,\"snapshot\":true,\"endpoints\":[");
+    until("a third watch", || discovery.watches_opened() == 3).await;
     supervisor
-        .logs(1, &["discovery delivered a malformed list"])
+        .expect_log_lines(1, &["discovery delivered a malformed list"])
         .await;
     discovery.set("s-2", servers[1].address, "draining");
     proxy
-        .applies("a change on the third watch", |proxy| {
+        .apply_until("a change on the third watch", |proxy| {
             proxy.picks("lookup") == ["s-3"]
         })
         .await;
 
-    discovery.mute(true);
-    until("a fourth watch", || discovery.opened() == 4).await;
-    discovery.mute(false);
+    discovery.set_silent(true);
+    until("a fourth watch", || discovery.watches_opened() == 4).await;
+    discovery.set_silent(false);
     discovery.set("s-1", servers[0].address, "up");
     discovery.set("s-2", servers[1].address, "up");
     until("the failure in the log", || {
-        supervisor.logged(&["discovery unavailable", "reason=silent"]) > 0
+        supervisor.count_log_lines(&["discovery unavailable", "reason=silent"]) > 0
     })
     .await;
     assert_eq!(
@@ -46,7 +46,7 @@
         "the last list stayed in force"
     );
     proxy
-        .applies("the return", |proxy| proxy.picks("lookup").len() > 1)
+        .apply_until("the return", |proxy| proxy.picks("lookup").len() > 1)
         .await;
 }
 
@@ -58,12 +58,12 @@
     configuration["settings"]["discovery"] = json!("subscribe");
     let supervisor = program().start(&configuration).await;
     let mut proxy = joined(&supervisor, 0).await;
-    until("a watch", || discovery.opened() == 1).await;
-    discovery.hang_up();
-    until("a second watch", || discovery.opened() == 2).await;
+    until("a watch", || discovery.watches_opened() == 1).await;
+    discovery.close_watches();
+    until("a second watch", || discovery.watches_opened() == 2).await;
     discovery.set("s-2", servers[1].address, "draining");
     proxy
-        .applies("a change on the second watch", |proxy| {
+        .apply_until("a change on the second watch", |proxy| {
             proxy.picks("lookup") == ["s-1", "s-3"]
         })
         .await;
@@ -76,20 +76,20 @@
     ignored: &Discovery,
     last: &Discovery,
 ) {
-    supervisor.freeze().await;
+    supervisor.pause().await;
     for agent in [ignored, last] {
         configuration["discovery"] = json!(agent.address.to_string());
         supervisor.reload(&configuration.to_string()).await;
     }
-    supervisor.thaw(&["-HUP"]).await;
+    supervisor.resume(&["-HUP"]).await;
     supervisor
-        .logs(1, &["reloaded", &last.address.to_string()])
+        .expect_log_lines(1, &["reloaded", &last.address.to_string()])
         .await;
     assert_eq!(
-        supervisor.logged(&["reloaded", &ignored.address.to_string()]),
+        supervisor.count_log_lines(&["reloaded", &ignored.address.to_string()]),
         0
     );
-    until("a watch at the last address", || last.opened() == 1).await;
+    until("a watch at the last address", || last.watches_opened() == 1).await;
 }
 
 /// Reloads a file that can't be read, and one with a change that takes effect only at a start.
@@ -97,10 +97,14 @@
     supervisor
         .reload("{\"discovery\": \"127.0.0.1:9\", \"settings\"")
         .await;
-    supervisor.logs(1, &["new configuration rejected"]).await;
+    supervisor
+        .expect_log_lines(1, &["new configuration rejected"])
+        .await;
     configuration["limits"]["sockets"] = json!(64);
     supervisor.reload(&configuration.to_string()).await;
-    supervisor.logs(1, &["reloaded", "limits"]).await;
+    supervisor
+        .expect_log_lines(1, &["reloaded", "limits"])
+        .await;
 }
 
 /// SIGHUP would end a program without a handler, and the environment keeps the old address.
@@ -108,28 +112,31 @@
 async fn a_reload_moves_it_to_another_discovery_agent() {
     let (discovery, servers) = fleet().await;
     let mut configuration = config(&discovery, Some(discovery.list()), 1024);
-    let mut supervisor = program().start_with_env(&configuration).await;
+    let mut supervisor = program().start_with_discovery_env(&configuration).await;
     let mut proxy = joined(&supervisor, 0).await;
-    until("a watch", || discovery.opened() == 1).await;
+    until("a watch", || discovery.watches_opened() == 1).await;
 
-    let second = discovery.second().await;
+    let second = discovery.start_replica().await;
     configuration["discovery"] = json!(second.address.to_string());
     supervisor.reload(&configuration.to_string()).await;
-    until("a watch at the new address", || second.opened() == 1).await;
+    until("a watch at the new address", || {
+        second.watches_opened() == 1
+    })
+    .await;
     second.set("s-2", servers[1].address, "draining");
     proxy
-        .applies("a change from there", |proxy| {
+        .apply_until("a change from there", |proxy| {
             proxy.picks("lookup") == ["s-1", "s-3"]
         })
         .await;
 
     // While the agent is silent.
-    second.mute(true);
-    let third = second.second().await;
+    second.set_silent(true);
+    let third = second.start_replica().await;
     reload_twice_at_once(&supervisor, &mut configuration, &discovery, &third).await;
     third.set("s-1", servers[0].address, "draining");
     proxy
-        .applies("a change from the third agent", |proxy| {
+        .apply_until("a change from the third agent", |proxy| {
             proxy.picks("order") == ["s-3"]
         })
         .await;
@@ -137,12 +144,12 @@
     reload_without_effect(&supervisor, &mut configuration).await;
     third.set("s-1", servers[0].address, "up");
     proxy
-        .applies("changes as before", |proxy| {
+        .apply_until("changes as before", |proxy| {
             proxy.picks("order") == ["s-1", "s-3"]
         })
         .await;
     assert_eq!(
-        supervisor.logged(&["peer=\"proxy\"", "connection ended"]),
+        supervisor.count_log_lines(&["peer=\"proxy\"", "connection ended"]),
         0
     );
     assert_eq!(supervisor.terminate().await, Some(0));
@@ -152,31 +159,33 @@
 #[tokio::test]
 async fn a_stale_agent_reverts_nothing() {
     let (discovery, servers) = fleet().await;
-    let stale_agent = discovery.second().await;
+    let stale_agent = discovery.start_replica().await;
     let mut configuration = config(&discovery, Some(discovery.list()), 1024);
     let supervisor = program().start(&configuration).await;
     let mut proxy = joined(&supervisor, 0).await;
     discovery.set("s-2", servers[1].address, "draining");
     proxy
-        .applies("the drain", |proxy| proxy.picks("lookup") == ["s-1", "s-3"])
+        .apply_until("the drain", |proxy| proxy.picks("lookup") == ["s-1", "s-3"])
         .await;
 
     configuration["discovery"] = json!(stale_agent.address.to_string());
     supervisor.reload(&configuration.to_string()).await;
-    until("a watch there", || stale_agent.opened() == 1).await;
-    supervisor.logs(1, &["discovery is behind"]).await;
+    until("a watch there", || stale_agent.watches_opened() == 1).await;
+    supervisor
+        .expect_log_lines(1, &["discovery is behind"])
+        .await;
     // The agent catches up: old changes come before the first new one.
     stale_agent.set("s-2", servers[1].address, "draining");
     stale_agent.set("s-3", servers[2].address, "draining");
     proxy
-        .applies("the change", |proxy| proxy.picks("lookup") == ["s-1"])
+        .apply_until("the change", |proxy| proxy.picks("lookup") == ["s-1"])
         .await;
-    assert_eq!(supervisor.logged(&["s-2 in service"]), 0);
+    assert_eq!(supervisor.count_log_lines(&["s-2 in service"]), 0);
     // If the version count has really restarted, the deliveries are accepted after a while.
-    stale_agent.count_from(1);
+    stale_agent.set_version(1);
     stale_agent.set("s-2", servers[1].address, "up");
     proxy
-        .applies("the return", |proxy| proxy.picks("lookup").contains(&"s-2"))
+        .apply_until("the return", |proxy| proxy.picks("lookup").contains(&"s-2"))
         .await;
 }
 
@@ -188,17 +197,17 @@
         .start(&config(&discovery, Some(known.clone()), 1024))
         .await;
     let mut proxy = joined(&first, 0).await;
-    discovery.mute(true);
+    discovery.set_silent(true);
     first.kill().await;
-    proxy.peer.ended().await;
+    proxy.peer.wait_for_close().await;
     let second = program()
         .start(&config(&discovery, Some(known), 1024))
         .await;
-    assert!(second.alive().await);
+    assert!(second.is_responsive().await);
     let before = proxy.messages;
-    proxy.join_again(&second).await;
+    proxy.rejoin(&second).await;
     proxy
-        .applies("a table from the new process", |proxy| {
+        .apply_until("a table from the new process", |proxy| {
             proxy.messages > before
         })
         .await;
--- a/crates/supervisor/tests/serving/health_checks.rs
+++ b/crates/supervisor/tests/serving/health_checks.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use chutegrade_emulators::{config, until, Discovery, Manner, Proxy, Server};
+use chutegrade_emulators::{config, until, Discovery, HealthCheckMode, Proxy, Server};
 
 use crate::common::program;
 
@@ -11,15 +11,15 @@
     let discovery = Discovery::start().await;
     let mut servers = Vec::new();
     for (name, manner) in [
-        ("s-1", Manner::Well),
-        ("s-2", Manner::Busy),
-        ("s-3", Manner::Huge),
-        ("s-4", Manner::Hangs),
+        ("s-1", HealthCheckMode::Healthy),
+        ("s-2", HealthCheckMode::Unavailable),
+        ("s-3", HealthCheckMode::OversizedResponse),
+        ("s-4", HealthCheckMode::Unresponsive),
     ] {
         servers.push(Server::start(name, manner).await);
         discovery.set(name, servers[servers.len() - 1].address, "up");
     }
-    let unused = Server::start("s-5", Manner::Well).await.address;
+    let unused = Server::start("s-5", HealthCheckMode::Healthy).await.address;
     let closed = SocketAddr::new(unused.ip(), 1);
     discovery.set("s-5", closed, "up");
     let mut supervisor = program()
@@ -27,14 +27,16 @@
         .await;
     let mut proxy = Proxy::join(&supervisor, 0, true).await;
     proxy
-        .applies("a table", |proxy| !proxy.picks("lookup").is_empty())
+        .apply_until("a table", |proxy| !proxy.picks("lookup").is_empty())
         .await;
     until("several health checks of each", || {
-        servers.iter().all(|server| server.probed() >= 3)
+        servers
+            .iter()
+            .all(|server| server.health_check_count() >= 3)
     })
     .await;
     supervisor
-        .logs(1, &["server refuses connections", "reason=refused"])
+        .expect_log_lines(1, &["server refuses connections", "reason=refused"])
         .await;
-    assert!(supervisor.runs() && supervisor.alive().await);
+    assert!(supervisor.is_running() && supervisor.is_responsive().await);
 }
--- a/crates/supervisor/tests/serving/lifecycle.rs
+++ b/crates/supervisor/tests/serving/lifecycle.rs
@@ -14,12 +14,12 @@
     collector.send("probe").await;
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
     assert_eq!(supervisor.terminate().await, Some(0));
-    proxy.peer.ended().await;
+    proxy.peer.wait_for_close().await;
     supervisor
-        .logs(1, &["peer=\"proxy\"", "reason=stopping"])
+        .expect_log_lines(1, &["peer=\"proxy\"", "reason=stopping"])
         .await;
     supervisor
-        .logs(1, &["peer=\"collector\"", "reason=stopping"])
+        .expect_log_lines(1, &["peer=\"collector\"", "reason=stopping"])
         .await;
 }
 
@@ -32,7 +32,7 @@
     let mut no_address = complete.clone();
     no_address["listen"] = json!("somewhere");
     for invalid in [no_settings, no_address, json!("nothing")] {
-        let (code, log) = program().fails_to_start(&invalid).await;
+        let (code, log) = program().run_until_exit(&invalid).await;
         assert_eq!(code, Some(1));
         assert_eq!(log.lines().count(), 1, "{log}");
         assert!(log.contains("cannot run"), "{log}");
--- a/crates/supervisor/tests/serving/malformed_input.rs
+++ b/crates/supervisor/tests/serving/malformed_input.rs
@@ -66,14 +66,14 @@
     for input in inputs {
         let mut sender = Peer::connect(supervisor.address).await;
         for piece in &input.pieces {
-            sender.raw(piece).await;
+            sender.send_bytes(piece).await;
         }
-        sender.ended().await;
+        sender.wait_for_close().await;
         let count = counts.entry((input.peer_kind, input.code)).or_default();
         *count += 1;
         let peer = format!("peer=\"{}\"", input.peer_kind);
         let reason = format!("reason={}", input.code);
-        supervisor.logs(*count, &[&peer, &reason]).await;
+        supervisor.expect_log_lines(*count, &[&peer, &reason]).await;
     }
 }
 
@@ -86,9 +86,9 @@
     assert_each_closes_its_connection(&supervisor, inputs).await;
     // Half a line, then the end.
     let mut truncated = Peer::connect(supervisor.address).await;
-    truncated.raw(b"agent si").await;
+    truncated.send_bytes(b"agent si").await;
     drop(truncated);
-    supervisor.logs(1, &["reason=cut-short"]).await;
+    supervisor.expect_log_lines(1, &["reason=cut-short"]).await;
     // Well-formed messages with unknown names are dropped, and the connection stays open.
     let mut collector = Peer::connect(supervisor.address).await;
     for line in [
@@ -102,10 +102,10 @@
         collector.send(line).await;
     }
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
-    assert!(supervisor.runs());
+    assert!(supervisor.is_running());
     proxy.peer.send("probe").await;
     while proxy.peer.line().await.expect("the first stream is open") != "alive" {}
-    assert_eq!(supervisor.logged(&["connection ended", "0@a"]), 0);
+    assert_eq!(supervisor.count_log_lines(&["connection ended", "0@a"]), 0);
 }
 
 /// Closing a connection for one bad field would lose its good messages, and cut a proxy off from new tables.
@@ -141,9 +141,9 @@
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
     discovery.set("s-1", servers[0].address, "draining");
     proxy
-        .applies("the drain on the same stream", |proxy| {
+        .apply_until("the drain on the same stream", |proxy| {
             proxy.picks("order") == ["s-2", "s-3"]
         })
         .await;
-    assert_eq!(supervisor.logged(&["connection ended"]), 0);
+    assert_eq!(supervisor.count_log_lines(&["connection ended"]), 0);
 }
--- a/crates/supervisor/tests/serving/streams.rs
+++ b/crates/supervisor/tests/serving/streams.rs
@@ -13,14 +13,14 @@
 async fn a_proxy_is_served_from_hello_to_acknowledgement() {
     let (discovery, servers) = fleet().await;
     let mut supervisor = program().start(&config(&discovery, None, 1024)).await;
-    assert!(supervisor.alive().await);
+    assert!(supervisor.is_responsive().await);
     let mut proxy = joined(&supervisor, 3).await;
     assert_eq!(
         proxy.retries.get("order").map(String::as_str),
         Some("1"),
         "once, if not executed"
     );
-    proxy.demand().await;
+    proxy.report_demand().await;
     let mut collector = Peer::connect(supervisor.address).await;
     collector.send("agent site=a").await;
     collector
@@ -33,15 +33,17 @@
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
     // Health checks use one connection per server.
     until("several health checks of each", || {
-        servers.iter().all(|server| server.probed() >= 3)
+        servers
+            .iter()
+            .all(|server| server.health_check_count() >= 3)
     })
     .await;
     assert!(servers
         .iter()
         .all(|server| server.connections.load(Ordering::SeqCst) == 1));
-    assert!(supervisor.runs());
+    assert!(supervisor.is_running());
     assert_eq!(
-        supervisor.logged(&["peer=\"proxy\"", "connection ended"]),
+        supervisor.count_log_lines(&["peer=\"proxy\"", "connection ended"]),
         0
     );
 }
@@ -54,19 +56,19 @@
         proxies.push(Proxy::join(&supervisor, id, id % 2 == 0).await);
     }
     for proxy in &mut proxies {
-        proxy.applies("a complete table", has_all).await;
+        proxy.apply_until("a complete table", has_all).await;
     }
     discovery.set("s-2", servers[1].address, "draining");
     for proxy in &mut proxies {
         proxy
-            .applies("the drain", |proxy| proxy.picks("lookup") == ["s-1", "s-3"])
+            .apply_until("the drain", |proxy| proxy.picks("lookup") == ["s-1", "s-3"])
             .await;
         assert!(!proxy.picks("order").contains(&"s-2"));
     }
     // A proxy that joins now, with the old table, must not go there either.
     let mut late_proxy = Proxy::join(&supervisor, 5, false).await;
     late_proxy
-        .applies("a table without it", |proxy| {
+        .apply_until("a table without it", |proxy| {
             proxy.picks("order") == ["s-1", "s-3"]
         })
         .await;
@@ -77,8 +79,10 @@
 async fn servers_withheld_by_another_supervisor_are_resumed() {
     let (_discovery, _servers, supervisor) = serving().await;
     let mut proxy = Proxy::join(&supervisor, 1, false).await;
-    proxy.dropped.extend(["s-1".to_string(), "s-3".to_string()]);
-    proxy.applies("all three servers", has_all).await;
+    proxy
+        .suspended
+        .extend(["s-1".to_string(), "s-3".to_string()]);
+    proxy.apply_until("all three servers", has_all).await;
 }
 
 #[tokio::test]
@@ -88,18 +92,18 @@
     let mut other = joined(&supervisor, 1).await;
     // Megabytes of reports from a proxy that reads nothing are still read.
     let reports = "demand id=0 lane=lookup count=4 fail=0 over=200.0\r\n".repeat(40_000);
-    assert!(stalled.peer.raw(reports.as_bytes()).await);
+    assert!(stalled.peer.send_bytes(reports.as_bytes()).await);
     discovery.set("s-1", servers[0].address, "draining");
     other
-        .applies("the drain", |proxy| !proxy.picks("lookup").contains(&"s-1"))
+        .apply_until("the drain", |proxy| !proxy.picks("lookup").contains(&"s-1"))
         .await;
     stalled
-        .applies("the drain, late", |proxy| {
+        .apply_until("the drain, late", |proxy| {
             proxy.picks("lookup") == ["s-2", "s-3"]
         })
         .await;
     assert_eq!(
-        supervisor.logged(&["peer=\"proxy\"", "connection ended"]),
+        supervisor.count_log_lines(&["peer=\"proxy\"", "connection ended"]),
         0
     );
 }
@@ -109,12 +113,14 @@
     let (discovery, servers, supervisor) = serving().await;
     let mut older = joined(&supervisor, 2).await;
     let mut newer = Proxy::join(&supervisor, 2, false).await;
-    older.peer.ended().await;
-    supervisor.logs(1, &["reason=replaced", "2@a"]).await;
-    newer.applies("a complete table", has_all).await;
+    older.peer.wait_for_close().await;
+    supervisor
+        .expect_log_lines(1, &["reason=replaced", "2@a"])
+        .await;
+    newer.apply_until("a complete table", has_all).await;
     discovery.set("s-3", servers[2].address, "draining");
     newer
-        .applies("the drain", |proxy| proxy.picks("order") == ["s-1", "s-2"])
+        .apply_until("the drain", |proxy| proxy.picks("order") == ["s-1", "s-2"])
         .await;
 }
 
@@ -124,10 +130,10 @@
 async fn a_silent_stream_is_closed() {
     let (_discovery, _servers, supervisor) = serving().await;
     let mut proxy = joined(&supervisor, 0).await;
-    proxy.demand().await;
-    proxy.peer.ended().await;
+    proxy.report_demand().await;
+    proxy.peer.wait_for_close().await;
     supervisor
-        .logs(
+        .expect_log_lines(
             1,
             &[
                 "peer=\"proxy\"",
@@ -137,7 +143,7 @@
             ],
         )
         .await;
-    assert!(supervisor.alive().await);
+    assert!(supervisor.is_responsive().await);
 }
 
 /// Where few requests arrive at each of many proxies, most have none to report in most periods, and must not lose their
@@ -147,9 +153,9 @@
     let (_discovery, _servers, supervisor) = serving().await;
     let mut proxy = joined(&supervisor, 0).await;
     sleep(Duration::from_secs(2)).await;
-    proxy.demand().await;
+    proxy.report_demand().await;
     // A weight that changes meanwhile brings an order, which it acknowledges like any proxy.
-    proxy.applies_for(Duration::from_secs(7)).await;
+    proxy.apply_for(Duration::from_secs(7)).await;
     proxy.peer.send("probe").await;
     // Orders that arrived meanwhile are ahead of the answer.
     let mut line = proxy.peer.line().await;
@@ -181,9 +187,9 @@
         Some("alive"),
         "its stream stays open"
     );
-    proxy.ended().await;
+    proxy.wait_for_close().await;
     supervisor
-        .logs(
+        .expect_log_lines(
             1,
             &[
                 "peer=\"proxy\"",
