--- a/crates/emulators/src/discovery.rs
+++ b/crates/emulators/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of servers, whole and as a watch.
+//! Emulated discovery agent: serves the list of servers, complete or as a watch.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -18,74 +18,74 @@
 use crate::scripted::{delivery, entry};
 
 #[derive(Default)]
-struct Told {
+struct ListState {
     index: u64,
     entries: BTreeMap<String, Value>,
     watches: Vec<mpsc::UnboundedSender<String>>,
-    opened: usize,
-    mute: bool,
+    watches_opened: usize,
+    is_silent: bool,
 }
 
-/// Discovery: the list, and watches of it.
+/// An emulated discovery agent.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it answers.
+    /// Where it accepts HTTP requests.
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<ListState>>,
 }
 
 impl Discovery {
     /// Starts with an empty list.
     pub async fn start() -> Self {
         let (listener, address) = listen().await;
-        let told = Arc::new(Mutex::new(Told {
+        let state = Arc::new(Mutex::new(ListState {
             index: 1,
-            ..Told::default()
+            ..ListState::default()
         }));
-        let discovery = Discovery { address, told };
-        let asked = discovery.clone();
+        let discovery = Discovery { address, state };
+        let handler = discovery.clone();
         serve(listener, Arc::default(), move |request| {
-            let discovery = asked.clone();
+            let discovery = handler.clone();
             async move {
                 discovery
-                    .answer(request.uri().query().unwrap_or_default())
+                    .respond(request.uri().query().unwrap_or_default())
                     .await
             }
         });
-        let beating = discovery.clone();
+        let heartbeat = discovery.clone();
         tokio::spawn(async move {
             loop {
                 sleep(Duration::from_millis(500)).await;
-                if !beating.told().mute {
-                    beating.send_line("");
+                if !heartbeat.state().is_silent {
+                    heartbeat.send_line("");
                 }
             }
         });
         discovery
     }
 
-    fn told(&self) -> MutexGuard<'_, Told> {
-        self.told.lock().expect("no panic while held")
+    fn state(&self) -> MutexGuard<'_, ListState> {
+        self.state.lock().expect("no panic while locked")
     }
 
-    async fn answer(&self, query: &str) -> Response<Body> {
-        let whole = self.list().to_string();
+    async fn respond(&self, query: &str) -> Response<Body> {
+        let complete_list = self.list().to_string();
         if !query.contains("watch=1") {
-            return text(StatusCode::OK, whole);
+            return text(StatusCode::OK, complete_list);
         }
-        let (send, mut news) = mpsc::unbounded_channel::<String>();
+        let (sender, mut lines) = mpsc::unbounded_channel::<String>();
         let (mut body, channel) = Channel::<Bytes, Infallible>::new(16);
         {
-            let mut told = self.told();
-            told.opened += 1;
-            if !told.mute && query != format!("watch=1&from={}", told.index) {
-                let _ = send.send(whole);
+            let mut state = self.state();
+            state.watches_opened += 1;
+            if !state.is_silent && query != format!("watch=1&from={}", state.index) {
+                let _ = sender.send(complete_list);
             }
-            told.watches.push(send);
+            state.watches.push(sender);
         }
         tokio::spawn(async move {
-            while let Some(line) = news.recv().await {
-                // In two pieces, since lines may be cut anywhere on the way.
+            while let Some(line) = lines.recv().await {
+                // Sends each line in two chunks, since lines may be split anywhere.
                 let line = format!("{line}\r\n");
                 let (first, rest) = line.split_at(line.len() / 2);
                 for piece in [first, rest] {
@@ -102,20 +102,20 @@
         Response::new(channel.boxed())
     }
 
-    /// The whole list.
+    /// Returns the complete list.
     pub fn list(&self) -> Value {
-        let told = self.told();
-        let entries: Vec<&Value> = told.entries.values().collect();
-        json!({"index": told.index, "snapshot": true, "endpoints": entries})
+        let state = self.state();
+        let entries: Vec<&Value> = state.entries.values().collect();
+        json!({"index": state.index, "snapshot": true, "endpoints": entries})
     }
 
-    /// Lists a server of the zone `a` in this state, and tells the watches.
+    /// Lists a server of zone `a` with this status, and notifies the watches.
     pub fn set(&self, name: &str, address: SocketAddr, status: &str) {
         self.set_in_zone("a", name, address, status, 0);
     }
 
-    /// Lists a server of a zone in this state, with its last start in Unix milliseconds, and tells the watches. One that
-    /// is removed leaves the list.
+    /// Lists a server of a zone with this status and its last start in Unix milliseconds, and notifies the watches. The
+    /// status `removed` removes it from the list.
     pub fn set_in_zone(
         &self,
         zone: &str,
@@ -127,54 +127,56 @@
         let mut entry = entry(name, address, status, since_ms);
         entry["zone"] = json!(zone);
         let line = {
-            let mut told = self.told();
-            told.index += 1;
+            let mut state = self.state();
+            state.index += 1;
             if status == "removed" {
-                told.entries.remove(name);
+                state.entries.remove(name);
             } else {
-                told.entries.insert(name.to_string(), entry.clone());
+                state.entries.insert(name.to_string(), entry.clone());
             }
-            delivery(told.index, false, &[entry])
+            delivery(state.index, false, &[entry])
         };
         self.send_line(&line);
     }
 
-    /// Writes a line to all watches, unless discovery is down.
+    /// Writes a line to all watches, unless the agent is silent.
     pub fn send_line(&self, line: &str) {
-        let mut told = self.told();
-        if !told.mute {
-            told.watches
+        let mut state = self.state();
+        if !state.is_silent {
+            state
+                .watches
                 .retain(|watch| watch.send(line.to_string()).is_ok());
         }
     }
 
-    /// Ends all watches.
+    /// Closes all watches.
     pub fn close_watches(&self) {
-        self.told().watches.clear();
+        self.state().watches.clear();
     }
 
-    /// Another agent that has been sent the same list.
+    /// Starts another agent with a copy of the list.
     pub async fn start_replica(&self) -> Self {
-        let other = Discovery::start().await;
+        let replica = Discovery::start().await;
         {
-            let (told, mut its) = (self.told(), other.told());
-            (its.index, its.entries) = (told.index, told.entries.clone());
+            let (state, mut copy) = (self.state(), replica.state());
+            (copy.index, copy.entries) = (state.index, state.entries.clone());
         }
-        other
+        replica
     }
 
-    /// Has been sent nothing newer than this version, or counts from there.
+    /// Sets the version of the list without changing its entries.
     pub fn set_version(&self, index: u64) {
-        self.told().index = index;
+        self.state().index = index;
     }
 
-    /// From now on nothing is said, on old watches and new ones; or everything again on new ones.
-    pub fn set_silent(&self, mute: bool) {
-        self.told().mute = mute;
+    /// Sets whether the agent is silent: it then sends nothing on any watch, but still returns the list. Lines omitted
+    /// meanwhile are not sent later.
+    pub fn set_silent(&self, is_silent: bool) {
+        self.state().is_silent = is_silent;
     }
 
-    /// How many watches were ever opened.
+    /// Returns the number of watches opened since the start.
     pub fn watches_opened(&self) -> usize {
-        self.told().opened
+        self.state().watches_opened
     }
 }
--- a/crates/emulators/src/fleet.rs
+++ b/crates/emulators/src/fleet.rs
@@ -1,6 +1,6 @@
-//! A whole small fleet on loopback: servers with cores and queues, front ends that pick by their tables and try again as
-//! they are told, collectors that report what happened, and ways between zones that can be cut. Requests stay within the
-//! process; what supervisors see - discovery, streams, reports, probes - goes over sockets.
+//! Emulates a small fleet on loopback: servers with cores and queues, proxies that pick servers by their tables and follow
+//! the ordered retry policy, collectors that report outcomes, and partitions between zones. Requests stay within the
+//! process; the traffic with supervisors (discovery, streams, reports, health checks) goes over sockets.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,312 +24,317 @@
 use crate::tables::{Tables, CLASSES};
 use crate::truth::now_us;
 
-/// Zones of the fleet; supervisors stand in the first.
+/// Zones of the fleet; the supervisors run in the first.
 pub const ZONES: [&str; 2] = ["a", "b"];
-/// Mean work of a request, and of a probe, at a server.
-const WORK: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(1));
-/// Requests that a server works on at a time.
+/// Mean work of a request at a server.
+const REQUEST_WORK: Duration = Duration::from_millis(20);
+/// Work of a health check at a server.
+const HEALTH_CHECK_WORK: Duration = Duration::from_millis(1);
+/// Requests that a server processes concurrently.
 const CORES: usize = 2;
-/// A client gives up after this.
-const PATIENCE: Duration = Duration::from_millis(2000);
-/// A try across a way that is cut ends after this.
-const CUT_AFTER: Duration = Duration::from_millis(500);
-/// Time between two reports of a front end or a collector.
-const REPORT_EVERY: Duration = Duration::from_millis(1000);
-/// After the list told of a drain nobody may send there for longer than this: the settings' grace, and what sockets add.
-const DRAIN_MOST: Duration = Duration::from_millis(2300);
-/// Wait before a front end or a collector dials again.
-const DIAL_AGAIN: Duration = Duration::from_millis(100);
-
-fn held<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no panic while held")
+/// A client abandons its request after this time.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(2000);
+/// An attempt across a partition fails after this time.
+const PARTITION_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between reports of a proxy or a collector.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
+/// Longest time for which a draining server may still receive attempts: the drain grace of the settings, and the delay of
+/// the sockets.
+const MAX_DRAIN: Duration = Duration::from_millis(2300);
+/// Delay before a proxy or a collector reconnects.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().expect("no panic while locked")
 }
 
-/// How a try ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// Answered after so many milliseconds.
-    Done(f64),
-    /// It surely did not run.
-    Unrun,
-    /// It failed, or nobody knows.
+    /// Answered, after this time at the server in milliseconds.
+    Answered(f64),
+    /// The server did not execute it.
+    NotExecuted,
+    /// It failed, or its result is unknown.
     Failed,
 }
 
-/// A server that works.
-pub struct Worker {
-    /// Its name.
+/// An emulated server with cores and a queue.
+pub struct EmulatedServer {
+    /// Unique within the fleet, as in the server list.
     pub name: String,
-    /// Its zone.
+    /// One of [`ZONES`].
     pub zone: &'static str,
-    /// Where it answers probes.
+    /// Where it answers health checks.
     pub address: SocketAddr,
     cores: Semaphore,
-    waiting: AtomicUsize,
-    fails: AtomicBool,
-    gone: AtomicBool,
+    queued: AtomicUsize,
+    is_failing: AtomicBool,
+    is_stopped: AtomicBool,
     work_ms: Mutex<f64>,
-    /// When the list told that it drains.
-    drained: Mutex<Option<Instant>>,
-    /// Requests of the class that must not run twice, by request.
-    ran: Mutex<BTreeMap<u64, u32>>,
+    /// When the server list marked it as draining.
+    draining_since: Mutex<Option<Instant>>,
+    /// Number of executions of each non-idempotent request.
+    executions: Mutex<BTreeMap<u64, u32>>,
 }
 
-/// A request that waits for a core, until it is dropped: also one that its client gives up.
-struct Waits<'a>(&'a AtomicUsize);
+/// Counts a request as queued until it is dropped, which includes a request that its client abandons.
+struct QueueGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Waits<'a> {
-    fn begin(waiting: &'a AtomicUsize) -> Self {
-        waiting.fetch_add(1, Ordering::Relaxed);
-        Waits(waiting)
+impl<'a> QueueGuard<'a> {
+    fn new(queued: &'a AtomicUsize) -> Self {
+        queued.fetch_add(1, Ordering::Relaxed);
+        QueueGuard(queued)
     }
 }
 
-impl Drop for Waits<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// What is common to the whole fleet.
-pub struct Ways {
-    cut: Mutex<Vec<String>>,
-    demand: Mutex<f64>,
-    late: Mutex<BTreeMap<String, Duration>>,
+/// Injected conditions that apply to the whole fleet.
+pub struct Conditions {
+    partitioned_zones: Mutex<Vec<String>>,
+    demand_factor: Mutex<f64>,
+    report_delays: Mutex<BTreeMap<String, Duration>>,
 }
 
-impl Ways {
-    fn are_cut(&self, from: &str, to: &str) -> bool {
+impl Conditions {
+    fn is_partitioned(&self, from: &str, to: &str) -> bool {
         from != to
-            && held(&self.cut)
+            && lock(&self.partitioned_zones)
                 .iter()
                 .any(|zone| zone == from || zone == to)
     }
 }
 
-impl Worker {
-    async fn start(name: String, zone: &'static str, ways: Arc<Ways>) -> Arc<Self> {
+impl EmulatedServer {
+    async fn start(name: String, zone: &'static str, conditions: Arc<Conditions>) -> Arc<Self> {
         let (listener, address) = listen().await;
-        let worker = Arc::new(Worker {
+        let server = Arc::new(EmulatedServer {
             name,
             zone,
             address,
             cores: Semaphore::new(CORES),
-            waiting: AtomicUsize::new(0),
-            fails: AtomicBool::new(false),
-            gone: AtomicBool::new(false),
-            work_ms: Mutex::new(WORK.0.as_secs_f64() * 1000.0),
-            drained: Mutex::default(),
-            ran: Mutex::default(),
+            queued: AtomicUsize::new(0),
+            is_failing: AtomicBool::new(false),
+            is_stopped: AtomicBool::new(false),
+            work_ms: Mutex::new(REQUEST_WORK.as_secs_f64() * 1000.0),
+            draining_since: Mutex::default(),
+            executions: Mutex::default(),
         });
-        let probed = Arc::clone(&worker);
+        let checked = Arc::clone(&server);
         serve(listener, Arc::default(), move |_| {
-            let (worker, ways) = (Arc::clone(&probed), Arc::clone(&ways));
+            let (server, conditions) = (Arc::clone(&checked), Arc::clone(&conditions));
             async move {
-                if ways.are_cut(ZONES[0], worker.zone) {
+                if conditions.is_partitioned(ZONES[0], server.zone) {
                     std::future::pending::<()>().await;
                 }
-                if worker.fails.load(Ordering::Relaxed) {
+                if server.is_failing.load(Ordering::Relaxed) {
                     return text(StatusCode::INTERNAL_SERVER_ERROR, "");
                 }
-                worker.busy(WORK.1).await;
-                text(StatusCode::OK, worker.report())
+                server.work_for(HEALTH_CHECK_WORK).await;
+                text(StatusCode::OK, server.load_report())
             }
         });
-        worker
+        server
     }
 
-    /// Waits for a core and uses it for so long.
-    async fn busy(&self, length: Duration) {
-        let waits = Waits::begin(&self.waiting);
+    /// Waits for a core and occupies it for this time.
+    async fn work_for(&self, length: Duration) {
+        let queue_guard = QueueGuard::new(&self.queued);
         let core = self.cores.acquire().await;
-        drop(waits);
+        drop(queue_guard);
         sleep(length).await;
         drop(core);
     }
 
-    /// Its load report, as probes bring it.
-    fn report(&self) -> String {
+    /// Returns the load report in the format of a health check response.
+    fn load_report(&self) -> String {
         format!(
             "TEXT queue={}, latency_ms={:.1}",
-            self.waiting.load(Ordering::Relaxed),
-            *held(&self.work_ms)
+            self.queued.load(Ordering::Relaxed),
+            *lock(&self.work_ms)
         )
     }
 
-    /// Handles a request from a zone.
+    /// Handles a request, given by its id and class, that a proxy in the zone `from` sends.
     async fn handle(
         &self,
         from: &str,
         request: (u64, &str),
         length: Duration,
-        ways: &Ways,
+        conditions: &Conditions,
     ) -> Outcome {
-        if ways.are_cut(from, self.zone) {
-            sleep(CUT_AFTER).await;
+        if conditions.is_partitioned(from, self.zone) {
+            sleep(PARTITION_TIMEOUT).await;
             return Outcome::Failed;
         }
-        if self.gone.load(Ordering::Relaxed) {
-            return Outcome::Unrun;
+        if self.is_stopped.load(Ordering::Relaxed) {
+            return Outcome::NotExecuted;
         }
-        if self.fails.load(Ordering::Relaxed) {
+        if self.is_failing.load(Ordering::Relaxed) {
             return Outcome::Failed;
         }
-        let begun = Instant::now();
-        self.busy(length).await;
+        let started = Instant::now();
+        self.work_for(length).await;
         if request.1 == CLASSES[1] {
-            *held(&self.ran).entry(request.0).or_default() += 1;
+            *lock(&self.executions).entry(request.0).or_default() += 1;
         }
-        Outcome::Done(begun.elapsed().as_secs_f64() * 1000.0)
+        Outcome::Answered(started.elapsed().as_secs_f64() * 1000.0)
     }
 }
 
-/// What happened at one server, seen from one zone through one supervisor.
+/// Attempts at one server from the proxies of one zone that were connected to one supervisor.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
-    tries: u64,
+struct AttemptStats {
+    attempts: u64,
     failed: u64,
     sum_ms: f64,
 }
 
-type Tallies = Arc<Mutex<BTreeMap<(usize, &'static str, String), Tally>>>;
+type AttemptStatsByServer = Arc<Mutex<BTreeMap<(usize, &'static str, String), AttemptStats>>>;
 
-/// Where supervisors listen, as front ends and collectors know it.
+/// Addresses of the supervisors, shared by proxies and collectors.
 #[derive(Clone, Default)]
-pub struct Addresses(Arc<Mutex<Vec<Option<SocketAddr>>>>);
+pub struct SupervisorAddresses(Arc<Mutex<Vec<Option<SocketAddr>>>>);
 
-impl Addresses {
-    /// A supervisor listens there, or nowhere.
+impl SupervisorAddresses {
+    /// Sets the address of a supervisor; `None` if the supervisor does not run.
     pub fn set(&self, supervisor: usize, address: Option<SocketAddr>) {
-        let mut all = held(&self.0);
+        let mut all = lock(&self.0);
         let length = all.len().max(supervisor + 1);
         all.resize(length, None);
         all[supervisor] = address;
     }
 
-    fn of(&self, supervisor: usize) -> Option<SocketAddr> {
-        held(&self.0).get(supervisor).copied().flatten()
+    fn get(&self, supervisor: usize) -> Option<SocketAddr> {
+        lock(&self.0).get(supervisor).copied().flatten()
     }
 
-    /// The first that listens, from a given one on.
-    fn from(&self, first: usize) -> Option<(usize, SocketAddr)> {
-        let all = held(&self.0);
+    /// Returns the first running supervisor, beginning at `first` and wrapping around.
+    fn first_running_from(&self, first: usize) -> Option<(usize, SocketAddr)> {
+        let all = lock(&self.0);
         let order = (0..all.len()).map(|step| (first + step) % all.len());
-        order.filter_map(|at| Some((at, all[at]?))).next()
+        order.filter_map(|index| Some((index, all[index]?))).next()
     }
 }
 
-/// What one front end did of one class since it last reported.
+/// Requests of one class at one proxy since its last report.
 #[derive(Clone, Copy, Debug, Default)]
-struct Usage {
-    came: u64,
+struct ClassUsage {
+    requests: u64,
     failed: u64,
 }
 
-struct FrontEnd {
+struct EmulatedProxy {
     id: u32,
     zone: &'static str,
     rate: f64,
     tables: Mutex<Tables>,
-    usage: Mutex<BTreeMap<&'static str, Usage>>,
-    joined: AtomicUsize,
-    broken: Notify,
-    requests: AtomicU64,
+    usage: Mutex<BTreeMap<&'static str, ClassUsage>>,
+    /// Index of the supervisor of its stream; `usize::MAX` while it has none.
+    supervisor: AtomicUsize,
+    stream_break: Notify,
+    request_count: AtomicU64,
 }
 
-/// The fleet, which works until it is dropped.
+/// An emulated fleet, whose tasks end when it is dropped.
 pub struct Fleet {
-    /// Discovery, one for all supervisors.
+    /// The discovery agent that all supervisors use.
     pub discovery: Discovery,
-    /// Where supervisors listen.
-    pub addresses: Addresses,
-    workers: Mutex<BTreeMap<String, Arc<Worker>>>,
-    fronts: Vec<Arc<FrontEnd>>,
-    ways: Arc<Ways>,
-    tallies: Tallies,
+    /// Addresses of the running supervisors.
+    pub addresses: SupervisorAddresses,
+    servers: Mutex<BTreeMap<String, Arc<EmulatedServer>>>,
+    proxies: Vec<Arc<EmulatedProxy>>,
+    conditions: Arc<Conditions>,
+    attempt_stats: AttemptStatsByServer,
     tasks: Mutex<Vec<tokio::task::JoinHandle<()>>>,
     counters: RequestCounters,
     seed: u64,
 }
 
-/// Requests by how they ended, all front ends together.
+/// Counters of all proxies together.
 #[derive(Clone, Default)]
 pub struct RequestCounters {
-    /// Came in.
+    /// Requests from clients.
     pub received: Arc<AtomicU64>,
-    /// Turned away by a level.
+    /// Requests rejected by the admission level.
     pub rejected: Arc<AtomicU64>,
-    /// Answered.
+    /// Requests answered before the client's timeout.
     pub answered: Arc<AtomicU64>,
-    /// Given up.
+    /// Admitted requests that were not answered before the client's timeout.
     pub failed: Arc<AtomicU64>,
-    /// Found nobody to pick, which is a rule broken if it lasts.
+    /// Attempts without a server to pick, which is a rule violation if it persists.
     pub without_server: Arc<AtomicU64>,
-    /// Came to a server that had drained for longer than the rule allows.
+    /// Attempts at a server that had been draining for longer than the drain grace.
     pub after_drain: Arc<AtomicU64>,
-    /// Orders that the protocol does not allow.
+    /// Orders that violate the protocol.
     pub invalid_orders: Arc<AtomicU64>,
-    /// How each request ended, once somebody asked for it: when it came, its class, and how long its answer took.
+    /// Results of single requests, once [`RequestCounters::keep_results`] was called.
     pub results: Arc<Mutex<Option<Vec<RequestResult>>>>,
 }
 
-/// How one request ended.
+/// Result of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestResult {
-    /// When it came.
-    pub came: Instant,
-    /// Its class, by its place.
+    /// When the proxy received it.
+    pub received: Instant,
+    /// Index into [`CLASSES`].
     pub class: usize,
-    /// It was turned away by a level.
-    pub refused: bool,
-    /// Milliseconds until its answer, if it had one.
-    pub ms: Option<f64>,
+    /// Whether the admission level rejected it.
+    pub is_rejected: bool,
+    /// Milliseconds until its answer; none if it was not answered.
+    pub latency_ms: Option<f64>,
 }
 
-/// Requests whose ends are kept at most: an hour of the small fleet.
+/// Maximum number of retained results: one hour of the small fleet.
 const MAX_KEPT_RESULTS: usize = 2_000_000;
 
 impl RequestCounters {
-    /// From now on the end of each request is kept.
+    /// Starts to retain the result of each request; discards results retained earlier.
     pub fn keep_results(&self) {
-        *held(&self.results) = Some(Vec::new());
+        *lock(&self.results) = Some(Vec::new());
     }
 
-    fn ended(&self, answer: RequestResult) {
-        if let Some(kept) = held(&self.results)
+    fn record(&self, result: RequestResult) {
+        if let Some(results) = lock(&self.results)
             .as_mut()
-            .filter(|kept| kept.len() < MAX_KEPT_RESULTS)
+            .filter(|results| results.len() < MAX_KEPT_RESULTS)
         {
-            kept.push(answer);
+            results.push(result);
         }
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        held(&self.tasks)
+        lock(&self.tasks)
             .iter()
             .for_each(tokio::task::JoinHandle::abort);
     }
 }
 
 impl Fleet {
-    /// A fleet of so many servers a zone and so many front ends in all, each with so many requests a second.
-    pub async fn start(servers: usize, fronts: u32, rate: f64, seed: u64) -> Arc<Self> {
-        let ways = Arc::new(Ways {
-            cut: Mutex::default(),
-            demand: Mutex::new(1.0),
-            late: Mutex::default(),
+    /// Starts `servers` servers in each zone. Creates `proxies` proxies in total, each with `rate` requests per second, which
+    /// are idle until [`Fleet::start_traffic`].
+    pub async fn start(servers: usize, proxies: u32, rate: f64, seed: u64) -> Arc<Self> {
+        let conditions = Arc::new(Conditions {
+            partitioned_zones: Mutex::default(),
+            demand_factor: Mutex::new(1.0),
+            report_delays: Mutex::default(),
         });
         let fleet = Arc::new(Fleet {
             discovery: Discovery::start().await,
-            addresses: Addresses::default(),
-            workers: Mutex::default(),
-            fronts: (0..fronts)
-                .map(|id| Arc::new(FrontEnd::new(id, rate)))
+            addresses: SupervisorAddresses::default(),
+            servers: Mutex::default(),
+            proxies: (0..proxies)
+                .map(|id| Arc::new(EmulatedProxy::new(id, rate)))
                 .collect(),
-            ways,
-            tallies: Tallies::default(),
+            conditions,
+            attempt_stats: AttemptStatsByServer::default(),
             tasks: Mutex::default(),
             counters: RequestCounters::default(),
             seed,
@@ -337,273 +342,276 @@
         for zone in ZONES {
             for number in 1..=servers {
                 let name = format!("s-{zone}{number}");
-                let worker = Worker::start(name.clone(), zone, Arc::clone(&fleet.ways)).await;
+                let server =
+                    EmulatedServer::start(name.clone(), zone, Arc::clone(&fleet.conditions)).await;
                 fleet
                     .discovery
-                    .set_in_zone(zone, &name, worker.address, "up", 0);
-                held(&fleet.workers).insert(name, worker);
+                    .set_in_zone(zone, &name, server.address, "up", 0);
+                lock(&fleet.servers).insert(name, server);
             }
         }
         fleet
     }
 
-    /// Front ends and collectors begin, for so many supervisors.
+    /// Starts the proxies and the collectors, which connect to this number of supervisors.
     pub fn start_traffic(self: &Arc<Self>, supervisors: usize) {
         let mut tasks = Vec::new();
-        for (at, front) in self.fronts.iter().enumerate() {
-            let first = at % supervisors;
+        for (index, proxy) in self.proxies.iter().enumerate() {
+            let first = index % supervisors;
             let counters = self.counters.clone();
-            tasks.push(tokio::spawn(streams(
-                Arc::clone(front),
+            tasks.push(tokio::spawn(maintain_stream(
+                Arc::clone(proxy),
                 self.addresses.clone(),
                 first,
                 counters,
             )));
-            let rng = StdRng::seed_from_u64(self.seed ^ (u64::from(front.id) << 32));
-            tasks.push(tokio::spawn(requests(
+            let rng = StdRng::seed_from_u64(self.seed ^ (u64::from(proxy.id) << 32));
+            tasks.push(tokio::spawn(generate_requests(
                 Arc::downgrade(self),
-                Arc::clone(front),
+                Arc::clone(proxy),
                 rng,
             )));
         }
         for zone in ZONES {
             for supervisor in 0..supervisors {
-                let (addresses, tallies) = (self.addresses.clone(), Arc::clone(&self.tallies));
-                tasks.push(tokio::spawn(collector(
+                let (addresses, attempt_stats) =
+                    (self.addresses.clone(), Arc::clone(&self.attempt_stats));
+                tasks.push(tokio::spawn(run_collector(
                     zone,
                     supervisor,
                     addresses,
-                    tallies,
-                    Arc::clone(&self.ways),
+                    attempt_stats,
+                    Arc::clone(&self.conditions),
                 )));
             }
         }
-        held(&self.tasks).extend(tasks);
+        lock(&self.tasks).extend(tasks);
     }
 
-    /// How requests ended so far.
+    /// Returns the counters since the start of the fleet.
     pub fn counters(&self) -> &RequestCounters {
         &self.counters
     }
 
-    fn worker(&self, name: &str) -> Arc<Worker> {
+    fn server(&self, name: &str) -> Arc<EmulatedServer> {
         Arc::clone(
-            held(&self.workers)
+            lock(&self.servers)
                 .get(name)
                 .unwrap_or_else(|| panic!("no server {name}")),
         )
     }
 
-    /// What of the rules was broken so far, as front ends and servers saw it: in words, none if nothing was. Nobody to pick
-    /// counts only beyond so many requests, since a table may be empty for a moment.
-    pub fn rule_violations(&self, unserved_most: u64) -> Vec<String> {
-        let count = |of: &AtomicU64| of.load(Ordering::Relaxed);
+    /// Describes the rule violations that proxies and servers observed so far. Attempts without a server to pick count only
+    /// beyond `max_without_server`, since a table may be empty for a moment.
+    pub fn rule_violations(&self, max_without_server: u64) -> Vec<String> {
+        let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let counters = &self.counters;
-        let found = [
+        let violations = [
             (
-                count(&counters.without_server).saturating_sub(unserved_most),
-                "requests found nobody to pick",
+                count(&counters.without_server).saturating_sub(max_without_server),
+                "attempts found no server to pick",
             ),
             (
                 count(&counters.after_drain),
-                "tries went to a server that had drained",
+                "attempts went to a server after its drain grace",
             ),
             (
                 count(&counters.invalid_orders),
-                "orders are not allowed by the protocol",
+                "orders violate the protocol",
             ),
             (
                 self.duplicate_executions() as u64,
-                "requests ran twice that must not",
+                "non-idempotent requests were executed more than once",
             ),
         ];
-        found
+        violations
             .iter()
             .filter(|(count, _)| *count > 0)
             .map(|(count, what)| format!("{count} {what}"))
             .collect()
     }
 
-    /// Requests of the class that must not run twice that did.
+    /// Returns the number of non-idempotent requests that were executed more than once.
     pub fn duplicate_executions(&self) -> usize {
-        let mut runs: BTreeMap<u64, u32> = BTreeMap::new();
-        for worker in held(&self.workers).values() {
-            for (request, times) in held(&worker.ran).iter() {
-                *runs.entry(*request).or_default() += times;
+        let mut executions: BTreeMap<u64, u32> = BTreeMap::new();
+        for server in lock(&self.servers).values() {
+            for (request, times) in lock(&server.executions).iter() {
+                *executions.entry(*request).or_default() += times;
             }
         }
-        runs.values().filter(|times| **times > 1).count()
+        executions.values().filter(|times| **times > 1).count()
     }
 
-    /// The list says that a server drains.
+    /// Marks a server as draining in the server list.
     pub fn drain(&self, name: &str) {
-        let worker = self.worker(name);
-        *held(&worker.drained) = Some(Instant::now());
+        let server = self.server(name);
+        *lock(&server.draining_since) = Some(Instant::now());
         self.discovery
-            .set_in_zone(worker.zone, name, worker.address, "draining", 0);
+            .set_in_zone(server.zone, name, server.address, "draining", 0);
     }
 
-    /// The list drops a server, which ends.
+    /// Removes a server from the server list; from then on it executes no requests.
     pub fn remove(&self, name: &str) {
-        let worker = self.worker(name);
-        worker.gone.store(true, Ordering::Relaxed);
+        let server = self.server(name);
+        server.is_stopped.store(true, Ordering::Relaxed);
         self.discovery
-            .set_in_zone(worker.zone, name, worker.address, "removed", 0);
+            .set_in_zone(server.zone, name, server.address, "removed", 0);
     }
 
-    /// A server that was removed starts anew and is listed again.
+    /// Restarts a removed server and lists it again, with the present time as its start.
     pub fn restart(&self, name: &str) {
-        let worker = self.worker(name);
-        worker.gone.store(false, Ordering::Relaxed);
-        *held(&worker.drained) = None;
+        let server = self.server(name);
+        server.is_stopped.store(false, Ordering::Relaxed);
+        *lock(&server.draining_since) = None;
         self.discovery
-            .set_in_zone(worker.zone, name, worker.address, "up", now_us() / 1000);
+            .set_in_zone(server.zone, name, server.address, "up", now_us() / 1000);
     }
 
-    /// A server fails all that it gets, or nothing any more.
+    /// Makes a server fail all requests and health checks, or stops doing so.
     pub fn set_failing(&self, name: &str, on: bool) {
-        self.worker(name).fails.store(on, Ordering::Relaxed);
+        self.server(name).is_failing.store(on, Ordering::Relaxed);
     }
 
-    /// A server takes so many times longer.
+    /// Multiplies the usual work of requests at a server by a factor.
     pub fn set_slowdown(&self, name: &str, factor: f64) {
-        *held(&self.worker(name).work_ms) = factor * WORK.0.as_secs_f64() * 1000.0;
+        *lock(&self.server(name).work_ms) = factor * REQUEST_WORK.as_secs_f64() * 1000.0;
     }
 
-    /// A zone is cut off from the others, or not any more.
+    /// Partitions a zone from the others, or ends the partition.
     pub fn set_partitioned(&self, zone: &str, on: bool) {
-        let mut cut = held(&self.ways.cut);
-        cut.retain(|known| known != zone);
-        cut.extend(on.then(|| zone.to_string()));
+        let mut zones = lock(&self.conditions.partitioned_zones);
+        zones.retain(|known| known != zone);
+        zones.extend(on.then(|| zone.to_string()));
     }
 
-    /// So much more comes than usually.
+    /// Multiplies the usual request rate of all proxies by a factor.
     pub fn set_demand_factor(&self, factor: f64) {
-        *held(&self.ways.demand) = factor;
+        *lock(&self.conditions.demand_factor) = factor;
     }
 
-    /// Reports of a zone's collectors come so much later.
+    /// Delays the reports of a zone's collectors.
     pub fn set_report_delay(&self, zone: &str, length: Duration) {
-        held(&self.ways.late).insert(zone.to_string(), length);
+        lock(&self.conditions.report_delays).insert(zone.to_string(), length);
     }
 
-    /// Breaks a front end's stream.
-    pub fn break_stream(&self, proxy: u32) {
-        if let Some(front) = self.fronts.iter().find(|front| front.id == proxy) {
-            front.broken.notify_one();
+    /// Closes a proxy's stream.
+    pub fn break_stream(&self, id: u32) {
+        if let Some(proxy) = self.proxies.iter().find(|proxy| proxy.id == id) {
+            proxy.stream_break.notify_one();
         }
     }
 
-    /// Servers that each front end may pick for a class.
+    /// Returns the servers that each proxy may pick for a class.
     pub fn picks(&self, class: &str) -> Vec<Vec<String>> {
-        let of = |front: &Arc<FrontEnd>| {
-            held(&front.tables)
+        let picks_of = |proxy: &Arc<EmulatedProxy>| {
+            lock(&proxy.tables)
                 .picks(class)
                 .into_iter()
                 .map(String::from)
                 .collect()
         };
-        self.fronts.iter().map(of).collect()
+        self.proxies.iter().map(picks_of).collect()
     }
 
-    /// Waits until every front end holds a table with somebody to pick.
+    /// Waits until every proxy has a server to pick for every class.
     pub async fn wait_for_tables(&self) {
-        let holds = |front: &Arc<FrontEnd>| {
-            let tables = held(&front.tables);
+        let has_tables = |proxy: &Arc<EmulatedProxy>| {
+            let tables = lock(&proxy.tables);
             CLASSES.iter().all(|class| !tables.picks(class).is_empty())
         };
-        crate::wait::until("a table at every front end", || {
-            self.fronts.iter().all(holds)
+        crate::wait::until("a table at every proxy", || {
+            self.proxies.iter().all(has_tables)
         })
         .await;
     }
 }
 
-impl FrontEnd {
+impl EmulatedProxy {
     fn new(id: u32, rate: f64) -> Self {
-        FrontEnd {
+        EmulatedProxy {
             id,
             zone: ZONES[id as usize % ZONES.len()],
             rate,
             tables: Mutex::default(),
             usage: Mutex::default(),
-            joined: AtomicUsize::new(usize::MAX),
-            broken: Notify::new(),
-            requests: AtomicU64::new(0),
+            supervisor: AtomicUsize::new(usize::MAX),
+            stream_break: Notify::new(),
+            request_count: AtomicU64::new(0),
         }
     }
 }
 
-/// Keeps a stream to a supervisor, and goes to the next when it breaks.
-async fn streams(
-    front: Arc<FrontEnd>,
-    addresses: Addresses,
+/// Keeps a proxy connected to its first supervisor, or to the next running one.
+async fn maintain_stream(
+    proxy: Arc<EmulatedProxy>,
+    addresses: SupervisorAddresses,
     first: usize,
     counters: RequestCounters,
 ) {
     let mut next = first;
     loop {
-        if let Some((at, address)) = addresses.from(next) {
-            front.joined.store(at, Ordering::Relaxed);
-            let ended = stream(&front, address).await;
+        if let Some((supervisor, address)) = addresses.first_running_from(next) {
+            proxy.supervisor.store(supervisor, Ordering::Relaxed);
+            let ended = run_stream(&proxy, address).await;
             if ended.is_err_and(|fault| fault.kind() == std::io::ErrorKind::InvalidData) {
                 counters.invalid_orders.fetch_add(1, Ordering::Relaxed);
             }
-            front.joined.store(usize::MAX, Ordering::Relaxed);
-            // One that was merely broken off comes back; one whose supervisor has gone finds the next.
+            proxy.supervisor.store(usize::MAX, Ordering::Relaxed);
+            // Reconnects to the first supervisor if it still executions, otherwise to the next one.
             next = first;
         }
-        sleep(DIAL_AGAIN).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn stream(front: &Arc<FrontEnd>, address: SocketAddr) -> std::io::Result<()> {
+async fn run_stream(proxy: &Arc<EmulatedProxy>, address: SocketAddr) -> std::io::Result<()> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (read, mut write) = stream.into_split();
-    let new = u8::from(held(&front.tables).rows.is_empty());
+    let new = u8::from(lock(&proxy.tables).rows.is_empty());
     let hello = format!(
         "hello id={} site={} rps={:.1} new={new}\r\n",
-        front.id, front.zone, front.rate
+        proxy.id, proxy.zone, proxy.rate
     );
     write.write_all(hello.as_bytes()).await?;
-    let (marks, wanted) = mpsc::unbounded_channel();
-    let reading = async {
+    let (acknowledgements, pending_acknowledgements) = mpsc::unbounded_channel();
+    let apply_orders = async {
         let mut lines = BufReader::new(read).lines();
         while let Some(line) = lines.next_line().await? {
-            let mark = held(&front.tables).apply(line.trim_end());
-            let told = |fault: String| std::io::Error::new(std::io::ErrorKind::InvalidData, fault);
-            if let Some(mark) = mark.map_err(told)? {
-                let _ = marks.send(mark);
+            let sequence = lock(&proxy.tables).apply(line.trim_end());
+            let invalid_data =
+                |fault: String| std::io::Error::new(std::io::ErrorKind::InvalidData, fault);
+            if let Some(sequence) = sequence.map_err(invalid_data)? {
+                let _ = acknowledgements.send(sequence);
             }
         }
         Ok(())
     };
     tokio::select! {
-        ended = reading => ended,
-        ended = says(front, write, wanted) => ended,
-        () = front.broken.notified() => Ok(()),
+        ended = apply_orders => ended,
+        ended = write_messages(proxy, write, pending_acknowledgements) => ended,
+        () = proxy.stream_break.notified() => Ok(()),
     }
 }
 
-/// Answers marks and reports usage.
-async fn says(
-    front: &FrontEnd,
+/// Sends acknowledgements and usage reports.
+async fn write_messages(
+    proxy: &EmulatedProxy,
     mut write: OwnedWriteHalf,
-    mut wanted: mpsc::UnboundedReceiver<String>,
+    mut pending_acknowledgements: mpsc::UnboundedReceiver<String>,
 ) -> std::io::Result<()> {
-    let mut report = tokio::time::interval(REPORT_EVERY);
+    let mut report = tokio::time::interval(REPORT_INTERVAL);
     loop {
         let text = tokio::select! {
-            mark = wanted.recv() => match mark {
-                Some(mark) => format!("ack id={} seq={mark} ms=2.0\r\n", front.id),
+            sequence = pending_acknowledgements.recv() => match sequence {
+                Some(sequence) => format!("ack id={} seq={sequence} ms=2.0\r\n", proxy.id),
                 None => return Ok(()),
             },
             _ = report.tick() => {
-                let usage = std::mem::take(&mut *held(&front.usage));
-                let line = |(class, of): (&str, Usage)| {
-                    let (id, over) = (front.id, REPORT_EVERY.as_millis());
-                    format!("demand id={id} lane={class} count={} fail={} over={over}.0\r\n", of.came, of.failed)
+                let usage = std::mem::take(&mut *lock(&proxy.usage));
+                let line = |(class, usage): (&str, ClassUsage)| {
+                    let (id, interval_ms) = (proxy.id, REPORT_INTERVAL.as_millis());
+                    format!("demand id={id} lane={class} count={} fail={} over={interval_ms}.0\r\n", usage.requests, usage.failed)
                 };
                 usage.into_iter().map(line).collect()
             }
@@ -612,82 +620,91 @@
     }
 }
 
-/// Requests come at random, at the front end's rate.
-async fn requests(fleet: std::sync::Weak<Fleet>, front: Arc<FrontEnd>, mut rng: StdRng) {
+/// Sends requests at the proxy's mean rate, with exponentially distributed intervals.
+async fn generate_requests(
+    fleet: std::sync::Weak<Fleet>,
+    proxy: Arc<EmulatedProxy>,
+    mut rng: StdRng,
+) {
     loop {
-        let Some(now) = fleet.upgrade() else { return };
-        let rate = front.rate * *held(&now.ways.demand);
-        drop(now);
-        let gap = -(1.0 - rng.random::<f64>()).ln() / rate.max(0.001);
-        sleep(Duration::from_secs_f64(gap.min(1.0))).await;
+        let Some(running) = fleet.upgrade() else {
+            return;
+        };
+        let rate = proxy.rate * *lock(&running.conditions.demand_factor);
+        drop(running);
+        let interval = -(1.0 - rng.random::<f64>()).ln() / rate.max(0.001);
+        sleep(Duration::from_secs_f64(interval.min(1.0))).await;
         let Some(fleet) = fleet.upgrade() else { return };
-        let request = StdRng::seed_from_u64(rng.random());
-        let front = Arc::clone(&front);
-        tokio::spawn(async move { one_request(&fleet, &front, request).await });
+        let request_rng = StdRng::seed_from_u64(rng.random());
+        let proxy = Arc::clone(&proxy);
+        tokio::spawn(async move { send_request(&fleet, &proxy, request_rng).await });
     }
 }
 
-async fn one_request(fleet: &Fleet, front: &FrontEnd, mut rng: StdRng) {
+async fn send_request(fleet: &Fleet, proxy: &EmulatedProxy, mut rng: StdRng) {
     let class = if rng.random_bool(0.7) {
         CLASSES[0]
     } else {
         CLASSES[1]
     };
-    let number = (u64::from(front.id) << 40) | front.requests.fetch_add(1, Ordering::Relaxed);
+    let id = (u64::from(proxy.id) << 40) | proxy.request_count.fetch_add(1, Ordering::Relaxed);
     fleet.counters.received.fetch_add(1, Ordering::Relaxed);
-    let came = Instant::now();
-    let at = usize::from(class == CLASSES[1]);
-    let ended = |refused, ms| {
-        fleet.counters.ended(RequestResult {
-            came,
-            class: at,
-            refused,
-            ms,
+    let received = Instant::now();
+    let class_index = usize::from(class == CLASSES[1]);
+    let record_result = |is_rejected, latency_ms| {
+        fleet.counters.record(RequestResult {
+            received,
+            class: class_index,
+            is_rejected,
+            latency_ms,
         })
     };
-    let (admitted, retry) = {
-        let tables = held(&front.tables);
+    let (is_admitted, retry) = {
+        let tables = lock(&proxy.tables);
         (
             rng.random_bool(tables.level(class).clamp(0.0, 1.0)),
             tables.retries.get(class).cloned(),
         )
     };
-    held(&front.usage).entry(class).or_default().came += 1;
-    if !admitted {
+    lock(&proxy.usage).entry(class).or_default().requests += 1;
+    if !is_admitted {
         fleet.counters.rejected.fetch_add(1, Ordering::Relaxed);
-        ended(true, None);
+        record_result(true, None);
         return;
     }
-    let tries = async {
-        let first = one_try(fleet, front, (number, class), &mut rng).await;
+    let attempts = async {
+        let first = send_attempt(fleet, proxy, (id, class), &mut rng).await;
         match (first, retry.as_deref()) {
-            (Some(Outcome::Unrun), Some("1" | "2" | "3"))
+            (Some(Outcome::NotExecuted), Some("1" | "2" | "3"))
             | (Some(Outcome::Failed), Some("2" | "3")) => {
-                one_try(fleet, front, (number, class), &mut rng).await
+                send_attempt(fleet, proxy, (id, class), &mut rng).await
             }
             (first, _) => first,
         }
     };
-    let outcome = timeout(PATIENCE, tries).await.ok().flatten();
-    let done = matches!(outcome, Some(Outcome::Done(_)));
-    ended(false, done.then(|| came.elapsed().as_secs_f64() * 1000.0));
-    if done {
+    let outcome = timeout(CLIENT_TIMEOUT, attempts).await.ok().flatten();
+    let is_answered = matches!(outcome, Some(Outcome::Answered(_)));
+    record_result(
+        false,
+        is_answered.then(|| received.elapsed().as_secs_f64() * 1000.0),
+    );
+    if is_answered {
         fleet.counters.answered.fetch_add(1, Ordering::Relaxed);
     } else {
         fleet.counters.failed.fetch_add(1, Ordering::Relaxed);
-        held(&front.usage).entry(class).or_default().failed += 1;
+        lock(&proxy.usage).entry(class).or_default().failed += 1;
     }
 }
 
-/// One try at a server picked by weight; nothing if there is none to pick.
-async fn one_try(
+/// Sends one attempt to a server picked by weight; returns `None` if there is no server to pick.
+async fn send_attempt(
     fleet: &Fleet,
-    front: &FrontEnd,
+    proxy: &EmulatedProxy,
     request: (u64, &str),
     rng: &mut StdRng,
 ) -> Option<Outcome> {
     let name = {
-        let tables = held(&front.tables);
+        let tables = lock(&proxy.tables);
         let (names, weights): (Vec<&str>, Vec<f64>) = tables.weights(request.1).unzip();
         if names.is_empty() {
             fleet
@@ -697,124 +714,138 @@
         }
         names[WeightedIndex::new(weights).ok()?.sample(rng)].to_string()
     };
-    let worker = fleet.worker(&name);
-    if held(&worker.drained).is_some_and(|told| told.elapsed() > DRAIN_MOST) {
+    let server = fleet.server(&name);
+    if lock(&server.draining_since).is_some_and(|since| since.elapsed() > MAX_DRAIN) {
         fleet.counters.after_drain.fetch_add(1, Ordering::Relaxed);
     }
-    let through = front.joined.load(Ordering::Relaxed);
-    let mean = *held(&worker.work_ms);
-    let length = Duration::from_secs_f64(mean * rng.random_range(0.5..1.5) / 1000.0);
-    // A try that the client gives up is told too, as one that failed.
-    let tally = Told {
+    let supervisor = proxy.supervisor.load(Ordering::Relaxed);
+    let mean_ms = *lock(&server.work_ms);
+    let length = Duration::from_secs_f64(mean_ms * rng.random_range(0.5..1.5) / 1000.0);
+    // An attempt that the client abandons is recorded as failed.
+    let recorder = AttemptRecorder {
         fleet,
-        through,
-        zone: front.zone,
-        name: &worker.name,
+        supervisor,
+        zone: proxy.zone,
+        name: &server.name,
         outcome: Outcome::Failed,
     };
-    let mut tally = tally;
-    tally.outcome = worker
-        .handle(front.zone, request, length, &fleet.ways)
+    let mut recorder = recorder;
+    recorder.outcome = server
+        .handle(proxy.zone, request, length, &fleet.conditions)
         .await;
-    Some(tally.outcome)
+    Some(recorder.outcome)
 }
 
-/// Counts a try once it has ended, whichever way.
-struct Told<'a> {
+/// Records an attempt when it is dropped.
+struct AttemptRecorder<'a> {
     fleet: &'a Fleet,
-    through: usize,
+    supervisor: usize,
     zone: &'static str,
     name: &'a str,
     outcome: Outcome,
 }
 
-impl Drop for Told<'_> {
+impl Drop for AttemptRecorder<'_> {
     fn drop(&mut self) {
-        let mut tallies = held(&self.fleet.tallies);
-        let tally = tallies
-            .entry((self.through, self.zone, self.name.to_string()))
+        let mut attempt_stats = lock(&self.fleet.attempt_stats);
+        let stats = attempt_stats
+            .entry((self.supervisor, self.zone, self.name.to_string()))
             .or_default();
-        tally.tries += 1;
+        stats.attempts += 1;
         match self.outcome {
-            Outcome::Done(ms) => tally.sum_ms += ms,
-            Outcome::Unrun | Outcome::Failed => tally.failed += 1,
+            Outcome::Answered(ms) => stats.sum_ms += ms,
+            Outcome::NotExecuted | Outcome::Failed => stats.failed += 1,
         }
     }
 }
 
-/// A zone's collector at one supervisor.
-async fn collector(
+/// Keeps a zone's collector connected to one supervisor.
+async fn run_collector(
     zone: &'static str,
     supervisor: usize,
-    addresses: Addresses,
-    tallies: Tallies,
-    ways: Arc<Ways>,
+    addresses: SupervisorAddresses,
+    attempt_stats: AttemptStatsByServer,
+    conditions: Arc<Conditions>,
 ) {
     loop {
-        if let Some(address) = addresses.of(supervisor) {
-            let _ = collects(zone, supervisor, address, &tallies, &ways).await;
+        if let Some(address) = addresses.get(supervisor) {
+            let _ =
+                run_collector_connection(zone, supervisor, address, &attempt_stats, &conditions)
+                    .await;
         }
-        sleep(DIAL_AGAIN).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn collects(
+async fn run_collector_connection(
     zone: &'static str,
     supervisor: usize,
     address: SocketAddr,
-    tallies: &Tallies,
-    ways: &Ways,
+    attempt_stats: &AttemptStatsByServer,
+    conditions: &Conditions,
 ) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
     stream
         .write_all(format!("agent site={zone}\r\n").as_bytes())
         .await?;
     let (mut read, mut write) = stream.split();
-    let (send, mut due) = mpsc::unbounded_channel::<(Instant, String)>();
-    let gathers = async {
-        let mut report = tokio::time::interval(REPORT_EVERY);
+    let (delayed_report_sender, mut delayed_reports) =
+        mpsc::unbounded_channel::<(Instant, String)>();
+    let collect_reports = async {
+        let mut report = tokio::time::interval(REPORT_INTERVAL);
         loop {
             report.tick().await;
-            let own: Vec<(String, Tally)> = {
-                let mut tallies = held(tallies);
-                let mine =
+            let collected: Vec<(String, AttemptStats)> = {
+                let mut attempt_stats = lock(attempt_stats);
+                let is_own =
                     |key: &(usize, &'static str, String)| key.0 == supervisor && key.1 == zone;
-                let keys: Vec<_> = tallies.keys().filter(|key| mine(key)).cloned().collect();
+                let keys: Vec<_> = attempt_stats
+                    .keys()
+                    .filter(|key| is_own(key))
+                    .cloned()
+                    .collect();
                 keys.into_iter()
-                    .filter_map(|key| Some((key.2.clone(), tallies.remove(&key)?)))
+                    .filter_map(|key| Some((key.2.clone(), attempt_stats.remove(&key)?)))
                     .collect()
             };
-            let line = |(server, of): (String, Tally)| {
-                let mean = of.sum_ms / (of.tries - of.failed).max(1) as f64;
-                let (tries, failed, over) = (of.tries, of.failed, REPORT_EVERY.as_millis());
-                format!("outcomes site={zone} target={server} count={tries} fail={failed} mean={mean:.1} over={over}.0\r\n")
+            let line = |(server, stats): (String, AttemptStats)| {
+                let mean_ms = stats.sum_ms / (stats.attempts - stats.failed).max(1) as f64;
+                let (attempts, failed, interval_ms) =
+                    (stats.attempts, stats.failed, REPORT_INTERVAL.as_millis());
+                format!("outcomes site={zone} target={server} count={attempts} fail={failed} mean={mean_ms:.1} over={interval_ms}.0\r\n")
             };
-            let late = held(&ways.late).get(zone).copied().unwrap_or_default();
-            if send
-                .send((Instant::now() + late, own.into_iter().map(line).collect()))
+            let delay = lock(&conditions.report_delays)
+                .get(zone)
+                .copied()
+                .unwrap_or_default();
+            if delayed_report_sender
+                .send((
+                    Instant::now() + delay,
+                    collected.into_iter().map(line).collect(),
+                ))
                 .is_err()
             {
                 return;
             }
         }
     };
-    let delivers = async {
-        while let Some((at, text)) = due.recv().await {
+    let write_reports = async {
+        while let Some((at, text)) = delayed_reports.recv().await {
             tokio::time::sleep_until(at.into()).await;
             write.write_all(text.as_bytes()).await?;
         }
         Ok::<(), std::io::Error>(())
     };
-    let closed = wait_closed(&mut read);
+    let closed = wait_for_close(&mut read);
     tokio::select! {
-        () = gathers => Ok(()),
-        ended = delivers => ended,
+        () = collect_reports => Ok(()),
+        ended = write_reports => ended,
         () = closed => Ok(()),
     }
 }
 
-/// Ends once the other side has closed the connection.
-async fn wait_closed(read: &mut tokio::net::tcp::ReadHalf<'_>) {
+/// Waits until the other side has closed the connection.
+async fn wait_for_close(read: &mut tokio::net::tcp::ReadHalf<'_>) {
     let mut rest = [0; 256];
     while tokio::io::AsyncReadExt::read(read, &mut rest)
         .await
--- a/crates/emulators/src/http.rs
+++ b/crates/emulators/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP as discovery and servers speak it.
+//! HTTP server of the emulated discovery agent and servers.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -22,8 +22,8 @@
     (listener, address)
 }
 
-/// Serves HTTP on a listener; counts the connections.
-pub(crate) fn serve<F, R>(listener: TcpListener, connections: Arc<AtomicUsize>, answer: F)
+/// Serves HTTP on a listener in the background, and counts the connections.
+pub(crate) fn serve<F, R>(listener: TcpListener, connections: Arc<AtomicUsize>, handler: F)
 where
     F: Fn(Request<hyper::body::Incoming>) -> R + Clone + Send + 'static,
     R: Future<Output = Response<Body>> + Send + 'static,
@@ -31,10 +31,10 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             connections.fetch_add(1, Ordering::SeqCst);
-            let answer = answer.clone();
+            let handler = handler.clone();
             let service = service_fn(move |request| {
-                let answering = answer(request);
-                async move { Ok::<_, Infallible>(answering.await) }
+                let response = handler(request);
+                async move { Ok::<_, Infallible>(response.await) }
             });
             let connection = hyper::server::conn::http1::Builder::new();
             tokio::spawn(async move {
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for those a supervisor speaks to - discovery, servers, front ends, collectors - on loopback addresses with
-//! ports that the system chooses, and the program itself. Tests start them one by one; [`fleet`] is a whole small fleet
-//! that works and can be troubled, [`script`] a scripted day of it that keeps its own ground truth.
+//! Emulators of a supervisor's peers (discovery, servers, proxies, collectors) on loopback addresses with ephemeral ports,
+//! and a harness that starts the supervisor program. Tests start them one by one; [`fleet`] emulates a small fleet with
+//! injected faults, [`script`] plays fault scripts against it and records the ground truth.
 //!
-//! They follow the words of the protocol as `docs/architecture.md` has them and are meant for tests and demonstrations:
-//! where a stand-in cannot go on it panics.
+//! They follow the protocol in `docs/architecture.md` and are meant for tests and demonstrations: an emulator panics on an
+//! unexpected error.
 
 pub mod discovery;
 pub mod fleet;
--- a/crates/emulators/src/peer.rs
+++ b/crates/emulators/src/peer.rs
@@ -1,4 +1,4 @@
-//! Whoever connects to a supervisor: anyone who speaks lines, and a proxy that applies its orders.
+//! Emulated peers of a supervisor: a connection that sends and receives lines, and a proxy that applies orders.
 
 use std::net::SocketAddr;
 use std::ops::{Deref, DerefMut};
@@ -11,55 +11,55 @@
 use crate::tables::Tables;
 use crate::wait::wait_for;
 
-/// Whoever connects to the supervisor.
+/// One end of a connection with the supervisor, driven by a test.
 pub struct Peer {
     stream: BufReader<TcpStream>,
 }
 
 impl Peer {
-    /// Connects.
+    /// Connects to this address with default socket options.
     pub async fn connect(address: SocketAddr) -> Self {
         let stream = wait_for("a connection", TcpStream::connect(address))
             .await
             .expect("a connection");
-        Peer::over(stream)
+        Peer::from_stream(stream)
     }
 
-    /// The other side of a connection that stands.
-    pub fn over(stream: TcpStream) -> Self {
+    /// Wraps an open connection.
+    pub fn from_stream(stream: TcpStream) -> Self {
         stream.set_nodelay(true).expect("an option");
         Peer {
             stream: BufReader::new(stream),
         }
     }
 
-    /// Connects with as little room for what it does not read as the system allows.
+    /// Connects with the smallest receive buffer that the system allows.
     pub async fn connect_with_small_buffer(address: SocketAddr) -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(1).expect("an option");
-        Peer::over(
+        Peer::from_stream(
             wait_for("a connection", socket.connect(address))
                 .await
                 .expect("a connection"),
         )
     }
 
-    /// Writes a line, in two pieces.
+    /// Writes a line in two parts.
     pub async fn send(&mut self, line: &str) {
         let line = format!("{line}\r\n");
-        let (first, rest) = line.split_at(line.len() / 2);
-        self.send_bytes(first.as_bytes()).await;
-        self.send_bytes(rest.as_bytes()).await;
+        let (first_half, second_half) = line.split_at(line.len() / 2);
+        self.send_bytes(first_half.as_bytes()).await;
+        self.send_bytes(second_half.as_bytes()).await;
     }
 
-    /// Writes bytes; a connection that the other side has ended takes none.
+    /// Writes bytes; returns whether the connection accepted them.
     pub async fn send_bytes(&mut self, bytes: &[u8]) -> bool {
         wait_for("room to write", self.stream.get_mut().write_all(bytes))
             .await
             .is_ok()
     }
 
-    /// The next line, without its end; none once the connection has ended.
+    /// Reads the next line without its terminator; returns `None` once the connection has closed.
     pub async fn line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.stream.read_line(&mut line).await {
@@ -68,17 +68,17 @@
         }
     }
 
-    /// The path of the next HTTP request; none once the connection has ended.
-    pub async fn request(&mut self) -> Option<String> {
-        let first = wait_for("a request", self.line()).await?;
+    /// Reads the next HTTP request and returns its path; returns `None` once the connection has closed.
+    pub async fn next_request_path(&mut self) -> Option<String> {
+        let request_line = wait_for("a request", self.line()).await?;
         while !wait_for("the rest of a request", self.line())
             .await?
             .is_empty()
         {}
-        first.split(' ').nth(1).map(str::to_string)
+        request_line.split(' ').nth(1).map(str::to_string)
     }
 
-    /// Answers a request whole.
+    /// Sends a complete HTTP response.
     pub async fn respond(&mut self, status: u16, body: &str) {
         let head = format!(
             "HTTP/1.1 {status} As\r\ncontent-length: {}\r\n\r\n",
@@ -87,24 +87,24 @@
         self.send_bytes(format!("{head}{body}").as_bytes()).await;
     }
 
-    /// Begins the answer to a watch.
+    /// Sends the head of the response to a watch.
     pub async fn begin_watch(&mut self) {
         self.send_bytes(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
             .await;
     }
 
-    /// Says a piece of a watch.
+    /// Sends a chunk of a watch.
     pub async fn send_chunk(&mut self, text: &str) {
         self.send_bytes(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
             .await;
     }
 
-    /// Says a line of a watch.
+    /// Sends a line of a watch.
     pub async fn send_watch_line(&mut self, line: &str) {
         self.send_chunk(&format!("{line}\n")).await;
     }
 
-    /// All that came and is still unread, until the connection ends.
+    /// Reads until the connection closes.
     pub async fn read_to_end(&mut self) -> String {
         let mut rest = Vec::new();
         let _ = wait_for(
@@ -115,24 +115,24 @@
         String::from_utf8_lossy(&rest).into_owned()
     }
 
-    /// Resets the connection: what waits in it on either side is gone.
+    /// Resets the connection, which discards data in flight in both directions.
     pub fn reset(self) {
         self.stream.get_ref().set_zero_linger().expect("an option");
     }
 
-    /// Waits until the other side ends the connection.
+    /// Waits until the other side closes the connection.
     pub async fn wait_for_close(&mut self) {
         self.read_to_end().await;
     }
 }
 
-/// A proxy: joins, applies what is ordered, and answers marks.
+/// An emulated proxy, which joins a supervisor, applies its orders and acknowledges them.
 pub struct Proxy {
-    /// Its number.
+    /// Sent as `id` in each message.
     pub id: u32,
-    /// Its stream.
+    /// The stream to the supervisor that it joined last.
     pub peer: Peer,
-    /// What it holds.
+    /// State after the orders applied so far.
     pub tables: Tables,
 }
 
@@ -150,12 +150,12 @@
 }
 
 impl Proxy {
-    /// Joins a supervisor.
-    pub async fn join(supervisor: &Supervisor, id: u32, new: bool) -> Self {
+    /// Joins a supervisor, with `new=1` in the greeting if it is new.
+    pub async fn join(supervisor: &Supervisor, id: u32, is_new: bool) -> Self {
         let mut peer = Peer::connect(supervisor.address).await;
         peer.send(&format!(
             "hello id={id} site=a rps=20.0 new={}",
-            u8::from(new)
+            u8::from(is_new)
         ))
         .await;
         Proxy {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// The same proxy on a new stream, with all that it holds.
+    /// Joins a supervisor on a new stream, and keeps its tables.
     pub async fn rejoin(&mut self, supervisor: &Supervisor) {
         self.peer = Peer::connect(supervisor.address).await;
         self.peer
@@ -173,38 +173,38 @@
             .await;
     }
 
-    /// Applies messages until something holds.
-    pub async fn apply_until(&mut self, what: &str, holds: impl Fn(&Proxy) -> bool) {
-        while !holds(self) {
+    /// Applies messages until a condition is met.
+    pub async fn apply_until(&mut self, what: &str, is_met: impl Fn(&Proxy) -> bool) {
+        while !is_met(self) {
             let line = wait_for(what, self.peer.line())
                 .await
-                .unwrap_or_else(|| panic!("the stream ended: {what}"));
-            self.follow(&line).await;
+                .unwrap_or_else(|| panic!("the stream ended before {what}"));
+            self.apply_line(&line).await;
         }
     }
 
-    /// Applies whatever comes for so long; the stream must not end.
+    /// Applies messages for this time; panics if the stream ends.
     pub async fn apply_for(&mut self, length: Duration) {
         let end = tokio::time::Instant::now() + length;
         while let Ok(line) = tokio::time::timeout_at(end, self.peer.line()).await {
-            self.follow(&line.expect("a stream that goes on")).await;
+            self.apply_line(&line.expect("the stream stays open")).await;
         }
     }
 
-    /// Applies a message and answers its mark.
-    async fn follow(&mut self, line: &str) {
-        if let Some(mark) = self
+    /// Applies a line and acknowledges it if it has a sequence number.
+    async fn apply_line(&mut self, line: &str) {
+        if let Some(sequence) = self
             .tables
             .apply(line)
-            .expect("an order that the protocol allows")
+            .expect("an order that conforms to the protocol")
         {
             self.peer
-                .send(&format!("ack id={} seq={mark} ms=12.5", self.id))
+                .send(&format!("ack id={} seq={sequence} ms=12.5", self.id))
                 .await;
         }
     }
 
-    /// Reports usage.
+    /// Sends a usage report with four requests.
     pub async fn report_demand(&mut self) {
         let line = format!(
             "demand id={} lane=lookup count=4 fail=0 over=200.0",
--- a/crates/emulators/src/predict.rs
+++ b/crates/emulators/src/predict.rs
@@ -253,21 +253,21 @@
         .unwrap_or_default();
     let answers: Vec<_> = kept
         .iter()
-        .filter(|of| of.came < begun + Duration::from_secs(SECONDS))
+        .filter(|of| of.received < begun + Duration::from_secs(SECONDS))
         .collect();
     let service = |class: usize| {
         let own: Vec<_> = answers.iter().filter(|of| of.class == class).collect();
         let good = own
             .iter()
-            .filter(|of| of.ms.is_some_and(|ms| ms <= AIM_MS))
+            .filter(|of| of.latency_ms.is_some_and(|ms| ms <= AIM_MS))
             .count();
         good as f64 / own.len().max(1) as f64
     };
-    let mut times: Vec<f64> = answers.iter().filter_map(|of| of.ms).collect();
+    let mut times: Vec<f64> = answers.iter().filter_map(|of| of.latency_ms).collect();
     times.sort_unstable_by(f64::total_cmp);
     let quantile = |share: f64| times.get((share * times.len() as f64) as usize).copied();
     let refused =
-        answers.iter().filter(|of| of.refused).count() as f64 / answers.len().max(1) as f64;
+        answers.iter().filter(|of| of.is_rejected).count() as f64 / answers.len().max(1) as f64;
     let shut = (!shut_out.is_empty()).then(|| shut_out.iter().sum::<f64>() / shut_out.len() as f64);
     vec![
         ("service lookup", Some(service(0))),
--- a/crates/emulators/src/program.rs
+++ b/crates/emulators/src/program.rs
@@ -1,4 +1,4 @@
-//! The program itself: started with a configuration, spoken to by signals, and asked what it logged.
+//! Harness that starts the program with a configuration, sends it signals, and reads its log.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -16,38 +16,38 @@
 use crate::peer::Peer;
 use crate::wait::{until, wait_for};
 
-/// The program's file, and where its configurations are written.
+/// Path of the program, and how it is started.
 #[derive(Clone, Debug)]
 pub struct Program {
     path: PathBuf,
-    scratch: PathBuf,
+    config_directory: PathBuf,
     operator: Option<PathBuf>,
-    temporary: Option<PathBuf>,
+    working_directory: Option<PathBuf>,
 }
 
-/// The program while it reads its configuration, out of a pipe that the test has not written to yet.
+/// The program blocked while it reads its configuration from a pipe that the test has not written to yet.
 pub struct PausedProgram {
     child: Child,
     path: String,
     pipe: File,
 }
 
-/// The program as started, and what it has logged.
+/// A running program and its log.
 pub struct Supervisor {
     child: Child,
-    /// Where it listens.
+    /// Its listening address, as logged at the start.
     pub address: SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
     path: String,
 }
 
-static CONFIGS: AtomicUsize = AtomicUsize::new(0);
+static NEXT_CONFIG_NUMBER: AtomicUsize = AtomicUsize::new(0);
 
-/// A configuration: `known` as the list last had, and so many descriptors.
-pub fn config(discovery: &Discovery, known: Option<Value>, sockets: usize) -> Value {
+/// Returns a configuration with `known` as the cached list of endpoints and a limit of `max_sockets` descriptors.
+pub fn config(discovery: &Discovery, known: Option<Value>, max_sockets: usize) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
-        "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "known": known,
+        "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": max_sockets}, "known": known,
         "settings": {
             "peersTotal": 1, "locality": 0, "zones": ["a", "b"], "kinds": ["m"], "tickMs": 2.0,
             "discovery": "automatic", "weights": "nominal",
@@ -65,18 +65,21 @@
 }
 
 impl Program {
-    /// The program in a file; what it is told goes into a directory.
-    pub fn new(path: impl AsRef<Path>, scratch: impl AsRef<Path>) -> Self {
-        let (path, scratch) = (path.as_ref().to_path_buf(), scratch.as_ref().to_path_buf());
+    /// Creates a harness for the program at `path`, whose configuration files are written to a directory.
+    pub fn new(path: impl AsRef<Path>, config_directory: impl AsRef<Path>) -> Self {
+        let (path, config_directory) = (
+            path.as_ref().to_path_buf(),
+            config_directory.as_ref().to_path_buf(),
+        );
         Program {
             path,
-            scratch,
+            config_directory,
             operator: None,
-            temporary: None,
+            working_directory: None,
         }
     }
 
-    /// The same with an operators' file.
+    /// Returns a copy that starts the program with an operator configuration.
     #[must_use]
     pub fn with_operator(&self, file: impl AsRef<Path>) -> Self {
         Program {
@@ -85,42 +88,42 @@
         }
     }
 
-    /// The same with a directory of its own for what it writes, which is also where it starts.
+    /// Returns a copy that starts the program in this directory, which is also its directory for temporary files.
     #[must_use]
-    pub fn with_scratch(&self, directory: impl AsRef<Path>) -> Self {
+    pub fn with_working_directory(&self, directory: impl AsRef<Path>) -> Self {
         Program {
-            temporary: Some(directory.as_ref().to_path_buf()),
+            working_directory: Some(directory.as_ref().to_path_buf()),
             ..self.clone()
         }
     }
 
-    /// Starts the program and holds it while it reads its configuration, whose file is a pipe from then on.
+    /// Starts the program, which blocks while it reads its configuration: the file is a pipe from then on.
     pub async fn start_paused(&self) -> PausedProgram {
         let (mut command, path) = self.command(&Value::Null);
-        std::fs::remove_file(&path).expect("its file");
-        let made = Command::new("mkfifo")
+        std::fs::remove_file(&path).expect("its configuration file");
+        let mkfifo_status = Command::new("mkfifo")
             .arg(&path)
             .status()
             .await
             .expect("mkfifo");
-        assert!(made.success());
+        assert!(mkfifo_status.success());
         let child = command.spawn().expect("the program");
-        let pipe = opened(&path).await;
+        let pipe = open_for_writing(&path).await;
         PausedProgram { child, path, pipe }
     }
 
     fn command(&self, config: &Value) -> (Command, String) {
         let mut command = Command::new(&self.path);
         command.arg("serve");
-        self.prepared(config, command)
+        self.prepare(config, command)
     }
 
-    /// The command with its environment, and where its configuration is.
-    fn prepared(&self, config: &Value, mut command: Command) -> (Command, String) {
-        let number = CONFIGS.fetch_add(1, Ordering::SeqCst);
+    /// Sets the environment of the command; returns it with the path of the configuration file.
+    fn prepare(&self, config: &Value, mut command: Command) -> (Command, String) {
+        let number = NEXT_CONFIG_NUMBER.fetch_add(1, Ordering::SeqCst);
         let path = format!(
             "{}/supervisor-{}-{number}.json",
-            self.scratch.display(),
+            self.config_directory.display(),
             std::process::id()
         );
         std::fs::write(&path, config.to_string()).expect("a configuration file");
@@ -135,7 +138,7 @@
         if let Some(operator) = &self.operator {
             command.env("CHUTEGRADE_OPERATOR", operator);
         }
-        if let Some(directory) = &self.temporary {
+        if let Some(directory) = &self.working_directory {
             command.env("TMPDIR", directory).current_dir(directory);
         }
         command
@@ -147,9 +150,9 @@
         (command, path)
     }
 
-    /// Starts it with a configuration that it can't run with; its exit code and what it said.
+    /// Starts the program with an invalid configuration; returns its exit code and its log.
     pub async fn run_until_exit(&self, config: &Value) -> (Option<i32>, String) {
-        let output = wait_for("the end of the program", self.command(config).0.output())
+        let output = wait_for("the program to exit", self.command(config).0.output())
             .await
             .expect("the program");
         (
@@ -158,7 +161,7 @@
         )
     }
 
-    /// Runs one of its other commands; its exit code, and what it wrote to either side.
+    /// Runs a subcommand; returns its exit code, standard output and standard error.
     pub async fn run_command(&self, arguments: &[&str]) -> (Option<i32>, String, String) {
         let mut command = Command::new(&self.path);
         command
@@ -168,7 +171,7 @@
         command
             .env_remove("LB_CONFIG")
             .env_remove("CHUTEGRADE_OPERATOR");
-        let output = wait_for("the end of the tool", command.output())
+        let output = wait_for("the command to exit", command.output())
             .await
             .expect("the program");
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -181,10 +184,10 @@
 
     /// Starts the program and waits until it serves.
     pub async fn start(&self, config: &Value) -> Supervisor {
-        Supervisor::started(self.command(config)).await
+        Supervisor::spawn(self.command(config)).await
     }
 
-    /// Starts the program where the system gives it no more than so many descriptors.
+    /// Starts the program with a system limit on its file descriptors.
     pub async fn start_with_descriptor_limit(
         &self,
         config: &Value,
@@ -194,22 +197,22 @@
         shell
             .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\"")])
             .arg(&self.path);
-        Supervisor::started(self.prepared(config, shell)).await
+        Supervisor::spawn(self.prepare(config, shell)).await
     }
 
-    /// Starts the program with the address of discovery in its environment too, as the operators do.
+    /// Starts the program with the address of discovery also in its environment, as in production.
     pub async fn start_with_discovery_env(&self, config: &Value) -> Supervisor {
         let (mut command, path) = self.command(config);
         command.env(
             "LB_DISCOVERY",
             config["discovery"].as_str().expect("an address"),
         );
-        Supervisor::started((command, path)).await
+        Supervisor::spawn((command, path)).await
     }
 }
 
-/// A pipe, once its reader has opened it.
-async fn opened(path: &str) -> File {
+/// Opens a pipe for writing, once its reader has opened it.
+async fn open_for_writing(path: &str) -> File {
     let path = path.to_string();
     let opening = tokio::task::spawn_blocking(move || OpenOptions::new().write(true).open(path));
     wait_for("a reader of the pipe", opening)
@@ -218,25 +221,25 @@
         .expect("a pipe")
 }
 
-async fn kill(child: &Child, signals: &[&str]) {
-    let id = child.id().expect("it runs").to_string();
+async fn send_signals(child: &Child, signals: &[&str]) {
+    let id = child.id().expect("it is running").to_string();
     for signal in signals {
-        let sent = Command::new("kill")
+        let kill_status = Command::new("kill")
             .args([signal, id.as_str()])
             .status()
             .await
             .expect("kill");
-        assert!(sent.success());
+        assert!(kill_status.success());
     }
 }
 
 impl PausedProgram {
-    /// Sends signals, one after another.
-    pub async fn signals(&self, names: &[&str]) {
-        kill(&self.child, names).await;
+    /// Sends signals in this order.
+    pub async fn send_signals(&self, names: &[&str]) {
+        send_signals(&self.child, names).await;
     }
 
-    /// Gives it its configuration, and waits until it serves.
+    /// Writes the configuration to the pipe, and waits until the program serves.
     pub async fn resume_with_config(self, config: &Value) -> Supervisor {
         let PausedProgram {
             child,
@@ -246,17 +249,17 @@
         pipe.write_all(config.to_string().as_bytes())
             .expect("a reader");
         drop(pipe);
-        Supervisor::watched(child, path).await
+        Supervisor::wait_until_serving(child, path).await
     }
 
-    /// Gives it its configuration, and waits until it ends; its exit code and what it said.
-    pub async fn ends(self, config: &Value) -> (Option<i32>, String) {
+    /// Writes the configuration to the pipe, and waits until the program exits; returns its exit code and its log.
+    pub async fn resume_until_exit(self, config: &Value) -> (Option<i32>, String) {
         let PausedProgram {
             child, mut pipe, ..
         } = self;
         let _ = pipe.write_all(config.to_string().as_bytes());
         drop(pipe);
-        let output = wait_for("the end of the program", child.wait_with_output())
+        let output = wait_for("the program to exit", child.wait_with_output())
             .await
             .expect("its output");
         (
@@ -267,21 +270,21 @@
 }
 
 impl Supervisor {
-    async fn started((mut command, path): (Command, String)) -> Self {
-        Supervisor::watched(command.spawn().expect("the program"), path).await
+    async fn spawn((mut command, path): (Command, String)) -> Self {
+        Supervisor::wait_until_serving(command.spawn().expect("the program"), path).await
     }
 
-    async fn watched(mut child: Child, path: String) -> Self {
-        let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
+    async fn wait_until_serving(mut child: Child, path: String) -> Self {
+        let mut lines = BufReader::new(child.stderr.take().expect("its standard error")).lines();
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = log.clone();
+        let collected = log.clone();
         tokio::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
-                kept.lock().expect("no panic while held").push(line);
+                collected.lock().expect("no panic while locked").push(line);
             }
         });
-        let listens = |log: &Mutex<Vec<String>>| {
-            let log = log.lock().expect("no panic while held");
+        let listen_address = |log: &Mutex<Vec<String>>| {
+            let log = log.lock().expect("no panic while locked");
             let line = log.iter().find(|line| line.contains(" started "))?;
             line.split("listen=")
                 .nth(1)?
@@ -290,8 +293,8 @@
                 .parse::<SocketAddr>()
                 .ok()
         };
-        until("the start", || listens(&log).is_some()).await;
-        let address = listens(&log).expect("checked above");
+        until("the start to be logged", || listen_address(&log).is_some()).await;
+        let address = listen_address(&log).expect("checked above");
         Supervisor {
             child,
             address,
@@ -300,15 +303,15 @@
         }
     }
 
-    /// Lines that hold all of these words.
+    /// Returns the number of log lines that contain all of these words.
     pub fn count_log_lines(&self, words: &[&str]) -> usize {
-        let log = self.log.lock().expect("no panic while held");
+        let log = self.log.lock().expect("no panic while locked");
         log.iter()
             .filter(|line| words.iter().all(|word| line.contains(word)))
             .count()
     }
 
-    /// Waits for so many such lines.
+    /// Waits for `times` log lines that contain all of these words, and asserts that there are no more.
     pub async fn expect_log_lines(&self, times: usize, words: &[&str]) {
         until(&format!("{times} log lines with {words:?}"), || {
             self.count_log_lines(words) >= times
@@ -322,70 +325,70 @@
     }
 
     async fn signal(&self, name: &str) {
-        kill(&self.child, &[name]).await;
+        send_signals(&self.child, &[name]).await;
     }
 
-    /// Stops the process where it is: all that comes until it goes on comes at once.
+    /// Stops the process, so that all events until it resumes arrive at the same time.
     pub async fn pause(&self) {
         self.signal("-STOP").await;
-        let stat = format!("/proc/{}/stat", self.child.id().expect("it runs"));
-        let stopped = || {
+        let stat = format!("/proc/{}/stat", self.child.id().expect("it is running"));
+        let is_stopped = || {
             std::fs::read_to_string(&stat)
                 .expect("its state")
                 .contains(") T ")
         };
-        until("the process to stand still", stopped).await;
+        until("the process to stop", is_stopped).await;
     }
 
-    /// Goes on, with these signals sent meanwhile, in this order.
+    /// Resumes the process, after sending these signals in this order while it is stopped.
     pub async fn resume(&self, signals: &[&str]) {
-        kill(&self.child, signals).await;
+        send_signals(&self.child, signals).await;
         self.signal("-CONT").await;
     }
 
-    /// Gives the next reload its configuration, where that is read out of a pipe.
+    /// Writes the configuration for the next reload, if it is read from a pipe.
     pub async fn write_config_to_pipe(&self, config: &Value) {
-        let mut pipe = opened(&self.path).await;
+        let mut pipe = open_for_writing(&self.path).await;
         pipe.write_all(config.to_string().as_bytes())
             .expect("a reader");
     }
 
-    /// Waits for its end; its exit code.
+    /// Waits until the process exits; returns its exit code.
     pub async fn wait_for_exit(&mut self) -> Option<i32> {
-        wait_for("its end", self.child.wait())
+        wait_for("the process to exit", self.child.wait())
             .await
             .expect("its status")
             .code()
     }
 
-    /// Replaces its configuration file and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub async fn reload(&self, config: &str) {
         std::fs::write(&self.path, config).expect("a configuration file");
         self.signal("-HUP").await;
     }
 
-    /// Sends SIGHUP.
+    /// Sends SIGHUP without changing the configuration file.
     pub async fn send_sighup(&self) {
         self.signal("-HUP").await;
     }
 
-    /// Sends SIGTERM; its exit code.
+    /// Sends SIGTERM and waits until the process exits; returns its exit code.
     pub async fn terminate(&mut self) -> Option<i32> {
         self.signal("-TERM").await;
         self.wait_for_exit().await
     }
 
-    /// Kills it outright.
+    /// Sends SIGKILL and waits until the process exits.
     pub async fn kill(mut self) {
-        self.child.kill().await.expect("its end");
+        self.child.kill().await.expect("the process to exit");
     }
 
-    /// Whether it has not ended.
+    /// Whether the process has not exited.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("its status").is_none()
     }
 
-    /// Asks `probe` on a connection of its own.
+    /// Whether it answers `probe` on a new connection.
     pub async fn is_responsive(&self) -> bool {
         let mut peer = Peer::connect(self.address).await;
         peer.send("probe").await;
--- a/crates/emulators/src/script.rs
+++ b/crates/emulators/src/script.rs
@@ -1,5 +1,5 @@
-//! Scripted days of the small fleet: one with every trouble that the report must tell of, and one for a first look, with
-//! small troubles of its own now and then.
+//! Fault scripts for the small fleet: an incident with every kind of fault that the report must show, and recurring small
+//! faults for the demo.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -12,141 +12,170 @@
 use crate::program::{config, Program, Supervisor};
 use crate::truth::{GroundTruthLog, InjectedEvent};
 
-/// Names of the supervisors.
+/// Names of the supervisors, as in their records.
 pub const SUPERVISORS: [&str; 2] = ["n0", "n1"];
-/// Servers a zone, front ends in all, and requests a second at each: a third of what the fleet can do.
-const SIZE: (usize, u32, f64) = (5, 8, 40.0);
+/// Servers in each zone.
+const SERVERS_PER_ZONE: usize = 5;
+/// Proxies in both zones together.
+const PROXIES: u32 = 8;
+/// Requests per second at each proxy; in total a third of the fleet's capacity.
+const REQUESTS_PER_S: f64 = 40.0;
 
-/// A fleet with its supervisors.
+/// An emulated fleet with its supervisors.
 pub struct EmulatedDeployment {
-    /// The fleet.
+    /// Its discovery agent, servers, proxies and collectors.
     pub fleet: Arc<Fleet>,
-    /// What is done to it.
+    /// Records the injected events.
     pub ground_truth: GroundTruthLog,
-    /// Where everything that is kept goes.
+    /// Directory for the records, the operator configuration and the ground truth.
     pub directory: PathBuf,
     program: Program,
-    probes: bool,
+    uses_health_checks: bool,
     supervisors: Vec<Option<Supervisor>>,
 }
 
-fn configuration_of(fleet: &Fleet, name: &str, probes: bool) -> Value {
+fn configuration_of(fleet: &Fleet, name: &str, uses_health_checks: bool) -> Value {
     let mut configuration = config(&fleet.discovery, Some(fleet.discovery.list()), 1024);
     configuration["name"] = json!(name);
     configuration["settings"]["peersTotal"] = json!(SUPERVISORS.len());
     configuration["settings"]["zones"] = json!(ZONES);
     configuration["settings"]["guarantees"]["coldMs"] = json!(4000.0);
-    // As the fleet's collectors and servers do it: sums each second, load with the results of probes alone.
+    // Matches the emulators: collectors send sums every second, and servers report load only in health checks.
     configuration["settings"]["familyInfo"]["cycleMs"] = json!(1000.0);
     configuration["settings"]["familyInfo"]["firstWait"] = json!(1.0);
     configuration["settings"]["report"]["source"] = json!("pull");
-    configuration["settings"]["limits"]["probes"] = json!(probes);
+    configuration["settings"]["limits"]["probes"] = json!(uses_health_checks);
     configuration["settings"]["prices"] = json!({"probe": 0.02, "crossZone": 0.01});
     configuration
 }
 
 impl EmulatedDeployment {
-    /// Starts fleet and supervisors, whose records go below the directory.
+    /// Starts the fleet and the supervisors, with records below the directory.
     pub async fn start(program: &Path, directory: &Path, seed: u64) -> Self {
         EmulatedDeployment::start_with_operator_config(program, directory, seed, "").await
     }
 
-    /// The same with more in the operators' file.
+    /// Starts a deployment with additional text in the operator configuration.
     pub async fn start_with_operator_config(
         program: &Path,
         directory: &Path,
         seed: u64,
-        more: &str,
+        operator_config: &str,
     ) -> Self {
-        EmulatedDeployment::start_with_size(program, directory, SIZE, seed, more).await
+        EmulatedDeployment::start_with_size(
+            program,
+            directory,
+            (SERVERS_PER_ZONE, PROXIES, REQUESTS_PER_S),
+            seed,
+            operator_config,
+        )
+        .await
     }
 
-    /// The same where servers may not be probed: what probes take on a machine that others use too then says nothing.
+    /// Starts a deployment without health checks, whose latency on a shared machine would be noise.
     pub async fn start_without_health_checks(
         program: &Path,
         directory: &Path,
         seed: u64,
-        more: &str,
+        operator_config: &str,
     ) -> Self {
-        EmulatedDeployment::start_configured(program, directory, SIZE, (seed, false), more).await
+        EmulatedDeployment::start_configured(
+            program,
+            directory,
+            (SERVERS_PER_ZONE, PROXIES, REQUESTS_PER_S),
+            (seed, false),
+            operator_config,
+        )
+        .await
     }
 
-    /// The same with so many servers a zone, so many front ends, and so many requests a second at each.
+    /// Starts a deployment of this size: servers in each zone, proxies in total, requests per second at each proxy.
     pub async fn start_with_size(
         program: &Path,
         directory: &Path,
         size: (usize, u32, f64),
         seed: u64,
-        more: &str,
+        operator_config: &str,
     ) -> Self {
-        EmulatedDeployment::start_configured(program, directory, size, (seed, true), more).await
+        EmulatedDeployment::start_configured(
+            program,
+            directory,
+            size,
+            (seed, true),
+            operator_config,
+        )
+        .await
     }
 
     async fn start_configured(
         program: &Path,
         directory: &Path,
         size: (usize, u32, f64),
-        (seed, probes): (u64, bool),
-        more: &str,
+        (seed, uses_health_checks): (u64, bool),
+        operator_config: &str,
     ) -> Self {
         let records = directory.join("records");
         std::fs::create_dir_all(&records).expect("a directory");
-        let operator = directory.join("operator.txtpb");
-        let absolute = std::fs::canonicalize(&records).expect("the directory just made");
+        let operator_file = directory.join("operator.txtpb");
+        let records_path = std::fs::canonicalize(&records).expect("the directory just made");
         let text = format!(
-            "records {{ directory: {:?} }}\n{more}\n",
-            absolute.display().to_string()
+            "records {{ directory: {:?} }}\n{operator_config}\n",
+            records_path.display().to_string()
         );
-        std::fs::write(&operator, text).expect("an operators' file");
+        std::fs::write(&operator_file, text).expect("an operator configuration");
         let fleet = Fleet::start(size.0, size.1, size.2, seed).await;
-        let mut stage = EmulatedDeployment {
+        let mut deployment = EmulatedDeployment {
             fleet,
             ground_truth: GroundTruthLog::default(),
             directory: directory.to_path_buf(),
-            program: Program::new(program, directory).with_operator(operator),
-            probes,
+            program: Program::new(program, directory).with_operator(operator_file),
+            uses_health_checks,
             supervisors: Vec::new(),
         };
-        for at in 0..SUPERVISORS.len() {
-            stage.supervisors.push(None);
-            stage.start_supervisor(at).await;
+        for index in 0..SUPERVISORS.len() {
+            deployment.supervisors.push(None);
+            deployment.start_supervisor(index).await;
         }
-        stage.fleet.start_traffic(SUPERVISORS.len());
-        stage.fleet.wait_for_tables().await;
-        stage
+        deployment.fleet.start_traffic(SUPERVISORS.len());
+        deployment.fleet.wait_for_tables().await;
+        deployment
     }
 
-    /// Where the records are.
+    /// Returns the directory of the records.
     pub fn records(&self) -> PathBuf {
         self.directory.join("records")
     }
 
-    /// Starts a supervisor that was killed.
-    pub async fn restart_supervisor(&mut self, at: usize) {
-        self.start_supervisor(at).await;
+    /// Starts a supervisor after [`Self::kill_supervisor`].
+    pub async fn restart_supervisor(&mut self, index: usize) {
+        self.start_supervisor(index).await;
     }
 
-    async fn start_supervisor(&mut self, at: usize) {
+    async fn start_supervisor(&mut self, index: usize) {
         self.ground_truth.record(InjectedEvent::Begun {
-            supervisor: SUPERVISORS[at].to_string(),
+            supervisor: SUPERVISORS[index].to_string(),
         });
         let supervisor = self
             .program
-            .start(&configuration_of(&self.fleet, SUPERVISORS[at], self.probes))
+            .start(&configuration_of(
+                &self.fleet,
+                SUPERVISORS[index],
+                self.uses_health_checks,
+            ))
             .await;
-        self.fleet.addresses.set(at, Some(supervisor.address));
-        self.supervisors[at] = Some(supervisor);
+        self.fleet.addresses.set(index, Some(supervisor.address));
+        self.supervisors[index] = Some(supervisor);
     }
 
-    /// Kills a supervisor; `again` starts it anew.
-    pub async fn kill_supervisor(&mut self, at: usize) {
-        let Some(supervisor) = self.supervisors[at].take() else {
+    /// Kills a supervisor, if it runs.
+    pub async fn kill_supervisor(&mut self, index: usize) {
+        let Some(supervisor) = self.supervisors[index].take() else {
             return;
         };
         self.ground_truth.record(InjectedEvent::Killed {
-            supervisor: SUPERVISORS[at].to_string(),
+            supervisor: SUPERVISORS[index].to_string(),
         });
-        self.fleet.addresses.set(at, None);
+        self.fleet.addresses.set(index, None);
         supervisor.kill().await;
     }
 
@@ -157,7 +186,7 @@
         }
     }
 
-    /// Whether every supervisor answers `probe`.
+    /// Whether every running supervisor answers `probe`.
     pub async fn is_responsive(&self) -> bool {
         for supervisor in self.supervisors.iter().flatten() {
             if !supervisor.is_responsive().await {
@@ -167,7 +196,7 @@
         true
     }
 
-    /// Waits until all supervisors have logged these words so many times.
+    /// Waits until each supervisor has logged `times` lines that contain all of these words.
     pub async fn wait_for_log_lines(&self, times: usize, words: &[&str]) {
         for supervisor in self.supervisors.iter().flatten() {
             let what = format!("{times} log lines with {words:?}");
@@ -175,25 +204,26 @@
         }
     }
 
-    /// Asks all supervisors to end, one after the other; their exit codes.
+    /// Sends SIGTERM to the supervisors one after the other; returns their exit codes.
     pub async fn terminate(&mut self) -> Vec<Option<i32>> {
         let mut codes = Vec::new();
-        for (at, supervisor) in self.supervisors.iter_mut().enumerate() {
+        for (index, supervisor) in self.supervisors.iter_mut().enumerate() {
             if let Some(mut supervisor) = supervisor.take() {
                 self.ground_truth.record(InjectedEvent::Ended {
-                    supervisor: SUPERVISORS[at].to_string(),
+                    supervisor: SUPERVISORS[index].to_string(),
                 });
-                self.fleet.addresses.set(at, None);
+                self.fleet.addresses.set(index, None);
                 codes.push(supervisor.terminate().await);
             }
         }
         codes
     }
 
-    /// Plays a day with every trouble, some 75 seconds. Ends the supervisors, and writes down what was done.
+    /// Plays an incident with every kind of fault, about 75 s long. Terminates the supervisors, saves the ground truth, and
+    /// returns the exit codes.
     pub async fn run_incident(&mut self) -> Vec<Option<i32>> {
         let seconds = |n| sleep(Duration::from_secs(n));
-        let (drained, failing, cut) = ("s-a1", "s-b2", "b");
+        let (drained, failing, partitioned_zone) = ("s-a1", "s-b2", "b");
         seconds(6).await;
         self.ground_truth.record(InjectedEvent::Drains {
             server: drained.into(),
@@ -224,16 +254,16 @@
         self.fleet.set_report_delay("a", Duration::from_secs(3));
         seconds(1).await;
         self.ground_truth.record(InjectedEvent::Cut {
-            zone: cut.into(),
+            zone: partitioned_zone.into(),
             on: true,
         });
-        self.fleet.set_partitioned(cut, true);
+        self.fleet.set_partitioned(partitioned_zone, true);
         seconds(7).await;
         self.ground_truth.record(InjectedEvent::Cut {
-            zone: cut.into(),
+            zone: partitioned_zone.into(),
             on: false,
         });
-        self.fleet.set_partitioned(cut, false);
+        self.fleet.set_partitioned(partitioned_zone, false);
         seconds(6).await;
         self.ground_truth.record(InjectedEvent::Late {
             zone: "a".into(),
@@ -275,7 +305,7 @@
         codes
     }
 
-    /// Small troubles in turn, for as long as it is polled.
+    /// Injects small faults in turn, for as long as it is polled.
     pub async fn inject_recurring_faults(&mut self) {
         let servers = ["s-b3", "s-a4", "s-b1", "s-a2"];
         let seconds = |n| sleep(Duration::from_secs(n));
--- a/crates/emulators/src/scripted.rs
+++ b/crates/emulators/src/scripted.rs
@@ -1,5 +1,5 @@
-//! Whoever is connected to, played step by step by a test: it accepts when told, reads what it is asked, and answers whole,
-//! in half, or not at all. As discovery and as a server alike.
+//! Listener that a test controls step by step, as discovery agent or as server: it accepts a connection, reads a request,
+//! and responds completely, partially or not at all.
 
 use std::net::SocketAddr;
 
@@ -10,50 +10,50 @@
 use crate::peer::Peer;
 use crate::wait::wait_for;
 
-/// A listener whose every step is the test's.
+/// A listener that does nothing by itself.
 pub struct ScriptedListener {
     listener: TcpListener,
-    /// Where it listens.
+    /// A loopback address with an ephemeral port.
     pub address: SocketAddr,
 }
 
 impl ScriptedListener {
-    /// Listens; nothing is accepted yet.
+    /// Starts to listen, without accepting connections.
     pub async fn start() -> Self {
         let (listener, address) = listen().await;
         ScriptedListener { listener, address }
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     pub async fn accept(&self) -> Peer {
         let (stream, _) = wait_for("a connection", self.listener.accept())
             .await
             .expect("a connection");
-        Peer::over(stream)
+        Peer::from_stream(stream)
     }
 
-    /// The next connection, and the path that is asked for on it.
+    /// Accepts the next connection, and reads the path of its first request.
     pub async fn next_request(&self) -> (Peer, String) {
         let mut peer = self.accept().await;
-        let path = peer.request().await.expect("a request");
+        let path = peer.next_request_path().await.expect("a request");
         (peer, path)
     }
 
-    /// The next connection, which has to ask for this path.
+    /// Accepts the next connection, and asserts the path of its first request.
     pub async fn expect_request(&self, path: &str) -> Peer {
-        let (peer, asked) = self.next_request().await;
-        assert_eq!(asked, path);
+        let (peer, requested_path) = self.next_request().await;
+        assert_eq!(requested_path, path);
         peer
     }
 }
 
-/// One entry of the list, in zone `a`.
+/// Returns an entry of the server list in zone `a`, with its last start in Unix milliseconds.
 pub fn entry(name: &str, address: SocketAddr, status: &str, since_ms: i64) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "a", "type": "m", "group": 0, "status": status,
            "weight": 1.0, "since_ms": since_ms})
 }
 
-/// A delivery of the list: the whole of it, or changes.
-pub fn delivery(index: u64, whole: bool, entries: &[Value]) -> String {
-    json!({"index": index, "snapshot": whole, "endpoints": entries}).to_string()
+/// Returns a delivery of discovery: the complete list, or only changed entries.
+pub fn delivery(index: u64, is_complete: bool, entries: &[Value]) -> String {
+    json!({"index": index, "snapshot": is_complete, "endpoints": entries}).to_string()
 }
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -1,4 +1,4 @@
-//! A server that answers probes in one manner.
+//! Emulated server that responds to health checks in one mode.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,35 +8,35 @@
 
 use crate::http::{listen, serve, text};
 
-/// What a server does with a probe.
+/// How a server responds to health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckMode {
-    /// Answers with a load report.
+    /// Responds with a load report.
     Healthy,
-    /// Turns probes away.
+    /// Responds with status 503.
     Unavailable,
-    /// Answers with far too much.
+    /// Responds with a body of 1 MiB.
     OversizedResponse,
-    /// Never answers.
+    /// Accepts the request and never responds.
     Unresponsive,
 }
 
-/// A server.
+/// An emulated server.
 #[derive(Clone)]
 pub struct Server {
-    /// Its name.
+    /// As in the server list.
     pub name: &'static str,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Connections that it accepted.
+    /// Number of accepted connections.
     pub connections: Arc<AtomicUsize>,
-    /// Probes that it was asked.
+    /// Number of received health checks.
     pub health_checks: Arc<AtomicUsize>,
 }
 
 impl Server {
-    /// Starts one.
-    pub async fn start(name: &'static str, manner: HealthCheckMode) -> Self {
+    /// Starts a server that responds in this mode.
+    pub async fn start(name: &'static str, mode: HealthCheckMode) -> Self {
         let (listener, address) = listen().await;
         let (connections, health_checks) =
             (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
@@ -46,7 +46,7 @@
             async move {
                 counted.fetch_add(1, Ordering::SeqCst);
                 assert_eq!(request.uri().path(), "/-/load");
-                match manner {
+                match mode {
                     HealthCheckMode::Healthy => {
                         text(StatusCode::OK, "TEXT queue=0, latency_ms=12.5")
                     }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// How many probes it was asked.
+    /// Returns the number of received health checks.
     pub fn health_check_count(&self) -> usize {
         self.health_checks.load(Ordering::SeqCst)
     }
--- a/crates/emulators/src/tables.rs
+++ b/crates/emulators/src/tables.rs
@@ -1,28 +1,28 @@
-//! What a proxy holds by the orders on its stream, applied to the letter of the protocol. An order that the protocol does
-//! not allow is a fault of the supervisor, told in words.
+//! Tables of an emulated proxy, updated by the orders on its stream exactly as the protocol requires. An order that
+//! violates the protocol is a fault of the supervisor and is returned as an error.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The classes that the stand-ins' settings name.
+/// Classes in the settings of the emulated deployment.
 pub const CLASSES: [&str; 2] = ["lookup", "order"];
 
-/// Tables, levels and withdrawals of one proxy.
+/// Tables, admission levels and suspended servers of one proxy.
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
     /// Weights by class and server.
     pub rows: BTreeMap<String, BTreeMap<String, f64>>,
-    /// Servers that are shut out.
+    /// Servers that must not be picked.
     pub suspended: BTreeSet<String>,
-    /// Way of trying again by class.
+    /// Retry policy by class, as in the order.
     pub retries: BTreeMap<String, String>,
-    /// Admitted share by class.
+    /// Admission level by class: the admitted share of requests.
     pub levels: BTreeMap<String, f64>,
-    /// Whole messages applied.
+    /// Number of complete messages applied.
     pub messages: usize,
 }
 
 impl Tables {
-    /// Servers that may be picked for a class, with their weights.
+    /// Returns the servers that may be picked for a class, with their weights.
     pub fn weights(&self, class: &str) -> impl Iterator<Item = (&str, f64)> + Clone {
         let rows = self.rows.get(class).into_iter().flatten();
         let usable =
@@ -30,61 +30,71 @@
         usable.map(|(name, weight)| (name.as_str(), *weight))
     }
 
-    /// Servers that may be picked for a class.
+    /// Returns the servers that may be picked for a class.
     pub fn picks(&self, class: &str) -> Vec<&str> {
         self.weights(class).map(|(name, _)| name).collect()
     }
 
-    /// The share of a class's requests that are let in.
+    /// Returns the admission level of a class; 1 if none was ordered.
     pub fn level(&self, class: &str) -> f64 {
         self.levels.get(class).copied().unwrap_or(1.0)
     }
 
-    /// Applies one line of an order; the mark to answer, if it carries one.
+    /// Applies one line of an order; returns the sequence number to acknowledge, if it has one.
     pub fn apply(&mut self, line: &str) -> Result<Option<String>, String> {
-        let wrong = |what: &str| format!("{what} in {line:?}");
-        let mut words = line.split(' ');
-        if words.next() != Some("push") {
-            return Err(wrong("no order"));
+        let fault = |what: &str| format!("{what} in {line:?}");
+        let mut tokens = line.split(' ');
+        if tokens.next() != Some("push") {
+            return Err(fault("not an order"));
         }
-        let words: BTreeMap<&str, &str> = words.filter_map(|word| word.split_once('=')).collect();
-        let all = CLASSES.join("+");
-        for class in words.get("for").copied().unwrap_or(&all).split('+') {
+        let fields: BTreeMap<&str, &str> =
+            tokens.filter_map(|token| token.split_once('=')).collect();
+        let all_classes = CLASSES.join("+");
+        for class in fields
+            .get("for")
+            .copied()
+            .unwrap_or(&all_classes)
+            .split('+')
+        {
             if !CLASSES.contains(&class) {
-                return Err(wrong("an unknown class"));
+                return Err(fault("unknown class"));
             }
             let rows = self.rows.entry(class.to_string()).or_default();
-            if words.get("replace") == Some(&"1") {
+            if fields.get("replace") == Some(&"1") {
                 rows.clear();
                 self.retries.remove(class);
                 self.levels.remove(class);
             }
-            for row in words
+            for row in fields
                 .get("rows")
                 .into_iter()
                 .flat_map(|rows| rows.split(','))
             {
-                let (name, weight) = row.split_once(':').ok_or_else(|| wrong("no row"))?;
-                let weight: f64 = weight.parse().map_err(|_| wrong("no weight"))?;
+                let (name, weight) = row
+                    .split_once(':')
+                    .ok_or_else(|| fault("row without weight"))?;
+                let weight: f64 = weight.parse().map_err(|_| fault("malformed weight"))?;
                 if !(weight.is_finite() && weight >= 0.0) {
-                    return Err(wrong("a weight that is none"));
+                    return Err(fault("negative or non-finite weight"));
                 }
                 rows.insert(name.to_string(), weight);
             }
             rows.retain(|_, weight| *weight > 0.0);
-            match (words.get("gate"), words.get("again")) {
+            match (fields.get("gate"), fields.get("again")) {
                 (Some(gate), Some(retry)) => {
-                    let level: f64 = gate.parse().map_err(|_| wrong("no level"))?;
+                    let level: f64 = gate
+                        .parse()
+                        .map_err(|_| fault("malformed admission level"))?;
                     self.levels.insert(class.to_string(), level);
                     self.retries.insert(class.to_string(), retry.to_string());
                 }
                 (None, None) => {}
-                _ => return Err(wrong("a level without its way of trying again")),
+                _ => return Err(fault("admission level without retry policy or the reverse")),
             }
         }
-        let names = |word: &str| {
-            words
-                .get(word)
+        let names = |field: &str| {
+            fields
+                .get(field)
                 .into_iter()
                 .flat_map(|names| names.split(','))
                 .map(String::from)
@@ -93,8 +103,8 @@
         names("undrop").for_each(|name| {
             self.suspended.remove(&name);
         });
-        self.messages += usize::from(!words.contains_key("part"));
-        Ok(words.get("stamp").map(|mark| mark.to_string()))
+        self.messages += usize::from(!fields.contains_key("part"));
+        Ok(fields.get("stamp").map(|sequence| sequence.to_string()))
     }
 }
 
--- a/crates/emulators/src/tables/tests.rs
+++ b/crates/emulators/src/tables/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn orders_apply_to_the_letter() {
+fn orders_are_applied_and_invalid_orders_are_rejected() {
     let mut tables = Tables::default();
     let first = tables.apply("push replace=1 rows=s-1:1.5,s-2:0.2 gate=0.9 again=1 part=1");
     assert_eq!((first, tables.messages), (Ok(None), 0));
@@ -25,7 +25,7 @@
         (tables.picks("order"), tables.picks("lookup")),
         (vec!["s-2"], vec!["s-1", "s-2"])
     );
-    for wrong in [
+    for invalid in [
         "pull",
         "push for=x",
         "push rows=s-1",
@@ -33,6 +33,6 @@
         "push gate=0.5",
         "push rows=s-1:NaN",
     ] {
-        assert!(tables.apply(wrong).is_err(), "{wrong}");
+        assert!(tables.apply(invalid).is_err(), "{invalid}");
     }
 }
--- a/crates/emulators/src/wait.rs
+++ b/crates/emulators/src/wait.rs
@@ -1,26 +1,26 @@
-//! Waits for events, under a limit that only a hang reaches.
+//! Waits for events with a timeout that only a hang reaches.
 
 use std::future::Future;
 use std::time::Duration;
 
 use tokio::time::{sleep, timeout};
 
-/// No test comes near it unless something hangs.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Far longer than any wait in a test that does not hang.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits for an event.
+/// Waits for an event; panics with its description after the timeout.
 pub async fn wait_for<T>(what: &str, event: impl Future<Output = T>) -> T {
-    timeout(LIMIT, event)
+    timeout(TIMEOUT, event)
         .await
-        .unwrap_or_else(|_| panic!("never came: {what}"))
+        .unwrap_or_else(|_| panic!("timed out waiting for {what}"))
 }
 
-/// Waits until something holds.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let holding = async {
-        while !holds() {
+/// Waits until a condition is met; panics with its description after the timeout.
+pub async fn until(what: &str, mut is_met: impl FnMut() -> bool) {
+    let condition = async {
+        while !is_met() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    wait_for(what, holding).await;
+    wait_for(what, condition).await;
 }
--- a/crates/supervisor/src/peers/health_check/tests.rs
+++ b/crates/supervisor/src/peers/health_check/tests.rs
@@ -180,7 +180,7 @@
         tokio::task::spawn_local(async move {
             let mut idle = script.expect_request("/-/load").await;
             idle.respond(200, "TEXT queue=1").await;
-            assert!(idle.request().await.is_some());
+            assert!(idle.next_request_path().await.is_some());
             break_connection(&mut idle).await;
             idle.reset();
             script
--- a/crates/supervisor/tests/crossings/settings.rs
+++ b/crates/supervisor/tests/crossings/settings.rs
@@ -33,7 +33,7 @@
 async fn a_run_leaves_nothing_behind() {
     let scratch = tempfile::tempdir().expect("a directory");
     let (discovery, _servers) = fleet().await;
-    let program = program().with_scratch(scratch.path());
+    let program = program().with_working_directory(scratch.path());
     for is_killed in [false, true] {
         let mut supervisor = program
             .start(&config(&discovery, Some(discovery.list()), 1024))
--- a/crates/supervisor/tests/crossings/shutdown.rs
+++ b/crates/supervisor/tests/crossings/shutdown.rs
@@ -15,7 +15,7 @@
     let second = discovery.start_replica().await;
     let mut configuration = config(&discovery, Some(discovery.list()), 1024);
     let paused = program().start_paused().await;
-    paused.signals(&["-HUP", "-HUP"]).await;
+    paused.send_signals(&["-HUP", "-HUP"]).await;
     let mut supervisor = paused.resume_with_config(&configuration).await;
     configuration["discovery"] = json!(second.address.to_string());
     supervisor.write_config_to_pipe(&configuration).await;
@@ -34,9 +34,9 @@
 async fn a_shutdown_while_the_configuration_is_read_is_orderly() {
     let (discovery, _servers) = fleet().await;
     let paused = program().start_paused().await;
-    paused.signals(&["-TERM"]).await;
+    paused.send_signals(&["-TERM"]).await;
     let (code, log) = paused
-        .ends(&config(&discovery, Some(discovery.list()), 1024))
+        .resume_until_exit(&config(&discovery, Some(discovery.list()), 1024))
         .await;
     assert_eq!(
         (code, log.matches(" stopping").count()),
