--- a/crates/emulators/src/bin/demo.rs
+++ b/crates/emulators/src/bin/demo.rs
@@ -1,5 +1,5 @@
-//! A first look: a stand-in fleet and two supervisors on loopback with a small trouble now and then, and the console over
-//! their records. Without a terminal it prints frames for a while and leaves a report. What it starts it ends.
+//! Demo: runs an emulated fleet and two supervisors on loopback, injects small faults, and shows the console on their
+//! records. Without a terminal it prints frames for a limited time. It writes a report, and stops all that it started.
 
 use std::io::IsTerminal as _;
 use std::path::{Path, PathBuf};
@@ -12,30 +12,30 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::sleep;
 
-/// Shows a small fleet with two supervisors; needs nothing but the program.
+/// Runs an emulated fleet with two supervisors, and shows the console.
 #[derive(Parser)]
 struct Arguments {
-    /// The program.
+    /// Path of the chutegrade executable.
     #[arg(long, value_name = "FILE", default_value = "target/release/chutegrade")]
     program: PathBuf,
-    /// Where records and the report go; an earlier run's are replaced.
+    /// Output directory for the records and the report; replaces those of an earlier run.
     #[arg(long, value_name = "DIR", default_value = "target/demo")]
     out: PathBuf,
-    /// Seconds until it ends by itself where there is no terminal.
+    /// Duration in seconds if there is no terminal.
     #[arg(long, default_value_t = 30)]
     seconds: u64,
 }
 
-/// Time between two frames where there is no terminal.
-const FRAME_EVERY: Duration = Duration::from_secs(10);
+/// Interval between frames if there is no terminal.
+const FRAME_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What the demonstration switches on beside records: one level of reduced service.
-const LEVELS: &str =
+/// Operator configuration besides the records: one reduced service level.
+const OPERATOR_CONFIG: &str =
     "limits { ladder { level { name: \"fewer lookups\" shed { class: \"lookup\" keep: 0.3 }\n\
     enter { all { signal: SATURATION above: 0.35 for_s: 1 } }\n\
     leave { all { signal: SATURATION below: 0.2 for_s: 2 } } least_stay_s: 4 tell: \"desk\" } } }";
 
-async fn console(program: &Path, records: &Path, seconds: u64) -> std::io::Result<()> {
+async fn run_console(program: &Path, records: &Path, seconds: u64) -> std::io::Result<()> {
     let command = || {
         let mut command = Command::new(program);
         command.arg("console").arg(records).kill_on_drop(true);
@@ -45,23 +45,23 @@
         command().status().await?;
         return Ok(());
     }
-    let until = tokio::time::Instant::now() + Duration::from_secs(seconds);
-    while tokio::time::Instant::now() + FRAME_EVERY <= until {
-        sleep(FRAME_EVERY).await;
+    let deadline = tokio::time::Instant::now() + Duration::from_secs(seconds);
+    while tokio::time::Instant::now() + FRAME_INTERVAL <= deadline {
+        sleep(FRAME_INTERVAL).await;
         command()
             .arg("--once")
             .stdin(Stdio::null())
             .status()
             .await?;
     }
-    tokio::time::sleep_until(until).await;
+    tokio::time::sleep_until(deadline).await;
     Ok(())
 }
 
-async fn show(arguments: &Arguments) -> Result<(), String> {
+async fn run_demo(arguments: &Arguments) -> Result<(), String> {
     if !arguments.program.exists() {
         return Err(format!(
-            "{} is not there: build it with `make build`",
+            "{} does not exist: build it with `make build`",
             arguments.program.display()
         ));
     }
@@ -69,56 +69,66 @@
     if out.join("operator.txtpb").exists() {
         std::fs::remove_dir_all(out).map_err(|fault| format!("{}: {fault}", out.display()))?;
     }
-    let signals = |kind| signal(kind).map_err(|fault| format!("no signals: {fault}"));
+    let subscribe = |kind| signal(kind).map_err(|fault| format!("cannot handle signals: {fault}"));
     let (mut interrupt, mut terminate) = (
-        signals(SignalKind::interrupt())?,
-        signals(SignalKind::terminate())?,
+        subscribe(SignalKind::interrupt())?,
+        subscribe(SignalKind::terminate())?,
     );
-    println!("starting 10 servers, 8 front ends and 2 supervisors on loopback");
-    let mut deployment =
-        EmulatedDeployment::start_with_operator_config(&arguments.program, out, 11, LEVELS).await;
+    println!("starting 10 servers, 8 proxies and 2 supervisors on loopback");
+    let mut deployment = EmulatedDeployment::start_with_operator_config(
+        &arguments.program,
+        out,
+        11,
+        OPERATOR_CONFIG,
+    )
+    .await;
     let records = deployment.records();
-    let ended = tokio::select! {
-        ended = console(&arguments.program, &records, arguments.seconds) => ended.map_err(|fault| format!("the console: {fault}")),
+    let result = tokio::select! {
+        ended = run_console(&arguments.program, &records, arguments.seconds) => ended.map_err(|fault| format!("cannot run the console: {fault}")),
         () = deployment.inject_recurring_faults() => Ok(()),
         _ = interrupt.recv() => Ok(()),
         _ = terminate.recv() => Ok(()),
     };
     let codes = deployment.terminate().await;
     if codes.iter().any(|code| *code != Some(0)) {
-        return Err(format!("supervisors ended with codes {codes:?}"));
+        return Err(format!("supervisors exited with codes {codes:?}"));
     }
     let counters = deployment.fleet.counters();
-    let count = |of: &std::sync::atomic::AtomicU64| of.load(std::sync::atomic::Ordering::Relaxed);
+    let count =
+        |counter: &std::sync::atomic::AtomicU64| counter.load(std::sync::atomic::Ordering::Relaxed);
     println!(
-        "{} requests came, {} answered, {} refused, {} failed",
+        "{} requests received, {} answered, {} rejected, {} failed",
         count(&counters.received),
         count(&counters.answered),
         count(&counters.rejected),
         count(&counters.failed)
     );
-    let page = out.join("report.html");
+    let report_path = out.join("report.html");
     let mut report = Command::new(&arguments.program);
-    report.arg("report").arg(&records).arg("--out").arg(&page);
-    let told = report
+    report
+        .arg("report")
+        .arg(&records)
+        .arg("--out")
+        .arg(&report_path);
+    let status = report
         .status()
         .await
-        .map_err(|fault| format!("the report: {fault}"))?;
+        .map_err(|fault| format!("cannot run the report: {fault}"))?;
     println!(
         "records in {}, report in {}",
         records.display(),
-        page.display()
+        report_path.display()
     );
-    if told.success() {
-        ended
+    if status.success() {
+        result
     } else {
-        Err("the report could not be written".to_string())
+        Err("cannot write the report".to_string())
     }
 }
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    match show(&Arguments::parse()).await {
+    match run_demo(&Arguments::parse()).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("demo: {fault}");
--- a/crates/emulators/src/bin/incident.rs
+++ b/crates/emulators/src/bin/incident.rs
@@ -1,4 +1,4 @@
-//! Plays the scripted incident against the program, and leaves records, ground truth and a comparison of both.
+//! Plays the scripted incident against the program, writes records and ground truth, and compares them.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -9,73 +9,75 @@
 use chutegrade_records::Timeline;
 use clap::Parser;
 
-/// Plays a scripted incident of some 75 seconds on loopback.
+/// Plays a scripted incident of about 75 seconds on loopback.
 #[derive(Parser)]
 struct Arguments {
-    /// The program.
+    /// Path of the chutegrade executable.
     #[arg(long, value_name = "FILE", default_value = "target/release/chutegrade")]
     program: PathBuf,
-    /// Where records and ground truth go; what is there already is replaced.
+    /// Output directory for records and ground truth; replaces those of an earlier run.
     #[arg(long, value_name = "DIR", default_value = "target/incident")]
     out: PathBuf,
-    /// For random numbers.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 7)]
     seed: u64,
 }
 
-/// An earlier run's directory is replaced; any other is left alone.
-fn empty(out: &Path) -> Result<(), String> {
-    let ours = out.join("operator.txtpb").exists();
-    if !ours
+/// Removes the directory of an earlier run; returns an error for any other directory that is not empty.
+fn remove_earlier_run(out: &Path) -> Result<(), String> {
+    let is_earlier_run = out.join("operator.txtpb").exists();
+    if !is_earlier_run
         && out
             .read_dir()
             .is_ok_and(|mut entries| entries.next().is_some())
     {
         return Err(format!(
-            "{} holds something else: give an empty directory",
+            "{} is neither empty nor the output of an earlier run: give an empty directory",
             out.display()
         ));
     }
-    if ours {
+    if is_earlier_run {
         std::fs::remove_dir_all(out).map_err(|fault| format!("{}: {fault}", out.display()))?;
     }
     Ok(())
 }
 
-async fn play(arguments: Arguments) -> Result<(), String> {
+async fn run_incident(arguments: Arguments) -> Result<(), String> {
     if !arguments.program.exists() {
         return Err(format!(
-            "{} is not there: build it with `make build`",
+            "{} does not exist: build it with `make build`",
             arguments.program.display()
         ));
     }
-    empty(&arguments.out)?;
+    remove_earlier_run(&arguments.out)?;
     let mut deployment =
         EmulatedDeployment::start(&arguments.program, &arguments.out, arguments.seed).await;
-    println!("playing for some 75 seconds");
+    println!("playing the incident, about 75 seconds");
     let codes = deployment.run_incident().await;
-    let fault = |fault: chutegrade_records::timeline::Fault| fault.to_string();
-    let timeline = Timeline::open(&[deployment.records()]).map_err(fault)?;
+    let to_text = |fault: chutegrade_records::timeline::Fault| fault.to_string();
+    let timeline = Timeline::open(&[deployment.records()]).map_err(to_text)?;
     let (events, gaps) = timeline.read(&Query::default());
-    let faults = truth::compare(
+    let differences = truth::compare(
         &deployment.ground_truth.entries(),
         &events,
         &gaps,
         &SUPERVISORS,
     );
-    faults.iter().for_each(|fault| println!("{fault}"));
+    differences
+        .iter()
+        .for_each(|difference| println!("{difference}"));
     println!(
-        "{} events and {} gaps recorded, {} deeds",
+        "{} events and {} gaps recorded, {} events injected",
         events.len(),
         gaps.len(),
         deployment.ground_truth.entries().len()
     );
     println!(
-        "ended with codes {codes:?}; requests that ran twice: {}",
+        "exit codes {codes:?}; requests executed more than once: {}",
         deployment.fleet.duplicate_executions()
     );
     println!("records in {}", deployment.records().display());
-    match faults.len() {
+    match differences.len() {
         0 => Ok(()),
         count => Err(format!(
             "{count} differences between records and ground truth"
@@ -85,7 +87,7 @@
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    match play(Arguments::parse()).await {
+    match run_incident(Arguments::parse()).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("incident: {fault}");
--- a/crates/emulators/src/bin/truth.rs
+++ b/crates/emulators/src/bin/truth.rs
@@ -1,70 +1,78 @@
-//! Plays days of the small fleet on loopback with the program, and tells how many figures lie within the model's bars.
+//! Runs the small emulated fleet on loopback with the program, and prints how many metrics lie within the prediction
+//! intervals of the model.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use chutegrade_emulators::predict::{compare, days, real, said};
+use chutegrade_emulators::predict::{compare, comparison_cases, measure, predict};
 use clap::Parser;
 
-/// Compares the fleet model with the program on loopback: a dozen days of 20 seconds.
+/// Compares the fleet model with the program on loopback, in twelve cases of 20 seconds.
 #[derive(Parser)]
 struct Arguments {
-    /// The program.
+    /// Path of the chutegrade executable.
     #[arg(long, value_name = "FILE", default_value = "target/release/chutegrade")]
     program: PathBuf,
-    /// Days at a time; each takes about half a core.
+    /// Number of concurrent cases; each uses about half a core.
     #[arg(long, default_value_t = 2)]
     together: usize,
-    /// For random numbers.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 11)]
     seed: u64,
 }
 
-async fn play(arguments: Arguments) -> Result<(), String> {
+async fn run_comparison(arguments: Arguments) -> Result<(), String> {
     if !arguments.program.exists() {
         return Err(format!(
-            "{} is not there: build it with `make build`",
+            "{} does not exist: build it with `make build`",
             arguments.program.display()
         ));
     }
-    let (mut rows, mut held, mut whole) = (0, 0, 0);
-    let all = days();
-    for some in all.chunks(arguments.together.max(1)) {
+    let (mut metrics, mut metrics_within, mut cases_within) = (0, 0, 0);
+    let cases = comparison_cases();
+    for batch in cases.chunks(arguments.together.max(1)) {
         let mut tasks = Vec::new();
-        for day in some {
-            let (day, program) = (day.clone(), arguments.program.clone());
+        for case in batch {
+            let (case, program) = (case.clone(), arguments.program.clone());
             let seed = arguments.seed;
             tasks.push(tokio::spawn(async move {
                 let directory = tempfile::tempdir().map_err(|fault| fault.to_string())?;
-                Ok::<_, String>(real(&day, &program, directory.path(), seed).await)
+                Ok::<_, String>(measure(&case, &program, directory.path(), seed).await)
             }));
         }
-        for (day, task) in some.iter().zip(tasks) {
-            let came = task.await.map_err(|fault| fault.to_string())??;
-            let compared = compare(&said(day)?, &came);
-            println!("{}", day.name);
+        for (case, task) in batch.iter().zip(tasks) {
+            let measured = task.await.map_err(|fault| fault.to_string())??;
+            let compared = compare(&predict(case)?, &measured);
+            println!("{}", case.name);
             for row in &compared {
-                let mark = if row.holds() { "" } else { "  outside" };
+                let mark = if row.is_within_interval() {
+                    ""
+                } else {
+                    "  outside"
+                };
                 println!(
-                    "  {:15} said {:8.3} ± {:7.3}  came {:8.3}{mark}",
-                    row.name, row.said, row.half, row.came
+                    "  {:15} predicted {:8.3} ± {:7.3}  measured {:8.3}{mark}",
+                    row.name, row.predicted, row.half_width, row.measured
                 );
             }
-            let good = compared.iter().filter(|row| row.holds()).count();
-            (rows, held) = (rows + compared.len(), held + good);
-            whole += usize::from(good == compared.len());
+            let within = compared
+                .iter()
+                .filter(|row| row.is_within_interval())
+                .count();
+            (metrics, metrics_within) = (metrics + compared.len(), metrics_within + within);
+            cases_within += usize::from(within == compared.len());
         }
     }
     println!(
-        "{held} of {rows} figures lie within their bars; on {whole} of {} days all do",
-        all.len()
+        "{metrics_within} of {metrics} metrics lie within their prediction intervals; in {cases_within} of {} cases all do",
+        cases.len()
     );
     Ok(())
 }
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    match play(Arguments::parse()).await {
+    match run_comparison(Arguments::parse()).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("truth: {fault}");
--- a/crates/emulators/src/predict.rs
+++ b/crates/emulators/src/predict.rs
@@ -1,5 +1,6 @@
-//! Is the model true? Days of the small fleet on loopback, with the real program, against what the fleet model says of them.
-//! The model's figures come from the stand-ins' own constants, none from a run.
+//! Compares the fleet model with the real program: runs the program with the emulated fleet on loopback, and checks the
+//! measured metrics against the model's prediction intervals. The parameters of the model are the constants of the
+//! emulators, none comes from a measurement.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -11,129 +12,137 @@
 use crate::script::EmulatedDeployment;
 use crate::tables::CLASSES;
 
-/// Front ends of every day.
-const FRONTS: u32 = 8;
-/// Length of a day in seconds; what comes later is not counted.
-const SECONDS: u64 = 20;
-/// Runs of the model for each day.
-const RUNS: u64 = 40;
-/// Share of days within the bars, if the model is right.
+/// Proxies in each case.
+const PROXIES: u32 = 8;
+/// Length of a case in seconds; requests received later are not counted.
+const CASE_LENGTH_S: u64 = 20;
+/// Model runs for each case.
+const MODEL_RUNS: u64 = 40;
+/// Confidence level of the prediction intervals.
 const CONFIDENCE: f64 = 0.95;
-/// What a stand-in's timers and the histogram can't tell apart: a share of requests, and times as a share and in milliseconds.
-const GRAIN: (f64, f64, f64) = (0.003, 0.02, 1.5);
-/// In time, in milliseconds, as the stand-ins' settings say.
-const AIM_MS: f64 = 600.0;
+/// Resolution of the emulators' timers and of the histogram, for metrics that are a share of requests.
+const SHARE_RESOLUTION: f64 = 0.003;
+/// Relative part of the resolution of times.
+const TIME_RESOLUTION_SHARE: f64 = 0.02;
+/// Absolute part of the resolution of times, in milliseconds.
+const TIME_RESOLUTION_MS: f64 = 1.5;
+/// Latency objective in the settings of the emulated deployment, in milliseconds.
+const LATENCY_OBJECTIVE_MS: f64 = 600.0;
 
-/// What happens on a day.
+/// A fault that is injected in a case.
 #[derive(Clone, Copy, Debug)]
-pub enum Happens {
-    /// So many servers fail all.
-    Fail(usize),
-    /// So many servers take so many times as long.
-    Slow(usize, f64),
-    /// So many times as much comes.
-    Burst(f64),
-    /// All streams break.
-    Streams,
-    /// The second supervisor is killed, and starts anew at the end.
-    Kill,
+pub enum InjectedFault {
+    /// This number of servers fails all requests.
+    FailServers(usize),
+    /// This number of servers takes longer by this factor.
+    SlowServers(usize, f64),
+    /// The request rate is multiplied by this factor.
+    DemandBurst(f64),
+    /// All streams are closed.
+    BreakStreams,
+    /// The second supervisor is killed, and restarts at the end.
+    KillSupervisor,
 }
 
-/// One day: servers a zone, requests a second at each front end, and what happens from when to when, in seconds.
+/// A fleet and the faults that are injected into it.
 #[derive(Clone, Debug)]
-pub struct Day {
-    /// Its name.
+pub struct ComparisonCase {
+    /// Printed above the results.
     pub name: &'static str,
     /// Servers in each of the two zones.
     pub servers: usize,
-    /// Requests a second at each front end.
+    /// Requests per second at each proxy.
     pub rate: f64,
-    /// What happens.
-    pub happens: Vec<(u64, u64, Happens)>,
+    /// Start and end in seconds of each fault.
+    pub faults: Vec<(u64, u64, InjectedFault)>,
 }
 
-/// The days: differing loads, sizes and troubles, singly and together.
-pub fn days() -> Vec<Day> {
-    use Happens::*;
-    let day = |name, servers, rate, happens: &[(u64, u64, Happens)]| Day {
+/// Returns the cases, which differ in load, size and faults, singly and combined.
+pub fn comparison_cases() -> Vec<ComparisonCase> {
+    use InjectedFault::*;
+    let case = |name, servers, rate, faults: &[(u64, u64, InjectedFault)]| ComparisonCase {
         name,
         servers,
         rate,
-        happens: happens.to_vec(),
+        faults: faults.to_vec(),
     };
     vec![
-        day("calm", 5, 40.0, &[]),
-        day("busy", 4, 60.0, &[]),
-        day("one fails", 5, 40.0, &[(5, 13, Fail(1))]),
-        day("three fail", 5, 45.0, &[(4, 12, Fail(3))]),
-        day("two slow", 5, 40.0, &[(5, 13, Slow(2, 8.0))]),
-        day("half slow", 4, 40.0, &[(6, 14, Slow(4, 4.0))]),
-        day("burst", 4, 45.0, &[(6, 11, Burst(1.8))]),
-        day("overload", 3, 40.0, &[(6, 11, Burst(3.0))]),
-        day(
+        case("calm", 5, 40.0, &[]),
+        case("busy", 4, 60.0, &[]),
+        case("one fails", 5, 40.0, &[(5, 13, FailServers(1))]),
+        case("three fail", 5, 45.0, &[(4, 12, FailServers(3))]),
+        case("two slow", 5, 40.0, &[(5, 13, SlowServers(2, 8.0))]),
+        case("half slow", 4, 40.0, &[(6, 14, SlowServers(4, 4.0))]),
+        case("burst", 4, 45.0, &[(6, 11, DemandBurst(1.8))]),
+        case("overload", 3, 40.0, &[(6, 11, DemandBurst(3.0))]),
+        case(
             "streams and a failure",
             5,
             40.0,
-            &[(6, 7, Streams), (6, 14, Fail(2))],
+            &[(6, 7, BreakStreams), (6, 14, FailServers(2))],
         ),
-        day(
+        case(
             "killed, two slow",
             5,
             40.0,
-            &[(5, 9, Kill), (6, 14, Slow(2, 6.0))],
+            &[(5, 9, KillSupervisor), (6, 14, SlowServers(2, 6.0))],
         ),
-        day(
+        case(
             "burst on slow ones",
             5,
             40.0,
-            &[(5, 14, Slow(2, 4.0)), (8, 12, Burst(1.7))],
+            &[(5, 14, SlowServers(2, 4.0)), (8, 12, DemandBurst(1.7))],
         ),
-        day("four fail, busy", 5, 55.0, &[(6, 14, Fail(4))]),
+        case("four fail, busy", 5, 55.0, &[(6, 14, FailServers(4))]),
     ]
 }
 
-impl Day {
+impl ComparisonCase {
     fn scenario(&self) -> Result<Scenario, String> {
-        let all = 2 * self.servers;
-        let part = |count: usize| count as f64 / all as f64;
-        let trouble = |(from, to, of): &(u64, u64, Happens)| {
+        let total_servers = 2 * self.servers;
+        let share = |count: usize| count as f64 / total_servers as f64;
+        let trouble_text = |(from, to, fault): &(u64, u64, InjectedFault)| {
             let times = format!("at_s: {from} length_s: {}", to - from);
-            match of {
-                Happens::Fail(count) => {
+            match fault {
+                InjectedFault::FailServers(count) => {
                     format!(
                         "trouble {{ sort: FAIL_FAST {times} part: {} size: 1 }}",
-                        part(*count)
+                        share(*count)
                     )
                 }
-                Happens::Slow(count, size) => {
+                InjectedFault::SlowServers(count, factor) => {
                     format!(
-                        "trouble {{ sort: SLOW {times} part: {} size: {size} }}",
-                        part(*count)
+                        "trouble {{ sort: SLOW {times} part: {} size: {factor} }}",
+                        share(*count)
                     )
                 }
-                Happens::Burst(size) => format!("trouble {{ sort: BURST {times} size: {size} }}"),
-                Happens::Streams => format!("trouble {{ sort: STREAMS {times} part: 1 }}"),
-                Happens::Kill => {
+                InjectedFault::DemandBurst(factor) => {
+                    format!("trouble {{ sort: BURST {times} size: {factor} }}")
+                }
+                InjectedFault::BreakStreams => {
+                    format!("trouble {{ sort: STREAMS {times} part: 1 }}")
+                }
+                InjectedFault::KillSupervisor => {
                     format!("trouble {{ sort: SUPERVISORS_DIE {times} part: 0.5 zone: 'b' }}")
                 }
             }
         };
-        let troubles: Vec<String> = self.happens.iter().map(trouble).collect();
-        // Work is 20 ms, evenly from a half to one and a half times that; timers wake up to a millisecond late.
+        let troubles: Vec<String> = self.faults.iter().map(trouble_text).collect();
+        // Work is uniformly distributed between 0.5 and 1.5 times 20 ms; timers fire up to 1 ms late.
         let text = format!(
-            "name: {:?} seconds: {SECONDS} zone: 'a' zone: 'b'\n\
-             kind {{ servers: {all} cores: 2 speed: 1 speed_cv: 0 slots_per_core: 1 queue_per_core: 100000 thrash: 0\n\
+            "name: {:?} seconds: {CASE_LENGTH_S} zone: 'a' zone: 'b'\n\
+             kind {{ servers: {total_servers} cores: 2 speed: 1 speed_cv: 0 slots_per_core: 1 queue_per_core: 100000 thrash: 0\n\
                cold_from: 0.3 cold_s: 4 connections_per_core: 100000 handshake_ms: 0 error_rate: 0 cancel: ALL }}\n\
              class {{ name: 'lookup' share: 7 work_ms: 21 work_cv: 0.28 try_cv: 0 aim_ms: 600 deadline_ms: 2000 worth: 1 late_worth: 0 }}\n\
              class {{ name: 'order' share: 3 work_ms: 21 work_cv: 0.28 try_cv: 0 aim_ms: 600 deadline_ms: 2000 worth: 2 late_worth: 0 effect: UNSAFE }}\n\
              load {{ rate: {} zone_skew: 0 }} clients {{ retries: 0 try_share: 1 }}\n\
-             front_ends {{ count: {FRONTS} avoids_after: 0 standing: 100 usual_retry: NEVER notice_ms: 1 redial_ms: 100 apply_us: 0 rehome_s: 0 }}\n\
+             front_ends {{ count: {PROXIES} avoids_after: 0 standing: 100 usual_retry: NEVER notice_ms: 1 redial_ms: 100 apply_us: 0 rehome_s: 0 }}\n\
              supervisors {{ count: 2 tick_ms: 2 lines_per_s: 6000 head: 3 way_ms: 1 way_most_ms: 500 backlog: 9000 }}\n\
              reports {{ refresh_ms: 1 period_s: 1 late_ms: 1 intake_per_s: 100000 noise: 0 with_answers: false }}\n\
              discovery {{ notice_least_s: 0 notice_most_s: 0.05 }} network {{ same_ms: 0.05 cross_ms: 0.05 client_ms: 0 jitter: 0.2 }}\n\
              probes {{ work_ms: 2 most_per_core: 1000 deep: true }} rules {{ unserved_s: 5 drain_grace_s: 2 }}\n{}",
             self.name,
-            f64::from(FRONTS) * self.rate,
+            f64::from(PROXIES) * self.rate,
             troubles.join("\n")
         );
         scenario::read(&text).map_err(|faults| {
@@ -146,11 +155,11 @@
     }
 }
 
-/// What is compared: shares and times by name; a time that did not come up is none.
-pub type Figures = Vec<(&'static str, Option<f64>)>;
+/// Shares and times by name; a time is `None` if its event did not occur.
+pub type Metrics = Vec<(&'static str, Option<f64>)>;
 
-fn of_model(outcome: &Outcome) -> Figures {
-    let shut = (!outcome.shut_out_s.is_empty()).then(|| outcome.figure("shut_out_s"));
+fn predicted_metrics(outcome: &Outcome) -> Metrics {
+    let shut_out_s = (!outcome.shut_out_s.is_empty()).then(|| outcome.figure("shut_out_s"));
     vec![
         ("service lookup", Some(outcome.classes[0].service)),
         ("service order", Some(outcome.classes[1].service)),
@@ -158,7 +167,7 @@
         ("p50 ms", Some(outcome.figure("p50_ms"))),
         ("p90 ms", Some(outcome.figure("p90_ms"))),
         ("p99 ms", Some(outcome.figure("p99_ms"))),
-        ("shut out s", shut),
+        ("shut out s", shut_out_s),
         (
             "restored s",
             (!outcome.restored_s.is_empty()).then(|| outcome.figure("restored_s")),
@@ -166,109 +175,130 @@
     ]
 }
 
-/// Plays a day on loopback with the program.
-pub async fn real(day: &Day, program: &Path, directory: &Path, seed: u64) -> Figures {
+/// Runs a case on loopback with the program, and returns the measured metrics.
+pub async fn measure(
+    case: &ComparisonCase,
+    program: &Path,
+    directory: &Path,
+    seed: u64,
+) -> Metrics {
     let mut deployment = EmulatedDeployment::start_with_size(
         program,
         directory,
-        (day.servers, FRONTS, day.rate),
+        (case.servers, PROXIES, case.rate),
         seed,
         "",
     )
     .await;
     let fleet = std::sync::Arc::clone(&deployment.fleet);
-    let begun = Instant::now();
+    let started = Instant::now();
     fleet.counters().keep_results();
-    let mut deeds: Vec<(u64, bool, Happens)> = day
-        .happens
+    let mut injections: Vec<(u64, bool, InjectedFault)> = case
+        .faults
         .iter()
-        .flat_map(|(from, to, of)| [(*from, true, *of), (*to, false, *of)])
+        .flat_map(|(from, to, fault)| [(*from, true, *fault), (*to, false, *fault)])
         .collect();
-    deeds.sort_by_key(|(at, ..)| *at);
-    // Struck servers are spread over both zones.
-    let name = |number: usize| format!("s-{}{}", ["a", "b"][number % 2], number / 2 + 1);
-    let mut watched: Vec<(String, Instant)> = Vec::new();
-    let mut shut_out: Vec<f64> = Vec::new();
-    let (mut healing, mut restored): (Vec<(String, Instant)>, Vec<f64>) = (Vec::new(), Vec::new());
-    let mut next = deeds.into_iter().peekable();
-    while begun.elapsed() < Duration::from_secs(SECONDS) {
-        while let Some((_, on, of)) =
-            next.next_if(|(at, ..)| begun.elapsed() >= Duration::from_secs(*at))
+    injections.sort_by_key(|(at, ..)| *at);
+    // Spreads the affected servers over both zones.
+    let server_name = |number: usize| format!("s-{}{}", ["a", "b"][number % 2], number / 2 + 1);
+    let mut failing: Vec<(String, Instant)> = Vec::new();
+    let mut shut_out_times: Vec<f64> = Vec::new();
+    let (mut recovering, mut restore_times): (Vec<(String, Instant)>, Vec<f64>) =
+        (Vec::new(), Vec::new());
+    let mut pending_injections = injections.into_iter().peekable();
+    while started.elapsed() < Duration::from_secs(CASE_LENGTH_S) {
+        while let Some((_, on, fault)) =
+            pending_injections.next_if(|(at, ..)| started.elapsed() >= Duration::from_secs(*at))
         {
-            match of {
-                Happens::Fail(count) => {
-                    for server in (0..count).map(name) {
+            match fault {
+                InjectedFault::FailServers(count) => {
+                    for server in (0..count).map(server_name) {
                         fleet.set_failing(&server, on);
-                        let picked = CLASSES
+                        let is_picked = CLASSES
                             .iter()
                             .flat_map(|class| fleet.picks(class))
-                            .any(|own| own.contains(&server));
+                            .any(|names| names.contains(&server));
                         if on {
-                            watched.push((server, Instant::now()));
-                        } else if !picked {
-                            healing.push((server, Instant::now()));
+                            failing.push((server, Instant::now()));
+                        } else if !is_picked {
+                            recovering.push((server, Instant::now()));
                         }
                     }
                 }
-                Happens::Slow(count, size) => {
-                    (0..count).map(name).for_each(|server| {
-                        fleet.set_slowdown(&server, if on { size } else { 1.0 })
+                InjectedFault::SlowServers(count, factor) => {
+                    (0..count).map(server_name).for_each(|server| {
+                        fleet.set_slowdown(&server, if on { factor } else { 1.0 })
                     });
                 }
-                Happens::Burst(size) => fleet.set_demand_factor(if on { size } else { 1.0 }),
-                Happens::Streams if on => (0..FRONTS).for_each(|front| fleet.break_stream(front)),
-                Happens::Streams => {}
-                Happens::Kill if on => deployment.kill_supervisor(1).await,
-                Happens::Kill => deployment.restart_supervisor(1).await,
+                InjectedFault::DemandBurst(factor) => {
+                    fleet.set_demand_factor(if on { factor } else { 1.0 })
+                }
+                InjectedFault::BreakStreams if on => {
+                    (0..PROXIES).for_each(|proxy| fleet.break_stream(proxy))
+                }
+                InjectedFault::BreakStreams => {}
+                InjectedFault::KillSupervisor if on => deployment.kill_supervisor(1).await,
+                InjectedFault::KillSupervisor => deployment.restart_supervisor(1).await,
             }
         }
         let picks: Vec<Vec<String>> = CLASSES
             .iter()
             .flat_map(|class| fleet.picks(class))
             .collect();
-        watched.retain(|(server, since)| {
-            let picked = picks.iter().any(|names| names.contains(server));
-            if !picked {
-                shut_out.push(since.elapsed().as_secs_f64());
+        failing.retain(|(server, since)| {
+            let is_picked = picks.iter().any(|names| names.contains(server));
+            if !is_picked {
+                shut_out_times.push(since.elapsed().as_secs_f64());
             }
-            picked
+            is_picked
         });
-        healing.retain(|(server, since)| {
-            let picked = picks.iter().any(|names| names.contains(server));
-            if picked {
-                restored.push(since.elapsed().as_secs_f64());
+        recovering.retain(|(server, since)| {
+            let is_picked = picks.iter().any(|names| names.contains(server));
+            if is_picked {
+                restore_times.push(since.elapsed().as_secs_f64());
             }
-            !picked
+            !is_picked
         });
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_millis(2200)).await;
     deployment.terminate().await;
-    let kept = fleet
+    let results = fleet
         .counters()
         .results
         .lock()
-        .expect("no panic while held")
+        .expect("no panic while locked")
         .take()
         .unwrap_or_default();
-    let answers: Vec<_> = kept
+    let counted: Vec<_> = results
         .iter()
-        .filter(|of| of.received < begun + Duration::from_secs(SECONDS))
+        .filter(|result| result.received < started + Duration::from_secs(CASE_LENGTH_S))
         .collect();
     let service = |class: usize| {
-        let own: Vec<_> = answers.iter().filter(|of| of.class == class).collect();
-        let good = own
+        let of_class: Vec<_> = counted
             .iter()
-            .filter(|of| of.latency_ms.is_some_and(|ms| ms <= AIM_MS))
+            .filter(|result| result.class == class)
+            .collect();
+        let in_time = of_class
+            .iter()
+            .filter(|result| {
+                result
+                    .latency_ms
+                    .is_some_and(|ms| ms <= LATENCY_OBJECTIVE_MS)
+            })
             .count();
-        good as f64 / own.len().max(1) as f64
+        in_time as f64 / of_class.len().max(1) as f64
     };
-    let mut times: Vec<f64> = answers.iter().filter_map(|of| of.latency_ms).collect();
+    let mut times: Vec<f64> = counted
+        .iter()
+        .filter_map(|result| result.latency_ms)
+        .collect();
     times.sort_unstable_by(f64::total_cmp);
     let quantile = |share: f64| times.get((share * times.len() as f64) as usize).copied();
-    let refused =
-        answers.iter().filter(|of| of.is_rejected).count() as f64 / answers.len().max(1) as f64;
-    let shut = (!shut_out.is_empty()).then(|| shut_out.iter().sum::<f64>() / shut_out.len() as f64);
+    let refused = counted.iter().filter(|result| result.is_rejected).count() as f64
+        / counted.len().max(1) as f64;
+    let shut_out_s = (!shut_out_times.is_empty())
+        .then(|| shut_out_times.iter().sum::<f64>() / shut_out_times.len() as f64);
     vec![
         ("service lookup", Some(service(0))),
         ("service order", Some(service(1))),
@@ -276,80 +306,83 @@
         ("p50 ms", quantile(0.5)),
         ("p90 ms", quantile(0.9)),
         ("p99 ms", quantile(0.99)),
-        ("shut out s", shut),
+        ("shut out s", shut_out_s),
         (
             "restored s",
-            (!restored.is_empty()).then(|| restored.iter().sum::<f64>() / restored.len() as f64),
+            (!restore_times.is_empty())
+                .then(|| restore_times.iter().sum::<f64>() / restore_times.len() as f64),
         ),
     ]
 }
 
-/// One figure of one day: what the model says, how wide its bar is to either side, and what came.
+/// A metric of a case, as predicted and as measured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// The figure.
+    /// As in [`Metrics`].
     pub name: &'static str,
-    /// What the model says.
-    pub said: f64,
-    /// Half the width of its bar.
-    pub half: f64,
-    /// What came.
-    pub came: f64,
+    /// Mean of the model runs; NaN if at most half of them have the metric.
+    pub predicted: f64,
+    /// Half the width of the prediction interval.
+    pub half_width: f64,
+    /// NaN if the measurement does not have the metric.
+    pub measured: f64,
 }
 
 impl Row {
-    /// Whether what came lies within the bar.
-    pub fn holds(&self) -> bool {
-        (self.came - self.said).abs() <= self.half
+    /// Whether the measured value lies within the prediction interval.
+    pub fn is_within_interval(&self) -> bool {
+        (self.measured - self.predicted).abs() <= self.half_width
     }
 }
 
-/// What the model says of a day.
-pub fn said(day: &Day) -> Result<Vec<Figures>, String> {
-    let scenario = day.scenario()?;
-    Ok((0..RUNS)
-        .map(|seed| of_model(&run(&scenario, Control::Module, seed)))
+/// Returns the metrics of each model run of a case.
+pub fn predict(case: &ComparisonCase) -> Result<Vec<Metrics>, String> {
+    let scenario = case.scenario()?;
+    Ok((0..MODEL_RUNS)
+        .map(|seed| predicted_metrics(&run(&scenario, Control::Module, seed)))
         .collect())
 }
 
-/// The bars of a day beside what came. A figure that came up on one side only is a row that does not hold.
-pub fn compare(said: &[Figures], came: &Figures) -> Vec<Row> {
-    let row = |(place, (name, came)): (usize, &(&'static str, Option<f64>))| {
-        let figures: Vec<f64> = said.iter().filter_map(|run| run[place].1).collect();
-        match (figures.len() * 2 > said.len(), came) {
+/// Compares the predictions for a case with the measurement. A metric that only one of them has yields a row outside its
+/// interval.
+pub fn compare(predicted: &[Metrics], measured: &Metrics) -> Vec<Row> {
+    let row = |(index, (name, value)): (usize, &(&'static str, Option<f64>))| {
+        let predictions: Vec<f64> = predicted.iter().filter_map(|run| run[index].1).collect();
+        match (predictions.len() * 2 > predicted.len(), value) {
             (false, None) => None,
-            (true, Some(came)) => Some(bar(name, &figures, *came)),
+            (true, Some(value)) => Some(prediction_interval(name, &predictions, *value)),
             (true, None) => Some(Row {
-                half: 0.0,
-                came: f64::NAN,
-                ..bar(name, &figures, 0.0)
+                half_width: 0.0,
+                measured: f64::NAN,
+                ..prediction_interval(name, &predictions, 0.0)
             }),
-            (false, Some(came)) => Some(Row {
+            (false, Some(value)) => Some(Row {
                 name,
-                said: f64::NAN,
-                half: 0.0,
-                came: *came,
+                predicted: f64::NAN,
+                half_width: 0.0,
+                measured: *value,
             }),
         }
     };
-    came.iter().enumerate().filter_map(row).collect()
+    measured.iter().enumerate().filter_map(row).collect()
 }
 
-/// The bar within which one more run lies: by Student's t, for a single figure rather than a mean, and what can't be told apart.
-fn bar(name: &'static str, figures: &[f64], came: f64) -> Row {
-    let of = interval(figures, CONFIDENCE);
-    let single = of.half * (of.runs as f64 + 1.0).sqrt();
-    let grain = match name {
-        name if name.ends_with("ms") => GRAIN.1 * of.mean + GRAIN.2,
-        // Looked at five and ten times a second.
+/// Returns the interval in which one more run is expected: by Student's t, for a single value instead of the mean, widened by
+/// the resolution.
+fn prediction_interval(name: &'static str, predictions: &[f64], measured: f64) -> Row {
+    let estimate = interval(predictions, CONFIDENCE);
+    let single_run_half_width = estimate.half * (estimate.runs as f64 + 1.0).sqrt();
+    let resolution = match name {
+        name if name.ends_with("ms") => TIME_RESOLUTION_SHARE * estimate.mean + TIME_RESOLUTION_MS,
+        // These events are sampled five and ten times per second.
         name if name.ends_with(" s") => 0.3,
-        _ => GRAIN.0,
+        _ => SHARE_RESOLUTION,
     };
     Row {
         name,
-        said: of.mean,
-        half: single + grain,
-        came,
+        predicted: estimate.mean,
+        half_width: single_run_half_width + resolution,
+        measured,
     }
 }
 
--- a/crates/emulators/src/truth.rs
+++ b/crates/emulators/src/truth.rs
@@ -1,4 +1,4 @@
-//! Ground truth: what was really done to a fleet, and when, written by whoever did it. And what of it records must show.
+//! Ground truth: the events that a fault script injected and their times, and a comparison with the recorded events.
 
 use std::io::Write;
 use std::path::Path;
@@ -10,48 +10,48 @@
 use prost::Message;
 use serde::Serialize;
 
-/// What was done.
+/// An event that a fault script injected.
 #[allow(missing_docs)]
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "what")]
 pub enum InjectedEvent {
-    /// The list says that a server drains.
+    /// The server list marks a server as draining.
     Drains { server: String },
-    /// The list drops a server.
+    /// The server list no longer has a server.
     Removed { server: String },
-    /// A server started anew and is listed again.
+    /// A server restarted and is listed again.
     Started { server: String },
-    /// A server fails all requests and probes, or none any more.
+    /// A server begins or stops to fail all requests and health checks.
     Fails { server: String, on: bool },
-    /// A zone is cut off from the others, or not any more.
+    /// A zone is partitioned from the others, or the partition ends.
     Cut { zone: String, on: bool },
-    /// So much more is asked than usually.
+    /// The usual request rate is multiplied by a factor.
     Demand { factor: f64 },
-    /// A front end's stream was broken.
+    /// A proxy's stream was closed.
     Broken { proxy: u32 },
-    /// Reports of a zone's collector come so much later, in milliseconds.
+    /// Reports of a zone's collectors are delayed.
     Late { zone: String, ms: u64 },
-    /// Discovery says nothing, or speaks again.
+    /// Discovery stops sending on watches, or resumes.
     Mute { on: bool },
-    /// A supervisor was killed outright.
+    /// A supervisor was killed with SIGKILL.
     Killed { supervisor: String },
     /// A supervisor was started.
     Begun { supervisor: String },
-    /// A supervisor was asked to end.
+    /// A supervisor was sent SIGTERM.
     Ended { supervisor: String },
 }
 
-/// A deed and when it was done.
+/// An injected event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct GroundTruthEntry {
-    /// Unix microseconds.
+    /// Unix time in microseconds, taken before the event is injected.
     pub at_us: i64,
-    /// What was done.
+    /// Written as the tag `what` and the event's own fields.
     #[serde(flatten)]
     pub deed: InjectedEvent,
 }
 
-/// Unix time now, in microseconds.
+/// Returns the current Unix time in microseconds.
 pub fn now_us() -> i64 {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -59,43 +59,43 @@
     i64::try_from(unix.as_micros()).unwrap_or(i64::MAX)
 }
 
-/// The deeds of one run, in order.
+/// The injected events of one run in chronological order.
 #[derive(Clone, Debug, Default)]
 pub struct GroundTruthLog(Arc<Mutex<Vec<GroundTruthEntry>>>);
 
 impl GroundTruthLog {
-    /// Writes down what is being done now.
-    pub fn record(&self, deed: InjectedEvent) {
+    /// Appends an event with the current time.
+    pub fn record(&self, event: InjectedEvent) {
         self.0
             .lock()
-            .expect("no panic while held")
+            .expect("no panic while locked")
             .push(GroundTruthEntry {
                 at_us: now_us(),
-                deed,
+                deed: event,
             });
     }
 
-    /// All that was written down.
+    /// Returns all entries.
     pub fn entries(&self) -> Vec<GroundTruthEntry> {
-        self.0.lock().expect("no panic while held").clone()
+        self.0.lock().expect("no panic while locked").clone()
     }
 
-    /// Writes it to a file, a JSON object a line.
+    /// Writes the entries to a file, one JSON object per line.
     pub fn save(&self, path: &Path) -> std::io::Result<()> {
         let mut file = std::fs::File::create(path)?;
-        for truth in self.entries() {
-            writeln!(file, "{}", serde_json::to_string(&truth)?)?;
+        for entry in self.entries() {
+            writeln!(file, "{}", serde_json::to_string(&entry)?)?;
         }
         Ok(())
     }
 }
 
-/// Writes a supervisor's records anew as if its clock had been so much ahead, into another directory.
-pub fn shift_clock(from: &Path, to: &Path, by_us: i64) -> std::io::Result<()> {
+/// Copies a supervisor's records to another directory, with timestamps as if its clock had been ahead by `offset_us`.
+pub fn shift_clock(from: &Path, to: &Path, offset_us: i64) -> std::io::Result<()> {
     std::fs::create_dir_all(to)?;
     for id in segment::list(from)? {
         let bytes = segment::bytes(&id.path(from), 0, segment::LENGTH_MOST)?;
-        let mut out = Vec::new();
+        let mut output = Vec::new();
         for (_, item) in segment::items(&bytes, 0) {
             let content = match item {
                 Item::Header(header) => header.encode_to_vec(),
@@ -103,13 +103,14 @@
                     let Record {
                         at_us, learned_us, ..
                     } = read.record;
-                    // A server's start has the list's time, whatever the supervisor's clock says.
-                    let own = if matches!(read.record.kind, Some(Kind::ServerStarted(_))) {
-                        0
-                    } else {
-                        by_us
-                    };
-                    let (at_us, learned_us) = (at_us + own, learned_us + by_us);
+                    // The start time of a server comes from the server list, not from the supervisor's clock.
+                    let event_offset_us =
+                        if matches!(read.record.kind, Some(Kind::ServerStarted(_))) {
+                            0
+                        } else {
+                            offset_us
+                        };
+                    let (at_us, learned_us) = (at_us + event_offset_us, learned_us + offset_us);
                     Record {
                         at_us,
                         learned_us,
@@ -119,181 +120,194 @@
                 }
                 Item::Damaged(_) | Item::Torn(_) => continue,
             };
-            frame::put(&mut out, &content);
+            frame::put(&mut output, &content);
         }
-        std::fs::write(id.path(to), out)?;
+        std::fs::write(id.path(to), output)?;
     }
     Ok(())
 }
 
-/// How late an event may be against the deed that it follows, in microseconds: the list's own lateness, ticks, a loaded
-/// machine; reports may be later by what makes them late.
-const LATE_MOST_US: i64 = 6_000_000;
-/// How much earlier than its deed: both clocks are this machine's, and the deed is written down first.
-const EARLY_MOST_US: i64 = 50_000;
+/// Longest delay of an event after its injection, in microseconds: covers the delays of discovery, ticks, delayed reports
+/// and a loaded machine.
+const MAX_DELAY_US: i64 = 6_000_000;
+/// Longest lead of an event before its injection, in microseconds; small, since both use the clock of one machine and the
+/// injection is logged first.
+const MAX_LEAD_US: i64 = 50_000;
 
-/// Compares what was recorded with what was done, for these supervisors. Every sentence is a fault: a deed without its
-/// event, an event without a deed, or a silence that is not marked.
+/// Compares the recorded events of these supervisors with the ground truth. Returns descriptions of the differences:
+/// injected events that are not recorded, recorded events that were not injected, crashes that no gap marks, and events out
+/// of order.
 pub fn compare(
     truth: &[GroundTruthEntry],
     events: &[Event],
     gaps: &[Gap],
     supervisors: &[&str],
 ) -> Vec<String> {
-    let mut faults = missing(truth, events, gaps, supervisors);
-    faults.extend(invented(truth, events));
-    faults.extend(unmarked(truth, gaps));
-    faults.extend(disordered(events));
+    let mut faults = missing_events(truth, events, gaps, supervisors);
+    faults.extend(unexpected_events(truth, events));
+    faults.extend(unmarked_crashes(truth, gaps));
+    faults.extend(out_of_order(events));
     faults
 }
 
-/// Times at which a supervisor did not run.
-fn away(truth: &[GroundTruthEntry], supervisor: &str) -> Vec<(i64, i64)> {
-    let mut away = Vec::new();
+/// Returns the time ranges in which a supervisor did not run.
+fn downtimes(truth: &[GroundTruthEntry], supervisor: &str) -> Vec<(i64, i64)> {
+    let mut downtimes = Vec::new();
     let mut since = Some(i64::MIN);
-    for one in truth {
-        match &one.deed {
-            InjectedEvent::Begun { supervisor: its } if its == supervisor => {
-                away.extend(since.take().map(|since| (since, one.at_us)));
+    for entry in truth {
+        match &entry.deed {
+            InjectedEvent::Begun { supervisor: name } if name == supervisor => {
+                downtimes.extend(since.take().map(|since| (since, entry.at_us)));
             }
-            InjectedEvent::Killed { supervisor: its }
-            | InjectedEvent::Ended { supervisor: its }
-                if its == supervisor =>
+            InjectedEvent::Killed { supervisor: name }
+            | InjectedEvent::Ended { supervisor: name }
+                if name == supervisor =>
             {
-                since = Some(one.at_us);
+                since = Some(entry.at_us);
             }
             _ => {}
         }
     }
-    away.extend(since.map(|since| (since, i64::MAX)));
-    away
+    downtimes.extend(since.map(|since| (since, i64::MAX)));
+    downtimes
 }
 
-fn follows(event: &Event, at_us: i64) -> bool {
-    (at_us - EARLY_MOST_US..=at_us + LATE_MOST_US).contains(&event.at_us)
+fn is_timely(event: &Event, at_us: i64) -> bool {
+    (at_us - MAX_LEAD_US..=at_us + MAX_DELAY_US).contains(&event.at_us)
 }
 
-/// Whether an event shows a deed.
-fn shows(event: &Event, deed: &InjectedEvent) -> bool {
+/// Whether a recorded event corresponds to an injected one.
+fn matches_event(event: &Event, injected: &InjectedEvent) -> bool {
     let Some(kind) = &event.record.kind else {
         return false;
     };
-    match (deed, kind) {
-        (InjectedEvent::Drains { server }, Kind::LifeChanged(of)) => {
-            of.server == *server && of.life() == pb::Life::Draining
+    match (injected, kind) {
+        (InjectedEvent::Drains { server }, Kind::LifeChanged(change)) => {
+            change.server == *server && change.life() == pb::Life::Draining
         }
-        (InjectedEvent::Removed { server }, Kind::LifeChanged(of)) => {
-            of.server == *server && of.life() == pb::Life::Gone
+        (InjectedEvent::Removed { server }, Kind::LifeChanged(change)) => {
+            change.server == *server && change.life() == pb::Life::Gone
         }
-        (InjectedEvent::Started { server }, Kind::ServerStarted(of)) => of.server == *server,
-        (InjectedEvent::Fails { server, on: true }, Kind::Failing(of)) => {
-            of.server == *server && of.failing
+        (InjectedEvent::Started { server }, Kind::ServerStarted(change)) => {
+            change.server == *server
         }
-        (InjectedEvent::Fails { server, on: true }, Kind::StateChanged(of)) => {
-            of.server == *server && of.state() == pb::State::Withdrawn
+        (InjectedEvent::Fails { server, on: true }, Kind::Failing(change)) => {
+            change.server == *server && change.failing
         }
-        (InjectedEvent::Cut { zone, on }, Kind::ZoneCut(of)) => of.zone == *zone && of.cut == *on,
-        (InjectedEvent::Demand { factor }, Kind::Saturation(of)) => {
-            *factor > 1.0 && of.refused > 0.0
+        (InjectedEvent::Fails { server, on: true }, Kind::StateChanged(change)) => {
+            change.server == *server && change.state() == pb::State::Withdrawn
         }
-        (InjectedEvent::Broken { proxy }, Kind::StreamLeft(of)) => of.proxy == *proxy,
-        (InjectedEvent::Mute { on }, Kind::Discovery(of)) => of.tells != *on,
+        (InjectedEvent::Cut { zone, on }, Kind::ZoneCut(change)) => {
+            change.zone == *zone && change.cut == *on
+        }
+        (InjectedEvent::Demand { factor }, Kind::Saturation(change)) => {
+            *factor > 1.0 && change.refused > 0.0
+        }
+        (InjectedEvent::Broken { proxy }, Kind::StreamLeft(change)) => change.proxy == *proxy,
+        (InjectedEvent::Mute { on }, Kind::Discovery(change)) => change.tells != *on,
         (InjectedEvent::Begun { .. }, Kind::Started(_))
         | (InjectedEvent::Ended { .. }, Kind::Stopped(_)) => true,
         _ => false,
     }
 }
 
-/// Whether every supervisor that runs learns of a deed, or only the one concerned.
-fn concerns(deed: &InjectedEvent, supervisor: &str) -> bool {
-    match deed {
-        InjectedEvent::Begun { supervisor: its }
-        | InjectedEvent::Ended { supervisor: its }
-        | InjectedEvent::Killed { supervisor: its } => its == supervisor,
+/// Whether a supervisor can observe an injected event: those of a supervisor's own lifecycle only that supervisor, all
+/// others every supervisor.
+fn concerns(injected: &InjectedEvent, supervisor: &str) -> bool {
+    match injected {
+        InjectedEvent::Begun { supervisor: name }
+        | InjectedEvent::Ended { supervisor: name }
+        | InjectedEvent::Killed { supervisor: name } => name == supervisor,
         _ => true,
     }
 }
 
-fn missing(
+fn missing_events(
     truth: &[GroundTruthEntry],
     events: &[Event],
     gaps: &[Gap],
     supervisors: &[&str],
 ) -> Vec<String> {
     let mut faults = Vec::new();
-    for one in truth {
-        // What is only the end of something, or has no event of its own, is not looked for.
-        let silent = matches!(
-            one.deed,
+    for entry in truth {
+        // Skips events that are not recorded by themselves. `Demand` is checked below.
+        let has_no_event = matches!(
+            entry.deed,
             InjectedEvent::Killed { .. }
                 | InjectedEvent::Late { .. }
                 | InjectedEvent::Fails { on: false, .. }
                 | InjectedEvent::Demand { .. }
         );
-        if silent {
+        if has_no_event {
             continue;
         }
-        let found = |by: &str| {
-            events
-                .iter()
-                .any(|e| &*e.supervisor == by && follows(e, one.at_us) && shows(e, &one.deed))
+        let is_recorded = |by: &str| {
+            events.iter().any(|event| {
+                &*event.supervisor == by
+                    && is_timely(event, entry.at_us)
+                    && matches_event(event, &entry.deed)
+            })
         };
         for supervisor in supervisors
             .iter()
-            .filter(|supervisor| concerns(&one.deed, supervisor))
+            .filter(|supervisor| concerns(&entry.deed, supervisor))
         {
-            let (from, to) = (one.at_us - EARLY_MOST_US, one.at_us + LATE_MOST_US);
-            let absent = away(truth, supervisor)
+            let (from, to) = (entry.at_us - MAX_LEAD_US, entry.at_us + MAX_DELAY_US);
+            let was_down = downtimes(truth, supervisor)
                 .iter()
                 .any(|(since, until)| *since <= to && *until >= from);
-            let own = matches!(
-                one.deed,
+            let is_own_lifecycle = matches!(
+                entry.deed,
                 InjectedEvent::Begun { .. } | InjectedEvent::Ended { .. }
             );
-            // A front end's stream ends at the one supervisor that it had joined.
-            let elsewhere = matches!(one.deed, InjectedEvent::Broken { .. })
-                && supervisors.iter().any(|by| found(by));
-            let hidden = gaps.iter().any(|gap| {
+            // The end of a proxy's stream is recorded only by the supervisor that it had joined.
+            let is_recorded_elsewhere = matches!(entry.deed, InjectedEvent::Broken { .. })
+                && supervisors.iter().any(|by| is_recorded(by));
+            let is_in_gap = gaps.iter().any(|gap| {
                 *gap.supervisor == **supervisor
                     && gap.reason == GapReason::Lost
                     && gap.from_us <= to
                     && gap.to_us >= from
             });
-            if !found(supervisor) && !elsewhere && !hidden && (own || !absent) {
+            if !is_recorded(supervisor)
+                && !is_recorded_elsewhere
+                && !is_in_gap
+                && (is_own_lifecycle || !was_down)
+            {
                 faults.push(format!(
-                    "{supervisor} shows nothing of {:?} at {}",
-                    one.deed, one.at_us
+                    "{supervisor} did not record {:?} at {}",
+                    entry.deed, entry.at_us
                 ));
             }
         }
     }
-    // An overload need not reach every supervisor's threshold; one must have told of it.
-    let heavy = truth
+    // An overload need not reach every supervisor's threshold; at least one must have recorded it.
+    let overloads = truth
         .iter()
-        .filter(|one| matches!(one.deed, InjectedEvent::Demand { factor } if factor > 1.0));
-    for one in heavy {
+        .filter(|entry| matches!(entry.deed, InjectedEvent::Demand { factor } if factor > 1.0));
+    for entry in overloads {
         if !events
             .iter()
-            .any(|event| follows(event, one.at_us) && shows(event, &one.deed))
+            .any(|event| is_timely(event, entry.at_us) && matches_event(event, &entry.deed))
         {
-            faults.push(format!("nobody shows {:?}", one.deed));
+            faults.push(format!("no supervisor recorded {:?}", entry.deed));
         }
     }
     faults
 }
 
-/// Events of kinds that only a deed can bring about, without one.
-fn invented(truth: &[GroundTruthEntry], events: &[Event]) -> Vec<String> {
+/// Describes events that only an injection can cause, but that were not injected.
+fn unexpected_events(truth: &[GroundTruthEntry], events: &[Event]) -> Vec<String> {
     let mut faults = Vec::new();
     for event in events {
         let Some(kind) = &event.record.kind else {
             continue;
         };
-        let told = truth
+        let is_injected = truth
             .iter()
-            .any(|one| follows(event, one.at_us) && shows(event, &one.deed));
-        let needs = match kind {
-            Kind::LifeChanged(of) => of.life() != pb::Life::InService,
+            .any(|entry| is_timely(event, entry.at_us) && matches_event(event, &entry.deed));
+        let requires_injection = match kind {
+            Kind::LifeChanged(change) => change.life() != pb::Life::InService,
             Kind::ServerStarted(_)
             | Kind::Discovery(_)
             | Kind::ZoneCut(_)
@@ -301,15 +315,15 @@
             | Kind::Stopped(_) => true,
             _ => false,
         };
-        // A supervisor that begins learns again what the list holds.
-        let again = matches!(kind, Kind::LifeChanged(_) | Kind::ServerStarted(_))
-            && truth.iter().any(|one| {
-                matches!(one.deed, InjectedEvent::Begun { .. })
-                    && event.learned_us() - one.at_us < LATE_MOST_US
+        // A supervisor that starts records the contents of the server list again.
+        let is_replayed = matches!(kind, Kind::LifeChanged(_) | Kind::ServerStarted(_))
+            && truth.iter().any(|entry| {
+                matches!(entry.deed, InjectedEvent::Begun { .. })
+                    && event.learned_us() - entry.at_us < MAX_DELAY_US
             });
-        if needs && !told && !again {
+        if requires_injection && !is_injected && !is_replayed {
             faults.push(format!(
-                "{} tells without cause: {}",
+                "{} recorded an event that was not injected: {}",
                 event.supervisor,
                 event.line()
             ));
@@ -318,41 +332,41 @@
     faults
 }
 
-/// Times at which a supervisor did not run and that no gap marks.
-fn unmarked(truth: &[GroundTruthEntry], gaps: &[Gap]) -> Vec<String> {
+/// Describes crashes of a supervisor whose downtime no gap marks.
+fn unmarked_crashes(truth: &[GroundTruthEntry], gaps: &[Gap]) -> Vec<String> {
     let mut faults = Vec::new();
-    for (at, one) in truth.iter().enumerate() {
-        let InjectedEvent::Killed { supervisor } = &one.deed else {
+    for (index, entry) in truth.iter().enumerate() {
+        let InjectedEvent::Killed { supervisor } = &entry.deed else {
             continue;
         };
-        let again = |next: &&GroundTruthEntry| matches!(&next.deed, InjectedEvent::Begun { supervisor: its } if its == supervisor);
-        let Some(next) = truth.iter().skip(at).find(again) else {
+        let is_restart = |next: &&GroundTruthEntry| matches!(&next.deed, InjectedEvent::Begun { supervisor: name } if name == supervisor);
+        let Some(next) = truth.iter().skip(index).find(is_restart) else {
             continue;
         };
-        let marked = gaps.iter().any(|gap| {
+        let is_marked = gaps.iter().any(|gap| {
             *gap.supervisor == **supervisor
                 && gap.reason == GapReason::Crashed
-                && gap.from_us <= one.at_us
+                && gap.from_us <= entry.at_us
                 && gap.to_us >= next.at_us
         });
-        if !marked {
+        if !is_marked {
             faults.push(format!(
-                "the death of {supervisor} from {} to {} is not marked",
-                one.at_us, next.at_us
+                "no gap marks the crash of {supervisor} from {} to {}",
+                entry.at_us, next.at_us
             ));
         }
     }
     faults
 }
 
-fn disordered(events: &[Event]) -> Vec<String> {
-    let pairs = events
-        .windows(2)
-        .filter(|pair| pair.first().map(|e| e.at_us) > pair.last().map(|e| e.at_us));
+fn out_of_order(events: &[Event]) -> Vec<String> {
+    let pairs = events.windows(2).filter(|pair| {
+        pair.first().map(|event| event.at_us) > pair.last().map(|event| event.at_us)
+    });
     pairs
         .map(|pair| {
             format!(
-                "out of order: {:?}",
+                "events out of order: {:?}",
                 pair.iter().map(Event::line).collect::<Vec<_>>()
             )
         })
