--- a/crates/emulators/src/bin/incident.rs
+++ b/crates/emulators/src/bin/incident.rs
@@ -1,4 +1,4 @@
-//! Plays the scripted incident against the program, writes records and ground truth, and compares them.
+//! Runs the scripted incident against the program, writes records and ground truth, and compares them.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
 use chutegrade_records::Timeline;
 use clap::Parser;
 
-/// Plays a scripted incident of about 75 seconds on loopback.
+/// Runs a scripted incident of about 75 seconds on loopback.
 #[derive(Parser)]
 struct Arguments {
     /// Path of the chutegrade executable.
@@ -52,7 +52,7 @@
     remove_earlier_run(&arguments.out)?;
     let mut deployment =
         EmulatedDeployment::start(&arguments.program, &arguments.out, arguments.seed).await;
-    println!("playing the incident, about 75 seconds");
+    println!("running the incident, about 75 seconds");
     let codes = deployment.run_incident().await;
     let to_text = |fault: chutegrade_records::timeline::Fault| fault.to_string();
     let timeline = Timeline::open(&[deployment.records()]).map_err(to_text)?;
--- a/crates/emulators/src/fleet.rs
+++ b/crates/emulators/src/fleet.rs
@@ -1,6 +1,6 @@
-//! Emulates a small fleet on loopback: servers with cores and queues, proxies that pick servers by their tables and follow
-//! the ordered retry policy, collectors that report outcomes, and partitions between zones. Requests stay within the
-//! process; the traffic with supervisors (discovery, streams, reports, health checks) goes over sockets.
+//! Emulates a small fleet on loopback: servers with cores and queues, proxies that pick servers by their tables and
+//! follow the ordered retry policy, collectors that report outcomes, and partitions between zones. Requests stay within
+//! the process; the traffic with supervisors (discovery, streams, reports, health checks) goes over sockets.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -38,8 +38,8 @@
 const PARTITION_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval between reports of a proxy or a collector.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
-/// Longest time for which a draining server may still receive attempts: the drain grace of the settings, and the delay of
-/// the sockets.
+/// Longest time for which a draining server may still receive attempts: the drain grace of the settings, and the delay
+/// of the sockets.
 const MAX_DRAIN: Duration = Duration::from_millis(2300);
 /// Delay before a proxy or a collector reconnects.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
@@ -273,7 +273,7 @@
     pub after_drain: Arc<AtomicU64>,
     /// Orders that violate the protocol.
     pub invalid_orders: Arc<AtomicU64>,
-    /// Results of single requests, once [`RequestCounters::keep_results`] was called.
+    /// Results of single requests, once [`RequestCounters::retain_results`] was called.
     pub results: Arc<Mutex<Option<Vec<RequestResult>>>>,
 }
 
@@ -291,18 +291,18 @@
 }
 
 /// Maximum number of retained results: one hour of the small fleet.
-const MAX_KEPT_RESULTS: usize = 2_000_000;
+const MAX_RETAINED_RESULTS: usize = 2_000_000;
 
 impl RequestCounters {
     /// Starts to retain the result of each request; discards results retained earlier.
-    pub fn keep_results(&self) {
+    pub fn retain_results(&self) {
         *lock(&self.results) = Some(Vec::new());
     }
 
     fn record(&self, result: RequestResult) {
         if let Some(results) = lock(&self.results)
             .as_mut()
-            .filter(|results| results.len() < MAX_KEPT_RESULTS)
+            .filter(|results| results.len() < MAX_RETAINED_RESULTS)
         {
             results.push(result);
         }
@@ -318,8 +318,8 @@
 }
 
 impl Fleet {
-    /// Starts `servers` servers in each zone. Creates `proxies` proxies in total, each with `rate` requests per second, which
-    /// are idle until [`Fleet::start_traffic`].
+    /// Starts `servers` servers in each zone. Creates `proxies` proxies in total, each with `rate` requests per second,
+    /// which are idle until [`Fleet::start_traffic`].
     pub async fn start(servers: usize, proxies: u32, rate: f64, seed: u64) -> Arc<Self> {
         let conditions = Arc::new(Conditions {
             partitioned_zones: Mutex::default(),
@@ -401,8 +401,8 @@
         )
     }
 
-    /// Describes the rule violations that proxies and servers observed so far. Attempts without a server to pick count only
-    /// beyond `max_without_server`, since a table may be empty for a moment.
+    /// Describes the rule violations that proxies and servers observed so far. Attempts without a server to pick count
+    /// only beyond `max_without_server`, since a table may be empty for a moment.
     pub fn rule_violations(&self, max_without_server: u64) -> Vec<String> {
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let counters = &self.counters;
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,9 +1,9 @@
-//! Emulators of a supervisor's peers (discovery, servers, proxies, collectors) on loopback addresses with ephemeral ports,
-//! and a harness that starts the supervisor program. Tests start them one by one; [`fleet`] emulates a small fleet with
-//! injected faults, [`script`] plays fault scripts against it and records the ground truth.
+//! Emulators of a supervisor's peers (discovery, servers, proxies, collectors) on loopback addresses with ephemeral
+//! ports, and a harness that starts the supervisor program. Tests start them one by one; [`fleet`] emulates a small
+//! fleet with injected faults, [`script`] runs fault scripts against it and records the ground truth.
 //!
-//! They follow the protocol in `docs/architecture.md` and are meant for tests and demonstrations: an emulator panics on an
-//! unexpected error.
+//! They follow the protocol in `docs/architecture.md` and are meant for tests and demonstrations: an emulator panics on
+//! an unexpected error.
 
 pub mod discovery;
 pub mod fleet;
--- a/crates/emulators/src/peer.rs
+++ b/crates/emulators/src/peer.rs
@@ -99,12 +99,12 @@
             .await;
     }
 
-    /// Sends a line of a watch.
+    /// Sends a line of a watch as one chunk.
     pub async fn send_watch_line(&mut self, line: &str) {
         self.send_chunk(&format!("{line}\n")).await;
     }
 
-    /// Reads until the connection closes.
+    /// Returns all unread data up to the close of the connection, as lossy UTF-8.
     pub async fn read_to_end(&mut self) -> String {
         let mut rest = Vec::new();
         let _ = wait_for(
--- a/crates/emulators/src/predict.rs
+++ b/crates/emulators/src/predict.rs
@@ -1,6 +1,6 @@
 //! Compares the fleet model with the real program: runs the program with the emulated fleet on loopback, and checks the
-//! measured metrics against the model's prediction intervals. The parameters of the model are the constants of the
-//! emulators, none comes from a measurement.
+//! observed metrics against the model's prediction intervals. The model's parameters are the constants of the
+//! emulators, not results of a run.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -101,7 +101,7 @@
     fn scenario(&self) -> Result<Scenario, String> {
         let total_servers = 2 * self.servers;
         let share = |count: usize| count as f64 / total_servers as f64;
-        let trouble_text = |(from, to, fault): &(u64, u64, InjectedFault)| {
+        let fault_text = |(from, to, fault): &(u64, u64, InjectedFault)| {
             let times = format!("at_s: {from} length_s: {}", to - from);
             match fault {
                 InjectedFault::FailServers(count) => {
@@ -127,7 +127,7 @@
                 }
             }
         };
-        let troubles: Vec<String> = self.faults.iter().map(trouble_text).collect();
+        let fault_texts: Vec<String> = self.faults.iter().map(fault_text).collect();
         // Work is uniformly distributed between 0.5 and 1.5 times 20 ms; timers fire up to 1 ms late.
         let text = format!(
             "name: {:?} seconds: {CASE_LENGTH_S} zone: 'a' zone: 'b'\n\
@@ -143,7 +143,7 @@
              probes {{ work_ms: 2 most_per_core: 1000 deep: true }} rules {{ unserved_s: 5 drain_grace_s: 2 }}\n{}",
             self.name,
             f64::from(PROXIES) * self.rate,
-            troubles.join("\n")
+            fault_texts.join("\n")
         );
         scenario::read(&text).map_err(|faults| {
             faults
@@ -175,7 +175,7 @@
     ]
 }
 
-/// Runs a case on loopback with the program, and returns the measured metrics.
+/// Runs a case on loopback with the program, and returns the observed metrics.
 pub async fn measure(
     case: &ComparisonCase,
     program: &Path,
@@ -192,7 +192,7 @@
     .await;
     let fleet = std::sync::Arc::clone(&deployment.fleet);
     let started = Instant::now();
-    fleet.counters().keep_results();
+    fleet.counters().retain_results();
     let mut injections: Vec<(u64, bool, InjectedFault)> = case
         .faults
         .iter()
@@ -202,8 +202,8 @@
     // Spreads the affected servers over both zones.
     let server_name = |number: usize| format!("s-{}{}", ["a", "b"][number % 2], number / 2 + 1);
     let mut failing: Vec<(String, Instant)> = Vec::new();
-    let mut shut_out_times: Vec<f64> = Vec::new();
-    let (mut recovering, mut restore_times): (Vec<(String, Instant)>, Vec<f64>) =
+    let mut exclusion_times_s: Vec<f64> = Vec::new();
+    let (mut recovering, mut recovery_times_s): (Vec<(String, Instant)>, Vec<f64>) =
         (Vec::new(), Vec::new());
     let mut pending_injections = injections.into_iter().peekable();
     while started.elapsed() < Duration::from_secs(CASE_LENGTH_S) {
@@ -248,14 +248,14 @@
         failing.retain(|(server, since)| {
             let is_picked = picks.iter().any(|names| names.contains(server));
             if !is_picked {
-                shut_out_times.push(since.elapsed().as_secs_f64());
+                exclusion_times_s.push(since.elapsed().as_secs_f64());
             }
             is_picked
         });
         recovering.retain(|(server, since)| {
             let is_picked = picks.iter().any(|names| names.contains(server));
             if is_picked {
-                restore_times.push(since.elapsed().as_secs_f64());
+                recovery_times_s.push(since.elapsed().as_secs_f64());
             }
             !is_picked
         });
@@ -297,8 +297,8 @@
     let quantile = |share: f64| times.get((share * times.len() as f64) as usize).copied();
     let refused = counted.iter().filter(|result| result.is_rejected).count() as f64
         / counted.len().max(1) as f64;
-    let shut_out_s = (!shut_out_times.is_empty())
-        .then(|| shut_out_times.iter().sum::<f64>() / shut_out_times.len() as f64);
+    let shut_out_s = (!exclusion_times_s.is_empty())
+        .then(|| exclusion_times_s.iter().sum::<f64>() / exclusion_times_s.len() as f64);
     vec![
         ("service lookup", Some(service(0))),
         ("service order", Some(service(1))),
@@ -309,13 +309,13 @@
         ("shut out s", shut_out_s),
         (
             "restored s",
-            (!restore_times.is_empty())
-                .then(|| restore_times.iter().sum::<f64>() / restore_times.len() as f64),
+            (!recovery_times_s.is_empty())
+                .then(|| recovery_times_s.iter().sum::<f64>() / recovery_times_s.len() as f64),
         ),
     ]
 }
 
-/// A metric of a case, as predicted and as measured.
+/// A metric of a case: prediction and observation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     /// As in [`Metrics`].
@@ -324,12 +324,12 @@
     pub predicted: f64,
     /// Half the width of the prediction interval.
     pub half_width: f64,
-    /// NaN if the measurement does not have the metric.
+    /// Observed value; NaN if the run with the program does not have the metric.
     pub measured: f64,
 }
 
 impl Row {
-    /// Whether the measured value lies within the prediction interval.
+    /// Whether the observed value is inside the prediction interval.
     pub fn is_within_interval(&self) -> bool {
         (self.measured - self.predicted).abs() <= self.half_width
     }
@@ -343,8 +343,8 @@
         .collect())
 }
 
-/// Compares the predictions for a case with the measurement. A metric that only one of them has yields a row outside its
-/// interval.
+/// Compares the predictions for a case with the observed metrics. A metric that only one of them has yields a row
+/// outside its interval.
 pub fn compare(predicted: &[Metrics], measured: &Metrics) -> Vec<Row> {
     let row = |(index, (name, value)): (usize, &(&'static str, Option<f64>))| {
         let predictions: Vec<f64> = predicted.iter().filter_map(|run| run[index].1).collect();
@@ -367,8 +367,8 @@
     measured.iter().enumerate().filter_map(row).collect()
 }
 
-/// Returns the interval in which one more run is expected: by Student's t, for a single value instead of the mean, widened by
-/// the resolution.
+/// Returns the interval in which one more run is expected: by Student's t, for a single value instead of the mean,
+/// widened by the resolution.
 fn prediction_interval(name: &'static str, predictions: &[f64], measured: f64) -> Row {
     let estimate = interval(predictions, CONFIDENCE);
     let single_run_half_width = estimate.half * (estimate.runs as f64 + 1.0).sqrt();
--- a/crates/emulators/src/script.rs
+++ b/crates/emulators/src/script.rs
@@ -1,5 +1,5 @@
-//! Fault scripts for the small fleet: an incident with every kind of fault that the report must show, and recurring small
-//! faults for the demo.
+//! Fault scripts for the small fleet: an incident with every kind of fault that the report must show, and recurring
+//! small faults for the demo.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -219,8 +219,8 @@
         codes
     }
 
-    /// Plays an incident with every kind of fault, about 75 s long. Terminates the supervisors, saves the ground truth, and
-    /// returns the exit codes.
+    /// Runs an incident with every kind of fault, about 75 s long. Terminates the supervisors, saves the ground truth,
+    /// and returns the exit codes.
     pub async fn run_incident(&mut self) -> Vec<Option<i32>> {
         let seconds = |n| sleep(Duration::from_secs(n));
         let (drained, failing, partitioned_zone) = ("s-a1", "s-b2", "b");
@@ -305,7 +305,7 @@
         codes
     }
 
-    /// Injects small faults in turn, for as long as it is polled.
+    /// Injects small faults in turn until the future is dropped.
     pub async fn inject_recurring_faults(&mut self) {
         let servers = ["s-b3", "s-a4", "s-b1", "s-a2"];
         let seconds = |n| sleep(Duration::from_secs(n));
--- a/crates/emulators/src/scripted.rs
+++ b/crates/emulators/src/scripted.rs
@@ -1,5 +1,5 @@
-//! Listener that a test controls step by step, as discovery agent or as server: it accepts a connection, reads a request,
-//! and responds completely, partially or not at all.
+//! Listener that a test controls step by step, as discovery agent or as server: it accepts a connection, reads a
+//! request, and responds completely, partially or not at all.
 
 use std::net::SocketAddr;
 
--- a/crates/emulators/src/truth.rs
+++ b/crates/emulators/src/truth.rs
@@ -127,16 +127,16 @@
     Ok(())
 }
 
-/// Longest delay of an event after its injection, in microseconds: covers the delays of discovery, ticks, delayed reports
-/// and a loaded machine.
+/// Longest delay of an event after its injection, in microseconds: covers the delays of discovery, ticks, delayed
+/// reports and a loaded machine.
 const MAX_DELAY_US: i64 = 6_000_000;
-/// Longest lead of an event before its injection, in microseconds; small, since both use the clock of one machine and the
-/// injection is logged first.
+/// Longest lead of an event before its injection, in microseconds; small, since both use the clock of one machine and
+/// the injection is logged first.
 const MAX_LEAD_US: i64 = 50_000;
 
 /// Compares the recorded events of these supervisors with the ground truth. Returns descriptions of the differences:
-/// injected events that are not recorded, recorded events that were not injected, crashes that no gap marks, and events out
-/// of order.
+/// injected events that are not recorded, recorded events that were not injected, crashes that no gap marks, and events
+/// out of order.
 pub fn compare(
     truth: &[GroundTruthEntry],
     events: &[Event],
