--- a/crates/emulators/src/predict/tests.rs
+++ b/crates/emulators/src/predict/tests.rs
@@ -8,8 +8,8 @@
         .collect();
     let rows = |measured| compare(&runs, &vec![("refused", measured)]);
     let half_width = rows(Some(0.92))[0].half_width;
-    // Student's t for 2 degrees of freedom is 4.303, the standard deviation 0.02, the factor for one more run sqrt(1 +
-    // 1/3).
+    // Student's t for 2 degrees of freedom is 4.303, the standard deviation is 0.02. The factor for one more run is
+    // sqrt(1 + 1/3).
     assert!(
         (half_width - (4.303 * 0.02 * (4.0f64 / 3.0).sqrt() + 0.003)).abs() < 1e-3,
         "{half_width}"
