--- a/crates/emulators/src/truth.rs
+++ b/crates/emulators/src/truth.rs
@@ -29,7 +29,7 @@
     Demand { factor: f64 },
     /// A proxy's stream was closed.
     Broken { proxy: u32 },
-    /// Reports of a zone's collectors are delayed.
+    /// Reports of a zone's collectors are delayed by this time in milliseconds; 0 ends the delay.
     Late { zone: String, ms: u64 },
     /// Discovery stops sending on watches, or resumes.
     Mute { on: bool },
