--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,19 +1,20 @@
-//! A model of the fleet: clients that give up and come again, front ends with tables, servers with cores and queues, ways,
-//! collectors, discovery, the supervisors' channels. It drives the real engine and decision module in virtual time, many
-//! times faster than the clock; the same scenario and seed give the same run to the bit. No I/O, no clock.
+//! A deterministic discrete event simulator of a fleet: clients with timeouts and retries, proxies with tables, servers with
+//! cores and queues, network links, collectors, discovery, and the channels of the supervisors. It runs the real engine and
+//! decision module in virtual time, much faster than real time. Equal scenarios and seeds give bit-identical results. It does
+//! no I/O and reads no clock.
 //!
-//! What it models and where its figures come from is told in docs/model.md.
+//! docs/model.md describes what is modelled and the sources of the figures.
 
-pub mod chance;
-pub mod front;
+mod fault;
 pub mod measure;
+pub mod proxy;
 pub mod queue;
+pub mod random;
 pub mod rules;
 pub mod scenario;
 pub mod server;
 pub mod sim;
 pub mod supervisor;
-mod trouble;
 
 pub use measure::Outcome;
 pub use scenario::Scenario;
--- a/crates/model/src/measure.rs
+++ b/crates/model/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a run gives: service as the operators define it, answer times, what it cost, and the rules.
+//! Results of a run: service level as the operators define it, response times, costs, and broken rules.
 
 use std::collections::BTreeMap;
 
@@ -6,247 +6,255 @@
 use hdrhistogram::Histogram;
 
 use crate::rules::BrokenRule;
-use crate::scenario::{Scenario, Service};
+use crate::scenario::{Scenario, ServiceWeights};
 
-/// Seconds of a span over which nines are counted.
-const NINES_SPAN: usize = 5;
-/// Longest answer time that is told apart, in microseconds: ten minutes.
-const TIME_MOST_US: u64 = 600_000_000;
+/// Length of the spans over which nines are computed, in seconds.
+const NINES_SPAN_S: usize = 5;
+/// Highest response time of the histograms, in microseconds: ten minutes.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// How one request ended.
+/// Final outcome of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// Answered so many microseconds after its client first came.
+pub enum RequestOutcome {
+    /// Answered; microseconds since the client first sent it.
     Answered(u64),
-    /// Turned away by a level, and its client gave up.
+    /// Rejected by an admission level, and the client retried no more.
     Refused,
-    /// Its client gave up, or it failed for good.
+    /// Failed or timed out, and the client retried no more.
     Failed,
 }
 
-/// What came of one class.
+/// Results of one class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassOutcome {
-    /// Its name.
+    /// Name of the class, as in the scenario.
     pub name: String,
-    /// Requests that came.
+    /// Requests that ended, counting each with its retries once.
     pub requests: u64,
-    /// Share of its worth that was answered in time.
+    /// Share of the offered priority weight that was served; 1 without requests.
     pub service: f64,
-    /// Share that was refused, and that failed.
+    /// Share of the requests that was rejected by an admission level.
     pub refused: f64,
-    /// Share that failed.
+    /// Share of the requests that failed.
     pub failed: f64,
-    /// Answer times in milliseconds: half, nine tenths, 99 and 99.9 of a hundred lie below.
+    /// Response times in milliseconds: the 50th, 90th, 99th and 99.9th percentile.
     pub quantiles_ms: [f64; 4],
 }
 
-/// One second of a run.
+/// One second of a run; requests count in the second of their arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Second {
-    /// Worth that was asked for.
+    /// Sum of the priority weights of all requests.
     pub offered: f64,
-    /// Worth that was answered in time.
+    /// Sum of the priority weights that were served: in full within the latency objective, in part until the deadline.
     pub served: f64,
-    /// Requests waiting at servers at its end.
+    /// Requests queued at servers at the end of the second.
     pub queue: f64,
-    /// Lines waiting in the fullest channel at its end, as a share of what may wait.
+    /// Lines queued in the fullest channel at the end of the second, as a share of the maximum backlog.
     pub backlog: f64,
 }
 
-/// A supervisor changed its level of service.
+/// A change of a supervisor's service level.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LevelChange {
-    /// When, in seconds since the run began.
+    /// Time in seconds since the start of the run.
     pub at_s: f64,
-    /// Which supervisor.
+    /// Index of the supervisor.
     pub supervisor: usize,
-    /// What changed, and why.
+    /// The new level and the condition that was met.
     pub change: LevelTransition,
 }
 
-/// What a run gives.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Figures by name, all shares, milliseconds or counts as the name says.
+    /// Figures by name; shares, milliseconds, seconds or counts.
     pub figures: BTreeMap<String, f64>,
-    /// By class.
+    /// Results by class, in the order of the scenario.
     pub classes: Vec<ClassOutcome>,
-    /// By second.
+    /// Results by second since the start of the run.
     pub seconds: Vec<Second>,
-    /// Rules that were broken.
+    /// Broken rules, each with its first violation.
     pub broken_rules: Vec<BrokenRule>,
-    /// Events that were handled.
+    /// Number of simulated events.
     pub events: u64,
-    /// When each server that a trouble struck was first left by all front ends, by the trouble's number: seconds after.
+    /// Seconds from the start of a fault until no proxy could select an affected server any more; one entry for each such server.
     pub shut_out_s: Vec<f64>,
-    /// When each of these that was left was first picked again, in seconds after its trouble ended.
+    /// Seconds from the end of a fault until a proxy could select an affected server again; one entry for each such server.
     pub restored_s: Vec<f64>,
-    /// Changes of the level of service, in the order of time.
+    /// Changes of service levels, in order of time.
     pub level_changes: Vec<LevelChange>,
 }
 
 impl Outcome {
-    /// Service as the operators define it.
+    /// Returns the service level as the operators define it, from 0 to 1.
     pub fn service(&self) -> f64 {
         self.figure("service")
     }
 
-    /// A figure by name; 0 where there is none.
+    /// Returns a figure by name; 0 if the run has none.
     pub fn figure(&self, name: &str) -> f64 {
         self.figures.get(name).copied().unwrap_or(0.0)
     }
 }
 
-struct Tally {
+struct ClassCounts {
     requests: u64,
     offered: f64,
     served: f64,
     refused: u64,
     failed: u64,
-    times: Histogram<u64>,
+    latencies: Histogram<u64>,
 }
 
-/// Counts while a run goes on.
-pub struct Meter {
-    classes: Vec<Tally>,
+/// Metrics that are collected during a run.
+pub struct Metrics {
+    classes: Vec<ClassCounts>,
     seconds: Vec<Second>,
     counts: BTreeMap<&'static str, f64>,
-    tops: BTreeMap<&'static str, f64>,
+    maxima: BTreeMap<&'static str, f64>,
     shut_out_s: Vec<f64>,
     restored_s: Vec<f64>,
-    changes: Vec<LevelChange>,
+    level_changes: Vec<LevelChange>,
 }
 
-fn times() -> Histogram<u64> {
-    // Two digits over ten minutes always fit.
-    Histogram::new_with_bounds(1, TIME_MOST_US, 2)
+fn latency_histogram() -> Histogram<u64> {
+    // Two significant digits up to ten minutes are within the limits of the histogram.
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 2)
         .unwrap_or_else(|_| unreachable!("bounds are constant"))
 }
 
-impl Meter {
-    /// For a scenario, nothing counted.
+impl Metrics {
+    /// Creates empty metrics for the classes and seconds of a scenario.
     pub fn new(scenario: &Scenario) -> Self {
-        let tally = |_| Tally {
+        let class_counts = |_| ClassCounts {
             requests: 0,
             offered: 0.0,
             served: 0.0,
             refused: 0,
             failed: 0,
-            times: times(),
+            latencies: latency_histogram(),
         };
-        Meter {
-            classes: scenario.classes.iter().map(tally).collect(),
+        Metrics {
+            classes: scenario.classes.iter().map(class_counts).collect(),
             seconds: vec![Second::default(); (scenario.duration_us / 1_000_000) as usize + 1],
             counts: BTreeMap::new(),
-            tops: BTreeMap::new(),
+            maxima: BTreeMap::new(),
             shut_out_s: Vec::new(),
             restored_s: Vec::new(),
-            changes: Vec::new(),
+            level_changes: Vec::new(),
         }
     }
 
-    /// A level of service changed.
-    pub fn changed(&mut self, change: LevelChange) {
-        self.changes.push(change);
+    /// Records a change of a service level.
+    pub fn record_level_change(&mut self, change: LevelChange) {
+        self.level_changes.push(change);
     }
 
-    /// Adds to a count.
-    pub fn count(&mut self, name: &'static str, by: f64) {
-        *self.counts.entry(name).or_default() += by;
+    /// Adds to a counter.
+    pub fn add(&mut self, name: &'static str, amount: f64) {
+        *self.counts.entry(name).or_default() += amount;
     }
 
-    /// Keeps the highest.
-    pub fn top(&mut self, name: &'static str, value: f64) {
-        let top = self.tops.entry(name).or_default();
-        *top = top.max(value);
+    /// Raises a maximum to a value that is higher.
+    pub fn record_max(&mut self, name: &'static str, value: f64) {
+        let max = self.maxima.entry(name).or_default();
+        *max = max.max(value);
     }
 
-    /// A struck server was left by all front ends so many seconds after.
-    pub fn shut_out(&mut self, seconds: f64) {
+    /// Records the seconds from the start of a fault until no proxy could select an affected server any more.
+    pub fn record_shut_out(&mut self, seconds: f64) {
         self.shut_out_s.push(seconds);
     }
 
-    /// A server that was left is picked again, so many seconds after its trouble ended.
-    pub fn restored(&mut self, seconds: f64) {
+    /// Records the seconds from the end of a fault until a proxy could select an affected server again.
+    pub fn record_restored(&mut self, seconds: f64) {
         self.restored_s.push(seconds);
     }
 
-    /// How things stand at the end of a second.
-    pub fn stands(&mut self, second: usize, queue: f64, backlog: f64) {
+    /// Records the requests queued at servers, and the backlog of the fullest channel, at the end of a second.
+    pub fn record_second_end(&mut self, second: usize, queue: f64, backlog: f64) {
         if let Some(of) = self.seconds.get_mut(second) {
             (of.queue, of.backlog) = (queue, backlog);
         }
     }
 
-    /// A request that came at a time has ended.
-    pub fn ended(&mut self, scenario: &Scenario, class: usize, came_us: u64, ending: Ending) {
+    /// Records the outcome of a request; `arrived_us` is the time since the start of the run.
+    pub fn record_request(
+        &mut self,
+        scenario: &Scenario,
+        class: usize,
+        arrived_us: u64,
+        request_outcome: RequestOutcome,
+    ) {
         let of = &scenario.classes[class];
-        let tally = &mut self.classes[class];
-        tally.requests += 1;
-        tally.offered += of.worth;
-        let served = match ending {
-            Ending::Answered(us) => {
-                tally.times.saturating_record(us.max(1));
-                match us {
-                    us if us <= of.aim_us => of.worth,
-                    us if us <= of.deadline_us => of.worth * of.late_worth,
+        let class_counts = &mut self.classes[class];
+        class_counts.requests += 1;
+        class_counts.offered += of.priority_weight;
+        let served = match request_outcome {
+            RequestOutcome::Answered(latency_us) => {
+                class_counts.latencies.saturating_record(latency_us.max(1));
+                match latency_us {
+                    latency_us if latency_us <= of.latency_objective_us => of.priority_weight,
+                    latency_us if latency_us <= of.deadline_us => {
+                        of.priority_weight * of.late_share
+                    }
                     _ => 0.0,
                 }
             }
-            Ending::Refused => {
-                tally.refused += 1;
+            RequestOutcome::Refused => {
+                class_counts.refused += 1;
                 0.0
             }
-            Ending::Failed => {
-                tally.failed += 1;
+            RequestOutcome::Failed => {
+                class_counts.failed += 1;
                 0.0
             }
         };
-        tally.served += served;
-        if let Some(second) = self.seconds.get_mut((came_us / 1_000_000) as usize) {
-            second.offered += of.worth;
+        class_counts.served += served;
+        if let Some(second) = self.seconds.get_mut((arrived_us / 1_000_000) as usize) {
+            second.offered += of.priority_weight;
             second.served += served;
         }
     }
 
-    /// All that was counted.
+    /// Computes the results of the run.
     pub fn finish(self, scenario: &Scenario, broken: Vec<BrokenRule>, events: u64) -> Outcome {
-        let Meter {
+        let Metrics {
             classes,
             mut seconds,
             counts,
-            tops,
+            maxima,
             shut_out_s,
             restored_s,
-            changes,
+            level_changes,
         } = self;
-        let mut figures = service(&seconds, &classes, &scenario.service);
-        let mut put = |name: &str, value: f64| {
+        let mut figures = service_figures(&seconds, &classes, &scenario.service);
+        let mut insert = |name: &str, value: f64| {
             figures.insert(name.to_string(), value);
         };
-        let came: f64 = classes
+        let request_count: f64 = classes
             .iter()
             .map(|class| class.requests as f64)
             .sum::<f64>()
             .max(1.0);
-        put(
+        insert(
             "refused",
             classes
                 .iter()
                 .map(|class| class.refused as f64)
                 .sum::<f64>()
-                / came,
+                / request_count,
         );
-        put(
+        insert(
             "failed",
-            classes.iter().map(|class| class.failed as f64).sum::<f64>() / came,
+            classes.iter().map(|class| class.failed as f64).sum::<f64>() / request_count,
         );
-        put("came", came);
-        let mut all = times();
+        insert("came", request_count);
+        let mut all_latencies = latency_histogram();
         for class in &classes {
-            // Histograms of the same bounds always add.
-            let _ = all.add(&class.times);
+            // Never fails: the histograms have the same bounds.
+            let _ = all_latencies.add(&class.latencies);
         }
         for (name, quantile) in [
             ("p50_ms", 0.5),
@@ -254,44 +262,45 @@
             ("p99_ms", 0.99),
             ("p999_ms", 0.999),
         ] {
-            put(name, all.value_at_quantile(quantile) as f64 / 1e3);
+            insert(name, all_latencies.value_at_quantile(quantile) as f64 / 1e3);
         }
-        let per_first = |name: &str| counts.get(name).copied().unwrap_or(0.0) / came;
-        put("tries", per_first("tries"));
-        put("comings", per_first("comings"));
-        put("crossing", per_first("crossing"));
-        put("connects", per_first("connects"));
-        put("probes", per_first("probes"));
+        let per_request = |name: &str| counts.get(name).copied().unwrap_or(0.0) / request_count;
+        insert("tries", per_request("tries"));
+        insert("comings", per_request("comings"));
+        insert("crossing", per_request("crossing"));
+        insert("connects", per_request("connects"));
+        insert("probes", per_request("probes"));
         let offered = counts.get("offered_ms").copied().unwrap_or(0.0).max(1e-9);
-        put(
+        insert(
             "wasted",
             counts.get("wasted_ms").copied().unwrap_or(0.0) / offered,
         );
         let length_s = scenario.duration_us as f64 / 1e6;
-        let pace = scenario.lines_per_s * scenario.supervisors as f64 * length_s.max(1e-9);
-        put(
+        let channel_lines =
+            scenario.channel_lines_per_s * scenario.supervisors as f64 * length_s.max(1e-9);
+        insert(
             "channel",
-            counts.get("lines").copied().unwrap_or(0.0) / pace,
+            counts.get("lines").copied().unwrap_or(0.0) / channel_lines,
         );
-        put("backlog", tops.get("backlog").copied().unwrap_or(0.0));
-        put("queue", tops.get("queue").copied().unwrap_or(0.0));
-        put(
+        insert("backlog", maxima.get("backlog").copied().unwrap_or(0.0));
+        insert("queue", maxima.get("queue").copied().unwrap_or(0.0));
+        insert(
             "connections",
-            tops.get("connections").copied().unwrap_or(0.0),
+            maxima.get("connections").copied().unwrap_or(0.0),
         );
-        put("changes", changes.len() as f64);
-        put(
+        insert("changes", level_changes.len() as f64);
+        insert(
             "rules",
             broken.iter().map(|of| of.times).sum::<u64>() as f64,
         );
         if !shut_out_s.is_empty() {
-            put(
+            insert(
                 "shut_out_s",
                 shut_out_s.iter().sum::<f64>() / shut_out_s.len() as f64,
             );
         }
         if !restored_s.is_empty() {
-            put(
+            insert(
                 "restored_s",
                 restored_s.iter().sum::<f64>() / restored_s.len() as f64,
             );
@@ -312,28 +321,28 @@
             events,
             shut_out_s,
             restored_s,
-            level_changes: changes,
+            level_changes,
         }
     }
 }
 
-impl Tally {
+impl ClassCounts {
     fn outcome(&self, name: &str) -> ClassOutcome {
-        let came = (self.requests as f64).max(1.0);
+        let request_count = (self.requests as f64).max(1.0);
         ClassOutcome {
             name: name.to_string(),
             requests: self.requests,
-            service: share(self.served, self.offered),
-            refused: self.refused as f64 / came,
-            failed: self.failed as f64 / came,
+            service: ratio(self.served, self.offered),
+            refused: self.refused as f64 / request_count,
+            failed: self.failed as f64 / request_count,
             quantiles_ms: [0.5, 0.9, 0.99, 0.999]
-                .map(|at| self.times.value_at_quantile(at) as f64 / 1e3),
+                .map(|at| self.latencies.value_at_quantile(at) as f64 / 1e3),
         }
     }
 }
 
-/// A share; of nothing asked for all was served.
-fn share(served: f64, offered: f64) -> f64 {
+/// Returns the ratio of served to offered weight; 1 if nothing was offered.
+fn ratio(served: f64, offered: f64) -> f64 {
     if offered > 0.0 {
         served / offered
     } else {
@@ -341,35 +350,39 @@
     }
 }
 
-fn sums(seconds: &[Second]) -> (f64, f64) {
+fn sum_weights(seconds: &[Second]) -> (f64, f64) {
     seconds.iter().fold((0.0, 0.0), |(served, offered), of| {
         (served + of.served, offered + of.offered)
     })
 }
 
-fn service(seconds: &[Second], classes: &[Tally], by: &Service) -> BTreeMap<String, f64> {
-    let (served, offered) = sums(seconds);
-    let whole = share(served, offered);
-    let window = by.window_s.min(seconds.len()).max(1);
+fn service_figures(
+    seconds: &[Second],
+    classes: &[ClassCounts],
+    weights: &ServiceWeights,
+) -> BTreeMap<String, f64> {
+    let (served, offered) = sum_weights(seconds);
+    let overall = ratio(served, offered);
+    let window = weights.window_s.min(seconds.len()).max(1);
     let windows = seconds
         .windows(window)
-        .map(sums)
+        .map(sum_weights)
         .filter(|(_, offered)| *offered > 0.0);
     let worst_window = windows
         .map(|(served, offered)| served / offered)
         .fold(1.0, f64::min);
-    let asked_for = classes.iter().filter(|class| class.offered > 0.0);
-    let worst_class = asked_for
+    let with_requests = classes.iter().filter(|class| class.offered > 0.0);
+    let worst_class = with_requests
         .map(|class| class.served / class.offered)
         .fold(1.0, f64::min);
     let spans: Vec<f64> = seconds
-        .chunks(NINES_SPAN)
-        .map(sums)
+        .chunks(NINES_SPAN_S)
+        .map(sum_weights)
         .filter(|(_, offered)| *offered > 0.0)
         .map(|(served, offered)| {
-            let lost = (1.0 - served / offered).max(0.0);
-            if lost > 0.0 {
-                (-lost.log10() / by.nines_full).clamp(0.0, 1.0)
+            let lost_share = (1.0 - served / offered).max(0.0);
+            if lost_share > 0.0 {
+                (-lost_share.log10() / weights.nines_full).clamp(0.0, 1.0)
             } else {
                 1.0
             }
@@ -381,19 +394,19 @@
         spans.iter().sum::<f64>() / spans.len() as f64
     };
     let parts = [
-        (by.whole, whole),
-        (by.worst_window, worst_window),
-        (by.worst_class, worst_class),
-        (by.nines, nines),
+        (weights.overall, overall),
+        (weights.worst_window, worst_window),
+        (weights.worst_class, worst_class),
+        (weights.nines, nines),
     ];
-    let weights: f64 = parts.iter().map(|(weight, _)| weight).sum();
-    let service = share(
+    let weight_sum: f64 = parts.iter().map(|(weight, _)| weight).sum();
+    let service = ratio(
         parts.iter().map(|(weight, value)| weight * value).sum(),
-        weights,
+        weight_sum,
     );
     let named = [
         ("service", service),
-        ("whole", whole),
+        ("whole", overall),
         ("worst_window", worst_window),
         ("worst_class", worst_class),
         ("nines", nines),
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -1,19 +1,19 @@
-//! Events in the order of their times. Two queues that give the same order: a plain heap, and one made for this job, in which
-//! most events lie less than a few seconds ahead and many are only milliseconds away: a wheel of narrow slots, a wheel of
-//! wide ones, and a heap for what lies beyond.
+//! Event queues, ordered by time. Two implementations pop events in the same order: a binary heap, and a hierarchical timing
+//! wheel. Most events of the simulation are less than a few seconds ahead and many only milliseconds, so the wheel has a
+//! level of narrow slots, a level of wide slots (pages) and a heap for later events.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A queue of events: by time, and of one time in the order in which they were put in.
-pub trait Queue<T> {
-    /// Puts an event in. A time that has passed counts as now.
-    fn push(&mut self, at: u64, what: T);
-    /// Takes the next event out.
+/// A queue of events in order of time; events of the same time are in insertion order.
+pub trait EventQueue<T> {
+    /// Inserts an event at a time in microseconds. A time before that of the last popped event is replaced by that time.
+    fn push(&mut self, at_us: u64, event: T);
+    /// Removes the next event and returns it with its time in microseconds.
     fn pop(&mut self) -> Option<(u64, T)>;
-    /// How many wait.
+    /// Returns the number of queued events.
     fn len(&self) -> usize;
-    /// Whether none waits.
+    /// Returns whether no event is queued.
     fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -21,17 +21,17 @@
 
 #[derive(Debug)]
 struct Entry<T> {
-    at: u64,
+    at_us: u64,
     seq: u64,
-    what: T,
+    event: T,
 }
 
 impl<T> Entry<T> {
     fn key(&self) -> (u64, u64) {
-        (self.at, self.seq)
+        (self.at_us, self.seq)
     }
     fn slot(&self) -> u64 {
-        self.at >> GRAIN_BITS
+        self.at_us >> SLOT_WIDTH_BITS
     }
     fn page(&self) -> u64 {
         self.slot() >> WHEEL_BITS
@@ -52,45 +52,45 @@
     }
 }
 
-/// The earliest is the greatest, as the heap wants it.
+/// Reversed: `BinaryHeap` is a max-heap, and the earliest entry must come first.
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> Ordering {
         other.key().cmp(&self.key())
     }
 }
 
-/// A binary heap: what the wheel is measured against.
+/// A binary heap; the reference implementation for tests and benchmarks.
 #[derive(Debug)]
-pub struct Plain<T> {
+pub struct HeapQueue<T> {
     heap: BinaryHeap<Entry<T>>,
     seq: u64,
-    now: u64,
+    now_us: u64,
 }
 
-impl<T> Default for Plain<T> {
+impl<T> Default for HeapQueue<T> {
     fn default() -> Self {
-        Plain {
+        HeapQueue {
             heap: BinaryHeap::new(),
             seq: 0,
-            now: 0,
+            now_us: 0,
         }
     }
 }
 
-impl<T> Queue<T> for Plain<T> {
-    fn push(&mut self, at: u64, what: T) {
+impl<T> EventQueue<T> for HeapQueue<T> {
+    fn push(&mut self, at_us: u64, event: T) {
         self.seq += 1;
         self.heap.push(Entry {
-            at: at.max(self.now),
+            at_us: at_us.max(self.now_us),
             seq: self.seq,
-            what,
+            event,
         });
     }
 
     fn pop(&mut self) -> Option<(u64, T)> {
-        let Entry { at, what, .. } = self.heap.pop()?;
-        self.now = at;
-        Some((at, what))
+        let Entry { at_us, event, .. } = self.heap.pop()?;
+        self.now_us = at_us;
+        Some((at_us, event))
     }
 
     fn len(&self) -> usize {
@@ -98,31 +98,31 @@
     }
 }
 
-/// Microseconds of a narrow slot, as a power of two: 64. Some tens of events lie in one at the largest sizes.
-const GRAIN_BITS: u32 = 6;
-/// Slots of a wheel, as a power of two: 1,024 narrow ones are 65 ms, 1,024 wide ones 67 s.
+/// Width of a narrow slot in microseconds, as a power of two: 64 us. The largest fleets have some tens of events in one.
+const SLOT_WIDTH_BITS: u32 = 6;
+/// Slots of a wheel, as a power of two: 1,024 narrow slots span 65 ms, 1,024 wide ones 67 s.
 const WHEEL_BITS: u32 = 10;
-const WHEEL: usize = 1 << WHEEL_BITS;
-const MASK: u64 = (WHEEL - 1) as u64;
-const WORDS: usize = WHEEL / 64;
+const WHEEL_SLOTS: usize = 1 << WHEEL_BITS;
+const WHEEL_MASK: u64 = (WHEEL_SLOTS - 1) as u64;
+const BITMAP_WORDS: usize = WHEEL_SLOTS / 64;
 
-/// Which slots hold something.
+/// The set of nonempty slots of a wheel.
 #[derive(Clone, Debug)]
-struct Bits([u64; WORDS]);
+struct SlotBitmap([u64; BITMAP_WORDS]);
 
-impl Bits {
-    fn set(&mut self, at: usize) {
-        self.0[at / 64] |= 1 << (at % 64);
+impl SlotBitmap {
+    fn set(&mut self, slot: usize) {
+        self.0[slot / 64] |= 1 << (slot % 64);
     }
 
-    fn clear(&mut self, at: usize) {
-        self.0[at / 64] &= !(1 << (at % 64));
+    fn clear(&mut self, slot: usize) {
+        self.0[slot / 64] &= !(1 << (slot % 64));
     }
 
-    /// The first slot from this one on that holds something.
-    fn from(&self, at: usize) -> Option<usize> {
-        let first = at / 64;
-        let own = self.0.get(first)? & (u64::MAX << (at % 64));
+    /// Returns the first nonempty slot at or after this one.
+    fn first_from(&self, slot: usize) -> Option<usize> {
+        let first = slot / 64;
+        let own = self.0.get(first)? & (u64::MAX << (slot % 64));
         let rest = self
             .0
             .iter()
@@ -136,47 +136,47 @@
     }
 }
 
-/// The queue made for the job.
+/// A two-level timing wheel with an overflow heap.
 #[derive(Debug)]
-pub struct Wheel<T> {
-    /// What lies in the slot that is being emptied, or before it; the next one last.
+pub struct WheelQueue<T> {
+    /// Entries of the current slot and earlier ones, in descending order.
     current: Vec<Entry<T>>,
-    /// That slot.
+    /// Number of the current narrow slot, counted from time 0.
     slot: u64,
     near: Vec<Vec<Entry<T>>>,
-    near_full: Bits,
+    near_occupied: SlotBitmap,
     far: Vec<Vec<Entry<T>>>,
-    far_full: Bits,
-    beyond: BinaryHeap<Entry<T>>,
+    far_occupied: SlotBitmap,
+    overflow: BinaryHeap<Entry<T>>,
     seq: u64,
-    now: u64,
+    now_us: u64,
     len: usize,
 }
 
-impl<T> Default for Wheel<T> {
+impl<T> Default for WheelQueue<T> {
     fn default() -> Self {
-        let wheel = || std::iter::repeat_with(Vec::new).take(WHEEL).collect();
-        Wheel {
+        let wheel = || std::iter::repeat_with(Vec::new).take(WHEEL_SLOTS).collect();
+        WheelQueue {
             current: Vec::new(),
             slot: 0,
             near: wheel(),
-            near_full: Bits([0; WORDS]),
+            near_occupied: SlotBitmap([0; BITMAP_WORDS]),
             far: wheel(),
-            far_full: Bits([0; WORDS]),
-            beyond: BinaryHeap::new(),
+            far_occupied: SlotBitmap([0; BITMAP_WORDS]),
+            overflow: BinaryHeap::new(),
             seq: 0,
-            now: 0,
+            now_us: 0,
             len: 0,
         }
     }
 }
 
-impl<T> Wheel<T> {
+impl<T> WheelQueue<T> {
     fn page(&self) -> u64 {
         self.slot >> WHEEL_BITS
     }
 
-    fn place(&mut self, entry: Entry<T>) {
+    fn insert(&mut self, entry: Entry<T>) {
         let (slot, page) = (entry.slot(), entry.page());
         if slot <= self.slot {
             let at = self
@@ -184,24 +184,24 @@
                 .partition_point(|known| known.key() > entry.key());
             self.current.insert(at, entry);
         } else if page == self.page() {
-            let at = (slot & MASK) as usize;
+            let at = (slot & WHEEL_MASK) as usize;
             self.near[at].push(entry);
-            self.near_full.set(at);
-        } else if page - self.page() < WHEEL as u64 {
-            let at = (page & MASK) as usize;
+            self.near_occupied.set(at);
+        } else if page - self.page() < WHEEL_SLOTS as u64 {
+            let at = (page & WHEEL_MASK) as usize;
             self.far[at].push(entry);
-            self.far_full.set(at);
+            self.far_occupied.set(at);
         } else {
-            self.beyond.push(entry);
+            self.overflow.push(entry);
         }
     }
 
-    /// Moves on to the next slot that holds something; whether there is one.
+    /// Advances to the next nonempty slot; returns whether there is one.
     fn advance(&mut self) -> bool {
-        let next = (self.slot & MASK) as usize + 1;
-        if let Some(at) = self.near_full.from(next) {
+        let next = (self.slot & WHEEL_MASK) as usize + 1;
+        if let Some(at) = self.near_occupied.first_from(next) {
             self.slot = (self.page() << WHEEL_BITS) | at as u64;
-            self.near_full.clear(at);
+            self.near_occupied.clear(at);
             std::mem::swap(&mut self.current, &mut self.near[at]);
             self.current
                 .sort_unstable_by_key(|entry| std::cmp::Reverse(entry.key()));
@@ -211,47 +211,47 @@
             return false;
         };
         self.slot = page << WHEEL_BITS;
-        let at = (page & MASK) as usize;
-        self.far_full.clear(at);
-        let mut here = std::mem::take(&mut self.far[at]);
-        here.drain(..).for_each(|entry| self.place(entry));
-        // The room stays with its slot.
-        self.far[at] = here;
+        let at = (page & WHEEL_MASK) as usize;
+        self.far_occupied.clear(at);
+        let mut entries = std::mem::take(&mut self.far[at]);
+        entries.drain(..).for_each(|entry| self.insert(entry));
+        // Reuses the allocation.
+        self.far[at] = entries;
         while self
-            .beyond
+            .overflow
             .peek()
-            .is_some_and(|entry| entry.page() < page + WHEEL as u64)
+            .is_some_and(|entry| entry.page() < page + WHEEL_SLOTS as u64)
         {
-            if let Some(entry) = self.beyond.pop() {
-                self.place(entry);
+            if let Some(entry) = self.overflow.pop() {
+                self.insert(entry);
             }
         }
         true
     }
 
-    /// The next wide slot that holds something, in either the wheel or the heap.
+    /// Returns the next nonempty page of the far wheel or the heap.
     fn next_page(&self) -> Option<u64> {
         let page = self.page();
-        let own = (page & MASK) as usize;
-        let ahead = |at: usize| page + ((at as u64).wrapping_sub(own as u64) & MASK);
+        let own = (page & WHEEL_MASK) as usize;
+        let ahead = |at: usize| page + ((at as u64).wrapping_sub(own as u64) & WHEEL_MASK);
         let far = self
-            .far_full
-            .from(own + 1)
-            .or_else(|| self.far_full.from(0))
+            .far_occupied
+            .first_from(own + 1)
+            .or_else(|| self.far_occupied.first_from(0))
             .map(ahead);
-        let beyond = self.beyond.peek().map(Entry::page);
-        far.into_iter().chain(beyond).min()
+        let overflow = self.overflow.peek().map(Entry::page);
+        far.into_iter().chain(overflow).min()
     }
 }
 
-impl<T> Queue<T> for Wheel<T> {
-    fn push(&mut self, at: u64, what: T) {
+impl<T> EventQueue<T> for WheelQueue<T> {
+    fn push(&mut self, at_us: u64, event: T) {
         self.seq += 1;
         self.len += 1;
-        self.place(Entry {
-            at: at.max(self.now),
+        self.insert(Entry {
+            at_us: at_us.max(self.now_us),
             seq: self.seq,
-            what,
+            event,
         });
     }
 
@@ -261,10 +261,10 @@
                 return None;
             }
         }
-        let Entry { at, what, .. } = self.current.pop()?;
-        self.now = at;
+        let Entry { at_us, event, .. } = self.current.pop()?;
+        self.now_us = at_us;
         self.len -= 1;
-        Some((at, what))
+        Some((at_us, event))
     }
 
     fn len(&self) -> usize {
--- a/crates/model/src/queue/tests.rs
+++ b/crates/model/src/queue/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Times ahead in every part of the queue: now, this slot, this wheel, the far one, beyond it.
-fn ahead() -> impl Strategy<Value = u64> {
+/// Delays that end in each part of the wheel queue: now, the current slot, the near wheel, the far wheel, the overflow heap.
+fn delay_us() -> impl Strategy<Value = u64> {
     prop_oneof![
         Just(0),
         0..64u64,
@@ -14,31 +14,31 @@
 }
 
 proptest! {
-    /// Danger: an event that comes too early, too late, never, or before one of the same time that was put in first.
+    /// Guards against events that are popped too early, too late or never, or out of insertion order at the same time.
     #[test]
-    fn both_queues_give_the_same_order(steps in proptest::collection::vec((ahead(), 0..3u8), 1..400)) {
-        let (mut plain, mut wheel) = (Plain::default(), Wheel::default());
+    fn both_queues_pop_in_the_same_order(steps in proptest::collection::vec((delay_us(), 0..3u8), 1..400)) {
+        let (mut heap, mut wheel) = (HeapQueue::default(), WheelQueue::default());
         let mut now = 0;
-        for (number, (ahead, pops)) in steps.into_iter().enumerate() {
-            plain.push(now + ahead, number);
-            wheel.push(now + ahead, number);
+        for (event, (delay_us, pops)) in steps.into_iter().enumerate() {
+            heap.push(now + delay_us, event);
+            wheel.push(now + delay_us, event);
             for _ in 0..pops {
-                let (one, other) = (plain.pop(), wheel.pop());
-                prop_assert_eq!(one, other);
-                now = one.map_or(now, |(at, _)| at);
+                let (expected, actual) = (heap.pop(), wheel.pop());
+                prop_assert_eq!(expected, actual);
+                now = expected.map_or(now, |(at, _)| at);
             }
-            prop_assert_eq!(plain.len(), wheel.len());
+            prop_assert_eq!(heap.len(), wheel.len());
         }
-        while let Some(one) = plain.pop() {
-            prop_assert_eq!(Some(one), wheel.pop());
+        while let Some(expected) = heap.pop() {
+            prop_assert_eq!(Some(expected), wheel.pop());
         }
         prop_assert!(wheel.pop().is_none() && wheel.is_empty());
     }
 }
 
 #[test]
-fn a_time_that_has_passed_counts_as_now() {
-    let mut wheel = Wheel::default();
+fn an_event_in_the_past_is_due_at_the_current_time() {
+    let mut wheel = WheelQueue::default();
     wheel.push(1_000_000, 'a');
     assert_eq!(wheel.pop(), Some((1_000_000, 'a')));
     wheel.push(5, 'b');
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -1,124 +1,132 @@
-//! The five rules, checked by the model's own code on what front ends and servers really do, not on what was ordered.
+//! The five rules that every run must keep. They are checked independently of the decision module, on what proxies and
+//! servers do rather than on the orders.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use chutegrade_policy::Idempotency;
 
-/// A rule.
+/// A rule; the order is that of the outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Nobody is left without a server.
+    /// A proxy must not be left without a server for a class for long while a warm one is listed.
     Unserved,
-    /// No effect happens twice.
-    Twice,
-    /// Drains are kept.
+    /// A request that is not idempotent must not be executed twice.
+    DuplicateExecution,
+    /// A draining or removed server must get no requests after the drain grace.
     Drain,
-    /// No cold server is pushed over.
-    Cold,
-    /// The queue is short.
-    Queue,
+    /// A warming up server must not be overloaded by proxies that know of its start.
+    WarmUp,
+    /// The backlog of a supervisor's channel, and the messages to one proxy, must stay within their limits.
+    Backlog,
 }
 
 impl Rule {
-    /// The word for it.
+    /// Returns the name that reports use.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Unserved => "unserved",
-            Rule::Twice => "twice",
+            Rule::DuplicateExecution => "twice",
             Rule::Drain => "drain",
-            Rule::Cold => "cold",
-            Rule::Queue => "queue",
+            Rule::WarmUp => "cold",
+            Rule::Backlog => "queue",
         }
     }
 }
 
-/// A rule that was broken.
+/// A rule that was broken during a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BrokenRule {
-    /// Which.
+    /// The broken rule.
     pub rule: Rule,
-    /// How often.
+    /// Number of violations.
     pub times: u64,
-    /// When first, in seconds.
+    /// Time of the first violation, in seconds since the start of the run.
     pub at_s: f64,
-    /// How, the first time.
+    /// Description of the first violation.
     pub description: String,
 }
 
-/// What was broken so far.
+/// Violations so far, by rule.
 #[derive(Debug, Default)]
-pub struct Rules(BTreeMap<Rule, BrokenRule>);
+pub struct BrokenRules(BTreeMap<Rule, BrokenRule>);
 
-/// Part of the work sent to a cold server that must come from front ends that know of its start, for the rule to be broken.
-const KNOWING: f64 = 2.0 / 3.0;
-/// Requests of mean work that may come by chance beyond what a cold server is sure to take.
-const CHANCE: f64 = 4.0;
+/// Minimum share of the work sent to a warming up server that must come from proxies that know of its start, for the rule
+/// to be broken.
+const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
+/// Requests of mean work that random arrivals may add to the limit of a warming up server.
+const RANDOM_EXCESS_REQUESTS: f64 = 4.0;
 
-impl Rules {
-    /// A rule was broken.
-    pub fn broken(&mut self, rule: Rule, now: u64, how: impl FnOnce() -> String) {
+impl BrokenRules {
+    /// Counts a violation; `describe` is called for the first of a rule only.
+    pub fn record(&mut self, rule: Rule, now_us: u64, describe: impl FnOnce() -> String) {
         let first = || BrokenRule {
             rule,
             times: 0,
-            at_s: now as f64 / 1e6,
-            description: how(),
+            at_s: now_us as f64 / 1e6,
+            description: describe(),
         };
         self.0.entry(rule).or_insert_with(first).times += 1;
     }
 
-    /// All that were broken.
+    /// Returns the broken rules, in the order of [`Rule`].
     pub fn finish(self) -> Vec<BrokenRule> {
         self.0.into_values().collect()
     }
 }
 
-/// Whether a front end may send a request again: `ran` tells when a try that may have run was first sent, if there was one.
-pub fn may_repeat(effect: Idempotency, ran: Option<u64>, now: u64) -> bool {
-    match (effect, ran) {
+/// Returns whether a proxy may repeat a request. `maybe_executed_us` is when the first attempt that may have been executed
+/// was sent, if there was one.
+pub fn may_repeat(idempotency: Idempotency, maybe_executed_us: Option<u64>, now_us: u64) -> bool {
+    match (idempotency, maybe_executed_us) {
         (Idempotency::Idempotent, _) | (_, None) => true,
-        (Idempotency::Keyed(_, window), Some(sent)) => {
-            now.saturating_sub(sent) <= window.0.max(0) as u64
+        (Idempotency::Keyed(_, window), Some(sent_us)) => {
+            now_us.saturating_sub(sent_us) <= window.0.max(0) as u64
         }
         (Idempotency::NotIdempotent, Some(_)) => false,
     }
 }
 
-/// How a cold server stands after more work was sent to it.
+/// Load of a warming up server in relation to its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cold {
-    /// It stands.
-    Stands,
-    /// It falls over, for work of which front ends could not know better.
-    Falls,
-    /// It falls over, and they knew.
-    Pushed,
+pub enum WarmUpLoad {
+    /// Within the limit.
+    Tolerated,
+    /// Above the limit, but too little of the work is from proxies that know of its start.
+    Overloaded,
+    /// Above the limit, with work from proxies that know of its start.
+    KnowinglyOverloaded,
 }
 
-/// Counts work sent to a cold server within the window, in milliseconds, and tells whether it falls.
-pub fn sent_cold(
+/// Adds work sent to a warming up server, in milliseconds, to that of the window, and compares the sum with its limit: a
+/// multiple of the server's capacity over the window.
+pub fn check_warm_up_load(
     sent: &mut VecDeque<(u64, f64, bool)>,
-    (now, work_ms, knowing): (u64, f64, bool),
+    (now_us, work_ms, is_informed): (u64, f64, bool),
     capacity: f64,
-    (multiple, window_us, mean_ms): (f64, u64, f64),
-) -> Cold {
-    sent.push_back((now, work_ms, knowing));
-    while sent.front().is_some_and(|(at, ..)| at + window_us < now) {
+    (multiple, window_us, mean_work_ms): (f64, u64, f64),
+) -> WarmUpLoad {
+    sent.push_back((now_us, work_ms, is_informed));
+    while sent
+        .front()
+        .is_some_and(|(sent_us, ..)| sent_us + window_us < now_us)
+    {
         sent.pop_front();
     }
-    let sum: f64 = sent.iter().map(|(_, work, _)| work).sum();
-    let most = multiple * capacity * window_us as f64 / 1e3 + CHANCE * mean_ms;
-    if sum <= most {
-        return Cold::Stands;
+    let total: f64 = sent.iter().map(|(_, work_ms, _)| work_ms).sum();
+    let limit =
+        multiple * capacity * window_us as f64 / 1e3 + RANDOM_EXCESS_REQUESTS * mean_work_ms;
+    if total <= limit {
+        return WarmUpLoad::Tolerated;
     }
-    let known: f64 = sent
+    let informed_sum: f64 = sent
         .iter()
-        .filter(|(.., knowing)| *knowing)
-        .map(|(_, work, _)| work)
+        .filter(|(.., is_informed)| *is_informed)
+        .map(|(_, work_ms, _)| work_ms)
         .sum();
-    if known >= KNOWING * sum {
-        Cold::Pushed
+    if informed_sum >= MIN_INFORMED_SHARE * total {
+        WarmUpLoad::KnowinglyOverloaded
     } else {
-        Cold::Falls
+        WarmUpLoad::Overloaded
     }
 }
 
--- a/crates/model/src/rules/tests.rs
+++ b/crates/model/src/rules/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn repeats_are_judged_by_effect_and_window() {
+fn repeats_depend_on_idempotency_and_window() {
     let keyed = Idempotency::Keyed(DeduplicationScope::All, Micros(1000));
     assert!(
         may_repeat(Idempotency::Idempotent, Some(0), 9999)
@@ -14,26 +14,34 @@
 }
 
 #[test]
-fn a_cold_server_falls_at_its_multiple_and_the_rule_asks_who_knew() {
-    let by = (3.0, 1_000_000, 10.0);
-    // A core and a half may be sent 4.5 s of work in a second, and 40 ms by chance.
-    let push = |knowing: bool, more: f64| {
+fn a_warming_up_server_is_overloaded_above_its_limit_and_the_rule_depends_on_informed_proxies() {
+    let limits = (3.0, 1_000_000, 10.0);
+    // The limit at a capacity of 1.5 is 4.5 s of work in a second, and 40 ms for random arrivals.
+    let load_after = |is_informed: bool, more_ms: f64| {
         let mut sent = VecDeque::new();
         assert_eq!(
-            sent_cold(&mut sent, (0, 4000.0, knowing), 1.5, by),
-            Cold::Stands
+            check_warm_up_load(&mut sent, (0, 4000.0, is_informed), 1.5, limits),
+            WarmUpLoad::Tolerated
         );
-        sent_cold(&mut sent, (500_000, more, knowing), 1.5, by)
+        check_warm_up_load(&mut sent, (500_000, more_ms, is_informed), 1.5, limits)
     };
     assert_eq!(
-        (push(true, 540.0), push(true, 541.0), push(false, 541.0)),
-        (Cold::Stands, Cold::Pushed, Cold::Falls)
+        (
+            load_after(true, 540.0),
+            load_after(true, 541.0),
+            load_after(false, 541.0)
+        ),
+        (
+            WarmUpLoad::Tolerated,
+            WarmUpLoad::KnowinglyOverloaded,
+            WarmUpLoad::Overloaded
+        )
     );
     let mut sent = VecDeque::new();
-    sent_cold(&mut sent, (0, 4000.0, true), 1.5, by);
+    check_warm_up_load(&mut sent, (0, 4000.0, true), 1.5, limits);
     assert_eq!(
-        sent_cold(&mut sent, (1_000_001, 4000.0, true), 1.5, by),
-        Cold::Stands,
+        check_warm_up_load(&mut sent, (1_000_001, 4000.0, true), 1.5, limits),
+        WarmUpLoad::Tolerated,
         "the window has passed"
     );
 }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -1,31 +1,31 @@
-//! Scenarios: read from protobuf text format after `proto/model.proto`, checked whole, and turned into plain data in which
-//! every figure is given. Where the figures that hold for what is not said come from is told in docs/model.md.
+//! Scenarios: read from the protobuf text format with the schema `proto/model.proto`, validated as a whole, and converted to
+//! plain data with all defaults filled in. docs/model.md states the sources of the defaults.
 
 use chutegrade_policy::{self as policy, Micros};
 use chutegrade_textproto::{find_field, TextError};
 use prost::Message as _;
 
-/// The types of the schema, as generated.
+/// Generated types of the schema.
 #[allow(missing_docs, clippy::all)]
 pub mod pb {
     include!(concat!(env!("OUT_DIR"), "/chutegrade.model.v1.rs"));
 }
 
-pub use pb::trouble::Sort;
+pub use pb::trouble::Sort as FaultKind;
 pub use pb::{Cancel, Pick};
 
-/// The encoded schema, for readers of messages that hold scenarios.
+/// The encoded schema, for readers of messages that contain scenarios.
 pub const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/model.bin"));
 const MESSAGE: &str = "chutegrade.model.v1.Scenario";
 
-/// Servers and front ends at most: what the wire's numbers hold, and what fits in memory.
-const SIZE_MOST: u32 = 60_000;
-/// Longest run, in seconds: a day.
-const SECONDS_MOST: f64 = 86_400.0;
-/// Zones, classes, kinds and troubles at most.
-const PARTS_MOST: usize = 32;
-/// Requests a second at most.
-const RATE_MOST: f64 = 1e6;
+/// Maximum number of servers, and of proxies: bounded by the integer types on the wire and by memory.
+const MAX_COUNT: u32 = 60_000;
+/// Maximum duration of a run, in seconds: one day.
+const MAX_SECONDS: f64 = 86_400.0;
+/// Maximum number of zones, of classes, of kinds and of faults.
+const MAX_LIST_LENGTH: usize = 32;
+/// Maximum request rate, per second.
+const MAX_RATE: f64 = 1e6;
 
 /// Servers of one kind.
 #[derive(Clone, Debug, PartialEq)]
@@ -38,18 +38,18 @@
     pub speed_cv: f64,
     pub slots: usize,
     pub queue: usize,
-    pub cold_from: f64,
-    pub cold_us: u64,
+    pub slow_start_share: f64,
+    pub slow_start_us: u64,
     pub connections: u32,
     pub handshake_ms: f64,
     pub error_rate: f64,
     pub cancel: Cancel,
     pub thrash: f64,
     pub thrash_at: f64,
-    pub full_tax: f64,
+    pub max_connection_overhead: f64,
 }
 
-/// A class of requests.
+/// A class of requests. `late_share` is the share of the priority weight that a response after the latency objective counts.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub struct Class {
@@ -57,34 +57,34 @@
     pub share: f64,
     pub work_ms: f64,
     pub work_cv: f64,
-    pub try_cv: f64,
-    pub aim_us: u64,
+    pub attempt_cv: f64,
+    pub latency_objective_us: u64,
     pub deadline_us: u64,
-    pub worth: f64,
-    pub late_worth: f64,
-    pub effect: policy::Idempotency,
-    pub home_only: bool,
+    pub priority_weight: f64,
+    pub late_share: f64,
+    pub idempotency: policy::Idempotency,
+    pub zone_local: bool,
 }
 
-/// A trouble.
+/// A fault to inject, from `from_us` to `to_us` after the start; `proto/model.proto` defines `size` and `extra` by kind.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
-pub struct Trouble {
-    pub sort: Sort,
+pub struct Fault {
+    pub kind: FaultKind,
     pub from_us: u64,
     pub to_us: u64,
-    pub part: f64,
+    pub share: f64,
     pub size: f64,
     pub extra: f64,
     pub zone: Option<usize>,
     pub ramp_us: u64,
 }
 
-/// How service is counted.
+/// Weights of the parts of the service figure, and the parameters of these parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[allow(missing_docs)]
-pub struct Service {
-    pub whole: f64,
+pub struct ServiceWeights {
+    pub overall: f64,
     pub worst_window: f64,
     pub worst_class: f64,
     pub nines: f64,
@@ -92,7 +92,7 @@
     pub window_s: usize,
 }
 
-/// A scenario with every figure given. Times in microseconds unless the name says otherwise; shares lie between 0 and 1.
+/// A scenario with all defaults filled in. Times are in microseconds unless the name has another unit; shares are from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub struct Scenario {
@@ -102,94 +102,94 @@
     pub kinds: Vec<Kind>,
     pub classes: Vec<Class>,
     pub rate: f64,
-    pub points: Vec<(f64, f64)>,
+    pub demand_points: Vec<(f64, f64)>,
     pub zone_skew: f64,
     pub client_retries: u32,
-    pub client_try_share: f64,
+    pub client_timeout_share: f64,
     pub client_backoff_us: f64,
     pub client_backoff_growth: f64,
     pub proxies: usize,
     pub pick: Pick,
-    pub avoids_after: u32,
-    pub avoids_us: u64,
-    pub standing: usize,
-    pub first_wait: f64,
-    pub usual_retry: policy::Retry,
-    pub admits: bool,
-    pub notice_us: u64,
-    pub redial_us: u64,
-    pub apply_us: f64,
+    pub ejection_threshold: u32,
+    pub ejection_us: u64,
+    pub initial_table_size: usize,
+    pub attempt_timeout_factor: f64,
+    pub default_retry: policy::Retry,
+    pub applies_admission: bool,
+    pub stream_loss_detection_us: u64,
+    pub reconnect_us: u64,
+    pub apply_us_per_line: f64,
     pub rehome_us: u64,
     pub supervisors: usize,
     pub tick_us: u64,
-    pub lines_per_s: f64,
-    pub head: f64,
-    pub way_us: f64,
-    pub way_most_us: f64,
-    pub backlog: f64,
-    pub messages_most: usize,
+    pub channel_lines_per_s: f64,
+    pub message_overhead: f64,
+    pub delivery_delay_us: f64,
+    pub max_delivery_delay_us: f64,
+    pub max_backlog: f64,
+    pub max_messages: usize,
     pub load_reports: bool,
-    pub load_with_answers: bool,
-    pub refresh_us: u64,
-    pub period_us: u64,
-    pub reports_late_us: u64,
-    pub intake_per_s: f64,
-    pub reports_noise: f64,
-    pub list_least_us: f64,
-    pub list_most_us: f64,
-    pub list_silent_us: f64,
-    pub same_us: f64,
-    pub cross_us: f64,
-    pub client_way_us: f64,
+    pub load_with_responses: bool,
+    pub load_refresh_us: u64,
+    pub report_period_us: u64,
+    pub report_delay_us: u64,
+    pub report_intake_per_s: f64,
+    pub report_noise: f64,
+    pub min_discovery_delay_us: f64,
+    pub max_discovery_delay_us: f64,
+    pub silent_failure_detection_us: f64,
+    pub same_zone_us: f64,
+    pub cross_zone_us: f64,
+    pub client_link_us: f64,
     pub jitter: f64,
     pub connect_timeout_us: u64,
     pub idle_close_us: u64,
-    pub probes: bool,
-    pub probe_ms: f64,
-    pub probe_timeout_us: u64,
-    pub probes_per_core: f64,
-    pub probes_deep: bool,
-    pub unserved_us: u64,
+    pub health_checks_allowed: bool,
+    pub health_check_work_ms: f64,
+    pub health_check_timeout_us: u64,
+    pub max_health_checks_per_core: f64,
+    pub deep_health_checks: bool,
+    pub max_unserved_us: u64,
     pub drain_grace_us: u64,
-    pub fall_multiple: f64,
-    pub fall_us: u64,
-    pub service: Service,
-    pub troubles: Vec<Trouble>,
+    pub overload_multiple: f64,
+    pub overload_window_us: u64,
+    pub service: ServiceWeights,
+    pub faults: Vec<Fault>,
 }
 
-/// Reads a scenario as written; only the form is checked.
+/// Parses a scenario without validating its values.
 pub fn parse(text: &str) -> Result<pb::Scenario, TextError> {
     chutegrade_textproto::parse(SCHEMA, MESSAGE, text)
 }
 
-/// Reads and checks a scenario; all faults at once.
+/// Parses and validates a scenario; returns all errors, with their positions.
 pub fn read(text: &str) -> Result<Scenario, Vec<TextError>> {
-    let written = parse(text).map_err(|wrong| vec![wrong])?;
+    let written = parse(text).map_err(|error| vec![error])?;
     Scenario::try_from(&written).map_err(|faults| {
         faults
             .into_iter()
-            .map(|(field, said)| TextError {
+            .map(|(field, message)| TextError {
                 position: find_field(text, field),
-                message: said,
+                message,
             })
             .collect()
     })
 }
 
-/// A scenario as text, one field a line.
+/// Formats a scenario as text, one field per line.
 pub fn write(scenario: &pb::Scenario) -> String {
     chutegrade_textproto::write(SCHEMA, MESSAGE, scenario).unwrap_or_default()
 }
 
-/// A scenario with a change: single fields are replaced, lists grow.
+/// Merges a change into a copy of a scenario: singular fields are replaced, repeated fields are appended.
 pub fn with_change(scenario: &pb::Scenario, change: &pb::Scenario) -> pb::Scenario {
-    let mut changed = scenario.clone();
-    // What this very schema wrote it can read.
-    let _ = changed.merge(change.encode_to_vec().as_slice());
-    changed
+    let mut combined = scenario.clone();
+    // Never fails: the bytes were encoded with the same schema.
+    let _ = combined.merge(change.encode_to_vec().as_slice());
+    combined
 }
 
-/// A digest of all that a scenario says.
+/// Returns a digest of the scenario as written: the first 16 hex digits of the BLAKE3 hash of its encoding.
 pub fn digest(scenario: &pb::Scenario) -> String {
     blake3::hash(&scenario.encode_to_vec())
         .to_hex()
@@ -199,262 +199,272 @@
         .to_string()
 }
 
-/// A field and what is wrong with it.
-pub type Said = (&'static str, String);
+/// Name of an invalid field, and the error message.
+pub type FieldError = (&'static str, String);
 
-struct Checker(Vec<Said>);
+struct Checker(Vec<FieldError>);
 
 impl Checker {
-    fn fault(&mut self, field: &'static str, said: impl Into<String>) {
-        self.0.push((field, said.into()));
+    fn report(&mut self, field: &'static str, message: impl Into<String>) {
+        self.0.push((field, message.into()));
     }
 
-    /// A figure, or what holds without it; it must lie between two bounds.
+    /// Returns a field's value or its default, and reports a value outside the bounds.
     fn figure(
         &mut self,
         field: &'static str,
         given: Option<f64>,
-        usual: f64,
-        least: f64,
-        most: f64,
+        default: f64,
+        min: f64,
+        max: f64,
     ) -> f64 {
-        let value = given.unwrap_or(usual);
-        if !(least..=most).contains(&value) {
-            self.fault(
+        let value = given.unwrap_or(default);
+        if !(min..=max).contains(&value) {
+            self.report(
                 field,
-                format!("{field} is {value}: give a figure from {least} to {most}"),
+                format!("{field} is {value}, must be from {min} to {max}"),
             );
         }
         value
     }
 
-    fn share(&mut self, field: &'static str, given: Option<f64>, usual: f64) -> f64 {
-        self.figure(field, given, usual, 0.0, 1.0)
+    fn share(&mut self, field: &'static str, given: Option<f64>, default: f64) -> f64 {
+        self.figure(field, given, default, 0.0, 1.0)
     }
 
-    fn us(&mut self, field: &'static str, given: Option<f64>, usual: f64, unit: f64) -> u64 {
-        (self.figure(field, given, usual, 0.0, SECONDS_MOST * 1e6 / unit) * unit) as u64
+    fn us(&mut self, field: &'static str, given: Option<f64>, default: f64, unit: f64) -> u64 {
+        (self.figure(field, given, default, 0.0, MAX_SECONDS * 1e6 / unit) * unit) as u64
     }
 
     fn count(
         &mut self,
         field: &'static str,
         given: Option<u32>,
-        usual: u32,
-        least: u32,
-        most: u32,
+        default: u32,
+        min: u32,
+        max: u32,
     ) -> usize {
         self.figure(
             field,
             given.map(f64::from),
-            usual.into(),
-            least.into(),
-            most.into(),
+            default.into(),
+            min.into(),
+            max.into(),
         ) as usize
     }
 
     fn names<'a>(&mut self, field: &'static str, names: impl Iterator<Item = &'a str>) {
         let mut seen = std::collections::BTreeSet::new();
-        let twice: Vec<&str> = names.filter(|name| !seen.insert(*name)).collect();
-        if let Some(name) = twice.first() {
-            self.fault(field, format!("{name:?} is named twice"));
+        let duplicates: Vec<&str> = names.filter(|name| !seen.insert(*name)).collect();
+        if let Some(name) = duplicates.first() {
+            self.report(field, format!("duplicate name {name:?}"));
         }
-        if seen.len() > PARTS_MOST {
-            self.fault(
+        if seen.len() > MAX_LIST_LENGTH {
+            self.report(
                 field,
-                format!("{} are too many: at most {PARTS_MOST}", seen.len()),
+                format!(
+                    "{} entries, at most {MAX_LIST_LENGTH} are allowed",
+                    seen.len()
+                ),
             );
         }
     }
 }
 
-const MS: f64 = 1e3;
-const S: f64 = 1e6;
+const US_PER_MS: f64 = 1e3;
+const US_PER_S: f64 = 1e6;
 
-fn kind(c: &mut Checker, of: &pb::Kind, number: usize) -> Kind {
-    let cores = c.count("cores", of.cores, 2, 1, 1024) as f64;
+fn kind(checker: &mut Checker, of: &pb::Kind, number: usize) -> Kind {
+    let cores = checker.count("cores", of.cores, 2, 1, 1024) as f64;
     let per_core = |value: f64| (value * cores).round().max(1.0);
     let slots =
-        per_core(c.figure("slots_per_core", of.slots_per_core, 4.0, 0.1, 10_000.0)) as usize;
-    let queue =
-        (c.figure("queue_per_core", of.queue_per_core, 10.0, 0.0, 1e6) * cores).round() as usize;
+        per_core(checker.figure("slots_per_core", of.slots_per_core, 4.0, 0.1, 10_000.0)) as usize;
+    let queue = (checker.figure("queue_per_core", of.queue_per_core, 10.0, 0.0, 1e6) * cores)
+        .round() as usize;
     Kind {
         name: of
             .name
             .clone()
             .unwrap_or_else(|| format!("kind-{}", number + 1)),
-        servers: c.count("servers", of.servers, 1, 0, SIZE_MOST),
+        servers: checker.count("servers", of.servers, 1, 0, MAX_COUNT),
         cores,
-        speed: c.figure("speed", of.speed, 1.0, 0.001, 1000.0),
-        speed_cv: c.figure("speed_cv", of.speed_cv, 0.15, 0.0, 2.0),
+        speed: checker.figure("speed", of.speed, 1.0, 0.001, 1000.0),
+        speed_cv: checker.figure("speed_cv", of.speed_cv, 0.15, 0.0, 2.0),
         slots,
         queue,
-        cold_from: c.figure("cold_from", of.cold_from, 0.3, 0.01, 1.0),
-        cold_us: c.us("cold_s", of.cold_s, 10.0, S),
-        connections: per_core(c.figure(
+        slow_start_share: checker.figure("cold_from", of.cold_from, 0.3, 0.01, 1.0),
+        slow_start_us: checker.us("cold_s", of.cold_s, 10.0, US_PER_S),
+        connections: per_core(checker.figure(
             "connections_per_core",
             of.connections_per_core,
             110.0,
             1.0,
             1e6,
         )) as u32,
-        handshake_ms: c.figure("handshake_ms", of.handshake_ms, 5.0, 0.0, 10_000.0),
-        error_rate: c.share("error_rate", of.error_rate, 0.0005),
+        handshake_ms: checker.figure("handshake_ms", of.handshake_ms, 5.0, 0.0, 10_000.0),
+        error_rate: checker.share("error_rate", of.error_rate, 0.0005),
         cancel: match of.cancel() {
             Cancel::Unspecified => Cancel::Waiting,
             given => given,
         },
-        thrash: c.figure("thrash", of.thrash, 0.1, 0.0, 100.0),
-        thrash_at: c.figure("thrash_at", of.thrash_at, 5.0, 0.0, 10_000.0),
-        full_tax: c.share("full_tax", of.full_tax, 0.2),
+        thrash: checker.figure("thrash", of.thrash, 0.1, 0.0, 100.0),
+        thrash_at: checker.figure("thrash_at", of.thrash_at, 5.0, 0.0, 10_000.0),
+        max_connection_overhead: checker.share("full_tax", of.full_tax, 0.2),
     }
 }
 
-fn class(c: &mut Checker, of: &pb::Class, number: usize) -> Class {
-    let aim_us = c.us("aim_ms", of.aim_ms, 600.0, MS);
-    let deadline_us = c.us("deadline_ms", of.deadline_ms, 2000.0, MS);
-    if deadline_us < aim_us {
-        c.fault("deadline_ms", "the deadline lies before the aim");
+fn class(checker: &mut Checker, of: &pb::Class, number: usize) -> Class {
+    let latency_objective_us = checker.us("aim_ms", of.aim_ms, 600.0, US_PER_MS);
+    let deadline_us = checker.us("deadline_ms", of.deadline_ms, 2000.0, US_PER_MS);
+    if deadline_us < latency_objective_us {
+        checker.report("deadline_ms", "deadline_ms is less than aim_ms");
     }
-    let window = Micros(c.us("window_ms", of.window_ms, 10_000.0, MS) as i64);
+    let window = Micros(checker.us("window_ms", of.window_ms, 10_000.0, US_PER_MS) as i64);
     Class {
         name: of
             .name
             .clone()
             .unwrap_or_else(|| format!("class-{}", number + 1)),
-        share: c.figure("share", of.share, 1.0, 0.0, 1e6),
-        work_ms: c.figure("work_ms", of.work_ms, 100.0, 0.01, 1e6),
-        work_cv: c.figure("work_cv", of.work_cv, 0.6, 0.0, 10.0),
-        try_cv: c.figure("try_cv", of.try_cv, 0.2, 0.0, 10.0),
-        aim_us,
+        share: checker.figure("share", of.share, 1.0, 0.0, 1e6),
+        work_ms: checker.figure("work_ms", of.work_ms, 100.0, 0.01, 1e6),
+        work_cv: checker.figure("work_cv", of.work_cv, 0.6, 0.0, 10.0),
+        attempt_cv: checker.figure("try_cv", of.try_cv, 0.2, 0.0, 10.0),
+        latency_objective_us,
         deadline_us,
-        worth: c.figure("worth", of.worth, 1.0, 0.0, 1e6),
-        late_worth: c.share("late_worth", of.late_worth, 0.1),
-        effect: match of.effect() {
+        priority_weight: checker.figure("worth", of.worth, 1.0, 0.0, 1e6),
+        late_share: checker.share("late_worth", of.late_worth, 0.1),
+        idempotency: match of.effect() {
             pb::Effect::Keyed => {
                 policy::Idempotency::Keyed(policy::DeduplicationScope::All, window)
             }
             pb::Effect::Unsafe => policy::Idempotency::NotIdempotent,
             pb::Effect::Safe | pb::Effect::Unspecified => policy::Idempotency::Idempotent,
         },
-        home_only: of.home_only.unwrap_or(false),
+        zone_local: of.home_only.unwrap_or(false),
     }
 }
 
-fn trouble(c: &mut Checker, of: &pb::Trouble, zones: &[String]) -> Trouble {
-    if of.sort() == Sort::Unspecified {
-        c.fault("trouble", "a trouble without a sort");
+fn fault(checker: &mut Checker, of: &pb::Trouble, zones: &[String]) -> Fault {
+    if of.sort() == FaultKind::Unspecified {
+        checker.report("trouble", "sort is missing");
     }
     let zone = of.zone.as_ref().and_then(|name| {
         let known = zones.iter().position(|zone| zone == name);
         if known.is_none() {
-            c.fault("trouble", format!("no zone {name:?}"));
+            checker.report("trouble", format!("unknown zone {name:?}"));
         }
         known
     });
-    if matches!(of.sort(), Sort::ZoneLost | Sort::Way) && of.zone.is_none() {
-        c.fault(
+    if matches!(of.sort(), FaultKind::ZoneLost | FaultKind::Way) && of.zone.is_none() {
+        checker.report(
             "trouble",
             format!("{} needs a zone", of.sort().as_str_name()),
         );
     }
-    let from_us = c.us("at_s", of.at_s, 0.0, S);
-    // What a size means without being given: nothing faster than twice as slow, as much again, half of it.
-    let usual = match of.sort() {
-        Sort::FailFast | Sort::Neighbour => 0.5,
-        Sort::FrontEndsStand | Sort::Way => 500.0,
+    let from_us = checker.us("at_s", of.at_s, 0.0, US_PER_S);
+    // Default sizes: a share of one half, 500 ms, a factor of 2, or 2 s.
+    let default = match of.sort() {
+        FaultKind::FailFast | FaultKind::Neighbour => 0.5,
+        FaultKind::FrontEndsStand | FaultKind::Way => 500.0,
         _ => 2.0,
     };
-    let most = if matches!(of.sort(), Sort::FailFast | Sort::Neighbour) {
+    let max = if matches!(of.sort(), FaultKind::FailFast | FaultKind::Neighbour) {
         1.0
     } else {
         1e6
     };
     let extra = match of.sort() {
-        Sort::Neighbour => 2.0,
-        Sort::Heavy => 0.02,
-        Sort::Replace => 8.0,
-        Sort::Handshake => 200.0,
+        FaultKind::Neighbour => 2.0,
+        FaultKind::Heavy => 0.02,
+        FaultKind::Replace => 8.0,
+        FaultKind::Handshake => 200.0,
         _ => 0.0,
     };
-    Trouble {
-        sort: of.sort(),
+    Fault {
+        kind: of.sort(),
         from_us,
-        to_us: from_us + c.us("length_s", of.length_s, 10.0, S),
-        part: c.share("part", of.part, 0.1),
-        size: c.figure("size", of.size, usual, 0.0, most),
-        extra: c.figure("extra", of.extra, extra, 0.0, 1e6),
+        to_us: from_us + checker.us("length_s", of.length_s, 10.0, US_PER_S),
+        share: checker.share("part", of.part, 0.1),
+        size: checker.figure("size", of.size, default, 0.0, max),
+        extra: checker.figure("extra", of.extra, extra, 0.0, 1e6),
         zone,
-        ramp_us: c.us("ramp_s", of.ramp_s, 0.0, S),
+        ramp_us: checker.us("ramp_s", of.ramp_s, 0.0, US_PER_S),
     }
 }
 
-fn points(c: &mut Checker, given: &[pb::Point]) -> Vec<(f64, f64)> {
+fn demand_points(checker: &mut Checker, given: &[pb::Point]) -> Vec<(f64, f64)> {
     let points: Vec<(f64, f64)> = given
         .iter()
-        .map(|point| (point.at_s() * S, point.factor.unwrap_or(1.0)))
+        .map(|point| (point.at_s() * US_PER_S, point.factor.unwrap_or(1.0)))
         .collect();
     if points.windows(2).any(|two| two[0].0 >= two[1].0) {
-        c.fault("point", "points must be given in the order of their times");
+        checker.report("point", "points are not in ascending order of at_s");
     }
     if points
         .iter()
         .any(|(at, factor)| *at < 0.0 || !(0.0..=1000.0).contains(factor))
     {
-        c.fault(
+        checker.report(
             "point",
-            "a point's factor must lie from 0 to 1000, and its time not before the start",
+            "factor must be from 0 to 1000, and at_s must not be negative",
         );
     }
     points
 }
 
 impl TryFrom<&pb::Scenario> for Scenario {
-    type Error = Vec<Said>;
+    type Error = Vec<FieldError>;
 
-    fn try_from(of: &pb::Scenario) -> Result<Self, Vec<Said>> {
-        let c = &mut Checker(Vec::new());
+    fn try_from(of: &pb::Scenario) -> Result<Self, Vec<FieldError>> {
+        let checker = &mut Checker(Vec::new());
         let zones = if of.zone.is_empty() {
             vec!["a".to_string()]
         } else {
             of.zone.clone()
         };
-        c.names("zone", zones.iter().map(String::as_str));
+        checker.names("zone", zones.iter().map(String::as_str));
         let kinds: Vec<Kind> = of
             .kind
             .iter()
             .enumerate()
-            .map(|(n, kind_of)| kind(c, kind_of, n))
+            .map(|(number, pb_kind)| kind(checker, pb_kind, number))
             .collect();
-        c.names("kind", kinds.iter().map(|kind| kind.name.as_str()));
+        checker.names("kind", kinds.iter().map(|kind| kind.name.as_str()));
         let servers: usize = kinds.iter().map(|kind| kind.servers).sum();
-        if servers == 0 || servers > SIZE_MOST as usize {
-            c.fault(
+        if servers == 0 || servers > MAX_COUNT as usize {
+            checker.report(
                 "kind",
-                format!("{servers} servers: give from 1 to {SIZE_MOST}"),
+                format!("{servers} servers, must be from 1 to {MAX_COUNT}"),
             );
         }
         let classes: Vec<Class> = of
             .class
             .iter()
             .enumerate()
-            .map(|(n, class_of)| class(c, class_of, n))
+            .map(|(number, pb_class)| class(checker, pb_class, number))
             .collect();
-        c.names("class", classes.iter().map(|class| class.name.as_str()));
+        checker.names("class", classes.iter().map(|class| class.name.as_str()));
         let shares: f64 = classes.iter().map(|class| class.share).sum();
         if classes.is_empty() || shares <= 0.0 {
-            c.fault("class", "no class that anything comes of");
+            checker.report("class", "no class with a share above 0");
         }
-        if of.trouble.len() > PARTS_MOST {
-            c.fault(
+        if of.trouble.len() > MAX_LIST_LENGTH {
+            checker.report(
                 "trouble",
-                format!("{} are too many: at most {PARTS_MOST}", of.trouble.len()),
+                format!(
+                    "{} entries, at most {MAX_LIST_LENGTH} are allowed",
+                    of.trouble.len()
+                ),
             );
         }
-        let troubles = of.trouble.iter().map(|of| trouble(c, of, &zones)).collect();
+        let faults = of
+            .trouble
+            .iter()
+            .map(|of| fault(checker, of, &zones))
+            .collect();
         let load = of.load.clone().unwrap_or_default();
         let clients = of.clients.unwrap_or_default();
-        let front = of.front_ends.unwrap_or_default();
+        let proxies = of.front_ends.unwrap_or_default();
         let supervisors = of.supervisors.unwrap_or_default();
         let reports = of.reports.unwrap_or_default();
         let discovery = of.discovery.unwrap_or_default();
@@ -462,17 +472,18 @@
         let probes = of.probes.unwrap_or_default();
         let rules = of.rules.unwrap_or_default();
         let service = of.service.unwrap_or_default();
-        let lines_per_s = c.figure("lines_per_s", supervisors.lines_per_s, 9500.0, 1.0, 1e9);
-        let least = c.figure("notice_least_s", discovery.notice_least_s, 0.8, 0.0, 3600.0);
-        let most = c.figure(
+        let lines_per_s = checker.figure("lines_per_s", supervisors.lines_per_s, 9500.0, 1.0, 1e9);
+        let min_notice_s =
+            checker.figure("notice_least_s", discovery.notice_least_s, 0.8, 0.0, 3600.0);
+        let max_notice_s = checker.figure(
             "notice_most_s",
             discovery.notice_most_s,
-            4.0_f64.max(least),
-            least,
+            4.0_f64.max(min_notice_s),
+            min_notice_s,
             3600.0,
         );
-        // Work that comes in a second at a rate of 1, against what all servers do in a second.
-        let work: f64 = classes
+        // Mean work of a request in seconds; the capacity of all servers is in seconds of work per second.
+        let work_s: f64 = classes
             .iter()
             .map(|class| class.share * class.work_ms / 1e3)
             .sum::<f64>()
@@ -481,185 +492,242 @@
             .iter()
             .map(|kind| kind.servers as f64 * kind.cores * kind.speed)
             .sum();
-        let level = c.figure("level", load.level, 0.5, 0.0, 100.0);
+        let level = checker.figure("level", load.level, 0.5, 0.0, 100.0);
         let scenario = Scenario {
             name: of.name.clone().unwrap_or_else(|| "unnamed".to_string()),
-            duration_us: c.us("seconds", of.seconds, 60.0, S),
-            rate: c.figure(
+            duration_us: checker.us("seconds", of.seconds, 60.0, US_PER_S),
+            rate: checker.figure(
                 "rate",
                 load.rate,
-                level * capacity / work.max(1e-9),
+                level * capacity / work_s.max(1e-9),
                 0.0,
-                RATE_MOST,
+                MAX_RATE,
             ),
-            points: points(c, &load.point),
-            zone_skew: c.figure("zone_skew", load.zone_skew, 0.1, 0.0, 0.9),
-            client_retries: c.count("retries", clients.retries, 1, 0, 20) as u32,
-            client_try_share: c.figure("try_share", clients.try_share, 0.7, 0.01, 1.0),
-            client_backoff_us: c.us("backoff_ms", clients.backoff_ms, 100.0, MS) as f64,
-            client_backoff_growth: c.figure(
+            demand_points: demand_points(checker, &load.point),
+            zone_skew: checker.figure("zone_skew", load.zone_skew, 0.1, 0.0, 0.9),
+            client_retries: checker.count("retries", clients.retries, 1, 0, 20) as u32,
+            client_timeout_share: checker.figure("try_share", clients.try_share, 0.7, 0.01, 1.0),
+            client_backoff_us: checker.us("backoff_ms", clients.backoff_ms, 100.0, US_PER_MS)
+                as f64,
+            client_backoff_growth: checker.figure(
                 "backoff_growth",
                 clients.backoff_growth,
                 2.0,
                 1.0,
                 10.0,
             ),
-            proxies: c.count("count", front.count, 6, 1, SIZE_MOST),
-            pick: match front.pick() {
+            proxies: checker.count("count", proxies.count, 6, 1, MAX_COUNT),
+            pick: match proxies.pick() {
                 Pick::Unspecified => Pick::Random,
                 given => given,
             },
-            avoids_after: c.count("avoids_after", front.avoids_after, 3, 0, 1000) as u32,
-            avoids_us: c.us("avoids_s", front.avoids_s, 5.0, S),
-            standing: c.count("standing", front.standing, 8, 1, SIZE_MOST),
-            first_wait: c.figure("first_wait", front.first_wait, 1.0, 0.01, 100.0),
-            usual_retry: match front.usual_retry() {
+            ejection_threshold: checker.count("avoids_after", proxies.avoids_after, 3, 0, 1000)
+                as u32,
+            ejection_us: checker.us("avoids_s", proxies.avoids_s, 5.0, US_PER_S),
+            initial_table_size: checker.count("standing", proxies.standing, 8, 1, MAX_COUNT),
+            attempt_timeout_factor: checker.figure(
+                "first_wait",
+                proxies.first_wait,
+                1.0,
+                0.01,
+                100.0,
+            ),
+            default_retry: match proxies.usual_retry() {
                 pb::Retry::Never => policy::Retry::Never,
                 pb::Retry::Once => policy::Retry::Once,
                 pb::Retry::Twice => policy::Retry::Twice,
                 pb::Retry::Unrun | pb::Retry::Unspecified => policy::Retry::IfNotExecuted,
             },
-            admits: front.admits.unwrap_or(true),
-            notice_us: c.us("notice_ms", front.notice_ms, 1000.0, MS),
-            redial_us: c.us("redial_ms", front.redial_ms, 200.0, MS),
-            apply_us: c.figure("apply_us", front.apply_us, 30.0, 0.0, 1e6),
-            rehome_us: c.us("rehome_s", front.rehome_s, 8.0, S),
-            supervisors: c.count("count", supervisors.count, 2, 1, 256),
-            tick_us: c.us("tick_ms", supervisors.tick_ms, 4.0, MS).max(1),
-            lines_per_s,
-            head: c.figure("head", supervisors.head, 3.0, 0.0, 1e6),
-            way_us: c.us("way_ms", supervisors.way_ms, 250.0, MS) as f64,
-            way_most_us: c.us("way_most_ms", supervisors.way_most_ms, 700.0, MS) as f64,
-            backlog: c.figure("backlog", supervisors.backlog, 1.5 * lines_per_s, 1.0, 1e12),
-            messages_most: c.count("messages_most", supervisors.messages_most, 0, 0, 1_000_000),
+            applies_admission: proxies.admits.unwrap_or(true),
+            stream_loss_detection_us: checker.us("notice_ms", proxies.notice_ms, 1000.0, US_PER_MS),
+            reconnect_us: checker.us("redial_ms", proxies.redial_ms, 200.0, US_PER_MS),
+            apply_us_per_line: checker.figure("apply_us", proxies.apply_us, 30.0, 0.0, 1e6),
+            rehome_us: checker.us("rehome_s", proxies.rehome_s, 8.0, US_PER_S),
+            supervisors: checker.count("count", supervisors.count, 2, 1, 256),
+            tick_us: checker
+                .us("tick_ms", supervisors.tick_ms, 4.0, US_PER_MS)
+                .max(1),
+            channel_lines_per_s: lines_per_s,
+            message_overhead: checker.figure("head", supervisors.head, 3.0, 0.0, 1e6),
+            delivery_delay_us: checker.us("way_ms", supervisors.way_ms, 250.0, US_PER_MS) as f64,
+            max_delivery_delay_us: checker.us(
+                "way_most_ms",
+                supervisors.way_most_ms,
+                700.0,
+                US_PER_MS,
+            ) as f64,
+            max_backlog: checker.figure(
+                "backlog",
+                supervisors.backlog,
+                1.5 * lines_per_s,
+                1.0,
+                1e12,
+            ),
+            max_messages: checker.count(
+                "messages_most",
+                supervisors.messages_most,
+                0,
+                0,
+                1_000_000,
+            ),
             load_reports: reports.load.unwrap_or(true),
-            load_with_answers: reports.with_answers.unwrap_or(true),
-            refresh_us: c.us("refresh_ms", reports.refresh_ms, 500.0, MS),
-            period_us: c.us("period_s", reports.period_s, 1.0, S).max(1000),
-            reports_late_us: c.us("late_ms", reports.late_ms, 600.0, MS),
-            intake_per_s: c.figure("intake_per_s", reports.intake_per_s, 800.0, 1.0, 1e9),
-            reports_noise: c.figure("noise", reports.noise, 0.1, 0.0, 2.0),
-            list_least_us: least * S,
-            list_most_us: most * S,
-            list_silent_us: c.us("silent_s", discovery.silent_s, 8.0, S) as f64,
-            same_us: c.us("same_ms", network.same_ms, 0.2, MS) as f64,
-            cross_us: c.us("cross_ms", network.cross_ms, 0.6, MS) as f64,
-            client_way_us: c.us("client_ms", network.client_ms, 0.05, MS) as f64,
-            jitter: c.figure("jitter", network.jitter, 0.25, 0.0, 1.0),
-            connect_timeout_us: c.us("connect_timeout_ms", network.connect_timeout_ms, 250.0, MS),
-            idle_close_us: c.us("idle_close_s", network.idle_close_s, 15.0, S),
-            probes: probes.allowed.unwrap_or(true),
-            probe_ms: c.figure("work_ms", probes.work_ms, 4.0, 0.0, 10_000.0),
-            probe_timeout_us: c.us("timeout_ms", probes.timeout_ms, 300.0, MS),
-            probes_per_core: c.figure("most_per_core", probes.most_per_core, 3.0, 0.1, 1000.0),
-            probes_deep: probes.deep.unwrap_or(false),
-            unserved_us: c.us("unserved_s", rules.unserved_s, 5.0, S),
-            drain_grace_us: c.us("drain_grace_s", rules.drain_grace_s, 3.0, S),
-            fall_multiple: c.figure("fall_multiple", rules.fall_multiple, 3.0, 1.0, 1000.0),
-            fall_us: c.us("fall_s", rules.fall_s, 3.0, S),
-            service: Service {
-                whole: c.share("whole", service.whole, 0.55),
-                worst_window: c.share("worst_window", service.worst_window, 0.2),
-                worst_class: c.share("worst_class", service.worst_class, 0.1),
-                nines: c.share("nines", service.nines, 0.15),
-                nines_full: c.figure("nines_full", service.nines_full, 2.0, 0.1, 12.0),
-                window_s: c.figure("window_s", service.window_s, 10.0, 1.0, 3600.0) as usize,
+            load_with_responses: reports.with_answers.unwrap_or(true),
+            load_refresh_us: checker.us("refresh_ms", reports.refresh_ms, 500.0, US_PER_MS),
+            report_period_us: checker
+                .us("period_s", reports.period_s, 1.0, US_PER_S)
+                .max(1000),
+            report_delay_us: checker.us("late_ms", reports.late_ms, 600.0, US_PER_MS),
+            report_intake_per_s: checker.figure(
+                "intake_per_s",
+                reports.intake_per_s,
+                800.0,
+                1.0,
+                1e9,
+            ),
+            report_noise: checker.figure("noise", reports.noise, 0.1, 0.0, 2.0),
+            min_discovery_delay_us: min_notice_s * US_PER_S,
+            max_discovery_delay_us: max_notice_s * US_PER_S,
+            silent_failure_detection_us: checker.us("silent_s", discovery.silent_s, 8.0, US_PER_S)
+                as f64,
+            same_zone_us: checker.us("same_ms", network.same_ms, 0.2, US_PER_MS) as f64,
+            cross_zone_us: checker.us("cross_ms", network.cross_ms, 0.6, US_PER_MS) as f64,
+            client_link_us: checker.us("client_ms", network.client_ms, 0.05, US_PER_MS) as f64,
+            jitter: checker.figure("jitter", network.jitter, 0.25, 0.0, 1.0),
+            connect_timeout_us: checker.us(
+                "connect_timeout_ms",
+                network.connect_timeout_ms,
+                250.0,
+                US_PER_MS,
+            ),
+            idle_close_us: checker.us("idle_close_s", network.idle_close_s, 15.0, US_PER_S),
+            health_checks_allowed: probes.allowed.unwrap_or(true),
+            health_check_work_ms: checker.figure("work_ms", probes.work_ms, 4.0, 0.0, 10_000.0),
+            health_check_timeout_us: checker.us("timeout_ms", probes.timeout_ms, 300.0, US_PER_MS),
+            max_health_checks_per_core: checker.figure(
+                "most_per_core",
+                probes.most_per_core,
+                3.0,
+                0.1,
+                1000.0,
+            ),
+            deep_health_checks: probes.deep.unwrap_or(false),
+            max_unserved_us: checker.us("unserved_s", rules.unserved_s, 5.0, US_PER_S),
+            drain_grace_us: checker.us("drain_grace_s", rules.drain_grace_s, 3.0, US_PER_S),
+            overload_multiple: checker.figure(
+                "fall_multiple",
+                rules.fall_multiple,
+                3.0,
+                1.0,
+                1000.0,
+            ),
+            overload_window_us: checker.us("fall_s", rules.fall_s, 3.0, US_PER_S),
+            service: ServiceWeights {
+                overall: checker.share("whole", service.whole, 0.55),
+                worst_window: checker.share("worst_window", service.worst_window, 0.2),
+                worst_class: checker.share("worst_class", service.worst_class, 0.1),
+                nines: checker.share("nines", service.nines, 0.15),
+                nines_full: checker.figure("nines_full", service.nines_full, 2.0, 0.1, 12.0),
+                window_s: checker.figure("window_s", service.window_s, 10.0, 1.0, 3600.0) as usize,
             },
             zones,
             kinds,
             classes,
-            troubles,
+            faults,
         };
-        if c.0.is_empty() {
+        if checker.0.is_empty() {
             Ok(scenario)
         } else {
-            Err(std::mem::take(&mut c.0))
+            Err(std::mem::take(&mut checker.0))
         }
     }
 }
 
 impl Scenario {
-    /// How many servers there are at the start.
+    /// Returns the number of servers at the start.
     pub fn servers(&self) -> usize {
         self.kinds.iter().map(|kind| kind.servers).sum()
     }
 
-    /// What demand is multiplied by at a time, troubles aside.
+    /// Returns the factor of the demand at a time since the start, without faults.
     pub fn demand(&self, at_us: u64) -> f64 {
         let at = at_us as f64;
-        match self.points.iter().position(|(time, _)| *time > at) {
-            None => self.points.last().map_or(1.0, |(_, factor)| *factor),
-            Some(0) => self.points.first().map_or(1.0, |(_, factor)| *factor),
+        match self.demand_points.iter().position(|(time, _)| *time > at) {
+            None => self.demand_points.last().map_or(1.0, |(_, factor)| *factor),
+            Some(0) => self
+                .demand_points
+                .first()
+                .map_or(1.0, |(_, factor)| *factor),
             Some(next) => {
-                let ((from, low), (to, high)) = (self.points[next - 1], self.points[next]);
+                let ((from, low), (to, high)) =
+                    (self.demand_points[next - 1], self.demand_points[next]);
                 low + (high - low) * (at - from) / (to - from)
             }
         }
     }
 
-    /// What the decisions are told, for a supervisor of a zone.
+    /// Returns the settings of the decision module for a supervisor of a zone.
     pub fn settings(&self, zone: usize) -> policy::Settings {
         let micros = |us: u64| Micros(i64::try_from(us).unwrap_or(i64::MAX));
-        let class = |class: &Class| policy::Class {
-            latency_objective: micros(class.aim_us),
+        let policy_class = |class: &Class| policy::Class {
+            latency_objective: micros(class.latency_objective_us),
             deadline: micros(class.deadline_us),
-            priority_weight: class.worth,
-            idempotency: class.effect,
-            zone_local: class.home_only,
+            priority_weight: class.priority_weight,
+            idempotency: class.idempotency,
+            zone_local: class.zone_local,
         };
-        let coldest = self
+        let min_slow_start_share = self
             .kinds
             .iter()
-            .map(|kind| kind.cold_from)
+            .map(|kind| kind.slow_start_share)
             .fold(1.0, f64::min);
-        let longest = self
+        let max_slow_start_us = self
             .kinds
             .iter()
-            .map(|kind| kind.cold_us)
+            .map(|kind| kind.slow_start_us)
             .max()
             .unwrap_or(0);
         policy::Settings {
             instances: self.supervisors,
             zones: self.zones.len(),
             zone: policy::ZoneId(zone as u16),
-            classes: self.classes.iter().map(class).collect(),
+            classes: self.classes.iter().map(policy_class).collect(),
             proxies: self.proxies,
-            admission_unit: if self.admits {
+            admission_unit: if self.applies_admission {
                 policy::AdmissionUnit::Share
             } else {
                 policy::AdmissionUnit::Unsupported
             },
-            default_retry: self.usual_retry,
-            attempt_timeout_factor: self.first_wait,
+            default_retry: self.default_retry,
+            attempt_timeout_factor: self.attempt_timeout_factor,
             pick_policy: match self.pick {
                 Pick::Rotate => policy::PickPolicy::WeightedRoundRobin,
                 Pick::LeastOfTwo => policy::PickPolicy::PowerOfTwoChoices,
                 Pick::Random | Pick::Unspecified => policy::PickPolicy::Random,
             },
-            proxy_ejection_threshold: self.avoids_after,
+            proxy_ejection_threshold: self.ejection_threshold,
             listed_weight: policy::ListedWeight::ApproximateSize,
-            report_source: match (self.load_reports, self.load_with_answers) {
+            report_source: match (self.load_reports, self.load_with_responses) {
                 (false, _) => policy::ReportSource::None,
                 (true, true) => policy::ReportSource::ResponsesAndHealthChecks,
                 (true, false) => policy::ReportSource::HealthChecks,
             },
-            report_period: micros(self.period_us),
-            health_checks_allowed: self.probes,
+            report_period: micros(self.report_period_us),
+            health_checks_allowed: self.health_checks_allowed,
             health_check_cost: 0.02,
             zone_crossing_cost: 0.01,
-            channel_backlog: self.backlog,
-            channel_lines_per_second: self.lines_per_s,
-            message_overhead: self.head,
-            max_delivery_delay: micros(self.way_most_us as u64),
+            channel_backlog: self.max_backlog,
+            channel_lines_per_second: self.channel_lines_per_s,
+            message_overhead: self.message_overhead,
+            max_delivery_delay: micros(self.max_delivery_delay_us as u64),
             idle_timeout: micros(self.idle_close_us),
-            max_messages: self.messages_most,
+            max_messages: self.max_messages,
             message_window: Micros(10_000_000),
-            max_unserved: micros(self.unserved_us),
+            max_unserved: micros(self.max_unserved_us),
             drain_grace: micros(self.drain_grace_us),
-            slow_start_share: coldest,
-            slow_start_period: micros(longest),
-            overload_multiple: self.fall_multiple,
-            overload_window: micros(self.fall_us),
+            slow_start_share: min_slow_start_share,
+            slow_start_period: micros(max_slow_start_us),
+            overload_multiple: self.overload_multiple,
+            overload_window: micros(self.overload_window_us),
             ..policy::Settings::default()
         }
     }
--- a/crates/model/src/scenario/tests.rs
+++ b/crates/model/src/scenario/tests.rs
@@ -4,7 +4,7 @@
         "name: 'small'\nzone: 'a' zone: 'b'\nkind { servers: 4 cores: 2 }\nclass { name: 'x' work_ms: 50 }";
 
 #[test]
-fn what_is_not_said_has_its_usual_figure() {
+fn missing_fields_have_their_defaults() {
     let scenario = read(SMALL).expect("a scenario");
     assert_eq!(
         (
@@ -14,18 +14,18 @@
         ),
         (4, 2, 2)
     );
-    // Half of eight cores at 50 ms a request.
+    // Half the capacity of eight cores, at 50 ms per request.
     assert!((scenario.rate - 80.0).abs() < 1e-9, "{}", scenario.rate);
     assert_eq!(scenario.demand(5), 1.0);
 }
 
 #[test]
-fn demand_moves_on_straight_lines() {
+fn demand_is_interpolated_linearly() {
     let text = format!(
         "{SMALL}\nload {{ point {{ at_s: 10 factor: 1 }} point {{ at_s: 20 factor: 3 }} }}"
     );
     let scenario = read(&text).expect("a scenario");
-    let demand = |s: u64| scenario.demand(s * 1_000_000);
+    let demand = |seconds: u64| scenario.demand(seconds * 1_000_000);
     assert_eq!(
         (demand(0), demand(15), demand(20), demand(99)),
         (1.0, 2.0, 3.0, 3.0)
@@ -33,41 +33,49 @@
 }
 
 #[test]
-fn all_faults_are_told_with_their_lines() {
+fn all_errors_are_reported_with_their_positions() {
     let text = format!("{SMALL}\nrules {{\n  fall_multiple: 0.5\n}}\ntrouble {{ sort: WAY }}\nclients {{ try_share: nan }}");
-    let faults: Vec<String> = read(&text)
-        .expect_err("faults")
+    let errors: Vec<String> = read(&text)
+        .expect_err("errors")
         .iter()
         .map(ToString::to_string)
         .collect();
-    assert_eq!(faults.len(), 3, "{faults:?}");
+    assert_eq!(errors.len(), 3, "{errors:?}");
     assert!(
-        faults
+        errors
             .iter()
-            .any(|said| said.starts_with("6:3: fall_multiple is 0.5")),
-        "{faults:?}"
+            .any(|error| error.starts_with("6:3: fall_multiple is 0.5")),
+        "{errors:?}"
     );
     assert!(
-        faults.iter().any(|said| said.contains("WAY needs a zone")),
-        "{faults:?}"
+        errors
+            .iter()
+            .any(|error| error.contains("WAY needs a zone")),
+        "{errors:?}"
+    );
+    let syntax_errors = read("kind { cores: two }").expect_err("a syntax error");
+    assert_eq!(
+        syntax_errors[0].position.map(|position| position.line),
+        Some(1)
     );
-    let wrong = read("kind { cores: two }").expect_err("a fault");
-    assert_eq!(wrong[0].position.map(|place| place.line), Some(1));
-    assert!(read("").expect_err("nothing")[0]
+    assert!(read("").expect_err("no servers")[0]
         .message
         .contains("0 servers"));
 }
 
 #[test]
-fn a_change_replaces_single_figures_and_is_another_scenario() {
+fn a_change_replaces_singular_fields_and_changes_the_digest() {
     let base = parse(SMALL).expect("a scenario");
     let change = parse("rules { drain_grace_s: 5 } front_ends { pick: ROTATE }").expect("a change");
-    let both = with_change(&base, &change);
-    let scenario = Scenario::try_from(&both).expect("a scenario");
+    let combined = with_change(&base, &change);
+    let scenario = Scenario::try_from(&combined).expect("a scenario");
     assert_eq!(
         (scenario.drain_grace_us, scenario.pick, scenario.servers()),
         (5_000_000, Pick::Rotate, 4)
     );
-    assert_ne!(digest(&base), digest(&both));
-    assert_eq!(parse(&write(&both)).expect("its own text"), both);
+    assert_ne!(digest(&base), digest(&combined));
+    assert_eq!(
+        parse(&write(&combined)).expect("the written text is valid"),
+        combined
+    );
 }
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -1,4 +1,4 @@
-//! A server: cores shared among the requests in work, a waiting room, connections, a cold start, and what troubles do to it.
+//! A server: cores shared by the requests in service, a bounded queue, connections, slow start, and the effects of faults.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -6,301 +6,327 @@
 use crate::scenario::{Cancel, Kind};
 use crate::sim::AttemptKey;
 
-/// Time over which the recent service time is smoothed: weight of the newest.
-const NEWEST: f64 = 0.2;
+/// Weight of the latest value in the exponential moving average of the service time.
+const SERVICE_TIME_SMOOTHING: f64 = 0.2;
 
-/// Whether a server runs.
+/// Process state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
-    /// It runs.
+pub enum ServerState {
+    /// Running.
     Up,
-    /// It has died; it may come back.
+    /// Stopped; it may start again.
     Down,
-    /// It runs until it dies, and should get nothing new.
+    /// Running until it is removed; it should get no new requests.
     Draining,
-    /// It is gone for good.
-    Gone,
+    /// Stopped for good.
+    Removed,
 }
 
-/// What troubles do to a server at the moment.
+/// Combined effects of all active faults on a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Effects {
-    /// It answers nothing.
-    pub hangs: bool,
-    /// Share that it fails at once.
-    pub fails: f64,
-    /// So many times slower.
-    pub slow: f64,
-    /// Share of the machine that others take.
-    pub taken: f64,
-    /// So many times the usual work for a new connection, and so many microseconds more.
+pub struct FaultEffects {
+    /// Accepts requests and answers none.
+    pub is_hanging: bool,
+    /// Share of the requests that fail at once.
+    pub failure_share: f64,
+    /// Factor by which work takes longer.
+    pub slowdown: f64,
+    /// Share of the capacity that another program uses.
+    pub stolen_share: f64,
+    /// Factor of the work of a handshake, and its additional duration in microseconds.
     pub handshake: (f64, u64),
 }
 
-impl Default for Effects {
+impl Default for FaultEffects {
     fn default() -> Self {
-        Effects {
-            hangs: false,
-            fails: 0.0,
-            slow: 1.0,
-            taken: 0.0,
+        FaultEffects {
+            is_hanging: false,
+            failure_share: 0.0,
+            slowdown: 1.0,
+            stolen_share: 0.0,
             handshake: (1.0, 0),
         }
     }
 }
 
-/// Where an attempt is within a server.
+/// Position of an attempt in a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Place {
-    /// Not there, or not any more.
-    Away,
-    /// It waits.
+pub enum Position {
+    /// In neither the queue nor service.
+    Elsewhere,
+    /// In the queue.
     Waiting,
-    /// It is in work, at this place among those in work.
+    /// In service; the key orders the attempts in service by completion.
     Working((u64, u64)),
 }
 
-/// What a server does with an attempt that arrives.
+/// Result of the arrival of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
-    /// It is in work or waits.
-    In(Place),
-    /// The server is full.
-    Full,
-    /// It failed at once.
+pub enum AcceptResult {
+    /// In service or queued.
+    Accepted(Position),
+    /// Rejected: all slots and the queue are full.
+    QueueFull,
+    /// Failed at once because of a fault.
     Failed,
 }
 
-/// A server.
+/// A server of the simulated fleet.
 #[derive(Debug)]
 pub struct Server {
-    /// Its name.
+    /// Name in the endpoint list and in tables.
     pub name: Rc<str>,
-    /// Its zone.
+    /// Index of the server's zone in the scenario.
     pub zone: usize,
-    /// Its kind.
+    /// Index of the server's kind in the scenario.
     pub kind: usize,
     /// Whether it runs.
-    pub life: Life,
-    /// Its listed weight.
-    pub listed: f64,
-    /// Its last start, if it did not run from the beginning.
+    pub state: ServerState,
+    /// Weight in the endpoint list: cores times the nominal speed.
+    pub listed_weight: f64,
+    /// Time of the last start; `None` if it has run since before the simulation.
     pub started_us: Option<u64>,
-    /// What troubles do to it.
-    pub effects: Effects,
-    /// Open connections.
+    /// Effects of the active faults.
+    pub effects: FaultEffects,
+    /// Number of open connections.
     pub connections: u32,
-    /// Probes that it is answering.
-    pub probes: u32,
-    /// Number of the standing completion event; older ones are void.
-    pub version: u32,
-    /// When that comes.
-    pub due_us: Option<u64>,
-    /// Work sent to it while it is cold: when, how much, and whether with knowledge of its start.
-    pub sent_cold: VecDeque<(u64, f64, bool)>,
-    /// It fell over while cold, and stays down.
-    pub fallen: bool,
-    /// What it last reported, and when: waiting requests and recent service time.
-    pub told: (u64, f64, f64),
+    /// Health checks that it is answering.
+    pub active_health_checks: u32,
+    /// Version of the scheduled completion event; events of older versions are ignored.
+    pub completion_version: u32,
+    /// Time of that event, if one is scheduled.
+    pub completion_due_us: Option<u64>,
+    /// Work sent to it while warming up: time, milliseconds, and whether the proxy could know of the start.
+    pub warm_up_work: VecDeque<(u64, f64, bool)>,
+    /// Stopped by overload while warming up; it does not start again.
+    pub failed_warming_up: bool,
+    /// Load reported last: time, queued requests, and recent service time in milliseconds.
+    pub reported_load: (u64, f64, f64),
     cores: f64,
     speed: f64,
     slots: usize,
-    queue: usize,
-    cold: (f64, u64),
+    queue_capacity: usize,
+    slow_start: (f64, u64),
     thrash: (f64, f64),
-    /// Connections at most, and what is lost when all are open.
-    full: (f64, f64),
-    /// Work done for each request since the server was last idle, in milliseconds.
-    done: f64,
-    at_us: u64,
+    /// Maximum number of connections, and the share of the capacity that is lost when all are open.
+    connection_limit: (f64, f64),
+    /// Work done for each request in service since the server was last idle, in milliseconds.
+    work_done_ms: f64,
+    advanced_to_us: u64,
     working: BTreeMap<(u64, u64), (AttemptKey, u64)>,
     waiting: VecDeque<(AttemptKey, f64)>,
-    seq: u64,
+    last_seq: u64,
     service_ms: f64,
 }
 
 impl Server {
-    /// A server of a kind, so many times as fast as usual.
-    pub fn new(name: Rc<str>, zone: usize, number: usize, kind: &Kind, faster: f64) -> Self {
+    /// Creates a running server of a kind; its speed is that of the kind times `speed_factor`.
+    pub fn new(
+        name: Rc<str>,
+        zone: usize,
+        kind_index: usize,
+        kind: &Kind,
+        speed_factor: f64,
+    ) -> Self {
         Server {
             name,
             zone,
-            kind: number,
-            life: Life::Up,
-            listed: kind.cores * kind.speed,
+            kind: kind_index,
+            state: ServerState::Up,
+            listed_weight: kind.cores * kind.speed,
             started_us: None,
-            effects: Effects::default(),
+            effects: FaultEffects::default(),
             connections: 0,
-            probes: 0,
-            version: 0,
-            due_us: None,
-            sent_cold: VecDeque::new(),
-            fallen: false,
-            told: (0, 0.0, 0.0),
+            active_health_checks: 0,
+            completion_version: 0,
+            completion_due_us: None,
+            warm_up_work: VecDeque::new(),
+            failed_warming_up: false,
+            reported_load: (0, 0.0, 0.0),
             cores: kind.cores,
-            speed: kind.speed * faster,
+            speed: kind.speed * speed_factor,
             slots: kind.slots,
-            queue: kind.queue,
-            cold: (kind.cold_from, kind.cold_us),
+            queue_capacity: kind.queue,
+            slow_start: (kind.slow_start_share, kind.slow_start_us),
             thrash: (kind.thrash, kind.thrash_at),
-            full: (f64::from(kind.connections), kind.full_tax),
-            done: 0.0,
-            at_us: 0,
+            connection_limit: (f64::from(kind.connections), kind.max_connection_overhead),
+            work_done_ms: 0.0,
+            advanced_to_us: 0,
             working: BTreeMap::new(),
             waiting: VecDeque::new(),
-            seq: 0,
+            last_seq: 0,
             service_ms: 0.0,
         }
     }
 
-    /// Whether it takes requests.
-    pub fn runs(&self) -> bool {
-        matches!(self.life, Life::Up | Life::Draining)
+    /// Returns whether the process runs, and so accepts requests.
+    pub fn is_running(&self) -> bool {
+        matches!(self.state, ServerState::Up | ServerState::Draining)
     }
 
-    /// Share of its capacity that it has after its start.
-    pub fn warmth(&self, now: u64) -> f64 {
-        let (from, length) = self.cold;
+    /// Returns the share of its capacity that it has during slow start; 1 afterwards.
+    pub fn slow_start_factor(&self, now_us: u64) -> f64 {
+        let (initial_share, duration_us) = self.slow_start;
         match self.started_us {
-            Some(started) if now < started + length => {
-                from + (1.0 - from) * (now.saturating_sub(started)) as f64 / length as f64
+            Some(started_us) if now_us < started_us + duration_us => {
+                initial_share
+                    + (1.0 - initial_share) * (now_us.saturating_sub(started_us)) as f64
+                        / duration_us as f64
             }
             _ => 1.0,
         }
     }
 
-    /// Whether it is still cold.
-    pub fn is_cold(&self, now: u64) -> bool {
+    /// Returns whether it is in slow start.
+    pub fn is_warming_up(&self, now_us: u64) -> bool {
         self.started_us
-            .is_some_and(|started| now < started + self.cold.1)
+            .is_some_and(|started_us| now_us < started_us + self.slow_start.1)
     }
 
-    /// Work that it can do in a second, in seconds; nothing while it hangs or is down.
-    pub fn capacity(&self, now: u64) -> f64 {
-        if !self.runs() || self.effects.hangs {
+    /// Returns the capacity in seconds of work per second; 0 while it hangs or is stopped.
+    pub fn capacity(&self, now_us: u64) -> f64 {
+        if !self.is_running() || self.effects.is_hanging {
             return 0.0;
         }
-        let (most, tax) = self.full;
-        let open = 1.0 - tax * (f64::from(self.connections) / most).min(1.0);
-        self.cores * self.speed * open * self.warmth(now) * (1.0 - self.effects.taken)
-            / self.effects.slow
+        let (max_connections, max_overhead) = self.connection_limit;
+        let connection_factor =
+            1.0 - max_overhead * (f64::from(self.connections) / max_connections).min(1.0);
+        self.cores
+            * self.speed
+            * connection_factor
+            * self.slow_start_factor(now_us)
+            * (1.0 - self.effects.stolen_share)
+            / self.effects.slowdown
     }
 
-    /// Work that it can do in a second as far as its start goes, troubles aside: nobody is blamed for a cold server that a
-    /// trouble strikes.
-    pub fn cold_capacity(&self, now: u64) -> f64 {
-        self.cores * self.speed * self.warmth(now)
+    /// Returns the capacity that slow start leaves, without the effects of faults: overload that a fault causes does not count
+    /// as overload of a warming up server.
+    pub fn warm_up_capacity(&self, now_us: u64) -> f64 {
+        self.cores * self.speed * self.slow_start_factor(now_us)
     }
 
-    /// Work done in a millisecond for each of the requests in work, in milliseconds.
-    fn pace(&self, now: u64) -> f64 {
+    /// Returns the milliseconds of work done per millisecond for each request in service.
+    fn work_rate(&self, now_us: u64) -> f64 {
         let (working, cores) = (self.working.len() as f64, self.cores);
         if working == 0.0 {
             return 0.0;
         }
-        let (loss, from) = self.thrash;
-        let held = (working + self.waiting.len() as f64) / cores;
-        let thrash = 1.0 + loss * (held - from).max(0.0) / from.max(1.0);
-        self.capacity(now) / cores * (cores / working).min(1.0) / thrash
+        let (loss_per_request, threshold) = self.thrash;
+        let requests_per_core = (working + self.waiting.len() as f64) / cores;
+        let slowdown =
+            1.0 + loss_per_request * (requests_per_core - threshold).max(0.0) / threshold.max(1.0);
+        self.capacity(now_us) / cores * (cores / working).min(1.0) / slowdown
     }
 
-    /// Brings the work in hand up to a moment; before anything changes that its pace depends on.
-    pub fn advance(&mut self, now: u64) {
-        let ms = now.saturating_sub(self.at_us) as f64 / 1e3;
-        self.done += ms * self.pace(self.at_us);
-        self.at_us = now;
+    /// Accounts for the work done until now. To be called before any change that affects the work rate.
+    pub fn advance(&mut self, now_us: u64) {
+        let elapsed_ms = now_us.saturating_sub(self.advanced_to_us) as f64 / 1e3;
+        self.work_done_ms += elapsed_ms * self.work_rate(self.advanced_to_us);
+        self.advanced_to_us = now_us;
         if self.working.is_empty() {
-            self.done = 0.0;
+            self.work_done_ms = 0.0;
         }
     }
 
-    /// When the next request in work is done, if nothing changes.
-    pub fn next_us(&self, now: u64) -> Option<u64> {
+    /// Returns the time of the next completion at the current work rate, if there will be one.
+    pub fn next_completion_us(&self, now_us: u64) -> Option<u64> {
         let (first, _) = self.working.first_key_value()?;
-        let (left, pace) = (f64::from_bits(first.0) - self.done, self.pace(now));
-        (pace > 0.0).then(|| now + ((left.max(0.0) / pace) * 1e3).ceil() as u64)
+        let (remaining_ms, work_rate) = (
+            f64::from_bits(first.0) - self.work_done_ms,
+            self.work_rate(now_us),
+        );
+        (work_rate > 0.0)
+            .then(|| now_us + ((remaining_ms.max(0.0) / work_rate) * 1e3).ceil() as u64)
     }
 
-    /// An attempt with so much work arrives.
-    pub fn take(&mut self, now: u64, attempt: AttemptKey, work_ms: f64, chance: f64) -> Taken {
-        self.advance(now);
-        if chance < self.effects.fails {
-            return Taken::Failed;
+    /// Handles the arrival of an attempt. It fails if `draw`, from 0 to 1, is below the failure share of the faults.
+    pub fn accept(
+        &mut self,
+        now_us: u64,
+        attempt: AttemptKey,
+        work_ms: f64,
+        draw: f64,
+    ) -> AcceptResult {
+        self.advance(now_us);
+        if draw < self.effects.failure_share {
+            return AcceptResult::Failed;
         }
         if self.working.len() < self.slots {
-            return Taken::In(self.work(now, attempt, work_ms));
+            return AcceptResult::Accepted(self.start_work(now_us, attempt, work_ms));
         }
-        if self.waiting.len() >= self.queue {
-            return Taken::Full;
+        if self.waiting.len() >= self.queue_capacity {
+            return AcceptResult::QueueFull;
         }
         self.waiting.push_back((attempt, work_ms));
-        Taken::In(Place::Waiting)
+        AcceptResult::Accepted(Position::Waiting)
     }
 
-    fn work(&mut self, now: u64, attempt: AttemptKey, work_ms: f64) -> Place {
-        self.seq += 1;
-        // Positive figures are ordered as their bits are.
-        let place = ((self.done + work_ms).to_bits(), self.seq);
-        self.working.insert(place, (attempt, now));
-        Place::Working(place)
+    fn start_work(&mut self, now_us: u64, attempt: AttemptKey, work_ms: f64) -> Position {
+        self.last_seq += 1;
+        // The bit patterns of positive floats have the order of the floats.
+        let position = ((self.work_done_ms + work_ms).to_bits(), self.last_seq);
+        self.working.insert(position, (attempt, now_us));
+        Position::Working(position)
     }
 
-    /// The requests that are done by now, and those that came to work in their places.
-    pub fn finish(&mut self, now: u64) -> (Vec<AttemptKey>, Vec<(AttemptKey, Place)>) {
-        self.advance(now);
-        let (mut done, mut begun) = (Vec::new(), Vec::new());
-        while let Some((place, (attempt, since))) =
-            self.working.first_key_value().map(|(p, a)| (*p, *a))
+    /// Returns the attempts that are completed by now, and those that entered service instead of them.
+    pub fn finish(&mut self, now_us: u64) -> (Vec<AttemptKey>, Vec<(AttemptKey, Position)>) {
+        self.advance(now_us);
+        let (mut completed, mut started) = (Vec::new(), Vec::new());
+        while let Some((position, (attempt, started_us))) = self
+            .working
+            .first_key_value()
+            .map(|(position, value)| (*position, *value))
         {
-            // A microsecond's work at the fastest is the least that can be told.
-            if f64::from_bits(place.0) > self.done + 1e-6 * self.done.max(1.0) {
+            // Tolerance for rounding errors; time has a resolution of one microsecond.
+            if f64::from_bits(position.0) > self.work_done_ms + 1e-6 * self.work_done_ms.max(1.0) {
                 break;
             }
-            self.working.remove(&place);
-            done.push(attempt);
-            let took = (now - since) as f64 / 1e3;
-            self.service_ms += NEWEST * (took - self.service_ms);
-            begun.extend(self.follow(now));
+            self.working.remove(&position);
+            completed.push(attempt);
+            let latest_ms = (now_us - started_us) as f64 / 1e3;
+            self.service_ms += SERVICE_TIME_SMOOTHING * (latest_ms - self.service_ms);
+            started.extend(self.start_next(now_us));
         }
-        (done, begun)
+        (completed, started)
     }
 
-    fn follow(&mut self, now: u64) -> Option<(AttemptKey, Place)> {
+    fn start_next(&mut self, now_us: u64) -> Option<(AttemptKey, Position)> {
         if self.working.len() >= self.slots {
             return None;
         }
         let (attempt, work_ms) = self.waiting.pop_front()?;
-        Some((attempt, self.work(now, attempt, work_ms)))
+        Some((attempt, self.start_work(now_us, attempt, work_ms)))
     }
 
-    /// An attempt is given up: whether the server stops it, and who comes to work in its place.
+    /// Cancels an attempt; returns whether the server stopped it, and the attempt that entered service instead of it.
     pub fn cancel(
         &mut self,
-        now: u64,
+        now_us: u64,
         attempt: AttemptKey,
-        place: Place,
+        position: Position,
         cancel: Cancel,
-    ) -> (bool, Option<(AttemptKey, Place)>) {
-        self.advance(now);
-        match place {
-            Place::Waiting if cancel != Cancel::Nothing => {
-                let before = self.waiting.len();
-                self.waiting.retain(|(known, _)| *known != attempt);
-                (self.waiting.len() < before, None)
+    ) -> (bool, Option<(AttemptKey, Position)>) {
+        self.advance(now_us);
+        match position {
+            Position::Waiting if cancel != Cancel::Nothing => {
+                let queued_before = self.waiting.len();
+                self.waiting.retain(|(queued, _)| *queued != attempt);
+                (self.waiting.len() < queued_before, None)
             }
-            Place::Working(place)
-                if cancel == Cancel::All && self.working.remove(&place).is_some() =>
+            Position::Working(position)
+                if cancel == Cancel::All && self.working.remove(&position).is_some() =>
             {
-                (true, self.follow(now))
+                (true, self.start_next(now_us))
             }
             _ => (false, None),
         }
     }
 
-    /// It dies: everything in hand is lost.
-    pub fn die(&mut self, now: u64, life: Life) -> Vec<AttemptKey> {
-        self.advance(now);
-        self.life = life;
+    /// Stops the server; returns the attempts that were lost.
+    pub fn stop(&mut self, now_us: u64, state: ServerState) -> Vec<AttemptKey> {
+        self.advance(now_us);
+        self.state = state;
         self.connections = 0;
         let working = std::mem::take(&mut self.working)
             .into_values()
@@ -311,48 +337,48 @@
         working.chain(waiting).collect()
     }
 
-    /// It starts anew, cold.
-    pub fn start(&mut self, now: u64) {
-        self.advance(now);
-        self.life = Life::Up;
-        self.started_us = Some(now);
-        self.sent_cold.clear();
-        (self.service_ms, self.told) = (0.0, (0, 0.0, 0.0));
+    /// Starts the server, with slow start.
+    pub fn start(&mut self, now_us: u64) {
+        self.advance(now_us);
+        self.state = ServerState::Up;
+        self.started_us = Some(now_us);
+        self.warm_up_work.clear();
+        (self.service_ms, self.reported_load) = (0.0, (0, 0.0, 0.0));
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub fn queue(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests in work.
+    /// Returns the number of requests in service.
     pub fn working(&self) -> usize {
         self.working.len()
     }
 
-    /// Recent service time, in milliseconds.
+    /// Returns the moving average of the service time, in milliseconds.
     pub fn service_ms(&self) -> f64 {
         self.service_ms
     }
 
-    /// How long one more request would wait, by what waits now and the recent service time, in milliseconds.
-    pub fn wait_ms(&self) -> f64 {
+    /// Returns the expected queueing time of one more request, from the queue and the recent service time, in milliseconds.
+    pub fn expected_wait_ms(&self) -> f64 {
         if self.working.len() < self.slots {
             return 0.0;
         }
         (self.waiting.len() as f64 + 1.0) * self.service_ms / self.slots as f64
     }
 
-    /// How long a probe with so much work takes there, in milliseconds; nothing if it is never answered.
-    pub fn probe_ms(&self, now: u64, work_ms: f64) -> Option<f64> {
-        let capacity = self.capacity(now);
+    /// Returns the duration of a health check with this work, in milliseconds; `None` if it is never answered.
+    pub fn health_check_ms(&self, now_us: u64, work_ms: f64) -> Option<f64> {
+        let capacity = self.capacity(now_us);
         if capacity <= 0.0 {
             return None;
         }
-        let core = capacity / self.cores;
-        // It is answered beside the queue, as one more request on the cores.
-        let sharing = ((self.working.len() + 1) as f64 / self.cores).max(1.0);
-        Some(work_ms / core * sharing)
+        let core_capacity = capacity / self.cores;
+        // Health checks bypass the queue and share the cores as one more request.
+        let requests_per_core = ((self.working.len() + 1) as f64 / self.cores).max(1.0);
+        Some(work_ms / core_capacity * requests_per_core)
     }
 }
 
