--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -13,15 +13,15 @@
 use rustc_hash::FxHashMap;
 use slotmap::{new_key_type, SlotMap};
 
-use crate::chance::{Chance, Source};
-use crate::front::{Connection, Front, Table};
-use crate::measure::{Ending, LevelChange, Meter, Outcome};
-use crate::queue::{Queue, Wheel};
-use crate::rules::{may_repeat, sent_cold, Cold, Rule, Rules};
+use crate::fault::FaultState;
+use crate::measure::{LevelChange, Metrics, Outcome, RequestOutcome};
+use crate::proxy::{Connection, Proxy, Table};
+use crate::queue::{EventQueue, WheelQueue};
+use crate::random::{Purpose, RandomSource};
+use crate::rules::{check_warm_up_load, may_repeat, BrokenRules, Rule, WarmUpLoad};
 use crate::scenario::Scenario;
-use crate::server::{Life, Place, Server, Taken};
-use crate::supervisor::{lines, whole, Mind, Supervisor, Tally};
-use crate::trouble::Struck;
+use crate::server::{AcceptResult, Position, Server, ServerState};
+use crate::supervisor::{baseline_order, order_lines, AttemptTotals, Controller, Supervisor};
 
 pub use crate::supervisor::{Control, Setup};
 
@@ -33,47 +33,47 @@
 }
 
 /// Virtual time at which runs begin, in microseconds: the decisions take 0 for long ago.
-const BEGIN_US: u64 = 1_000_000_000;
+const START_US: u64 = 1_000_000_000;
 /// Time between two looks at rules that hold over time, in microseconds.
-const LOOK_US: u64 = 200_000;
+const RULE_CHECK_PERIOD_US: u64 = 200_000;
 /// Time between two turns of intake, in microseconds.
-const INTAKE_US: u64 = 50_000;
+const INTAKE_PERIOD_US: u64 = 50_000;
 /// Time between two turns of a baseline, in microseconds.
-const PLAIN_US: u64 = 1_000_000;
+const BASELINE_PERIOD_US: u64 = 1_000_000;
 /// After the last arrival a run goes on for so long at most, in microseconds: the longest deadlines are seconds.
-const DRAIN_US: u64 = 30_000_000;
+const MAX_RUNOUT_US: u64 = 30_000_000;
 /// Longest gap between two arrivals that is drawn at once, in microseconds: demand moves meanwhile.
-const GAP_MOST_US: f64 = 250_000.0;
+const MAX_GAP_US: f64 = 250_000.0;
 /// Time to answer with an error, in microseconds.
-const ERROR_US: u64 = 1_000;
+const ERROR_RESPONSE_US: u64 = 1_000;
 /// Time over which messages to one front end are counted, in microseconds.
-const MESSAGES_US: u64 = 10_000_000;
+const MESSAGE_WINDOW_US: u64 = 10_000_000;
 
 /// How a try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// A good answer.
-    Good,
+    Succeeded,
     /// It surely did not run: no connection, or turned away.
-    Unrun,
+    NotExecuted,
     /// It failed, or nobody knows.
     Failed,
 }
 
 /// A probe on its way.
 #[derive(Debug)]
-pub struct Probing {
+pub struct PendingHealthCheck {
     supervisor: u32,
     epoch: u32,
     server: u32,
     sent_us: u64,
-    probe: HealthCheck,
+    check: HealthCheck,
 }
 
 /// A message on its way to a front end.
 #[derive(Debug)]
 pub struct Message {
-    front: u32,
+    proxy: u32,
     epoch: u32,
     supervisor: u32,
     stream: u64,
@@ -85,40 +85,40 @@
 #[derive(Debug)]
 #[allow(missing_docs)]
 pub enum Event {
-    Arrive,
-    Comes {
+    Arrival,
+    ClientAttempt {
         request: RequestKey,
-        coming: u32,
+        client_attempt: u32,
     },
-    Reach {
+    AttemptArrival {
         attempt: AttemptKey,
-        fresh: bool,
+        is_new_connection: bool,
     },
-    Work {
+    WorkCompletion {
         server: u32,
         version: u32,
     },
-    Answer {
+    Response {
         attempt: AttemptKey,
-        end: End,
+        end: AttemptOutcome,
     },
-    GiveUp {
+    ClientTimeout {
         request: RequestKey,
-        coming: u32,
+        client_attempt: u32,
     },
-    Wait {
+    AttemptTimeout {
         attempt: AttemptKey,
     },
     Cancel {
         attempt: AttemptKey,
     },
-    Second,
-    Look,
-    Sums {
+    SecondEnd,
+    RuleCheck,
+    ReportCollection {
         supervisor: u32,
         epoch: u32,
     },
-    Intake {
+    ReportIntake {
         supervisor: u32,
         epoch: u32,
     },
@@ -126,12 +126,12 @@
         supervisor: u32,
         number: u32,
     },
-    Dial {
-        front: u32,
+    StreamOpening {
+        proxy: u32,
         epoch: u32,
     },
     Rehome {
-        front: u32,
+        proxy: u32,
         epoch: u32,
     },
     Message(Box<Message>),
@@ -139,33 +139,33 @@
         supervisor: u32,
         epoch: u32,
         stream: u64,
-        mark: u16,
-        took: u64,
+        sequence: u16,
+        elapsed: u64,
     },
-    ProbeReach(Box<Probing>),
-    ProbeEnd(Box<(Probing, HealthCheckOutcome, LoadReport, bool)>),
-    News {
+    HealthCheckArrival(Box<PendingHealthCheck>),
+    HealthCheckEnd(Box<(PendingHealthCheck, HealthCheckOutcome, LoadReport, bool)>),
+    EndpointUpdate {
         supervisor: u32,
         server: u32,
-        life: Lifecycle,
+        lifecycle: Lifecycle,
         started_us: Option<u64>,
         seq: u32,
     },
-    Relist {
+    EndpointSnapshot {
         supervisor: u32,
         epoch: u32,
     },
-    TroubleBegins(u32),
-    TroubleEnds(u32),
-    TroubleMoves(u32),
-    Drains {
+    FaultBegin(u32),
+    FaultEnd(u32),
+    FaultUpdate(u32),
+    DrainBegin {
         server: u32,
-        trouble: u32,
+        fault: u32,
     },
-    Removed {
+    ServerRemoval {
         server: u32,
     },
-    Replacement {
+    ServerReplacement {
         server: u32,
     },
 }
@@ -175,35 +175,35 @@
 struct Request {
     class: usize,
     zone: usize,
-    came_us: u64,
+    arrived_us: u64,
     work_ms: f64,
-    tries_noise: [f64; 2],
-    comings: u32,
-    tries: u32,
-    front: u32,
+    attempt_noise: [f64; 2],
+    client_attempt: u32,
+    attempt_count: u32,
+    proxy: u32,
     /// When the first try that may have run was sent, in any coming, and in this one.
-    ran_us: Option<u64>,
-    coming_ran: bool,
-    current: Option<AttemptKey>,
-    effects: u32,
+    maybe_executed_us: Option<u64>,
+    client_attempt_maybe_executed: bool,
+    current_attempt: Option<AttemptKey>,
+    executions: u32,
 }
 
 #[derive(Debug)]
 struct Attempt {
     request: RequestKey,
-    coming: u32,
-    front: u32,
+    client_attempt: u32,
+    proxy: u32,
     server: u32,
     sent_us: u64,
     work_ms: f64,
-    place: Place,
-    abandoned: bool,
+    position: Position,
+    is_abandoned: bool,
     /// The server has died since, or the way lost it: nothing more comes of it.
-    connected: bool,
+    is_connected: bool,
 }
 
 /// A run under way.
-pub struct Sim<'a, Q: Queue<Event>> {
+pub struct Simulation<'a, Q: EventQueue<Event>> {
     pub(crate) scenario: &'a Scenario,
     pub(crate) seed: u64,
     pub(crate) now: u64,
@@ -212,42 +212,42 @@
     requests: SlotMap<RequestKey, Request>,
     attempts: SlotMap<AttemptKey, Attempt>,
     pub(crate) servers: Vec<Server>,
-    pub(crate) fronts: Vec<Front>,
+    pub(crate) proxies: Vec<Proxy>,
     pub(crate) supervisors: Vec<Supervisor>,
-    pub(crate) struck: Vec<Struck>,
-    pub(crate) ways_troubled: bool,
-    watched: Vec<(u32, u64)>,
+    pub(crate) fault_states: Vec<FaultState>,
+    pub(crate) has_link_faults: bool,
+    watched_faulty: Vec<(u32, u64)>,
     /// Servers whose trouble ended while nobody picked them, since when.
-    healing: Vec<(u32, u64)>,
-    by_zone: Vec<Vec<u32>>,
-    names: FxHashMap<Rc<str>, u32>,
-    news: Vec<u32>,
-    silent: Vec<bool>,
-    past: VecDeque<(u64, Vec<f64>)>,
-    meter: Meter,
-    rules: Rules,
+    watched_recovered: Vec<(u32, u64)>,
+    proxies_by_zone: Vec<Vec<u32>>,
+    server_numbers: FxHashMap<Rc<str>, u32>,
+    endpoint_versions: Vec<u32>,
+    is_silent: Vec<bool>,
+    capacity_history: VecDeque<(u64, Vec<f64>)>,
+    metrics: Metrics,
+    broken_rules: BrokenRules,
     events: u64,
-    chances: Chances,
+    random_sources: RandomSources,
     /// Parts of all classes together, and what a request takes in the mean.
-    shares: f64,
+    class_share_sum: f64,
     mean_work_ms: f64,
-    longest_cold_us: u64,
+    max_slow_start_us: u64,
     /// Recorded requests that have come.
-    replayed: usize,
+    replayed_count: usize,
     /// What the classes, and the zones, of recorded traffic are here.
-    recorded: (Vec<Option<usize>>, Vec<Option<usize>>),
+    traffic_indices: (Vec<Option<usize>>, Vec<Option<usize>>),
 }
 
-struct Chances {
-    arrivals: Chance,
-    requests: Chance,
-    ways: Chance,
-    clients: Chance,
-    reports: Chance,
-    discovery: Chance,
-    errors: Chance,
-    standing: Chance,
-    servers: Chance,
+struct RandomSources {
+    arrivals: RandomSource,
+    requests: RandomSource,
+    links: RandomSource,
+    clients: RandomSource,
+    reports: RandomSource,
+    discovery: RandomSource,
+    errors: RandomSource,
+    initial_tables: RandomSource,
+    servers: RandomSource,
 }
 
 /// Plays a scenario without plug-ins.
@@ -264,77 +264,82 @@
 
 /// Plays a scenario. The same scenario, setup and seed give the same outcome to the bit.
 pub fn play(scenario: &Scenario, setup: &Setup, seed: u64) -> Outcome {
-    run_on(scenario, setup, seed, Wheel::default()).0
+    run_on(scenario, setup, seed, WheelQueue::default()).0
 }
 
 /// A finished run: its outcome, and the queue that it ran on.
 pub type Run<Q> = (Outcome, Q);
 
 /// Plays a scenario on a given queue.
-pub fn run_on<Q: Queue<Event>>(scenario: &Scenario, setup: &Setup, seed: u64, queue: Q) -> Run<Q> {
-    let mut sim = Sim::new(scenario, setup, seed, queue);
-    sim.begin();
-    sim.go();
+pub fn run_on<Q: EventQueue<Event>>(
+    scenario: &Scenario,
+    setup: &Setup,
+    seed: u64,
+    queue: Q,
+) -> Run<Q> {
+    let mut sim = Simulation::new(scenario, setup, seed, queue);
+    sim.start_run();
+    sim.process_events();
     sim.finish()
 }
 
-impl<'a, Q: Queue<Event>> Sim<'a, Q> {
+impl<'a, Q: EventQueue<Event>> Simulation<'a, Q> {
     fn new(scenario: &'a Scenario, setup: &'a Setup, seed: u64, queue: Q) -> Self {
-        let chance = |source| Chance::new(seed, source, 0);
-        let chances = Chances {
-            arrivals: chance(Source::Arrivals),
-            requests: chance(Source::Requests),
-            ways: chance(Source::Ways),
-            clients: chance(Source::Clients),
-            reports: chance(Source::Reports),
-            discovery: chance(Source::Discovery),
-            errors: chance(Source::Errors),
-            standing: chance(Source::Standing),
-            servers: chance(Source::Servers),
+        let random = |source| RandomSource::new(seed, source, 0);
+        let random_sources = RandomSources {
+            arrivals: random(Purpose::Arrivals),
+            requests: random(Purpose::Requests),
+            links: random(Purpose::Links),
+            clients: random(Purpose::Clients),
+            reports: random(Purpose::Reports),
+            discovery: random(Purpose::Discovery),
+            errors: random(Purpose::Errors),
+            initial_tables: random(Purpose::InitialTables),
+            servers: random(Purpose::Servers),
         };
-        let shares: f64 = scenario.classes.iter().map(|class| class.share).sum();
+        let class_share_sum: f64 = scenario.classes.iter().map(|class| class.share).sum();
         let work: f64 = scenario
             .classes
             .iter()
             .map(|class| class.share * class.work_ms)
             .sum();
-        Sim {
+        Simulation {
             scenario,
             seed,
-            now: BEGIN_US,
+            now: START_US,
             queue,
             setup,
             requests: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
             servers: Vec::new(),
-            fronts: Vec::new(),
+            proxies: Vec::new(),
             supervisors: Vec::new(),
-            struck: vec![Struck::default(); scenario.troubles.len()],
-            ways_troubled: scenario
-                .troubles
+            fault_states: vec![FaultState::default(); scenario.faults.len()],
+            has_link_faults: scenario
+                .faults
                 .iter()
-                .any(|of| of.sort == crate::scenario::Sort::Way),
-            watched: Vec::new(),
-            healing: Vec::new(),
-            by_zone: vec![Vec::new(); scenario.zones.len()],
-            names: FxHashMap::default(),
-            news: Vec::new(),
-            silent: Vec::new(),
-            past: VecDeque::new(),
-            meter: Meter::new(scenario),
-            rules: Rules::default(),
+                .any(|fault| fault.kind == crate::scenario::FaultKind::Way),
+            watched_faulty: Vec::new(),
+            watched_recovered: Vec::new(),
+            proxies_by_zone: vec![Vec::new(); scenario.zones.len()],
+            server_numbers: FxHashMap::default(),
+            endpoint_versions: Vec::new(),
+            is_silent: Vec::new(),
+            capacity_history: VecDeque::new(),
+            metrics: Metrics::new(scenario),
+            broken_rules: BrokenRules::default(),
             events: 0,
-            chances,
-            shares,
-            mean_work_ms: work / shares.max(1e-9),
-            longest_cold_us: scenario
+            random_sources,
+            class_share_sum,
+            mean_work_ms: work / class_share_sum.max(1e-9),
+            max_slow_start_us: scenario
                 .kinds
                 .iter()
-                .map(|kind| kind.cold_us)
+                .map(|kind| kind.slow_start_us)
                 .max()
                 .unwrap_or(0),
-            replayed: 0,
-            recorded: setup.recorded(scenario),
+            replayed_count: 0,
+            traffic_indices: setup.traffic_indices(scenario),
         }
     }
 
@@ -344,57 +349,59 @@
 
     /// Time since the run began, in microseconds.
     fn elapsed(&self) -> u64 {
-        self.now - BEGIN_US
+        self.now - START_US
     }
 
     fn add_server(&mut self, kind: usize, zone: usize) -> usize {
         let number = self.servers.len();
         let name: Rc<str> = format!("s-{number:05}").into();
         let of = &self.scenario.kinds[kind];
-        let faster = self.chances.servers.spread(of.speed_cv);
+        let faster = self.random_sources.servers.log_normal(of.speed_cv);
         self.servers
             .push(Server::new(Rc::clone(&name), zone, kind, of, faster));
-        self.names.insert(name, number as u32);
-        self.news.push(0);
-        self.silent.push(false);
+        self.server_numbers.insert(name, number as u32);
+        self.endpoint_versions.push(0);
+        self.is_silent.push(false);
         number
     }
 
-    fn standing(&mut self, zone: usize) -> Table {
+    fn initial_table(&mut self, zone: usize) -> Table {
         let home: Vec<usize> = (0..self.servers.len())
-            .filter(|at| self.servers[*at].life == Life::Up && self.servers[*at].zone == zone)
+            .filter(|at| {
+                self.servers[*at].state == ServerState::Up && self.servers[*at].zone == zone
+            })
             .collect();
         let all = || {
             (0..self.servers.len())
-                .filter(|at| self.servers[*at].life == Life::Up)
+                .filter(|at| self.servers[*at].state == ServerState::Up)
                 .collect()
         };
         let from: Vec<usize> = if home.len() >= 3 { home } else { all() };
         let chosen = self
-            .chances
-            .standing
-            .some(from.len(), self.scenario.standing);
+            .random_sources
+            .initial_tables
+            .sample_indices(from.len(), self.scenario.initial_table_size);
         Table::new(
             chosen
                 .into_iter()
-                .map(|at| (from[at] as u32, self.servers[from[at]].listed))
+                .map(|at| (from[at] as u32, self.servers[from[at]].listed_weight))
                 .collect(),
         )
     }
 
-    fn mind(&self, supervisor: usize, epoch: u32) -> Mind {
+    fn new_controller(&self, supervisor: usize, epoch: u32) -> Controller {
         if self.setup.control != Control::Module {
-            return Mind::Plain(true);
+            return Controller::Baseline(true);
         }
         let zone = supervisor % self.scenario.zones.len();
-        let seed = Chance::new(
+        let seed = RandomSource::new(
             self.seed,
-            Source::Supervisors,
+            Purpose::Supervisors,
             supervisor * 1000 + epoch as usize,
         )
-        .number();
+        .next_u64();
         let settings = self.scenario.settings(zone);
-        let names = DeploymentNames {
+        let server_numbers = DeploymentNames {
             zones: self.scenario.zones.clone(),
             classes: self
                 .scenario
@@ -412,60 +419,60 @@
         let mut engine = Box::new(match &self.setup.alternative_policy {
             Some(other) => {
                 let decides = (other.create)(&settings, seed);
-                Engine::with_policy(decides, &settings, names)
+                Engine::with_policy(decides, &settings, server_numbers)
             }
-            None => Engine::new(settings, seed, names),
+            None => Engine::new(settings, seed, server_numbers),
         });
-        let service = self.setup.service(self.scenario, &mut engine);
-        Mind::Engine(engine, Box::new(self.setup.rules()), service)
+        let service = self.setup.overload_controller(self.scenario, &mut engine);
+        Controller::Engine(engine, Box::new(self.setup.plugin_advisor()), service)
     }
 
-    fn begin(&mut self) {
+    fn start_run(&mut self) {
         let zones = self.scenario.zones.len();
-        let mut placed = 0;
+        let mut update_positions = 0;
         for kind in 0..self.scenario.kinds.len() {
             for _ in 0..self.scenario.kinds[kind].servers {
-                self.add_server(kind, placed % zones);
-                placed += 1;
+                self.add_server(kind, update_positions % zones);
+                update_positions += 1;
             }
         }
         for at in 0..self.scenario.proxies {
-            let standing = self.standing(at % zones);
-            let chance = Chance::new(self.seed, Source::Picks, at);
-            self.by_zone[at % zones].push(at as u32);
-            self.fronts.push(Front::new(
+            let standing = self.initial_table(at % zones);
+            let random = RandomSource::new(self.seed, Purpose::Picks, at);
+            self.proxies_by_zone[at % zones].push(at as u32);
+            self.proxies.push(Proxy::new(
                 at % zones,
                 self.scenario.classes.len(),
                 standing,
-                chance,
+                random,
             ));
         }
         for at in 0..self.scenario.supervisors {
-            let mind = self.mind(at, 0);
+            let controller = self.new_controller(at, 0);
             self.supervisors
-                .push(Supervisor::new(at % zones, mind, self.servers.len()));
-            self.supervisor_begins(at, EndpointUpdateKind::Snapshot);
+                .push(Supervisor::new(at % zones, controller, self.servers.len()));
+            self.init_supervisor(at, EndpointUpdateKind::Snapshot);
         }
         if self.setup.control != Control::Nobody {
-            for at in 0..self.fronts.len() {
-                self.dial(at, false);
+            for at in 0..self.proxies.len() {
+                self.schedule_stream_opening(at, false);
             }
         }
-        for (at, trouble) in self.scenario.troubles.iter().enumerate() {
+        for (at, fault) in self.scenario.faults.iter().enumerate() {
             self.queue
-                .push(BEGIN_US + trouble.from_us, Event::TroubleBegins(at as u32));
+                .push(START_US + fault.from_us, Event::FaultBegin(at as u32));
             self.queue
-                .push(BEGIN_US + trouble.to_us, Event::TroubleEnds(at as u32));
+                .push(START_US + fault.to_us, Event::FaultEnd(at as u32));
         }
-        self.push(BEGIN_US, Event::Arrive);
-        self.push(BEGIN_US + LOOK_US, Event::Look);
-        self.push(BEGIN_US + 1_000_000, Event::Second);
+        self.push(START_US, Event::Arrival);
+        self.push(START_US + RULE_CHECK_PERIOD_US, Event::RuleCheck);
+        self.push(START_US + 1_000_000, Event::SecondEnd);
     }
 
-    fn go(&mut self) {
-        let last = BEGIN_US + self.scenario.duration_us;
+    fn process_events(&mut self) {
+        let last = START_US + self.scenario.duration_us;
         while let Some((at, event)) = self.queue.pop() {
-            if at > last && (self.requests.is_empty() || at > last + DRAIN_US) {
+            if at > last && (self.requests.is_empty() || at > last + MAX_RUNOUT_US) {
                 break;
             }
             self.now = at;
@@ -478,75 +485,101 @@
         let left: Vec<(usize, u64)> = self
             .requests
             .values()
-            .map(|of| (of.class, of.came_us - BEGIN_US))
+            .map(|of| (of.class, of.arrived_us - START_US))
             .collect();
         for (class, came) in left {
-            self.meter.ended(self.scenario, class, came, Ending::Failed);
+            self.metrics
+                .record_request(self.scenario, class, came, RequestOutcome::Failed);
         }
         (
-            self.meter
-                .finish(self.scenario, self.rules.finish(), self.events),
+            self.metrics
+                .finish(self.scenario, self.broken_rules.finish(), self.events),
             self.queue,
         )
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive(),
-            Event::Comes { request, coming } => self.comes(request, coming),
-            Event::Reach { attempt, fresh } => self.reach(attempt, fresh),
-            Event::Work { server, version } => self.works(server as usize, version),
-            Event::Answer { attempt, end } => self.answer(attempt, end),
-            Event::GiveUp { request, coming } => self.give_up(request, coming),
-            Event::Wait { attempt } => self.waited(attempt),
+            Event::Arrival => self.handle_arrival(),
+            Event::ClientAttempt {
+                request,
+                client_attempt,
+            } => self.handle_client_attempt(request, client_attempt),
+            Event::AttemptArrival {
+                attempt,
+                is_new_connection,
+            } => self.handle_attempt_arrival(attempt, is_new_connection),
+            Event::WorkCompletion { server, version } => {
+                self.complete_work(server as usize, version)
+            }
+            Event::Response { attempt, end } => self.handle_response(attempt, end),
+            Event::ClientTimeout {
+                request,
+                client_attempt,
+            } => self.time_out_client(request, client_attempt),
+            Event::AttemptTimeout { attempt } => self.time_out_attempt(attempt),
             Event::Cancel { attempt } => self.cancel(attempt),
-            Event::Second => self.second(),
-            Event::Look => self.look(),
-            Event::Sums { supervisor, epoch } => self.sums(supervisor as usize, epoch),
-            Event::Intake { supervisor, epoch } => self.intake(supervisor as usize, epoch),
+            Event::SecondEnd => self.end_second(),
+            Event::RuleCheck => self.check_rules(),
+            Event::ReportCollection { supervisor, epoch } => {
+                self.collect_reports(supervisor as usize, epoch)
+            }
+            Event::ReportIntake { supervisor, epoch } => {
+                self.take_in_reports(supervisor as usize, epoch)
+            }
             Event::Tick { supervisor, number } => self.tick(supervisor as usize, number),
-            Event::Dial { front, epoch } => self.dials(front as usize, epoch),
-            Event::Rehome { front, epoch } => self.rehome(front as usize, epoch),
-            Event::Message(message) => self.message(*message),
+            Event::StreamOpening { proxy, epoch } => self.open_stream(proxy as usize, epoch),
+            Event::Rehome { proxy, epoch } => self.rehome(proxy as usize, epoch),
+            Event::Message(message) => self.deliver_message(*message),
             Event::Ack {
                 supervisor,
                 epoch,
                 stream,
-                mark,
-                took,
+                sequence,
+                elapsed,
             } => {
-                let took = Micros(took as i64);
+                let elapsed = Micros(elapsed as i64);
                 let report = Report::Acknowledged {
                     stream: StreamId(stream),
-                    sequence: mark,
-                    elapsed: took,
+                    sequence: sequence,
+                    elapsed: elapsed,
                 };
                 self.report(supervisor as usize, epoch, report);
             }
-            Event::ProbeReach(probing) => self.probe_reach(*probing),
-            Event::ProbeEnd(ended) => self.probe_end(*ended),
-            Event::News {
+            Event::HealthCheckArrival(pending) => self.handle_health_check_arrival(*pending),
+            Event::HealthCheckEnd(ended) => self.end_health_check(*ended),
+            Event::EndpointUpdate {
                 supervisor,
                 server,
-                life,
+                lifecycle,
                 started_us,
                 seq,
             } => {
-                self.news(supervisor as usize, server as usize, life, started_us, seq);
+                self.update_endpoint(
+                    supervisor as usize,
+                    server as usize,
+                    lifecycle,
+                    started_us,
+                    seq,
+                );
+            }
+            Event::EndpointSnapshot { supervisor, epoch } => {
+                self.send_endpoint_snapshot(supervisor as usize, epoch)
             }
-            Event::Relist { supervisor, epoch } => self.relist(supervisor as usize, epoch),
-            Event::TroubleBegins(number) => self.trouble_begins(number as usize),
-            Event::TroubleEnds(number) => self.trouble_ends(number as usize),
-            Event::TroubleMoves(number) => self.trouble_moves(number as usize),
-            Event::Drains { server, trouble } => self.drains(server as usize, trouble as usize),
-            Event::Removed { server } => self.removed(server as usize),
-            Event::Replacement { server } => self.replacement(server as usize),
+            Event::FaultBegin(number) => self.begin_fault(number as usize),
+            Event::FaultEnd(number) => self.end_fault(number as usize),
+            Event::FaultUpdate(number) => self.update_fault(number as usize),
+            Event::DrainBegin { server, fault } => {
+                self.begin_drain(server as usize, fault as usize)
+            }
+            Event::ServerRemoval { server } => self.remove_server(server as usize),
+            Event::ServerReplacement { server } => self.start_replacement(server as usize),
         }
     }
 
     // Clients.
 
-    fn arrive(&mut self) {
+    fn handle_arrival(&mut self) {
         if self.elapsed() >= self.scenario.duration_us {
             return;
         }
@@ -554,98 +587,111 @@
             self.replay(&traffic);
             return;
         }
-        let (more, heavy_share, heavier) = self.pressure();
+        let (more, heavy_share, heavy_factor) = self.load_factors();
         let rate = self.scenario.rate * self.scenario.demand(self.elapsed()) * more;
         let gap = if rate > 0.0 {
-            self.chances.arrivals.gap(1e6 / rate)
+            self.random_sources.arrivals.exponential(1e6 / rate)
         } else {
             f64::INFINITY
         };
-        if gap > GAP_MOST_US {
+        if gap > MAX_GAP_US {
             // Nothing comes meanwhile; what comes later does not depend on how long nothing came.
-            self.push(self.now + GAP_MOST_US as u64, Event::Arrive);
+            self.push(self.now + MAX_GAP_US as u64, Event::Arrival);
             return;
         }
-        self.push(self.now + (gap as u64).max(1), Event::Arrive);
-        let chance = &mut self.chances.requests;
-        let mut drawn = chance.share() * self.shares;
+        self.push(self.now + (gap as u64).max(1), Event::Arrival);
+        let random = &mut self.random_sources.requests;
+        let mut draw = random.uniform() * self.class_share_sum;
         let class = self.scenario.classes.iter().position(|class| {
-            drawn -= class.share;
-            drawn < 0.0
+            draw -= class.share;
+            draw < 0.0
         });
         let class = class.unwrap_or(self.scenario.classes.len() - 1);
-        self.request(class, None, None, (heavy_share, heavier));
+        self.add_request(class, None, None, (heavy_share, heavy_factor));
     }
 
     /// Brings in all recorded requests that came by now. What a record does not say is drawn; troubles weigh on it, but for
     /// bursts: what came is what came.
     fn replay(&mut self, traffic: &Traffic) {
-        while let Some(of) = traffic.arrivals.get(self.replayed).copied() {
+        while let Some(of) = traffic.arrivals.get(self.replayed_count).copied() {
             if of.at_us > self.elapsed() {
-                self.push(BEGIN_US + of.at_us, Event::Arrive);
+                self.push(START_US + of.at_us, Event::Arrival);
                 return;
             }
-            self.replayed += 1;
-            let (_, heavy_share, heavier) = self.pressure();
-            let (classes, zones) = &self.recorded;
+            self.replayed_count += 1;
+            let (_, heavy_share, heavy_factor) = self.load_factors();
+            let (classes, zones) = &self.traffic_indices;
             let zone = of
                 .zone
                 .and_then(|zone| zones.get(usize::from(zone)).copied().flatten());
             let Some(class) = classes.get(usize::from(of.class)).copied().flatten() else {
                 continue;
             };
-            self.request(class, zone, of.work_ms, (heavy_share, heavier));
+            self.add_request(class, zone, of.work_ms, (heavy_share, heavy_factor));
         }
     }
 
     /// A client's request comes; its zone and its work are drawn where they are not given.
-    fn request(
+    fn add_request(
         &mut self,
         class: usize,
         zone: Option<usize>,
         work_ms: Option<f64>,
-        (heavy_share, heavier): (f64, f64),
+        (heavy_share, heavy_factor): (f64, f64),
     ) {
         let of = &self.scenario.classes[class];
-        let chance = &mut self.chances.requests;
-        let (zone_drawn, front_drawn, spread) =
-            (chance.share(), chance.share(), chance.spread(of.work_cv));
-        let tries_noise = [chance.spread(of.try_cv), chance.spread(of.try_cv)];
-        let heavy = chance.share() < heavy_share;
-        let work_ms = work_ms.unwrap_or(of.work_ms * spread) * if heavy { heavier } else { 1.0 };
-        let zone = zone.unwrap_or_else(|| self.zone(zone_drawn));
-        let front = self.front_of(zone, front_drawn);
+        let random = &mut self.random_sources.requests;
+        let (zone_draw, proxy_draw, spread) = (
+            random.uniform(),
+            random.uniform(),
+            random.log_normal(of.work_cv),
+        );
+        let attempt_noise = [
+            random.log_normal(of.attempt_cv),
+            random.log_normal(of.attempt_cv),
+        ];
+        let heavy = random.uniform() < heavy_share;
+        let work_ms =
+            work_ms.unwrap_or(of.work_ms * spread) * if heavy { heavy_factor } else { 1.0 };
+        let zone = zone.unwrap_or_else(|| self.zone_at(zone_draw));
+        let proxy = self.choose_proxy(zone, proxy_draw);
         let request = self.requests.insert(Request {
             class,
             zone,
-            came_us: self.now,
+            arrived_us: self.now,
             work_ms,
-            tries_noise,
-            comings: 0,
-            tries: 0,
-            front,
-            ran_us: None,
-            coming_ran: false,
-            current: None,
-            effects: 0,
+            attempt_noise,
+            client_attempt: 0,
+            attempt_count: 0,
+            proxy,
+            maybe_executed_us: None,
+            client_attempt_maybe_executed: false,
+            current_attempt: None,
+            executions: 0,
         });
-        self.meter.count("offered_ms", work_ms);
-        let way = self.scenario.client_way_us as u64;
-        self.push(self.now + way, Event::Comes { request, coming: 0 });
+        self.metrics.add("offered_ms", work_ms);
+        let link_us = self.scenario.client_link_us as u64;
+        self.push(
+            self.now + link_us,
+            Event::ClientAttempt {
+                request,
+                client_attempt: 0,
+            },
+        );
     }
 
     /// The zone to which a share falls: they differ by the skew, the first having most.
-    fn zone(&self, drawn: f64) -> usize {
+    fn zone_at(&self, draw: f64) -> usize {
         let zones = self.scenario.zones.len();
         let weight = |zone: usize| {
-            let place = if zones > 1 {
+            let position = if zones > 1 {
                 zone as f64 / (zones - 1) as f64
             } else {
                 0.5
             };
-            1.0 + self.scenario.zone_skew * (1.0 - 2.0 * place)
+            1.0 + self.scenario.zone_skew * (1.0 - 2.0 * position)
         };
-        let mut left = drawn * (0..zones).map(weight).sum::<f64>();
+        let mut left = draw * (0..zones).map(weight).sum::<f64>();
         let zone = (0..zones).find(|zone| {
             left -= weight(*zone);
             left < 0.0
@@ -653,276 +699,308 @@
         zone.unwrap_or(zones - 1)
     }
 
-    fn front_of(&self, zone: usize, drawn: f64) -> u32 {
-        let fronts = &self.by_zone[zone];
-        match fronts.len() {
+    fn choose_proxy(&self, zone: usize, draw: f64) -> u32 {
+        let proxies = &self.proxies_by_zone[zone];
+        match proxies.len() {
             // A zone without front ends of its own uses those of the others.
-            0 => ((drawn * self.fronts.len() as f64) as u32).min(self.fronts.len() as u32 - 1),
-            some => fronts[((drawn * some as f64) as usize).min(some - 1)],
+            0 => ((draw * self.proxies.len() as f64) as u32).min(self.proxies.len() as u32 - 1),
+            some => proxies[((draw * some as f64) as usize).min(some - 1)],
         }
     }
 
-    fn comes(&mut self, key: RequestKey, coming: u32) {
+    fn handle_client_attempt(&mut self, key: RequestKey, client_attempt: u32) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        let front = &mut self.fronts[request.front as usize];
-        if front.still_until > self.now {
+        let proxy = &mut self.proxies[request.proxy as usize];
+        if proxy.paused_until_us > self.now {
             // What comes meanwhile waits.
             self.queue.push(
-                front.still_until,
-                Event::Comes {
+                proxy.paused_until_us,
+                Event::ClientAttempt {
                     request: key,
-                    coming,
+                    client_attempt,
                 },
             );
             return;
         }
         (
-            request.comings,
-            request.tries,
-            request.coming_ran,
-            request.current,
-        ) = (coming, 0, false, None);
+            request.client_attempt,
+            request.attempt_count,
+            request.client_attempt_maybe_executed,
+            request.current_attempt,
+        ) = (client_attempt, 0, false, None);
         let class = request.class;
         let of = &self.scenario.classes[class];
-        self.meter.count("comings", 1.0);
-        let deadline = request.came_us + of.deadline_us;
-        let patience = (of.deadline_us as f64 * self.scenario.client_try_share) as u64;
-        let last = coming >= self.scenario.client_retries;
+        self.metrics.add("comings", 1.0);
+        let deadline = request.arrived_us + of.deadline_us;
+        let patience = (of.deadline_us as f64 * self.scenario.client_timeout_share) as u64;
+        let last = client_attempt >= self.scenario.client_retries;
         let ends = if last {
             deadline
         } else {
             deadline.min(self.now + patience)
         };
-        if !front.up {
-            self.coming_fails(key, true, false);
+        if !proxy.is_up {
+            self.fail_client_attempt(key, true, false);
             return;
         }
-        front.usage[class].came += 1.0;
-        let level = front.gate(class).map_or(1.0, |of| of.level);
-        if self.scenario.admits && level < 1.0 && front.chance() >= level {
-            self.coming_fails(key, true, true);
+        proxy.usage[class].arrivals += 1.0;
+        let level = proxy.admission(class).map_or(1.0, |of| of.level);
+        if self.scenario.applies_admission && level < 1.0 && proxy.draw_uniform() >= level {
+            self.fail_client_attempt(key, true, true);
             return;
         }
         self.push(
             ends,
-            Event::GiveUp {
+            Event::ClientTimeout {
                 request: key,
-                coming,
+                client_attempt,
             },
         );
-        self.send(key, None);
+        self.send_attempt(key, None);
     }
 
     /// A coming has failed: the client comes again, or not.
-    fn coming_fails(&mut self, key: RequestKey, unrun: bool, refused: bool) {
+    fn fail_client_attempt(&mut self, key: RequestKey, is_unexecuted: bool, refused: bool) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
         let of = &self.scenario.classes[request.class];
-        let front = &mut self.fronts[request.front as usize];
-        if front.up && !refused {
-            front.usage[request.class].failed += 1.0;
+        let proxy = &mut self.proxies[request.proxy as usize];
+        if proxy.is_up && !refused {
+            proxy.usage[request.class].failed += 1.0;
         }
         let scenario = self.scenario;
         let wait = scenario.client_backoff_us
-            * scenario.client_backoff_growth.powi(request.comings as i32);
-        let again = self.now + (wait * self.chances.clients.between(0.75, 1.25)) as u64;
-        let safe = unrun && !request.coming_ran || may_repeat(of.effect, request.ran_us, again);
-        let (came, class, zone) = (request.came_us, request.class, request.zone);
-        if request.comings < scenario.client_retries && safe && again < came + of.deadline_us {
-            let coming = request.comings + 1;
-            let drawn = self.chances.clients.share();
-            let front = self.front_of(zone, drawn);
+            * scenario
+                .client_backoff_growth
+                .powi(request.client_attempt as i32);
+        let retry_at_us =
+            self.now + (wait * self.random_sources.clients.uniform_between(0.75, 1.25)) as u64;
+        let safe = is_unexecuted && !request.client_attempt_maybe_executed
+            || may_repeat(of.idempotency, request.maybe_executed_us, retry_at_us);
+        let (came, class, zone) = (request.arrived_us, request.class, request.zone);
+        if request.client_attempt < scenario.client_retries
+            && safe
+            && retry_at_us < came + of.deadline_us
+        {
+            let client_attempt = request.client_attempt + 1;
+            let draw = self.random_sources.clients.uniform();
+            let proxy = self.choose_proxy(zone, draw);
             if let Some(request) = self.requests.get_mut(key) {
-                request.front = front;
-                request.comings = coming;
+                request.proxy = proxy;
+                request.client_attempt = client_attempt;
             }
             self.push(
-                again,
-                Event::Comes {
+                retry_at_us,
+                Event::ClientAttempt {
                     request: key,
-                    coming,
+                    client_attempt,
                 },
             );
             return;
         }
         self.requests.remove(key);
         let ending = if refused {
-            Ending::Refused
+            RequestOutcome::Refused
         } else {
-            Ending::Failed
+            RequestOutcome::Failed
         };
-        self.meter.ended(scenario, class, came - BEGIN_US, ending);
+        self.metrics
+            .record_request(scenario, class, came - START_US, ending);
     }
 
-    fn give_up(&mut self, key: RequestKey, coming: u32) {
-        let Some(request) = self.requests.get_mut(key).filter(|of| of.comings == coming) else {
+    fn time_out_client(&mut self, key: RequestKey, client_attempt: u32) {
+        let Some(request) = self
+            .requests
+            .get_mut(key)
+            .filter(|of| of.client_attempt == client_attempt)
+        else {
             return;
         };
-        let Some(attempt) = request.current.take() else {
+        let Some(attempt) = request.current_attempt.take() else {
             return;
         };
         self.abandon(attempt);
-        self.coming_fails(key, false, false);
+        self.fail_client_attempt(key, false, false);
     }
 
     // Front ends.
 
-    fn way(&mut self, from: usize, to: usize) -> (u64, bool) {
+    fn link_delay(&mut self, from: usize, to: usize) -> (u64, bool) {
         let base = if from == to {
-            self.scenario.same_us
+            self.scenario.same_zone_us
         } else {
-            self.scenario.cross_us
+            self.scenario.cross_zone_us
         };
-        let (more, lost) = self.way_troubles(from, to);
+        let (more, lost) = self.link_faults(from, to);
         let jitter = self.scenario.jitter;
-        let us = (base + more) * self.chances.ways.between(1.0 - jitter, 1.0 + jitter);
-        let lost = lost > 0.0 && self.chances.ways.share() < lost;
+        let us = (base + more)
+            * self
+                .random_sources
+                .links
+                .uniform_between(1.0 - jitter, 1.0 + jitter);
+        let lost = lost > 0.0 && self.random_sources.links.uniform() < lost;
         (us as u64 + 1, lost)
     }
 
-    fn send(&mut self, key: RequestKey, not: Option<u32>) {
+    fn send_attempt(&mut self, key: RequestKey, excluded: Option<u32>) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        let (class, at) = (request.class, request.front);
-        let front = &mut self.fronts[at as usize];
-        let Some(server) = front.pick(self.now, class, self.scenario.pick, not) else {
-            let unrun = !request.coming_ran;
-            self.coming_fails(key, unrun, false);
+        let (class, at) = (request.class, request.proxy);
+        let proxy = &mut self.proxies[at as usize];
+        let Some(server) = proxy.pick(self.now, class, self.scenario.pick, excluded) else {
+            let is_unexecuted = !request.client_attempt_maybe_executed;
+            self.fail_client_attempt(key, is_unexecuted, false);
             return;
         };
-        let noise = request.tries_noise[usize::from(request.tries + request.comings > 0)];
+        let noise =
+            request.attempt_noise[usize::from(request.attempt_count + request.client_attempt > 0)];
         let mut work_ms = request.work_ms * noise;
-        request.tries += 1;
-        let (coming, tries) = (request.comings, request.tries);
-        let zone = front.zone;
-        let fresh = !front.connections.contains_key(&server);
-        let connection = front.connections.entry(server).or_default();
+        request.attempt_count += 1;
+        let (client_attempt, attempt_count) = (request.client_attempt, request.attempt_count);
+        let zone = proxy.zone;
+        let is_new_connection = !proxy.connections.contains_key(&server);
+        let connection = proxy.connections.entry(server).or_default();
         (connection.inflight, connection.used_us) = (connection.inflight + 1, self.now);
         let of = &self.servers[server as usize];
         let mut connect = 0;
-        if fresh {
-            let (heavier, later) = of.effects.handshake;
-            work_ms += self.scenario.kinds[of.kind].handshake_ms * heavier;
+        if is_new_connection {
+            let (heavy_factor, later) = of.effects.handshake;
+            work_ms += self.scenario.kinds[of.kind].handshake_ms * heavy_factor;
             connect = later;
-            self.meter.count("connects", 1.0);
+            self.metrics.add("connects", 1.0);
         }
         let to = of.zone;
-        self.meter.count("tries", 1.0);
-        self.meter
-            .count("crossing", f64::from(u8::from(zone != to)));
+        self.metrics.add("tries", 1.0);
+        self.metrics
+            .add("crossing", f64::from(u8::from(zone != to)));
         let attempt = self.attempts.insert(Attempt {
             request: key,
-            coming,
-            front: at,
+            client_attempt,
+            proxy: at,
             server,
             sent_us: self.now,
             work_ms,
-            place: Place::Away,
-            abandoned: false,
-            connected: true,
+            position: Position::Elsewhere,
+            is_abandoned: false,
+            is_connected: true,
         });
         if let Some(request) = self.requests.get_mut(key) {
-            request.current = Some(attempt);
+            request.current_attempt = Some(attempt);
         }
-        self.check_sent(at as usize, server, work_ms);
-        let (way, lost) = self.way(zone, to);
+        self.check_attempt_rules(at as usize, server, work_ms);
+        let (link_us, lost) = self.link_delay(zone, to);
         // A connection takes a way there and back first.
-        let reaches = self.now + way + if fresh { 2 * way + connect } else { 0 };
+        let reaches = self.now
+            + link_us
+            + if is_new_connection {
+                2 * link_us + connect
+            } else {
+                0
+            };
         if lost {
-            if fresh {
+            if is_new_connection {
                 let ends = self.now + self.scenario.connect_timeout_us;
                 self.push(
                     ends,
-                    Event::Answer {
+                    Event::Response {
                         attempt,
-                        end: End::Unrun,
+                        end: AttemptOutcome::NotExecuted,
                     },
                 );
             }
         } else {
-            self.push(reaches, Event::Reach { attempt, fresh });
+            self.push(
+                reaches,
+                Event::AttemptArrival {
+                    attempt,
+                    is_new_connection,
+                },
+            );
         }
-        let AdmissionLevel { retry, .. } = self.gate(at as usize, class);
+        let AdmissionLevel { retry, .. } = self.admission(at as usize, class);
         let most = match retry {
             Retry::Never | Retry::IfNotExecuted => 0,
             Retry::Once => 1,
             Retry::Twice => 2,
         };
-        if tries <= most {
-            let waits = self.scenario.first_wait * self.scenario.classes[class].aim_us as f64;
-            self.push(self.now + waits as u64, Event::Wait { attempt });
+        if attempt_count <= most {
+            let waits = self.scenario.attempt_timeout_factor
+                * self.scenario.classes[class].latency_objective_us as f64;
+            self.push(self.now + waits as u64, Event::AttemptTimeout { attempt });
         }
     }
 
     /// The level and the way of trying again that hold for a class at a front end.
-    fn gate(&self, front: usize, class: usize) -> AdmissionLevel {
-        self.fronts[front].gate(class).unwrap_or(AdmissionLevel {
-            level: 1.0,
-            retry: self.scenario.usual_retry,
-        })
+    fn admission(&self, proxy: usize, class: usize) -> AdmissionLevel {
+        self.proxies[proxy]
+            .admission(class)
+            .unwrap_or(AdmissionLevel {
+                level: 1.0,
+                retry: self.scenario.default_retry,
+            })
     }
 
     /// Rules on what is sent: to whom drains are told, and to whom that is cold.
-    fn check_sent(&mut self, front: usize, server: u32, work_ms: f64) {
+    fn check_attempt_rules(&mut self, proxy: usize, server: u32, work_ms: f64) {
         let (now, scenario) = (self.now, self.scenario);
-        let Some((supervisor, _, since)) = self.fronts[front].joined else {
-            self.cold(server, work_ms, false);
+        let Some((supervisor, _, since)) = self.proxies[proxy].control_stream else {
+            self.check_warm_up(server, work_ms, false);
             return;
         };
-        let seen = self.supervisors[supervisor].of(server);
-        if let Some(learned) = seen.drains_since {
+        let seen = self.supervisors[supervisor].known_server(server);
+        if let Some(learned) = seen.draining_since {
             let until = learned.max(since) + scenario.drain_grace_us;
             if now > until {
                 let name = Rc::clone(&self.servers[server as usize].name);
                 let late = (now - until) as f64 / 1e6;
-                self.rules.broken(Rule::Drain, now - BEGIN_US, || {
-                    format!("front end {front} sends to {name} {late:.2} s after the grace")
+                self.broken_rules.record(Rule::Drain, now - START_US, || {
+                    format!("front end {proxy} sends to {name} {late:.2} s after the grace")
                 });
             }
         }
         let of = &self.servers[server as usize];
-        if of.is_cold(now) {
+        if of.is_warming_up(now) {
             let known = seen.started_us == of.started_us;
-            let knowing = known
-                && (self.fronts[front].last_sent_us >= seen.start_learned
-                    || now >= seen.start_learned + scenario.drain_grace_us);
-            self.cold(server, work_ms, knowing);
+            let is_informed = known
+                && (self.proxies[proxy].last_sent_us >= seen.start_known_since
+                    || now >= seen.start_known_since + scenario.drain_grace_us);
+            self.check_warm_up(server, work_ms, is_informed);
         }
     }
 
-    fn cold(&mut self, server: u32, work_ms: f64, knowing: bool) {
+    fn check_warm_up(&mut self, server: u32, work_ms: f64, is_informed: bool) {
         let of = &mut self.servers[server as usize];
-        if !of.is_cold(self.now) || !of.runs() {
+        if !of.is_warming_up(self.now) || !of.is_running() {
             return;
         }
-        let capacity = of.cold_capacity(self.now);
+        let capacity = of.warm_up_capacity(self.now);
         let by = (
-            self.scenario.fall_multiple,
-            self.scenario.fall_us,
+            self.scenario.overload_multiple,
+            self.scenario.overload_window_us,
             self.mean_work_ms,
         );
-        let stands = sent_cold(
-            &mut of.sent_cold,
-            (self.now, work_ms, knowing),
+        let stands = check_warm_up_load(
+            &mut of.warm_up_work,
+            (self.now, work_ms, is_informed),
             capacity,
             by,
         );
-        if stands == Cold::Stands {
+        if stands == WarmUpLoad::Tolerated {
             return;
         }
-        of.fallen = true;
+        of.failed_warming_up = true;
         let name = Rc::clone(&of.name);
-        if stands == Cold::Pushed {
-            let at = self.now - BEGIN_US;
-            self.rules.broken(Rule::Cold, at, || {
+        if stands == WarmUpLoad::KnowinglyOverloaded {
+            let at = self.now - START_US;
+            self.broken_rules.record(Rule::WarmUp, at, || {
                 format!("{name} was pushed over while it was cold")
             });
         }
-        self.server_dies(server as usize, false);
+        self.stop_server(server as usize, false);
     }
 
     /// An attempt is given up by its front end; the server may be told.
@@ -930,252 +1008,277 @@
         let Some(attempt) = self
             .attempts
             .get_mut(key)
-            .filter(|attempt| !attempt.abandoned)
+            .filter(|attempt| !attempt.is_abandoned)
         else {
             return;
         };
-        attempt.abandoned = true;
-        let (front, server, request, sent) = (
-            attempt.front as usize,
+        attempt.is_abandoned = true;
+        let (proxy, server, request, sent) = (
+            attempt.proxy as usize,
             attempt.server,
             attempt.request,
             attempt.sent_us,
         );
         if let Some(request) = self.requests.get_mut(request) {
-            request.ran_us.get_or_insert(sent);
-            request.coming_ran = true;
+            request.maybe_executed_us.get_or_insert(sent);
+            request.client_attempt_maybe_executed = true;
         }
-        self.try_ended(front, server, sent, End::Failed);
-        let (way, lost) = self.way(self.fronts[front].zone, self.servers[server as usize].zone);
+        self.record_attempt_end(proxy, server, sent, AttemptOutcome::Failed);
+        let (link_us, lost) =
+            self.link_delay(self.proxies[proxy].zone, self.servers[server as usize].zone);
         if !lost {
-            self.push(self.now + way, Event::Cancel { attempt: key });
+            self.push(self.now + link_us, Event::Cancel { attempt: key });
         }
     }
 
     /// What a front end and its supervisor's collectors learn of a try that ended.
-    fn try_ended(&mut self, front: usize, server: u32, sent_us: u64, end: End) {
+    fn record_attempt_end(&mut self, proxy: usize, server: u32, sent_us: u64, end: AttemptOutcome) {
         let (now, scenario) = (self.now, self.scenario);
-        let of = &mut self.fronts[front];
+        let of = &mut self.proxies[proxy];
         if let Some(connection) = of.connections.get_mut(&server) {
             (connection.inflight, connection.used_us) =
                 (connection.inflight.saturating_sub(1), now);
         }
-        of.learn(
+        of.record_attempt(
             now,
             server,
-            end == End::Good,
-            (scenario.avoids_after, scenario.avoids_us),
+            end == AttemptOutcome::Succeeded,
+            (scenario.ejection_threshold, scenario.ejection_us),
         );
-        let Some((supervisor, ..)) = of.joined else {
+        let Some((supervisor, ..)) = of.control_stream else {
             return;
         };
         let zone = of.zone;
-        let told = (end == End::Good).then(|| self.servers[server as usize].told);
-        let tally: &mut Tally = self.supervisors[supervisor]
-            .sums
+        let told =
+            (end == AttemptOutcome::Succeeded).then(|| self.servers[server as usize].reported_load);
+        let totals: &mut AttemptTotals = self.supervisors[supervisor]
+            .attempt_totals
             .entry((zone, server))
             .or_default();
-        tally.tries += 1.0;
+        totals.attempts += 1.0;
         match told {
             Some((_, queue, service)) => {
-                tally.sum_ms += (now - sent_us) as f64 / 1e3;
-                tally.load = Some((queue, service));
+                totals.latency_sum_ms += (now - sent_us) as f64 / 1e3;
+                totals.load = Some((queue, service));
             }
-            None => tally.failed += 1.0,
+            None => totals.failed += 1.0,
         }
     }
 
-    fn answer(&mut self, key: AttemptKey, end: End) {
+    fn handle_response(&mut self, key: AttemptKey, end: AttemptOutcome) {
         let Some(attempt) = self.attempts.remove(key) else {
             return;
         };
-        if attempt.abandoned {
+        if attempt.is_abandoned {
             return;
         }
         let Attempt {
             request: request_key,
-            front,
+            proxy,
             server,
             sent_us,
-            coming,
+            client_attempt,
             ..
         } = attempt;
-        self.try_ended(front as usize, server, sent_us, end);
-        if end == End::Unrun {
+        self.record_attempt_end(proxy as usize, server, sent_us, end);
+        if end == AttemptOutcome::NotExecuted {
             // A connection that was never made is none.
-            self.forget_unmade(front as usize, server);
+            self.drop_failed_connection(proxy as usize, server);
         }
         let Some(request) = self
             .requests
             .get_mut(request_key)
-            .filter(|of| of.comings == coming)
+            .filter(|of| of.client_attempt == client_attempt)
         else {
             return;
         };
-        request.current = None;
-        let (class, came) = (request.class, request.came_us);
+        request.current_attempt = None;
+        let (class, came) = (request.class, request.arrived_us);
         match end {
-            End::Good => {
+            AttemptOutcome::Succeeded => {
                 self.requests.remove(request_key);
-                let took = self.now + self.scenario.client_way_us as u64 - came;
-                self.meter.ended(
+                let elapsed = self.now + self.scenario.client_link_us as u64 - came;
+                self.metrics.record_request(
                     self.scenario,
                     class,
-                    came - BEGIN_US,
-                    Ending::Answered(took),
+                    came - START_US,
+                    RequestOutcome::Answered(elapsed),
                 );
             }
-            End::Unrun => self.try_again(request_key, server, true),
-            End::Failed => {
-                request.ran_us.get_or_insert(sent_us);
-                request.coming_ran = true;
-                self.try_again(request_key, server, false);
+            AttemptOutcome::NotExecuted => self.retry_or_fail(request_key, server, true),
+            AttemptOutcome::Failed => {
+                request.maybe_executed_us.get_or_insert(sent_us);
+                request.client_attempt_maybe_executed = true;
+                self.retry_or_fail(request_key, server, false);
             }
         }
     }
 
-    fn forget_unmade(&mut self, front: usize, server: u32) {
-        if !self.servers[server as usize].runs() {
-            self.fronts[front].connections.remove(&server);
+    fn drop_failed_connection(&mut self, proxy: usize, server: u32) {
+        if !self.servers[server as usize].is_running() {
+            self.proxies[proxy].connections.remove(&server);
         }
     }
 
     /// A try has failed: the front end tries again as it is ordered, or gives up.
-    fn try_again(&mut self, key: RequestKey, server: u32, unrun: bool) {
+    fn retry_or_fail(&mut self, key: RequestKey, server: u32, is_unexecuted: bool) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let (class, front, tries, ran) = (
+        let (class, proxy, attempt_count, record_execution) = (
             request.class,
-            request.front as usize,
-            request.tries,
-            request.ran_us,
+            request.proxy as usize,
+            request.attempt_count,
+            request.maybe_executed_us,
         );
-        let AdmissionLevel { retry, .. } = self.gate(front, class);
-        let again = match retry {
+        let AdmissionLevel { retry, .. } = self.admission(proxy, class);
+        let retry_at_us = match retry {
             Retry::Never => false,
-            Retry::IfNotExecuted => unrun && tries <= 1,
-            Retry::Once => tries <= 1,
-            Retry::Twice => tries <= 2,
+            Retry::IfNotExecuted => is_unexecuted && attempt_count <= 1,
+            Retry::Once => attempt_count <= 1,
+            Retry::Twice => attempt_count <= 2,
         };
-        if !again || !self.fronts[front].up {
-            let unrun = unrun && !request.coming_ran;
-            self.coming_fails(key, unrun, false);
+        if !retry_at_us || !self.proxies[proxy].is_up {
+            let is_unexecuted = is_unexecuted && !request.client_attempt_maybe_executed;
+            self.fail_client_attempt(key, is_unexecuted, false);
             return;
         }
         let of = &self.scenario.classes[class];
-        if !may_repeat(of.effect, ran, self.now) {
+        if !may_repeat(of.idempotency, record_execution, self.now) {
             let name = &of.name;
-            let at = self.now - BEGIN_US;
-            self.rules.broken(Rule::Twice, at, || {
-                format!("front end {front} sends a {name} again that may have run")
+            let at = self.now - START_US;
+            self.broken_rules.record(Rule::DuplicateExecution, at, || {
+                format!("front end {proxy} sends a {name} again that may have run")
             });
         }
-        self.send(key, Some(server));
+        self.send_attempt(key, Some(server));
     }
 
     /// A try that may be followed has waited long enough.
-    fn waited(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get(key).filter(|attempt| !attempt.abandoned) else {
+    fn time_out_attempt(&mut self, key: AttemptKey) {
+        let Some(attempt) = self
+            .attempts
+            .get(key)
+            .filter(|attempt| !attempt.is_abandoned)
+        else {
             return;
         };
-        let (request, server, coming) = (attempt.request, attempt.server, attempt.coming);
+        let (request, server, client_attempt) =
+            (attempt.request, attempt.server, attempt.client_attempt);
         if self
             .requests
             .get(request)
-            .is_none_or(|of| of.comings != coming || of.current != Some(key))
+            .is_none_or(|of| of.client_attempt != client_attempt || of.current_attempt != Some(key))
         {
             return;
         }
         self.abandon(key);
         if let Some(request) = self.requests.get_mut(request) {
-            request.current = None;
+            request.current_attempt = None;
         }
-        self.try_again(request, server, false);
+        self.retry_or_fail(request, server, false);
     }
 
     // Servers.
 
-    fn reach(&mut self, key: AttemptKey, fresh: bool) {
-        let Some(attempt) = self.attempts.get(key).filter(|attempt| attempt.connected) else {
+    fn handle_attempt_arrival(&mut self, key: AttemptKey, is_new_connection: bool) {
+        let Some(attempt) = self
+            .attempts
+            .get(key)
+            .filter(|attempt| attempt.is_connected)
+        else {
             return;
         };
-        let (front, at, work_ms) = (
-            attempt.front as usize,
+        let (proxy, at, work_ms) = (
+            attempt.proxy as usize,
             attempt.server as usize,
             attempt.work_ms,
         );
-        let zones = (self.servers[at].zone, self.fronts[front].zone);
-        if !self.servers[at].runs() {
-            if self.silent[at] {
-                if fresh {
+        let zones = (self.servers[at].zone, self.proxies[proxy].zone);
+        if !self.servers[at].is_running() {
+            if self.is_silent[at] {
+                if is_new_connection {
                     let ends = attempt.sent_us + self.scenario.connect_timeout_us;
                     self.push(
                         ends,
-                        Event::Answer {
+                        Event::Response {
                             attempt: key,
-                            end: End::Unrun,
+                            end: AttemptOutcome::NotExecuted,
                         },
                     );
                 }
                 return;
             }
-            let end = if fresh { End::Unrun } else { End::Failed };
-            self.reply(key, zones, 0, end);
+            let end = if is_new_connection {
+                AttemptOutcome::NotExecuted
+            } else {
+                AttemptOutcome::Failed
+            };
+            self.send_response(key, zones, 0, end);
             return;
         }
         let server = &mut self.servers[at];
-        if fresh {
+        if is_new_connection {
             if server.connections >= self.scenario.kinds[server.kind].connections {
-                self.fronts[front].connections.remove(&(at as u32));
-                self.reply(key, zones, 0, End::Unrun);
+                self.proxies[proxy].connections.remove(&(at as u32));
+                self.send_response(key, zones, 0, AttemptOutcome::NotExecuted);
                 return;
             }
             server.advance(self.now);
             server.connections += 1;
         }
-        let abandoned = attempt.abandoned;
-        let chance = if server.effects.fails > 0.0 {
-            self.chances.errors.share()
+        let is_abandoned = attempt.is_abandoned;
+        let random = if server.effects.failure_share > 0.0 {
+            self.random_sources.errors.uniform()
         } else {
             1.0
         };
-        match server.take(self.now, key, work_ms, chance) {
-            Taken::In(place) => {
+        match server.accept(self.now, key, work_ms, random) {
+            AcceptResult::Accepted(position) => {
                 if let Some(attempt) = self.attempts.get_mut(key) {
-                    attempt.place = place;
+                    attempt.position = position;
                 }
                 self.reschedule(at);
             }
-            Taken::Full => self.reply(key, zones, 0, End::Unrun),
-            Taken::Failed => self.reply(key, zones, ERROR_US, End::Failed),
+            AcceptResult::QueueFull => {
+                self.send_response(key, zones, 0, AttemptOutcome::NotExecuted)
+            }
+            AcceptResult::Failed => {
+                self.send_response(key, zones, ERROR_RESPONSE_US, AttemptOutcome::Failed)
+            }
         }
-        if abandoned {
+        if is_abandoned {
             self.cancel(key);
         }
     }
 
     /// What a server says to an attempt, on its way back.
-    fn reply(&mut self, attempt: AttemptKey, (from, to): (usize, usize), after: u64, end: End) {
-        let (way, lost) = self.way(from, to);
+    fn send_response(
+        &mut self,
+        attempt: AttemptKey,
+        (from, to): (usize, usize),
+        after: u64,
+        end: AttemptOutcome,
+    ) {
+        let (link_us, lost) = self.link_delay(from, to);
         if !lost {
-            self.push(self.now + after + way, Event::Answer { attempt, end });
+            self.push(self.now + after + link_us, Event::Response { attempt, end });
         }
     }
 
     pub(crate) fn reschedule(&mut self, server: usize) {
         let of = &mut self.servers[server];
-        let next = of.next_us(self.now);
-        if of.due_us == next {
+        let next = of.next_completion_us(self.now);
+        if of.completion_due_us == next {
             return;
         }
-        of.due_us = next;
-        of.version += 1;
+        of.completion_due_us = next;
+        of.completion_version += 1;
         if let Some(at) = next {
-            let version = of.version;
+            let version = of.completion_version;
             self.push(
                 at,
-                Event::Work {
+                Event::WorkCompletion {
                     server: server as u32,
                     version,
                 },
@@ -1183,69 +1286,74 @@
         }
     }
 
-    fn works(&mut self, at: usize, version: u32) {
+    fn complete_work(&mut self, at: usize, version: u32) {
         let server = &mut self.servers[at];
-        if server.version != version {
+        if server.completion_version != version {
             return;
         }
-        server.due_us = None;
+        server.completion_due_us = None;
         let (done, begun) = server.finish(self.now);
-        if self.now >= server.told.0 + self.scenario.refresh_us {
-            server.told = (self.now, server.queue() as f64, server.service_ms());
+        if self.now >= server.reported_load.0 + self.scenario.load_refresh_us {
+            server.reported_load = (self.now, server.queue() as f64, server.service_ms());
         }
         let (kind, zone) = (server.kind, server.zone);
-        self.placed(begun);
+        self.update_positions(begun);
         for key in done {
             let Some(attempt) = self.attempts.get_mut(key) else {
                 continue;
             };
-            attempt.place = Place::Away;
-            let (front, request, sent, work_ms) = (
-                attempt.front as usize,
+            attempt.position = Position::Elsewhere;
+            let (proxy, request, sent, work_ms) = (
+                attempt.proxy as usize,
                 attempt.request,
                 attempt.sent_us,
                 attempt.work_ms,
             );
-            let abandoned = attempt.abandoned;
-            self.ran(request, sent);
-            if abandoned {
-                self.meter.count("wasted_ms", work_ms);
+            let is_abandoned = attempt.is_abandoned;
+            self.record_execution(request, sent);
+            if is_abandoned {
+                self.metrics.add("wasted_ms", work_ms);
                 self.attempts.remove(key);
                 continue;
             }
-            let fails = self.chances.errors.share() < self.scenario.kinds[kind].error_rate;
-            let end = if fails { End::Failed } else { End::Good };
-            self.reply(key, (zone, self.fronts[front].zone), 0, end);
+            let fails = self.random_sources.errors.uniform() < self.scenario.kinds[kind].error_rate;
+            let end = if fails {
+                AttemptOutcome::Failed
+            } else {
+                AttemptOutcome::Succeeded
+            };
+            self.send_response(key, (zone, self.proxies[proxy].zone), 0, end);
         }
         self.reschedule(at);
     }
 
     /// A request ran to its end at a server.
-    fn ran(&mut self, key: RequestKey, sent_us: u64) {
+    fn record_execution(&mut self, key: RequestKey, sent_us: u64) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
         let of = &self.scenario.classes[request.class];
-        request.effects += 1;
-        let first = *request.ran_us.get_or_insert(sent_us);
-        let twice = match of.effect {
+        request.executions += 1;
+        let first = *request.maybe_executed_us.get_or_insert(sent_us);
+        let twice = match of.idempotency {
             Idempotency::Idempotent => false,
-            Idempotency::NotIdempotent => request.effects > 1,
+            Idempotency::NotIdempotent => request.executions > 1,
             Idempotency::Keyed(..) => {
-                request.effects > 1 && !may_repeat(of.effect, Some(first), sent_us)
+                request.executions > 1 && !may_repeat(of.idempotency, Some(first), sent_us)
             }
         };
         if twice {
-            let (name, at) = (&of.name, self.now - BEGIN_US);
-            self.rules
-                .broken(Rule::Twice, at, || format!("a {name} ran twice"));
+            let (name, at) = (&of.name, self.now - START_US);
+            self.broken_rules.record(Rule::DuplicateExecution, at, || {
+                format!("a {name} ran twice")
+            });
         }
     }
 
-    fn placed(&mut self, begun: Vec<(AttemptKey, Place)>) {
-        for (key, place) in begun {
+    fn update_positions(&mut self, begun: Vec<(AttemptKey, Position)>) {
+        for (key, position) in begun {
             if let Some(attempt) = self.attempts.get_mut(key) {
-                attempt.place = place;
+                attempt.position = position;
             }
         }
     }
@@ -1254,14 +1362,14 @@
         let Some(attempt) = self.attempts.get(key) else {
             return;
         };
-        let (at, place) = (attempt.server as usize, attempt.place);
-        if place == Place::Away {
+        let (at, position) = (attempt.server as usize, attempt.position);
+        if position == Position::Elsewhere {
             return;
         }
         let server = &mut self.servers[at];
         let how = self.scenario.kinds[server.kind].cancel;
-        let (stopped, begun) = server.cancel(self.now, key, place, how);
-        self.placed(begun.into_iter().collect());
+        let (stopped, begun) = server.cancel(self.now, key, position, how);
+        self.update_positions(begun.into_iter().collect());
         if stopped {
             self.attempts.remove(key);
             self.reschedule(at);
@@ -1269,101 +1377,118 @@
     }
 
     /// A server dies: with a word, so that connections break at once, or without one.
-    pub(crate) fn server_dies(&mut self, at: usize, silent: bool) {
-        if !self.servers[at].runs() {
+    pub(crate) fn stop_server(&mut self, at: usize, is_silent: bool) {
+        if !self.servers[at].is_running() {
             return;
         }
-        let gone = self.servers[at].life == Life::Draining;
-        self.silent[at] = silent;
-        let lost = self.servers[at].die(self.now, if gone { Life::Gone } else { Life::Down });
+        let gone = self.servers[at].state == ServerState::Draining;
+        self.is_silent[at] = is_silent;
+        let lost = self.servers[at].stop(
+            self.now,
+            if gone {
+                ServerState::Removed
+            } else {
+                ServerState::Down
+            },
+        );
         self.reschedule(at);
         let zone = self.servers[at].zone;
         for key in lost {
             let Some(attempt) = self.attempts.get_mut(key) else {
                 continue;
             };
-            (attempt.place, attempt.connected) = (Place::Away, false);
-            let front = attempt.front as usize;
-            if attempt.abandoned {
+            (attempt.position, attempt.is_connected) = (Position::Elsewhere, false);
+            let proxy = attempt.proxy as usize;
+            if attempt.is_abandoned {
                 self.attempts.remove(key);
-            } else if !silent {
-                self.reply(key, (zone, self.fronts[front].zone), 0, End::Failed);
+            } else if !is_silent {
+                self.send_response(
+                    key,
+                    (zone, self.proxies[proxy].zone),
+                    0,
+                    AttemptOutcome::Failed,
+                );
             }
         }
-        if !silent {
-            self.forget_connections(at);
+        if !is_silent {
+            self.drop_connections(at);
         }
-        self.tell(at, Lifecycle::Removed, !gone);
+        self.announce(at, Lifecycle::Removed, !gone);
     }
 
     /// A server starts anew, cold; one that fell over does not.
-    pub(crate) fn server_starts(&mut self, at: usize) {
-        if self.servers[at].life != Life::Down || self.servers[at].fallen {
+    pub(crate) fn start_server(&mut self, at: usize) {
+        if self.servers[at].state != ServerState::Down || self.servers[at].failed_warming_up {
             return;
         }
         self.servers[at].start(self.now);
-        self.forget_connections(at);
-        self.tell(at, Lifecycle::InService, false);
+        self.drop_connections(at);
+        self.announce(at, Lifecycle::InService, false);
     }
 
-    fn forget_connections(&mut self, server: usize) {
-        for front in &mut self.fronts {
-            front.connections.remove(&(server as u32));
+    fn drop_connections(&mut self, server: usize) {
+        for proxy in &mut self.proxies {
+            proxy.connections.remove(&(server as u32));
         }
     }
 
-    pub(crate) fn removed(&mut self, at: usize) {
-        if self.servers[at].runs() {
-            self.servers[at].life = Life::Draining;
-            self.server_dies(at, false);
+    pub(crate) fn remove_server(&mut self, at: usize) {
+        if self.servers[at].is_running() {
+            self.servers[at].state = ServerState::Draining;
+            self.stop_server(at, false);
         }
     }
 
-    pub(crate) fn replacement(&mut self, of: usize) {
+    pub(crate) fn start_replacement(&mut self, of: usize) {
         let (kind, zone) = (self.servers[of].kind, self.servers[of].zone);
         let new = self.add_server(kind, zone);
         self.servers[new].start(self.now);
-        self.tell(new, Lifecycle::InService, false);
+        self.announce(new, Lifecycle::InService, false);
     }
 
     /// Discovery learns of a server and tells each supervisor, some time later.
-    pub(crate) fn tell(&mut self, server: usize, life: Lifecycle, silent: bool) {
-        self.news[server] += 1;
-        let (seq, started_us) = (self.news[server], self.servers[server].started_us);
+    pub(crate) fn announce(&mut self, server: usize, lifecycle: Lifecycle, is_silent: bool) {
+        self.endpoint_versions[server] += 1;
+        let (seq, started_us) = (
+            self.endpoint_versions[server],
+            self.servers[server].started_us,
+        );
         for supervisor in 0..self.supervisors.len() {
             let scenario = self.scenario;
-            let late = if silent {
-                scenario.list_silent_us * self.chances.discovery.between(0.8, 1.2)
+            let late = if is_silent {
+                scenario.silent_failure_detection_us
+                    * self.random_sources.discovery.uniform_between(0.8, 1.2)
             } else {
-                self.chances
-                    .discovery
-                    .between(scenario.list_least_us, scenario.list_most_us)
+                self.random_sources.discovery.uniform_between(
+                    scenario.min_discovery_delay_us,
+                    scenario.max_discovery_delay_us,
+                )
             };
-            let news = Event::News {
+            let endpoint_versions = Event::EndpointUpdate {
                 supervisor: supervisor as u32,
                 server: server as u32,
-                life,
+                lifecycle,
                 started_us,
                 seq,
             };
-            self.push(self.now + late as u64, news);
+            self.push(self.now + late as u64, endpoint_versions);
         }
     }
 
-    fn news(
+    fn update_endpoint(
         &mut self,
         at: usize,
         server: usize,
-        life: Lifecycle,
+        lifecycle: Lifecycle,
         started_us: Option<u64>,
         seq: u32,
     ) {
         let now = self.now;
         let supervisor = &mut self.supervisors[at];
-        if !supervisor.up || !supervisor.learn(now, server, life, started_us, seq) {
+        if !supervisor.is_up || !supervisor.update_server(now, server, lifecycle, started_us, seq) {
             return;
         }
-        let entry = supervisor.entry(self.scenario, server, &self.servers[server]);
+        let entry = supervisor.endpoint(self.scenario, server, &self.servers[server]);
         self.listed(at, EndpointUpdateKind::Delta, vec![entry]);
     }
 
@@ -1373,60 +1498,61 @@
         kind: EndpointUpdateKind,
         entries: Vec<chutegrade_engine::NamedEndpoint>,
     ) {
-        match &mut self.supervisors[at].mind {
-            Mind::Engine(engine, ..) => {
+        match &mut self.supervisors[at].controller {
+            Controller::Engine(engine, ..) => {
                 // A list names nothing that could be unknown.
                 let _ = engine.report(Report::EndpointList(kind, entries));
             }
-            Mind::Plain(dirty) => *dirty = true,
+            Controller::Baseline(dirty) => *dirty = true,
         }
-        self.wake(at, self.now);
+        self.schedule_tick(at, self.now);
     }
 
     // Supervisors.
 
-    fn supervisor_begins(&mut self, at: usize, kind: EndpointUpdateKind) {
-        let list = self.supervisors[at].list(self.scenario, &self.servers);
+    fn init_supervisor(&mut self, at: usize, kind: EndpointUpdateKind) {
+        let list = self.supervisors[at].endpoints(self.scenario, &self.servers);
         self.listed(at, kind, list);
         let (supervisor, epoch) = (at as u32, self.supervisors[at].epoch);
         self.push(
-            self.now + self.scenario.period_us,
-            Event::Sums { supervisor, epoch },
+            self.now + self.scenario.report_period_us,
+            Event::ReportCollection { supervisor, epoch },
         );
     }
 
-    pub(crate) fn supervisor_dies(&mut self, at: usize) {
-        if !self.supervisors[at].up {
+    pub(crate) fn stop_supervisor(&mut self, at: usize) {
+        if !self.supervisors[at].is_up {
             return;
         }
-        self.supervisors[at].up = false;
+        self.supervisors[at].is_up = false;
         self.supervisors[at].epoch += 1;
-        self.supervisors[at].intake.clear();
-        self.supervisors[at].sums.clear();
+        self.supervisors[at].pending_reports.clear();
+        self.supervisors[at].attempt_totals.clear();
         let joined: Vec<u32> = self.supervisors[at].streams.values().copied().collect();
         self.supervisors[at].streams.clear();
-        for front in joined {
-            self.unjoin(front as usize);
+        for proxy in joined {
+            self.disconnect(proxy as usize);
         }
     }
 
-    pub(crate) fn supervisor_starts(&mut self, at: usize) {
-        if self.supervisors[at].up {
+    pub(crate) fn start_supervisor(&mut self, at: usize) {
+        if self.supervisors[at].is_up {
             return;
         }
         let epoch = self.supervisors[at].epoch;
-        let mind = self.mind(at, epoch);
+        let controller = self.new_controller(at, epoch);
         let of = &mut self.supervisors[at];
-        (of.up, of.mind, of.still_until, of.tick) = (true, mind, 0, None);
-        (of.free_us, of.taking) = (self.now as f64, false);
-        self.supervisor_begins(at, EndpointUpdateKind::CachedSnapshot);
-        let late = self
-            .chances
-            .discovery
-            .between(self.scenario.list_least_us, self.scenario.list_most_us);
+        (of.is_up, of.controller, of.paused_until_us, of.pending_tick) =
+            (true, controller, 0, None);
+        (of.channel_free_us, of.intake_scheduled) = (self.now as f64, false);
+        self.init_supervisor(at, EndpointUpdateKind::CachedSnapshot);
+        let late = self.random_sources.discovery.uniform_between(
+            self.scenario.min_discovery_delay_us,
+            self.scenario.max_discovery_delay_us,
+        );
         self.push(
             self.now + late as u64,
-            Event::Relist {
+            Event::EndpointSnapshot {
                 supervisor: at as u32,
                 epoch,
             },
@@ -1434,52 +1560,52 @@
     }
 
     /// Discovery tells a supervisor that started anew what it has missed.
-    fn relist(&mut self, at: usize, epoch: u32) {
-        if !self.is(at, epoch) {
+    fn send_endpoint_snapshot(&mut self, at: usize, epoch: u32) {
+        if !self.is_current(at, epoch) {
             return;
         }
         for server in 0..self.servers.len() {
             let of = &self.servers[server];
-            let life = match of.life {
-                Life::Up => Lifecycle::InService,
-                Life::Draining => Lifecycle::Draining,
-                Life::Down | Life::Gone => Lifecycle::Removed,
+            let lifecycle = match of.state {
+                ServerState::Up => Lifecycle::InService,
+                ServerState::Draining => Lifecycle::Draining,
+                ServerState::Down | ServerState::Removed => Lifecycle::Removed,
             };
-            let (started, seq) = (of.started_us, self.news[server]);
-            self.supervisors[at].learn(self.now, server, life, started, seq);
+            let (started, seq) = (of.started_us, self.endpoint_versions[server]);
+            self.supervisors[at].update_server(self.now, server, lifecycle, started, seq);
         }
-        let list = self.supervisors[at].list(self.scenario, &self.servers);
+        let list = self.supervisors[at].endpoints(self.scenario, &self.servers);
         self.listed(at, EndpointUpdateKind::Snapshot, list);
     }
 
-    fn is(&self, at: usize, epoch: u32) -> bool {
-        self.supervisors[at].up && self.supervisors[at].epoch == epoch
+    fn is_current(&self, at: usize, epoch: u32) -> bool {
+        self.supervisors[at].is_up && self.supervisors[at].epoch == epoch
     }
 
     fn report(&mut self, at: usize, epoch: u32, report: Report) {
-        if !self.is(at, epoch) {
+        if !self.is_current(at, epoch) {
             return;
         }
-        if let Mind::Engine(engine, ..) = &mut self.supervisors[at].mind {
+        if let Controller::Engine(engine, ..) = &mut self.supervisors[at].controller {
             // A stream that has ended meanwhile is no longer known; the report is dropped, as in service.
             let _ = engine.report(report);
         }
-        self.wake(at, self.now);
+        self.schedule_tick(at, self.now);
     }
 
     /// Asks for a tick at a time, no denser than ticks may be.
-    fn wake(&mut self, at: usize, when: u64) {
+    fn schedule_tick(&mut self, at: usize, when: u64) {
         let of = &mut self.supervisors[at];
         let due = when
-            .max(of.ticked_us + self.scenario.tick_us)
-            .max(of.still_until)
+            .max(of.last_tick_us + self.scenario.tick_us)
+            .max(of.paused_until_us)
             .max(self.now);
-        if of.tick.is_some_and(|(known, _)| known <= due) {
+        if of.pending_tick.is_some_and(|(known, _)| known <= due) {
             return;
         }
-        of.ticks += 1;
-        of.tick = Some((due, of.ticks));
-        let number = of.ticks;
+        of.scheduled_ticks += 1;
+        of.pending_tick = Some((due, of.scheduled_ticks));
+        let number = of.scheduled_ticks;
         self.push(
             due,
             Event::Tick {
@@ -1492,25 +1618,25 @@
     fn tick(&mut self, at: usize, number: u32) {
         let now = self.now;
         let of = &mut self.supervisors[at];
-        if !of.up || of.tick.is_none_or(|(_, known)| known != number) {
+        if !of.is_up || of.pending_tick.is_none_or(|(_, known)| known != number) {
             return;
         }
-        of.tick = None;
-        if of.still_until > now {
-            let until = of.still_until;
-            self.wake(at, until);
+        of.pending_tick = None;
+        if of.paused_until_us > now {
+            let until = of.paused_until_us;
+            self.schedule_tick(at, until);
             return;
         }
-        of.ticked_us = now;
-        match &mut of.mind {
-            Mind::Engine(engine, rules, service) => {
+        of.last_tick_us = now;
+        match &mut of.controller {
+            Controller::Engine(engine, rules, service) => {
                 rules.evaluate(Micros(now as i64), engine);
                 if let Some(change) = service
                     .as_mut()
                     .and_then(|of| of.evaluate(Micros(now as i64), engine))
                 {
-                    let at_s = (now - BEGIN_US) as f64 / 1e6;
-                    self.meter.changed(LevelChange {
+                    let at_s = (now - START_US) as f64 / 1e6;
+                    self.metrics.record_level_change(LevelChange {
                         at_s,
                         supervisor: at,
                         change,
@@ -1524,20 +1650,22 @@
                 let orders: Vec<(u64, Order)> = streams.into_iter().filter_map(order).collect();
                 while engine.take_log_event(Micros(now as i64)).is_some() {}
                 if let Some(next) = next {
-                    self.wake(at, next.0.max(0) as u64);
+                    self.schedule_tick(at, next.0.max(0) as u64);
                 }
-                probes.into_iter().for_each(|probe| self.probe(at, probe));
+                probes
+                    .into_iter()
+                    .for_each(|check| self.send_health_check(at, check));
                 orders
                     .into_iter()
-                    .for_each(|(stream, order)| self.order(at, stream, Rc::new(order)));
+                    .for_each(|(stream, order)| self.send_order(at, stream, Rc::new(order)));
             }
-            Mind::Plain(_) => self.plain(at),
+            Controller::Baseline(_) => self.tick_baseline(at),
         }
     }
 
     /// A turn of a baseline.
-    fn plain(&mut self, at: usize) {
-        let Mind::Plain(dirty) = &mut self.supervisors[at].mind else {
+    fn tick_baseline(&mut self, at: usize) {
+        let Controller::Baseline(dirty) = &mut self.supervisors[at].controller else {
             return;
         };
         let changed = std::mem::take(dirty);
@@ -1546,90 +1674,93 @@
             return;
         }
         let truth = self
-            .past
+            .capacity_history
             .front()
             .map(|(_, truth)| truth.clone())
             .unwrap_or_default();
-        let seen = &self.supervisors[at].seen;
+        let seen = &self.supervisors[at].known_servers;
         let weight = |server: usize| {
             if ideal {
                 return truth
                     .get(server)
                     .copied()
-                    .unwrap_or(self.servers[server].listed);
+                    .unwrap_or(self.servers[server].listed_weight);
             }
             let seen = seen.get(server).copied().unwrap_or_default();
-            let in_service = seen.listed && seen.life == Lifecycle::InService;
+            let in_service = seen.listed && seen.lifecycle == Lifecycle::InService;
             if in_service {
-                self.servers[server].listed
+                self.servers[server].listed_weight
             } else {
                 0.0
             }
         };
-        let of_zone = |zone: usize| Rc::new(whole(self.scenario, &self.servers, zone, weight));
+        let of_zone =
+            |zone: usize| Rc::new(baseline_order(self.scenario, &self.servers, zone, weight));
         let orders: Vec<Rc<Order>> = (0..self.scenario.zones.len()).map(of_zone).collect();
         let streams: Vec<(u64, u32)> = self.supervisors[at]
             .streams
             .iter()
-            .map(|(stream, front)| (*stream, *front))
+            .map(|(stream, proxy)| (*stream, *proxy))
             .collect();
-        for (stream, front) in streams {
-            let order = Rc::clone(&orders[self.fronts[front as usize].zone]);
-            self.order(at, stream, order);
+        for (stream, proxy) in streams {
+            let order = Rc::clone(&orders[self.proxies[proxy as usize].zone]);
+            self.send_order(at, stream, order);
         }
         if ideal {
-            self.wake(at, self.now + PLAIN_US);
+            self.schedule_tick(at, self.now + BASELINE_PERIOD_US);
         }
     }
 
     /// An order goes through the channel.
-    fn order(&mut self, at: usize, stream: u64, order: Rc<Order>) {
+    fn send_order(&mut self, at: usize, stream: u64, order: Rc<Order>) {
         let (now, scenario) = (self.now, self.scenario);
-        let Some(front) = self.supervisors[at].streams.get(&stream).copied() else {
+        let Some(proxy) = self.supervisors[at].streams.get(&stream).copied() else {
             return;
         };
-        let cost = lines(&order) + scenario.head;
+        let cost = order_lines(&order) + scenario.message_overhead;
         let of = &mut self.supervisors[at];
         let mut leaves = now as f64;
         if !matches!(self.setup.control, Control::Ideal(_)) {
-            of.free_us = of.free_us.max(now as f64) + cost / scenario.lines_per_s * 1e6;
-            leaves = of.free_us;
-            let waiting = (of.free_us - now as f64) / 1e6 * scenario.lines_per_s;
-            self.meter.count("lines", cost);
-            self.meter.top("backlog", waiting / scenario.backlog);
-            if waiting > scenario.backlog {
-                let at_us = now - BEGIN_US;
-                self.rules.broken(Rule::Queue, at_us, || {
+            of.channel_free_us =
+                of.channel_free_us.max(now as f64) + cost / scenario.channel_lines_per_s * 1e6;
+            leaves = of.channel_free_us;
+            let waiting = (of.channel_free_us - now as f64) / 1e6 * scenario.channel_lines_per_s;
+            self.metrics.add("lines", cost);
+            self.metrics
+                .record_max("backlog", waiting / scenario.max_backlog);
+            if waiting > scenario.max_backlog {
+                let at_us = now - START_US;
+                self.broken_rules.record(Rule::Backlog, at_us, || {
                     format!("{waiting:.0} lines wait at supervisor {at}")
                 });
             }
         }
-        let way = self
-            .chances
-            .ways
-            .gap(scenario.way_us)
-            .min(scenario.way_most_us);
-        let to = &mut self.fronts[front as usize];
+        let link_us = self
+            .random_sources
+            .links
+            .exponential(scenario.delivery_delay_us)
+            .min(scenario.max_delivery_delay_us);
+        let to = &mut self.proxies[proxy as usize];
         while to
-            .messages
+            .recent_messages
             .front()
-            .is_some_and(|sent| sent + MESSAGES_US < now)
+            .is_some_and(|sent| sent + MESSAGE_WINDOW_US < now)
         {
-            to.messages.pop_front();
-        }
-        to.messages.push_back(now);
-        let written = to.messages.len();
-        if scenario.messages_most > 0 && written > scenario.messages_most {
-            let at_us = now - BEGIN_US;
-            self.rules.broken(Rule::Queue, at_us, || {
-                format!("{written} messages in 10 s to front end {front}")
+            to.recent_messages.pop_front();
+        }
+        to.recent_messages.push_back(now);
+        let written = to.recent_messages.len();
+        if scenario.max_messages > 0 && written > scenario.max_messages {
+            let at_us = now - START_US;
+            self.broken_rules.record(Rule::Backlog, at_us, || {
+                format!("{written} messages in 10 s to front end {proxy}")
             });
         }
         // In the order in which they were sent.
-        let arrives = ((leaves + way) as u64).max(to.last_arrival_us + 1);
+        let arrives = ((leaves + link_us) as u64).max(to.last_arrival_us + 1);
         to.last_arrival_us = arrives;
         let message = Message {
-            front,
+            proxy,
             epoch: to.epoch,
             supervisor: at as u32,
             stream,
@@ -1639,25 +1770,25 @@
         self.push(arrives, Event::Message(Box::new(message)));
     }
 
-    fn message(&mut self, message: Message) {
+    fn deliver_message(&mut self, message: Message) {
         let Message {
-            front,
+            proxy,
             epoch,
             supervisor,
             stream,
             sent_us,
             order,
         } = message;
-        let of = &mut self.fronts[front as usize];
-        if of.epoch != epoch || !of.up {
+        let of = &mut self.proxies[proxy as usize];
+        if of.epoch != epoch || !of.is_up {
             return;
         }
-        if of.still_until > self.now {
-            let until = of.still_until;
+        if of.paused_until_us > self.now {
+            let until = of.paused_until_us;
             self.push(
                 until,
                 Event::Message(Box::new(Message {
-                    front,
+                    proxy,
                     epoch,
                     supervisor,
                     stream,
@@ -1668,28 +1799,29 @@
             return;
         }
         let classes = &self.scenario.classes;
-        let names = &self.names;
+        let server_numbers = &self.server_numbers;
         of.apply(
             &order,
             |name| classes.iter().position(|class| class.name == name),
-            |name| names.get(name).copied(),
+            |name| server_numbers.get(name).copied(),
         );
         of.last_sent_us = sent_us;
-        of.still_until = self.now + (lines(&order) * self.scenario.apply_us) as u64;
-        if let Some(mark) = order.acknowledge {
+        of.paused_until_us =
+            self.now + (order_lines(&order) * self.scenario.apply_us_per_line) as u64;
+        if let Some(sequence) = order.acknowledge {
             let zones = (of.zone, self.supervisors[supervisor as usize].zone);
-            let took = of.still_until - sent_us;
-            let until = of.still_until;
-            let (way, _) = self.way(zones.0, zones.1);
+            let elapsed = of.paused_until_us - sent_us;
+            let until = of.paused_until_us;
+            let (link_us, _) = self.link_delay(zones.0, zones.1);
             let epoch = self.supervisors[supervisor as usize].epoch;
             self.push(
-                until + way,
+                until + link_us,
                 Event::Ack {
                     supervisor,
                     epoch,
                     stream,
-                    mark,
-                    took,
+                    sequence,
+                    elapsed,
                 },
             );
         }
@@ -1698,55 +1830,63 @@
     // Streams.
 
     /// A front end begins to dial; one that lost its stream notices that first.
-    fn dial(&mut self, at: usize, lost: bool) {
+    fn schedule_stream_opening(&mut self, at: usize, lost: bool) {
         let scenario = self.scenario;
-        let notice = if lost { scenario.notice_us as f64 } else { 0.0 };
-        let wait = (notice + scenario.redial_us as f64) * self.chances.ways.between(0.5, 1.0);
-        let event = Event::Dial {
-            front: at as u32,
-            epoch: self.fronts[at].epoch,
+        let notice = if lost {
+            scenario.stream_loss_detection_us as f64
+        } else {
+            0.0
+        };
+        let wait = (notice + scenario.reconnect_us as f64)
+            * self.random_sources.links.uniform_between(0.5, 1.0);
+        let event = Event::StreamOpening {
+            proxy: at as u32,
+            epoch: self.proxies[at].epoch,
         };
         self.push(self.now + wait as u64 + 1, event);
     }
 
-    fn home(&self, front: usize) -> usize {
-        let zone = self.fronts[front].zone;
+    fn home_supervisor(&self, proxy: usize) -> usize {
+        let zone = self.proxies[proxy].zone;
         let home: Vec<usize> = (0..self.supervisors.len())
             .filter(|at| self.supervisors[*at].zone == zone)
             .collect();
         if home.is_empty() {
-            front % self.supervisors.len()
+            proxy % self.supervisors.len()
         } else {
-            home[front / self.scenario.zones.len() % home.len()]
+            home[proxy / self.scenario.zones.len() % home.len()]
         }
     }
 
-    fn dials(&mut self, at: usize, epoch: u32) {
-        if self.fronts[at].epoch != epoch || !self.fronts[at].up {
+    fn open_stream(&mut self, at: usize, epoch: u32) {
+        if self.proxies[at].epoch != epoch || !self.proxies[at].is_up {
             return;
         }
-        let home = self.home(at);
+        let home = self.home_supervisor(at);
         let all = self.supervisors.len();
         let reachable = |sim: &Self, other: usize| {
-            let (_, lost) = sim.way_troubles(sim.fronts[at].zone, sim.supervisors[other].zone);
-            sim.supervisors[other].up && lost < 1.0
+            let (_, lost) = sim.link_faults(sim.proxies[at].zone, sim.supervisors[other].zone);
+            sim.supervisors[other].is_up && lost < 1.0
         };
         let found = (0..all)
             .map(|step| (home + step) % all)
             .find(|other| reachable(self, *other));
         let Some(supervisor) = found else {
-            self.dial(at, false);
+            self.schedule_stream_opening(at, false);
             return;
         };
         let of = &mut self.supervisors[supervisor];
-        of.streams_made += 1;
-        let stream = of.streams_made;
+        of.last_stream += 1;
+        let stream = of.last_stream;
         of.streams.insert(stream, at as u32);
-        let front = &mut self.fronts[at];
-        front.joined = Some((supervisor, stream, self.now));
-        front.bare_since.iter_mut().for_each(|since| *since = None);
-        let (zone, new) = (front.zone, !front.bound);
-        let rate = self.scenario.rate / self.fronts.len() as f64;
+        let proxy = &mut self.proxies[at];
+        proxy.control_stream = Some((supervisor, stream, self.now));
+        proxy
+            .no_server_since
+            .iter_mut()
+            .for_each(|since| *since = None);
+        let (zone, new) = (proxy.zone, !proxy.has_table);
+        let rate = self.scenario.rate / self.proxies.len() as f64;
         let zone_name = self.scenario.zones[zone].clone();
         let epoch_of = self.supervisors[supervisor].epoch;
         let joined = Report::StreamOpened {
@@ -1756,7 +1896,7 @@
             request_rate: rate,
             has_no_table: new,
         };
-        if let Mind::Plain(dirty) = &mut self.supervisors[supervisor].mind {
+        if let Controller::Baseline(dirty) = &mut self.supervisors[supervisor].controller {
             *dirty = true;
         }
         self.report(supervisor, epoch_of, joined);
@@ -1764,7 +1904,7 @@
             self.push(
                 self.now + self.scenario.rehome_us,
                 Event::Rehome {
-                    front: at as u32,
+                    proxy: at as u32,
                     epoch,
                 },
             );
@@ -1772,16 +1912,16 @@
     }
 
     fn rehome(&mut self, at: usize, epoch: u32) {
-        if self.fronts[at].epoch != epoch || self.fronts[at].joined.is_none() {
+        if self.proxies[at].epoch != epoch || self.proxies[at].control_stream.is_none() {
             return;
         }
-        if self.supervisors[self.home(at)].up {
-            self.stream_breaks(at);
+        if self.supervisors[self.home_supervisor(at)].is_up {
+            self.break_stream(at);
         } else {
             self.push(
                 self.now + self.scenario.rehome_us,
                 Event::Rehome {
-                    front: at as u32,
+                    proxy: at as u32,
                     epoch,
                 },
             );
@@ -1789,111 +1929,116 @@
     }
 
     /// A front end has no stream any more, and dials.
-    fn unjoin(&mut self, at: usize) {
-        let front = &mut self.fronts[at];
-        if front.joined.take().is_none() {
+    fn disconnect(&mut self, at: usize) {
+        let proxy = &mut self.proxies[at];
+        if proxy.control_stream.take().is_none() {
             return;
         }
-        front.epoch += 1;
-        front.bare_since.iter_mut().for_each(|since| *since = None);
-        self.dial(at, true);
+        proxy.epoch += 1;
+        proxy
+            .no_server_since
+            .iter_mut()
+            .for_each(|since| *since = None);
+        self.schedule_stream_opening(at, true);
     }
 
-    pub(crate) fn stream_breaks(&mut self, at: usize) {
-        let Some((supervisor, stream, _)) = self.fronts[at].joined else {
+    pub(crate) fn break_stream(&mut self, at: usize) {
+        let Some((supervisor, stream, _)) = self.proxies[at].control_stream else {
             return;
         };
         self.supervisors[supervisor].streams.remove(&stream);
         let epoch = self.supervisors[supervisor].epoch;
-        self.unjoin(at);
+        self.disconnect(at);
         self.report(supervisor, epoch, Report::StreamLost(StreamId(stream)));
     }
 
-    pub(crate) fn front_dies(&mut self, at: usize) {
-        if !self.fronts[at].up {
+    pub(crate) fn stop_proxy(&mut self, at: usize) {
+        if !self.proxies[at].is_up {
             return;
         }
-        self.stream_breaks(at);
-        self.fronts[at].up = false;
-        self.fronts[at].epoch += 1;
-        for (server, _) in std::mem::take(&mut self.fronts[at].connections) {
+        self.break_stream(at);
+        self.proxies[at].is_up = false;
+        self.proxies[at].epoch += 1;
+        for (server, _) in std::mem::take(&mut self.proxies[at].connections) {
             let of = &mut self.servers[server as usize];
             of.connections = of.connections.saturating_sub(1);
         }
         let held: Vec<RequestKey> = self
             .requests
             .iter()
-            .filter(|(_, request)| request.front as usize == at && request.current.is_some())
+            .filter(|(_, request)| {
+                request.proxy as usize == at && request.current_attempt.is_some()
+            })
             .map(|(key, _)| key)
             .collect();
         for key in held {
             let attempt = self
                 .requests
                 .get_mut(key)
-                .and_then(|request| request.current.take());
+                .and_then(|request| request.current_attempt.take());
             attempt
                 .into_iter()
                 .for_each(|attempt| self.abandon(attempt));
-            self.coming_fails(key, false, false);
+            self.fail_client_attempt(key, false, false);
         }
     }
 
-    pub(crate) fn front_starts(&mut self, at: usize) {
-        if self.fronts[at].up {
+    pub(crate) fn start_proxy(&mut self, at: usize) {
+        if self.proxies[at].is_up {
             return;
         }
-        let standing = self.standing(self.fronts[at].zone);
-        self.fronts[at].restart(standing);
+        let standing = self.initial_table(self.proxies[at].zone);
+        self.proxies[at].restart(standing);
         if self.setup.control != Control::Nobody {
-            self.dial(at, false);
+            self.schedule_stream_opening(at, false);
         }
     }
 
     // Reports.
 
-    fn sums(&mut self, at: usize, epoch: u32) {
-        if !self.is(at, epoch) {
+    fn collect_reports(&mut self, at: usize, epoch: u32) {
+        if !self.is_current(at, epoch) {
             return;
         }
-        let (scenario, noise) = (self.scenario, self.scenario.reports_noise);
+        let (scenario, noise) = (self.scenario, self.scenario.report_noise);
         self.push(
-            self.now + scenario.period_us,
-            Event::Sums {
+            self.now + scenario.report_period_us,
+            Event::ReportCollection {
                 supervisor: at as u32,
                 epoch,
             },
         );
-        let chance = &mut self.chances.reports;
-        let mut reports =
-            self.supervisors[at].report(scenario, &self.servers, || chance.noise(noise));
-        let period = Micros(scenario.period_us as i64);
-        for front in self.supervisors[at].streams.values() {
-            let usage = &mut self.fronts[*front as usize].usage;
+        let random = &mut self.random_sources.reports;
+        let mut reports = self.supervisors[at]
+            .take_reports(scenario, &self.servers, || random.noise_factor(noise));
+        let period = Micros(scenario.report_period_us as i64);
+        for proxy in self.supervisors[at].streams.values() {
+            let usage = &mut self.proxies[*proxy as usize].usage;
             for (class, of) in scenario.classes.iter().zip(usage.iter_mut()) {
                 let of = std::mem::take(of);
-                if of.came > 0.0 {
-                    let (class, proxy) = (class.name.clone(), *front);
+                if of.arrivals > 0.0 {
+                    let (class, proxy) = (class.name.clone(), *proxy);
                     reports.push(Report::ProxyDemand {
                         proxy,
                         class,
-                        arrivals: of.came,
+                        arrivals: of.arrivals,
                         failed: of.failed,
                         period,
                     });
                 }
             }
         }
-        let late = (scenario.reports_late_us as f64 * chance.between(0.6, 1.4)) as u64
-            + self.reports_later();
+        let late = (scenario.report_delay_us as f64 * random.uniform_between(0.6, 1.4)) as u64
+            + self.extra_report_delay_us();
         let due = self.now + late;
         let of = &mut self.supervisors[at];
-        of.intake
+        of.pending_reports
             .extend(reports.into_iter().map(|report| (due, report)));
-        if !of.taking && !of.intake.is_empty() {
-            of.taking = true;
+        if !of.intake_scheduled && !of.pending_reports.is_empty() {
+            of.intake_scheduled = true;
             self.push(
                 due,
-                Event::Intake {
+                Event::ReportIntake {
                     supervisor: at as u32,
                     epoch,
                 },
@@ -1901,46 +2046,52 @@
         }
     }
 
-    fn intake(&mut self, at: usize, epoch: u32) {
-        if !self.is(at, epoch) {
+    fn take_in_reports(&mut self, at: usize, epoch: u32) {
+        if !self.is_current(at, epoch) {
             return;
         }
-        let most = (self.scenario.intake_per_s * INTAKE_US as f64 / 1e6).ceil() as usize;
+        let most =
+            (self.scenario.report_intake_per_s * INTAKE_PERIOD_US as f64 / 1e6).ceil() as usize;
         let now = self.now;
         let of = &mut self.supervisors[at];
         let mut taken = 0;
-        while taken < most && of.intake.front().is_some_and(|(due, _)| *due <= now) {
-            let Some((_, report)) = of.intake.pop_front() else {
+        while taken < most
+            && of
+                .pending_reports
+                .front()
+                .is_some_and(|(due, _)| *due <= now)
+        {
+            let Some((_, report)) = of.pending_reports.pop_front() else {
                 break;
             };
             taken += 1;
-            if let Mind::Engine(engine, ..) = &mut of.mind {
+            if let Controller::Engine(engine, ..) = &mut of.controller {
                 // A front end that has left meanwhile is no longer known; the report is dropped, as in service.
                 let _ = engine.report(report);
             }
         }
-        match of.intake.front() {
+        match of.pending_reports.front() {
             Some((due, _)) => {
-                let next = (*due).max(now + INTAKE_US);
+                let next = (*due).max(now + INTAKE_PERIOD_US);
                 self.push(
                     next,
-                    Event::Intake {
+                    Event::ReportIntake {
                         supervisor: at as u32,
                         epoch,
                     },
                 );
             }
-            None => of.taking = false,
+            None => of.intake_scheduled = false,
         }
         if taken > 0 {
-            self.wake(at, now);
+            self.schedule_tick(at, now);
         }
     }
 
     // Probes.
 
-    fn probe(&mut self, at: usize, probe: HealthCheck) {
-        let Some(server) = probe
+    fn send_health_check(&mut self, at: usize, check: HealthCheck) {
+        let Some(server) = check
             .address
             .parse::<u32>()
             .ok()
@@ -1948,82 +2099,93 @@
         else {
             return;
         };
-        self.meter.count("probes", 1.0);
+        self.metrics.add("probes", 1.0);
         let zones = (
             self.supervisors[at].zone,
             self.servers[server as usize].zone,
         );
-        let (way, lost) = self.way(zones.0, zones.1);
+        let (link_us, lost) = self.link_delay(zones.0, zones.1);
         let epoch = self.supervisors[at].epoch;
-        let probing = Probing {
+        let pending = PendingHealthCheck {
             supervisor: at as u32,
             epoch,
             server,
             sent_us: self.now,
-            probe,
+            check,
         };
         if lost {
-            self.probe_times_out(probing);
+            self.time_out_health_check(pending);
         } else {
-            self.push(self.now + way, Event::ProbeReach(Box::new(probing)));
+            self.push(
+                self.now + link_us,
+                Event::HealthCheckArrival(Box::new(pending)),
+            );
         }
     }
 
-    fn probe_times_out(&mut self, probing: Probing) {
-        let ends = probing.sent_us + self.scenario.probe_timeout_us;
+    fn time_out_health_check(&mut self, pending: PendingHealthCheck) {
+        let ends = pending.sent_us + self.scenario.health_check_timeout_us;
         let ended = (
-            probing,
+            pending,
             HealthCheckOutcome::TimedOut,
             LoadReport::default(),
             false,
         );
-        self.push(ends, Event::ProbeEnd(Box::new(ended)));
+        self.push(ends, Event::HealthCheckEnd(Box::new(ended)));
     }
 
-    fn probe_reach(&mut self, probing: Probing) {
-        let at = probing.server as usize;
+    fn handle_health_check_arrival(&mut self, pending: PendingHealthCheck) {
+        let at = pending.server as usize;
         let zones = (
             self.servers[at].zone,
-            self.supervisors[probing.supervisor as usize].zone,
+            self.supervisors[pending.supervisor as usize].zone,
         );
-        if !self.servers[at].runs() && self.silent[at] {
-            self.probe_times_out(probing);
+        if !self.servers[at].is_running() && self.is_silent[at] {
+            self.time_out_health_check(pending);
             return;
         }
-        let (way, _) = self.way(zones.0, zones.1);
+        let (link_us, _) = self.link_delay(zones.0, zones.1);
         let of = &self.servers[at];
-        let most = self.scenario.probes_per_core * self.scenario.kinds[of.kind].cores;
-        let end = match of.life {
-            Life::Down | Life::Gone => Some(HealthCheckOutcome::Unreachable),
-            Life::Draining => Some(HealthCheckOutcome::Rejected),
-            Life::Up if f64::from(of.probes) >= most => Some(HealthCheckOutcome::Rejected),
-            Life::Up => None,
+        let most = self.scenario.max_health_checks_per_core * self.scenario.kinds[of.kind].cores;
+        let end = match of.state {
+            ServerState::Down | ServerState::Removed => Some(HealthCheckOutcome::Unreachable),
+            ServerState::Draining => Some(HealthCheckOutcome::Rejected),
+            ServerState::Up if f64::from(of.active_health_checks) >= most => {
+                Some(HealthCheckOutcome::Rejected)
+            }
+            ServerState::Up => None,
         };
         if let Some(end) = end {
-            let ended = (probing, end, LoadReport::default(), false);
-            self.push(self.now + way, Event::ProbeEnd(Box::new(ended)));
+            let ended = (pending, end, LoadReport::default(), false);
+            self.push(self.now + link_us, Event::HealthCheckEnd(Box::new(ended)));
             return;
         }
-        let deep = self.scenario.probes_deep;
-        if deep && of.effects.fails > 0.0 && self.chances.errors.share() < of.effects.fails {
+        let deep = self.scenario.deep_health_checks;
+        if deep
+            && of.effects.failure_share > 0.0
+            && self.random_sources.errors.uniform() < of.effects.failure_share
+        {
             let ended = (
-                probing,
+                pending,
                 HealthCheckOutcome::Error,
                 LoadReport::default(),
                 false,
             );
-            self.push(self.now + ERROR_US + way, Event::ProbeEnd(Box::new(ended)));
+            self.push(
+                self.now + ERROR_RESPONSE_US + link_us,
+                Event::HealthCheckEnd(Box::new(ended)),
+            );
             return;
         }
-        let waits = if deep { of.wait_ms() } else { 0.0 };
-        let took = of
-            .probe_ms(self.now, self.scenario.probe_ms)
+        let waits = if deep { of.expected_wait_ms() } else { 0.0 };
+        let elapsed = of
+            .health_check_ms(self.now, self.scenario.health_check_work_ms)
             .map(|ms| ((ms + waits) * 1e3) as u64);
-        let in_time = took.filter(|took| {
-            self.now + took + way < probing.sent_us + self.scenario.probe_timeout_us
+        let in_time = elapsed.filter(|elapsed| {
+            self.now + elapsed + link_us < pending.sent_us + self.scenario.health_check_timeout_us
         });
-        let Some(took) = in_time else {
-            self.probe_times_out(probing);
+        let Some(elapsed) = in_time else {
+            self.time_out_health_check(pending);
             return;
         };
         let (queue, service) = (of.queue() as f64, of.service_ms());
@@ -2036,33 +2198,36 @@
         } else {
             LoadReport::default()
         };
-        self.servers[at].probes += 1;
-        let ended = (probing, HealthCheckOutcome::Passed, load, true);
-        self.push(self.now + took + way, Event::ProbeEnd(Box::new(ended)));
+        self.servers[at].active_health_checks += 1;
+        let ended = (pending, HealthCheckOutcome::Passed, load, true);
+        self.push(
+            self.now + elapsed + link_us,
+            Event::HealthCheckEnd(Box::new(ended)),
+        );
     }
 
-    fn probe_end(
+    fn end_health_check(
         &mut self,
-        (probing, end, load, answered): (Probing, HealthCheckOutcome, LoadReport, bool),
+        (pending, end, load, answered): (PendingHealthCheck, HealthCheckOutcome, LoadReport, bool),
     ) {
         if answered {
-            let of = &mut self.servers[probing.server as usize];
-            of.probes = of.probes.saturating_sub(1);
+            let of = &mut self.servers[pending.server as usize];
+            of.active_health_checks = of.active_health_checks.saturating_sub(1);
         }
-        let took = Micros((self.now - probing.sent_us) as i64);
-        let Probing {
+        let elapsed = Micros((self.now - pending.sent_us) as i64);
+        let PendingHealthCheck {
             supervisor,
             epoch,
-            probe,
+            check,
             ..
-        } = probing;
+        } = pending;
         self.report(
             supervisor as usize,
             epoch,
             Report::HealthChecked {
-                check: probe,
+                check: check,
                 outcome: end,
-                elapsed: took,
+                elapsed: elapsed,
                 load,
             },
         );
@@ -2071,110 +2236,110 @@
     // Housekeeping.
 
     /// A trouble of servers has ended: those that nobody picks are watched until somebody does.
-    pub(crate) fn watch_healed(&mut self, number: usize) {
+    pub(crate) fn watch_recovered(&mut self, number: usize) {
         let picked = |server: u32| {
-            self.fronts
+            self.proxies
                 .iter()
-                .any(|front| front.up && front.picks(server))
+                .any(|proxy| proxy.is_up && proxy.can_pick(server))
         };
-        let left = self.struck[number]
-            .whom
+        let left = self.fault_states[number]
+            .targets
             .iter()
             .map(|at| *at as u32)
             .filter(|server| !picked(*server));
         let left: Vec<(u32, u64)> = left.map(|server| (server, self.now)).collect();
-        self.healing.extend(left);
+        self.watched_recovered.extend(left);
     }
 
-    pub(crate) fn watch_struck(&mut self, number: usize) {
-        let whom = &self.struck[number].whom;
-        self.watched
-            .extend(whom.iter().map(|at| (*at as u32, self.now)));
+    pub(crate) fn watch_faulty(&mut self, number: usize) {
+        let targets = &self.fault_states[number].targets;
+        self.watched_faulty
+            .extend(targets.iter().map(|at| (*at as u32, self.now)));
     }
 
     /// Looks at what holds over time: who has nobody to pick, and which struck servers nobody picks any more.
-    fn look(&mut self) {
-        self.push(self.now + LOOK_US, Event::Look);
+    fn check_rules(&mut self) {
+        self.push(self.now + RULE_CHECK_PERIOD_US, Event::RuleCheck);
         let (now, scenario) = (self.now, self.scenario);
         if let Control::Ideal(late_ms) = self.setup.control {
             let truth = self.servers.iter().map(|server| {
-                let runs = server.life == Life::Up && !server.effects.hangs;
+                let runs = server.state == ServerState::Up && !server.effects.is_hanging;
                 if runs {
-                    server.capacity(now) * (1.0 - server.effects.fails).powi(4)
+                    server.capacity(now) * (1.0 - server.effects.failure_share).powi(4)
                 } else {
                     0.0
                 }
             });
-            self.past.push_back((now, truth.collect()));
+            self.capacity_history.push_back((now, truth.collect()));
             while self
-                .past
+                .capacity_history
                 .get(1)
                 .is_some_and(|(at, _)| at + u64::from(late_ms) * 1000 <= now)
             {
-                self.past.pop_front();
+                self.capacity_history.pop_front();
             }
         }
-        for at in 0..self.fronts.len() {
-            let Some((supervisor, _, since)) = self.fronts[at].joined else {
+        for at in 0..self.proxies.len() {
+            let Some((supervisor, _, since)) = self.proxies[at].control_stream else {
                 continue;
             };
             for class in 0..scenario.classes.len() {
-                if self.fronts[at].has_lines(class) {
-                    self.fronts[at].bare_since[class] = None;
+                if self.proxies[at].has_servers(class) {
+                    self.proxies[at].no_server_since[class] = None;
                     continue;
                 }
-                let bare = *self.fronts[at].bare_since[class].get_or_insert(now);
+                let bare = *self.proxies[at].no_server_since[class].get_or_insert(now);
                 let home = scenario.classes[class]
-                    .home_only
-                    .then_some(self.fronts[at].zone);
+                    .zone_local
+                    .then_some(self.proxies[at].zone);
                 let of = &self.supervisors[supervisor];
-                if now > bare.max(since) + scenario.unserved_us
-                    && of.lists_warm(now, &self.servers, self.longest_cold_us, home)
+                if now > bare.max(since) + scenario.max_unserved_us
+                    && of.has_warm_server(now, &self.servers, self.max_slow_start_us, home)
                 {
                     // Counted anew after as long again.
-                    self.fronts[at].bare_since[class] = Some(now);
+                    self.proxies[at].no_server_since[class] = Some(now);
                     let name = &scenario.classes[class].name;
-                    let at_us = now - BEGIN_US;
-                    self.rules.broken(Rule::Unserved, at_us, || {
+                    let at_us = now - START_US;
+                    self.broken_rules.record(Rule::Unserved, at_us, || {
                         format!("front end {at} has nobody for {name}")
                     });
                 }
             }
         }
-        let healing = std::mem::take(&mut self.healing);
-        for (server, since) in healing {
+        let watched_recovered = std::mem::take(&mut self.watched_recovered);
+        for (server, since) in watched_recovered {
             if self
-                .fronts
+                .proxies
                 .iter()
-                .any(|front| front.up && front.picks(server))
+                .any(|proxy| proxy.is_up && proxy.can_pick(server))
             {
-                self.meter.restored((now - since) as f64 / 1e6);
+                self.metrics.record_restored((now - since) as f64 / 1e6);
             } else {
-                self.healing.push((server, since));
+                self.watched_recovered.push((server, since));
             }
         }
-        let watched = std::mem::take(&mut self.watched);
-        for (server, since) in watched {
+        let watched_faulty = std::mem::take(&mut self.watched_faulty);
+        for (server, since) in watched_faulty {
             if self
-                .fronts
+                .proxies
                 .iter()
-                .any(|front| front.up && front.picks(server))
+                .any(|proxy| proxy.is_up && proxy.can_pick(server))
             {
-                self.watched.push((server, since));
+                self.watched_faulty.push((server, since));
             } else {
-                self.meter.shut_out((now - since) as f64 / 1e6);
+                self.metrics.record_shut_out((now - since) as f64 / 1e6);
             }
         }
     }
 
     /// Each second: connections that are not used close, and figures are kept.
-    fn second(&mut self) {
-        self.push(self.now + 1_000_000, Event::Second);
+    fn end_second(&mut self) {
+        self.push(self.now + 1_000_000, Event::SecondEnd);
         let (now, idle) = (self.now, self.scenario.idle_close_us);
-        for front in &mut self.fronts {
-            let mut open = std::mem::take(&mut front.connections);
+        for proxy in &mut self.proxies {
+            let mut open = std::mem::take(&mut proxy.connections);
             open.retain(|server, of: &mut Connection| {
-                let kept = of.inflight > 0 || (front.picks(*server) && of.used_us + idle > now);
+                let kept = of.inflight > 0 || (proxy.can_pick(*server) && of.used_us + idle > now);
                 if !kept {
                     let server = &mut self.servers[*server as usize];
                     server.advance(now);
@@ -2182,11 +2347,11 @@
                 }
                 kept
             });
-            front.connections = open;
+            proxy.connections = open;
         }
         // Cold servers get faster.
         for at in 0..self.servers.len() {
-            if self.servers[at].is_cold(now) {
+            if self.servers[at].is_warming_up(now) {
                 self.servers[at].advance(now);
                 self.reschedule(at);
             }
@@ -2195,7 +2360,7 @@
         let up = self
             .servers
             .iter()
-            .filter(|server| server.runs())
+            .filter(|server| server.is_running())
             .count()
             .max(1);
         let open: f64 = self
@@ -2203,15 +2368,15 @@
             .iter()
             .map(|server| f64::from(server.connections))
             .sum();
-        self.meter.top("queue", queue as f64);
-        self.meter.top("connections", open / up as f64);
+        self.metrics.record_max("queue", queue as f64);
+        self.metrics.record_max("connections", open / up as f64);
         let scenario = self.scenario;
-        let waiting = self
-            .supervisors
-            .iter()
-            .map(|of| (of.free_us - now as f64).max(0.0) / 1e6 * scenario.lines_per_s);
-        let fullest = waiting.fold(0.0, f64::max) / scenario.backlog;
+        let waiting = self.supervisors.iter().map(|of| {
+            (of.channel_free_us - now as f64).max(0.0) / 1e6 * scenario.channel_lines_per_s
+        });
+        let fullest = waiting.fold(0.0, f64::max) / scenario.max_backlog;
         let second = (self.elapsed() / 1_000_000).saturating_sub(1) as usize;
-        self.meter.stands(second, queue as f64, fullest);
+        self.metrics
+            .record_second_end(second, queue as f64, fullest);
     }
 }
--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -1,5 +1,5 @@
-//! A supervisor of the model: the real engine behind a channel of limited pace, fed with late and limited reports and a list
-//! that lags; or a baseline in the engine's place, for comparison only.
+//! A simulated supervisor: the real engine behind a channel of limited throughput, with delayed and rate limited reports and
+//! a delayed endpoint list; or a baseline instead of the engine, for comparison.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -19,32 +19,32 @@
 use crate::scenario::Scenario;
 use crate::server::Server;
 
-/// How late the ideal sees the truth where nothing is said, in milliseconds: about what reports take in service.
+/// Default delay of the ideal controller's information, in milliseconds: about the delay of reports in production.
 pub const DEFAULT_IDEAL_DELAY_MS: u32 = 500;
 
-/// What decides.
+/// Controller of all supervisors.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Control {
-    /// The engine and the decision module.
+    /// The engine with the decision module.
     #[default]
     Module,
-    /// All listed servers by their listed weights, changes as the list tells them.
+    /// All listed servers by their listed weights, updated with the endpoint list.
     Fixed,
-    /// Nobody: front ends keep the tables that they start with.
+    /// No control: proxies keep their initial tables.
     Nobody,
-    /// One that sees the true speed of all servers, so many milliseconds late, and whose orders cost nothing.
+    /// Knows the true capacity of all servers, this many milliseconds late; its orders use no channel capacity.
     Ideal(u32),
 }
 
-/// What makes another build's decisions, from settings and a seed.
+/// Creates a decision policy from settings and a seed.
 pub type PolicyFactory = dyn Fn(&Settings, u64) -> Box<dyn DecisionPolicy> + Send + Sync;
 
-/// Another build's decisions in the module's place.
+/// A decision policy that replaces the built-in module, such as that of another build.
 #[derive(Clone)]
 pub struct AlternativePolicy {
-    /// What tells it from others.
+    /// Distinguishes the policy from others; part of the key of stored results.
     pub name: String,
-    /// What makes them for each start of a supervisor.
+    /// Creates the policy at each start of a supervisor.
     pub create: Arc<PolicyFactory>,
 }
 
@@ -60,37 +60,40 @@
     }
 }
 
-/// What decides at all supervisors, and by which rules of the operators.
+/// Controller of all supervisors, with the operator's configuration, and recorded traffic.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Setup {
-    /// What decides.
+    /// Controller of all supervisors.
     pub control: Control,
-    /// Another build's module, where the control is the module.
+    /// Replaces the decision module if the controller is [`Control::Module`].
     pub alternative_policy: Option<AlternativePolicy>,
-    /// Texts of plug-ins, with the names of their files; only the module takes advice.
+    /// File names and source texts of plug-ins; only [`Control::Module`] uses them.
     pub plugins: Vec<(String, String)>,
-    /// Reduced service, limits and budgets; only the module takes them.
+    /// Service levels, limits and budgets; only [`Control::Module`] uses them.
     pub limits: Option<limits::Limits>,
-    /// What comes, in the place of what the scenario draws.
+    /// Recorded requests that replace the random arrivals.
     pub traffic: Option<Arc<Traffic>>,
 }
 
-/// The classes of a scenario, as limits need them.
+/// Converts the classes of a scenario to those of the overload configuration.
 fn classes(scenario: &Scenario) -> Vec<Class> {
-    let own = scenario.settings(0).classes;
-    own.iter()
+    let policy_classes = scenario.settings(0).classes;
+    policy_classes
+        .iter()
         .zip(&scenario.classes)
-        .map(|(class, of)| chutegrade_overload_control::overload_class(of.name.clone(), class))
+        .map(|(class, scenario_class)| {
+            chutegrade_overload_control::overload_class(scenario_class.name.clone(), class)
+        })
         .collect()
 }
 
 impl Setup {
-    /// Whether limits, and classes and zones of the traffic, fit a scenario; a sentence if not.
+    /// Validates the limits, and the classes and zones of the traffic, for a scenario; returns the first error as text.
     pub fn validate_for(&self, scenario: &Scenario) -> Result<(), String> {
-        if let Some(of) = &self.limits {
-            OverloadConfig::read(of, Some(&classes(scenario))).map_err(|faults| {
-                let said: Vec<String> = faults.iter().map(ToString::to_string).collect();
-                format!("limits: {}", said.join("; "))
+        if let Some(limits) = &self.limits {
+            OverloadConfig::read(limits, Some(&classes(scenario))).map_err(|faults| {
+                let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
+                format!("limits: {}", messages.join("; "))
             })?;
         }
         let Some(traffic) = &self.traffic else {
@@ -110,8 +113,8 @@
         }
     }
 
-    /// What the classes, and the zones, of recorded traffic are in a scenario.
-    pub fn recorded(&self, scenario: &Scenario) -> (Vec<Option<usize>>, Vec<Option<usize>>) {
+    /// Maps the classes and the zones of the recorded traffic to indices in the scenario; empty without traffic.
+    pub fn traffic_indices(&self, scenario: &Scenario) -> (Vec<Option<usize>>, Vec<Option<usize>>) {
         let Some(traffic) = &self.traffic else {
             return Default::default();
         };
@@ -128,249 +131,257 @@
         )
     }
 
-    /// Levels, limits and budgets of one supervisor, if they are wanted and fit.
-    pub fn service(
+    /// Creates the overload controller of a supervisor; `None` without limits or if they are invalid.
+    pub fn overload_controller(
         &self,
         scenario: &Scenario,
         engine: &mut Engine,
     ) -> Option<Box<OverloadController>> {
-        let plan = OverloadConfig::read(self.limits.as_ref()?, Some(&classes(scenario))).ok()?;
+        let config = OverloadConfig::read(self.limits.as_ref()?, Some(&classes(scenario))).ok()?;
         Some(Box::new(OverloadController::new(
-            plan,
+            config,
             engine,
-            Micros(scenario.period_us as i64),
+            Micros(scenario.report_period_us as i64),
         )))
     }
 
-    /// Whether the plug-ins compile; a sentence if not.
+    /// Compiles the plug-ins; returns the first error as text.
     pub fn validate_plugins(&self) -> Result<(), String> {
-        let refused = PluginAdvisor::default()
+        let load_errors = PluginAdvisor::default()
             .load(&self.plugins)
             .err()
             .unwrap_or_default();
-        match refused.first() {
+        match load_errors.first() {
             None => Ok(()),
-            Some(one) => {
-                let first = one
+            Some(file_error) => {
+                let first = file_error
                     .diagnostics
                     .first()
                     .map(ToString::to_string)
                     .unwrap_or_default();
-                Err(format!("{}:{first}", one.name))
+                Err(format!("{}:{first}", file_error.name))
             }
         }
     }
 
-    /// The rules of one supervisor, loaded.
-    pub fn rules(&self) -> PluginAdvisor {
-        let mut rules = PluginAdvisor::default();
-        // What does not compile was told when the setup was checked; here it is no rule.
-        let _ = rules.load(&self.plugins);
-        rules
+    /// Creates the plug-in advisor of a supervisor.
+    pub fn plugin_advisor(&self) -> PluginAdvisor {
+        let mut advisor = PluginAdvisor::default();
+        // `validate_plugins` reports compile errors; plug-ins with errors are left out here.
+        let _ = advisor.load(&self.plugins);
+        advisor
     }
 }
 
-/// What a supervisor knows of a server.
+/// A supervisor's information about a server, from discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// It is listed.
+pub struct KnownServer {
+    /// Whether discovery has reported the server.
     pub listed: bool,
-    /// Its life.
-    pub life: Lifecycle,
-    /// Its start, if it did not run from the beginning.
+    /// Lifecycle according to the last update.
+    pub lifecycle: Lifecycle,
+    /// Time of the start; `None` if it has run since before the simulation.
     pub started_us: Option<u64>,
-    /// When it was learned that it drains or is gone.
-    pub drains_since: Option<u64>,
-    /// When its start was learned.
-    pub start_learned: u64,
-    /// Number of the news.
+    /// Time when the supervisor was notified that it is draining or removed.
+    pub draining_since: Option<u64>,
+    /// Time when the supervisor was notified of the start.
+    pub start_known_since: u64,
+    /// Sequence number of the last update.
     pub seq: u32,
 }
 
-/// What front ends of a zone met at a server, since the last report.
+/// Attempts of the proxies of a zone at a server since the last report.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
-    /// Tries that ended.
-    pub tries: f64,
-    /// Those without a good answer.
+pub struct AttemptTotals {
+    /// Attempts that ended.
+    pub attempts: f64,
+    /// Attempts that failed or were not executed.
     pub failed: f64,
-    /// Time of the good ones, in milliseconds.
-    pub sum_ms: f64,
-    /// Newest load: queue and service time.
+    /// Sum of the durations of successful attempts, in milliseconds.
+    pub latency_sum_ms: f64,
+    /// Last load that a response reported: queued requests, and service time in milliseconds.
     pub load: Option<(f64, f64)>,
 }
 
-/// What decides at one supervisor.
-pub enum Mind {
-    /// The engine.
+/// Controller of one supervisor.
+pub enum Controller {
+    /// The engine, with the plug-in advisor and, if configured, the overload controller.
     Engine(
         Box<Engine>,
         Box<PluginAdvisor>,
         Option<Box<OverloadController>>,
     ),
-    /// A baseline; whether it has something new to order.
-    Plain(bool),
+    /// A baseline; true if the endpoint list or the streams have changed since its last order.
+    Baseline(bool),
 }
 
-/// A supervisor.
+/// A supervisor of the simulated fleet.
 pub struct Supervisor {
-    /// Its zone.
+    /// Index of the supervisor's zone in the scenario.
     pub zone: usize,
-    /// It runs.
-    pub up: bool,
-    /// It stands still until then.
-    pub still_until: u64,
-    /// Number of its start.
+    /// Whether the process runs.
+    pub is_up: bool,
+    /// The supervisor does not tick before this time.
+    pub paused_until_us: u64,
+    /// Incremented when the process stops; events of an earlier epoch are ignored.
     pub epoch: u32,
-    /// What decides.
-    pub mind: Mind,
-    /// When the pending tick is due, and its number.
-    pub tick: Option<(u64, u32)>,
-    /// Ticks asked for so far.
-    pub ticks: u32,
-    /// When it last ticked.
-    pub ticked_us: u64,
-    /// When its channel is free.
-    pub free_us: f64,
-    /// What it knows of the servers, by number.
-    pub seen: Vec<Seen>,
-    /// Sums by zone and server.
-    pub sums: BTreeMap<(usize, u32), Tally>,
-    /// Reports on their way, by when they can be had.
-    pub intake: VecDeque<(u64, Report)>,
-    /// An intake is under way.
-    pub taking: bool,
-    /// Joined front ends by stream.
+    /// Controller of all supervisors.
+    pub controller: Controller,
+    /// Time and number of the scheduled tick; tick events with another number are ignored.
+    pub pending_tick: Option<(u64, u32)>,
+    /// Number of the last scheduled tick.
+    pub scheduled_ticks: u32,
+    /// Time of the last tick.
+    pub last_tick_us: u64,
+    /// Time when the channel will have sent all queued lines.
+    pub channel_free_us: f64,
+    /// Information about the servers, by number.
+    pub known_servers: Vec<KnownServer>,
+    /// Attempts since the last report, by zone and server.
+    pub attempt_totals: BTreeMap<(usize, u32), AttemptTotals>,
+    /// Reports that the engine has not received yet, with the times from which it can.
+    pub pending_reports: VecDeque<(u64, Report)>,
+    /// Whether a report intake event is scheduled.
+    pub intake_scheduled: bool,
+    /// Proxies by stream number.
     pub streams: BTreeMap<u64, u32>,
-    /// Streams so far.
-    pub streams_made: u64,
+    /// Number of the last opened stream.
+    pub last_stream: u64,
 }
 
 impl Supervisor {
-    /// One that knows the list as it is at the beginning.
-    pub fn new(zone: usize, mind: Mind, servers: usize) -> Self {
-        let listed = Seen {
+    /// Creates a running supervisor with all initial servers listed.
+    pub fn new(zone: usize, controller: Controller, servers: usize) -> Self {
+        let listed = KnownServer {
             listed: true,
-            ..Seen::default()
+            ..KnownServer::default()
         };
         Supervisor {
             zone,
-            up: true,
-            still_until: 0,
+            is_up: true,
+            paused_until_us: 0,
             epoch: 0,
-            mind,
-            tick: None,
-            ticks: 0,
-            ticked_us: 0,
-            free_us: 0.0,
-            seen: vec![listed; servers],
-            sums: BTreeMap::new(),
-            intake: VecDeque::new(),
-            taking: false,
+            controller,
+            pending_tick: None,
+            scheduled_ticks: 0,
+            last_tick_us: 0,
+            channel_free_us: 0.0,
+            known_servers: vec![listed; servers],
+            attempt_totals: BTreeMap::new(),
+            pending_reports: VecDeque::new(),
+            intake_scheduled: false,
             streams: BTreeMap::new(),
-            streams_made: 0,
+            last_stream: 0,
         }
     }
 
-    /// What it knows of a server.
-    pub fn of(&self, server: u32) -> Seen {
-        self.seen.get(server as usize).copied().unwrap_or_default()
+    /// Returns the information about a server; the default if discovery has not reported it.
+    pub fn known_server(&self, server: u32) -> KnownServer {
+        self.known_servers
+            .get(server as usize)
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// News of a server; older news than it has is passed over. Whether it was news.
-    pub fn learn(
+    /// Applies an update of a server, unless it is older than the last one; returns whether it was applied.
+    pub fn update_server(
         &mut self,
-        now: u64,
+        now_us: u64,
         server: usize,
-        life: Lifecycle,
+        lifecycle: Lifecycle,
         started_us: Option<u64>,
         seq: u32,
     ) -> bool {
-        if self.seen.len() <= server {
-            self.seen.resize(server + 1, Seen::default());
+        if self.known_servers.len() <= server {
+            self.known_servers
+                .resize(server + 1, KnownServer::default());
         }
-        let seen = &mut self.seen[server];
-        if seen.listed && seen.seq >= seq {
+        let known = &mut self.known_servers[server];
+        if known.listed && known.seq >= seq {
             return false;
         }
-        let drains = life != Lifecycle::InService;
-        let start_learned = if seen.started_us == started_us {
-            seen.start_learned
+        let is_leaving = lifecycle != Lifecycle::InService;
+        let start_known_since = if known.started_us == started_us {
+            known.start_known_since
         } else {
-            now
+            now_us
         };
-        let drains_since = drains.then(|| seen.drains_since.unwrap_or(now));
-        *seen = Seen {
+        let draining_since = is_leaving.then(|| known.draining_since.unwrap_or(now_us));
+        *known = KnownServer {
             listed: true,
-            life,
+            lifecycle,
             started_us,
-            drains_since,
-            start_learned,
+            draining_since,
+            start_known_since,
             seq,
         };
         true
     }
 
-    /// Whether a warm server in service is listed that a class may use from a zone.
-    pub fn lists_warm(
+    /// Returns whether a server that is in service and past slow start is listed, in the required zone if there is one.
+    pub fn has_warm_server(
         &self,
-        now: u64,
+        now_us: u64,
         servers: &[Server],
-        cold_us: u64,
-        home: Option<usize>,
+        slow_start_us: u64,
+        required_zone: Option<usize>,
     ) -> bool {
-        self.seen.iter().zip(servers).any(|(seen, server)| {
-            let warm = seen
-                .started_us
-                .is_none_or(|started| started + cold_us <= now);
-            let open = home.is_none_or(|zone| zone == server.zone);
-            seen.listed && seen.life == Lifecycle::InService && warm && open
-        })
+        self.known_servers
+            .iter()
+            .zip(servers)
+            .any(|(known, server)| {
+                let is_warm = known
+                    .started_us
+                    .is_none_or(|started_us| started_us + slow_start_us <= now_us);
+                let is_reachable = required_zone.is_none_or(|zone| zone == server.zone);
+                known.listed && known.lifecycle == Lifecycle::InService && is_warm && is_reachable
+            })
     }
 
-    /// An entry of the list as it knows it.
-    pub fn entry(&self, scenario: &Scenario, server: usize, of: &Server) -> NamedEndpoint {
-        let seen = self.of(server as u32);
+    /// Returns the entry of a server in the endpoint list.
+    pub fn endpoint(&self, scenario: &Scenario, index: usize, server: &Server) -> NamedEndpoint {
+        let known = self.known_server(index as u32);
         NamedEndpoint {
-            name: of.name.to_string(),
-            address: server.to_string(),
-            zone: scenario.zones[of.zone].clone(),
-            machine_kind: scenario.kinds[of.kind].name.clone(),
+            name: server.name.to_string(),
+            address: index.to_string(),
+            zone: scenario.zones[server.zone].clone(),
+            machine_kind: scenario.kinds[server.kind].name.clone(),
             cell: 0,
-            lifecycle: seen.life,
-            weight: of.listed,
-            started_at: seen.started_us.map(|us| Micros(us as i64)),
+            lifecycle: known.lifecycle,
+            weight: server.listed_weight,
+            started_at: known.started_us.map(|us| Micros(us as i64)),
         }
     }
 
-    /// The whole list as it knows it.
-    pub fn list(&self, scenario: &Scenario, servers: &[Server]) -> Vec<NamedEndpoint> {
-        let known = self.seen.iter().zip(servers).enumerate();
-        let listed = known.filter(|(_, (seen, _))| seen.listed && seen.life != Lifecycle::Removed);
+    /// Returns the whole endpoint list.
+    pub fn endpoints(&self, scenario: &Scenario, servers: &[Server]) -> Vec<NamedEndpoint> {
+        let known = self.known_servers.iter().zip(servers).enumerate();
+        let listed =
+            known.filter(|(_, (known, _))| known.listed && known.lifecycle != Lifecycle::Removed);
         listed
-            .map(|(at, (_, server))| self.entry(scenario, at, server))
+            .map(|(index, (_, server))| self.endpoint(scenario, index, server))
             .collect()
     }
 
-    /// Sums since the last report, as reports with some noise.
-    pub fn report(
+    /// Returns reports on the attempts since the last call, with noise on the latencies.
+    pub fn take_reports(
         &mut self,
         scenario: &Scenario,
         servers: &[Server],
         mut noise: impl FnMut() -> f64,
     ) -> Vec<Report> {
-        let period = Micros(scenario.period_us as i64);
-        let sums = std::mem::take(&mut self.sums);
-        let report = |((zone, server), of): ((usize, u32), Tally)| {
-            let good = of.tries - of.failed;
-            let mean_ms = if good > 0.0 {
-                of.sum_ms / good * noise()
+        let period = Micros(scenario.report_period_us as i64);
+        let totals = std::mem::take(&mut self.attempt_totals);
+        let to_report = |((zone, server), totals): ((usize, u32), AttemptTotals)| {
+            let succeeded = totals.attempts - totals.failed;
+            let mean_ms = if succeeded > 0.0 {
+                totals.latency_sum_ms / succeeded * noise()
             } else {
                 0.0
             };
-            let load = of
+            let load = totals
                 .load
-                .filter(|_| scenario.load_reports && scenario.load_with_answers)
+                .filter(|_| scenario.load_reports && scenario.load_with_responses)
                 .map_or(LoadReport::default(), |(queue, latency_ms)| LoadReport {
                     queued: Some(queue),
                     latency_ms: Some(latency_ms),
@@ -379,63 +390,67 @@
             Report::ServerOutcomes {
                 zone: scenario.zones[zone].clone(),
                 server: servers[server as usize].name.to_string(),
-                attempts: of.tries,
-                failed: of.failed,
+                attempts: totals.attempts,
+                failed: totals.failed,
                 mean_latency_ms: mean_ms,
                 period,
                 load,
             }
         };
-        sums.into_iter().map(report).collect()
+        totals.into_iter().map(to_report).collect()
     }
 }
 
-/// The whole table that a baseline gives to all front ends of a zone: a part for each group of classes.
-pub fn whole(
+/// Returns a baseline's order for all proxies of a zone: one table for zone-local classes, and one for the others.
+pub fn baseline_order(
     scenario: &Scenario,
     servers: &[Server],
     zone: usize,
     weight: impl Fn(usize) -> f64,
 ) -> Order {
-    let rows = |home: bool| -> Vec<ServerWeight> {
-        let all = servers
+    let rows = |zone_local: bool| -> Vec<ServerWeight> {
+        let candidates = servers
             .iter()
             .enumerate()
-            .filter(|(_, server)| !home || server.zone == zone);
-        let weighed =
-            all.map(|(at, server)| ServerWeight::new(Rc::clone(&server.name), weight(at)));
-        weighed.filter(|of| of.weight > 0.0).collect()
+            .filter(|(_, server)| !zone_local || server.zone == zone);
+        let weighted = candidates
+            .map(|(index, server)| ServerWeight::new(Rc::clone(&server.name), weight(index)));
+        weighted.filter(|row| row.weight > 0.0).collect()
     };
-    let classes = |home: bool| -> Vec<Rc<str>> {
-        let of = scenario
+    let classes = |zone_local: bool| -> Vec<Rc<str>> {
+        let matching = scenario
             .classes
             .iter()
-            .filter(|class| class.home_only == home);
-        of.map(|class| Rc::from(class.name.as_str())).collect()
+            .filter(|class| class.zone_local == zone_local);
+        matching
+            .map(|class| Rc::from(class.name.as_str()))
+            .collect()
     };
-    let part = |home: bool| TableUpdate {
-        classes: classes(home),
+    let update = |zone_local: bool| TableUpdate {
+        classes: classes(zone_local),
         replace: true,
-        weights: rows(home),
+        weights: rows(zone_local),
         admission: None,
     };
-    let parts = [false, true]
-        .map(part)
+    let updates = [false, true]
+        .map(update)
         .into_iter()
-        .filter(|part| !part.classes.is_empty())
+        .filter(|update| !update.classes.is_empty())
         .collect();
     Order {
-        updates: parts,
+        updates,
         ..Order::default()
     }
 }
 
-/// Lines that an order costs, its head not counted.
-pub fn lines(order: &Order) -> f64 {
-    let part = |part: &TableUpdate| {
-        part.weights.len() + usize::from(part.replace) + usize::from(part.admission.is_some())
+/// Returns the number of lines of an order, without the overhead of the message.
+pub fn order_lines(order: &Order) -> f64 {
+    let update = |update: &TableUpdate| {
+        update.weights.len() + usize::from(update.replace) + usize::from(update.admission.is_some())
     };
-    let lines: usize = order.updates.iter().map(part).sum();
-    (lines + order.suspended.len() + order.resumed.len() + usize::from(order.acknowledge.is_some()))
-        as f64
+    let line_count: usize = order.updates.iter().map(update).sum();
+    (line_count
+        + order.suspended.len()
+        + order.resumed.len()
+        + usize::from(order.acknowledge.is_some())) as f64
 }
--- a/crates/model/tests/levels.rs
+++ b/crates/model/tests/levels.rs
@@ -1,4 +1,4 @@
-//! Levels of service on the model: ten minutes across the boundary, what is kept and what is shed, recorded traffic.
+//! Service levels, limits and recorded traffic in the simulator.
 
 use std::sync::Arc;
 
@@ -12,29 +12,29 @@
     class { name: 'refund-order' share: 1 work_ms: 80 worth: 3 effect: UNSAFE aim_ms: 600 deadline_ms: 2000 }\n\
     clients { retries: 2 } supervisors { count: 1 }\n";
 
-const LADDER: &str = "ladder { level { name: 'fewer reads' shed { class: 'status-read' keep: 0.1 }\n\
+const LEVELS: &str = "ladder { level { name: 'fewer reads' shed { class: 'status-read' keep: 0.1 }\n\
     enter { all { signal: SATURATION above: 0.35 for_s: 1 } }\n\
     leave { all { signal: SATURATION below: 0.15 for_s: 4 } all { signal: ROOM above: 1.15 for_s: 4 } } least_stay_s: 10 } }";
 
-fn scenario_of(text: &str) -> Scenario {
+fn read_scenario(text: &str) -> Scenario {
     scenario::read(&format!("{FLEET}{text}")).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
-fn written(text: &str) -> limits::Limits {
+fn parse_limits(text: &str) -> limits::Limits {
     chutegrade_textproto::parse(SCHEMA, "chutegrade.limits.v1.Limits", text).expect(text)
 }
 
 fn setup(text: &str) -> Setup {
     Setup {
-        limits: Some(written(text)),
+        limits: Some(parse_limits(text)),
         ..Setup::default()
     }
 }
 
-/// Five swings of two minutes each: at most one change each way for each swing, every change with its cause; the dear class
-/// is kept better than without.
+/// Five load swings of two minutes each. Guards against a level that flaps: at most one change in each direction per swing,
+/// each with its condition, and the class with the highest priority weight is served no worse than without levels.
 #[test]
-fn ten_minutes_across_the_boundary() {
+fn load_swings_of_ten_minutes_change_the_level_at_most_once_each_way() {
     let points: String = (0..5)
         .flat_map(|swing| {
             let at = 120 * swing;
@@ -47,67 +47,77 @@
         })
         .map(|(at, factor)| format!("point {{ at_s: {at} factor: {factor} }} "))
         .collect();
-    let scenario = scenario_of(&format!("seconds: 600 load {{ level: 0.6 {points} }}"));
-    let with = setup(LADDER);
-    with.validate_for(&scenario).expect("it fits");
-    let (plain, levels) = (
+    let scenario = read_scenario(&format!("seconds: 600 load {{ level: 0.6 {points} }}"));
+    let setup_with_levels = setup(LEVELS);
+    setup_with_levels
+        .validate_for(&scenario)
+        .expect("valid for the scenario");
+    let (without_levels, with_levels) = (
         play(&scenario, &Setup::default(), 3),
-        play(&scenario, &with, 3),
+        play(&scenario, &setup_with_levels, 3),
     );
-    let ways: Vec<(usize, u64)> = levels
+    let changes: Vec<(usize, u64)> = with_levels
         .level_changes
         .iter()
-        .map(|of| (of.change.number, of.at_s as u64 / 120))
+        .map(|change| (change.change.number, change.at_s as u64 / 120))
         .collect();
-    assert!(ways.len() >= 4, "{ways:?}");
+    assert!(changes.len() >= 4, "{changes:?}");
     for swing in 0..5 {
-        for way in [0, 1] {
-            // The last way back may fall into the calm time of the next swing.
-            let count = ways
+        for level in [0, 1] {
+            // The change back may happen in the low load at the start of the next swing.
+            let count = changes
                 .iter()
-                .filter(|(number, at)| (*number, *at) == (way, swing))
+                .filter(|(number, at)| (*number, *at) == (level, swing))
                 .count();
             assert!(
                 count <= 1,
-                "{count} changes to {way} in swing {swing}: {ways:?}"
+                "{count} changes to {level} in swing {swing}: {changes:?}"
             );
         }
     }
-    for of in &levels.level_changes {
-        let told = of
+    for change in &with_levels.level_changes {
+        let all_readings_have_values = change
             .change
             .readings
             .iter()
             .all(|reading| reading.value.is_some());
-        assert!(!of.change.condition.is_empty() && told, "{of:?}");
+        assert!(
+            !change.change.condition.is_empty() && all_readings_have_values,
+            "{change:?}"
+        );
     }
-    let kept = |of: &chutegrade_model::Outcome| of.classes[1].service;
+    let service_of_petition_file = |outcome: &chutegrade_model::Outcome| outcome.classes[1].service;
     assert!(
-        kept(&levels) >= kept(&plain) - 0.005,
+        service_of_petition_file(&with_levels) >= service_of_petition_file(&without_levels) - 0.005,
         "petition-file {} against {}",
-        kept(&levels),
-        kept(&plain)
+        service_of_petition_file(&with_levels),
+        service_of_petition_file(&without_levels)
+    );
+    assert!(
+        with_levels.broken_rules.is_empty(),
+        "{:?}",
+        with_levels.broken_rules
     );
-    assert!(levels.broken_rules.is_empty(), "{:?}", levels.broken_rules);
 }
 
 #[test]
 fn a_limit_from_capacity_serves_better_under_a_steady_overload() {
-    let scenario = scenario_of("seconds: 60 load { level: 1.6 }");
-    let limit = setup("adaptive { rule: CAPACITY }");
+    let scenario = read_scenario("seconds: 60 load { level: 1.6 }");
+    let with_limit = setup("adaptive { rule: CAPACITY }");
     let gain = |seed| {
-        play(&scenario, &limit, seed).service() - play(&scenario, &Setup::default(), seed).service()
+        play(&scenario, &with_limit, seed).service()
+            - play(&scenario, &Setup::default(), seed).service()
     };
     let gains: Vec<f64> = (1..=4).map(gain).collect();
     assert!(gains.iter().all(|gain| *gain > 0.02), "{gains:?}");
 }
 
-/// The same run to the bit, limits or not.
+/// Guards against state outside the scenario and the seed: two runs must be bit-identical.
 #[test]
-fn limits_are_a_function_of_what_is_seen() {
-    let scenario = scenario_of("seconds: 30 load { level: 1.3 }");
+fn runs_with_limits_are_deterministic() {
+    let scenario = read_scenario("seconds: 30 load { level: 1.3 }");
     let all = setup(&format!(
-        "{LADDER} adaptive {{}} repeats {{ once_while_room: true }} fairness {{}}"
+        "{LEVELS} adaptive {{}} repeats {{ once_while_room: true }} fairness {{}}"
     ));
     let outcome = play(&scenario, &all, 5);
     assert_eq!(outcome, play(&scenario, &all, 5));
@@ -119,32 +129,32 @@
 }
 
 #[test]
-fn what_does_not_fit_is_told() {
-    let scenario = scenario_of("seconds: 10");
-    let said = setup(&LADDER.replace("'status-read' keep", "'nothing' keep"))
+fn limits_and_traffic_with_unknown_classes_are_rejected() {
+    let scenario = read_scenario("seconds: 10");
+    let error = setup(&LEVELS.replace("'status-read' keep", "'nothing' keep"))
         .validate_for(&scenario)
-        .expect_err("a fault");
-    assert!(said.contains("no class \"nothing\""), "{said}");
+        .expect_err("an unknown class");
+    assert!(error.contains("no class \"nothing\""), "{error}");
     let traffic = Traffic {
         classes: vec!["other".into()],
         ..Traffic::default()
     };
-    let said = Setup {
+    let error = Setup {
         traffic: Some(Arc::new(traffic)),
         ..Setup::default()
     }
     .validate_for(&scenario)
-    .expect_err("a fault");
-    assert!(said.contains("no class \"other\""), "{said}");
+    .expect_err("an unknown class");
+    assert!(error.contains("no class \"other\""), "{error}");
 }
 
-/// Recorded traffic comes as recorded: each request once, at its time, out of order in the file or not.
+/// Each recorded request must arrive once and at its time, whether or not the file is in order.
 #[test]
-fn recorded_traffic_comes_as_recorded() {
-    let scenario = scenario_of("seconds: 20");
+fn recorded_traffic_is_replayed_as_recorded() {
+    let scenario = read_scenario("seconds: 20");
     let mut lines = vec!["at_ms,class,zone,key,work_ms".to_string()];
     for number in 0..2000u32 {
-        // Pairs of lines that stand the wrong way round.
+        // Each pair of lines is swapped.
         let at = (number ^ 1) * 9;
         let class = ["status-read", "petition-file"][usize::from(number % 10 == 0)];
         lines.push(format!(
@@ -159,7 +169,9 @@
         traffic: Some(Arc::new(traffic)),
         ..Setup::default()
     };
-    setup.validate_for(&scenario).expect("it fits");
+    setup
+        .validate_for(&scenario)
+        .expect("valid for the scenario");
     let outcome = play(&scenario, &setup, 1);
     assert_eq!(
         outcome
@@ -175,7 +187,7 @@
         .take(17)
         .map(|second| second.offered)
         .collect();
-    // 111 a second, one in ten of them worth six.
+    // 111 requests per second, one in ten of them with weight 6.
     assert!(
         by_second.iter().all(|asked| (asked - 167.0).abs() < 12.0),
         "{by_second:?}"
--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -1,6 +1,6 @@
-//! Whole runs: what they give is as arithmetic or the scenario says, the same to the bit, and the five rules hold.
+//! Whole runs: results match calculations and queueing theory, are deterministic, and the five rules hold.
 
-use chutegrade_model::queue::{Plain, Wheel};
+use chutegrade_model::queue::{HeapQueue, WheelQueue};
 use chutegrade_model::scenario::{parse, read, with_change};
 use chutegrade_model::sim::{run_on, Event};
 use chutegrade_model::{run, Control, Outcome, Scenario, Setup};
@@ -17,13 +17,13 @@
 front_ends { count: 8 }
 "#;
 
-fn fleet(more: &str) -> Scenario {
-    let change = parse(more).unwrap_or_else(|fault| panic!("{more}: {fault}"));
-    let written = with_change(&parse(FLEET).expect("the fleet"), &change);
-    Scenario::try_from(&written).unwrap_or_else(|faults| panic!("{faults:?}"))
+fn fleet(change: &str) -> Scenario {
+    let change = parse(change).unwrap_or_else(|error| panic!("{change}: {error}"));
+    let combined = with_change(&parse(FLEET).expect("the fleet"), &change);
+    Scenario::try_from(&combined).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
-fn kept(outcome: &Outcome) {
+fn assert_no_broken_rules(outcome: &Outcome) {
     assert!(
         outcome.broken_rules.is_empty(),
         "{:?}",
@@ -32,9 +32,9 @@
 }
 
 #[test]
-fn a_calm_fleet_is_served_and_the_rules_hold() {
+fn a_fleet_without_faults_is_served_and_breaks_no_rule() {
     let outcome = run(&fleet(""), Control::Module, 1);
-    kept(&outcome);
+    assert_no_broken_rules(&outcome);
     assert!(outcome.service() > 0.95, "{:?}", outcome.figures);
     assert!(outcome.figure("came") > 2000.0 && outcome.events > 10_000);
     let classes: u64 = outcome.classes.iter().map(|class| class.requests).sum();
@@ -45,15 +45,28 @@
 fn the_same_seed_gives_the_same_run_on_either_queue() {
     let scenario =
         fleet("trouble { sort: SLOW at_s: 5 part: 0.3 size: 6 } trouble { sort: STREAMS at_s: 8 part: 0.8 }");
-    let (one, _) = run_on(&scenario, &Setup::default(), 7, Wheel::<Event>::default());
-    let (other, _) = run_on(&scenario, &Setup::default(), 7, Plain::<Event>::default());
-    assert_eq!(one, other);
-    assert_ne!(one.figures, run(&scenario, Control::Module, 8).figures);
+    let (with_wheel, _) = run_on(
+        &scenario,
+        &Setup::default(),
+        7,
+        WheelQueue::<Event>::default(),
+    );
+    let (with_heap, _) = run_on(
+        &scenario,
+        &Setup::default(),
+        7,
+        HeapQueue::<Event>::default(),
+    );
+    assert_eq!(with_wheel, with_heap);
+    assert_ne!(
+        with_wheel.figures,
+        run(&scenario, Control::Module, 8).figures
+    );
 }
 
-/// One server, one core, requests far apart: the answer time is the work, and two ways there and back.
+/// One server with one core and rare requests: the response time is the work plus the delays of the network.
 #[test]
-fn without_a_queue_the_answer_time_is_the_work() {
+fn without_queueing_the_response_time_is_the_work() {
     let scenario = read(
         "seconds: 200 kind { servers: 1 cores: 1 speed: 1 speed_cv: 0 handshake_ms: 0 error_rate: 0 }\n\
          class { work_ms: 40 work_cv: 0 try_cv: 0 } load { rate: 0.5 } front_ends { count: 1 } supervisors { count: 1 }\n\
@@ -66,10 +79,10 @@
     assert_eq!(outcome.figure("failed"), 0.0);
 }
 
-/// A queue of one core with Poisson arrivals and one request in work at a time has the mean of Pollaczek and Khinchine; here
-/// with work that is always the same: half of rho over 1 - rho, in units of work, beside the work itself.
+/// One core with Poisson arrivals, one request in service at a time and constant work is an M/D/1 queue. By the
+/// Pollaczek-Khinchine formula, its mean wait is rho / (2 (1 - rho)) times the work.
 #[test]
-fn the_queue_of_one_server_is_as_theory_says() {
+fn response_times_of_one_server_match_queueing_theory() {
     let scenario = read(
         "seconds: 4000 kind { servers: 1 cores: 1 speed: 1 speed_cv: 0 slots_per_core: 1 queue_per_core: 100000 thrash: 0 \
          handshake_ms: 0 error_rate: 0 connections_per_core: 1000 }\n\
@@ -78,10 +91,11 @@
     )
     .expect("a scenario");
     let outcome = run(&scenario, Control::Nobody, 5);
-    // The share of requests that find the server idle is 1 - rho; they take 100 ms, all others longer.
+    // A share of 1 - rho of the requests finds the server idle and takes 100 ms; all others take longer.
     assert!(outcome.figure("failed") < 1e-3, "{:?}", outcome.figures);
     let (median, p90) = (outcome.figure("p50_ms"), outcome.figure("p90_ms"));
-    // Mean wait 117 ms, so mean time 217 ms; the median of M/D/1 at 0.7 lies a little below it, nine tenths near 2.2 times it.
+    // The mean wait is 117 ms, so the mean response time is 217 ms. For M/D/1 at rho 0.7 the median is a little below it, and
+    // the 90th percentile near 2.2 times it.
     assert!(
         (150.0..217.0).contains(&median) && (380.0..560.0).contains(&p90),
         "{median} {p90}"
@@ -89,56 +103,56 @@
 }
 
 #[test]
-fn abandoned_work_and_clients_that_come_again_are_counted() {
+fn wasted_work_and_client_retries_are_counted() {
     let scenario = fleet("load { level: 1.6 } clients { retries: 3 }");
-    let nobody = run(&scenario, Control::Nobody, 2);
+    let without_control = run(&scenario, Control::Nobody, 2);
     assert!(
-        nobody.figure("comings") > 1.2 && nobody.figure("wasted") > 0.02,
+        without_control.figure("comings") > 1.2 && without_control.figure("wasted") > 0.02,
         "{:?}",
-        nobody.figures
+        without_control.figures
     );
-    let module = run(&scenario, Control::Module, 2);
+    let with_module = run(&scenario, Control::Module, 2);
     assert!(
-        module.figure("refused") > 0.05,
-        "the module lets in less: {:?}",
-        module.figures
+        with_module.figure("refused") > 0.05,
+        "the module sheds load: {:?}",
+        with_module.figures
     );
-    kept(&module);
+    assert_no_broken_rules(&with_module);
 }
 
 #[test]
-fn the_module_leaves_failing_servers_and_a_fixed_table_does_not() {
+fn the_module_avoids_failing_servers_and_a_fixed_table_does_not() {
     let scenario = fleet("trouble { sort: FAIL_FAST at_s: 5 length_s: 12 part: 0.25 size: 0.9 } front_ends { avoids_after: 0 }");
-    let (module, fixed) = (
+    let (with_module, with_fixed_tables) = (
         run(&scenario, Control::Module, 4),
         run(&scenario, Control::Fixed, 4),
     );
-    kept(&module);
+    assert_no_broken_rules(&with_module);
     assert!(
-        module.service() > fixed.service() + 0.03,
+        with_module.service() > with_fixed_tables.service() + 0.03,
         "{} {}",
-        module.service(),
-        fixed.service()
+        with_module.service(),
+        with_fixed_tables.service()
     );
-    let left = module.figure("shut_out_s");
+    let shut_out_s = with_module.figure("shut_out_s");
     assert!(
-        left > 0.2 && left < 6.0,
-        "{left} s until all have left them"
+        shut_out_s > 0.2 && shut_out_s < 6.0,
+        "{shut_out_s} s until no proxy can select them"
     );
-    let ideal = run(&scenario, Control::Ideal(500), 4);
+    let with_ideal_control = run(&scenario, Control::Ideal(500), 4);
     assert!(
-        ideal.service() > module.service(),
+        with_ideal_control.service() > with_module.service(),
         "{} {}",
-        ideal.service(),
-        module.service()
+        with_ideal_control.service(),
+        with_module.service()
     );
 }
 
-/// Every trouble there is, one by one and some together, with restarts of supervisors: the model's own checks of the five
-/// rules find nothing, and everything that came is accounted for.
+/// All kinds of faults, single and combined, with restarts of supervisors: no rule may be broken, and every request must be
+/// counted once.
 #[test]
-fn the_five_rules_hold_whatever_goes_wrong() {
-    let troubles = [
+fn the_five_rules_hold_under_every_fault() {
+    let faults = [
         "trouble { sort: CRASH at_s: 5 length_s: 6 part: 0.3 }",
         "trouble { sort: HANG at_s: 5 length_s: 6 part: 0.3 }",
         "trouble { sort: SLOW at_s: 5 length_s: 6 part: 0.3 size: 6 ramp_s: 3 }",
@@ -162,47 +176,47 @@
          trouble { sort: SUPERVISORS_DIE at_s: 6 length_s: 2 part: 0.5 }",
         "trouble { sort: REPLACE at_s: 4 length_s: 9 part: 0.4 size: 3 extra: 4 } trouble { sort: SUPERVISORS_DIE at_s: 6 length_s: 3 part: 1 }",
     ];
-    for (seed, trouble) in troubles.iter().enumerate() {
-        let outcome = run(&fleet(trouble), Control::Module, seed as u64);
+    for (seed, fault) in faults.iter().enumerate() {
+        let outcome = run(&fleet(fault), Control::Module, seed as u64);
         assert!(
             outcome.broken_rules.is_empty(),
-            "{trouble}: {:?}",
+            "{fault}: {:?}",
             outcome.broken_rules
         );
-        let ended: f64 = outcome
+        let request_count: f64 = outcome
             .classes
             .iter()
             .map(|class| class.requests as f64)
             .sum();
         assert!(
-            ended > 2000.0 && ended == outcome.figure("came"),
-            "{trouble}"
+            request_count > 2000.0 && request_count == outcome.figure("came"),
+            "{fault}"
         );
     }
 }
 
-/// Danger: checks that cannot fail. A supervisor that never leaves a drained server, one that lets cold servers take all, and
-/// an order to repeat what must not be: each breaks its rule.
+/// Guards against checks that cannot fail: tables that keep drained servers, that overload warming up servers, retries of
+/// requests that must not be repeated, and a channel that is too slow each break their rule.
 #[test]
-fn the_checks_find_what_breaks_a_rule() {
-    let broken = |more: &str, control| {
-        let outcome = run(&fleet(more), control, 1);
+fn the_rule_checks_find_violations() {
+    let broken_rule_names = |change: &str, control| {
+        let outcome = run(&fleet(change), control, 1);
         outcome
             .broken_rules
             .iter()
-            .map(|of| of.rule.name())
+            .map(|broken_rule| broken_rule.rule.name())
             .collect::<Vec<_>>()
     };
     let replace = "trouble { sort: REPLACE at_s: 4 length_s: 3 part: 0.5 size: 9 extra: 20 } rules { drain_grace_s: 0.05 }";
-    assert_eq!(broken(replace, Control::Fixed), ["drain"]);
-    let cold = "trouble { sort: REPLACE at_s: 4 length_s: 1 part: 0.5 size: 1 extra: 1 } load { level: 0.9 } rules { fall_multiple: 1.3 }";
-    assert!(broken(cold, Control::Fixed).contains(&"cold"));
-    assert!(broken(
+    assert_eq!(broken_rule_names(replace, Control::Fixed), ["drain"]);
+    let warming_up = "trouble { sort: REPLACE at_s: 4 length_s: 1 part: 0.5 size: 1 extra: 1 } load { level: 0.9 } rules { fall_multiple: 1.3 }";
+    assert!(broken_rule_names(warming_up, Control::Fixed).contains(&"cold"));
+    assert!(broken_rule_names(
         "front_ends { usual_retry: TWICE } trouble { sort: FAIL_FAST at_s: 3 part: 0.5 size: 1 }",
         Control::Nobody
     )
     .contains(&"twice"));
-    assert!(broken(
+    assert!(broken_rule_names(
         "supervisors { backlog: 20 lines_per_s: 60 }",
         Control::Fixed
     )
