--- a/crates/model/src/fault.rs
+++ b/crates/model/src/fault.rs
@@ -24,7 +24,7 @@
 
 impl Fault {
     /// Returns the size at a time; during the ramp it grows from the neutral value to the full size.
-    pub fn size_at(&self, now: u64) -> f64 {
+    pub fn size_at(&self, now_us: u64) -> f64 {
         let neutral = if matches!(
             self.kind,
             FaultKind::Slow | FaultKind::Burst | FaultKind::Heavy | FaultKind::Handshake
@@ -36,14 +36,15 @@
         if self.ramp_us == 0 {
             return self.size;
         }
-        let share = (now.saturating_sub(self.from_us) as f64 / self.ramp_us as f64).min(1.0);
+        let share = (now_us.saturating_sub(self.from_us) as f64 / self.ramp_us as f64).min(1.0);
         neutral + (self.size - neutral) * share
     }
 
     /// Returns whether a periodic fault is in an active phase; its phases last `extra` seconds each.
-    fn is_in_on_phase(&self, now: u64) -> bool {
+    fn is_in_on_phase(&self, now_us: u64) -> bool {
         let half_period_us = (self.extra * 1e6) as u64;
-        half_period_us == 0 || (now.saturating_sub(self.from_us) / half_period_us).is_multiple_of(2)
+        half_period_us == 0
+            || (now_us.saturating_sub(self.from_us) / half_period_us).is_multiple_of(2)
     }
 
     fn changes_over_time(&self) -> bool {
@@ -119,7 +120,7 @@
             FaultKind::Replace => {
                 let wave_us = (fault.to_us - fault.from_us) / REPLACEMENT_WAVES as u64;
                 for (position, index) in targets.iter().enumerate() {
-                    let due = self.now + wave_us * (position % REPLACEMENT_WAVES) as u64;
+                    let due = self.now_us + wave_us * (position % REPLACEMENT_WAVES) as u64;
                     self.push(
                         due,
                         Event::DrainBegin {
@@ -139,7 +140,7 @@
         }
         if fault.changes_over_time() {
             self.push(
-                self.now + UPDATE_PERIOD_US,
+                self.now_us + UPDATE_PERIOD_US,
                 Event::FaultUpdate(number as u32),
             );
         }
@@ -235,11 +236,11 @@
             }
             FaultKind::FrontEndsStand => {
                 // Pauses for a part of each second.
-                let in_second_us = (self.now - fault.from_us) % 1_000_000;
-                let pause_us = (fault.size_at(self.now) * 1e3) as u64;
+                let in_second_us = (self.now_us - fault.from_us) % 1_000_000;
+                let pause_us = (fault.size_at(self.now_us) * 1e3) as u64;
                 if in_second_us < UPDATE_PERIOD_US {
                     targets.iter().for_each(|index| {
-                        self.proxies[*index].paused_until_us = self.now + pause_us
+                        self.proxies[*index].paused_until_us = self.now_us + pause_us
                     });
                 }
             }
@@ -247,7 +248,7 @@
         }
         if fault.changes_over_time() {
             self.push(
-                self.now + UPDATE_PERIOD_US,
+                self.now_us + UPDATE_PERIOD_US,
                 Event::FaultUpdate(number as u32),
             );
         }
@@ -255,20 +256,20 @@
 
     /// Combines the effects of all active faults on a server.
     fn refresh_effects(&mut self, server: usize) {
-        let now = self.now;
+        let now_us = self.now_us;
         let mut effects = FaultEffects::default();
         for (fault, state) in self.scenario.faults.iter().zip(&self.fault_states) {
             if !state.is_active || state.targets.binary_search(&server).is_err() {
                 continue;
             }
-            let size = fault.size_at(now);
+            let size = fault.size_at(now_us);
             match fault.kind {
                 FaultKind::Hang => effects.is_hanging = true,
                 FaultKind::FailFast => {
                     effects.failure_share = 1.0 - (1.0 - effects.failure_share) * (1.0 - size)
                 }
                 FaultKind::Slow => effects.slowdown *= size.max(0.01),
-                FaultKind::Neighbour if fault.is_in_on_phase(now) => {
+                FaultKind::Neighbour if fault.is_in_on_phase(now_us) => {
                     effects.stolen_share =
                         1.0 - (1.0 - effects.stolen_share) * (1.0 - size.min(0.99));
                 }
@@ -282,7 +283,7 @@
             }
         }
         if self.servers[server].effects != effects {
-            self.servers[server].advance(now);
+            self.servers[server].advance(now_us);
             self.servers[server].effects = effects;
             self.reschedule(server);
         }
@@ -300,13 +301,13 @@
         self.servers[server].state = ServerState::Draining;
         self.announce(server, Lifecycle::Draining, false);
         self.push(
-            self.now + (drain_s * 1e6) as u64,
+            self.now_us + (drain_s * 1e6) as u64,
             Event::ServerRemoval {
                 server: server as u32,
             },
         );
         self.push(
-            self.now + (replacement_s * 1e6) as u64,
+            self.now_us + (replacement_s * 1e6) as u64,
             Event::ServerReplacement {
                 server: server as u32,
             },
@@ -324,9 +325,9 @@
             .filter(|(_, state)| state.is_active)
         {
             match fault.kind {
-                FaultKind::Burst => demand_factor *= fault.size_at(self.now),
+                FaultKind::Burst => demand_factor *= fault.size_at(self.now_us),
                 FaultKind::Heavy => {
-                    (heavy_share, heavy_factor) = (fault.extra.min(1.0), fault.size_at(self.now))
+                    (heavy_share, heavy_factor) = (fault.extra.min(1.0), fault.size_at(self.now_us))
                 }
                 _ => {}
             }
@@ -350,7 +351,7 @@
             if fault.kind == FaultKind::Way
                 && fault.zone.is_some_and(|zone| zone == from || zone == to)
             {
-                extra_us += fault.size_at(self.now) * 1e3;
+                extra_us += fault.size_at(self.now_us) * 1e3;
                 delivered_share *= 1.0 - fault.extra.min(1.0);
             }
         }
@@ -362,7 +363,7 @@
         let faults = self.scenario.faults.iter().zip(&self.fault_states);
         faults
             .filter(|(fault, state)| state.is_active && fault.kind == FaultKind::ReportsLate)
-            .map(|(fault, _)| (fault.size_at(self.now) * 1e6) as u64)
+            .map(|(fault, _)| (fault.size_at(self.now_us) * 1e6) as u64)
             .sum()
     }
 }
--- a/crates/model/src/proxy.rs
+++ b/crates/model/src/proxy.rs
@@ -1,5 +1,5 @@
 //! A proxy: its tables, server selection, local ejection of failing servers, and connections. It applies orders, and has no
-//! other information about the fleet than the outcomes of its own attempts.
+//! knowledge of the fleet beyond the outcomes of its own attempts.
 
 use std::rc::Rc;
 
