--- a/crates/model/src/fault.rs
+++ b/crates/model/src/fault.rs
@@ -274,10 +274,8 @@
                         1.0 - (1.0 - effects.stolen_share) * (1.0 - size.min(0.99));
                 }
                 FaultKind::Handshake => {
-                    effects.handshake = (
-                        effects.handshake.0 * size.max(1.0),
-                        (fault.extra * 1e3) as u64,
-                    );
+                    effects.handshake_factor *= size.max(1.0);
+                    effects.handshake_delay_us = (fault.extra * 1e3) as u64;
                 }
                 _ => {}
             }
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -33,8 +33,10 @@
     pub slowdown: f64,
     /// Share of the capacity that another program uses.
     pub stolen_share: f64,
-    /// Factor of the work of a handshake, and its additional duration in microseconds.
-    pub handshake: (f64, u64),
+    /// Factor of the work of a handshake.
+    pub handshake_factor: f64,
+    /// Additional duration of a handshake, in microseconds.
+    pub handshake_delay_us: u64,
 }
 
 impl Default for FaultEffects {
@@ -44,7 +46,8 @@
             failure_share: 0.0,
             slowdown: 1.0,
             stolen_share: 0.0,
-            handshake: (1.0, 0),
+            handshake_factor: 1.0,
+            handshake_delay_us: 0,
         }
     }
 }
@@ -100,16 +103,25 @@
     pub warm_up_work: VecDeque<(u64, f64, bool)>,
     /// Stopped by overload while warming up; it does not start again.
     pub failed_warming_up: bool,
-    /// Load reported last: time, queued requests, and recent service time in milliseconds.
-    pub reported_load: (u64, f64, f64),
+    /// Time of the last load report.
+    pub load_reported_us: u64,
+    /// Queued requests in the last load report.
+    pub reported_queue: f64,
+    /// Recent service time in the last load report, in milliseconds.
+    pub reported_service_ms: f64,
     cores: f64,
     speed: f64,
     slots: usize,
     queue_capacity: usize,
-    slow_start: (f64, u64),
-    thrash: (f64, f64),
-    /// Maximum number of connections, and the share of the capacity that is lost when all are open.
-    connection_limit: (f64, f64),
+    slow_start_share: f64,
+    slow_start_us: u64,
+    /// Relative slowdown per excess over the threshold, in units of the threshold.
+    thrash: f64,
+    /// Requests per core from which the server slows down.
+    thrash_threshold: f64,
+    max_connections: f64,
+    /// Share of the capacity that is lost when all connections are open.
+    max_connection_overhead: f64,
     /// Work done for each request in service since the server was last idle, in milliseconds.
     work_done_ms: f64,
     advanced_to_us: u64,
@@ -142,14 +154,19 @@
             completion_due_us: None,
             warm_up_work: VecDeque::new(),
             failed_warming_up: false,
-            reported_load: (0, 0.0, 0.0),
+            load_reported_us: 0,
+            reported_queue: 0.0,
+            reported_service_ms: 0.0,
             cores: kind.cores,
             speed: kind.speed * speed_factor,
             slots: kind.slots,
             queue_capacity: kind.queue,
-            slow_start: (kind.slow_start_share, kind.slow_start_us),
-            thrash: (kind.thrash, kind.thrash_at),
-            connection_limit: (f64::from(kind.connections), kind.max_connection_overhead),
+            slow_start_share: kind.slow_start_share,
+            slow_start_us: kind.slow_start_us,
+            thrash: kind.thrash,
+            thrash_threshold: kind.thrash_at,
+            max_connections: f64::from(kind.connections),
+            max_connection_overhead: kind.max_connection_overhead,
             work_done_ms: 0.0,
             advanced_to_us: 0,
             working: BTreeMap::new(),
@@ -166,7 +183,7 @@
 
     /// Returns the share of its capacity that it has during slow start; 1 afterwards.
     pub fn slow_start_factor(&self, now_us: u64) -> f64 {
-        let (initial_share, duration_us) = self.slow_start;
+        let (initial_share, duration_us) = (self.slow_start_share, self.slow_start_us);
         match self.started_us {
             Some(started_us) if now_us < started_us + duration_us => {
                 initial_share
@@ -180,7 +197,7 @@
     /// Returns whether it is in slow start.
     pub fn is_warming_up(&self, now_us: u64) -> bool {
         self.started_us
-            .is_some_and(|started_us| now_us < started_us + self.slow_start.1)
+            .is_some_and(|started_us| now_us < started_us + self.slow_start_us)
     }
 
     /// Returns the capacity in seconds of work per second; 0 while it hangs or is stopped.
@@ -188,7 +205,7 @@
         if !self.is_running() || self.effects.is_hanging {
             return 0.0;
         }
-        let (max_connections, max_overhead) = self.connection_limit;
+        let (max_connections, max_overhead) = (self.max_connections, self.max_connection_overhead);
         let connection_factor =
             1.0 - max_overhead * (f64::from(self.connections) / max_connections).min(1.0);
         self.cores
@@ -211,7 +228,7 @@
         if working == 0.0 {
             return 0.0;
         }
-        let (loss_per_request, threshold) = self.thrash;
+        let (loss_per_request, threshold) = (self.thrash, self.thrash_threshold);
         let requests_per_core = (working + self.waiting.len() as f64) / cores;
         let slowdown =
             1.0 + loss_per_request * (requests_per_core - threshold).max(0.0) / threshold.max(1.0);
@@ -343,7 +360,9 @@
         self.state = ServerState::Up;
         self.started_us = Some(now_us);
         self.warm_up_work.clear();
-        (self.service_ms, self.reported_load) = (0.0, (0, 0.0, 0.0));
+        self.service_ms = 0.0;
+        self.load_reported_us = 0;
+        (self.reported_queue, self.reported_service_ms) = (0.0, 0.0);
     }
 
     /// Returns the number of queued requests.
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -242,8 +242,10 @@
     max_slow_start_us: u64,
     /// Number of recorded requests that have arrived.
     replayed: usize,
-    /// Classes and zones of the recorded traffic as indices in the scenario.
-    traffic_indices: (Vec<Option<usize>>, Vec<Option<usize>>),
+    /// Classes of the recorded traffic as indices in the scenario.
+    traffic_classes: Vec<Option<usize>>,
+    /// Zones of the recorded traffic as indices in the scenario.
+    traffic_zones: Vec<Option<usize>>,
 }
 
 struct RandomSources {
@@ -311,6 +313,7 @@
             .iter()
             .map(|class| class.share * class.work_ms)
             .sum();
+        let (traffic_classes, traffic_zones) = setup.traffic_indices(scenario);
         Simulation {
             scenario,
             seed,
@@ -347,7 +350,8 @@
                 .max()
                 .unwrap_or(0),
             replayed: 0,
-            traffic_indices: setup.traffic_indices(scenario),
+            traffic_classes,
+            traffic_zones,
         }
     }
 
@@ -649,7 +653,7 @@
             }
             self.replayed += 1;
             let (_, heavy_share, heavy_factor) = self.load_factors();
-            let (classes, zones) = &self.traffic_indices;
+            let (classes, zones) = (&self.traffic_classes, &self.traffic_zones);
             let zone = arrival
                 .zone
                 .and_then(|zone| zones.get(usize::from(zone)).copied().flatten());
@@ -904,9 +908,9 @@
         let target = &self.servers[server as usize];
         let mut extra_connect_us = 0;
         if is_new_connection {
-            let (heavy_factor, extra_us) = target.effects.handshake;
-            work_ms += self.scenario.kinds[target.kind].handshake_ms * heavy_factor;
-            extra_connect_us = extra_us;
+            let effects = target.effects;
+            work_ms += self.scenario.kinds[target.kind].handshake_ms * effects.handshake_factor;
+            extra_connect_us = effects.handshake_delay_us;
             self.metrics.add("connects", 1.0);
         }
         let server_zone = target.zone;
@@ -1095,15 +1099,17 @@
             return;
         };
         let zone = proxy.zone;
-        let reported_load = (outcome == AttemptOutcome::Succeeded)
-            .then(|| self.servers[server as usize].reported_load);
+        let reported_load = (outcome == AttemptOutcome::Succeeded).then(|| {
+            let server = &self.servers[server as usize];
+            (server.reported_queue, server.reported_service_ms)
+        });
         let totals: &mut AttemptTotals = self.supervisors[supervisor]
             .attempt_totals
             .entry((zone, server))
             .or_default();
         totals.attempts += 1.0;
         match reported_load {
-            Some((_, queue, service_ms)) => {
+            Some((queue, service_ms)) => {
                 totals.latency_sum_ms += (now_us - sent_us) as f64 / 1e3;
                 totals.load = Some((queue, service_ms));
             }
@@ -1343,8 +1349,10 @@
         }
         server.completion_due_us = None;
         let (completed, started) = server.finish(self.now_us);
-        if self.now_us >= server.reported_load.0 + self.scenario.load_refresh_us {
-            server.reported_load = (self.now_us, server.queue() as f64, server.service_ms());
+        if self.now_us >= server.load_reported_us + self.scenario.load_refresh_us {
+            server.load_reported_us = self.now_us;
+            server.reported_queue = server.queue() as f64;
+            server.reported_service_ms = server.service_ms();
         }
         let (kind, zone) = (server.kind, server.zone);
         self.update_positions(started);
