--- a/crates/model/build.rs
+++ b/crates/model/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of scenarios, and keeps its description for the reader of the text format.
+//! Compiles the protobuf schema of scenarios, and writes its descriptor set for the parser of the text format.
 
 use std::path::PathBuf;
 
--- a/crates/model/src/measure.rs
+++ b/crates/model/src/measure.rs
@@ -174,8 +174,8 @@
 
     /// Records the requests queued at servers, and the backlog of the fullest channel, at the end of a second.
     pub fn record_second_end(&mut self, second: usize, queue: f64, backlog: f64) {
-        if let Some(of) = self.seconds.get_mut(second) {
-            (of.queue, of.backlog) = (queue, backlog);
+        if let Some(entry) = self.seconds.get_mut(second) {
+            (entry.queue, entry.backlog) = (queue, backlog);
         }
     }
 
@@ -187,17 +187,19 @@
         arrived_us: u64,
         request_outcome: RequestOutcome,
     ) {
-        let of = &scenario.classes[class];
+        let class_settings = &scenario.classes[class];
         let class_counts = &mut self.classes[class];
         class_counts.requests += 1;
-        class_counts.offered += of.priority_weight;
+        class_counts.offered += class_settings.priority_weight;
         let served = match request_outcome {
             RequestOutcome::Answered(latency_us) => {
                 class_counts.latencies.saturating_record(latency_us.max(1));
                 match latency_us {
-                    latency_us if latency_us <= of.latency_objective_us => of.priority_weight,
-                    latency_us if latency_us <= of.deadline_us => {
-                        of.priority_weight * of.late_share
+                    latency_us if latency_us <= class_settings.latency_objective_us => {
+                        class_settings.priority_weight
+                    }
+                    latency_us if latency_us <= class_settings.deadline_us => {
+                        class_settings.priority_weight * class_settings.late_share
                     }
                     _ => 0.0,
                 }
@@ -213,7 +215,7 @@
         };
         class_counts.served += served;
         if let Some(second) = self.seconds.get_mut((arrived_us / 1_000_000) as usize) {
-            second.offered += of.priority_weight;
+            second.offered += class_settings.priority_weight;
             second.served += served;
         }
     }
@@ -291,7 +293,7 @@
         insert("changes", level_changes.len() as f64);
         insert(
             "rules",
-            broken.iter().map(|of| of.times).sum::<u64>() as f64,
+            broken.iter().map(|rule| rule.times).sum::<u64>() as f64,
         );
         if !shut_out_s.is_empty() {
             insert(
@@ -311,7 +313,7 @@
         let classes = classes
             .iter()
             .zip(&scenario.classes)
-            .map(|(of, class)| of.outcome(&class.name))
+            .map(|(rule, class)| rule.outcome(&class.name))
             .collect();
         Outcome {
             figures,
@@ -336,7 +338,7 @@
             refused: self.refused as f64 / request_count,
             failed: self.failed as f64 / request_count,
             quantiles_ms: [0.5, 0.9, 0.99, 0.999]
-                .map(|at| self.latencies.value_at_quantile(at) as f64 / 1e3),
+                .map(|quantile| self.latencies.value_at_quantile(quantile) as f64 / 1e3),
         }
     }
 }
@@ -351,9 +353,11 @@
 }
 
 fn sum_weights(seconds: &[Second]) -> (f64, f64) {
-    seconds.iter().fold((0.0, 0.0), |(served, offered), of| {
-        (served + of.served, offered + of.offered)
-    })
+    seconds
+        .iter()
+        .fold((0.0, 0.0), |(served, offered), second| {
+            (served + second.served, offered + second.offered)
+        })
 }
 
 fn service_figures(
@@ -393,15 +397,18 @@
     } else {
         spans.iter().sum::<f64>() / spans.len() as f64
     };
-    let parts = [
+    let weighted_parts = [
         (weights.overall, overall),
         (weights.worst_window, worst_window),
         (weights.worst_class, worst_class),
         (weights.nines, nines),
     ];
-    let weight_sum: f64 = parts.iter().map(|(weight, _)| weight).sum();
+    let weight_sum: f64 = weighted_parts.iter().map(|(weight, _)| weight).sum();
     let service = ratio(
-        parts.iter().map(|(weight, value)| weight * value).sum(),
+        weighted_parts
+            .iter()
+            .map(|(weight, value)| weight * value)
+            .sum(),
         weight_sum,
     );
     let named = [
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -122,15 +122,15 @@
     /// Returns the first nonempty slot at or after this one.
     fn first_from(&self, slot: usize) -> Option<usize> {
         let first = slot / 64;
-        let own = self.0.get(first)? & (u64::MAX << (slot % 64));
-        let rest = self
+        let first_word = self.0.get(first)? & (u64::MAX << (slot % 64));
+        let later_words = self
             .0
             .iter()
             .enumerate()
             .skip(first + 1)
             .map(|(word, bits)| (word, *bits));
-        let (word, bits) = std::iter::once((first, own))
-            .chain(rest)
+        let (word, bits) = std::iter::once((first, first_word))
+            .chain(later_words)
             .find(|(_, bits)| *bits != 0)?;
         Some(word * 64 + bits.trailing_zeros() as usize)
     }
@@ -179,18 +179,18 @@
     fn insert(&mut self, entry: Entry<T>) {
         let (slot, page) = (entry.slot(), entry.page());
         if slot <= self.slot {
-            let at = self
+            let index = self
                 .current
                 .partition_point(|known| known.key() > entry.key());
-            self.current.insert(at, entry);
+            self.current.insert(index, entry);
         } else if page == self.page() {
-            let at = (slot & WHEEL_MASK) as usize;
-            self.near[at].push(entry);
-            self.near_occupied.set(at);
+            let index = (slot & WHEEL_MASK) as usize;
+            self.near[index].push(entry);
+            self.near_occupied.set(index);
         } else if page - self.page() < WHEEL_SLOTS as u64 {
-            let at = (page & WHEEL_MASK) as usize;
-            self.far[at].push(entry);
-            self.far_occupied.set(at);
+            let index = (page & WHEEL_MASK) as usize;
+            self.far[index].push(entry);
+            self.far_occupied.set(index);
         } else {
             self.overflow.push(entry);
         }
@@ -199,10 +199,10 @@
     /// Advances to the next nonempty slot; returns whether there is one.
     fn advance(&mut self) -> bool {
         let next = (self.slot & WHEEL_MASK) as usize + 1;
-        if let Some(at) = self.near_occupied.first_from(next) {
-            self.slot = (self.page() << WHEEL_BITS) | at as u64;
-            self.near_occupied.clear(at);
-            std::mem::swap(&mut self.current, &mut self.near[at]);
+        if let Some(index) = self.near_occupied.first_from(next) {
+            self.slot = (self.page() << WHEEL_BITS) | index as u64;
+            self.near_occupied.clear(index);
+            std::mem::swap(&mut self.current, &mut self.near[index]);
             self.current
                 .sort_unstable_by_key(|entry| std::cmp::Reverse(entry.key()));
             return true;
@@ -211,12 +211,12 @@
             return false;
         };
         self.slot = page << WHEEL_BITS;
-        let at = (page & WHEEL_MASK) as usize;
-        self.far_occupied.clear(at);
-        let mut entries = std::mem::take(&mut self.far[at]);
+        let index = (page & WHEEL_MASK) as usize;
+        self.far_occupied.clear(index);
+        let mut entries = std::mem::take(&mut self.far[index]);
         entries.drain(..).for_each(|entry| self.insert(entry));
         // Reuses the allocation.
-        self.far[at] = entries;
+        self.far[index] = entries;
         while self
             .overflow
             .peek()
@@ -232,13 +232,14 @@
     /// Returns the next nonempty page of the far wheel or the heap.
     fn next_page(&self) -> Option<u64> {
         let page = self.page();
-        let own = (page & WHEEL_MASK) as usize;
-        let ahead = |at: usize| page + ((at as u64).wrapping_sub(own as u64) & WHEEL_MASK);
+        let current_index = (page & WHEEL_MASK) as usize;
+        let next_page_at =
+            |index: usize| page + ((index as u64).wrapping_sub(current_index as u64) & WHEEL_MASK);
         let far = self
             .far_occupied
-            .first_from(own + 1)
+            .first_from(current_index + 1)
             .or_else(|| self.far_occupied.first_from(0))
-            .map(ahead);
+            .map(next_page_at);
         let overflow = self.overflow.peek().map(Entry::page);
         far.into_iter().chain(overflow).min()
     }
--- a/crates/model/src/random.rs
+++ b/crates/model/src/random.rs
@@ -98,9 +98,9 @@
     pub fn sample_indices(&mut self, population: usize, count: usize) -> Vec<usize> {
         let mut indices: Vec<usize> = (0..population).collect();
         let count = count.min(population);
-        for at in 0..count {
-            let other = at + self.index_below(population - at);
-            indices.swap(at, other);
+        for index in 0..count {
+            let other = index + self.index_below(population - index);
+            indices.swap(index, other);
         }
         indices.truncate(count);
         indices.sort_unstable();
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -274,106 +274,106 @@
 const US_PER_MS: f64 = 1e3;
 const US_PER_S: f64 = 1e6;
 
-fn kind(checker: &mut Checker, of: &pb::Kind, number: usize) -> Kind {
-    let cores = checker.count("cores", of.cores, 2, 1, 1024) as f64;
+fn kind(checker: &mut Checker, input: &pb::Kind, number: usize) -> Kind {
+    let cores = checker.count("cores", input.cores, 2, 1, 1024) as f64;
     let per_core = |value: f64| (value * cores).round().max(1.0);
-    let slots =
-        per_core(checker.figure("slots_per_core", of.slots_per_core, 4.0, 0.1, 10_000.0)) as usize;
-    let queue = (checker.figure("queue_per_core", of.queue_per_core, 10.0, 0.0, 1e6) * cores)
+    let slots = per_core(checker.figure("slots_per_core", input.slots_per_core, 4.0, 0.1, 10_000.0))
+        as usize;
+    let queue = (checker.figure("queue_per_core", input.queue_per_core, 10.0, 0.0, 1e6) * cores)
         .round() as usize;
     Kind {
-        name: of
+        name: input
             .name
             .clone()
             .unwrap_or_else(|| format!("kind-{}", number + 1)),
-        servers: checker.count("servers", of.servers, 1, 0, MAX_COUNT),
+        servers: checker.count("servers", input.servers, 1, 0, MAX_COUNT),
         cores,
-        speed: checker.figure("speed", of.speed, 1.0, 0.001, 1000.0),
-        speed_cv: checker.figure("speed_cv", of.speed_cv, 0.15, 0.0, 2.0),
+        speed: checker.figure("speed", input.speed, 1.0, 0.001, 1000.0),
+        speed_cv: checker.figure("speed_cv", input.speed_cv, 0.15, 0.0, 2.0),
         slots,
         queue,
-        slow_start_share: checker.figure("cold_from", of.cold_from, 0.3, 0.01, 1.0),
-        slow_start_us: checker.us("cold_s", of.cold_s, 10.0, US_PER_S),
+        slow_start_share: checker.figure("cold_from", input.cold_from, 0.3, 0.01, 1.0),
+        slow_start_us: checker.us("cold_s", input.cold_s, 10.0, US_PER_S),
         connections: per_core(checker.figure(
             "connections_per_core",
-            of.connections_per_core,
+            input.connections_per_core,
             110.0,
             1.0,
             1e6,
         )) as u32,
-        handshake_ms: checker.figure("handshake_ms", of.handshake_ms, 5.0, 0.0, 10_000.0),
-        error_rate: checker.share("error_rate", of.error_rate, 0.0005),
-        cancel: match of.cancel() {
+        handshake_ms: checker.figure("handshake_ms", input.handshake_ms, 5.0, 0.0, 10_000.0),
+        error_rate: checker.share("error_rate", input.error_rate, 0.0005),
+        cancel: match input.cancel() {
             Cancel::Unspecified => Cancel::Waiting,
             given => given,
         },
-        thrash: checker.figure("thrash", of.thrash, 0.1, 0.0, 100.0),
-        thrash_at: checker.figure("thrash_at", of.thrash_at, 5.0, 0.0, 10_000.0),
-        max_connection_overhead: checker.share("full_tax", of.full_tax, 0.2),
+        thrash: checker.figure("thrash", input.thrash, 0.1, 0.0, 100.0),
+        thrash_at: checker.figure("thrash_at", input.thrash_at, 5.0, 0.0, 10_000.0),
+        max_connection_overhead: checker.share("full_tax", input.full_tax, 0.2),
     }
 }
 
-fn class(checker: &mut Checker, of: &pb::Class, number: usize) -> Class {
-    let latency_objective_us = checker.us("aim_ms", of.aim_ms, 600.0, US_PER_MS);
-    let deadline_us = checker.us("deadline_ms", of.deadline_ms, 2000.0, US_PER_MS);
+fn class(checker: &mut Checker, input: &pb::Class, number: usize) -> Class {
+    let latency_objective_us = checker.us("aim_ms", input.aim_ms, 600.0, US_PER_MS);
+    let deadline_us = checker.us("deadline_ms", input.deadline_ms, 2000.0, US_PER_MS);
     if deadline_us < latency_objective_us {
         checker.report("deadline_ms", "deadline_ms is less than aim_ms");
     }
-    let window = Micros(checker.us("window_ms", of.window_ms, 10_000.0, US_PER_MS) as i64);
+    let window = Micros(checker.us("window_ms", input.window_ms, 10_000.0, US_PER_MS) as i64);
     Class {
-        name: of
+        name: input
             .name
             .clone()
             .unwrap_or_else(|| format!("class-{}", number + 1)),
-        share: checker.figure("share", of.share, 1.0, 0.0, 1e6),
-        work_ms: checker.figure("work_ms", of.work_ms, 100.0, 0.01, 1e6),
-        work_cv: checker.figure("work_cv", of.work_cv, 0.6, 0.0, 10.0),
-        attempt_cv: checker.figure("try_cv", of.try_cv, 0.2, 0.0, 10.0),
+        share: checker.figure("share", input.share, 1.0, 0.0, 1e6),
+        work_ms: checker.figure("work_ms", input.work_ms, 100.0, 0.01, 1e6),
+        work_cv: checker.figure("work_cv", input.work_cv, 0.6, 0.0, 10.0),
+        attempt_cv: checker.figure("try_cv", input.try_cv, 0.2, 0.0, 10.0),
         latency_objective_us,
         deadline_us,
-        priority_weight: checker.figure("worth", of.worth, 1.0, 0.0, 1e6),
-        late_share: checker.share("late_worth", of.late_worth, 0.1),
-        idempotency: match of.effect() {
+        priority_weight: checker.figure("worth", input.worth, 1.0, 0.0, 1e6),
+        late_share: checker.share("late_worth", input.late_worth, 0.1),
+        idempotency: match input.effect() {
             pb::Effect::Keyed => {
                 policy::Idempotency::Keyed(policy::DeduplicationScope::All, window)
             }
             pb::Effect::Unsafe => policy::Idempotency::NotIdempotent,
             pb::Effect::Safe | pb::Effect::Unspecified => policy::Idempotency::Idempotent,
         },
-        zone_local: of.home_only.unwrap_or(false),
+        zone_local: input.home_only.unwrap_or(false),
     }
 }
 
-fn fault(checker: &mut Checker, of: &pb::Trouble, zones: &[String]) -> Fault {
-    if of.sort() == FaultKind::Unspecified {
+fn fault(checker: &mut Checker, input: &pb::Trouble, zones: &[String]) -> Fault {
+    if input.sort() == FaultKind::Unspecified {
         checker.report("trouble", "sort is missing");
     }
-    let zone = of.zone.as_ref().and_then(|name| {
+    let zone = input.zone.as_ref().and_then(|name| {
         let known = zones.iter().position(|zone| zone == name);
         if known.is_none() {
             checker.report("trouble", format!("unknown zone {name:?}"));
         }
         known
     });
-    if matches!(of.sort(), FaultKind::ZoneLost | FaultKind::Way) && of.zone.is_none() {
+    if matches!(input.sort(), FaultKind::ZoneLost | FaultKind::Way) && input.zone.is_none() {
         checker.report(
             "trouble",
-            format!("{} needs a zone", of.sort().as_str_name()),
+            format!("{} needs a zone", input.sort().as_str_name()),
         );
     }
-    let from_us = checker.us("at_s", of.at_s, 0.0, US_PER_S);
+    let from_us = checker.us("at_s", input.at_s, 0.0, US_PER_S);
     // Default sizes: a share of one half, 500 ms, a factor of 2, or 2 s.
-    let default = match of.sort() {
+    let default = match input.sort() {
         FaultKind::FailFast | FaultKind::Neighbour => 0.5,
         FaultKind::FrontEndsStand | FaultKind::Way => 500.0,
         _ => 2.0,
     };
-    let max = if matches!(of.sort(), FaultKind::FailFast | FaultKind::Neighbour) {
+    let max = if matches!(input.sort(), FaultKind::FailFast | FaultKind::Neighbour) {
         1.0
     } else {
         1e6
     };
-    let extra = match of.sort() {
+    let extra = match input.sort() {
         FaultKind::Neighbour => 2.0,
         FaultKind::Heavy => 0.02,
         FaultKind::Replace => 8.0,
@@ -381,14 +381,14 @@
         _ => 0.0,
     };
     Fault {
-        kind: of.sort(),
+        kind: input.sort(),
         from_us,
-        to_us: from_us + checker.us("length_s", of.length_s, 10.0, US_PER_S),
-        share: checker.share("part", of.part, 0.1),
-        size: checker.figure("size", of.size, default, 0.0, max),
-        extra: checker.figure("extra", of.extra, extra, 0.0, 1e6),
+        to_us: from_us + checker.us("length_s", input.length_s, 10.0, US_PER_S),
+        share: checker.share("part", input.part, 0.1),
+        size: checker.figure("size", input.size, default, 0.0, max),
+        extra: checker.figure("extra", input.extra, extra, 0.0, 1e6),
         zone,
-        ramp_us: checker.us("ramp_s", of.ramp_s, 0.0, US_PER_S),
+        ramp_us: checker.us("ramp_s", input.ramp_s, 0.0, US_PER_S),
     }
 }
 
@@ -415,15 +415,15 @@
 impl TryFrom<&pb::Scenario> for Scenario {
     type Error = Vec<FieldError>;
 
-    fn try_from(of: &pb::Scenario) -> Result<Self, Vec<FieldError>> {
+    fn try_from(input: &pb::Scenario) -> Result<Self, Vec<FieldError>> {
         let checker = &mut Checker(Vec::new());
-        let zones = if of.zone.is_empty() {
+        let zones = if input.zone.is_empty() {
             vec!["a".to_string()]
         } else {
-            of.zone.clone()
+            input.zone.clone()
         };
         checker.names("zone", zones.iter().map(String::as_str));
-        let kinds: Vec<Kind> = of
+        let kinds: Vec<Kind> = input
             .kind
             .iter()
             .enumerate()
@@ -437,7 +437,7 @@
                 format!("{servers} servers, must be from 1 to {MAX_COUNT}"),
             );
         }
-        let classes: Vec<Class> = of
+        let classes: Vec<Class> = input
             .class
             .iter()
             .enumerate()
@@ -448,30 +448,30 @@
         if classes.is_empty() || shares <= 0.0 {
             checker.report("class", "no class with a share above 0");
         }
-        if of.trouble.len() > MAX_LIST_LENGTH {
+        if input.trouble.len() > MAX_LIST_LENGTH {
             checker.report(
                 "trouble",
                 format!(
                     "{} entries, at most {MAX_LIST_LENGTH} are allowed",
-                    of.trouble.len()
+                    input.trouble.len()
                 ),
             );
         }
-        let faults = of
+        let faults = input
             .trouble
             .iter()
-            .map(|of| fault(checker, of, &zones))
+            .map(|input| fault(checker, input, &zones))
             .collect();
-        let load = of.load.clone().unwrap_or_default();
-        let clients = of.clients.unwrap_or_default();
-        let proxies = of.front_ends.unwrap_or_default();
-        let supervisors = of.supervisors.unwrap_or_default();
-        let reports = of.reports.unwrap_or_default();
-        let discovery = of.discovery.unwrap_or_default();
-        let network = of.network.unwrap_or_default();
-        let probes = of.probes.unwrap_or_default();
-        let rules = of.rules.unwrap_or_default();
-        let service = of.service.unwrap_or_default();
+        let load = input.load.clone().unwrap_or_default();
+        let clients = input.clients.unwrap_or_default();
+        let proxies = input.front_ends.unwrap_or_default();
+        let supervisors = input.supervisors.unwrap_or_default();
+        let reports = input.reports.unwrap_or_default();
+        let discovery = input.discovery.unwrap_or_default();
+        let network = input.network.unwrap_or_default();
+        let probes = input.probes.unwrap_or_default();
+        let rules = input.rules.unwrap_or_default();
+        let service = input.service.unwrap_or_default();
         let lines_per_s = checker.figure("lines_per_s", supervisors.lines_per_s, 9500.0, 1.0, 1e9);
         let min_notice_s =
             checker.figure("notice_least_s", discovery.notice_least_s, 0.8, 0.0, 3600.0);
@@ -494,8 +494,8 @@
             .sum();
         let level = checker.figure("level", load.level, 0.5, 0.0, 100.0);
         let scenario = Scenario {
-            name: of.name.clone().unwrap_or_else(|| "unnamed".to_string()),
-            duration_us: checker.us("seconds", of.seconds, 60.0, US_PER_S),
+            name: input.name.clone().unwrap_or_else(|| "unnamed".to_string()),
+            duration_us: checker.us("seconds", input.seconds, 60.0, US_PER_S),
             rate: checker.figure(
                 "rate",
                 load.rate,
@@ -651,16 +651,20 @@
     /// Returns the factor of the demand at a time since the start, without faults.
     pub fn demand(&self, at_us: u64) -> f64 {
         let at = at_us as f64;
-        match self.demand_points.iter().position(|(time, _)| *time > at) {
+        match self
+            .demand_points
+            .iter()
+            .position(|(point_us, _)| *point_us > at)
+        {
             None => self.demand_points.last().map_or(1.0, |(_, factor)| *factor),
             Some(0) => self
                 .demand_points
                 .first()
                 .map_or(1.0, |(_, factor)| *factor),
             Some(next) => {
-                let ((from, low), (to, high)) =
+                let ((from_us, low), (to_us, high)) =
                     (self.demand_points[next - 1], self.demand_points[next]);
-                low + (high - low) * (at - from) / (to - from)
+                low + (high - low) * (at - from_us) / (to_us - from_us)
             }
         }
     }
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -1201,7 +1201,7 @@
             let at_us = self.now_us - START_US;
             self.broken_rules
                 .record(Rule::DuplicateExecution, at_us, || {
-                    format!("proxy {proxy} repeats a {name} request that may have been executed")
+                    format!("proxy {proxy} repeats a request of class {name} that may have been executed")
                 });
         }
         self.send_attempt(key, Some(server));
@@ -1406,7 +1406,7 @@
             let (name, at_us) = (&class_settings.name, self.now_us - START_US);
             self.broken_rules
                 .record(Rule::DuplicateExecution, at_us, || {
-                    format!("a {name} request was executed twice")
+                    format!("a request of class {name} was executed twice")
                 });
         }
     }
@@ -2406,7 +2406,7 @@
                     let name = &scenario.classes[class].name;
                     let at_us = now_us - START_US;
                     self.broken_rules.record(Rule::Unserved, at_us, || {
-                        format!("proxy {index} has no server for {name}")
+                        format!("proxy {index} has no server for class {name}")
                     });
                 }
             }
