--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -225,7 +225,7 @@
     pub paused_until_us: u64,
     /// Incremented when the process stops; events of an earlier epoch are ignored.
     pub epoch: u32,
-    /// Controller of all supervisors.
+    /// Controller of this supervisor; replaced at each start.
     pub controller: Controller,
     /// Time and number of the scheduled tick; tick events with another number are ignored.
     pub pending_tick: Option<(u64, u32)>,
