--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -1,4 +1,4 @@
-//! A server that answers probes in one manner.
+//! Emulated server that responds to health checks in one mode.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,48 +8,51 @@
 
 use crate::http::{listen, serve, text};
 
-/// What a server does with a probe.
+/// How a server responds to health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    /// Answers with a load report.
-    Well,
-    /// Turns probes away.
-    Busy,
-    /// Answers with far too much.
-    Huge,
-    /// Never answers.
-    Hangs,
+pub enum HealthCheckMode {
+    /// Responds with a load report.
+    Healthy,
+    /// Responds with status 503.
+    Unavailable,
+    /// Responds with a body of 1 MiB.
+    OversizedResponse,
+    /// Accepts the request and never responds.
+    Unresponsive,
 }
 
-/// A server.
+/// An emulated server.
 #[derive(Clone)]
 pub struct Server {
-    /// Its name.
+    /// As in the server list.
     pub name: &'static str,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Connections that it accepted.
+    /// Number of accepted connections.
     pub connections: Arc<AtomicUsize>,
-    /// Probes that it was asked.
-    pub probes: Arc<AtomicUsize>,
+    /// Number of received health checks.
+    pub health_checks: Arc<AtomicUsize>,
 }
 
 impl Server {
-    /// Starts one.
-    pub async fn start(name: &'static str, manner: Manner) -> Self {
+    /// Starts a server that responds in this mode.
+    pub async fn start(name: &'static str, mode: HealthCheckMode) -> Self {
         let (listener, address) = listen().await;
-        let (connections, probes) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
-        let counted = probes.clone();
+        let (connections, health_checks) =
+            (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
+        let counted = health_checks.clone();
         serve(listener, connections.clone(), move |request| {
             let counted = counted.clone();
             async move {
                 counted.fetch_add(1, Ordering::SeqCst);
                 assert_eq!(request.uri().path(), "/-/load");
-                match manner {
-                    Manner::Well => text(StatusCode::OK, "TEXT queue=0, latency_ms=12.5"),
-                    Manner::Busy => text(StatusCode::SERVICE_UNAVAILABLE, ""),
-                    Manner::Huge => text(StatusCode::OK, vec![b'x'; 1 << 20]),
-                    Manner::Hangs => std::future::pending().await,
+                match mode {
+                    HealthCheckMode::Healthy => {
+                        text(StatusCode::OK, "TEXT queue=0, latency_ms=12.5")
+                    }
+                    HealthCheckMode::Unavailable => text(StatusCode::SERVICE_UNAVAILABLE, ""),
+                    HealthCheckMode::OversizedResponse => text(StatusCode::OK, vec![b'x'; 1 << 20]),
+                    HealthCheckMode::Unresponsive => std::future::pending().await,
                 }
             }
         });
@@ -57,12 +60,12 @@
             name,
             address,
             connections,
-            probes,
+            health_checks,
         }
     }
 
-    /// How many probes it was asked.
-    pub fn probed(&self) -> usize {
-        self.probes.load(Ordering::SeqCst)
+    /// Returns the number of received health checks.
+    pub fn health_check_count(&self) -> usize {
+        self.health_checks.load(Ordering::SeqCst)
     }
 }
--- a/crates/engine/src/log_events.rs
+++ b/crates/engine/src/log_events.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use chutegrade_policy::{Lifecycle, Micros, ServerId};
-use chutegrade_records::observe::Observer;
+use chutegrade_records::observe::FailingServers;
 use chutegrade_records::Kind;
 
 use crate::endpoint::NamedEndpoint;
@@ -51,7 +51,7 @@
     /// Observations since the last tick.
     observations: Vec<Observation>,
     is_recording: bool,
-    observer: Observer,
+    observer: FailingServers,
     /// Latest start of each server whose endpoint has one.
     latest_starts: HashMap<ServerId, Micros>,
 }
@@ -119,7 +119,7 @@
         if !self.is_recording {
             return;
         }
-        let failing = self.observer.heard(
+        let failing = self.observer.record_report(
             &outcomes.zone,
             &outcomes.server,
             outcomes.attempts,
@@ -155,7 +155,7 @@
     /// Removes the state of a server that is no longer referenced.
     pub fn remove_server(&mut self, server: ServerId, name: &str) {
         self.latest_starts.remove(&server);
-        self.observer.forget(name);
+        self.observer.remove(name);
     }
 
     /// Converts the observations since the last tick to events.
--- a/crates/supervisor/tests/commands/operator_config.rs
+++ b/crates/supervisor/tests/commands/operator_config.rs
@@ -1,8 +1,8 @@
-//! The operators' file: what `check` finds, and what a start does with it.
+//! The operators' file: the faults that `check` finds, and its effect on the start.
 
 use std::time::Duration;
 
-use chutegrade_emulators::{config, until, Discovery, Manner, Program, Proxy, Server};
+use chutegrade_emulators::{config, until, Discovery, HealthCheckMode, Program, Proxy, Server};
 use tokio::time::sleep;
 
 use crate::{run, utf8, Outcome, PROGRAM};
@@ -15,19 +15,19 @@
         std::fs::write(&path, text).expect("a file");
         utf8(&path).to_string()
     };
-    let good = config(&Discovery::start().await, None, 64).to_string();
-    let good = file("good.json", &good);
+    let valid_config = config(&Discovery::start().await, None, 64).to_string();
+    let valid_config = file("good.json", &valid_config);
     let repository = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.txtpb");
     let Outcome {
         code,
         output,
         error,
-    } = run(&["check", "--config", &good, "--operator", repository]);
+    } = run(&["check", "--config", &valid_config, "--operator", repository]);
     assert_eq!(
         (code, output.as_str(), error.as_str()),
-        (Some(0), "nothing is wrong\n", "")
+        (Some(0), "no faults found\n", "")
     );
-    let bad = file(
+    let invalid_config = file(
         "bad.json",
         "{\"listen\": \"127.0.0.1:0\",\n \"discovery\" 7}",
     );
@@ -39,7 +39,13 @@
         code,
         output,
         error,
-    } = run(&["check", "--config", &bad, "--operator", &operator]);
+    } = run(&[
+        "check",
+        "--config",
+        &invalid_config,
+        "--operator",
+        &operator,
+    ]);
     assert_eq!(
         (code, error.as_str()),
         (Some(1), "chutegrade: 3 faults\n"),
@@ -55,9 +61,9 @@
     );
 }
 
-/// If a missing disk prevented the start, proxies would be without a supervisor.
+/// A missing disk must not prevent the start, which would leave proxies without a supervisor.
 #[tokio::test]
-async fn without_a_usable_directory_it_serves_and_logs_that_once() {
+async fn an_unusable_records_directory_is_logged_once_and_does_not_stop_serving() {
     let directory = tempfile::tempdir().expect("a directory");
     let blocked = directory.path().join("file");
     std::fs::write(&blocked, "").expect("a file in the way");
@@ -68,7 +74,7 @@
     )
     .expect("a file");
     let discovery = Discovery::start().await;
-    let server = Server::start("s-1", Manner::Well).await;
+    let server = Server::start("s-1", HealthCheckMode::Healthy).await;
     discovery.set("s-1", server.address, "up");
     let program = Program::new(PROGRAM, directory.path()).with_operator(&operator);
     let mut supervisor = program
@@ -76,18 +82,18 @@
         .await;
     let mut proxy = Proxy::join(&supervisor, 0, true).await;
     proxy
-        .applies("a table", |proxy| proxy.picks("lookup") == ["s-1"])
+        .apply_until("a table", |proxy| proxy.picks("lookup") == ["s-1"])
         .await;
     supervisor
-        .logs(1, &["recording stops, serving goes on"])
+        .expect_log_lines(1, &["recording failed, serving continues without records"])
         .await;
     sleep(Duration::from_millis(2500)).await;
     supervisor
-        .logs(1, &["recording stops, serving goes on"])
+        .expect_log_lines(1, &["recording failed, serving continues without records"])
         .await;
     std::fs::remove_file(&blocked).expect("a removal");
     until("recording", || {
-        supervisor.logged(&["recording directory"]) > 0
+        supervisor.count_log_lines(&["recording directory"]) > 0
     })
     .await;
     assert_eq!(supervisor.terminate().await, Some(0));
@@ -98,15 +104,15 @@
     );
 }
 
-/// With an invalid operators' file it would start without the configured features.
+/// A supervisor with an invalid operators' file would run without the configured features.
 #[tokio::test]
-async fn a_wrong_operators_file_prevents_the_start() {
+async fn an_invalid_operators_file_prevents_the_start() {
     let directory = tempfile::tempdir().expect("a directory");
     let operator = directory.path().join("o.txtpb");
     std::fs::write(&operator, "records { directry: \"/x\" }").expect("a file");
     let program = Program::new(PROGRAM, directory.path()).with_operator(&operator);
     let (code, error) = program
-        .fails_to_start(&config(&Discovery::start().await, None, 64))
+        .run_until_exit(&config(&Discovery::start().await, None, 64))
         .await;
     assert!(
         code == Some(1)
@@ -126,7 +132,7 @@
     let mut configuration = config(&discovery, None, 64);
     configuration["listen"] = "nowhere".into();
     let program = Program::new(PROGRAM, directory.path()).with_operator(&operator);
-    let (code, error) = program.fails_to_start(&configuration).await;
+    let (code, error) = program.run_until_exit(&configuration).await;
     let line: serde_json::Value =
         serde_json::from_str(error.lines().next().expect("a line")).expect("JSON");
     assert_eq!(
--- a/crates/supervisor/tests/crossings/settings.rs
+++ b/crates/supervisor/tests/crossings/settings.rs
@@ -6,7 +6,7 @@
 use crate::applies_picks;
 use crate::common::{fleet, joined, program};
 
-/// A reload of keys that take effect only at a start logs that, and changes nothing.
+/// A reload of keys that take effect only at a start logs this and changes nothing.
 #[tokio::test]
 async fn a_reload_of_settings_requires_a_restart() {
     let (discovery, servers) = fleet().await;
@@ -18,22 +18,22 @@
     configuration["settings"]["familyInfo"]["proxies"] = json!(1);
     supervisor.reload(&configuration.to_string()).await;
     supervisor
-        .logs(1, &["reloaded", "restart_for=\"settings\""])
+        .expect_log_lines(1, &["reloaded", "restart_for=\"settings\""])
         .await;
     discovery.set("s-1", servers[0].address, "draining");
     applies_picks(&mut proxy, &["s-2", "s-3"]).await;
     Proxy::join(&supervisor, 7, true)
         .await
-        .applies("a table", |proxy| !proxy.picks("order").is_empty())
+        .apply_until("a table", |proxy| !proxy.picks("order").is_empty())
         .await;
 }
 
-/// Killed or terminated, a run leaves no files that the next one could read.
+/// A run that is killed or terminated leaves no files that the next one could read.
 #[tokio::test]
-async fn a_run_leaves_nothing_behind() {
+async fn a_run_leaves_no_files() {
     let scratch = tempfile::tempdir().expect("a directory");
     let (discovery, _servers) = fleet().await;
-    let program = program().with_scratch(scratch.path());
+    let program = program().with_working_directory(scratch.path());
     for is_killed in [false, true] {
         let mut supervisor = program
             .start(&config(&discovery, Some(discovery.list()), 1024))
--- a/crates/supervisor/tests/plugins.rs
+++ b/crates/supervisor/tests/plugins.rs
@@ -1,4 +1,4 @@
-//! Plug-ins over sockets: their advice reaches proxies, and hostile ones harm nobody.
+//! Plug-ins over sockets: their advice reaches proxies, and hostile ones affect neither supervisors nor proxies.
 
 #[path = "../../plugins/tests/corpus/mod.rs"]
 mod corpus;
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use chutegrade_emulators::script::Stage;
+use chutegrade_emulators::script::EmulatedDeployment;
 use chutegrade_emulators::{until, Program};
 use chutegrade_records::index::Query;
 use chutegrade_records::{GapReason, Kind, Timeline};
@@ -24,7 +24,7 @@
     path
 }
 
-/// The section of the operators' file that names these texts.
+/// Returns the section of the operators' file that loads these files.
 fn plugins_section(files: &[PathBuf]) -> String {
     let mut section = "plugins {".to_string();
     for file in files {
@@ -33,8 +33,8 @@
     section + " }"
 }
 
-/// What all supervisors have recorded.
-fn recorded_kinds(stage: &Stage) -> Vec<Kind> {
+/// Returns what all supervisors have recorded.
+fn recorded_kinds(stage: &EmulatedDeployment) -> Vec<Kind> {
     let timeline = Timeline::open(&[stage.records()]).expect("records");
     let (events, _) = timeline.read(&Query::default());
     events
@@ -44,7 +44,7 @@
 }
 
 /// Whether every proxy may pick a server for a class.
-fn all_pick(stage: &Stage, class: &str, server: &str) -> bool {
+fn all_pick(stage: &EmulatedDeployment, class: &str, server: &str) -> bool {
     stage
         .fleet
         .picks(class)
@@ -53,7 +53,7 @@
 }
 
 /// Whether no proxy may pick a server for a class.
-fn none_picks(stage: &Stage, class: &str, server: &str) -> bool {
+fn none_picks(stage: &EmulatedDeployment, class: &str, server: &str) -> bool {
     stage
         .fleet
         .picks(class)
@@ -64,16 +64,18 @@
 const AUDIT: &str = "plugin \"audit\" version 1 host 1\nsteers \"order\"\n\
     hook factor(server, class, zone) { if class.name == \"order\" and server.name == \"s-a2\" { return 0 } return 1 }";
 
-/// One class is routed around a server, the others are not, until the plug-in is replaced at SIGHUP; a wrong text is
-/// rejected. Health checks are off: on a shared machine they may take so long that the fleet counts as saturated, and then
-/// advice on servers is void.
+/// One class is routed around a server and the others are not, until the plug-in is replaced at SIGHUP; an invalid one
+/// is rejected. Health checks are off: on a loaded machine they may be so slow that the fleet counts as saturated,
+/// which makes advice on servers void.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_class_is_routed_around_a_server_until_the_plugin_is_replaced() {
     let directory = tempfile::tempdir().expect("a directory");
     let file = write_plugin(directory.path(), "audit", AUDIT);
     let section = plugins_section(std::slice::from_ref(&file));
     let program = Path::new(PROGRAM);
-    let mut stage = Stage::unprobed(program, directory.path(), 3, &section).await;
+    let mut stage =
+        EmulatedDeployment::start_without_health_checks(program, directory.path(), 3, &section)
+            .await;
     until("orders are routed around it", || {
         none_picks(&stage, "order", "s-a2")
     })
@@ -84,9 +86,14 @@
     let wrong = AUDIT.replace("return 0", "return speed");
     write_plugin(directory.path(), "audit", &wrong);
     stage.reload().await;
-    stage.logs(1, &["plug-ins rejected", "no name"]).await;
+    stage
+        .wait_for_log_lines(1, &["plug-ins rejected", "no name"])
+        .await;
     sleep(Duration::from_secs(3)).await;
-    assert!(none_picks(&stage, "order", "s-a2"), "the old rule holds");
+    assert!(
+        none_picks(&stage, "order", "s-a2"),
+        "the old rule stays in force"
+    );
 
     let replacement = AUDIT
         .replace("version 1", "version 2")
@@ -98,14 +105,14 @@
     })
     .await;
 
-    assert_eq!(stage.end().await, [Some(0), Some(0)]);
-    assert_eq!(stage.fleet.broken(20), Vec::<String>::new());
+    assert_eq!(stage.terminate().await, [Some(0), Some(0)]);
+    assert_eq!(stage.fleet.rule_violations(20), Vec::<String>::new());
     assert_loads_are_recorded(&stage);
     assert_commands_show_the_advice(directory.path(), &stage, &file).await;
 }
 
 /// Asserts that each of the two supervisors has loaded both versions and rejected the invalid text.
-fn assert_loads_are_recorded(stage: &Stage) {
+fn assert_loads_are_recorded(stage: &EmulatedDeployment) {
     let load = |kind| match kind {
         Kind::PluginLoaded(load) => {
             Some((load.version, load.digest.len(), load.refused.is_empty()))
@@ -128,14 +135,18 @@
     );
 }
 
-/// Asserts that the commands find the advice in the records, and can try the plug-in without a supervisor.
-async fn assert_commands_show_the_advice(directory: &Path, stage: &Stage, file: &Path) {
+/// Asserts that the commands find the advice in the records, and run the plug-in without a supervisor.
+async fn assert_commands_show_the_advice(
+    directory: &Path,
+    stage: &EmulatedDeployment,
+    file: &Path,
+) {
     let tools = Program::new(PROGRAM, directory);
     let file = file.display().to_string();
     let records = stage.records().display().to_string();
     let records_of_one = format!("{records}/n0");
     let (code, output, _) = tools
-        .tool(&["plugin", "run", &file, "--records", &records_of_one])
+        .run_command(&["plugin", "run", &file, "--records", &records_of_one])
         .await;
     assert_eq!(code, Some(0), "{output}");
     assert!(
@@ -143,34 +154,40 @@
         "{output}"
     );
     assert!(
-        output.contains("audit says from now on, by line 3") && output.contains("operations"),
+        output.contains("audit advises, by line 3") && output.contains("operations"),
         "{output}"
     );
-    let (code, output, _) = tools.tool(&["plugin", "explain", "s-b4", &records]).await;
+    let (code, output, _) = tools
+        .run_command(&["plugin", "explain", "s-b4", &records])
+        .await;
     assert_eq!(code, Some(0), "{output}");
     assert!(output.contains("n1: s-b4 is in service, full"), "{output}");
     assert!(
         output.contains("plug-in audit: s-b4 keeps 0 % for order, by line 3"),
         "{output}"
     );
-    let (_, output, _) = tools.tool(&["plugin", "explain", "s-a2", &records]).await;
+    let (_, output, _) = tools
+        .run_command(&["plugin", "explain", "s-a2", &records])
+        .await;
     assert!(
         output.contains("s-a2 is in service") && !output.contains("plug-in"),
         "its advice has ended: {output}"
     );
-    let (code, _, error) = tools.tool(&["plugin", "explain", "nobody", &records]).await;
+    let (code, _, error) = tools
+        .run_command(&["plugin", "explain", "s-none", &records])
+        .await;
     assert!(
-        code == Some(1) && error.contains("no supervisor knows a server \"nobody\""),
+        code == Some(1) && error.contains("no supervisor has a record of server \"s-none\""),
         "{error}"
     );
-    let (code, output, _) = tools.tool(&["plugin", "check", &file]).await;
+    let (code, output, _) = tools.run_command(&["plugin", "check", &file]).await;
     assert!(
         code == Some(0) && output.contains("audit version 2"),
         "{output}"
     );
 }
 
-/// Writes the hostile plug-ins that compile, at most as many as can be loaded.
+/// Writes hostile plug-ins that compile, up to the maximum that can be loaded.
 fn write_hostile_plugins(directory: &Path) -> Vec<PathBuf> {
     let bodies = corpus::ADVISED.iter().chain(&corpus::STOPPED);
     bodies
@@ -186,24 +203,24 @@
         .collect()
 }
 
-/// Drains, fails and restarts servers, and reloads, while the supervisors have to answer each second.
-async fn disturb_the_fleet(stage: &Stage) {
+/// Drains, fails and restarts servers and reloads, and checks each second that the supervisors respond.
+async fn disturb_the_fleet(stage: &EmulatedDeployment) {
     for second in 0..24 {
         match second {
             4 => stage.fleet.drain("s-a1"),
             8 => stage.fleet.remove("s-a1"),
-            9 => stage.fleet.fail("s-b2", true),
-            15 => stage.fleet.fail("s-b2", false),
+            9 => stage.fleet.set_failing("s-b2", true),
+            15 => stage.fleet.set_failing("s-b2", false),
             16 => stage.fleet.restart("s-a1"),
             18 => stage.reload().await,
             _ => {}
         }
-        assert!(stage.alive().await);
+        assert!(stage.is_responsive().await);
         sleep(Duration::from_secs(1)).await;
     }
 }
 
-fn assert_no_supervisor_stalled(stage: &Stage) {
+fn assert_no_supervisor_stalled(stage: &EmulatedDeployment) {
     let timeline = Timeline::open(&[stage.records()]).expect("records");
     let gaps = timeline.gaps(timeline.span().expect("records"));
     let stalls = gaps
@@ -213,11 +230,11 @@
 }
 
 fn assert_hostile_plugins_were_contained(kinds: &[Kind]) {
-    let count_said = |what: &str| {
-        let said = |kind: &&Kind| matches!(kind, Kind::PluginSaid(said) if said.what == what);
-        kinds.iter().filter(said).count()
+    let count_events = |what: &str| {
+        let is_match = |kind: &&Kind| matches!(kind, Kind::PluginSaid(event) if event.what == what);
+        kinds.iter().filter(is_match).count()
     };
-    let (faults, pauses) = (count_said("fault"), count_said("paused"));
+    let (faults, pauses) = (count_events("fault"), count_events("paused"));
     assert!(
         faults >= 40 && pauses >= 20,
         "{faults} faults, {pauses} pauses"
@@ -225,11 +242,11 @@
     let any = |predicate: fn(&Kind) -> bool| kinds.iter().any(predicate);
     assert!(
         any(|kind| matches!(kind, Kind::AdviceVoid(advice) if advice.void)),
-        "a veto of all is void"
+        "advice against all servers is void"
     );
     assert!(
         !any(|kind| matches!(kind, Kind::Level(level) if level.retry > 1)),
-        "no retry without proof"
+        "no retry without proof that the request was not executed"
     );
     assert!(
         !any(|kind| matches!(kind, Kind::ReportsDropped(_))),
@@ -237,24 +254,32 @@
     );
 }
 
-/// With hostile plug-ins loaded, all rules hold, the supervisors answer and tick in time, and no report is lost.
+/// With hostile plug-ins loaded, all rules hold, supervisors respond and tick in time, and no report is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn hostile_plugins_break_no_rule() {
     let directory = tempfile::tempdir().expect("a directory");
     let files = write_hostile_plugins(directory.path());
     let section = plugins_section(&files);
-    let mut stage = Stage::set_with(Path::new(PROGRAM), directory.path(), 5, &section).await;
-    stage.logs(files.len(), &["plug-in loaded"]).await;
+    let mut stage = EmulatedDeployment::start_with_operator_config(
+        Path::new(PROGRAM),
+        directory.path(),
+        5,
+        &section,
+    )
+    .await;
+    stage
+        .wait_for_log_lines(files.len(), &["plug-in loaded"])
+        .await;
     disturb_the_fleet(&stage).await;
-    let answered = stage.fleet.served().done.load(Ordering::Relaxed);
-    assert_eq!(stage.end().await, [Some(0), Some(0)]);
-    assert_eq!(stage.fleet.broken(20), Vec::<String>::new());
+    let answered = stage.fleet.counters().answered.load(Ordering::Relaxed);
+    assert_eq!(stage.terminate().await, [Some(0), Some(0)]);
+    assert_eq!(stage.fleet.rule_violations(20), Vec::<String>::new());
     assert!(answered > 500, "only {answered} requests were answered");
     assert_no_supervisor_stalled(&stage);
     assert_hostile_plugins_were_contained(&recorded_kinds(&stage));
 }
 
-const WRONG: &str =
+const INVALID_PLUGIN: &str =
     "plugin \"w\" version 1 host 1\nhook cap(class) { return speed }\nhook turn() { x = 1 }\n";
 const WITH_A_FAILING_CASE: &str = "plugin \"f\" version 1 host 1\nhook cap(class) { return 0.5 }\n\
     case \"half\" { expect cap == 0.5 }\ncase \"all\" { expect cap == 1 }\n";
@@ -262,13 +287,13 @@
 const FORMATTED: &str = "plugin \"w\" version 1 host 1\nhook turn() {\n    note(\"x\")\n}\n";
 
 #[tokio::test]
-async fn the_commands_describe_faults() {
+async fn the_commands_report_faults() {
     let directory = tempfile::tempdir().expect("a directory");
     let program = Program::new(PROGRAM, directory.path());
-    let wrong = write_plugin(directory.path(), "wrong", WRONG);
+    let wrong = write_plugin(directory.path(), "wrong", INVALID_PLUGIN);
     let failing = write_plugin(directory.path(), "failing", WITH_A_FAILING_CASE);
     let (wrong, failing) = (wrong.display().to_string(), failing.display().to_string());
-    let (code, output, error) = program.tool(&["plugin", "check", &wrong]).await;
+    let (code, output, error) = program.run_command(&["plugin", "check", &wrong]).await;
     assert!(
         code == Some(1) && error == "chutegrade: 2 faults\n",
         "{error}"
@@ -276,7 +301,7 @@
     for fault in ["no name \"speed\"", "no name \"x\"", ":2:26"] {
         assert!(output.contains(fault), "{output}");
     }
-    let (code, output, error) = program.tool(&["plugin", "test", &failing]).await;
+    let (code, output, error) = program.run_command(&["plugin", "test", &failing]).await;
     assert!(
         code == Some(1) && error.contains("1 of 2 cases failed"),
         "{error}"
@@ -286,7 +311,9 @@
             && output.contains("all ... FAILED: cap answered 0.5, expected 1"),
         "{output}"
     );
-    let (code, _, error) = program.tool(&["plugin", "check", "/nowhere.chute"]).await;
+    let (code, _, error) = program
+        .run_command(&["plugin", "check", "/nowhere.chute"])
+        .await;
     assert!(
         code == Some(1) && error.contains("/nowhere.chute"),
         "{error}"
@@ -297,17 +324,19 @@
 async fn the_format_command_checks_and_formats() {
     let directory = tempfile::tempdir().expect("a directory");
     let program = Program::new(PROGRAM, directory.path());
-    let file = write_plugin(directory.path(), "wrong", WRONG);
+    let file = write_plugin(directory.path(), "wrong", INVALID_PLUGIN);
     let failing = write_plugin(directory.path(), "failing", WITH_A_FAILING_CASE);
     let (path, failing) = (file.display().to_string(), failing.display().to_string());
     let (code, output, _) = program
-        .tool(&["plugin", "format", "--check", &path, &failing])
+        .run_command(&["plugin", "format", "--check", &path, &failing])
         .await;
     assert!(code == Some(0) && output.is_empty(), "{output}");
     std::fs::write(&file, UNFORMATTED).expect("a text");
-    let (code, _, _) = program.tool(&["plugin", "format", "--check", &path]).await;
+    let (code, _, _) = program
+        .run_command(&["plugin", "format", "--check", &path])
+        .await;
     assert_eq!(code, Some(1));
-    let (code, _, _) = program.tool(&["plugin", "format", &path]).await;
+    let (code, _, _) = program.run_command(&["plugin", "format", &path]).await;
     assert_eq!(code, Some(0));
     let formatted = std::fs::read_to_string(&file).expect("the text");
     assert_eq!(formatted, FORMATTED);
--- a/crates/supervisor/tests/serving/malformed_input.rs
+++ b/crates/supervisor/tests/serving/malformed_input.rs
@@ -6,12 +6,12 @@
 
 use crate::common::{joined, serving};
 
-/// Input that ends its connection.
+/// Input that closes its connection.
 struct MalformedInput {
     pieces: Vec<Vec<u8>>,
-    /// The kind of peer that the log names.
+    /// Kind of the peer in the log.
     peer_kind: &'static str,
-    /// The code of the reason that the log names.
+    /// Code of the reason in the log.
     code: &'static str,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Input of connections that have not identified themselves.
+/// Input of unidentified connections.
 fn unidentified_inputs() -> Vec<MalformedInput> {
     let long_line = "x".repeat(5000);
     let inputs: [(&str, &[u8]); 7] = [
@@ -47,7 +47,7 @@
         .into()
 }
 
-/// Input of peers that have identified themselves.
+/// Input of identified peers.
 fn peer_inputs() -> Vec<MalformedInput> {
     let many_reports = "outcomes site=a target=s-1 count=-1 over=1\r\n".repeat(100);
     let hello = b"hello id=4 site=a rps=1 new=1\r\n";
@@ -66,14 +66,14 @@
     for input in inputs {
         let mut sender = Peer::connect(supervisor.address).await;
         for piece in &input.pieces {
-            sender.raw(piece).await;
+            sender.send_bytes(piece).await;
         }
-        sender.ended().await;
+        sender.wait_for_close().await;
         let count = counts.entry((input.peer_kind, input.code)).or_default();
         *count += 1;
         let peer = format!("peer=\"{}\"", input.peer_kind);
         let reason = format!("reason={}", input.code);
-        supervisor.logs(*count, &[&peer, &reason]).await;
+        supervisor.expect_log_lines(*count, &[&peer, &reason]).await;
     }
 }
 
@@ -84,11 +84,11 @@
     let mut inputs = unidentified_inputs();
     inputs.extend(peer_inputs());
     assert_each_closes_its_connection(&supervisor, inputs).await;
-    // Half a line, then the end.
+    // A truncated line at the end of the connection.
     let mut truncated = Peer::connect(supervisor.address).await;
-    truncated.raw(b"agent si").await;
+    truncated.send_bytes(b"agent si").await;
     drop(truncated);
-    supervisor.logs(1, &["reason=cut-short"]).await;
+    supervisor.expect_log_lines(1, &["reason=cut-short"]).await;
     // Well-formed messages with unknown names are dropped, and the connection stays open.
     let mut collector = Peer::connect(supervisor.address).await;
     for line in [
@@ -102,13 +102,13 @@
         collector.send(line).await;
     }
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
-    assert!(supervisor.runs());
+    assert!(supervisor.is_running());
     proxy.peer.send("probe").await;
     while proxy.peer.line().await.expect("the first stream is open") != "alive" {}
-    assert_eq!(supervisor.logged(&["connection ended", "0@a"]), 0);
+    assert_eq!(supervisor.count_log_lines(&["connection ended", "0@a"]), 0);
 }
 
-/// Closing a connection for one bad field would lose its good messages, and cut a proxy off from new tables.
+/// Closing a connection for one invalid field would lose its valid messages, and new tables would not reach the proxy.
 #[tokio::test]
 async fn a_malformed_message_is_skipped_and_its_connection_stays() {
     let (discovery, servers, supervisor) = serving().await;
@@ -141,9 +141,9 @@
     assert_eq!(collector.line().await.as_deref(), Some("alive"));
     discovery.set("s-1", servers[0].address, "draining");
     proxy
-        .applies("the drain on the same stream", |proxy| {
+        .apply_until("the drain on the same stream", |proxy| {
             proxy.picks("order") == ["s-2", "s-3"]
         })
         .await;
-    assert_eq!(supervisor.logged(&["connection ended"]), 0);
+    assert_eq!(supervisor.count_log_lines(&["connection ended"]), 0);
 }
