--- a/crates/emulators/src/predict.rs
+++ b/crates/emulators/src/predict.rs
@@ -338,7 +338,7 @@
 /// The bar within which one more run lies: by Student's t, for a single figure rather than a mean, and what can't be told apart.
 fn bar(name: &'static str, figures: &[f64], came: f64) -> Row {
     let of = interval(figures, CONFIDENCE);
-    let single = of.half * (of.runs as f64 + 1.0).sqrt();
+    let single = of.half_width * (of.runs as f64 + 1.0).sqrt();
     let grain = match name {
         name if name.ends_with("ms") => GRAIN.1 * of.mean + GRAIN.2,
         // Looked at five and ten times a second.
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -2,9 +2,9 @@
 //! go on until the difference is known as well as asked, and results outlive a kill.
 
 pub mod experiment;
-pub mod hunt;
 pub mod report;
 pub mod run;
+pub mod search;
 pub mod stats;
 pub mod store;
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -36,13 +36,13 @@
 
 /// A difference with its bar.
 fn difference(of: &Comparison) -> String {
-    if !of.difference.half.is_finite() {
+    if !of.difference.half_width.is_finite() {
         return "too few runs".to_string();
     }
-    let digits = digits(of.difference.half);
+    let digits = digits(of.difference.half_width);
     format!(
         "{:+.digits$} ± {:.digits$}",
-        of.difference.mean, of.difference.half
+        of.difference.mean, of.difference.half_width
     )
 }
 
@@ -89,7 +89,7 @@
     ]
     .map(String::from)];
     for of in compare(plan, build, store) {
-        let digits = digits(of.difference.half).min(4);
+        let digits = digits(of.difference.half_width).min(4);
         rows.push([
             of.case.clone(),
             of.measure.clone(),
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -8,7 +8,7 @@
 
 use crate::experiment::{Arm, Plan};
 use crate::stats::{estimate, holm, interval, needed, verdict, Estimate, Verdict};
-use crate::store::{Broken, Fault, Result, Store};
+use crate::store::{Broken, Result, Store, StoreError};
 
 /// Runs that go to the disk together, for each thread.
 const TOGETHER: usize = 2;
@@ -18,10 +18,12 @@
 pub struct Progress {
     /// Runs that are there.
     pub done: usize,
-    /// Runs that this look asks for.
-    pub wanted: usize,
-    /// The look, from 1, and how many there may be.
-    pub look: (usize, usize),
+    /// Runs needed for the current look.
+    pub requested: usize,
+    /// Number of the current sequential look, from 1.
+    pub look: usize,
+    /// Number of looks if none ends the experiment early.
+    pub max_looks: usize,
 }
 
 /// One difference: a variant against the first, on a scenario, by a measure.
@@ -92,7 +94,7 @@
     build: &str,
     store: &mut Store,
     mut tell: impl FnMut(Progress) -> bool,
-) -> std::result::Result<bool, Fault> {
+) -> std::result::Result<bool, StoreError> {
     let looks = plan.precision.looks();
     let mut runs = plan.precision.pilot;
     let mut open = plan.cases.clone();
@@ -111,8 +113,9 @@
         let lot = TOGETHER * rayon::current_num_threads();
         if !tell(Progress {
             done,
-            wanted: wanted.len(),
-            look: (look, looks),
+            requested: wanted.len(),
+            look,
+            max_looks: looks,
         }) {
             return Ok(false);
         }
@@ -122,14 +125,15 @@
                 .map(|(arm, seed)| one(plan, arm, build, *seed))
                 .collect();
             if let Some(said) = plan.variants.iter().find_map(|variant| variant.fault()) {
-                return Err(Fault::Other(said));
+                return Err(StoreError::AlternativePolicy(said));
             }
             done += results.len();
             store.add(results)?;
             if !tell(Progress {
                 done,
-                wanted: wanted.len(),
-                look: (look, looks),
+                requested: wanted.len(),
+                look,
+                max_looks: looks,
             }) {
                 return Ok(false);
             }
@@ -152,7 +156,7 @@
         arms.split_first().is_some_and(|(base, others)| {
             let known = |arm: &&Arm| {
                 let differences = differences(&pairs(store, build, measure, (base, arm)));
-                interval(&differences, confidence).half <= half_width
+                interval(&differences, confidence).half_width <= half_width
             };
             !others.iter().all(known)
         })
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/search.rs
@@ -53,36 +53,38 @@
 
 /// What is hunted for.
 #[derive(Clone, Debug)]
-pub struct Quarry {
+pub struct Objective {
     /// What is judged.
     pub setup: Setup,
     /// What it is judged against; the loss is the difference in service.
-    pub against: Setup,
+    pub baseline: Setup,
     /// Only broken rules count.
     pub rules_only: bool,
 }
 
 /// A scenario that was found.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Found {
+pub struct Finding {
     /// The scenario.
     pub scenario: Written,
     /// Rules that break on it, in words.
-    pub broken: Vec<String>,
-    /// Service of what is judged, and of what it is judged against.
-    pub service: (f64, f64),
+    pub broken_rules: Vec<String>,
+    /// Mean service of the setup under test, as a share of the offered load.
+    pub service: f64,
+    /// Mean service of the baseline on the same seeds.
+    pub baseline_service: f64,
     /// Runs that the search took.
     pub runs: usize,
 }
 
-impl Found {
+impl Finding {
     fn loss(&self) -> f64 {
-        self.service.1 - self.service.0
+        self.baseline_service - self.service
     }
 
     /// What is worse: a broken rule before any loss.
     fn bad(&self, rules_only: bool) -> f64 {
-        let rules = self.broken.len() as f64 * 10.0;
+        let rules = self.broken_rules.len() as f64 * 10.0;
         if rules_only {
             // Without one, what hurts is nearer to it than what does not.
             rules + self.loss().clamp(0.0, 1.0) * 0.01
@@ -92,28 +94,29 @@
     }
 }
 
-fn judge(written: &Written, quarry: &Quarry, seed: u64) -> Option<Found> {
+fn judge(written: &Written, objective: &Objective, seed: u64) -> Option<Finding> {
     let scenario = Scenario::try_from(written).ok()?;
-    let mut found = Found {
+    let mut found = Finding {
         scenario: written.clone(),
-        broken: Vec::new(),
-        service: (0.0, 0.0),
+        broken_rules: Vec::new(),
+        service: 0.0,
+        baseline_service: 0.0,
         runs: 0,
     };
     for number in 0..SEEDS {
-        let own = play(&scenario, &quarry.setup, seed + number);
-        let other = play(&scenario, &quarry.against, seed + number);
-        found.service.0 += own.service() / SEEDS as f64;
-        found.service.1 += other.service() / SEEDS as f64;
+        let own = play(&scenario, &objective.setup, seed + number);
+        let other = play(&scenario, &objective.baseline, seed + number);
+        found.service += own.service() / SEEDS as f64;
+        found.baseline_service += other.service() / SEEDS as f64;
         found.runs += 2;
         for of in &own.broken_rules {
             let said = format!("{}: {}", of.rule.name(), of.description);
             if !found
-                .broken
+                .broken_rules
                 .iter()
                 .any(|known| known.starts_with(of.rule.name()))
             {
-                found.broken.push(said);
+                found.broken_rules.push(said);
             }
         }
     }
@@ -217,13 +220,13 @@
 
 /// Searches with so many runs, then shrinks what was found. None if nothing is worth telling. `tell` gets runs done and the
 /// worst so far; it says whether to go on.
-pub fn hunt(
+pub fn search(
     base: &Written,
-    quarry: &Quarry,
+    objective: &Objective,
     budget: usize,
     seed: u64,
-    mut tell: impl FnMut(usize, Option<&Found>) -> bool,
-) -> Option<Found> {
+    mut tell: impl FnMut(usize, Option<&Finding>) -> bool,
+) -> Option<Finding> {
     let zones = if base.zone.is_empty() {
         vec!["a".to_string()]
     } else {
@@ -234,7 +237,7 @@
         seconds: base.seconds.unwrap_or(60.0),
         zones,
     };
-    let (mut best, mut runs): (Vec<Found>, usize) = (Vec::new(), 0);
+    let (mut best, mut runs): (Vec<Finding>, usize) = (Vec::new(), 0);
     while runs < budget {
         // Half are new, half are neighbours of the worst so far.
         let candidates: Vec<Written> = (0..ROUND.0)
@@ -243,16 +246,16 @@
                 _ => search.fresh(base),
             })
             .collect();
-        let found: Vec<Found> = candidates
+        let found: Vec<Finding> = candidates
             .par_iter()
-            .filter_map(|candidate| judge(candidate, quarry, seed))
+            .filter_map(|candidate| judge(candidate, objective, seed))
             .collect();
         runs += found.iter().map(|of| of.runs).sum::<usize>().max(1);
         best.extend(found);
         best.sort_by(|one, other| {
             other
-                .bad(quarry.rules_only)
-                .total_cmp(&one.bad(quarry.rules_only))
+                .bad(objective.rules_only)
+                .total_cmp(&one.bad(objective.rules_only))
         });
         best.truncate(ROUND.1);
         if !tell(runs, best.first()) {
@@ -260,10 +263,11 @@
         }
     }
     let worst = best.into_iter().next()?;
-    let worth = !worst.broken.is_empty() || (!quarry.rules_only && worst.loss() >= LOSS_LEAST);
-    worth.then(|| Found {
+    let worth =
+        !worst.broken_rules.is_empty() || (!objective.rules_only && worst.loss() >= LOSS_LEAST);
+    worth.then(|| Finding {
         runs,
-        ..shrink(worst, quarry, seed)
+        ..shrink(worst, objective, seed)
     })
 }
 
@@ -302,26 +306,28 @@
 }
 
 /// The smallest scenario that still breaks the same rules, or loses most of what the found one lost.
-fn shrink(found: Found, quarry: &Quarry, seed: u64) -> Found {
+fn shrink(found: Finding, objective: &Objective, seed: u64) -> Finding {
     let rules: Vec<String> = found
-        .broken
+        .broken_rules
         .iter()
         .filter_map(|said| said.split(':').next())
         .map(String::from)
         .collect();
     let least = found.loss() * KEPT;
-    let still = |of: &Found| match rules.is_empty() {
+    let still = |of: &Finding| match rules.is_empty() {
         true => of.loss() >= least,
-        false => rules
-            .iter()
-            .all(|rule| of.broken.iter().any(|said| said.starts_with(rule.as_str()))),
+        false => rules.iter().all(|rule| {
+            of.broken_rules
+                .iter()
+                .any(|said| said.starts_with(rule.as_str()))
+        }),
     };
     let mut smallest = found;
     loop {
         let candidates = smaller(&smallest.scenario);
-        let tried: Vec<Option<Found>> = candidates
+        let tried: Vec<Option<Finding>> = candidates
             .par_iter()
-            .map(|candidate| judge(candidate, quarry, seed))
+            .map(|candidate| judge(candidate, objective, seed))
             .collect();
         match tried.into_iter().flatten().find(still) {
             Some(of) => smallest = of,
@@ -330,11 +336,11 @@
     }
 }
 
-/// The usual quarry: the module against one that sees the truth half a second late.
-pub fn usual(rules_only: bool) -> Quarry {
-    Quarry {
+/// The usual objective: the module against one that sees the truth half a second late.
+pub fn default_objective(rules_only: bool) -> Objective {
+    Objective {
         setup: Setup::default(),
-        against: Setup {
+        baseline: Setup {
             control: Control::Ideal(DEFAULT_IDEAL_DELAY_MS),
             ..Setup::default()
         },
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -20,7 +20,7 @@
     /// Their standard deviation.
     pub sd: f64,
     /// Half the width of the interval by Student's t.
-    pub half: f64,
+    pub half_width: f64,
     /// The ends of the interval by bootstrap.
     pub bootstrap: (f64, f64),
     /// Chance of a mean as far from 0 if there were no difference.
@@ -30,7 +30,7 @@
 impl Estimate {
     /// The ends of the interval by Student's t.
     pub fn ends(&self) -> (f64, f64) {
-        (self.mean - self.half, self.mean + self.half)
+        (self.mean - self.half_width, self.mean + self.half_width)
     }
 }
 
@@ -77,13 +77,13 @@
             runs,
             mean,
             sd,
-            half: f64::INFINITY,
+            half_width: f64::INFINITY,
             bootstrap: nothing,
             p: 1.0,
         };
     }
     let error = sd / (runs as f64).sqrt();
-    let half = if sd > 0.0 {
+    let half_width = if sd > 0.0 {
         multiple(runs, confidence) * error
     } else {
         0.0
@@ -100,8 +100,8 @@
         runs,
         mean,
         sd,
-        half,
-        bootstrap: (mean - half, mean + half),
+        half_width,
+        bootstrap: (mean - half_width, mean + half_width),
         p,
     }
 }
--- a/crates/lab/src/stats/tests.rs
+++ b/crates/lab/src/stats/tests.rs
@@ -8,11 +8,14 @@
     let figures = [1.0, 1.5, 2.0, 3.5];
     let of = estimate(&figures, 0.95, 1);
     assert!((of.mean - 2.0).abs() < 1e-12 && (of.sd - 1.080_123_449_734_643_6).abs() < 1e-12);
-    assert!((of.half - 3.182_446 * of.sd / 2.0).abs() < 1e-4, "{of:?}");
+    assert!(
+        (of.half_width - 3.182_446 * of.sd / 2.0).abs() < 1e-4,
+        "{of:?}"
+    );
     assert!(of.bootstrap.0 > 1.0 && of.bootstrap.1 < 3.5 && of.p < 0.05);
-    assert_eq!(estimate(&[1.0], 0.95, 1).half, f64::INFINITY);
+    assert_eq!(estimate(&[1.0], 0.95, 1).half_width, f64::INFINITY);
     let same = estimate(&[0.0; 5], 0.95, 1);
-    assert_eq!((same.half, same.p), (0.0, 1.0));
+    assert_eq!((same.half_width, same.p), (0.0, 1.0));
 }
 
 #[test]
--- a/crates/lab/src/store.rs
+++ b/crates/lab/src/store.rs
@@ -39,16 +39,16 @@
 
 /// A fault of the store.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum StoreError {
     /// It can't be read or written.
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
     /// Another build's program failed; nothing of the lot is kept.
     #[error("{0}")]
-    Other(String),
+    AlternativePolicy(String),
     /// A line in its middle is none of ours.
     #[error("{0}:{1}: no result: {2}")]
-    Line(PathBuf, usize, String),
+    InvalidLine(PathBuf, usize, String),
 }
 
 /// What makes two runs the same.
@@ -65,9 +65,9 @@
 
 impl Store {
     /// Opens the results of a directory, or begins them.
-    pub fn open(directory: &Path) -> std::result::Result<Self, Fault> {
+    pub fn open(directory: &Path) -> std::result::Result<Self, StoreError> {
         let path = directory.join("results.jsonl");
-        let io = |fault| Fault::Io(path.clone(), fault);
+        let io = |fault| StoreError::Io(path.clone(), fault);
         std::fs::create_dir_all(directory).map_err(io)?;
         let file = OpenOptions::new()
             .create(true)
@@ -94,8 +94,9 @@
             .enumerate()
             .filter(|(_, line)| !line.is_empty())
         {
-            let result: Result = serde_json::from_slice(line)
-                .map_err(|fault| Fault::Line(path.clone(), number + 1, fault.to_string()))?;
+            let result: Result = serde_json::from_slice(line).map_err(|fault| {
+                StoreError::InvalidLine(path.clone(), number + 1, fault.to_string())
+            })?;
             store.keep(result);
         }
         Ok(store)
@@ -115,8 +116,8 @@
     }
 
     /// Appends runs; on return they are on the disk.
-    pub fn add(&mut self, results: Vec<Result>) -> std::result::Result<(), Fault> {
-        let io = |fault| Fault::Io(self.path.clone(), fault);
+    pub fn add(&mut self, results: Vec<Result>) -> std::result::Result<(), StoreError> {
+        let io = |fault| StoreError::Io(self.path.clone(), fault);
         let mut lines = Vec::new();
         for result in &results {
             let line = serde_json::to_string(result).map_err(|fault| io(fault.into()))?;
--- a/crates/lab/tests/experiments.rs
+++ b/crates/lab/tests/experiments.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 
 use chutegrade_lab::experiment::{read, Plan};
-use chutegrade_lab::hunt::{hunt, usual, Quarry};
 use chutegrade_lab::run::{broken, compare, play};
+use chutegrade_lab::search::{default_objective, search, Objective};
 use chutegrade_lab::stats::Verdict;
 use chutegrade_lab::{report, Store};
 use chutegrade_model::{scenario, Control, Scenario, Setup};
@@ -137,22 +137,25 @@
         control: Control::Nobody,
         ..Setup::default()
     };
-    let quarry = Quarry {
+    let objective = Objective {
         setup: nobody,
-        ..usual(true)
+        ..default_objective(true)
     };
-    let found = hunt(&base, &quarry, 60, 1, |_, _| true).expect("something");
+    let found = search(&base, &objective, 60, 1, |_, _| true).expect("something");
     assert!(
-        found.broken.iter().any(|said| said.starts_with("twice")),
+        found
+            .broken_rules
+            .iter()
+            .any(|said| said.starts_with("twice")),
         "{:?}",
-        found.broken
+        found.broken_rules
     );
     assert!(
         found.scenario.trouble.len() <= 1 && found.scenario.kind[0].servers() <= 4,
         "{}",
         scenario::write(&found.scenario)
     );
-    let again = hunt(&base, &quarry, 60, 1, |_, _| true);
+    let again = search(&base, &objective, 60, 1, |_, _| true);
     assert_eq!(again, Some(found), "the same seed finds the same");
 }
 
--- a/crates/supervisor/src/commands/error.rs
+++ b/crates/supervisor/src/commands/error.rs
@@ -161,7 +161,7 @@
     Threads(#[from] rayon::ThreadPoolBuildError),
     /// Results of an experiment cannot be read or written.
     #[error(transparent)]
-    Results(#[from] chutegrade_lab::store::Fault),
+    Results(#[from] chutegrade_lab::store::StoreError),
 }
 
 impl CommandError {
--- a/crates/supervisor/src/commands/lab/experiment.rs
+++ b/crates/supervisor/src/commands/lab/experiment.rs
@@ -92,14 +92,14 @@
 
 /// Shows the progress. Each look, an interim analysis, requests more runs, so the remaining time is estimated from scratch.
 fn show_progress(bar: &ProgressBar, progress: Progress, shown_look: &mut usize) {
-    let (look, most_looks) = progress.look;
+    let (look, max_looks) = (progress.look, progress.max_looks);
     if look != *shown_look {
         *shown_look = look;
         bar.reset_eta();
     }
-    bar.set_length(progress.wanted as u64);
+    bar.set_length(progress.requested as u64);
     bar.set_position(progress.done as u64);
-    bar.set_message(format!("look {look} of {most_looks} at most"));
+    bar.set_message(format!("look {look} of {max_looks} at most"));
 }
 
 fn write_report(
--- a/crates/supervisor/src/commands/lab/search.rs
+++ b/crates/supervisor/src/commands/lab/search.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::path::Path;
 
-use chutegrade_lab::hunt::{self, Found};
+use chutegrade_lab::search::{self, Finding};
 use chutegrade_model::{scenario, Scenario};
 use indicatif::ProgressBar;
 
@@ -27,14 +27,14 @@
     }
     let bar = new_bar();
     bar.set_length(arguments.budget as u64);
-    let on_progress = |runs: usize, worst: Option<&Found>| {
+    let on_progress = |runs: usize, worst: Option<&Finding>| {
         show_progress(&bar, runs, worst);
         true
     };
-    let target = hunt::usual(arguments.rules);
-    let found = hunt::hunt(
+    let objective = search::default_objective(arguments.rules);
+    let found = search::search(
         &declaration,
-        &target,
+        &objective,
         arguments.budget,
         arguments.seed,
         on_progress,
@@ -47,20 +47,20 @@
     write_found(&found, arguments.seed, &arguments.out, output)
 }
 
-fn show_progress(bar: &ProgressBar, runs: usize, worst: Option<&Found>) {
+fn show_progress(bar: &ProgressBar, runs: usize, worst: Option<&Finding>) {
     bar.set_position(runs as u64);
     let Some(worst) = worst else {
         return;
     };
-    let (service, ideal_service) = worst.service;
-    let broken = worst.broken.len();
+    let (service, ideal_service) = (worst.service, worst.baseline_service);
+    let broken = worst.broken_rules.len();
     bar.set_message(format!(
         "worst {service:.3} of {ideal_service:.3}, {broken} rules"
     ));
 }
 
 fn write_found(
-    found: &Found,
+    found: &Finding,
     seed: u64,
     file: &Path,
     output: &mut impl Write,
@@ -77,14 +77,14 @@
 }
 
 /// What was found, one sentence a line.
-fn summarize(found: &Found, seed: u64) -> Vec<String> {
+fn summarize(found: &Finding, seed: u64) -> Vec<String> {
     let runs = found.runs;
-    let (service, ideal_service) = found.service;
+    let (service, ideal_service) = (found.service, found.baseline_service);
     let mut lines = vec![
         format!("Found by a search of {runs} runs with seed {seed}."),
         format!("Service {service:.3}; one that sees the truth late has {ideal_service:.3}."),
     ];
-    let broken = found.broken.iter();
+    let broken = found.broken_rules.iter();
     lines.extend(broken.map(|rule| format!("Rule broken: {rule}.")));
     lines
 }
