--- a/crates/lab/build.rs
+++ b/crates/lab/build.rs
@@ -1,5 +1,5 @@
-//! Compiles the schema of experiments, and keeps its description for the reader of the text format. Scenarios within it are
-//! the model's own types.
+//! Compiles the schema of experiments, and stores its descriptors for the text format parser. Scenarios and limits use the
+//! types of the crates that define them.
 
 use std::path::PathBuf;
 
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiments: read from protobuf text format after `proto/lab.proto`, checked whole, and turned into arms: a scenario and a
-//! variant each.
+//! Experiments: reads them in the protobuf text format of `proto/lab.proto`, validates them, and expands them into arms,
+//! each one scenario with one variant.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use prost::Message as _;
 use prost_reflect::{DynamicMessage, ReflectMessage as _, Value};
 
-/// The types of the schema, as generated.
+/// The generated types of the schema.
 #[allow(missing_docs, clippy::all)]
 pub mod pb {
     include!(concat!(env!("OUT_DIR"), "/chutegrade.lab.v1.rs"));
@@ -24,144 +24,145 @@
 const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/lab.bin"));
 const MESSAGE: &str = "chutegrade.lab.v1.Experiment";
 
-/// Scenarios and variants at most.
-const ARMS_MOST: usize = 256;
-/// Runs of a variant at most.
-const RUNS_MOST: u32 = 100_000;
+/// Maximum number of arms of an experiment.
+const MAX_ARMS: usize = 256;
+/// Maximum number of runs of an arm.
+const MAX_RUNS: u32 = 100_000;
 
-/// What is compared.
+/// A variant: a control plane and a change of the scenario.
 #[derive(Clone, Debug)]
 pub struct Variant {
-    /// Its name.
+    /// Unique within the experiment.
     pub name: String,
-    /// What decides, and by which rules.
+    /// Control plane, plug-ins and limits; recorded traffic is added for each arm.
     pub setup: Setup,
     change: model::Scenario,
-    faults: FirstError,
+    first_error: FirstError,
 }
 
 impl Variant {
-    /// What another build's process met first that ended it.
-    pub fn fault(&self) -> Option<String> {
-        self.faults.lock().ok().and_then(|fault| fault.clone())
+    /// Returns the first error of the processes of an alternative policy, if any failed.
+    pub fn first_error(&self) -> Option<String> {
+        self.first_error.lock().ok().and_then(|error| error.clone())
     }
 }
 
-/// How sure to be.
+/// The requested precision of an experiment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Precision {
-    /// Share of intervals that hold the truth.
+    /// Share of confidence intervals that contain the true difference, over all looks together; from 0.5 to below 1.
     pub confidence: f64,
-    /// Half the width of the interval that is asked for.
+    /// Half the width of the confidence interval at which runs end, in units of the first measure.
     pub half_width: f64,
-    /// Runs at first.
-    pub pilot: usize,
-    /// Runs at most.
-    pub most: usize,
+    /// Runs of each arm before the first look.
+    pub pilot_runs: usize,
+    /// Maximum number of runs of each arm.
+    pub max_runs: usize,
 }
 
 impl Precision {
-    /// How often results are looked at: each look doubles the runs.
-    pub fn looks(&self) -> usize {
-        let doublings = (self.most as f64 / self.pilot.max(1) as f64)
+    /// Returns the maximum number of sequential looks at the results; the runs double after each.
+    pub fn max_looks(&self) -> usize {
+        let doublings = (self.max_runs as f64 / self.pilot_runs.max(1) as f64)
             .log2()
             .ceil()
             .max(0.0);
         1 + doublings as usize
     }
 
-    /// The confidence of one look, so that all together keep what is asked: the chance of an error is shared among them.
-    pub fn of_a_look(&self) -> f64 {
-        1.0 - (1.0 - self.confidence) / self.looks() as f64
+    /// Returns the confidence of a single look: the error probability is divided among all looks, so that together they
+    /// have the requested confidence.
+    pub fn look_confidence(&self) -> f64 {
+        1.0 - (1.0 - self.confidence) / self.max_looks() as f64
     }
 }
 
-/// A scenario and a variant.
+/// A scenario with a variant.
 #[derive(Clone, Debug)]
 pub struct Arm {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub case: String,
-    /// The variant's place.
+    /// Index of the variant in [`Plan::variants`].
     pub variant: usize,
     /// The scenario with the variant's change.
     pub scenario: Scenario,
-    /// What decides, and what comes where that is recorded.
+    /// The variant's setup, with the recorded traffic of the scenario, if any.
     pub setup: Setup,
-    /// A digest of all that decides the outcome but seed and build.
+    /// Digest of everything that determines the outcome, except seed and build.
     pub digest: String,
 }
 
-/// A checked experiment.
+/// A validated experiment.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name.
+    /// Title of the report.
     pub name: String,
-    /// What is asked.
+    /// The question that the experiment answers, for the report; may be empty.
     pub question: String,
-    /// Names of the scenarios.
+    /// Names of the scenarios, in their order in the file.
     pub cases: Vec<String>,
-    /// The variants; the first is what others are compared with.
+    /// The variants; the others are compared with the first.
     pub variants: Vec<Variant>,
-    /// Each scenario with each variant, scenario by scenario.
+    /// Each scenario with each variant, ordered by scenario.
     pub arms: Vec<Arm>,
-    /// Figures to compare.
+    /// Figures to compare; the first determines when runs end.
     pub measures: Vec<String>,
-    /// How sure to be.
+    /// When runs end, and the confidence of the results.
     pub precision: Precision,
-    /// The first seed.
+    /// Seed of the first run of each arm; further runs use the following ones.
     pub seed: u64,
 }
 
-/// Reads and checks an experiment; paths in it count from a directory. All faults at once.
+/// Reads and validates an experiment; paths in it are relative to `directory`. Returns all errors at once.
 pub fn read(text: &str, directory: &Path) -> Result<Plan, Vec<TextError>> {
-    let written: pb::Experiment =
-        chutegrade_textproto::parse(SCHEMA, MESSAGE, text).map_err(|wrong| vec![wrong])?;
-    let mut faults: Vec<TextError> = Vec::new();
-    let mut fault = |field: &str, said: String| {
-        faults.push(TextError {
+    let declaration: pb::Experiment =
+        chutegrade_textproto::parse(SCHEMA, MESSAGE, text).map_err(|error| vec![error])?;
+    let mut errors: Vec<TextError> = Vec::new();
+    let mut add_error = |field: &str, message: String| {
+        errors.push(TextError {
             position: find_field(text, field),
-            message: said,
+            message,
         })
     };
-    let precision = written.precision.unwrap_or_default();
+    let precision = declaration.precision.unwrap_or_default();
     let precision = Precision {
         confidence: precision.confidence.unwrap_or(0.95),
         half_width: precision.half_width.unwrap_or(0.01),
-        pilot: precision.pilot.unwrap_or(8) as usize,
-        most: precision.most.unwrap_or(64) as usize,
+        pilot_runs: precision.pilot.unwrap_or(8) as usize,
+        max_runs: precision.most.unwrap_or(64) as usize,
     };
     if !(0.5..1.0).contains(&precision.confidence) {
-        fault(
+        add_error(
             "confidence",
             format!(
-                "confidence {} must lie from 0.5 to below 1",
+                "confidence {} must be at least 0.5 and below 1",
                 precision.confidence
             ),
         );
     }
     if precision.half_width.is_nan() || precision.half_width <= 0.0 {
-        fault(
+        add_error(
             "half_width",
             format!("half_width {} must be above 0", precision.half_width),
         );
     }
-    if precision.pilot < 2
-        || precision.most < precision.pilot
-        || precision.most > RUNS_MOST as usize
+    if precision.pilot_runs < 2
+        || precision.max_runs < precision.pilot_runs
+        || precision.max_runs > MAX_RUNS as usize
     {
-        let (pilot, most) = (precision.pilot, precision.most);
-        fault(
+        let (pilot, most) = (precision.pilot_runs, precision.max_runs);
+        add_error(
             "most",
             format!(
-                "from {pilot} to {most} runs: give 2 or more at first, and {RUNS_MOST} at most"
+                "pilot is {pilot} and most is {most}: pilot must be 2 or more, and most from pilot to {MAX_RUNS}"
             ),
         );
     }
     let mut variants = Vec::new();
-    for (number, of) in written.variant.iter().enumerate() {
-        match variant(of, number, directory) {
+    for (index, variant) in declaration.variant.iter().enumerate() {
+        match read_variant(variant, index, directory) {
             Ok(variant) => variants.push(variant),
-            Err(said) => fault("variant", said),
+            Err(message) => add_error("variant", message),
         }
     }
     if variants.is_empty() {
@@ -169,186 +170,192 @@
             name: "as it is".into(),
             setup: Setup::default(),
             change: Default::default(),
-            faults: FirstError::default(),
+            first_error: FirstError::default(),
         });
     }
-    for of in &written.sweep {
-        match sweep(of, &variants[0]) {
-            Ok(more) => variants.extend(more),
-            Err(said) => fault("sweep", said),
+    for sweep in &declaration.sweep {
+        match sweep_variants(sweep, &variants[0]) {
+            Ok(swept) => variants.extend(swept),
+            Err(message) => add_error("sweep", message),
         }
     }
-    let mut seen = std::collections::BTreeSet::new();
-    if let Some(twice) = variants
+    let mut names = std::collections::BTreeSet::new();
+    if let Some(duplicate) = variants
         .iter()
-        .find(|variant| !seen.insert(variant.name.clone()))
+        .find(|variant| !names.insert(variant.name.clone()))
     {
-        fault(
+        add_error(
             "variant",
-            format!("two variants are named {:?}", twice.name),
+            format!("two variants are named {:?}", duplicate.name),
         );
     }
     let (mut cases, mut arms) = (Vec::new(), Vec::new());
-    for (number, of) in written.case.iter().enumerate() {
-        let read = case(of, directory).and_then(|scenario| Ok((scenario, traffic(of, directory)?)));
+    for (index, case) in declaration.case.iter().enumerate() {
+        let read = read_scenario(case, directory)
+            .and_then(|scenario| Ok((scenario, read_traffic(case, directory)?)));
         let (scenario, traffic) = match read {
             Ok(read) => read,
-            Err(said) => {
-                fault("case", said);
+            Err(message) => {
+                add_error("case", message);
                 continue;
             }
         };
-        let name = of
+        let name = case
             .name
             .clone()
             .or_else(|| scenario.name.clone())
-            .unwrap_or_else(|| format!("case-{}", number + 1));
+            .unwrap_or_else(|| format!("case-{}", index + 1));
         if cases.contains(&name) {
-            fault("case", format!("two scenarios are named {name:?}"));
+            add_error("case", format!("two scenarios are named {name:?}"));
         }
-        for (place, variant) in variants.iter().enumerate() {
-            let both = with_change(&scenario, &variant.change);
-            match Scenario::try_from(&both) {
+        for (variant_index, variant) in variants.iter().enumerate() {
+            let changed = with_change(&scenario, &variant.change);
+            match Scenario::try_from(&changed) {
                 Ok(scenario) => {
                     let setup = Setup {
                         traffic: traffic.clone(),
                         ..variant.setup.clone()
                     };
-                    if let Err(said) = setup.validate_for(&scenario) {
-                        fault("case", format!("{name} with {}: {said}", variant.name));
+                    if let Err(message) = setup.validate_for(&scenario) {
+                        add_error("case", format!("{name} with {}: {message}", variant.name));
                     }
-                    let digest = arm_digest(&digest(&both), &setup);
+                    let digest = arm_digest(&digest(&changed), &setup);
                     arms.push(Arm {
                         case: name.clone(),
-                        variant: place,
+                        variant: variant_index,
                         scenario,
                         setup,
                         digest,
                     });
                 }
-                Err(said) => {
-                    let said: Vec<String> = said.into_iter().map(|(_, said)| said).collect();
-                    fault(
+                Err(faults) => {
+                    let messages: Vec<String> =
+                        faults.into_iter().map(|(_, message)| message).collect();
+                    add_error(
                         "case",
-                        format!("{name} with {}: {}", variant.name, said.join("; ")),
+                        format!("{name} with {}: {}", variant.name, messages.join("; ")),
                     );
                 }
             }
         }
         cases.push(name);
     }
-    if written.case.is_empty() {
-        fault("case", "no scenario: give at least one case".to_string());
+    if declaration.case.is_empty() {
+        add_error("case", "no scenario: give at least one case".to_string());
     }
-    if arms.len() > ARMS_MOST {
-        fault(
+    if arms.len() > MAX_ARMS {
+        add_error(
             "variant",
             format!(
-                "{} scenarios with variants are too many: at most {ARMS_MOST}",
+                "{} combinations of scenarios and variants are too many: at most {MAX_ARMS}",
                 arms.len()
             ),
         );
     }
-    if !faults.is_empty() {
-        return Err(faults);
+    if !errors.is_empty() {
+        return Err(errors);
     }
-    let measures = if written.measure.is_empty() {
+    let measures = if declaration.measure.is_empty() {
         vec!["service".to_string()]
     } else {
-        written.measure
+        declaration.measure
     };
     Ok(Plan {
-        name: written.name.unwrap_or_else(|| "experiment".to_string()),
-        question: written.question.unwrap_or_default(),
+        name: declaration.name.unwrap_or_else(|| "experiment".to_string()),
+        question: declaration.question.unwrap_or_default(),
         cases,
         variants,
         arms,
         measures,
         precision,
-        seed: written.seed.unwrap_or(1),
+        seed: declaration.seed.unwrap_or(1),
     })
 }
 
 fn read_text(directory: &Path, file: &str) -> Result<String, String> {
     let path = directory.join(file);
-    std::fs::read_to_string(&path).map_err(|fault| format!("{}: {fault}", path.display()))
+    std::fs::read_to_string(&path).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-fn case(of: &pb::Case, directory: &Path) -> Result<model::Scenario, String> {
-    let base = match &of.file {
+fn read_scenario(case: &pb::Case, directory: &Path) -> Result<model::Scenario, String> {
+    let base = match &case.file {
         Some(file) => {
-            parse(&read_text(directory, file)?).map_err(|wrong| format!("{file}:{wrong}"))?
+            parse(&read_text(directory, file)?).map_err(|error| format!("{file}:{error}"))?
         }
         None => model::Scenario::default(),
     };
-    Ok(match &of.scenario {
+    Ok(match &case.scenario {
         Some(change) => with_change(&base, change),
         None => base,
     })
 }
 
-fn traffic(of: &pb::Case, directory: &Path) -> Result<Option<Arc<Traffic>>, String> {
-    let Some(file) = &of.traffic else {
+fn read_traffic(case: &pb::Case, directory: &Path) -> Result<Option<Arc<Traffic>>, String> {
+    let Some(file) = &case.traffic else {
         return Ok(None);
     };
     let opened =
-        std::fs::File::open(directory.join(file)).map_err(|fault| format!("{file}: {fault}"))?;
-    let read = chutegrade_traffic::read(opened).map_err(|fault| format!("{file}: {fault}"))?;
-    Ok(Some(Arc::new(read)))
+        std::fs::File::open(directory.join(file)).map_err(|error| format!("{file}: {error}"))?;
+    let traffic = chutegrade_traffic::read(opened).map_err(|error| format!("{file}: {error}"))?;
+    Ok(Some(Arc::new(traffic)))
 }
 
-fn variant(of: &pb::Variant, number: usize, directory: &Path) -> Result<Variant, String> {
-    let control = match of.control() {
+fn read_variant(variant: &pb::Variant, index: usize, directory: &Path) -> Result<Variant, String> {
+    let control = match variant.control() {
         pb::variant::Control::Fixed => Control::Fixed,
         pb::variant::Control::Nobody => Control::Nobody,
         pb::variant::Control::Ideal => {
-            Control::Ideal(of.ideal_late_ms.unwrap_or(DEFAULT_IDEAL_DELAY_MS))
+            Control::Ideal(variant.ideal_late_ms.unwrap_or(DEFAULT_IDEAL_DELAY_MS))
         }
         pb::variant::Control::Module | pb::variant::Control::Unspecified => Control::Module,
     };
     let text = |file: &String| Ok((file.clone(), read_text(directory, file)?));
-    let plugins = of
+    let plugins = variant
         .plugin
         .iter()
         .map(text)
         .collect::<Result<Vec<_>, String>>()?;
-    let faults = FirstError::default();
-    let other = of
+    let first_error = FirstError::default();
+    let alternative_policy = variant
         .sim
         .as_ref()
-        .map(|command| other(command, &faults))
+        .map(|command| load_alternative_policy(command, &first_error))
         .transpose()?;
     let setup = Setup {
         control,
         plugins,
-        alternative_policy: other,
-        limits: of.limits.clone(),
+        alternative_policy,
+        limits: variant.limits.clone(),
         traffic: None,
     };
     setup.validate_plugins()?;
     Ok(Variant {
-        faults,
-        name: of
+        first_error,
+        name: variant
             .name
             .clone()
-            .unwrap_or_else(|| format!("variant-{}", number + 1)),
+            .unwrap_or_else(|| format!("variant-{}", index + 1)),
         setup,
-        change: of.change.clone().unwrap_or_default(),
+        change: variant.change.clone().unwrap_or_default(),
     })
 }
 
-/// Another build by its command; its name holds a digest of the program, so that results of one are never taken for another's.
-fn other(command: &str, faults: &FirstError) -> Result<AlternativePolicy, String> {
+/// Returns the policy of another build, run by its command. The policy's name contains a digest of the program, so that
+/// results of different builds are not confused.
+fn load_alternative_policy(
+    command: &str,
+    first_error: &FirstError,
+) -> Result<AlternativePolicy, String> {
     let program = command.split_whitespace().next().unwrap_or_default();
-    let bytes = std::fs::read(program).map_err(|fault| format!("{program:?}: {fault}"))?;
+    let bytes = std::fs::read(program).map_err(|error| format!("{program:?}: {error}"))?;
     let name = format!("{command} {}", blake3::hash(&bytes).to_hex());
-    let (command, faults) = (command.to_string(), Arc::clone(faults));
-    let make = move |settings: &Settings, seed: u64| -> Box<dyn DecisionPolicy> {
-        let numbered =
+    let (command, first_error) = (command.to_string(), Arc::clone(first_error));
+    let create = move |settings: &Settings, seed: u64| -> Box<dyn DecisionPolicy> {
+        let numbered_names =
             |prefix: &str, count: usize| (0..count).map(|n| format!("{prefix}{n}")).collect();
         let names = DeploymentNames {
-            zones: numbered("z", settings.zones),
-            classes: numbered("c", settings.classes.len()),
+            zones: numbered_names("z", settings.zones),
+            classes: numbered_names("c", settings.classes.len()),
             machine_kinds: Vec::new(),
         };
         let config = RemotePolicyConfig {
@@ -357,59 +364,63 @@
             names: &names,
             seed,
         };
-        spawn(&config, &faults)
+        spawn(&config, &first_error)
     };
     Ok(AlternativePolicy {
         name,
-        create: Arc::new(make),
+        create: Arc::new(create),
     })
 }
 
-/// The first variant with a field set to each of some values.
-fn sweep(of: &pb::Sweep, base: &Variant) -> Result<Vec<Variant>, String> {
-    let path = of.field();
-    let set = |value: &f64| {
-        let change = set(&base.change, path, *value)?;
+/// Returns a copy of a variant for each value of a sweep, with the field of the scenario set to the value.
+fn sweep_variants(sweep: &pb::Sweep, base: &Variant) -> Result<Vec<Variant>, String> {
+    let path = sweep.field();
+    let with_value = |value: &f64| {
+        let change = set_field(&base.change, path, *value)?;
         Ok(Variant {
             name: format!("{path} {value}"),
             change,
             ..base.clone()
         })
     };
-    of.value.iter().map(set).collect()
+    sweep.value.iter().map(with_value).collect()
 }
 
-/// A scenario with one field set, by its path.
-pub fn set(scenario: &model::Scenario, path: &str, value: f64) -> Result<model::Scenario, String> {
+/// Returns a copy of a scenario with one field set; `path` names the field with dots between the levels.
+pub fn set_field(
+    scenario: &model::Scenario,
+    path: &str,
+    value: f64,
+) -> Result<model::Scenario, String> {
     let schema = chutegrade_textproto::message_descriptor(
         chutegrade_model::scenario::SCHEMA,
         "chutegrade.model.v1.Scenario",
     );
-    let mut whole = DynamicMessage::new(schema.map_err(|wrong| wrong.message)?);
-    whole
+    let mut message = DynamicMessage::new(schema.map_err(|error| error.message)?);
+    message
         .transcode_from(scenario)
-        .map_err(|fault| fault.to_string())?;
+        .map_err(|error| error.to_string())?;
     let names: Vec<&str> = path.split('.').collect();
-    let (last, way) = names
+    let (last, parents) = names
         .split_last()
-        .ok_or_else(|| "no field is named".to_string())?;
-    let mut at = &mut whole;
-    for name in way {
-        let field = at
+        .ok_or_else(|| "the path of the field is empty".to_string())?;
+    let mut parent = &mut message;
+    for name in parents {
+        let field = parent
             .descriptor()
             .get_field_by_name(name)
             .ok_or_else(|| format!("no field {name:?} in {path:?}"))?;
         if field.is_list() || field.is_map() {
             return Err(format!(
-                "{name:?} in {path:?} is a list: a sweep sets single figures"
+                "{name:?} in {path:?} is a list: a sweep sets single values"
             ));
         }
-        at = at
+        parent = parent
             .get_field_mut(&field)
             .as_message_mut()
             .ok_or_else(|| format!("{name:?} in {path:?} has no fields"))?;
     }
-    let field = at
+    let field = parent
         .descriptor()
         .get_field_by_name(last)
         .ok_or_else(|| format!("no field {last:?} in {path:?}"))?;
@@ -420,10 +431,10 @@
         Kind::Uint32 => Value::U32(value as u32),
         Kind::Enum(_) => Value::EnumNumber(value as i32),
         Kind::Bool => Value::Bool(value != 0.0),
-        _ => return Err(format!("{path:?} is no figure")),
+        _ => return Err(format!("{path:?} is not a number")),
     };
-    at.set_field(&field, value);
-    whole.transcode_to().map_err(|fault| fault.to_string())
+    parent.set_field(&field, value);
+    message.transcode_to().map_err(|error| error.to_string())
 }
 
 fn arm_digest(scenario: &str, setup: &Setup) -> String {
@@ -434,14 +445,14 @@
         setup
             .alternative_policy
             .as_ref()
-            .map_or("", |other| other.name.as_str())
+            .map_or("", |policy| policy.name.as_str())
             .as_bytes(),
     );
     for (_, text) in &setup.plugins {
         hasher.update(&(text.len() as u64).to_le_bytes());
         hasher.update(text.as_bytes());
     }
-    // Absent means that nothing is added: results from before there were any stay as they were.
+    // Absent limits and traffic add nothing, so that digests from before these existed stay the same.
     if let Some(limits) = &setup.limits {
         hasher.update(b"limits");
         hasher.update(&limits.encode_to_vec());
@@ -459,12 +470,12 @@
 }
 
 impl Plan {
-    /// The arms of a scenario, in the order of the variants.
+    /// Returns the arms of a scenario, in the order of the variants.
     pub fn of_case<'a>(&'a self, case: &'a str) -> impl Iterator<Item = &'a Arm> {
         self.arms.iter().filter(move |arm| arm.case == case)
     }
 
-    /// Comparisons that are made: each scenario, measure and variant but the first.
+    /// Returns the number of comparisons: each scenario and measure with each variant except the first.
     pub fn comparisons(&self) -> usize {
         self.cases.len() * self.measures.len() * (self.variants.len() - 1)
     }
--- a/crates/lab/src/experiment/tests.rs
+++ b/crates/lab/src/experiment/tests.rs
@@ -20,37 +20,39 @@
     assert_eq!(plan.arms[2].scenario.drain_grace_us, 4_000_000);
     assert_eq!(plan.comparisons(), 2);
     assert!(plan.arms[0].digest != plan.arms[1].digest);
-    assert_eq!(plan.precision.looks(), 4);
-    assert!((plan.precision.of_a_look() - 0.9875).abs() < 1e-12);
+    assert_eq!(plan.precision.max_looks(), 4);
+    assert!((plan.precision.look_confidence() - 0.9875).abs() < 1e-12);
 }
 
 #[test]
-fn all_faults_are_told() {
+fn all_errors_are_reported() {
     let text = "case { file: '/nowhere.txtpb' }\nvariant { name: 'a' } variant { name: 'a' }\n\
             sweep { field: 'rules.grace' value: 1 }\nprecision { confidence: 2 pilot: 1 }";
-    let faults: Vec<String> = read(text, Path::new("."))
-        .expect_err("faults")
+    let errors: Vec<String> = read(text, Path::new("."))
+        .expect_err("errors")
         .iter()
-        .map(|f| f.to_string())
+        .map(|error| error.to_string())
         .collect();
-    for wanted in [
+    for expected in [
         "/nowhere.txtpb",
         "two variants are named",
         "no field \"grace\"",
         "confidence 2",
-        "from 1 to 64 runs",
+        "pilot is 1 and most is 64",
     ] {
         assert!(
-            faults.iter().any(|said| said.contains(wanted)),
-            "{wanted}: {faults:#?}"
+            errors.iter().any(|error| error.contains(expected)),
+            "{expected}: {errors:#?}"
         );
     }
-    assert!(read("", Path::new(".")).expect_err("nothing")[0]
+    assert!(read("", Path::new(".")).expect_err("no scenario")[0]
         .message
         .contains("no scenario"));
-    let impossible =
+    let invalid =
         format!("{CASE} variant {{ name: 'v' change {{ rules {{ fall_multiple: 0 }} }} }}");
-    assert!(read(&impossible, Path::new(".")).expect_err("a fault")[0]
-        .message
-        .contains("c with v: fall_multiple"));
+    assert!(
+        read(&invalid, Path::new(".")).expect_err("an invalid scenario")[0]
+            .message
+            .contains("c with v: fall_multiple")
+    );
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory: experiments on the fleet model. Variants meet the same seeds, so that differences are taken in pairs; runs
-//! go on until the difference is known as well as asked, and results outlive a kill.
+//! Experiments on the fleet model. All variants run with the same seeds, so that differences are paired; runs continue
+//! until the differences have the requested precision, and stored results survive a kill.
 
 pub mod experiment;
 pub mod report;
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,4 +1,5 @@
-//! Playing an experiment: pairs of runs in parallel, looked at after each doubling, until all is known as well as asked.
+//! Runs an experiment: paired runs in parallel, evaluated in sequential looks that double the number of runs, until the
+//! differences have the requested precision.
 
 use std::collections::BTreeMap;
 
@@ -7,60 +8,62 @@
 use chutegrade_model::measure::{Outcome, Second};
 
 use crate::experiment::{Arm, Plan};
-use crate::stats::{estimate, holm, interval, needed, verdict, Estimate, Verdict};
+use crate::stats::{estimate, holm, interval, required_runs, verdict, Estimate, Verdict};
 use crate::store::{Broken, Result, Store, StoreError};
 
-/// Runs that go to the disk together, for each thread.
-const TOGETHER: usize = 2;
+/// Runs per thread that are written to disk in one batch.
+const BATCH_RUNS_PER_THREAD: usize = 2;
 
-/// Where an experiment stands.
+/// Progress of an experiment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Progress {
-    /// Runs that are there.
+    /// Requested runs that are in the store.
     pub done: usize,
     /// Runs needed for the current look.
     pub requested: usize,
     /// Number of the current sequential look, from 1.
     pub look: usize,
-    /// Number of looks if none ends the experiment early.
+    /// Number of looks if none of them ends the experiment early.
     pub max_looks: usize,
 }
 
-/// One difference: a variant against the first, on a scenario, by a measure.
+/// The difference between a variant and the first variant, on one scenario and by one measure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
-    /// The scenario.
+    /// Name of the scenario.
     pub case: String,
-    /// The measure.
+    /// Name of a figure, or `class.` and a class for the service of that class.
     pub measure: String,
-    /// The variant.
+    /// Name of the variant that is compared with the first.
     pub variant: String,
-    /// What the first variant has in the mean, and what this one has.
-    pub means: (f64, f64),
-    /// The difference, in pairs.
+    /// Mean of the measure with the first variant.
+    pub base_mean: f64,
+    /// Mean of the measure with this variant.
+    pub variant_mean: f64,
+    /// The paired difference.
     pub difference: Estimate,
-    /// Chance of it by accident, corrected for all comparisons.
-    pub p: f64,
-    /// What it says.
+    /// The p-value of the difference, corrected for all comparisons of the experiment.
+    pub p_value: f64,
+    /// Whether the variant has more or less than the first, or neither.
     pub verdict: Verdict,
-    /// Runs after which it is known as well as asked; of the first measure only, in whose units that is asked.
-    pub needed: Option<usize>,
+    /// Runs until the difference has the requested precision; only for the first measure, in whose units it is given.
+    pub required_runs: Option<usize>,
 }
 
-/// What came of a run, as it is kept.
-pub fn kept(arm: &Arm, variant: &str, build: &str, seed: u64, outcome: Outcome) -> Result {
-    let share = |of: &Second| {
-        if of.offered > 0.0 {
-            (of.served / of.offered) as f32
+/// Returns the stored form of a run's outcome.
+pub fn stored_result(arm: &Arm, variant: &str, build: &str, seed: u64, outcome: Outcome) -> Result {
+    let service = |second: &Second| {
+        if second.offered > 0.0 {
+            (second.served / second.offered) as f32
         } else {
             1.0
         }
     };
-    let broken = outcome.broken_rules.iter().map(|of| Broken {
-        rule: of.rule.name().to_string(),
-        times: of.times,
-        at_s: of.at_s,
-        how: of.description.clone(),
+    let broken = outcome.broken_rules.iter().map(|broken| Broken {
+        rule: broken.rule.name().to_string(),
+        times: broken.times,
+        at_s: broken.at_s,
+        how: broken.description.clone(),
     });
     Result {
         case: arm.case.clone(),
@@ -73,113 +76,118 @@
             .iter()
             .map(|class| (class.name.clone(), class.service))
             .collect(),
-        seconds: outcome.seconds.iter().map(share).collect(),
+        seconds: outcome.seconds.iter().map(service).collect(),
         broken: broken.collect(),
         events: outcome.events,
         figures: outcome.figures,
     }
 }
 
-/// Plays one arm with one seed.
-fn one(plan: &Plan, arm: &Arm, build: &str, seed: u64) -> Result {
+fn run_arm(plan: &Plan, arm: &Arm, build: &str, seed: u64) -> Result {
     let variant = &plan.variants[arm.variant];
     let outcome = chutegrade_model::play(&arm.scenario, &arm.setup, seed);
-    kept(arm, &variant.name, build, seed, outcome)
+    stored_result(arm, &variant.name, build, seed, outcome)
 }
 
-/// Plays an experiment until every difference of its first measure is known as well as asked, or the most runs are done.
-/// What is in the store already is not played again. `tell` is called after each lot; it says whether to go on.
+/// Runs an experiment until every difference of its first measure has the requested precision, or the maximum number of
+/// runs is done. Runs that are in the store are not repeated. `on_progress` is called at the start of each look and after
+/// each batch, and returns whether to continue. Returns `false` if it stopped the experiment.
 pub fn play(
     plan: &Plan,
     build: &str,
     store: &mut Store,
-    mut tell: impl FnMut(Progress) -> bool,
+    mut on_progress: impl FnMut(Progress) -> bool,
 ) -> std::result::Result<bool, StoreError> {
-    let looks = plan.precision.looks();
-    let mut runs = plan.precision.pilot;
-    let mut open = plan.cases.clone();
-    for look in 1..=looks {
-        let wanted: Vec<(&Arm, u64)> = plan
+    let max_looks = plan.precision.max_looks();
+    let mut runs = plan.precision.pilot_runs;
+    let mut unresolved = plan.cases.clone();
+    for look in 1..=max_looks {
+        let requested: Vec<(&Arm, u64)> = plan
             .arms
             .iter()
-            .filter(|arm| open.contains(&arm.case))
-            .flat_map(|arm| (0..runs as u64).map(move |number| (arm, plan.seed + number)))
+            .filter(|arm| unresolved.contains(&arm.case))
+            .flat_map(|arm| (0..runs as u64).map(move |offset| (arm, plan.seed + offset)))
             .collect();
-        let missing: Vec<&(&Arm, u64)> = wanted
+        let missing: Vec<&(&Arm, u64)> = requested
             .iter()
-            .filter(|(arm, seed)| !store.has(&arm.digest, build, *seed))
+            .filter(|(arm, seed)| !store.contains(&arm.digest, build, *seed))
             .collect();
-        let mut done = wanted.len() - missing.len();
-        let lot = TOGETHER * rayon::current_num_threads();
-        if !tell(Progress {
+        let mut done = requested.len() - missing.len();
+        let batch_size = BATCH_RUNS_PER_THREAD * rayon::current_num_threads();
+        if !on_progress(Progress {
             done,
-            requested: wanted.len(),
+            requested: requested.len(),
             look,
-            max_looks: looks,
+            max_looks,
         }) {
             return Ok(false);
         }
-        for some in missing.chunks(lot.max(1)) {
-            let results: Vec<Result> = some
+        for batch in missing.chunks(batch_size.max(1)) {
+            let results: Vec<Result> = batch
                 .par_iter()
-                .map(|(arm, seed)| one(plan, arm, build, *seed))
+                .map(|(arm, seed)| run_arm(plan, arm, build, *seed))
                 .collect();
-            if let Some(said) = plan.variants.iter().find_map(|variant| variant.fault()) {
-                return Err(StoreError::AlternativePolicy(said));
+            if let Some(error) = plan
+                .variants
+                .iter()
+                .find_map(|variant| variant.first_error())
+            {
+                return Err(StoreError::AlternativePolicy(error));
             }
             done += results.len();
-            store.add(results)?;
-            if !tell(Progress {
+            store.append(results)?;
+            if !on_progress(Progress {
                 done,
-                requested: wanted.len(),
+                requested: requested.len(),
                 look,
-                max_looks: looks,
+                max_looks,
             }) {
                 return Ok(false);
             }
         }
-        open = unsettled(plan, build, store);
-        if open.is_empty() {
+        unresolved = unresolved_cases(plan, build, store);
+        if unresolved.is_empty() {
             break;
         }
-        runs = (runs * 2).min(plan.precision.most);
+        runs = (runs * 2).min(plan.precision.max_runs);
     }
     Ok(true)
 }
 
-/// Scenarios on which some difference of the first measure is not known as well as asked.
-fn unsettled(plan: &Plan, build: &str, store: &Store) -> Vec<String> {
-    let (confidence, half_width) = (plan.precision.of_a_look(), plan.precision.half_width);
+/// Returns the scenarios on which a difference of the first measure lacks the requested precision.
+fn unresolved_cases(plan: &Plan, build: &str, store: &Store) -> Vec<String> {
+    let (confidence, half_width) = (plan.precision.look_confidence(), plan.precision.half_width);
     let measure = plan.measures.first().map_or("", String::as_str);
-    let open = |case: &&String| {
+    let is_unresolved = |case: &&String| {
         let arms: Vec<&Arm> = plan.of_case(case).collect();
         arms.split_first().is_some_and(|(base, others)| {
-            let known = |arm: &&Arm| {
+            let is_precise = |arm: &&Arm| {
                 let differences = differences(&pairs(store, build, measure, (base, arm)));
                 interval(&differences, confidence).half_width <= half_width
             };
-            !others.iter().all(known)
+            !others.iter().all(is_precise)
         })
     };
-    plan.cases.iter().filter(open).cloned().collect()
+    plan.cases.iter().filter(is_unresolved).cloned().collect()
 }
 
-/// A measure of two arms, in pairs of the same seed.
+/// Returns the values of a measure for two arms, paired by seed.
 fn pairs(store: &Store, build: &str, measure: &str, (base, arm): (&Arm, &Arm)) -> Vec<(f64, f64)> {
-    let of_base = figures(store, &base.digest, build, measure);
-    let own = figures(store, &arm.digest, build, measure);
-    own.into_iter()
-        .filter_map(|(seed, figure)| Some((*of_base.get(&seed)?, figure)))
+    let base_values = values_by_seed(store, &base.digest, build, measure);
+    let arm_values = values_by_seed(store, &arm.digest, build, measure);
+    arm_values
+        .into_iter()
+        .filter_map(|(seed, value)| Some((*base_values.get(&seed)?, value)))
         .collect()
 }
 
 fn differences(pairs: &[(f64, f64)]) -> Vec<f64> {
-    pairs.iter().map(|(one, other)| other - one).collect()
+    pairs.iter().map(|(base, variant)| variant - base).collect()
 }
 
-/// Figures of an arm by seed.
-fn figures(store: &Store, digest: &str, build: &str, measure: &str) -> BTreeMap<u64, f64> {
-    let figure = |result: &&Result| {
+/// Returns the values of a measure for an arm, by seed; 0 where a run has no such figure.
+fn values_by_seed(store: &Store, digest: &str, build: &str, measure: &str) -> BTreeMap<u64, f64> {
+    let value = |result: &&Result| {
         let class = measure
             .strip_prefix("class.")
             .and_then(|class| result.classes.get(class));
@@ -189,16 +197,16 @@
             .unwrap_or(0.0)
     };
     store
-        .of(digest, build)
+        .runs_of(digest, build)
         .into_iter()
-        .map(|(seed, result)| (seed, figure(&result)))
+        .map(|(seed, result)| (seed, value(&result)))
         .collect()
 }
 
-/// All differences, in pairs of the same seed.
+/// Returns the paired differences of all variants, by scenario and measure.
 pub fn compare(plan: &Plan, build: &str, store: &Store) -> Vec<Comparison> {
-    let confidence = plan.precision.of_a_look();
-    let mut all = Vec::new();
+    let confidence = plan.precision.look_confidence();
+    let mut comparisons = Vec::new();
     for case in &plan.cases {
         let arms: Vec<&Arm> = plan.of_case(case).collect();
         let Some((base, others)) = arms.split_first() else {
@@ -208,38 +216,46 @@
             for arm in others {
                 let pairs = pairs(store, build, measure, (base, arm));
                 let differences = differences(&pairs);
-                let mean = |of: fn(&(f64, f64)) -> f64| {
-                    pairs.iter().map(of).sum::<f64>() / pairs.len().max(1) as f64
+                let mean = |side: fn(&(f64, f64)) -> f64| {
+                    pairs.iter().map(side).sum::<f64>() / pairs.len().max(1) as f64
                 };
-                all.push(Comparison {
+                comparisons.push(Comparison {
                     case: case.clone(),
                     measure: measure.clone(),
                     variant: plan.variants[arm.variant].name.clone(),
-                    means: (mean(|pair| pair.0), mean(|pair| pair.1)),
+                    base_mean: mean(|pair| pair.0),
+                    variant_mean: mean(|pair| pair.1),
                     difference: estimate(&differences, confidence, plan.seed),
-                    p: 1.0,
-                    verdict: Verdict::Open,
-                    needed: (Some(measure) == plan.measures.first())
-                        .then(|| needed(&differences, confidence, plan.precision.half_width)),
+                    p_value: 1.0,
+                    verdict: Verdict::Inconclusive,
+                    required_runs: (Some(measure) == plan.measures.first()).then(|| {
+                        required_runs(&differences, confidence, plan.precision.half_width)
+                    }),
                 });
             }
         }
     }
-    let corrected = holm(&all.iter().map(|of| of.difference.p).collect::<Vec<_>>());
-    for (of, p) in all.iter_mut().zip(corrected) {
-        of.p = p;
-        of.verdict = verdict(
-            &of.difference,
-            p,
+    let corrected = holm(
+        &comparisons
+            .iter()
+            .map(|comparison| comparison.difference.p_value)
+            .collect::<Vec<_>>(),
+    );
+    for (comparison, p_value) in comparisons.iter_mut().zip(corrected) {
+        comparison.p_value = p_value;
+        comparison.verdict = verdict(
+            &comparison.difference,
+            p_value,
             plan.precision.confidence,
             plan.precision.half_width,
         );
     }
-    all
+    comparisons
 }
 
-/// Rules that were broken, by scenario, variant and rule, with how often and the first seed.
-pub fn broken(
+/// Returns the broken rules: scenario, variant, rule, number of runs that broke it, the first seed, and what happened
+/// with that seed.
+pub fn broken_rules(
     plan: &Plan,
     build: &str,
     store: &Store,
@@ -247,11 +263,12 @@
     let mut found = Vec::new();
     for arm in &plan.arms {
         let mut by_rule: BTreeMap<String, (u64, u64, String)> = BTreeMap::new();
-        for (seed, result) in store.of(&arm.digest, build) {
-            for of in &result.broken {
-                let entry = by_rule
-                    .entry(of.rule.clone())
-                    .or_insert((0, seed, of.how.clone()));
+        for (seed, result) in store.runs_of(&arm.digest, build) {
+            for broken in &result.broken {
+                let entry =
+                    by_rule
+                        .entry(broken.rule.clone())
+                        .or_insert((0, seed, broken.how.clone()));
                 entry.0 += 1;
             }
         }
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -1,97 +1,101 @@
-//! What can be said of paired differences, and how surely.
+//! Statistics of paired differences: estimates with confidence intervals, p-values and verdicts.
 
 use rand::Rng as _;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 use statrs::distribution::{ContinuousCDF as _, StudentsT};
 
-/// Draws of a bootstrap: its ends are steady to a hundredth of their distance.
-const DRAWS: usize = 4000;
-/// Runs that are ever asked for: what a night on one machine gives.
-const RUNS_MOST: usize = 1_000_000;
+/// Resamples of a bootstrap: its bounds vary by about a hundredth of the interval's width.
+const BOOTSTRAP_RESAMPLES: usize = 4000;
+/// Maximum sample size that is computed: as many runs as one machine completes in a night.
+const MAX_REQUIRED_RUNS: usize = 1_000_000;
 
-/// What is known of a mean.
+/// An estimate of a mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
-    /// How many figures it is of.
+    /// Sample size.
     pub runs: usize,
-    /// Their mean.
+    /// Mean of the sample.
     pub mean: f64,
-    /// Their standard deviation.
-    pub sd: f64,
-    /// Half the width of the interval by Student's t.
+    /// Standard deviation of the sample; 0 for fewer than two values.
+    pub standard_deviation: f64,
+    /// Half the width of the confidence interval by Student's t; infinite for fewer than two values.
     pub half_width: f64,
-    /// The ends of the interval by bootstrap.
-    pub bootstrap: (f64, f64),
-    /// Chance of a mean as far from 0 if there were no difference.
-    pub p: f64,
+    /// Lower bound of the bootstrap interval.
+    pub bootstrap_low: f64,
+    /// Upper bound of the bootstrap interval.
+    pub bootstrap_high: f64,
+    /// Two-sided p-value of the null hypothesis that the mean is 0.
+    pub p_value: f64,
 }
 
 impl Estimate {
-    /// The ends of the interval by Student's t.
-    pub fn ends(&self) -> (f64, f64) {
+    /// Returns the lower and upper bound of the confidence interval by Student's t.
+    pub fn bounds(&self) -> (f64, f64) {
         (self.mean - self.half_width, self.mean + self.half_width)
     }
 }
 
-/// Mean and standard deviation; 0 where there is too little to tell.
-pub fn moments(figures: &[f64]) -> (f64, f64) {
-    let count = figures.len() as f64;
-    if figures.is_empty() {
+/// Returns the mean and the standard deviation; 0 where the sample is too small for them.
+pub fn mean_and_deviation(sample: &[f64]) -> (f64, f64) {
+    let count = sample.len() as f64;
+    if sample.is_empty() {
         return (0.0, 0.0);
     }
-    let mean = figures.iter().sum::<f64>() / count;
-    if figures.len() < 2 {
+    let mean = sample.iter().sum::<f64>() / count;
+    if sample.len() < 2 {
         return (mean, 0.0);
     }
-    let squares: f64 = figures.iter().map(|figure| (figure - mean).powi(2)).sum();
+    let squares: f64 = sample.iter().map(|value| (value - mean).powi(2)).sum();
     (mean, (squares / (count - 1.0)).sqrt())
 }
 
-/// The multiple of the standard error that holds at a confidence, for so many figures.
-fn multiple(runs: usize, confidence: f64) -> f64 {
-    let freedom = (runs.max(2) - 1) as f64;
-    StudentsT::new(0.0, 1.0, freedom)
+/// Returns the quantile of Student's t that, times the standard error, is half the width of a confidence interval.
+fn t_quantile(runs: usize, confidence: f64) -> f64 {
+    let degrees_of_freedom = (runs.max(2) - 1) as f64;
+    StudentsT::new(0.0, 1.0, degrees_of_freedom)
         .map_or(f64::INFINITY, |t| t.inverse_cdf(0.5 + confidence / 2.0))
 }
 
-/// What figures tell of their mean, at a confidence. Fewer than two tell nothing of how sure it is.
-pub fn estimate(figures: &[f64], confidence: f64, seed: u64) -> Estimate {
-    let by_t = interval(figures, confidence);
+/// Estimates the mean of a sample, with a bootstrap interval. The intervals are infinite for fewer than two values.
+pub fn estimate(sample: &[f64], confidence: f64, seed: u64) -> Estimate {
+    let by_t = interval(sample, confidence);
     if by_t.runs < 2 {
         return by_t;
     }
+    let (bootstrap_low, bootstrap_high) = bootstrap(sample, confidence, seed);
     Estimate {
-        bootstrap: bootstrap(figures, confidence, seed),
+        bootstrap_low,
+        bootstrap_high,
         ..by_t
     }
 }
 
-/// The same without the bootstrap.
-pub fn interval(figures: &[f64], confidence: f64) -> Estimate {
-    let (mean, sd) = moments(figures);
-    let runs = figures.len();
+/// Estimates the mean of a sample without the bootstrap, whose bounds are set to those by Student's t.
+pub fn interval(sample: &[f64], confidence: f64) -> Estimate {
+    let (mean, standard_deviation) = mean_and_deviation(sample);
+    let runs = sample.len();
     if runs < 2 {
-        let nothing = (f64::NEG_INFINITY, f64::INFINITY);
         return Estimate {
             runs,
             mean,
-            sd,
+            standard_deviation,
             half_width: f64::INFINITY,
-            bootstrap: nothing,
-            p: 1.0,
+            bootstrap_low: f64::NEG_INFINITY,
+            bootstrap_high: f64::INFINITY,
+            p_value: 1.0,
         };
     }
-    let error = sd / (runs as f64).sqrt();
-    let half_width = if sd > 0.0 {
-        multiple(runs, confidence) * error
+    let standard_error = standard_deviation / (runs as f64).sqrt();
+    let half_width = if standard_deviation > 0.0 {
+        t_quantile(runs, confidence) * standard_error
     } else {
         0.0
     };
-    let p = match (error > 0.0, mean == 0.0) {
+    let p_value = match (standard_error > 0.0, mean == 0.0) {
         (true, _) => {
             let t = StudentsT::new(0.0, 1.0, (runs - 1) as f64);
-            t.map_or(1.0, |of| 2.0 * of.sf((mean / error).abs()))
+            t.map_or(1.0, |t| 2.0 * t.sf((mean / standard_error).abs()))
         }
         (false, true) => 1.0,
         (false, false) => 0.0,
@@ -99,99 +103,113 @@
     Estimate {
         runs,
         mean,
-        sd,
+        standard_deviation,
         half_width,
-        bootstrap: (mean - half_width, mean + half_width),
-        p,
+        bootstrap_low: mean - half_width,
+        bootstrap_high: mean + half_width,
+        p_value,
     }
 }
 
-/// The ends of an interval of the mean by drawing from the figures themselves; seeded.
-pub fn bootstrap(figures: &[f64], confidence: f64, seed: u64) -> (f64, f64) {
+/// Returns the bounds of a bootstrap interval of the mean: quantiles of the means of seeded resamples.
+pub fn bootstrap(sample: &[f64], confidence: f64, seed: u64) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let count = figures.len();
+    let count = sample.len();
     if count == 0 {
         return (0.0, 0.0);
     }
-    let mut drawn = || {
+    let mut resampled_mean = || {
         (0..count)
-            .map(|_| figures[rng.random_range(0..count)])
+            .map(|_| sample[rng.random_range(0..count)])
             .sum::<f64>()
             / count as f64
     };
-    let mut means: Vec<f64> = (0..DRAWS).map(|_| drawn()).collect();
+    let mut means: Vec<f64> = (0..BOOTSTRAP_RESAMPLES).map(|_| resampled_mean()).collect();
     means.sort_unstable_by(f64::total_cmp);
-    let at = |share: f64| means[((share * DRAWS as f64) as usize).min(DRAWS - 1)];
-    (at((1.0 - confidence) / 2.0), at((1.0 + confidence) / 2.0))
+    let quantile = |share: f64| {
+        let index = (share * BOOTSTRAP_RESAMPLES as f64) as usize;
+        means[index.min(BOOTSTRAP_RESAMPLES - 1)]
+    };
+    (
+        quantile((1.0 - confidence) / 2.0),
+        quantile((1.0 + confidence) / 2.0),
+    )
 }
 
-/// Chances corrected for how many comparisons were made (Holm), in the order given.
-pub fn holm(chances: &[f64]) -> Vec<f64> {
-    let mut order: Vec<usize> = (0..chances.len()).collect();
-    order.sort_by(|one, other| chances[*one].total_cmp(&chances[*other]));
-    let mut corrected = vec![1.0; chances.len()];
-    let mut least = 0.0f64;
-    for (place, at) in order.into_iter().enumerate() {
-        let left = (chances.len() - place) as f64;
-        least = least.max((chances[at] * left).min(1.0));
-        corrected[at] = least;
+/// Returns p-values with the Holm correction for multiple comparisons, in the order given.
+pub fn holm(p_values: &[f64]) -> Vec<f64> {
+    let mut order: Vec<usize> = (0..p_values.len()).collect();
+    order.sort_by(|one, other| p_values[*one].total_cmp(&p_values[*other]));
+    let mut corrected = vec![1.0; p_values.len()];
+    let mut max_corrected = 0.0f64;
+    for (rank, index) in order.into_iter().enumerate() {
+        let remaining = (p_values.len() - rank) as f64;
+        max_corrected = max_corrected.max((p_values[index] * remaining).min(1.0));
+        corrected[index] = max_corrected;
     }
     corrected
 }
 
-/// Runs after which a mean is known to a half width, from what a few runs tell of its spread.
-pub fn needed(pilot: &[f64], confidence: f64, half_width: f64) -> usize {
-    let (_, sd) = moments(pilot);
-    if sd == 0.0 || pilot.len() < 2 {
+/// Returns the sample size at which the confidence interval reaches a half width, given a pilot sample.
+pub fn required_runs(pilot: &[f64], confidence: f64, half_width: f64) -> usize {
+    let (_, standard_deviation) = mean_and_deviation(pilot);
+    if standard_deviation == 0.0 || pilot.len() < 2 {
         return pilot.len();
     }
-    let enough = |runs: usize| multiple(runs, confidence) * sd / (runs as f64).sqrt() <= half_width;
+    let suffices = |runs: usize| {
+        t_quantile(runs, confidence) * standard_deviation / (runs as f64).sqrt() <= half_width
+    };
     let mut runs = 2;
-    while runs < RUNS_MOST && !enough(runs) {
+    while runs < MAX_REQUIRED_RUNS && !suffices(runs) {
         runs += (runs / 16).max(1);
     }
     runs
 }
 
-/// What the interval of a difference says.
+/// The conclusion from the estimate of a difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// More than before, beyond the bars.
+    /// The difference is positive: its interval excludes 0, and the corrected p-value is significant.
     More,
-    /// Less.
+    /// The difference is negative, by the same criteria.
     Less,
-    /// The difference is smaller than what was asked to be told apart.
-    Alike,
-    /// It is not known well enough.
-    Open,
+    /// The interval lies within the requested half width around 0.
+    Equivalent,
+    /// The estimate supports none of these.
+    Inconclusive,
 }
 
 impl Verdict {
-    /// The word for it.
-    pub fn word(self) -> &'static str {
+    /// Returns the wording in tables, reports and CSV files.
+    pub fn as_str(self) -> &'static str {
         match self {
             Verdict::More => "more",
             Verdict::Less => "less",
-            Verdict::Alike => "alike",
-            Verdict::Open => "not told apart",
+            Verdict::Equivalent => "alike",
+            Verdict::Inconclusive => "not told apart",
         }
     }
 }
 
-/// The verdict of an estimate, its chance corrected for many comparisons.
-pub fn verdict(of: &Estimate, corrected: f64, confidence: f64, half_width: f64) -> Verdict {
-    let (low, high) = of.ends();
-    if corrected < 1.0 - confidence && (low > 0.0 || high < 0.0) {
-        return if of.mean > 0.0 {
+/// Returns the verdict on a difference, given its p-value corrected for multiple comparisons.
+pub fn verdict(
+    difference: &Estimate,
+    corrected_p_value: f64,
+    confidence: f64,
+    half_width: f64,
+) -> Verdict {
+    let (low, high) = difference.bounds();
+    if corrected_p_value < 1.0 - confidence && (low > 0.0 || high < 0.0) {
+        return if difference.mean > 0.0 {
             Verdict::More
         } else {
             Verdict::Less
         };
     }
     if low >= -half_width && high <= half_width {
-        Verdict::Alike
+        Verdict::Equivalent
     } else {
-        Verdict::Open
+        Verdict::Inconclusive
     }
 }
 
--- a/crates/lab/tests/experiments.rs
+++ b/crates/lab/tests/experiments.rs
@@ -1,9 +1,10 @@
-//! Whole experiments: the same whatever the number of threads, resumed after a kill, and right about what differs.
+//! Complete experiments: results do not depend on the number of threads, runs resume after a kill, and real differences
+//! are detected.
 
 use std::path::Path;
 
 use chutegrade_lab::experiment::{read, Plan};
-use chutegrade_lab::run::{broken, compare, play};
+use chutegrade_lab::run::{broken_rules, compare, play};
 use chutegrade_lab::search::{default_objective, search, Objective};
 use chutegrade_lab::stats::Verdict;
 use chutegrade_lab::{report, Store};
@@ -13,20 +14,20 @@
     "seconds: 12 zone: 'a' zone: 'b' kind { servers: 8 cores: 2 } front_ends { count: 4 avoids_after: 0 }\n\
     class { name: 'read' work_ms: 50 aim_ms: 400 deadline_ms: 1500 } load { level: 0.5 }";
 
-fn plan(more: &str) -> Plan {
-    let text = format!("name: 'e' case {{ name: 'c' scenario {{ {FLEET} }} }} {more}");
-    read(&text, Path::new(".")).unwrap_or_else(|faults| panic!("{faults:?}"))
+fn plan(variants: &str) -> Plan {
+    let text = format!("name: 'e' case {{ name: 'c' scenario {{ {FLEET} }} }} {variants}");
+    read(&text, Path::new(".")).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
-const FAILING: &str = "variant { name: 'module' change { trouble { sort: FAIL_FAST at_s: 3 part: 0.4 size: 1 } } }\n\
+const FAILING_SERVERS: &str = "variant { name: 'module' change { trouble { sort: FAIL_FAST at_s: 3 part: 0.4 size: 1 } } }\n\
     variant { name: 'nobody' control: NOBODY change { trouble { sort: FAIL_FAST at_s: 3 part: 0.4 size: 1 } } }\n\
     variant { name: 'the same' change { trouble { sort: FAIL_FAST at_s: 3 part: 0.4 size: 1 } probes { timeout_ms: 301 } } }\n\
     measure: 'service' measure: 'failed' precision { pilot: 4 most: 8 half_width: 0.02 }";
 
-/// Danger: results that depend on how many threads played them.
+/// Guards against results that depend on the number of threads.
 #[test]
 fn any_number_of_threads_gives_the_same_results() {
-    let plan = plan(FAILING);
+    let plan = plan(FAILING_SERVERS);
     let results = |threads: usize| {
         let directory = tempfile::tempdir().expect("a directory");
         let mut store = Store::open(directory.path()).expect("a store");
@@ -35,7 +36,7 @@
             .build()
             .expect("threads");
         pool.install(|| play(&plan, "b", &mut store, |_| true))
-            .expect("played");
+            .expect("complete runs");
         (report::runs_csv(&store), report::page(&plan, "b", &store))
     };
     let one = results(1);
@@ -45,32 +46,33 @@
 }
 
 #[test]
-fn differences_are_found_where_there_are_some() {
-    let plan = plan(FAILING);
+fn real_differences_are_detected() {
+    let plan = plan(FAILING_SERVERS);
     let directory = tempfile::tempdir().expect("a directory");
     let mut store = Store::open(directory.path()).expect("a store");
-    play(&plan, "b", &mut store, |_| true).expect("played");
-    let all = compare(&plan, "b", &store);
-    let of = |variant: &str, measure: &str| {
-        all.iter()
-            .find(|of| of.variant == variant && of.measure == measure)
+    play(&plan, "b", &mut store, |_| true).expect("complete runs");
+    let comparisons = compare(&plan, "b", &store);
+    let comparison = |variant: &str, measure: &str| {
+        comparisons
+            .iter()
+            .find(|comparison| comparison.variant == variant && comparison.measure == measure)
             .expect("compared")
             .clone()
     };
     assert_eq!(
-        of("nobody", "service").verdict,
+        comparison("nobody", "service").verdict,
         Verdict::Less,
         "{:?}",
-        of("nobody", "service")
+        comparison("nobody", "service")
     );
-    assert_eq!(of("nobody", "failed").verdict, Verdict::More);
+    assert_eq!(comparison("nobody", "failed").verdict, Verdict::More);
     assert_eq!(
-        of("the same", "service").verdict,
-        Verdict::Alike,
+        comparison("the same", "service").verdict,
+        Verdict::Equivalent,
         "{:?}",
-        of("the same", "service")
+        comparison("the same", "service")
     );
-    assert!(broken(&plan, "b", &store).is_empty());
+    assert!(broken_rules(&plan, "b", &store).is_empty());
     let table = report::table(&plan, "b", &store);
     assert!(
         table.contains("nobody") && table.contains("less") && table.contains("alike"),
@@ -84,69 +86,69 @@
     );
     assert!(compare(&plan, "another build", &store)
         .iter()
-        .all(|of| of.difference.runs == 0));
+        .all(|comparison| comparison.difference.runs == 0));
 }
 
-/// Danger: a kill loses what was played, or a run counts twice.
+/// Guards against a kill that loses completed runs or lets a run count twice.
 #[test]
-fn a_stopped_experiment_goes_on_where_it_was() {
-    let plan = plan(FAILING);
+fn a_stopped_experiment_resumes_where_it_stopped() {
+    let plan = plan(FAILING_SERVERS);
     let directory = tempfile::tempdir().expect("a directory");
-    let whole = {
+    let uninterrupted = {
         let other = tempfile::tempdir().expect("a directory");
         let mut store = Store::open(other.path()).expect("a store");
-        play(&plan, "b", &mut store, |_| true).expect("played");
+        play(&plan, "b", &mut store, |_| true).expect("complete runs");
         report::runs_csv(&store)
     };
     let mut stops = 0;
     loop {
         let mut store = Store::open(directory.path()).expect("a store");
-        let mut lots = 0;
-        let ended = play(&plan, "b", &mut store, |_| {
-            lots += 1;
-            lots < 3
+        let mut calls = 0;
+        let completed = play(&plan, "b", &mut store, |_| {
+            calls += 1;
+            calls < 3
         });
-        if ended.expect("played") {
+        if completed.expect("complete runs") {
             break;
         }
         stops += 1;
-        // As a kill leaves it: the last line is torn.
+        // A kill leaves an incomplete last line.
         let path = directory.path().join("results.jsonl");
         let mut bytes = std::fs::read(&path).expect("results");
         bytes.extend_from_slice(b"{\"case\":\"c\",\"var");
-        std::fs::write(&path, bytes).expect("torn");
-        assert!(stops < 50, "it never ends");
+        std::fs::write(&path, bytes).expect("an incomplete line");
+        assert!(stops < 50, "the experiment does not end");
     }
-    assert!(stops > 1, "it was never stopped");
-    let again = report::runs_csv(&Store::open(directory.path()).expect("a store"));
-    for (one, other) in again.lines().zip(whole.lines()) {
+    assert!(stops > 1, "the experiment was not stopped");
+    let resumed = report::runs_csv(&Store::open(directory.path()).expect("a store"));
+    for (one, other) in resumed.lines().zip(uninterrupted.lines()) {
         assert_eq!(one, other);
     }
-    assert_eq!(again.len(), whole.len());
+    assert_eq!(resumed.len(), uninterrupted.len());
 }
 
-/// A fault that is planted, an order to send again whatever may have run, is found by the search for broken rules, and made
-/// small.
+/// The search must find a deliberate error, an order to retry requests that may have been executed, and shrink the
+/// scenario that reveals it.
 #[test]
-fn the_hunt_finds_a_planted_fault_and_makes_it_small() {
+fn the_search_finds_a_deliberate_error_and_shrinks_the_scenario() {
     let text = FLEET
         .replace("name: 'read'", "name: 'order' effect: UNSAFE")
         .replace("front_ends {", "front_ends { usual_retry: ONCE");
     let base = scenario::parse(&text).expect("a scenario");
-    let nobody = Setup {
+    let no_control = Setup {
         control: Control::Nobody,
         ..Setup::default()
     };
     let objective = Objective {
-        setup: nobody,
+        setup: no_control,
         ..default_objective(true)
     };
-    let found = search(&base, &objective, 60, 1, |_, _| true).expect("something");
+    let found = search(&base, &objective, 60, 1, |_, _| true).expect("a finding");
     assert!(
         found
             .broken_rules
             .iter()
-            .any(|said| said.starts_with("twice")),
+            .any(|description| description.starts_with("twice")),
         "{:?}",
         found.broken_rules
     );
@@ -155,13 +157,13 @@
         "{}",
         scenario::write(&found.scenario)
     );
-    let again = search(&base, &objective, 60, 1, |_, _| true);
-    assert_eq!(again, Some(found), "the same seed finds the same");
+    let repeated = search(&base, &objective, 60, 1, |_, _| true);
+    assert_eq!(repeated, Some(found), "results depend only on the seed");
 }
 
-/// What searches found stays found: each scenario is played, and no rule breaks.
+/// Regression test for the findings of earlier searches: no stored scenario breaks a rule.
 #[test]
-fn the_kept_scenarios_break_no_rule() {
+fn stored_scenarios_break_no_rule() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios");
     let mut files: Vec<_> = [folder.to_string(), format!("{folder}/kept")]
         .iter()
@@ -174,7 +176,7 @@
     for file in files {
         let text = std::fs::read_to_string(&file).expect("a text");
         let scenario: Scenario =
-            scenario::read(&text).unwrap_or_else(|faults| panic!("{}: {faults:?}", file.display()));
+            scenario::read(&text).unwrap_or_else(|errors| panic!("{}: {errors:?}", file.display()));
         let outcome = chutegrade_model::run(&scenario, Control::Module, 1);
         assert!(
             outcome.broken_rules.is_empty(),
