--- a/crates/lab/build.rs
+++ b/crates/lab/build.rs
@@ -1,5 +1,5 @@
-//! Compiles the schema of experiments, and stores its descriptors for the text format parser. Scenarios and limits use the
-//! types of the crates that define them.
+//! Compiles the schema of experiments, and stores its descriptors for the text format parser. Scenarios and limits use
+//! the types of the crates that define them.
 
 use std::path::PathBuf;
 
--- a/crates/lab/src/search.rs
+++ b/crates/lab/src/search.rs
@@ -187,8 +187,8 @@
         scenario
     }
 
-    /// Returns a neighbour of a scenario, in which one of the added faults is new, removed or changed.
-    fn neighbour(&mut self, scenario: &Declaration, base: &Declaration) -> Declaration {
+    /// Returns a copy of a scenario in which one of the added faults is new, removed or changed.
+    fn mutate(&mut self, scenario: &Declaration, base: &Declaration) -> Declaration {
         let mut scenario = scenario.clone();
         let base_faults = base.trouble.len();
         let added_faults = scenario.trouble.len() - base_faults;
@@ -223,8 +223,8 @@
     }
 }
 
-/// Searches until `budget` runs are done, then shrinks the worst scenario. Returns `None` if that one breaks no rule and
-/// its loss is not reportable. `on_progress` gets the runs done and the worst finding so far, and returns whether to
+/// Searches until `budget` runs are done, then shrinks the worst scenario. Returns `None` if it breaks no rule and its
+/// loss is not reportable. `on_progress` gets the runs done and the worst finding so far, and returns whether to
 /// continue.
 pub fn search(
     base: &Declaration,
@@ -245,12 +245,10 @@
     };
     let (mut worst, mut runs): (Vec<Finding>, usize) = (Vec::new(), 0);
     while runs < budget {
-        // Half of the candidates are new, half are neighbours of the worst scenarios so far.
+        // Half of the candidates are new, half are mutations of the worst scenarios so far.
         let candidates: Vec<Declaration> = (0..CANDIDATES_PER_ROUND)
             .map(|index| match worst.get(index % SURVIVORS_PER_ROUND) {
-                Some(finding) if index % 2 == 1 => {
-                    generator.neighbour(&finding.scenario.clone(), base)
-                }
+                Some(found) if index % 2 == 1 => generator.mutate(&found.scenario.clone(), base),
                 _ => generator.new_candidate(base),
             })
             .collect();
--- a/crates/lab/src/store.rs
+++ b/crates/lab/src/store.rs
@@ -1,5 +1,5 @@
-//! Stored results: one JSON line per run, appended and synced to disk as runs end. An incomplete last line, left by a kill,
-//! is removed when the store is opened; a run that is stored is not counted twice.
+//! Stored results: one JSON line per run, appended and synced to disk as runs end. An incomplete last line, left by a
+//! kill, is removed when the store is opened; a run that is stored is not counted twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{File, OpenOptions};
