--- a/crates/records/src/incidents/server_history.rs
+++ b/crates/records/src/incidents/server_history.rs
@@ -5,7 +5,7 @@
 
 use super::{ObservedServer, ServerHistory, ServerStatus, Span};
 use crate::pb::{Life, State};
-use crate::replay::{Picture, Server};
+use crate::replay::{FleetState, ServerState};
 use crate::timeline::Window;
 
 /// The status of a server at one moment.
@@ -17,9 +17,9 @@
 }
 
 impl ObservedStatus {
-    /// The status of a server in the state of a fleet; `None` if it has no such server.
-    pub fn of(picture: &Picture, server: &str) -> Option<Self> {
-        let state = picture.servers.get(server)?;
+    /// Returns the status of a server, or `None` if the fleet does not contain it.
+    pub fn of(fleet_state: &FleetState, server: &str) -> Option<Self> {
+        let state = fleet_state.servers.get(server)?;
         Some(ObservedStatus {
             server: server.to_string(),
             zone: state.zone.clone(),
@@ -27,15 +27,15 @@
         })
     }
 
-    /// The status of all servers in the state of a fleet.
-    pub fn of_all(picture: &Picture) -> Vec<Self> {
-        let names = picture.servers.keys();
+    /// Returns the status of all servers of a fleet.
+    pub fn of_all(fleet_state: &FleetState) -> Vec<Self> {
+        let names = fleet_state.servers.keys();
         names
-            .filter_map(|name| ObservedStatus::of(picture, name))
+            .filter_map(|name| ObservedStatus::of(fleet_state, name))
             .collect()
     }
 
-    /// The same server, of which nothing is known any more.
+    /// Returns the same server with unknown status.
     pub fn into_unknown(self) -> Self {
         ObservedStatus {
             status: ServerStatus::Unknown,
@@ -44,18 +44,18 @@
     }
 }
 
-fn status(server: &Server) -> ServerStatus {
-    match (server.life, server.state) {
+fn status(server: &ServerState) -> ServerStatus {
+    match (server.lifecycle, server.state) {
         (Life::Draining, _) => ServerStatus::Draining,
         (Life::Gone, _) => ServerStatus::Unknown,
         (_, State::Withdrawn) => ServerStatus::Withdrawn,
-        _ if server.warmth < 1.0 => ServerStatus::Cold,
+        _ if server.warmth < 1.0 => ServerStatus::WarmingUp,
         (_, State::Reduced) => ServerStatus::Reduced,
         (_, State::Full) => ServerStatus::Full,
     }
 }
 
-/// The status of all servers over the time of a window.
+/// The status of all servers over the length of a window.
 pub(super) struct ServerHistoryTracker {
     window: Window,
     histories: BTreeMap<ObservedServer, ServerHistory>,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sets the status of a server from a time on.
+    /// Sets the status of a server from a time on, clamped to the window.
     pub fn set(&mut self, at_us: i64, supervisor: &Arc<str>, status: ObservedStatus) {
         let at_us = at_us.clamp(self.window.from_us, self.window.to_us);
         let observed = ObservedServer {
@@ -96,7 +96,7 @@
         });
     }
 
-    /// Nothing is known of the servers of a supervisor from a time on.
+    /// Sets all servers of a supervisor to unknown from a time on.
     pub fn set_unknown(&mut self, at_us: i64, supervisor: &Arc<str>) {
         let known: Vec<ObservedStatus> = self
             .histories
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The histories until the end of the window, without empty intervals before it.
+    /// Returns the histories up to the end of the window, without empty intervals before it.
     pub fn finish(mut self) -> BTreeMap<ObservedServer, ServerHistory> {
         let to_us = self.window.to_us;
         for history in self.histories.values_mut() {
--- a/crates/records/src/timeline/verification.rs
+++ b/crates/records/src/timeline/verification.rs
@@ -1,39 +1,39 @@
-//! A full scan of a directory, whatever its indexes say.
+//! Verifies a directory by a full scan, without relying on its indexes.
 
 use std::path::Path;
 
-use super::Fault;
+use super::ReadError;
 use crate::index;
 use crate::segment::{self, Item, SegmentId};
 
-/// What a full scan of a directory finds.
+/// The result of a full scan of a directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Verdict {
-    /// Segments that were read.
+pub struct VerificationReport {
+    /// The number of segments that were read.
     pub segments: u64,
-    /// Records that were read.
+    /// The number of records that were read.
     pub records: u64,
-    /// Records of kinds, or with fields, that are newer than this version.
+    /// The number of records with a kind or fields that are newer than this version.
     pub newer: u64,
-    /// Bytes that belong to no record, within segments.
+    /// The number of bytes within segments that belong to no record.
     pub damaged_bytes: u64,
-    /// Bytes that belong to no record, at the end of segments.
+    /// The number of bytes at the end of segments that belong to no record.
     pub torn_bytes: u64,
-    /// Sequence numbers that are missing.
+    /// The number of missing sequence numbers.
     pub missing: u64,
-    /// Segments whose header can't be read.
-    pub headless: u64,
-    /// Indexes that do not match their segments.
-    pub wrong_indexes: u64,
+    /// The number of non-empty segments whose header can't be read.
+    pub segments_without_header: u64,
+    /// The number of indexes that do not match their segments.
+    pub mismatched_indexes: u64,
 }
 
-impl Verdict {
-    /// Whether nothing is wrong; a torn tail is what a crash leaves.
-    pub fn sound(&self) -> bool {
+impl VerificationReport {
+    /// Whether no damage was found. A torn tail does not count, since a crash leaves one.
+    pub fn is_valid(&self) -> bool {
         self.damaged_bytes == 0
             && self.missing == 0
-            && self.headless == 0
-            && self.wrong_indexes == 0
+            && self.segments_without_header == 0
+            && self.mismatched_indexes == 0
     }
 }
 
@@ -42,24 +42,24 @@
 /// # Errors
 ///
 /// If the directory or a segment can't be read.
-pub fn verify(directory: &Path) -> Result<Verdict, Fault> {
-    let io_fault = |error| Fault::Io(directory.to_path_buf(), error);
+pub fn verify(directory: &Path) -> Result<VerificationReport, ReadError> {
+    let io_error = |error| ReadError::Io(directory.to_path_buf(), error);
     let mut scan = Scan::default();
-    for id in segment::list(directory).map_err(io_fault)? {
+    for id in segment::list(directory).map_err(io_error)? {
         let path = id.path(directory);
-        let bytes = segment::bytes(&path, 0, segment::LENGTH_MOST).map_err(io_fault)?;
+        let bytes = segment::bytes(&path, 0, segment::MAX_SEGMENT_BYTES).map_err(io_error)?;
         scan.add_segment(id, &bytes);
         if id.index_path(directory).exists() {
             let is_right = segment::stored_index(directory, id) == Some(index::build(id, &bytes));
-            scan.verdict.wrong_indexes += u64::from(!is_right);
+            scan.report.mismatched_indexes += u64::from(!is_right);
         }
     }
-    Ok(scan.verdict)
+    Ok(scan.report)
 }
 
 #[derive(Default)]
 struct Scan {
-    verdict: Verdict,
+    report: VerificationReport,
     last_record: Option<RecordPosition>,
 }
 
@@ -75,20 +75,20 @@
         for (_, item) in segment::items(bytes, 0) {
             match item {
                 Item::Header(_) => has_header = true,
-                Item::Damaged(bytes) => self.verdict.damaged_bytes += bytes,
-                Item::Torn(bytes) => self.verdict.torn_bytes += bytes,
-                Item::Record { read, .. } => {
-                    self.verdict.records += 1;
-                    self.verdict.newer += u64::from(read.newer.is_some());
+                Item::Damaged(bytes) => self.report.damaged_bytes += bytes,
+                Item::Torn(bytes) => self.report.torn_bytes += bytes,
+                Item::Record { decoded, .. } => {
+                    self.report.records += 1;
+                    self.report.newer += u64::from(decoded.newer.is_some());
                     self.add_position(RecordPosition {
                         incarnation: id.incarnation,
-                        seq: read.record.seq,
+                        seq: decoded.record.seq,
                     });
                 }
             }
         }
-        self.verdict.segments += 1;
-        self.verdict.headless += u64::from(!has_header && !bytes.is_empty());
+        self.report.segments += 1;
+        self.report.segments_without_header += u64::from(!has_header && !bytes.is_empty());
     }
 
     /// Counts the sequence numbers that are missing between two records of an incarnation.
@@ -98,7 +98,7 @@
             .filter(|last| last.incarnation == position.incarnation);
         if let Some(previous) = previous {
             let distance = position.seq.saturating_sub(previous.seq);
-            self.verdict.missing += distance.saturating_sub(1);
+            self.report.missing += distance.saturating_sub(1);
         }
         self.last_record = Some(position);
     }
--- a/crates/supervisor/src/commands/records/verify.rs
+++ b/crates/supervisor/src/commands/records/verify.rs
@@ -1,30 +1,30 @@
-//! `records verify`: damage and missing records, for each directory.
+//! `records verify`: reports damaged and missing records, for each directory.
 
 use std::io::Write;
 use std::path::PathBuf;
 
-use chutegrade_records::timeline::{self, Supervisor, Timeline, Verdict};
+use chutegrade_records::timeline::{self, Supervisor, Timeline, VerificationReport};
 
 use crate::commands::CommandError;
 
-/// Verifies all directories and writes a line for each.
+/// Verifies all directories and writes one line for each.
 ///
 /// # Errors
 ///
-/// If a directory cannot be read, or any is not sound.
+/// If a directory cannot be read, or one is damaged or incomplete.
 pub fn run(directories: &[PathBuf], output: &mut impl Write) -> Result<(), CommandError> {
     let timeline = Timeline::open(directories)?;
-    let mut unsound = 0;
+    let mut damaged = 0;
     for supervisor in &timeline.supervisors {
         let verdict = timeline::verify(&supervisor.directory)?;
-        if !verdict.sound() {
-            unsound += 1;
+        if !verdict.is_valid() {
+            damaged += 1;
         }
         write_verdict(supervisor, &verdict, output)?;
     }
-    if unsound > 0 {
-        return Err(CommandError::UnsoundRecords {
-            unsound,
+    if damaged > 0 {
+        return Err(CommandError::DamagedRecords {
+            damaged,
             directories: timeline.supervisors.len(),
         });
     }
@@ -33,7 +33,7 @@
 
 fn write_verdict(
     supervisor: &Supervisor,
-    verdict: &Verdict,
+    verdict: &VerificationReport,
     output: &mut impl Write,
 ) -> std::io::Result<()> {
     let directory = supervisor.directory.display();
@@ -44,21 +44,24 @@
     )?;
     let counts = [
         (verdict.newer, "of a newer version"),
-        (
-            verdict.torn_bytes,
-            "bytes of torn tails, which a crash leaves",
-        ),
+        (verdict.torn_bytes, "bytes of torn tails, left by a crash"),
         (verdict.damaged_bytes, "bytes damaged"),
         (verdict.missing, "records missing"),
-        (verdict.headless, "segments without a head"),
-        (verdict.wrong_indexes, "indexes that do not fit"),
+        (
+            verdict.segments_without_header,
+            "segments without a valid header",
+        ),
+        (
+            verdict.mismatched_indexes,
+            "indexes that do not match their segments",
+        ),
     ];
     for (count, label) in counts {
         if count > 0 {
             write!(output, ", {count} {label}")?;
         }
     }
-    let conclusion = if verdict.sound() {
+    let conclusion = if verdict.is_valid() {
         "sound"
     } else {
         "not sound"
--- a/crates/supervisor/tests/commands/usage.rs
+++ b/crates/supervisor/tests/commands/usage.rs
@@ -1,11 +1,11 @@
-//! Wrong usage, faults in arguments, and readers that stop.
+//! Wrong usage, invalid arguments, and output that is closed early.
 
 use std::process::Command;
 
 use crate::{run, utf8, write_records, Outcome, PROGRAM};
 
 #[test]
-fn wrong_usage_exits_with_2_and_a_fault_with_1_and_one_sentence() {
+fn wrong_usage_exits_with_2_and_a_fault_with_1_and_one_line() {
     for wrong in [
         &["nonsense"][..],
         &["records"],
@@ -24,11 +24,11 @@
         ),
         (
             vec!["records", "list", records, "--from", "yesterday"],
-            "\"yesterday\" is no time",
+            "\"yesterday\" is not a valid time",
         ),
         (
             vec!["records", "list", records, "--kind", "stat"],
-            "no kind \"stat\": give one of started,",
+            "unknown kind \"stat\": give one of started,",
         ),
         (
             vec![
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_closed_pipe_is_no_fault() {
+fn a_closed_pipe_is_not_an_error() {
     let directory = tempfile::tempdir().expect("a directory");
     write_records(directory.path(), "n0", 0..20_000);
     let line = format!(
