--- a/crates/engine/src/log_events.rs
+++ b/crates/engine/src/log_events.rs
@@ -51,7 +51,7 @@
     /// Observations since the last tick.
     observations: Vec<Observation>,
     is_recording: bool,
-    observer: FailingServers,
+    failing_servers: FailingServers,
     /// Latest start of each server whose endpoint has one.
     latest_starts: HashMap<ServerId, Micros>,
 }
@@ -119,7 +119,7 @@
         if !self.is_recording {
             return;
         }
-        let failing = self.observer.record_report(
+        let failing = self.failing_servers.record_report(
             &outcomes.zone,
             &outcomes.server,
             outcomes.attempts,
@@ -155,7 +155,7 @@
     /// Removes the state of a server that is no longer referenced.
     pub fn remove_server(&mut self, server: ServerId, name: &str) {
         self.latest_starts.remove(&server);
-        self.observer.remove(name);
+        self.failing_servers.remove(name);
     }
 
     /// Converts the observations since the last tick to events.
