--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -1,4 +1,4 @@
-//! The state of the console: the cursor in time, the span, the filter of events, the panel in front.
+//! The state of the console: the cursor in time, the span, the filter of events and the selected panel.
 
 mod keys;
 
@@ -11,21 +11,21 @@
 
 pub use keys::KeyOutcome;
 
-/// Spans of time that can be shown, in seconds.
+/// Selectable spans of time, in seconds.
 const SPANS_S: [i64; 8] = [30, 60, 300, 900, 3600, 14_400, 43_200, 86_400];
-/// Index of the span that is shown at first.
+/// Index of the initial span in `SPANS_S`.
 const DEFAULT_SPAN_INDEX: usize = 2;
 /// Microseconds in a second.
 const US_PER_SECOND: i64 = 1_000_000;
 
-/// Panels; a small terminal shows one of them.
+/// A panel; a small terminal shows one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Panel {
-    /// Servers by zone.
+    /// Service level, admitted shares and servers by zone.
     Fleet,
     /// Charts of samples over time.
     Charts,
-    /// Events.
+    /// The list of events and gaps.
     Events,
 }
 
@@ -42,30 +42,30 @@
 /// The state of the console.
 pub struct App {
     timeline: Timeline,
-    /// What is shown.
+    /// The data of the next frame, as of the last refresh.
     pub view: View,
-    /// The moment that is shown, in Unix microseconds; none follows the present.
+    /// The selected time, in Unix microseconds; `None` follows the present.
     pub cursor: Option<i64>,
-    /// The moment of [`App::view`], in Unix microseconds.
+    /// The time of [`App::view`], in Unix microseconds.
     pub at_us: i64,
     /// Index into `SPANS_S`.
     span_index: usize,
-    /// Words that shown events contain.
+    /// Words that a row of events must contain.
     pub filter: String,
     /// Whether the filter is being edited.
     pub is_editing_filter: bool,
-    /// The panel in front.
+    /// The panel that a small terminal shows.
     pub panel: Panel,
-    /// Rows of events scrolled by, from the newest.
+    /// Number of rows by which the events are scrolled back from the newest.
     pub scroll: usize,
-    /// Whether the help is shown.
+    /// Whether the help covers the panels.
     pub shows_help: bool,
-    /// The error of the last refresh.
+    /// The error of the last refresh, if it failed.
     pub refresh_error: Option<String>,
 }
 
 impl App {
-    /// Opens records at a moment in Unix microseconds, or at the present.
+    /// Opens records at a time in Unix microseconds, or at the present.
     ///
     /// # Errors
     ///
@@ -86,17 +86,17 @@
         })
     }
 
-    /// The span of time that is shown, in microseconds.
+    /// Returns the span of time that is shown, in microseconds.
     pub fn span_us(&self) -> i64 {
         let span_s = SPANS_S.get(self.span_index).copied().unwrap_or(300);
         span_s * US_PER_SECOND
     }
 
-    /// Reads what was written since, and the view. If a directory is gone, what was read before stays.
+    /// Reads new records and updates the view. If a directory was removed, the records read before are retained.
     pub fn refresh(&mut self, now_us: i64) {
         let result = self.timeline.refresh();
         self.refresh_error = result.err().map(|error| error.to_string());
-        // The present, not the newest record: a supervisor that stopped writing is shown as silent.
+        // Not the time of the newest record, which would hide that a supervisor has stopped writing.
         self.at_us = self.cursor.unwrap_or(now_us);
         self.view = View::read(&self.timeline, self.window(), &self.filter);
         self.scroll = self.scroll.min(self.last_row());
@@ -113,7 +113,7 @@
         self.view.rows.len().saturating_sub(1)
     }
 
-    /// The time that all records cover.
+    /// Returns the interval that the records cover.
     fn recorded_window(&self) -> Window {
         self.timeline.span().unwrap_or(Window {
             from_us: self.at_us,
@@ -172,7 +172,7 @@
         previous_us.map_or(KeyOutcome::Redraw, |at_us| self.move_cursor(at_us))
     }
 
-    /// Times of the faults and gaps in a window that pass the filter.
+    /// Returns the times of the faults and gaps in a window that match the filter.
     fn fault_times(&self, window: Window) -> Vec<i64> {
         let view = View::read(&self.timeline, window, &self.filter);
         let faults = view.rows.iter().filter(|row| row.kind != RowKind::Event);
--- a/crates/console/src/app/keys.rs
+++ b/crates/console/src/app/keys.rs
@@ -1,31 +1,31 @@
-//! Keys and what they do.
+//! Key bindings.
 
 use ratatui::crossterm::event::{KeyCode, KeyEvent, KeyModifiers};
 
 use super::App;
 
-/// Longest filter, in characters.
+/// Maximum length of the filter, in characters.
 const MAX_FILTER_CHARACTERS: usize = 200;
-/// Steps through time in a span.
+/// Number of cursor steps in a span.
 const STEPS_PER_SPAN: i64 = 20;
-/// How many times farther a step with shift is.
+/// Factor by which shift enlarges a step.
 const SHIFT_FACTOR: i64 = 10;
-/// Rows of a page of events.
+/// Rows by which page up and page down scroll.
 const PAGE_ROWS: isize = 10;
 
-/// What the caller does after a key.
+/// What the caller must do after a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyOutcome {
-    /// Draw again.
+    /// Redraw the frame.
     Redraw,
-    /// Read the records, then draw.
+    /// Refresh the records, then redraw the frame.
     Refresh,
-    /// End the console.
+    /// Exit the console.
     Quit,
 }
 
 impl App {
-    /// Handles a key.
+    /// Updates the state for a key and returns what the caller must do. Ignores keys without a binding.
     pub fn handle_key(&mut self, key: KeyEvent) -> KeyOutcome {
         if key.modifiers.contains(KeyModifiers::CONTROL) && key.code == KeyCode::Char('c') {
             return KeyOutcome::Quit;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The step through time of a key, in microseconds.
+    /// Returns how far a key moves the cursor, in microseconds.
     fn step_us(&self, key: KeyEvent) -> i64 {
         let step_us = self.span_us() / STEPS_PER_SPAN;
         if key.modifiers.contains(KeyModifiers::SHIFT) {
--- a/crates/console/src/draw.rs
+++ b/crates/console/src/draw.rs
@@ -1,4 +1,4 @@
-//! Draws a frame. Large terminals show all panels, small ones the panel in front.
+//! Draws a frame. Large terminals show all panels, small ones the selected panel.
 
 mod charts;
 mod events;
@@ -20,18 +20,18 @@
 use help::draw_help;
 use style::{colored, dimmed};
 
-/// Least width at which all panels are shown.
+/// Minimum width at which all panels are shown, in columns.
 const MIN_LARGE_WIDTH: u16 = 84;
-/// Least height at which all panels are shown.
+/// Minimum height at which all panels are shown, in lines.
 const MIN_LARGE_HEIGHT: u16 = 26;
-/// Least width at which times have their date.
+/// Minimum width at which the time has its date, in columns.
 const MIN_DATE_WIDTH: u16 = 60;
-/// Height of the charts: three sparklines, of which each has two lines, and a border.
+/// Height of the charts, in lines. Leaves at least two lines for each of the three sparklines below the border.
 const CHARTS_HEIGHT: u16 = 8;
-/// Least height of the events.
+/// Minimum height of the events, in lines.
 const MIN_EVENTS_HEIGHT: u16 = 3;
 
-/// Draws the state of the console.
+/// Draws the panels, the header and the footer, and the help if it is open.
 pub fn draw(frame: &mut Frame, app: &App) {
     let area = frame.area();
     let rows = [
@@ -44,7 +44,7 @@
     if area.width >= MIN_LARGE_WIDTH && area.height >= MIN_LARGE_HEIGHT {
         draw_all_panels(frame, app, body);
     } else {
-        draw_front_panel(frame, app, body);
+        draw_selected_panel(frame, app, body);
     }
     draw_footer(frame, app, footer);
     if app.shows_help {
@@ -65,7 +65,7 @@
     draw_events(frame, app, events);
 }
 
-fn draw_front_panel(frame: &mut Frame, app: &App, area: Rect) {
+fn draw_selected_panel(frame: &mut Frame, app: &App, area: Rect) {
     match app.panel {
         Panel::Fleet => draw_fleet(frame, app, area),
         Panel::Charts => draw_charts(frame, app, area),
@@ -111,7 +111,7 @@
 }
 
 fn key_summary(filter: &str) -> String {
-    let keys = "? help  space stop  ←→ time  n p trouble  / filter  q end";
+    let keys = "? help  space pause  ←→ time  n p fault  / filter  q quit";
     if filter.is_empty() {
         keys.to_string()
     } else {
--- a/crates/console/src/draw/charts.rs
+++ b/crates/console/src/draw/charts.rs
@@ -10,19 +10,19 @@
 use crate::app::App;
 use crate::view::{Sample, SupervisorView};
 
-/// Width of the label before a sparkline.
+/// Width of the label before a sparkline, in columns.
 const LABEL_WIDTH: u16 = 15;
-/// Least width of a sparkline.
+/// Minimum width of a sparkline, in columns.
 const MIN_SPARKLINE_WIDTH: u16 = 4;
-/// Greatest height of a bar, in steps.
+/// Resolution of the height of a bar.
 const BAR_STEPS: f64 = 1000.0;
 
 /// A quantity over time.
 struct Chart {
     label: String,
-    /// Takes the quantity from a sample.
+    /// Returns the quantity in a sample.
     value: fn(&Sample) -> f64,
-    /// The value of a full bar.
+    /// The value of a bar of full height.
     max: f64,
 }
 
@@ -91,20 +91,20 @@
     frame.render_widget(sparkline, chart_area);
 }
 
-/// Repeats a bar in the columns after it, as long as a sample holds; the rest stays absent.
+/// Repeats a bar in the columns after it for [`SAMPLE_HOLD_US`]. Later columns without a sample are absent.
 fn hold_values(heights: &[Option<u64>], step_us: i64) -> Vec<SparklineBar> {
     let hold_columns = usize::try_from(SAMPLE_HOLD_US / step_us).unwrap_or(0);
-    let mut held_since = 0;
-    let mut held_height = None;
+    let mut last_column = 0;
+    let mut last_height = None;
     let mut bars = Vec::with_capacity(heights.len());
     for (column, height) in heights.iter().enumerate() {
         if height.is_some() {
-            held_since = column;
-            held_height = *height;
-        } else if column - held_since > hold_columns {
-            held_height = None;
+            last_column = column;
+            last_height = *height;
+        } else if column - last_column > hold_columns {
+            last_height = None;
         }
-        bars.push(SparklineBar::from(held_height));
+        bars.push(SparklineBar::from(last_height));
     }
     bars
 }
--- a/crates/console/src/draw/events.rs
+++ b/crates/console/src/draw/events.rs
@@ -11,12 +11,12 @@
 use crate::app::App;
 use crate::view::{Row, RowKind};
 
-/// Least width at which times have fractions of a second.
+/// Minimum width at which times have fractions of a second, in columns.
 const MIN_FRACTION_WIDTH: u16 = 60;
-/// Length of a time without fractions of a second.
+/// Length of a time without fractions of a second, in bytes.
 const SHORT_TIME_LENGTH: usize = 8;
 
-/// Draws the events, the newest at the foot unless scrolled.
+/// Draws the events, with the newest at the bottom unless scrolled.
 pub(super) fn draw_events(frame: &mut Frame, app: &App, area: Rect) {
     let rows = &app.view.rows;
     let span = text::duration(app.span_us());
@@ -29,7 +29,7 @@
     let shown = rows.get(start..end).unwrap_or_default();
     let mut lines: Vec<Line> = shown.iter().map(|row| row_line(row, is_narrow)).collect();
     if lines.is_empty() {
-        lines.push(Line::styled("nothing in this time", dimmed()));
+        lines.push(Line::styled("no events in this interval", dimmed()));
     }
     frame.render_widget(Paragraph::new(lines), inner);
 }
--- a/crates/console/src/draw/fleet.rs
+++ b/crates/console/src/draw/fleet.rs
@@ -17,14 +17,14 @@
 use crate::app::App;
 use crate::view::SupervisorView;
 
-/// Columns of a zone's line that are not for its servers.
+/// Columns of a zone's line that are not available for its servers.
 const ZONE_LABEL_WIDTH: usize = 14;
-/// Longest name of a server, in characters.
+/// Maximum length of the name of a server, in characters; longer ones are truncated.
 const MAX_NAME_LENGTH: usize = 12;
-/// Lines before the hatching of a gap.
+/// Lines of the first hatching, the reason and the start of a gap.
 const GAP_LINES: u16 = 3;
 
-/// Draws the fleet as each supervisor sees it.
+/// Draws the state of the fleet according to each supervisor.
 pub(super) fn draw_fleet(frame: &mut Frame, app: &App, area: Rect) {
     let columns = Columns::new(app, area);
     let last = columns.areas.len().saturating_sub(1);
@@ -51,10 +51,10 @@
     }
 }
 
-/// The reason and the start of a gap, hatched.
+/// Returns the reason and the start of a gap between lines of hatching.
 fn gap_lines(gap: &Gap, area: Rect) -> Vec<Line<'static>> {
     let reason = match gap.reason {
-        GapReason::Stopped => "stopped as asked".to_string(),
+        GapReason::Stopped => "shut down on request".to_string(),
         reason => format!("not known: {}", reason.as_str()),
     };
     let start = if gap.from_us == i64::MIN {
@@ -73,47 +73,47 @@
 }
 
 fn fleet_lines(app: &App, supervisor: &SupervisorView, area: Rect) -> Vec<Line<'static>> {
-    let picture = &supervisor.picture;
-    let mut lines = notices(picture);
+    let fleet_state = &supervisor.fleet_state;
+    let mut lines = notices(fleet_state);
     lines.extend(service_level_lines(app, supervisor, area.width));
-    lines.push(admitted_line(picture));
-    lines.extend(zone_lines(picture, area.width));
+    lines.push(admitted_line(fleet_state));
+    lines.extend(zone_lines(fleet_state, area.width));
     let free_lines = usize::from(area.height).saturating_sub(lines.len() + 1);
-    if free_lines > 0 && !picture.servers.is_empty() {
+    if free_lines > 0 && !fleet_state.servers.is_empty() {
         lines.push(Line::styled(
             "server         state      score err lat weight warm",
             dimmed(),
         ));
-        lines.extend(worst_server_lines(picture, free_lines));
+        lines.extend(worst_server_lines(fleet_state, free_lines));
     }
     lines
 }
 
-fn notices(picture: &FleetState) -> Vec<Line<'static>> {
+fn notices(fleet_state: &FleetState) -> Vec<Line<'static>> {
     let mut lines = Vec::new();
-    if picture.is_stopped {
-        lines.push(Line::styled("stopped as asked", colored(Color::Yellow)));
+    if fleet_state.is_stopped {
+        lines.push(Line::styled("shut down on request", colored(Color::Yellow)));
     }
-    if picture.is_discovery_unavailable {
-        let notice = "discovery is silent: the list may be old";
+    if fleet_state.is_discovery_unavailable {
+        let notice = "discovery unavailable: list may be stale";
         lines.push(Line::styled(notice, colored(Color::Red)));
     }
-    if picture.are_warming_servers_withheld {
-        let notice = "cold servers are held out of tables";
+    if fleet_state.are_warming_servers_withheld {
+        let notice = "cold servers are withheld from tables";
         lines.push(Line::styled(notice, colored(Color::Yellow)));
     }
     lines
 }
 
-/// Streams, and the admitted share of each class.
-fn admitted_line(picture: &FleetState) -> Line<'static> {
-    let Some(gauge) = &picture.gauge else {
+/// Returns the number of streams and the admitted share of each class.
+fn admitted_line(fleet_state: &FleetState) -> Line<'static> {
+    let Some(gauge) = &fleet_state.gauge else {
         return Line::styled("no figures yet", dimmed());
     };
     let mut spans = vec![Span::raw(format!("{} streams  ", gauge.streams))];
     for (index, level) in gauge.levels.iter().enumerate() {
-        let known = picture.classes.get(index).cloned();
-        let class = known.unwrap_or_else(|| format!("class {index}"));
+        let name = fleet_state.classes.get(index).cloned();
+        let class = name.unwrap_or_else(|| format!("class {index}"));
         let style = if *level < 1.0 {
             colored(Color::Yellow)
         } else {
@@ -125,28 +125,28 @@
     Line::from(spans)
 }
 
-fn zone_lines(picture: &FleetState, width: u16) -> Vec<Line<'static>> {
-    let servers = picture.servers.values();
+fn zone_lines(fleet_state: &FleetState, width: u16) -> Vec<Line<'static>> {
+    let servers = fleet_state.servers.values();
     let mut zones: Vec<&str> = servers.map(|server| server.zone.as_str()).collect();
     zones.sort_unstable();
     zones.dedup();
     let max_servers = usize::from(width).saturating_sub(ZONE_LABEL_WIDTH).max(1);
     zones
         .into_iter()
-        .map(|zone| zone_line(picture, zone, max_servers))
+        .map(|zone| zone_line(fleet_state, zone, max_servers))
         .collect()
 }
 
-/// A zone with a symbol for each server, and the number of those beyond `max_servers`.
-fn zone_line(picture: &FleetState, zone: &str, max_servers: usize) -> Line<'static> {
-    let (label, style) = if picture.partitioned_zones.contains(zone) {
+/// Returns the label of a zone, a symbol for each server, and the number of servers beyond `max_servers`.
+fn zone_line(fleet_state: &FleetState, zone: &str, max_servers: usize) -> Line<'static> {
+    let (label, style) = if fleet_state.partitioned_zones.contains(zone) {
         (format!("zone {zone} CUT"), colored(Color::Red))
     } else {
         (format!("zone {zone}"), Style::new())
     };
     let mut spans = vec![Span::styled(format!("{label:<12} "), style)];
     let mut count = 0;
-    for server in picture
+    for server in fleet_state
         .servers
         .values()
         .filter(|server| server.zone == zone)
@@ -175,9 +175,9 @@
     Span::styled(symbol, colored(color))
 }
 
-/// The servers in the worst state, at most `max_lines`.
-fn worst_server_lines(picture: &FleetState, max_lines: usize) -> Vec<Line<'static>> {
-    let mut servers: Vec<(&String, &ServerState)> = picture.servers.iter().collect();
+/// Returns a line for each of the `max_lines` servers in the worst state.
+fn worst_server_lines(fleet_state: &FleetState, max_lines: usize) -> Vec<Line<'static>> {
+    let mut servers: Vec<(&String, &ServerState)> = fleet_state.servers.iter().collect();
     servers.sort_by(|(name, server), (other_name, other)| {
         compare_state(server, other).then(name.cmp(other_name))
     });
@@ -198,7 +198,7 @@
 fn server_line(name: &str, server: &ServerState) -> Line<'static> {
     let printable = name.chars().filter(|character| !character.is_control());
     let name: String = printable.take(MAX_NAME_LENGTH).collect();
-    let state = state_word(server);
+    let state = state_label(server);
     let score = server.score;
     let errors = server.errors;
     let latency = server.latency;
@@ -211,10 +211,10 @@
     ])
 }
 
-fn state_word(server: &ServerState) -> &'static str {
+fn state_label(server: &ServerState) -> &'static str {
     match (server.lifecycle, server.state) {
         (Life::InService, State::Full) if server.warmth < 1.0 => "cold",
         (Life::InService, state) => text::state(state),
-        (life, _) => text::lifecycle(life),
+        (lifecycle, _) => text::lifecycle(lifecycle),
     }
 }
--- a/crates/console/src/draw/help.rs
+++ b/crates/console/src/draw/help.rs
@@ -1,33 +1,33 @@
-//! The help over the panels.
+//! The help, drawn over the panels.
 
 use ratatui::layout::Rect;
 use ratatui::text::Line;
 use ratatui::widgets::{Block, Clear, Paragraph};
 use ratatui::Frame;
 
-/// Greatest width of the help.
+/// Maximum width of the help, in columns.
 const MAX_WIDTH: u16 = 78;
-/// Lines of the upper and the lower border.
+/// Lines that the upper and the lower border occupy.
 const BORDER_LINES: u16 = 2;
 
 const HELP: [&str; 14] = [
-    "space     stop at this moment, or follow live again",
+    "space     pause at this moment, or follow live again",
     "left      back by a twentieth of the span; with shift ten times as far",
-    "right     forth, likewise",
+    "right     forward, likewise",
     "home      the first record",
     "end, l    live",
-    "n, p      to the next, to the previous trouble or gap",
+    "n, p      to the next, to the previous fault or gap",
     "+, -      a shorter, a longer span",
     "up, down  through the events; page up and page down by ten",
-    "/         filter events by words; enter keeps it, escape drops it",
-    "tab       the next panel, where not all fit",
-    "q         end",
+    "/         filter events by words; enter applies it, escape clears it",
+    "tab       the next panel, if they do not all fit",
+    "q         quit",
     "",
-    "Squares: ■ full  ▼ reduced  ✕ withdrawn  ▷ draining  ❄ cold  ! tries fail",
-    "Hatched ░: not known. Nothing is shown as known in a gap.",
+    "Symbols: ■ full  ▼ reduced  ✕ withdrawn  ▷ draining  ❄ cold  ! attempts fail",
+    "Hatched ░: not known. No state is shown in a gap of the records.",
 ];
 
-/// Draws the help in the middle of an area.
+/// Draws the help at the center of an area.
 pub(super) fn draw_help(frame: &mut Frame, area: Rect) {
     let width = area.width.min(MAX_WIDTH);
     let height = area.height.min(HELP.len() as u16 + BORDER_LINES);
--- a/crates/console/src/draw/level_band.rs
+++ b/crates/console/src/draw/level_band.rs
@@ -9,16 +9,17 @@
 use crate::view::SupervisorView;
 
 const BAND_LABEL: &str = "levels  ";
-/// Marks full service in the band.
+/// Symbol for full service in the band.
 const FULL_SERVICE_LINE: &str = "─";
 
-/// The service level with its age and signals, and, if it changed within the span, a band below. Empty without levels.
+/// Returns the service level with its age and signals, and a band if the level changed within the span. Empty if no
+/// service level is recorded.
 pub(super) fn service_level_lines(
     app: &App,
     supervisor: &SupervisorView,
     width: u16,
 ) -> Vec<Line<'static>> {
-    let Some(level) = &supervisor.picture.service_level else {
+    let Some(level) = &supervisor.fleet_state.service_level else {
         return Vec::new();
     };
     let width = usize::from(width);
@@ -39,11 +40,11 @@
         Span::raw("service "),
         Span::styled(text::printable(level), style),
     ];
-    let Some(gauge) = &supervisor.picture.gauge else {
+    let Some(gauge) = &supervisor.fleet_state.gauge else {
         return Line::from(spans);
     };
     if gauge.level_since_us > 0 {
-        let now_us = supervisor.picture.learned_us;
+        let now_us = supervisor.fleet_state.learned_us;
         let age = text::duration(now_us.saturating_sub(gauge.level_since_us));
         spans.push(Span::styled(format!(" for {age}"), dimmed()));
     }
@@ -53,7 +54,7 @@
     Line::from(spans)
 }
 
-/// The signals of a gauge, cut to a length in characters.
+/// Returns the signals of a gauge, truncated to a length in characters.
 fn signals_text(gauge: &pb::Gauge, max_length: usize) -> String {
     let signals: Vec<String> = gauge.signals.iter().map(text::signal).collect();
     let all = format!("  {}", signals.join(" "));
@@ -69,19 +70,20 @@
     levels.any(|level| Some(level) != first)
 }
 
-/// Levels over the span: a line for full service, the names of other levels, and hatching where nothing is known.
+/// Returns the levels over the span: a line for full service, the names of other levels, and hatching where the level is
+/// not known.
 fn level_band(app: &App, supervisor: &SupervisorView, width: usize) -> Line<'static> {
     let band_width = width.saturating_sub(BAND_LABEL.len()).max(1);
     let mut spans = vec![Span::styled(BAND_LABEL, dimmed())];
     let cells = level_cells(app, supervisor, band_width);
-    for run in cells.chunk_by(|one, other| one == other) {
+    for run in cells.chunk_by(|level, next| level == next) {
         let level = run.first().copied().flatten();
         spans.push(level_run(level, run.len()));
     }
     Line::from(spans)
 }
 
-/// The level in each cell of the band; a sample fills the cells for which it holds.
+/// Returns the level in each cell of the band. A sample is valid for [`SAMPLE_HOLD_US`].
 fn level_cells<'a>(
     app: &App,
     supervisor: &'a SupervisorView,
--- a/crates/console/src/draw/style.rs
+++ b/crates/console/src/draw/style.rs
@@ -1,4 +1,4 @@
-//! Styles, blocks and columns that all panels share.
+//! Styles, blocks and columns used by all panels.
 
 use ratatui::layout::{Constraint, Layout, Rect};
 use ratatui::style::{Color, Style};
@@ -6,26 +6,25 @@
 
 use crate::app::App;
 
-/// What fills an area of which nothing is known.
+/// Symbol that fills areas without data.
 pub(super) const HATCH: &str = "░";
-/// The name of full service.
+/// The name of the service level without restrictions.
 pub(super) const FULL_SERVICE: &str = "full";
-/// Time that a sample is shown for, in microseconds, if no other follows: there is one a second.
+/// Maximum time for which a sample is shown if no other follows, in microseconds. Samples are recorded every second.
 pub(super) const SAMPLE_HOLD_US: i64 = 4_000_000;
-/// Least width of a supervisor's column.
+/// Minimum width of a supervisor's column, in terminal columns.
 const MIN_COLUMN_WIDTH: u16 = 38;
 
-/// The style of a color.
 pub(super) fn colored(color: Color) -> Style {
     Style::new().fg(color)
 }
 
-/// The style of labels and of what matters less.
+/// Returns the style of labels and secondary text.
 pub(super) fn dimmed() -> Style {
     colored(Color::DarkGray)
 }
 
-/// A block with a title in its upper border.
+/// Returns a block with a title in its upper border.
 pub(super) fn titled_block(title: String) -> Block<'static> {
     Block::new()
         .borders(Borders::TOP)
@@ -33,16 +32,16 @@
         .title(title)
 }
 
-/// Columns of the supervisors.
+/// The layout of the supervisors side by side.
 pub(super) struct Columns {
-    /// The area of each supervisor that is shown.
+    /// The areas of the supervisors that are shown, in order.
     pub(super) areas: Vec<Rect>,
-    /// The number of supervisors for which there is no column.
+    /// The number of supervisors that do not fit.
     pub(super) hidden: usize,
 }
 
 impl Columns {
-    /// As many columns as fit into an area.
+    /// Creates a column for each supervisor, as far as they fit into an area.
     pub(super) fn new(app: &App, area: Rect) -> Self {
         let supervisors = app.view.supervisors.len().max(1);
         let fitting = usize::from((area.width / MIN_COLUMN_WIDTH).max(1));
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,6 +1,6 @@
 //! A terminal console over records: the fleet by zone and server, levels, charts and events of several supervisors side
-//! by side, now or at any moment of the past. It only reads records, and shows what it last read when a directory goes
-//! away. See `docs/console.md` for its keys.
+//! by side, at present or at any time in the past. It only reads records. If a directory is removed, it shows the records
+//! that it has read. See `docs/console.md` for its keys.
 
 mod app;
 mod draw;
--- a/crates/console/src/terminal.rs
+++ b/crates/console/src/terminal.rs
@@ -1,4 +1,4 @@
-//! The console on a terminal, and single frames as text.
+//! Runs the console on a terminal and prints single frames as text.
 
 use std::io::{self, IsTerminal as _, Write};
 use std::path::PathBuf;
@@ -11,13 +11,13 @@
 
 use crate::{draw, App, ConsoleError, KeyOutcome};
 
-/// Time between two reads of the records while following them.
+/// Interval at which the records are read while following them.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for a key.
+/// Maximum time to wait for a key.
 const KEY_TIMEOUT: Duration = Duration::from_millis(200);
-/// Width in columns of a printed frame, if the output has no size of its own.
+/// Width of a printed frame if the output is not a terminal, in columns.
 const DEFAULT_WIDTH: u16 = 110;
-/// Height in lines of a printed frame, if the output has no size of its own.
+/// Height of a printed frame if the output is not a terminal, in lines.
 const DEFAULT_HEIGHT: u16 = 40;
 
 /// Follows records on the terminal until the user quits. Without `at_us`, in Unix microseconds, it shows the present.
@@ -55,7 +55,7 @@
     }
 }
 
-/// The next key that is pressed, if there is one before the timeout.
+/// Returns the next key that is pressed, if any before the timeout.
 fn next_key() -> io::Result<Option<KeyEvent>> {
     if !event::poll(KEY_TIMEOUT)? {
         return Ok(None);
@@ -66,7 +66,7 @@
     }
 }
 
-/// Unix time in microseconds.
+/// Returns the current Unix time in microseconds.
 fn now_us() -> i64 {
     let unix_time = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-/// One frame as lines of text, without blanks at their ends.
+/// Returns one frame as lines of text, without trailing blanks.
 pub fn frame_lines(app: &App, width: u16, height: u16) -> Vec<String> {
     let Ok(mut terminal) = Terminal::new(TestBackend::new(width, height)) else {
         return Vec::new();
--- a/crates/console/src/view.rs
+++ b/crates/console/src/view.rs
@@ -1,5 +1,5 @@
-//! What one frame shows, read from the records: the state of each supervisor at the cursor, its samples and the events
-//! before.
+//! The data of one frame, read from the records: the state of each supervisor at the cursor, and the samples and events
+//! before it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 use chutegrade_records::timeline::{gauge, is_discrete_event};
 use chutegrade_records::{kind, pb, text, Event, Gap, Timeline, Window};
 
-/// Most rows of events, of which the newest are kept.
+/// Maximum number of rows of events; the newest are shown.
 const MAX_ROWS: usize = 2000;
-/// Least delay between an event and its record that is shown, in microseconds.
+/// Minimum delay between an event and its record that is shown, in microseconds.
 const MIN_SHOWN_DELAY_US: i64 = 1_000_000;
 
-/// Measurements at one time.
+/// Metrics of a supervisor at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
-    /// When, in Unix microseconds.
+    /// The time, in Unix microseconds.
     pub at_us: i64,
-    /// Lines waiting in the channel.
+    /// Number of lines queued in the channel.
     pub waiting: f64,
-    /// Share of requests rejected.
+    /// Share of requests that were rejected, from 0 to 1.
     pub refused: f64,
-    /// Lowest admitted share of any class.
+    /// Lowest admitted share of any class, from 0 to 1.
     pub admitted: f64,
-    /// The service level, if any is configured.
+    /// The name of the service level, if any is configured.
     pub service_level: Option<String>,
 }
 
@@ -42,40 +42,40 @@
     }
 }
 
-/// One supervisor at the cursor.
+/// The data of one supervisor.
 #[derive(Clone, Debug, Default)]
 pub struct SupervisorView {
-    /// The state that its records give.
-    pub picture: FleetState,
-    /// The number of its start.
+    /// The state of the fleet at the cursor according to its records.
+    pub fleet_state: FleetState,
+    /// The incarnation of its last record before the cursor; 0 if there is none.
     pub incarnation: u64,
     /// Its samples in the window, by time.
     pub samples: Vec<Sample>,
-    /// The gap in which the cursor is, if it is in one.
+    /// The gap that contains the cursor, if any.
     pub gap: Option<Gap>,
 }
 
 /// One row of the list of events.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// When it happened, in Unix microseconds.
+    /// The time of the event or the start of the gap, in Unix microseconds.
     pub at_us: i64,
     /// The supervisor that recorded it.
     pub supervisor: Arc<str>,
-    /// What happened.
+    /// The description of the event or gap, without control characters.
     pub text: String,
-    /// What the row is about.
+    /// Determines the color of the row and whether it counts as a fault.
     pub kind: RowKind,
 }
 
-/// What a row is about.
+/// The kind of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RowKind {
-    /// An ordinary event.
+    /// An event that is no fault.
     Event,
-    /// A fault.
+    /// An event that reports a fault.
     Fault,
-    /// An interval of which records are missing.
+    /// An interval with missing or unreliable records.
     Gap,
 }
 
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Whether the time, the supervisor's name or the text contain each of the words, which are in lower case.
+    /// Returns whether the time, the supervisor's name or the text contain each of the words, which must be in lower case.
     fn contains_all(&self, words: &[String]) -> bool {
         let time = text::time_of_day(self.at_us);
         let searched = format!("{time} {} {}", self.supervisor, self.text).to_lowercase();
@@ -116,21 +116,21 @@
     }
 }
 
-/// All that a frame shows.
+/// The data of a frame.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The supervisors, by name.
     pub supervisors: BTreeMap<Arc<str>, SupervisorView>,
-    /// Events and gaps before the cursor that pass the filter, by time.
+    /// Events and gaps before the cursor that match the filter, by time.
     pub rows: Vec<Row>,
 }
 
 impl View {
-    /// Reads the state at the end of a window, and the samples and events in it. The filter is a list of words that shown
-    /// events contain.
+    /// Reads the state at the end of a window, and the samples and events in it. The filter is a list of words that a row
+    /// must contain.
     pub fn read(timeline: &Timeline, window: Window, filter: &str) -> Self {
         let cursor_us = window.to_us;
-        // The state at the cursor follows from records before the window.
+        // The state at the cursor may depend on records before the window.
         let from_us = window.from_us.min(cursor_us.saturating_sub(LOOKBACK_US));
         let (events, gaps) = timeline.read(&Query::between(from_us, cursor_us));
         let mut view = View::default();
@@ -151,7 +151,7 @@
     fn add_event(&mut self, event: &Event, window: Window) {
         let name = Arc::clone(&event.supervisor);
         let supervisor = self.supervisors.entry(name).or_default();
-        supervisor.picture.apply(&event.record);
+        supervisor.fleet_state.apply(&event.record);
         supervisor.incarnation = event.incarnation;
         if event.at_us < window.from_us {
             return;
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Adds a row for a gap. Of a supervisor with the cursor in a gap, no state is shown.
+    /// Adds a row for a gap. The state of a supervisor is not shown if the cursor is in its gap.
     fn add_gap(&mut self, gap: Gap, cursor_us: i64) {
         self.rows.push(Row::of_gap(&gap));
         let Some(supervisor) = self.supervisors.get_mut(&gap.supervisor) else {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Filters and sorts the rows, and keeps the newest.
+    /// Filters and sorts the rows, and removes all but the newest.
     fn finish_rows(&mut self, filter: &str) {
         let words: Vec<String> = filter.split_whitespace().map(str::to_lowercase).collect();
         self.rows.retain(|row| row.contains_all(&words));
--- a/crates/console/tests/frames.rs
+++ b/crates/console/tests/frames.rs
@@ -1,5 +1,4 @@
-//! Frames of the console over directories of records, at all sizes and after all keys: what is known is shown, gaps are
-//! hatched.
+//! Frames of the console over directories of records, at several sizes and after each key.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -25,12 +24,12 @@
     }
 }
 
-/// The records of a minute: a server is withdrawn from the 20th to the 40th second, a zone cut from the 30th on.
-fn minute(from_s: i64) -> Vec<Record> {
+/// Returns the records of a minute: a server is withdrawn from second 20 to 40, a zone is partitioned from second 30 on.
+fn minute_of_records(from_s: i64) -> Vec<Record> {
     let mut kinds = vec![(0, started())];
     for second in 0..60 {
         kinds.push((second, gauge(second)));
-        kinds.extend(change(second).map(|kind| (second, kind)));
+        kinds.extend(state_change(second).map(|kind| (second, kind)));
         if second % 10 == 0 {
             kinds.push((second, fleet(second)));
         }
@@ -68,8 +67,8 @@
     })
 }
 
-/// What changes in a second of the minute.
-fn change(second: i64) -> Option<Kind> {
+/// Returns the change of state in a second of the minute, if any.
+fn state_change(second: i64) -> Option<Kind> {
     match second {
         20 => Some(state_changed(pb::State::Withdrawn)),
         30 => Some(Kind::ZoneCut(pb::ZoneCut {
@@ -109,7 +108,7 @@
     })
 }
 
-fn write(directory: &Path, name: &str, records: &[Record]) {
+fn write_records(directory: &Path, name: &str, records: &[Record]) {
     let mut frames = Vec::new();
     records
         .iter()
@@ -118,17 +117,17 @@
     store.append(&frames, 1, 0).expect("an append");
 }
 
-/// Two supervisors; the first crashed after its minute and started again 30 s later.
+/// Writes records of two supervisors. The first crashes after a minute and restarts 30 s later.
 fn records() -> (tempfile::TempDir, Vec<PathBuf>) {
     let directory = tempfile::tempdir().expect("a directory");
-    write(&directory.path().join("n0"), "n0", &minute(1000));
-    write(&directory.path().join("n0"), "n0", &minute(1090));
-    write(&directory.path().join("n1"), "n1", &minute(1000));
+    write_records(&directory.path().join("n0"), "n0", &minute_of_records(1000));
+    write_records(&directory.path().join("n0"), "n0", &minute_of_records(1090));
+    write_records(&directory.path().join("n1"), "n1", &minute_of_records(1000));
     let directories = vec![directory.path().to_path_buf()];
     (directory, directories)
 }
 
-fn at(directories: &[PathBuf], second: i64) -> App {
+fn app_at(directories: &[PathBuf], second: i64) -> App {
     let mut app = App::open(directories, Some(second * SECOND)).expect("records");
     app.refresh(0);
     app
@@ -145,10 +144,10 @@
 }
 
 #[test]
-fn the_fleet_is_shown_as_of_the_cursor() {
+fn the_fleet_is_shown_at_the_cursor() {
     let (_directory, directories) = records();
-    let shown = text(&at(&directories, 1035), 160, 40);
-    for wanted in [
+    let shown = text(&app_at(&directories, 1035), 160, 40);
+    for expected in [
         "PAST",
         "n0 · start 1",
         "n1 · start 1",
@@ -160,26 +159,26 @@
         "s-b1",
         "withdrawn",
     ] {
-        assert!(shown.contains(wanted), "{wanted}\n{shown}");
+        assert!(shown.contains(expected), "{expected}\n{shown}");
     }
     assert!(
         shown.contains("s-b1 withdrawn, score"),
         "the event\n{shown}"
     );
-    let before = text(&at(&directories, 1015), 160, 40);
+    let before = text(&app_at(&directories, 1015), 160, 40);
     assert!(!before.contains('✕') && !before.contains("CUT"), "{before}");
 }
 
 #[test]
 fn a_gap_is_hatched_and_listed() {
     let (_directory, directories) = records();
-    let within = text(&at(&directories, 1080), 160, 40);
+    let within = text(&app_at(&directories, 1080), 160, 40);
     assert!(
         within.contains("not known: crash") && within.contains('░'),
         "{within}"
     );
     assert!(within.contains("--- crash for"), "{within}");
-    let after = text(&at(&directories, 1120), 160, 40);
+    let after = text(&app_at(&directories, 1120), 160, 40);
     assert!(
         after.contains("n0 · start 2") && !after.contains("not known: crash"),
         "{after}"
@@ -192,7 +191,7 @@
 fn all_sizes_and_keys_draw_a_frame() {
     let (_directory, directories) = records();
     for (width, height) in [(1, 1), (10, 3), (40, 12), (80, 24), (84, 26), (300, 90)] {
-        let mut app = at(&directories, 1045);
+        let mut app = app_at(&directories, 1045);
         let keys = [
             KeyCode::Tab,
             KeyCode::Up,
@@ -222,7 +221,7 @@
             );
         }
     }
-    let small = text(&at(&directories, 1035), 40, 12);
+    let small = text(&app_at(&directories, 1035), 40, 12);
     assert!(
         small.contains("zone b CUT") && small.contains("? help"),
         "{small}"
@@ -232,7 +231,7 @@
 #[test]
 fn keys_move_the_cursor_and_filter_events() {
     let (_directory, directories) = records();
-    let mut app = at(&directories, 1010);
+    let mut app = app_at(&directories, 1010);
     press(&mut app, KeyCode::Char('n'));
     assert_eq!(app.cursor, Some(1020 * SECOND), "the first fault");
     press(&mut app, KeyCode::Char('n'));
@@ -247,7 +246,7 @@
     );
     press(&mut app, KeyCode::Home);
     assert_eq!(app.cursor, Some(1000 * SECOND));
-    app = at(&directories, 1055);
+    app = app_at(&directories, 1055);
     let all = app.view.rows.len();
     press(&mut app, KeyCode::Char('/'));
     "partitioned n1"
@@ -263,13 +262,13 @@
     assert_eq!(press(&mut app, KeyCode::Char('q')), KeyOutcome::Quit);
 }
 
-/// A console that stays open while records are trimmed or moved goes on.
+/// Records may be removed or moved while the console is open: it must show what it has read and not fail.
 #[test]
-fn a_growing_or_removed_directory_is_followed() {
+fn new_records_are_shown_and_a_removed_directory_is_tolerated() {
     let (directory, directories) = records();
-    let mut app = at(&directories, 1200);
+    let mut app = app_at(&directories, 1200);
     let before = app.view.rows.len();
-    write(&directory.path().join("n1"), "n1", &minute(1120));
+    write_records(&directory.path().join("n1"), "n1", &minute_of_records(1120));
     app.refresh(0);
     assert!(app.view.rows.len() > before, "more rows");
     fs::remove_dir_all(directory.path().join("n0")).expect("removed");
@@ -286,12 +285,12 @@
         ..pb::LifeChanged::default()
     };
     let record = record(1, 1, Kind::LifeChanged(life));
-    write(directory.path(), "n0", &[record]);
-    let app = at(&[directory.path().to_path_buf()], 1);
+    write_records(directory.path(), "n0", &[record]);
+    let app = app_at(&[directory.path().to_path_buf()], 1);
     assert!(!text(&app, 120, 40).contains('\u{1b}'));
 }
 
-/// A service level is shown with name, age and signals, and as a band once it has changed.
+/// The service level is shown with its name, age and signals, and as a band if it changed within the span.
 #[test]
 fn service_levels_are_shown_by_name() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -317,9 +316,9 @@
     };
     let record = |second: i64| record(second as u64 + 1, 1000 + second, gauge(second));
     let all: Vec<Record> = (0..60).map(record).collect();
-    write(&directory.path().join("n0"), "n0", &all);
+    write_records(&directory.path().join("n0"), "n0", &all);
     let directories = vec![directory.path().to_path_buf()];
-    let shown = text(&at(&directories, 1040), 160, 40);
+    let shown = text(&app_at(&directories, 1040), 160, 40);
     assert!(
         shown.contains("service fewer reads for 20.0 s  SATURATION 0.42 2.5 s ago"),
         "{shown}"
@@ -332,9 +331,10 @@
         band.contains('░') && band.contains('─') && band.contains("fewer"),
         "{band}"
     );
-    let calm = text(&at(&directories, 1015), 160, 40);
+    let unchanged = text(&app_at(&directories, 1015), 160, 40);
     assert!(
-        calm.contains("service full") && !calm.lines().any(|line| line.starts_with("levels ")),
-        "{calm}"
+        unchanged.contains("service full")
+            && !unchanged.lines().any(|line| line.starts_with("levels ")),
+        "{unchanged}"
     );
 }
--- a/crates/supervisor/tests/commands/usage.rs
+++ b/crates/supervisor/tests/commands/usage.rs
@@ -36,7 +36,10 @@
             ],
             "--from is after --to",
         ),
-        (vec!["console", records], "this is no terminal: give --once"),
+        (
+            vec!["console", records],
+            "standard input or output is not a terminal: use --once",
+        ),
         (
             vec!["report", records, "--out", "/nowhere/at/all.html"],
             "/nowhere/at/all.html cannot be written",
