--- a/crates/report/benches/day.rs
+++ b/crates/report/benches/day.rs
@@ -1,4 +1,4 @@
-//! The page of a day with a million records, most of them events.
+//! Benchmark of the report for a day with a million records, most of them events.
 #![allow(missing_docs)] // `criterion_group` generates a public function.
 
 use std::path::Path;
@@ -10,14 +10,14 @@
 use criterion::{criterion_group, Criterion};
 use prost::Message;
 
-/// Records of the day.
+/// Number of records in the day.
 const RECORDS: i64 = 1_000_000;
-/// Records that are written at once.
+/// Number of records that are appended at once.
 const BATCH: i64 = 2000;
-/// A day in microseconds.
+/// Length of a day, in microseconds.
 const DAY_US: i64 = 86_400_000_000;
 
-/// A gauge, a state, or one of the events, in turn.
+/// Returns the kind of a record: a gauge, a change of state, a new stream or a change of a level, by its number.
 fn kind(number: i64) -> Kind {
     let server = format!("s-{:03}", number % 325);
     match number % 12 {
@@ -83,7 +83,7 @@
 
 criterion_group!(benches, day);
 
-/// Measures under `cargo bench` only: `cargo test` compiles this target, and writing a day of records takes too long there.
+/// Runs the benchmark under `cargo bench` only: writing a day of records takes too long for `cargo test`.
 fn main() {
     if std::env::args().any(|argument| argument == "--bench") {
         benches();
--- a/crates/report/src/chart/axis.rs
+++ b/crates/report/src/chart/axis.rs
@@ -5,34 +5,33 @@
 
 use super::{coordinate, LABELS_WIDTH, WIDTH};
 
-/// Most ticks, apart from those at the ends.
+/// Maximum number of ticks, apart from those at the ends.
 pub(super) const MAX_TICKS: i64 = 9;
-/// Distances between ticks, in seconds.
+/// Possible distances between ticks, in seconds.
 const TICK_STEPS_S: [i64; 17] = [
     1, 2, 5, 10, 15, 30, 60, 120, 300, 600, 900, 1800, 3600, 7200, 10_800, 21_600, 86_400,
 ];
 /// Microseconds in a second.
 const US_PER_SECOND: i64 = 1_000_000;
-/// Distance of the times below the chart.
+/// Distance of the labels of ticks from the lower edge of the chart.
 const TIME_OFFSET: f64 = 14.0;
-/// Length of a time without fractions of a second.
+/// Length of a time without fractions of a second, in bytes.
 const SHORT_TIME_LENGTH: usize = 8;
-/// Least width of hatching, so that a short gap is visible.
+/// Minimum width of hatching, so that a short gap is visible.
 const MIN_HATCH_WIDTH: f64 = 2.0;
 
-/// Maps times to coordinates.
+/// Maps times to horizontal coordinates.
 #[derive(Clone, Copy)]
 pub(crate) struct Axis {
     window: Window,
 }
 
 impl Axis {
-    /// The axis of a window.
     pub(crate) fn new(window: Window) -> Self {
         Axis { window }
     }
 
-    /// The horizontal coordinate of a time.
+    /// Returns the horizontal coordinate of a time, clamped to the window.
     pub(super) fn x(self, at_us: i64) -> f64 {
         let Window { from_us, to_us } = self.window;
         let elapsed_us = at_us.clamp(from_us, to_us) - from_us;
@@ -41,7 +40,7 @@
         LABELS_WIDTH + share * (WIDTH - LABELS_WIDTH)
     }
 
-    /// Times of the ticks, in Unix microseconds.
+    /// Returns the times of the ticks, in Unix microseconds.
     pub(super) fn ticks(self) -> Vec<i64> {
         let Window { from_us, to_us } = self.window;
         let length_s = (to_us - from_us) / US_PER_SECOND;
@@ -57,7 +56,7 @@
             .collect()
     }
 
-    /// Draws the ticks as lines between two heights, with times below.
+    /// Draws the ticks as lines between two vertical coordinates, with times below.
     pub(super) fn draw_ticks(self, top: f64, bottom: f64) -> Markup {
         html! {
             @for tick_us in self.ticks() {
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Hatches a gap.
+    /// Draws a gap as a hatched rectangle.
     pub(super) fn draw_gap(self, gap: &Gap, top: f64, height: f64) -> Markup {
         let from = self.x(gap.from_us);
         let width = (self.x(gap.to_us) - from).max(MIN_HATCH_WIDTH);
--- a/crates/report/src/chart/levels.rs
+++ b/crates/report/src/chart/levels.rs
@@ -1,4 +1,4 @@
-//! The chart of service levels: a band for each supervisor.
+//! The chart of service levels, with a band for each supervisor.
 
 use chutegrade_records::{text, Gap};
 use maud::{html, Markup};
@@ -9,18 +9,16 @@
 };
 use crate::samples::LevelSpan;
 
-/// The name of full service.
+/// The name of the service level without restrictions.
 const FULL_SERVICE: &str = "full";
 /// Height of the line for full service.
 const FULL_SERVICE_HEIGHT: f64 = 2.0;
-/// Width of a letter, for names that must fit.
-const LETTER_WIDTH: f64 = 6.0;
+/// Estimated width of a character, to determine whether a name fits.
+const CHARACTER_WIDTH: f64 = 6.0;
 
-/// The service levels of a supervisor.
+/// The band of a supervisor.
 pub(crate) struct LevelRow<'a> {
-    /// The name of the supervisor.
     pub(crate) supervisor: &'a str,
-    /// Its service levels over time.
     pub(crate) spans: Vec<LevelSpan>,
 }
 
@@ -62,7 +60,7 @@
     } else {
         ("state reduced", top + 2.0, ROW_HEIGHT - 4.0)
     };
-    let name_fits = width > LETTER_WIDTH * span.level.chars().count() as f64;
+    let name_fits = width > CHARACTER_WIDTH * span.level.chars().count() as f64;
     html! {
         rect class=(class) x=(coordinate(left)) y=(coordinate(y))
             width=(coordinate(width.max(MIN_SPAN_WIDTH))) height=(coordinate(height)) {
--- a/crates/report/src/chart/lines.rs
+++ b/crates/report/src/chart/lines.rs
@@ -1,4 +1,4 @@
-//! The chart of lines: a value over time for each supervisor.
+//! Line charts of a value over time for each supervisor.
 
 use chutegrade_records::{text, Gap};
 use maud::{html, Markup};
@@ -9,40 +9,31 @@
 };
 use crate::samples::{Point, Run};
 
-/// Height of the lines.
+/// Height of the area for lines.
 const HEIGHT: f64 = 110.0;
-/// Lower edge of the lines.
+/// Vertical coordinate of the lower edge of the area for lines.
 const BOTTOM: f64 = TITLE_HEIGHT + HEIGHT;
 /// Height of a supervisor's strip of gaps below the lines.
 const STRIP_HEIGHT: f64 = 7.0;
-/// Number of colours.
+/// Number of line colours in the style sheet: classes `l0` to `l5`.
 const COLORS: usize = 6;
-/// Shares of the scale that have a grid line.
+/// Positions of the grid lines, as shares of the scale.
 const GRID_SHARES: [f64; 3] = [0.0, 0.5, 1.0];
 
-/// One line.
 pub(crate) struct Line {
-    /// What it shows.
     pub(crate) label: String,
-    /// The name of the supervisor.
     pub(crate) supervisor: String,
-    /// Its points.
     pub(crate) runs: Vec<Run>,
 }
 
-/// A chart of lines.
 pub(crate) struct LineChart<'a> {
-    /// The axis.
     pub(crate) axis: Axis,
-    /// The title.
     pub(crate) title: &'a str,
-    /// The lines.
     pub(crate) lines: &'a [Line],
-    /// Names of the supervisors.
     pub(crate) supervisors: &'a [&'a str],
-    /// The upper end of the scale; if there is none, it follows from the points.
+    /// The upper end of the scale; `None` derives it from the points.
     pub(crate) max: Option<f64>,
-    /// Gaps of all supervisors.
+    /// The gaps of all supervisors.
     pub(crate) gaps: &'a [Gap],
 }
 
@@ -68,7 +59,7 @@
         }
     }
 
-    /// The upper edge of a supervisor's strip.
+    /// Returns the vertical coordinate of the upper edge of a supervisor's strip.
     fn strip_top(&self, index: usize) -> f64 {
         BOTTOM + index as f64 * STRIP_HEIGHT
     }
@@ -85,7 +76,7 @@
     fn draw_line(&self, index: usize, line: &Line, max: f64) -> Markup {
         html! {
             @for run in &line.runs {
-                polyline class=(format!("line {}", color(index))) points=(self.points(run, max)) {
+                polyline class=(format!("line {}", color_class(index))) points=(self.points(run, max)) {
                     title { (line.label) " · " (line.supervisor) }
                 }
             }
@@ -102,7 +93,7 @@
         points.join(" ")
     }
 
-    /// Hatches a supervisor's gaps, in the chart and in its strip.
+    /// Draws a supervisor's gaps, in the chart and in its strip.
     fn draw_gaps(&self, supervisor: &str, top: f64) -> Markup {
         let strip_height = STRIP_HEIGHT - 2.0;
         html! {
@@ -123,7 +114,7 @@
             p.legend {
                 @for (index, line) in self.lines.iter().enumerate() {
                     span {
-                        i class=(format!("key {}", color(index))) {}
+                        i class=(format!("key {}", color_class(index))) {}
                         (line.label) " · " (line.supervisor)
                     }
                 }
@@ -132,12 +123,12 @@
     }
 }
 
-/// The style class of a line's colour.
-fn color(index: usize) -> String {
+/// Returns the CSS class for the colour of a line.
+fn color_class(index: usize) -> String {
     format!("l{}", index % COLORS)
 }
 
-/// The vertical coordinate of a value.
+/// Returns the vertical coordinate of a value.
 fn y(value: f64, max: f64) -> f64 {
     TITLE_HEIGHT + HEIGHT * (1.0 - (value / max).clamp(0.0, 1.0))
 }
@@ -155,7 +146,7 @@
     }
 }
 
-/// The next round number that is not smaller.
+/// Rounds a value up to 1, 2, 5 or 10 times a power of ten.
 pub(super) fn round_up(value: f64) -> f64 {
     if value <= 0.0 {
         return 1.0;
--- a/crates/report/src/chart/servers.rs
+++ b/crates/report/src/chart/servers.rs
@@ -1,4 +1,4 @@
-//! The chart of servers: the state of each over time.
+//! The chart of servers, with a row for the state of each server over time.
 
 use chutegrade_records::incidents::{ServerStatus, Span};
 use chutegrade_records::{text, Gap};
@@ -9,13 +9,10 @@
     MIN_SPAN_WIDTH, ROW_HEIGHT, WIDTH,
 };
 
-/// A server as one supervisor sees it.
+/// The state of a server according to one supervisor.
 pub(crate) struct ServerRow<'a> {
-    /// The name of the server.
     pub(crate) server: &'a str,
-    /// The name of the supervisor.
     pub(crate) supervisor: &'a str,
-    /// Its state over time.
     pub(crate) spans: &'a [Span],
 }
 
@@ -51,11 +48,11 @@
 fn draw_span(axis: Axis, server: &str, span: &Span, top: f64) -> Markup {
     let left = axis.x(span.from_us);
     let width = (axis.x(span.to_us) - left).max(MIN_SPAN_WIDTH);
-    let state = span.status.as_str();
+    let status = span.status.as_str();
     html! {
-        rect class=(format!("state {state}")) x=(coordinate(left)) y=(coordinate(top + 2.0))
+        rect class=(format!("state {status}")) x=(coordinate(left)) y=(coordinate(top + 2.0))
             width=(coordinate(width)) height=(coordinate(ROW_HEIGHT - 4.0)) {
-            title { (server) " " (state) " from " (text::time_of_day(span.from_us)) " to " (text::time_of_day(span.to_us)) }
+            title { (server) " " (status) " from " (text::time_of_day(span.from_us)) " to " (text::time_of_day(span.to_us)) }
         }
     }
 }
--- a/crates/report/src/findings.rs
+++ b/crates/report/src/findings.rs
@@ -1,4 +1,4 @@
-//! What the page shows.
+//! The content of the page.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,19 +9,19 @@
 
 use crate::samples::Samples;
 
-/// How much the page may contain.
+/// Limits on the content of the page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PageLimits {
-    /// Rows of faults.
+    /// Maximum number of rows for faults.
     pub faults: usize,
-    /// Rows of other events.
+    /// Maximum number of rows for other events.
     pub other_events: usize,
-    /// Rows of the chart of servers.
+    /// Maximum number of rows in the chart of servers.
     pub servers: usize,
 }
 
 impl Default for PageLimits {
-    /// A page of about 3 MiB at most, which browsers open in a second.
+    /// Limits the page to about 3 MiB, which browsers open in a second.
     fn default() -> Self {
         PageLimits {
             faults: 5000,
@@ -34,11 +34,11 @@
 /// A supervisor, and the correction of its clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SupervisorClock {
-    /// Its name.
+    /// The supervisor that has the clock.
     pub name: Arc<str>,
     /// How far its clock was ahead, in microseconds; negative if it was behind.
     pub ahead_us: i64,
-    /// The number of shared events from which this follows.
+    /// The number of events, also recorded by another supervisor, from which the offset is computed.
     pub shared_events: usize,
 }
 
@@ -52,28 +52,28 @@
     }
 }
 
-/// All that the page shows.
+/// The content of the page.
 pub struct Findings {
-    /// The window.
+    /// The interval that the page describes.
     pub window: Window,
-    /// The supervisors.
+    /// All supervisors with records, with the offsets of their clocks.
     pub supervisors: Vec<SupervisorClock>,
-    /// The version of each supervisor's last start.
+    /// The version at the last start of each supervisor, by supervisor.
     pub versions: BTreeMap<Arc<str>, String>,
     /// The incidents and the state of servers over time.
     pub reconstruction: Reconstruction,
     /// Samples over time.
     pub samples: Samples,
-    /// Names of the classes.
+    /// Names of the classes, in the order of the recorded levels.
     pub classes: Vec<String>,
-    /// Events, by time.
+    /// Events up to the limits, by time.
     pub events: Vec<Event>,
     /// Number of events beyond the limits, by kind.
     pub omitted: BTreeMap<&'static str, u64>,
-    /// Intervals of which records are missing.
+    /// Intervals with missing or unreliable records, by time.
     pub gaps: Vec<Gap>,
     /// Number of records in the window.
     pub records: u64,
-    /// How much the page may contain.
+    /// The limits that applied.
     pub limits: PageLimits,
 }
--- a/crates/report/src/gather.rs
+++ b/crates/report/src/gather.rs
@@ -1,4 +1,4 @@
-//! Reads what the page shows, in slices of time, so that a day of a million records needs no more memory than an hour.
+//! Reads the content of the page in slices of time, so that a day of a million records takes no more memory than an hour.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 use crate::findings::{Findings, PageLimits, SupervisorClock};
 use crate::samples::Samples;
 
-/// Length of a slice, in microseconds: a few thousand records of a large fleet.
+/// Length of a slice, in microseconds. A slice of a large fleet has a few thousand records.
 const SLICE_US: i64 = 300_000_000;
-/// The number of the kind of [`Kind::Started`].
+/// The number of [`Kind::Started`] in a record.
 const STARTED_KIND: u32 = 10;
-/// Begins the detail of gaps that only reading shows, and not the index.
+/// Prefix of the detail of gaps that appear only when records are read, and are not in the index.
 const NEW_DAMAGE: &str = "damaged since";
 
-/// Reads what the page of a window shows.
+/// Reads the content of the page for a window.
 pub fn gather(timeline: &Timeline, window: Window, limits: PageLimits) -> Findings {
     let mut gaps = timeline.gaps(window);
     let mut gatherer = Gatherer::new(window, limits, &gaps);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Reads versions and classes from all starts before the end of the window.
+    /// Reads versions and classes from the start records up to the end of the window.
     fn add_starts(&mut self, timeline: &Timeline) {
         let starts = Query {
             kinds: vec![STARTED_KIND],
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -1,4 +1,4 @@
-//! The page: sentences first, then charts, gaps, and every event.
+//! The page: a summary, charts, gaps and events.
 
 mod charts;
 mod events;
@@ -11,12 +11,12 @@
 use crate::findings::Findings;
 
 const STYLE: &str = include_str!("page.css");
-/// Length of a date in a time.
+/// Length of the date at the start of a formatted time, in bytes.
 const DATE_LENGTH: usize = 10;
-/// Length of a time of day without fractions of a second.
+/// Length of a time of day without fractions of a second, in bytes.
 const SHORT_TIME_LENGTH: usize = 8;
 
-/// The complete page.
+/// Renders the complete page.
 pub(crate) fn page(findings: &Findings) -> Markup {
     let title = title(findings.window);
     html! {
@@ -32,7 +32,7 @@
             body {
                 (hatch_pattern())
                 header {
-                    p.over { "chutegrade · course of events, from the supervisors' own records" }
+                    p.over { "chutegrade · incident report from the records of the supervisors" }
                     h1 { (title) " " small { "UTC" } }
                 }
                 main {
@@ -55,7 +55,7 @@
     format!("{date} {from} to {to}")
 }
 
-/// The time of day to the second.
+/// Formats the time of day to the second.
 fn short_time(at_us: i64) -> String {
     let time = text::time_of_day(at_us);
     time.get(..SHORT_TIME_LENGTH)
@@ -63,14 +63,14 @@
         .to_string()
 }
 
-/// The pattern of gaps, which all charts share.
+/// Returns the SVG pattern for gaps, which all charts reference.
 fn hatch_pattern() -> Markup {
     html! {
         svg.defs width="0" height="0" aria-hidden="true" {
             defs {
                 pattern id="hatching" width="6" height="6" patternUnits="userSpaceOnUse" patternTransform="rotate(45)" {
-                    rect.hatchback width="6" height="6" {}
-                    line.hatchline x1="0" y1="0" x2="0" y2="6" {}
+                    rect.hatch-background width="6" height="6" {}
+                    line.hatch-line x1="0" y1="0" x2="0" y2="6" {}
                 }
             }
         }
@@ -89,6 +89,6 @@
             (versions.join(", ")) "). All of them, as JSON lines or a table:"
         }
         pre { "chutegrade records export DIR --from " (text::time(from_us)) " --to " (text::time(to_us)) " --all --format jsonl" }
-        p { "Times are those of the event, UTC; “learned” is how much later the supervisor knew." }
+        p { "Times are in UTC and are those at which events occurred; “learned” is the delay until the supervisor observed them." }
     }
 }
--- a/crates/report/src/page/charts.rs
+++ b/crates/report/src/page/charts.rs
@@ -7,7 +7,7 @@
 use crate::findings::Findings;
 use crate::samples::Bucket;
 
-/// The states of the legend.
+/// The states in the legend of the chart of servers.
 const LEGEND: [ServerStatus; 5] = [
     ServerStatus::Full,
     ServerStatus::Reduced,
@@ -16,7 +16,7 @@
     ServerStatus::WarmingUp,
 ];
 
-/// Charts of servers, of service levels if there are any, and of samples.
+/// Returns the sections with charts of servers, of service levels if any are recorded, and of samples.
 pub(super) fn charts(findings: &Findings) -> Markup {
     html! {
         (servers(findings))
@@ -25,12 +25,12 @@
     }
 }
 
-/// Rows of the chart of servers.
+/// The rows of the chart of servers, as far as the limit allows.
 struct ServerRows<'a> {
     rows: Vec<ServerRow<'a>>,
-    /// Number of servers that were always full.
+    /// Number of rows left out because the server was full as far as is known.
     full: usize,
-    /// Number of rows beyond the limit.
+    /// Number of rows left out because of the limit.
     hidden: usize,
 }
 
@@ -68,7 +68,7 @@
     html! {
         section {
             h2 { "Servers" }
-            @if rows.is_empty() { p { "Every server was full all the time, as far as is known." } }
+            @if rows.is_empty() { p { "All servers were full throughout, as far as is known." } }
             @else { (server_chart(axis, &rows, &findings.gaps)) }
             p.legend {
                 @for state in LEGEND {
@@ -76,7 +76,7 @@
                 }
                 span { i class="key hatched" {} "not known" }
             }
-            @if full > 0 { p.note { (full) " rows of servers that were full all the time are left out." } }
+            @if full > 0 { p.note { (full) " rows of servers that were full throughout are left out." } }
             @if hidden > 0 { p.note { (hidden) " more rows do not fit; `chutegrade records list` has them." } }
         }
     }
@@ -97,7 +97,7 @@
             section {
                 h2 { "Levels of service" }
                 (level_chart(axis, &rows, &findings.gaps))
-                p.note { "A thin line is full service; each change stands among the events, with its condition and what signals showed." }
+                p.note { "A thin line is full service. Each change is listed in the events with its condition and signals." }
             }
         }
     }
@@ -129,12 +129,12 @@
             (draw("share of requests refused", &refused, Some(1.0)))
             @if !admitted.is_empty() { (draw("lowest level by class", &admitted, Some(1.0))) }
             (draw("lines waiting in the channel", &waiting, None))
-            (draw("streams of front ends", &streams, None))
+            (draw("streams of proxies", &streams, None))
         }
     }
 }
 
-/// A line for each supervisor.
+/// Returns a line for each supervisor.
 fn lines(findings: &Findings, label: &str, value: impl Fn(&Bucket) -> f64) -> Vec<Line> {
     let mut lines = Vec::new();
     for supervisor in &findings.supervisors {
@@ -147,7 +147,7 @@
     lines
 }
 
-/// A line for each class and supervisor: the lowest admitted share.
+/// Returns a line with the lowest admitted share for each class and supervisor.
 fn admitted_lines(findings: &Findings) -> Vec<Line> {
     let mut admitted = Vec::new();
     for (index, class) in findings.classes.iter().enumerate() {
--- a/crates/report/src/page/events.rs
+++ b/crates/report/src/page/events.rs
@@ -5,15 +5,15 @@
 
 use crate::findings::Findings;
 
-/// Least delay between an event and its record that is shown, in microseconds.
+/// Minimum delay between an event and its record that is shown, in microseconds.
 const MIN_SHOWN_DELAY_US: i64 = 100_000;
 
-/// Lists events and gaps by time.
+/// Returns the section that lists events and gaps by time.
 pub(super) fn events(findings: &Findings) -> Markup {
     let mut gaps = findings.gaps.iter().peekable();
     html! {
         section {
-            h2 { "Every event, in true order" }
+            h2 { "Events, by time of occurrence" }
             (omitted(findings))
             table.events {
                 thead { tr { th { "time" } th { "learned" } th { "supervisor" } th { "kind" } th { "what" } } }
@@ -36,7 +36,7 @@
     }
     html! {
         @if !counts.is_empty() {
-            p.mind { "Left out, for a page that opens: " (counts.join(", ")) ". The records themselves have all of them; see the end of this page." }
+            p.notice { "Left out to limit the size of this page: " (counts.join(", ")) ". The records contain all of them; see the end of this page." }
         }
     }
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// The style class of an event's row.
+/// Returns the CSS class of an event's row. `newer` is an event of a kind that this version does not know.
 fn row_class(event: &Event) -> &'static str {
     match &event.record.kind {
         None => "newer",
--- a/crates/report/src/page/gaps.rs
+++ b/crates/report/src/page/gaps.rs
@@ -3,15 +3,15 @@
 use chutegrade_records::{text, Gap};
 use maud::{html, Markup};
 
-/// Lists the intervals of which records are missing.
+/// Returns the section that lists the intervals with missing or unreliable records.
 pub(super) fn gaps(gaps: &[Gap]) -> Markup {
     html! {
         section {
-            h2 { "What is not known" }
-            @if gaps.is_empty() { p { "Nothing is missing." } }
+            h2 { "Gaps in the records" }
+            @if gaps.is_empty() { p { "No records are missing." } }
             @else {
                 table {
-                    thead { tr { th { "from" } th { "to" } th { "length" } th { "supervisor" } th { "reason" } th { "what more is known" } } }
+                    thead { tr { th { "from" } th { "to" } th { "length" } th { "supervisor" } th { "reason" } th { "details" } } }
                     tbody { @for gap in gaps { (row(gap)) } }
                 }
             }
--- a/crates/report/src/samples.rs
+++ b/crates/report/src/samples.rs
@@ -6,27 +6,27 @@
 use chutegrade_records::index::STALLED_US;
 use chutegrade_records::{pb, Window};
 
-/// Most buckets of a chart: what can be told apart on a page.
+/// Maximum number of buckets in a window. More could not be distinguished on a page.
 const MAX_BUCKETS: i64 = 720;
-/// Least width of a bucket, in microseconds: there is one sample a second.
+/// Minimum width of a bucket, in microseconds. Samples are recorded every second.
 const MIN_BUCKET_US: i64 = 1_000_000;
 
-/// One supervisor's samples of one bucket.
+/// The aggregated samples of one supervisor in one bucket.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Bucket {
     /// Number of samples.
     pub count: u32,
-    /// Most lines waiting.
+    /// Maximum number of lines queued in the channel.
     pub waiting: f64,
-    /// Largest share of requests rejected.
+    /// Largest share of requests that were rejected, from 0 to 1.
     pub refused: f64,
-    /// Streams at its end.
+    /// Number of streams at the last sample.
     pub streams: u32,
-    /// Most servers reduced or withdrawn.
+    /// Maximum number of servers reduced or withdrawn.
     pub out: u32,
-    /// Lowest admitted share of each class.
+    /// Lowest admitted share of each class, from 0 to 1, by index of the class.
     pub levels: Vec<f64>,
-    /// The service level at its end, if any is configured.
+    /// The service level at the last sample, if any is configured.
     pub service_level: Option<String>,
 }
 
@@ -46,41 +46,41 @@
     }
 }
 
-/// A value at a time.
+/// A point of a line in a chart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
     /// Unix time in microseconds.
     pub at_us: i64,
-    /// The value.
+    /// A count, or a share from 0 to 1, depending on the chart.
     pub value: f64,
 }
 
-/// Points without a gap between them.
+/// Consecutive points without a gap between them.
 pub type Run = Vec<Point>;
 
-/// A service level from one time to another.
+/// An interval with the same service level.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LevelSpan {
-    /// Its start, in Unix microseconds.
+    /// The start of the interval, in Unix microseconds.
     pub from_us: i64,
-    /// Its end, in Unix microseconds.
+    /// The end of the interval, in Unix microseconds.
     pub to_us: i64,
     /// The name of the level.
     pub level: String,
 }
 
-/// Samples of all supervisors.
+/// Samples of all supervisors in a window, in buckets of equal width.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Samples {
     window: Window,
     /// Width of a bucket, in microseconds.
     width_us: i64,
-    /// By supervisor and number of the bucket.
+    /// Buckets by supervisor and index, counted from the start of the window.
     buckets: BTreeMap<Arc<str>, BTreeMap<i64, Bucket>>,
 }
 
 impl Samples {
-    /// No samples of a window.
+    /// Creates empty samples for a window.
     pub(crate) fn new(window: Window) -> Self {
         let length_us = window.to_us.saturating_sub(window.from_us).max(1);
         Samples {
@@ -92,18 +92,18 @@
 
     /// Adds a sample at a time within the window.
     pub(crate) fn add(&mut self, supervisor: &Arc<str>, at_us: i64, gauge: &pb::Gauge) {
-        let number = (at_us - self.window.from_us) / self.width_us;
+        let index = (at_us - self.window.from_us) / self.width_us;
         let buckets = self.buckets.entry(Arc::clone(supervisor)).or_default();
-        buckets.entry(number).or_default().add(gauge);
+        buckets.entry(index).or_default().add(gauge);
     }
 
-    /// A supervisor's buckets by their start in Unix microseconds.
+    /// Returns a supervisor's buckets with their start in Unix microseconds, by time.
     fn buckets_of(&self, supervisor: &str) -> impl Iterator<Item = (i64, &Bucket)> {
         let buckets = self.buckets.get(supervisor).into_iter().flatten();
-        buckets.map(|(number, bucket)| (self.window.from_us + number * self.width_us, bucket))
+        buckets.map(|(index, bucket)| (self.window.from_us + index * self.width_us, bucket))
     }
 
-    /// A value of a supervisor over time, with a new run after each time without samples.
+    /// Returns a value of a supervisor over time. A new run starts after each interval without samples.
     pub fn runs(&self, supervisor: &str, value: impl Fn(&Bucket) -> f64) -> Vec<Run> {
         let max_distance_us = STALLED_US.max(2 * self.width_us);
         let mut runs: Vec<Run> = Vec::new();
@@ -123,7 +123,7 @@
         runs
     }
 
-    /// The service levels of a supervisor over time, with nothing for times without samples.
+    /// Returns the service levels of a supervisor over time, without spans for intervals without samples.
     pub fn service_levels(&self, supervisor: &str) -> Vec<LevelSpan> {
         let mut spans: Vec<LevelSpan> = Vec::new();
         for (from_us, bucket) in self.buckets_of(supervisor) {
--- a/crates/report/tests/page.rs
+++ b/crates/report/tests/page.rs
@@ -1,4 +1,4 @@
-//! The page over directories of records.
+//! The report on directories of records.
 
 use std::path::{Path, PathBuf};
 
@@ -17,7 +17,7 @@
     kind: Kind,
 }
 
-/// An event that is recorded at once.
+/// Returns an event that is recorded without a delay.
 fn entry(second: i64, kind: Kind) -> Entry {
     Entry {
         at_us: second * SECOND,
@@ -86,7 +86,7 @@
     Timeline::open(&[PathBuf::from(directory)]).expect("records")
 }
 
-/// The texts of all events of the page, in the order in which they stand.
+/// Returns the texts of all events and gaps on the page, in order.
 fn rows(page: &str) -> Vec<&str> {
     let events = page
         .split("class=\"events\"")
@@ -127,21 +127,22 @@
         .collect();
     let crash = "crash for 20.0 s";
     assert!(order.contains(&crash), "{order:?}");
-    let place = |text: &str| {
+    let position = |text: &str| {
         rows.iter()
             .position(|row| row.starts_with(text))
             .unwrap_or_else(|| panic!("{text}: {rows:?}"))
     };
     assert!(
-        place("s-1 withdrawn") < place("s-2 reduced") && place("s-2 full") < place(crash),
+        position("s-1 withdrawn") < position("s-2 reduced")
+            && position("s-2 full") < position(crash),
         "{rows:?}"
     );
     assert!(page.contains("+15.0 s"), "when it was learned");
     assert!(
-        page.contains("Shut out for a time: <b>s-1</b>") && page.contains("<b>60 %</b>"),
+        page.contains("Withdrawn for a time: <b>s-1</b>") && page.contains("<b>60 %</b>"),
         "the sentences"
     );
-    assert!(page.contains("Trouble began at <b>00:00:25.000</b>"));
+    assert!(page.contains("An incident began at <b>00:00:25.000</b>"));
     assert!(
         page.matches("class=\"hatch\"").count() >= 6,
         "in every chart"
@@ -149,18 +150,18 @@
     assert!(page.contains("--from 1970-01-01T00:00:00.000Z --to 1970-01-01T00:01:30.000Z"));
 }
 
-/// Names that peers chose must not run as scripts in the browser.
+/// Names in records come from peers and must not run as scripts in the browser.
 #[test]
 fn text_from_records_is_escaped_and_nothing_is_loaded() {
     let directory = tempfile::tempdir().expect("a directory");
-    let evil = "<script>alert(1)</script>\"'&</svg>";
+    let hostile = "<script>alert(1)</script>\"'&</svg>";
     let entries = vec![
         entry(0, started()),
-        entry(1, state(evil, pb::State::Withdrawn)),
+        entry(1, state(hostile, pb::State::Withdrawn)),
         entry(
             2,
             Kind::StreamLeft(pb::StreamLeft {
-                reason: evil.into(),
+                reason: hostile.into(),
                 ..Default::default()
             }),
         ),
@@ -177,12 +178,12 @@
     assert!(
         !page.contains("<script") && !page.contains("<b>n0") && page.contains("&lt;script&gt;")
     );
-    for outside in ["http:", "https:", "src=", "@import", "url(\"", "<link"] {
-        assert!(!page.contains(outside), "{outside}");
+    for reference in ["http:", "https:", "src=", "@import", "url(\"", "<link"] {
+        assert!(!page.contains(reference), "{reference}");
     }
 }
 
-/// The limits keep the page of a long day small enough for a browser.
+/// Without limits, the page of a long day would be too large for a browser.
 #[test]
 fn events_beyond_the_limits_are_counted() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn a_window_without_faults_says_so() {
+fn the_report_of_a_window_without_faults_says_so() {
     let directory = tempfile::tempdir().expect("a directory");
     write(directory.path(), "n0", seconds(0, 15));
     let page = report(
@@ -234,10 +235,10 @@
         },
         PageLimits::default(),
     );
-    assert!(page.contains("No trouble was recorded") && page.contains("The records have no gap."));
+    assert!(page.contains("No fault was recorded") && page.contains("The records have no gap."));
 }
 
-/// The service level of a second.
+/// Returns the service level in a second of the records.
 fn service_level(second: i64) -> &'static str {
     if (20..50).contains(&second) {
         "fewer reads"
@@ -263,7 +264,7 @@
     })
 }
 
-/// A start, a gauge each second, and the changes of the service level.
+/// Returns a start, a gauge each second and the changes of the service level.
 fn service_level_records() -> Vec<Entry> {
     let mut entries = vec![entry(0, started())];
     for second in 0..80 {
@@ -280,9 +281,9 @@
     entries
 }
 
-/// Service levels are a chart with names, and each change is an event with its cause.
+/// Service levels are charted with their names, and each change is listed as an event with its cause.
 #[test]
-fn service_levels_are_a_chart_with_names() {
+fn service_levels_are_charted_with_their_names() {
     let directory = tempfile::tempdir().expect("a directory");
     write(&directory.path().join("n0"), "n0", service_level_records());
     let window = Window {
