--- a/crates/traffic/src/error.rs
+++ b/crates/traffic/src/error.rs
@@ -1,48 +1,48 @@
 //! Errors of reading and writing recorded traffic.
 
-/// Why a file of recorded traffic is rejected, or cannot be written.
+/// The reason why a file of recorded traffic is rejected or cannot be written.
 #[derive(Debug, thiserror::Error)]
 pub enum TrafficError {
-    /// The file cannot be read or written.
-    #[error("cannot be read: {0}")]
+    /// The file cannot be read or written, or is not valid CSV.
+    #[error("cannot be read or written: {0}")]
     Csv(#[from] csv::Error),
     /// A required column is missing, or a column is unknown.
-    #[error("line 1: the head must name at_ms and class, and may name zone, key and work_ms; it has {columns:?}")]
+    #[error("line 1: the header must name at_ms and class, and may name zone, key and work_ms; it has {columns:?}")]
     Header {
-        /// The header as it is in the file.
+        /// The columns in the file, separated by commas.
         columns: String,
     },
-    /// Lines are invalid.
-    #[error("{count} lines are wrong: {messages}")]
+    /// One or more lines are invalid.
+    #[error("{count} invalid lines: {messages}")]
     Lines {
-        /// The first of them, each with its number and the reason.
+        /// The number and reason of each of the first invalid lines, separated by semicolons.
         messages: String,
-        /// The number of invalid lines.
+        /// The number of all invalid lines.
         count: usize,
     },
     /// A limit on the size of a file is exceeded.
     #[error("more than {limit} {items}")]
     TooMany {
-        /// The greatest number allowed.
+        /// The maximum number.
         limit: usize,
-        /// What is counted.
+        /// The name of the counted items: requests, classes or zones.
         items: &'static str,
     },
 }
 
-/// Why a line is rejected.
+/// The reason why a line is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LineError {
     /// The time is missing or invalid.
-    #[error("{0:?} is no time: give milliseconds from 0 on")]
+    #[error("{0:?} is not a valid time: expected milliseconds, at least 0")]
     Time(String),
-    /// A time, name or key exceeds the limit.
-    #[error("a name is too long")]
+    /// A time, name or key is too long.
+    #[error("a time, name or key is too long")]
     NameTooLong,
     /// The class is missing.
-    #[error("no class")]
+    #[error("the class is missing")]
     NoClass,
     /// The service time is invalid.
-    #[error("{0:?} is no work in milliseconds")]
+    #[error("{0:?} is not a valid service time in milliseconds")]
     Work(String),
 }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,4 +1,4 @@
-//! Recorded traffic in a neutral form, which any source can write: CSV with a header and one line a request.
+//! Recorded traffic in a format that does not depend on its source: CSV with a header and one line per request.
 //!
 //! ```text
 //! at_ms,class,zone,key,work_ms
@@ -6,8 +6,8 @@
 //! 12.250,petition-file,hall-medina,p-4711,310
 //! ```
 //!
-//! Only time and class are required. Times count from any start, and lines may be out of order. A key that occurs twice is
-//! kept twice: whether that is one operation is for the replay to decide.
+//! Only time and class are required. Times count from an arbitrary start, and lines may be out of order. Requests with the
+//! same key are all retained: the replay decides whether they are attempts at one operation.
 
 mod error;
 mod reader;
@@ -19,15 +19,15 @@
 pub use trace::{Arrival, Traffic};
 pub use writer::write;
 
-/// Column of the time in milliseconds.
+/// Column for the time of arrival, in milliseconds.
 const AT_MS: &str = "at_ms";
-/// Column of the class.
+/// Column for the name of the class.
 const CLASS: &str = "class";
-/// Column of the zone.
+/// Column for the name of the zone.
 const ZONE: &str = "zone";
-/// Column of the idempotency key.
+/// Column for the idempotency key.
 const KEY: &str = "key";
-/// Column of the service time in milliseconds.
+/// Column for the service time, in milliseconds.
 const WORK_MS: &str = "work_ms";
 /// All columns, in the order in which they are written.
 const COLUMNS: [&str; 5] = [AT_MS, CLASS, ZONE, KEY, WORK_MS];
--- a/crates/traffic/src/reader.rs
+++ b/crates/traffic/src/reader.rs
@@ -12,16 +12,17 @@
 use builder::TrafficBuilder;
 use line::{parse_line, Columns};
 
-/// Most requests of a file. A day of the largest deployment has about 240 million; a replay covers hours and is in memory.
+/// Maximum number of requests in a file. A day of the largest deployment has about 240 million, but a replay covers hours
+/// and keeps its requests in memory.
 const MAX_REQUESTS: usize = 20_000_000;
-/// Most invalid lines that an error describes one by one.
+/// Maximum number of invalid lines that an error describes.
 const MAX_DESCRIBED_LINES: usize = 20;
 
-/// Reads a file of recorded traffic. All lines are checked before invalid ones are reported.
+/// Reads a file of recorded traffic. Checks all lines before it reports invalid ones.
 ///
 /// # Errors
 ///
-/// If the file is no CSV, its header or a line is invalid, or it has too many requests, classes or zones.
+/// If the file is not valid CSV, its header or a line is invalid, or it has too many requests, classes or zones.
 pub fn read(input: impl Read) -> Result<Traffic, TrafficError> {
     let mut reader = csv::ReaderBuilder::new()
         .flexible(true)
@@ -47,12 +48,12 @@
     Ok(builder.build())
 }
 
-/// The invalid lines so far.
+/// The invalid lines found so far.
 #[derive(Default)]
 struct InvalidLines {
-    /// The first ones, with number and reason.
+    /// The number and reason of each of the first [`MAX_DESCRIBED_LINES`].
     messages: Vec<String>,
-    /// Their number.
+    /// Number of all invalid lines.
     count: usize,
 }
 
--- a/crates/traffic/src/reader/builder.rs
+++ b/crates/traffic/src/reader/builder.rs
@@ -5,19 +5,19 @@
 use super::line::Request;
 use crate::{Arrival, Traffic, TrafficError};
 
-/// Most names of classes, and of zones.
+/// Maximum number of classes, and of zones.
 const MAX_NAMES: usize = 256;
 /// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1000.0;
 
-/// Requests in the order of their lines.
+/// Requests in the order of their lines, and the names in them.
 #[derive(Default)]
 pub(super) struct TrafficBuilder {
     classes: NameTable,
     zones: NameTable,
     /// Numbers of the keys, by first occurrence.
     keys: HashMap<String, u32>,
-    /// The requests; their time is set by [`TrafficBuilder::build`].
+    /// The requests, without their times, which [`TrafficBuilder::build`] sets.
     arrivals: Vec<Arrival>,
     /// Times of the requests in milliseconds, as in the file.
     times_ms: Vec<f64>,
@@ -27,7 +27,7 @@
 }
 
 impl TrafficBuilder {
-    /// Number of requests so far.
+    /// Returns the number of requests so far.
     pub(super) fn len(&self) -> usize {
         self.arrivals.len()
     }
@@ -66,7 +66,7 @@
         u32::try_from(self.keys.len()).unwrap_or(u32::MAX)
     }
 
-    /// The requests, ordered by their time since the first.
+    /// Returns the requests, ordered by their time since the first.
     pub(super) fn build(mut self) -> Traffic {
         let keys = self.key_count();
         let first_ms = self.times_ms.iter().copied().fold(f64::INFINITY, f64::min);
@@ -85,7 +85,7 @@
     }
 }
 
-/// Names by their first occurrence.
+/// Names with their indices, by first occurrence.
 #[derive(Default)]
 struct NameTable {
     names: Vec<String>,
@@ -93,7 +93,7 @@
 }
 
 impl NameTable {
-    /// The index of a name, which is added if it is new; `items` says in errors what the names are of.
+    /// Returns the index of a name, which is added if it is new. `items` is what the names identify, for errors.
     fn index_of(&mut self, name: &str, items: &'static str) -> Result<u16, TrafficError> {
         if let Some(index) = self.indices.get(name) {
             return Ok(*index);
--- a/crates/traffic/src/reader/line.rs
+++ b/crates/traffic/src/reader/line.rs
@@ -1,18 +1,18 @@
-//! Parses the header and single lines.
+//! Parses the header and the lines.
 
 use csv::StringRecord;
 
 use crate::error::LineError;
 use crate::{TrafficError, AT_MS, CLASS, COLUMNS, KEY, WORK_MS, ZONE};
 
-/// Longest time, name or key, in bytes.
+/// Maximum length of a time, name or key, in bytes.
 const MAX_FIELD_BYTES: usize = 200;
-/// Latest time, in milliseconds: about a year.
+/// Maximum time, in milliseconds: about a year.
 const MAX_AT_MS: f64 = 3.2e10;
-/// Longest service time, in milliseconds.
+/// Maximum service time, in milliseconds.
 const MAX_WORK_MS: f64 = 1e9;
 
-/// Indices of the columns.
+/// Indices of the columns; `None` for optional columns that are missing.
 pub(super) struct Columns {
     at_ms: usize,
     class: usize,
@@ -22,13 +22,13 @@
 }
 
 impl Columns {
-    /// Finds the columns of a header.
+    /// Finds the columns in a header.
     ///
     /// # Errors
     ///
     /// If a required column is missing, or one is unknown.
     pub(super) fn from_header(header: &StringRecord) -> Result<Self, TrafficError> {
-        let column = |name: &str| header.iter().position(|known| known.trim() == name);
+        let column = |name: &str| header.iter().position(|other| other.trim() == name);
         let has_unknown = header.iter().any(|name| !COLUMNS.contains(&name.trim()));
         let (Some(at_ms), Some(class), false) = (column(AT_MS), column(CLASS), has_unknown) else {
             let columns: Vec<&str> = header.iter().collect();
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Whether a time, name or key exceeds the limit; blanks around it count.
+    /// Returns whether a time, name or key is too long, with the blanks around it.
     fn has_long_field(&self, record: &StringRecord) -> bool {
         [Some(self.class), Some(self.at_ms), self.zone, self.key]
             .into_iter()
@@ -55,17 +55,13 @@
     }
 }
 
-/// The request of a line, with names and key as in the file.
+/// A parsed line, with names and key as in the file.
 pub(super) struct Request<'a> {
-    /// Time in milliseconds, from any start.
+    /// Time in milliseconds, from an arbitrary start.
     pub(super) at_ms: f64,
-    /// Name of its class.
     pub(super) class: &'a str,
-    /// Name of its zone.
     pub(super) zone: Option<&'a str>,
-    /// Its idempotency key.
     pub(super) key: Option<&'a str>,
-    /// Service time in milliseconds.
     pub(super) work_ms: Option<f64>,
 }
 
@@ -73,7 +69,7 @@
 ///
 /// # Errors
 ///
-/// The first reason for which the line is invalid.
+/// The first reason why the line is invalid.
 pub(super) fn parse_line<'a>(
     columns: &Columns,
     record: &'a StringRecord,
@@ -92,7 +88,7 @@
     })
 }
 
-/// The trimmed field of a column, if it is not empty.
+/// Returns the trimmed field of a column, or `None` if it is empty or missing.
 fn field(record: &StringRecord, column: usize) -> Option<&str> {
     record
         .get(column)
@@ -119,7 +115,7 @@
         .ok_or_else(|| LineError::Work(text.to_string()))
 }
 
-/// A number from 0 to the given maximum.
+/// Parses a number from 0 to the given maximum.
 fn parse_number(text: &str, max: f64) -> Option<f64> {
     let number = text.parse::<f64>().ok()?;
     (0.0..=max).contains(&number).then_some(number)
--- a/crates/traffic/src/tests.rs
+++ b/crates/traffic/src/tests.rs
@@ -48,11 +48,11 @@
         .expect_err("errors")
         .to_string();
     assert!(
-        error.starts_with("4 lines are wrong: line 3: \"soon\" is no time"),
+        error.starts_with("4 invalid lines: line 3: \"soon\" is not a valid time"),
         "{error}"
     );
     assert!(
-        error.contains("line 4: no class") && error.contains("line 6"),
+        error.contains("line 4: the class is missing") && error.contains("line 6"),
         "{error}"
     );
     assert!(read("when,class\n".as_bytes())
@@ -62,7 +62,7 @@
     assert!(read("at_ms,class,work_ms\n1,x,much\n".as_bytes())
         .expect_err("work")
         .to_string()
-        .contains("no work"));
+        .contains("not a valid service time"));
     assert!(read("at_ms,class\n".as_bytes())
         .expect("no requests")
         .arrivals
@@ -73,11 +73,11 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_yield_sorted_traffic_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300), prefix_length in 0..100usize) {
+    fn arbitrary_bytes_yield_sorted_traffic_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300), prefix_length in 0..100usize) {
         let mut text = TEXT.as_bytes()[..prefix_length.min(TEXT.len())].to_vec();
         text.extend(bytes);
         if let Ok(traffic) = read(text.as_slice()) {
-            prop_assert!(traffic.arrivals.windows(2).all(|two| two[0].at_us <= two[1].at_us));
+            prop_assert!(traffic.arrivals.windows(2).all(|pair| pair[0].at_us <= pair[1].at_us));
         }
     }
 }
--- a/crates/traffic/src/trace.rs
+++ b/crates/traffic/src/trace.rs
@@ -9,32 +9,32 @@
 pub struct Arrival {
     /// Time since the first request, in microseconds.
     pub at_us: u64,
-    /// Its class, an index into [`Traffic::classes`].
+    /// The class, as an index into [`Traffic::classes`].
     pub class: u16,
-    /// Its zone, an index into [`Traffic::zones`], if it is known.
+    /// The zone, as an index into [`Traffic::zones`]; `None` if it is not recorded.
     pub zone: Option<u16>,
-    /// Number of its idempotency key, if it has one; equal keys have equal numbers.
+    /// The number of the idempotency key, by first occurrence in the file; `None` without a key.
     pub key: Option<u32>,
-    /// Its service time in milliseconds, if it is known.
+    /// The service time in milliseconds; `None` if it is not recorded.
     pub work_ms: Option<f64>,
 }
 
 /// Recorded requests, ordered by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Traffic {
-    /// Names of the classes.
+    /// Names of the classes, by first occurrence in the file.
     pub classes: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones, by first occurrence in the file.
     pub zones: Vec<String>,
-    /// The requests; those at the same time are in the order of their lines.
+    /// The requests, by time; those at the same time are in the order of their lines.
     pub arrivals: Vec<Arrival>,
-    /// Number of distinct keys.
+    /// Number of distinct idempotency keys.
     pub keys: u32,
-    /// Number of lines that followed one with a later time.
+    /// Number of lines that follow a line with a later time.
     pub out_of_order: u64,
 }
 
-/// What makes two requests the same operation.
+/// Identifies the operation of a request.
 #[derive(PartialEq, Eq, Hash)]
 struct Operation {
     class: u16,
@@ -42,12 +42,12 @@
 }
 
 impl Traffic {
-    /// Time from the first request to the last, in microseconds.
+    /// Returns the time from the first request to the last, in microseconds; 0 without requests.
     pub fn duration_us(&self) -> u64 {
         self.arrivals.last().map_or(0, |last| last.at_us)
     }
 
-    /// Number of requests that follow one of the same class and key by at most `interval_us` microseconds.
+    /// Counts the requests that follow one of the same class and key by at most `interval_us` microseconds.
     pub fn count_retries(&self, interval_us: u64) -> u64 {
         let mut last_seen: HashMap<Operation, u64> = HashMap::new();
         let mut retries = 0;
--- a/crates/traffic/src/writer.rs
+++ b/crates/traffic/src/writer.rs
@@ -4,7 +4,7 @@
 
 use crate::{Arrival, Traffic, TrafficError, COLUMNS};
 
-/// Writes traffic as a file that [`read`](crate::read) reads as the same requests. Keys are written by their numbers.
+/// Writes traffic as CSV, from which [`read`](crate::read) restores the requests. Keys are written as their numbers.
 ///
 /// # Errors
 ///
@@ -19,7 +19,7 @@
     Ok(())
 }
 
-/// The fields of a request, in the order of [`COLUMNS`].
+/// Returns the fields of a request, in the order of [`COLUMNS`].
 fn fields(traffic: &Traffic, arrival: &Arrival) -> [String; COLUMNS.len()] {
     let zone = arrival.zone.map(|zone| name(&traffic.zones, zone));
     let key = arrival.key.map(|key| format!("k{key}"));
@@ -33,11 +33,12 @@
     ]
 }
 
+/// Formats a time in microseconds as milliseconds.
 fn milliseconds(us: u64) -> String {
     format!("{}.{:03}", us / 1000, us % 1000)
 }
 
-/// A name by its index, empty if there is none.
+/// Returns a name by its index, or an empty string if there is none.
 fn name(names: &[String], index: u16) -> String {
     names.get(usize::from(index)).cloned().unwrap_or_default()
 }
