--- a/crates/textproto/src/codec.rs
+++ b/crates/textproto/src/codec.rs
@@ -1,4 +1,4 @@
-//! Conversion between text and messages of a schema.
+//! Converts between text and messages of a schema.
 
 use miette::Diagnostic as _;
 use prost::Message;
@@ -7,11 +7,11 @@
 
 use crate::error::{Position, TextError};
 
-/// The descriptor of a message in an encoded file descriptor set.
+/// Returns the descriptor of a message in an encoded file descriptor set.
 ///
 /// # Errors
 ///
-/// If the set cannot be decoded or does not have the message.
+/// If the set cannot be decoded or does not contain the message.
 pub fn message_descriptor(schema: &[u8], message: &str) -> Result<MessageDescriptor, TextError> {
     DescriptorPool::decode(schema)
         .ok()
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// If the schema lacks the message, or the text is not a message of it; the latter has a position.
+/// If the schema lacks the message, or the text is not a message of it; in the latter case the error has a position.
 pub fn parse<M: Message + Default>(
     schema: &[u8],
     message: &str,
@@ -35,18 +35,19 @@
     parsed.transcode_to().map_err(TextError::without_position)
 }
 
-/// The position of the first label of an error. A text that ends too early has no label: the error is at its end.
+/// Returns the position of the first label of an error. If the text ends too early, the error has no label and its
+/// position is the end of the text.
 fn error_position(error: &ParseError, text: &str) -> Position {
     let first_label = error.labels().and_then(|mut labels| labels.next());
     let offset = first_label.map_or(text.len(), |label| label.offset());
     Position::of_offset(text, offset)
 }
 
-/// Writes a message as text, one field a line.
+/// Formats a message as text, with one field per line.
 ///
 /// # Errors
 ///
-/// If the schema lacks the named message, or the value is not one.
+/// If the schema lacks the message, or the value does not have its type.
 pub fn write<M: Message>(schema: &[u8], message: &str, value: &M) -> Result<String, TextError> {
     let mut dynamic = DynamicMessage::new(message_descriptor(schema, message)?);
     dynamic
--- a/crates/textproto/src/error.rs
+++ b/crates/textproto/src/error.rs
@@ -1,18 +1,18 @@
-//! The error of a text, and its position.
+//! Errors in a text, with their positions.
 
 use std::fmt;
 
 /// A position in a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The line, from 1.
+    /// The number of the line, counted from 1.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// The column in characters, counted from 1.
     pub column: usize,
 }
 
 impl Position {
-    /// The position of a byte offset. An offset behind the end, or within a character, counts as the end.
+    /// Returns the position of a byte offset. An offset beyond the end or within a character is treated as the end.
     pub(crate) fn of_offset(text: &str, offset: usize) -> Self {
         let before = text.get(..offset.min(text.len())).unwrap_or(text);
         let last_line = before.rsplit('\n').next().unwrap_or_default();
@@ -23,17 +23,17 @@
     }
 }
 
-/// One error of a text.
+/// An error in a text or its schema.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct TextError {
-    /// Where it is, if it has a position.
+    /// The position in the text; `None` if the error has none.
     pub position: Option<Position>,
-    /// What is wrong, and what would be right; a single line.
+    /// The message, in a single line.
     pub message: String,
 }
 
 impl TextError {
-    /// An error that has no position.
+    /// Creates an error without a position.
     pub fn without_position(message: impl fmt::Display) -> Self {
         TextError {
             position: None,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// An error at a position.
+    /// Creates an error at a position.
     pub(crate) fn at(position: Position, message: impl fmt::Display) -> Self {
         TextError {
             position: Some(position),
@@ -60,7 +60,7 @@
     }
 }
 
-/// Joins the lines of a library's message, and its runs of blanks, by single blanks.
+/// Replaces line breaks and runs of blanks in a message by single blanks.
 fn single_line(message: &str) -> String {
     let words: Vec<&str> = message.split_whitespace().collect();
     words.join(" ")
--- a/crates/textproto/src/lib.rs
+++ b/crates/textproto/src/lib.rs
@@ -1,7 +1,7 @@
-//! Protobuf text format with the position of each error: the format of the operators' file, scenarios and experiments.
+//! Protobuf text format with the position of each error. Operator configurations, scenarios and experiments use it.
 //!
-//! [`parse`] and [`write()`] convert between text and messages of a schema. [`find_field`] and [`find_field_in_block`] give
-//! the positions that checks of a parsed message report.
+//! [`parse`] and [`write()`] convert between text and messages of a schema. [`find_field`] and [`find_field_in_block`]
+//! return positions for the errors of checks after parsing.
 
 mod codec;
 mod error;
