--- a/crates/console/src/view.rs
+++ b/crates/console/src/view.rs
@@ -68,7 +68,7 @@
     pub kind: RowKind,
 }
 
-/// The kind of a row.
+/// Whether a row shows a fault, a gap or another event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RowKind {
     /// An event that is no fault.
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns whether the time, the supervisor's name or the text contain each of the words, which must be in lower case.
+    /// Returns whether the time, the supervisor's name or the text contain all words, which must be in lower case.
     fn contains_all(&self, words: &[String]) -> bool {
         let time = text::time_of_day(self.at_us);
         let searched = format!("{time} {} {}", self.supervisor, self.text).to_lowercase();
