--- a/crates/report/src/page/summary.rs
+++ b/crates/report/src/page/summary.rs
@@ -17,7 +17,7 @@
     let reconstruction = &findings.reconstruction;
     html! {
         @match reconstruction.incidents.len() {
-            0 => p { "No fault was recorded: no server lost weight, no request was refused, and no supervisor was down." }
+            0 => p { "No fault was recorded: no server lost weight, no request was refused, and no supervisor crashed or stalled." }
             1 => {}
             count => p { (count) " incidents overlap this interval." }
         }
