--- a/crates/emulators/src/predict.rs
+++ b/crates/emulators/src/predict.rs
@@ -371,7 +371,7 @@
 /// widened by the resolution.
 fn prediction_interval(name: &'static str, predictions: &[f64], measured: f64) -> Row {
     let estimate = interval(predictions, CONFIDENCE);
-    let single_run_half_width = estimate.half * (estimate.runs as f64 + 1.0).sqrt();
+    let single_run_half_width = estimate.half_width * (estimate.runs as f64 + 1.0).sqrt();
     let resolution = match name {
         name if name.ends_with("ms") => TIME_RESOLUTION_SHARE * estimate.mean + TIME_RESOLUTION_MS,
         // These events are sampled five and ten times per second.
--- a/crates/supervisor/src/commands/lab/experiment.rs
+++ b/crates/supervisor/src/commands/lab/experiment.rs
@@ -92,12 +92,12 @@
 
 /// Shows the progress. Each interim analysis requests more runs, which restarts the estimate of the remaining time.
 fn show_progress(bar: &ProgressBar, progress: Progress, shown_analysis: &mut usize) {
-    let (analysis, max_analyses) = progress.look;
+    let (analysis, max_analyses) = (progress.look, progress.max_looks);
     if analysis != *shown_analysis {
         *shown_analysis = analysis;
         bar.reset_eta();
     }
-    bar.set_length(progress.wanted as u64);
+    bar.set_length(progress.requested as u64);
     bar.set_position(progress.done as u64);
     bar.set_message(format!("analysis {analysis} of at most {max_analyses}"));
 }
