--- a/crates/supervisor/src/commands/plugin/dry_run.rs
+++ b/crates/supervisor/src/commands/plugin/dry_run.rs
@@ -107,7 +107,7 @@
     )?;
     write_exclusions(inputs, result, output)?;
     write_traces(result, output)?;
-    write_messages(result, output)
+    write_events(result, output)
 }
 
 fn write_advice(advice: &PluginAdvice, output: &mut impl Write) -> std::io::Result<()> {
@@ -157,16 +157,16 @@
     Ok(())
 }
 
-fn write_messages(result: &Evaluation, output: &mut impl Write) -> std::io::Result<()> {
-    for (plugin, message) in &result.events {
-        let text = printable(&message_text(message));
+fn write_events(result: &Evaluation, output: &mut impl Write) -> std::io::Result<()> {
+    for (plugin, event) in &result.events {
+        let text = printable(&event_text(event));
         writeln!(output, "  {plugin} {text}")?;
     }
     Ok(())
 }
 
-fn message_text(message: &PluginEvent) -> String {
-    match message {
+fn event_text(event: &PluginEvent) -> String {
+    match event {
         PluginEvent::AdviceStarted(text, line) => {
             format!("advises, by line {line}: {text}")
         }
--- a/crates/supervisor/src/commands/records/verify.rs
+++ b/crates/supervisor/src/commands/records/verify.rs
@@ -16,11 +16,11 @@
     let timeline = Timeline::open(directories)?;
     let mut damaged = 0;
     for supervisor in &timeline.supervisors {
-        let verdict = timeline::verify(&supervisor.directory)?;
-        if !verdict.is_valid() {
+        let report = timeline::verify(&supervisor.directory)?;
+        if !report.is_valid() {
             damaged += 1;
         }
-        write_verdict(supervisor, &verdict, output)?;
+        write_report(supervisor, &report, output)?;
     }
     if damaged > 0 {
         return Err(CommandError::DamagedRecords {
@@ -31,28 +31,28 @@
     Ok(())
 }
 
-fn write_verdict(
+fn write_report(
     supervisor: &Supervisor,
-    verdict: &VerificationReport,
+    report: &VerificationReport,
     output: &mut impl Write,
 ) -> std::io::Result<()> {
     let directory = supervisor.directory.display();
-    let (records, segments) = (verdict.records, verdict.segments);
+    let (records, segments) = (report.records, report.segments);
     write!(
         output,
         "{directory}: {records} records in {segments} segments"
     )?;
     let counts = [
-        (verdict.newer, "of a newer version"),
-        (verdict.torn_bytes, "bytes of torn tails, left by a crash"),
-        (verdict.damaged_bytes, "bytes damaged"),
-        (verdict.missing, "records missing"),
+        (report.newer, "of a newer version"),
+        (report.torn_bytes, "bytes of torn tails, left by a crash"),
+        (report.damaged_bytes, "bytes damaged"),
+        (report.missing, "records missing"),
         (
-            verdict.segments_without_header,
+            report.segments_without_header,
             "segments without a valid header",
         ),
         (
-            verdict.mismatched_indexes,
+            report.mismatched_indexes,
             "indexes that do not match their segments",
         ),
     ];
@@ -61,7 +61,7 @@
             write!(output, ", {count} {label}")?;
         }
     }
-    let conclusion = if verdict.is_valid() {
+    let conclusion = if report.is_valid() {
         "sound"
     } else {
         "not sound"
--- a/crates/supervisor/src/peers/health_check/tests.rs
+++ b/crates/supervisor/src/peers/health_check/tests.rs
@@ -28,8 +28,8 @@
 
 impl HealthChecker {
     /// Checks the server at an address, and returns the result without its duration.
-    pub(super) async fn outcome_at(&self, name: &str) -> (HealthCheckOutcome, LoadReport) {
-        let result = self.check(name).await;
+    pub(super) async fn outcome_at(&self, address: &str) -> (HealthCheckOutcome, LoadReport) {
+        let result = self.check(address).await;
         (result.outcome, result.load)
     }
 }
--- a/crates/supervisor/tests/incident.rs
+++ b/crates/supervisor/tests/incident.rs
@@ -17,8 +17,8 @@
 }
 
 /// Returns the text with which the report should show an event, if it is checked.
-fn report_text(truth: &GroundTruthEntry) -> Option<String> {
-    match &truth.deed {
+fn report_text(entry: &GroundTruthEntry) -> Option<String> {
+    match &entry.deed {
         InjectedEvent::Drains { server } => Some(format!("{server} draining")),
         InjectedEvent::Removed { server } => Some(format!("{server} gone")),
         InjectedEvent::Started { server } => Some(format!("{server} started")),
@@ -107,17 +107,17 @@
 async fn the_report_of_a_scripted_incident_agrees_with_the_ground_truth() {
     let directory = tempfile::tempdir().expect("a directory");
     let program = Path::new(env!("CARGO_BIN_EXE_chutegrade"));
-    let mut stage = EmulatedDeployment::start(program, directory.path(), 7).await;
-    let codes = stage.run_incident().await;
+    let mut deployment = EmulatedDeployment::start(program, directory.path(), 7).await;
+    let codes = deployment.run_incident().await;
     assert_eq!(codes, [Some(0), Some(0)]);
     assert_eq!(
-        stage.fleet.duplicate_executions(),
+        deployment.fleet.duplicate_executions(),
         0,
         "a request that must not be executed twice was"
     );
 
-    let records = stage.records();
-    let truth = stage.ground_truth.entries();
+    let records = deployment.records();
+    let truth = deployment.ground_truth.entries();
     let timeline = Timeline::open(std::slice::from_ref(&records)).expect("records");
     assert_agrees(&timeline, &truth);
     assert_agrees_with_a_shifted_clock(&records, directory.path(), &truth);
--- a/crates/supervisor/tests/levels.rs
+++ b/crates/supervisor/tests/levels.rs
@@ -24,8 +24,8 @@
 const NORMAL_DEMAND: f64 = 1.0;
 
 /// Returns what a supervisor has recorded.
-fn recorded_kinds(stage: &EmulatedDeployment, supervisor: &str) -> Vec<Kind> {
-    let timeline = Timeline::open(&[stage.records().join(supervisor)]).expect("records");
+fn recorded_kinds(deployment: &EmulatedDeployment, supervisor: &str) -> Vec<Kind> {
+    let timeline = Timeline::open(&[deployment.records().join(supervisor)]).expect("records");
     let (events, _) = timeline.read(&Query::default());
     events
         .into_iter()
@@ -34,95 +34,98 @@
 }
 
 /// Returns the changes of the service level that a supervisor has recorded.
-fn recorded_changes(stage: &EmulatedDeployment, supervisor: &str) -> Vec<pb::ServiceLevel> {
+fn recorded_changes(deployment: &EmulatedDeployment, supervisor: &str) -> Vec<pb::ServiceLevel> {
     let change = |kind| match kind {
         Kind::ServiceLevel(change) => Some(change),
         _ => None,
     };
-    recorded_kinds(stage, supervisor)
+    recorded_kinds(deployment, supervisor)
         .into_iter()
         .filter_map(change)
         .collect()
 }
 
 /// Whether a supervisor has entered the first level at least `times` times.
-fn has_entered(stage: &EmulatedDeployment, supervisor: &str, times: usize) -> bool {
-    let changes = recorded_changes(stage, supervisor);
+fn has_entered(deployment: &EmulatedDeployment, supervisor: &str, times: usize) -> bool {
+    let changes = recorded_changes(deployment, supervisor);
     let entries = changes.iter().filter(|change| change.to == "fewer lookups");
     entries.count() >= times
 }
 
 /// Whether a supervisor's last change was back to full service.
-fn has_left(stage: &EmulatedDeployment, supervisor: &str) -> bool {
-    recorded_changes(stage, supervisor)
+fn has_left(deployment: &EmulatedDeployment, supervisor: &str) -> bool {
+    recorded_changes(deployment, supervisor)
         .last()
         .is_some_and(|change| change.to == "full")
 }
 
 /// Whether a supervisor has recorded metrics with this level, from which it restores the level after a restart.
-fn has_recorded_level(stage: &EmulatedDeployment, supervisor: &str, level: &str) -> bool {
-    recorded_kinds(stage, supervisor).iter().any(|kind| {
+fn has_recorded_level(deployment: &EmulatedDeployment, supervisor: &str, level: &str) -> bool {
+    recorded_kinds(deployment, supervisor).iter().any(|kind| {
         matches!(kind, Kind::Gauge(metrics) if metrics.service_level.as_deref() == Some(level))
     })
 }
 
 /// Raises and lowers the load. A supervisor that is killed while a level is in force restores the level from its
 /// records.
-async fn restart_while_a_level_is_in_force(stage: &mut EmulatedDeployment) {
+async fn restart_while_a_level_is_in_force(deployment: &mut EmulatedDeployment) {
     sleep(Duration::from_secs(3)).await;
-    stage.fleet.set_demand_factor(HIGH_DEMAND);
+    deployment.fleet.set_demand_factor(HIGH_DEMAND);
     until("both enter the level", || {
-        has_entered(stage, "n0", 1) && has_entered(stage, "n1", 1)
+        has_entered(deployment, "n0", 1) && has_entered(deployment, "n1", 1)
     })
     .await;
     until("the level in the metrics of n1", || {
-        has_recorded_level(stage, "n1", "fewer lookups")
+        has_recorded_level(deployment, "n1", "fewer lookups")
     })
     .await;
-    stage.kill_supervisor(1).await;
-    stage.restart_supervisor(1).await;
+    deployment.kill_supervisor(1).await;
+    deployment.restart_supervisor(1).await;
     until("the level is restored", || {
-        recorded_changes(stage, "n1")
+        recorded_changes(deployment, "n1")
             .iter()
             .any(|change| change.reason == "restored")
     })
     .await;
-    stage.fleet.set_demand_factor(NORMAL_DEMAND);
+    deployment.fleet.set_demand_factor(NORMAL_DEMAND);
     until("both return to full service", || {
-        has_left(stage, "n0") && has_left(stage, "n1")
+        has_left(deployment, "n0") && has_left(deployment, "n1")
     })
     .await;
-    assert!(stage.is_responsive().await);
+    assert!(deployment.is_responsive().await);
 }
 
 /// Replaces the service levels by invalid ones, then by valid ones without the level in force.
-async fn replace_the_levels(stage: &mut EmulatedDeployment, operator: &Path) {
-    stage.fleet.set_demand_factor(HIGH_DEMAND);
-    until("n0 enters the level again", || has_entered(stage, "n0", 2)).await;
+async fn replace_the_levels(deployment: &mut EmulatedDeployment, operator: &Path) {
+    deployment.fleet.set_demand_factor(HIGH_DEMAND);
+    until("n0 enters the level again", || {
+        has_entered(deployment, "n0", 2)
+    })
+    .await;
     let text = std::fs::read_to_string(operator).expect("the file");
     std::fs::write(operator, text.replace("leave {", "leaves {")).expect("an invalid file");
-    stage.reload().await;
-    stage
+    deployment.reload().await;
+    deployment
         .wait_for_log_lines(1, &["new limits rejected, the old ones stay"])
         .await;
     let other_levels = text
         .replace("fewer lookups", "few lookups")
         .replace("keep: 0.3", "keep: 0.2");
     std::fs::write(operator, other_levels).expect("other levels");
-    stage.reload().await;
+    deployment.reload().await;
     until("the levels are replaced", || {
-        recorded_changes(stage, "n0")
+        recorded_changes(deployment, "n0")
             .iter()
             .any(|change| change.to == "few lookups" && change.reason == "ladder replaced")
     })
     .await;
-    stage.fleet.set_demand_factor(NORMAL_DEMAND);
-    until("the level is left", || has_left(stage, "n0")).await;
+    deployment.fleet.set_demand_factor(NORMAL_DEMAND);
+    until("the level is left", || has_left(deployment, "n0")).await;
 }
 
-fn assert_changes_have_causes(stage: &EmulatedDeployment) {
-    let mut changes = recorded_changes(stage, "n0");
-    changes.extend(recorded_changes(stage, "n1"));
+fn assert_changes_have_causes(deployment: &EmulatedDeployment) {
+    let mut changes = recorded_changes(deployment, "n0");
+    changes.extend(recorded_changes(deployment, "n1"));
     for change in changes {
         assert!(
             !change.condition.is_empty(),
@@ -137,13 +140,13 @@
 
 /// Asserts that the tables reflect the shedding of the level, which affects the class with the higher priority weight
 /// no more than the other.
-fn assert_shedding_reached_the_tables(stage: &EmulatedDeployment) {
+fn assert_shedding_reached_the_tables(deployment: &EmulatedDeployment) {
     let lowest = |class: &str| {
         let level = |kind| match kind {
             Kind::Level(level) if level.class == class => Some(level.level),
             _ => None,
         };
-        recorded_kinds(stage, "n0")
+        recorded_kinds(deployment, "n0")
             .into_iter()
             .filter_map(level)
             .fold(1.0, f64::min)
@@ -204,21 +207,21 @@
 async fn levels_follow_load_survive_a_restart_and_are_recorded_with_their_cause() {
     let directory = tempfile::tempdir().expect("a directory");
     let operator = directory.path().join("operator.txtpb");
-    let mut stage = EmulatedDeployment::start_with_operator_config(
+    let mut deployment = EmulatedDeployment::start_with_operator_config(
         Path::new(PROGRAM),
         directory.path(),
         5,
         LIMITS,
     )
     .await;
-    restart_while_a_level_is_in_force(&mut stage).await;
-    replace_the_levels(&mut stage, &operator).await;
-    assert_eq!(stage.terminate().await, [Some(0), Some(0)]);
-    assert_eq!(stage.fleet.rule_violations(20), Vec::<String>::new());
-    assert_eq!(stage.fleet.duplicate_executions(), 0);
-    assert_changes_have_causes(&stage);
-    assert_shedding_reached_the_tables(&stage);
-    assert_commands_explain_the_levels(directory.path(), &stage.records(), &operator).await;
+    restart_while_a_level_is_in_force(&mut deployment).await;
+    replace_the_levels(&mut deployment, &operator).await;
+    assert_eq!(deployment.terminate().await, [Some(0), Some(0)]);
+    assert_eq!(deployment.fleet.rule_violations(20), Vec::<String>::new());
+    assert_eq!(deployment.fleet.duplicate_executions(), 0);
+    assert_changes_have_causes(&deployment);
+    assert_shedding_reached_the_tables(&deployment);
+    assert_commands_explain_the_levels(directory.path(), &deployment.records(), &operator).await;
 }
 
 /// The default service levels are derived from the classes of the configuration; without it, the error names the
--- a/crates/supervisor/tests/plugins.rs
+++ b/crates/supervisor/tests/plugins.rs
@@ -34,8 +34,8 @@
 }
 
 /// Returns what all supervisors have recorded.
-fn recorded_kinds(stage: &EmulatedDeployment) -> Vec<Kind> {
-    let timeline = Timeline::open(&[stage.records()]).expect("records");
+fn recorded_kinds(deployment: &EmulatedDeployment) -> Vec<Kind> {
+    let timeline = Timeline::open(&[deployment.records()]).expect("records");
     let (events, _) = timeline.read(&Query::default());
     events
         .into_iter()
@@ -44,8 +44,8 @@
 }
 
 /// Whether every proxy may pick a server for a class.
-fn all_pick(stage: &EmulatedDeployment, class: &str, server: &str) -> bool {
-    stage
+fn all_pick(deployment: &EmulatedDeployment, class: &str, server: &str) -> bool {
+    deployment
         .fleet
         .picks(class)
         .iter()
@@ -53,8 +53,8 @@
 }
 
 /// Whether no proxy may pick a server for a class.
-fn none_picks(stage: &EmulatedDeployment, class: &str, server: &str) -> bool {
-    stage
+fn none_picks(deployment: &EmulatedDeployment, class: &str, server: &str) -> bool {
+    deployment
         .fleet
         .picks(class)
         .iter()
@@ -73,25 +73,31 @@
     let file = write_plugin(directory.path(), "audit", AUDIT);
     let section = plugins_section(std::slice::from_ref(&file));
     let program = Path::new(PROGRAM);
-    let mut stage =
+    let mut deployment =
         EmulatedDeployment::start_without_health_checks(program, directory.path(), 3, &section)
             .await;
     until("orders are routed around it", || {
-        none_picks(&stage, "order", "s-a2")
+        none_picks(&deployment, "order", "s-a2")
     })
     .await;
-    assert!(all_pick(&stage, "lookup", "s-a2"), "the other class stays");
-    assert!(all_pick(&stage, "order", "s-a3"), "the other servers stay");
+    assert!(
+        all_pick(&deployment, "lookup", "s-a2"),
+        "the other class stays"
+    );
+    assert!(
+        all_pick(&deployment, "order", "s-a3"),
+        "the other servers stay"
+    );
 
     let wrong = AUDIT.replace("return 0", "return speed");
     write_plugin(directory.path(), "audit", &wrong);
-    stage.reload().await;
-    stage
+    deployment.reload().await;
+    deployment
         .wait_for_log_lines(1, &["plug-ins rejected", "no name"])
         .await;
     sleep(Duration::from_secs(3)).await;
     assert!(
-        none_picks(&stage, "order", "s-a2"),
+        none_picks(&deployment, "order", "s-a2"),
         "the old rule stays in force"
     );
 
@@ -99,28 +105,30 @@
         .replace("version 1", "version 2")
         .replace("s-a2", "s-b4");
     write_plugin(directory.path(), "audit", &replacement);
-    stage.reload().await;
+    deployment.reload().await;
     until("the new rule", || {
-        none_picks(&stage, "order", "s-b4") && all_pick(&stage, "order", "s-a2")
+        none_picks(&deployment, "order", "s-b4") && all_pick(&deployment, "order", "s-a2")
     })
     .await;
 
-    assert_eq!(stage.terminate().await, [Some(0), Some(0)]);
-    assert_eq!(stage.fleet.rule_violations(20), Vec::<String>::new());
-    assert_loads_are_recorded(&stage);
-    assert_commands_show_the_advice(directory.path(), &stage, &file).await;
+    assert_eq!(deployment.terminate().await, [Some(0), Some(0)]);
+    assert_eq!(deployment.fleet.rule_violations(20), Vec::<String>::new());
+    assert_loads_are_recorded(&deployment);
+    assert_commands_show_the_advice(directory.path(), &deployment, &file).await;
 }
 
 /// Asserts that each of the two supervisors has loaded both versions and rejected the invalid text.
-fn assert_loads_are_recorded(stage: &EmulatedDeployment) {
+fn assert_loads_are_recorded(deployment: &EmulatedDeployment) {
     let load = |kind| match kind {
         Kind::PluginLoaded(load) => {
             Some((load.version, load.digest.len(), load.refused.is_empty()))
         }
         _ => None,
     };
-    let mut loads: Vec<(u32, usize, bool)> =
-        recorded_kinds(stage).into_iter().filter_map(load).collect();
+    let mut loads: Vec<(u32, usize, bool)> = recorded_kinds(deployment)
+        .into_iter()
+        .filter_map(load)
+        .collect();
     loads.sort_unstable();
     assert_eq!(
         loads,
@@ -138,12 +146,12 @@
 /// Asserts that the commands find the advice in the records, and run the plug-in without a supervisor.
 async fn assert_commands_show_the_advice(
     directory: &Path,
-    stage: &EmulatedDeployment,
+    deployment: &EmulatedDeployment,
     file: &Path,
 ) {
     let tools = Program::new(PROGRAM, directory);
     let file = file.display().to_string();
-    let records = stage.records().display().to_string();
+    let records = deployment.records().display().to_string();
     let records_of_one = format!("{records}/n0");
     let (code, output, _) = tools
         .run_command(&["plugin", "run", &file, "--records", &records_of_one])
@@ -204,24 +212,24 @@
 }
 
 /// Drains, fails and restarts servers and reloads, and checks each second that the supervisors respond.
-async fn disturb_the_fleet(stage: &EmulatedDeployment) {
+async fn disturb_the_fleet(deployment: &EmulatedDeployment) {
     for second in 0..24 {
         match second {
-            4 => stage.fleet.drain("s-a1"),
-            8 => stage.fleet.remove("s-a1"),
-            9 => stage.fleet.set_failing("s-b2", true),
-            15 => stage.fleet.set_failing("s-b2", false),
-            16 => stage.fleet.restart("s-a1"),
-            18 => stage.reload().await,
+            4 => deployment.fleet.drain("s-a1"),
+            8 => deployment.fleet.remove("s-a1"),
+            9 => deployment.fleet.set_failing("s-b2", true),
+            15 => deployment.fleet.set_failing("s-b2", false),
+            16 => deployment.fleet.restart("s-a1"),
+            18 => deployment.reload().await,
             _ => {}
         }
-        assert!(stage.is_responsive().await);
+        assert!(deployment.is_responsive().await);
         sleep(Duration::from_secs(1)).await;
     }
 }
 
-fn assert_no_supervisor_stalled(stage: &EmulatedDeployment) {
-    let timeline = Timeline::open(&[stage.records()]).expect("records");
+fn assert_no_supervisor_stalled(deployment: &EmulatedDeployment) {
+    let timeline = Timeline::open(&[deployment.records()]).expect("records");
     let gaps = timeline.gaps(timeline.span().expect("records"));
     let stalls = gaps
         .iter()
@@ -260,23 +268,23 @@
     let directory = tempfile::tempdir().expect("a directory");
     let files = write_hostile_plugins(directory.path());
     let section = plugins_section(&files);
-    let mut stage = EmulatedDeployment::start_with_operator_config(
+    let mut deployment = EmulatedDeployment::start_with_operator_config(
         Path::new(PROGRAM),
         directory.path(),
         5,
         &section,
     )
     .await;
-    stage
+    deployment
         .wait_for_log_lines(files.len(), &["plug-in loaded"])
         .await;
-    disturb_the_fleet(&stage).await;
-    let answered = stage.fleet.counters().answered.load(Ordering::Relaxed);
-    assert_eq!(stage.terminate().await, [Some(0), Some(0)]);
-    assert_eq!(stage.fleet.rule_violations(20), Vec::<String>::new());
+    disturb_the_fleet(&deployment).await;
+    let answered = deployment.fleet.counters().answered.load(Ordering::Relaxed);
+    assert_eq!(deployment.terminate().await, [Some(0), Some(0)]);
+    assert_eq!(deployment.fleet.rule_violations(20), Vec::<String>::new());
     assert!(answered > 500, "only {answered} requests were answered");
-    assert_no_supervisor_stalled(&stage);
-    assert_hostile_plugins_were_contained(&recorded_kinds(&stage));
+    assert_no_supervisor_stalled(&deployment);
+    assert_hostile_plugins_were_contained(&recorded_kinds(&deployment));
 }
 
 const INVALID_PLUGIN: &str =
--- a/crates/supervisor/tests/serving/health_checks.rs
+++ b/crates/supervisor/tests/serving/health_checks.rs
@@ -10,13 +10,13 @@
 async fn servers_with_faulty_responses_do_not_disrupt_serving() {
     let discovery = Discovery::start().await;
     let mut servers = Vec::new();
-    for (name, manner) in [
+    for (name, mode) in [
         ("s-1", HealthCheckMode::Healthy),
         ("s-2", HealthCheckMode::Unavailable),
         ("s-3", HealthCheckMode::OversizedResponse),
         ("s-4", HealthCheckMode::Unresponsive),
     ] {
-        servers.push(Server::start(name, manner).await);
+        servers.push(Server::start(name, mode).await);
         discovery.set(name, servers[servers.len() - 1].address, "up");
     }
     let unused = Server::start("s-5", HealthCheckMode::Healthy).await.address;
