--- a/crates/supervisor/tests/commands/usage.rs
+++ b/crates/supervisor/tests/commands/usage.rs
@@ -15,7 +15,7 @@
         assert_eq!(run(wrong).code, Some(2), "{wrong:?}");
     }
     let directory = tempfile::tempdir().expect("a directory");
-    let records = utf8(directory.path());
+    let path = utf8(directory.path());
     write_records(&directory.path().join("n0"), "n0", 0..5);
     let faults = [
         (
@@ -23,25 +23,23 @@
             "/nowhere/at/all",
         ),
         (
-            vec!["records", "list", records, "--from", "yesterday"],
+            vec!["records", "list", path, "--from", "yesterday"],
             "\"yesterday\" is not a valid time",
         ),
         (
-            vec!["records", "list", records, "--kind", "stat"],
+            vec!["records", "list", path, "--kind", "stat"],
             "unknown kind \"stat\": give one of started,",
         ),
         (
-            vec![
-                "records", "list", records, "--from", "00:01", "--to", "00:00",
-            ],
+            vec!["records", "list", path, "--from", "00:01", "--to", "00:00"],
             "--from is after --to",
         ),
         (
-            vec!["console", records],
+            vec!["console", path],
             "standard input or output is not a terminal: use --once",
         ),
         (
-            vec!["report", records, "--out", "/nowhere/at/all.html"],
+            vec!["report", path, "--out", "/nowhere/at/all.html"],
             "/nowhere/at/all.html cannot be written",
         ),
         (vec!["check"], "nothing to check"),
--- a/crates/supervisor/tests/crossings/discovery.rs
+++ b/crates/supervisor/tests/crossings/discovery.rs
@@ -227,15 +227,11 @@
     let mut watch = third.expect_request("/api/targets?watch=1&from=42").await;
     watch.begin_watch().await;
     // An older complete list after newer changes reverts nothing.
-    let draining = endpoint(&servers[0], "draining");
-    watch
-        .send_watch_line(&delivery(44, false, &[draining]))
-        .await;
+    let drain = endpoint(&servers[0], "draining");
+    watch.send_watch_line(&delivery(44, false, &[drain])).await;
     applies_picks(&mut proxy, &["s-2"]).await;
-    let older_list = [in_service(0), in_service(1), in_service(2)];
-    watch
-        .send_watch_line(&delivery(43, true, &older_list))
-        .await;
+    let older = [in_service(0), in_service(1), in_service(2)];
+    watch.send_watch_line(&delivery(43, true, &older)).await;
     supervisor
         .expect_log_lines(1, &["discovery is behind"])
         .await;
