--- a/crates/supervisor/src/commands/error.rs
+++ b/crates/supervisor/src/commands/error.rs
@@ -31,7 +31,7 @@
     #[error(transparent)]
     ReadText(#[from] TextFileError),
     /// The executable of this program cannot be read.
-    #[error("{0}")]
+    #[error("the executable of this program cannot be read: {0}")]
     ReadProgram(std::io::Error),
     /// `check` was given no file.
     #[error("nothing to check: give --config FILE, --operator FILE, or both")]
--- a/crates/supervisor/src/commands/levels/explain.rs
+++ b/crates/supervisor/src/commands/levels/explain.rs
@@ -17,7 +17,7 @@
 use crate::commands::time_window::resolve_time;
 use crate::commands::CommandError;
 
-/// How far back signals are read, in microseconds: as long as a signal window keeps them.
+/// How far back signals are read, in microseconds: more than twice the maximum `for_s` of a condition, which is 30 s.
 const LOOK_BACK_US: i64 = 70_000_000;
 
 /// Explains the level in force at each supervisor.
--- a/crates/supervisor/src/config.rs
+++ b/crates/supervisor/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration, read from the environment and the configuration file at startup, and from the file at a reload.
 //!
 //! At startup the environment takes precedence over the file. The environment of a running process never changes, so at a
-//! reload the values that changed in the file take precedence, and all others keep their current values.
+//! reload the address of discovery takes precedence if it changed in the file. Other changes require a restart.
 
 mod error;
 mod file;
@@ -163,7 +163,7 @@
     Some(CachedEndpointList { version, endpoints })
 }
 
-/// Parses a seed of 16 hexadecimal digits; any other value is hashed, so that supervisors still have different seeds.
+/// Parses a seed of up to 16 hexadecimal digits; any other value is hashed, so that supervisors still have different seeds.
 fn parse_seed(json: &serde_json::Value) -> u64 {
     let text = match json.as_str() {
         Some(text) => text.to_string(),
--- a/crates/supervisor/src/config/error.rs
+++ b/crates/supervisor/src/config/error.rs
@@ -5,7 +5,7 @@
 /// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Neither the environment nor the file has this key.
+    /// Neither the environment nor the file has this key; at a reload, the file does not have it.
     #[error("{0} is not set")]
     Missing(&'static str),
     /// A value is not an address and port.
--- a/crates/supervisor/src/config/source.rs
+++ b/crates/supervisor/src/config/source.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Reloads the file, except for the cached endpoint list and the seed: discovery has delivered a newer list, and the
-    /// seed is used only at startup.
+    /// Reads the file again and applies a changed address of discovery; other changed keys are returned. The cached endpoint
+    /// list and the seed are ignored: discovery has delivered a newer list, and the seed is used only at startup.
     ///
     /// # Errors
     ///
--- a/crates/supervisor/src/peers/discovery/endpoint_cache.rs
+++ b/crates/supervisor/src/peers/discovery/endpoint_cache.rs
@@ -10,7 +10,7 @@
 /// If delivered versions stay older than the cached one for this long, the version count has restarted: no agent lags more.
 const STALE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Number of consecutive deliveries with unreadable endpoints of which the last one is accepted without them; the earlier
-/// ones are requested again. The backoff in between takes a second in total, and changes have to arrive within 6 s.
+/// ones are requested again. The backoff in between takes 0.75 s in total, and changes have to arrive within 6 s.
 const MAX_UNREADABLE_DELIVERIES: u32 = 5;
 
 /// The endpoint list that was last delivered.
@@ -59,7 +59,8 @@
     }
 
     /// Returns whether a delivery has to be ignored because it is older than the cached version. An agent that lags behind,
-    /// perhaps one at a new address, could report a draining server as in service.
+    /// perhaps one at a new address, could report a draining server as in service. Once the version count has restarted, a
+    /// snapshot is not ignored.
     pub fn should_ignore(&mut self, delivery: &EndpointDelivery) -> bool {
         let version = delivery.version;
         let Some(known_version) = self.version.filter(|known| version < *known) else {
--- a/crates/supervisor/src/peers/proxy_stream.rs
+++ b/crates/supervisor/src/peers/proxy_stream.rs
@@ -125,7 +125,7 @@
         let _ = context.engine.try_report(ended);
     }
 
-    /// Records the end of the stream; an idle timeout is dated back to when the stream became idle.
+    /// Records the end of the stream; an idle timeout is dated back by its minimum, to about when the stream became idle.
     fn record_end(self, reason: DisconnectReason) {
         let observed_at = self.context.clock.now();
         let ended_at = if reason == DisconnectReason::IdleTimeout {
--- a/crates/supervisor/src/protocol/decode.rs
+++ b/crates/supervisor/src/protocol/decode.rs
@@ -38,13 +38,13 @@
         proxy: u32,
         /// Sequence number of the last applied order.
         sequence: u16,
-        /// How long applying them took.
+        /// Time from the order to its effect.
         elapsed: Micros,
     },
     /// A message of a kind that this version does not know.
     Unknown,
-    /// A message of a known kind that cannot be decoded. It is skipped and its connection stays open: the framing is intact,
-    /// so other messages can still be decoded.
+    /// A message of a known kind that cannot be decoded. The framing is intact, so other messages can still be decoded: the
+    /// connection of an identified peer stays open, unless too many of its messages in a row are malformed.
     Malformed(MalformedMessage),
 }
 
--- a/crates/supervisor/src/protocol/disconnect.rs
+++ b/crates/supervisor/src/protocol/disconnect.rs
@@ -61,7 +61,8 @@
         DisconnectReason::ShuttingDown,
     ];
 
-    /// Returns whether the supervisor closed the connection although the peer may still be running.
+    /// Returns whether the supervisor closed the connection because a message was malformed, too long or overdue; the peer
+    /// may still be running.
     pub fn closed_locally(self) -> bool {
         matches!(
             self,
--- a/crates/supervisor/src/protocol/line_reader.rs
+++ b/crates/supervisor/src/protocol/line_reader.rs
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// If the connection ends, or the line is not a message.
+    /// If the connection ends, or the line is too long, not UTF-8 or not a message.
     pub async fn next_message(&mut self) -> Result<Message, Disconnect> {
         let line = self.next_line().await?;
         decode::decode_message(&line)
--- a/crates/supervisor/src/server/overload_control.rs
+++ b/crates/supervisor/src/server/overload_control.rs
@@ -1,5 +1,6 @@
 //! Overload control: evaluates the operators' service levels, limits and budgets once a second, reports its decisions to
-//! the engine, and logs and records changes of the level. SIGHUP reloads the operators' file; an invalid one is rejected.
+//! the engine, and logs and records changes of the level. SIGHUP reloads the limits of the operators' file; an invalid file
+//! is rejected.
 
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -24,9 +25,9 @@
 
 /// Dependencies of overload control.
 pub struct OverloadContext {
-    /// Receives the limits in force.
+    /// Provides the signals and receives the limits in force.
     pub engine: EngineHandle,
-    /// Records changes of the level, and rejected files.
+    /// Records changes of the level and rejected files; its records also contain the level before a restart.
     pub recorder: EventRecorder,
     /// Time source of evaluations.
     pub clock: Clock,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Reloads the operators' file; an invalid one changes nothing.
+    /// Reloads the limits of the operators' file; an invalid file changes nothing.
     pub fn reload(&self) {
         let Some(path) = &self.path else { return };
         match load_config(path, &self.classes) {
@@ -121,7 +122,7 @@
         }));
     }
 
-    /// Evaluates the levels, limits and budgets if they are due.
+    /// Evaluates the levels, limits and budgets if the next evaluation is due.
     pub fn evaluate(&self) {
         let mut controller = self.controller.borrow_mut();
         let Some(controller) = controller.as_mut() else {
--- a/crates/supervisor/src/server/parameters.rs
+++ b/crates/supervisor/src/server/parameters.rs
@@ -21,7 +21,7 @@
     pub endpoints_on_request: bool,
     /// Minimum time between two ticks that are caused by reports.
     pub min_tick_interval: Duration,
-    /// Maximum number of file descriptors of the process.
+    /// Maximum number of file descriptors, for all processes together.
     pub max_descriptors: usize,
 }
 
--- a/crates/supervisor/src/server/reload.rs
+++ b/crates/supervisor/src/server/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the configuration, the plug-ins and the operators' file at SIGHUP.
+//! Reloads the configuration, the plug-ins and the limits of the operators' file at SIGHUP.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/supervisor/src/server/signals.rs
+++ b/crates/supervisor/src/server/signals.rs
@@ -8,7 +8,7 @@
 pub struct Signals {
     /// SIGTERM: shut down.
     pub terminate: Signal,
-    /// SIGHUP: reload the configuration.
+    /// SIGHUP: reload the configuration, the plug-ins and the limits.
     pub hangup: Signal,
 }
 
--- a/crates/supervisor/src/server/startup.rs
+++ b/crates/supervisor/src/server/startup.rs
@@ -186,7 +186,7 @@
     }
 }
 
-/// Starts overload control at the last recorded level.
+/// Creates overload control. If records are kept, enables recording in the engine and restores the last recorded level.
 fn start_overload_control(
     handles: &SharedHandles,
     path: Option<&Path>,
--- a/crates/supervisor/src/server/tick_loop.rs
+++ b/crates/supervisor/src/server/tick_loop.rs
@@ -19,7 +19,7 @@
 
 /// Minimum time between two log lines on dropped reports: a misconfigured peer may cause a thousand drops a second.
 const DROPPED_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Time until the next tick if no timer is set.
+/// Maximum time until the next tick if no timer is set.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(1);
 /// Health checks are spread over this share of the time to the next timer, so that their results arrive before it is due.
 const HEALTH_CHECK_SPREAD: f64 = 0.5;
@@ -49,7 +49,8 @@
 }
 
 impl TickLoop {
-    /// Ticks when a timer is due or reports are pending, no more often than the settings allow.
+    /// Ticks when a timer or a record of metrics is due, or reports are pending. A tick that reports cause starts at least
+    /// `min_tick_interval` after the previous tick.
     pub async fn run(self) {
         let mut dropped_logged_at = Instant::now();
         loop {
--- a/crates/supervisor/src/shared/event_recorder.rs
+++ b/crates/supervisor/src/shared/event_recorder.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// Returns the directory name for a supervisor, whose name comes from the environment and must not act as a path.
+/// Returns the directory name for a supervisor, whose configured name must not act as a path.
 fn directory_name(supervisor: &str) -> String {
     let name: String = supervisor
         .chars()
--- a/crates/supervisor/src/shared/event_recorder/tests.rs
+++ b/crates/supervisor/src/shared/event_recorder/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A supervisor name from the environment must not place records outside of the records directory.
+/// A configured supervisor name must not place records outside of the records directory.
 #[test]
 fn a_directory_name_cannot_leave_the_records_directory() {
     let named: Vec<String> = ["n3", "../../etc", "a/b c", "..", "", "é"]
--- a/crates/supervisor/src/tests/rules/conditions.rs
+++ b/crates/supervisor/src/tests/rules/conditions.rs
@@ -20,8 +20,8 @@
     pub rate_factor: f64,
     /// Share of acknowledgements that are lost.
     pub lost_acknowledgements: f64,
-    /// Maximum number of steps for which the channel stalls.
-    pub max_stall_steps: u32,
+    /// Number of steps for which a stall of the channel lasts.
+    pub stall_steps: u32,
     /// Servers added later for which the channel is dimensioned.
     pub added_servers: u32,
     /// Disturbances in chronological order.
@@ -135,7 +135,7 @@
     let disturbances = prop::collection::vec(disturbance, 1..30);
     (fleet, channel, disturbances).prop_map(|(fleet, channel, disturbances)| {
         let (seed, proxies, servers, head_lines, max_messages) = fleet;
-        let (backlog, fleets_per_s, rate_factor, lost_acknowledgements, max_stall_steps) = channel;
+        let (backlog, fleets_per_s, rate_factor, lost_acknowledgements, stall_steps) = channel;
         Conditions {
             seed,
             proxies,
@@ -146,7 +146,7 @@
             fleets_per_s,
             rate_factor,
             lost_acknowledgements,
-            max_stall_steps,
+            stall_steps,
             added_servers: 0,
             disturbances,
         }
--- a/crates/supervisor/src/tests/rules/disturbances.rs
+++ b/crates/supervisor/src/tests/rules/disturbances.rs
@@ -31,7 +31,7 @@
             } => self.break_streams(percent, loses_state),
             Disturbance::CloseStream(proxy) => self.close_stream(proxy % self.conditions.proxies),
             Disturbance::SetQueues(queued) => self.queued = f64::from(queued),
-            Disturbance::Stall => self.stalled_steps = self.conditions.max_stall_steps,
+            Disturbance::Stall => self.stalled_steps = self.conditions.stall_steps,
             Disturbance::Rejoin(proxy) => self.rejoin(proxy % self.conditions.proxies),
             Disturbance::Restart(max) => self.restart(max),
             Disturbance::Snapshot => {
--- a/crates/supervisor/src/tests/rules/mod.rs
+++ b/crates/supervisor/src/tests/rules/mod.rs
@@ -24,7 +24,7 @@
         fleets_per_s: 2.0,
         rate_factor,
         lost_acknowledgements: 0.1 * conditions.lost_acknowledgements,
-        max_stall_steps: 0,
+        stall_steps: 0,
         max_messages: 0,
         ..conditions
     }
@@ -42,7 +42,7 @@
         fleets_per_s: 0.115,
         rate_factor: 1.0,
         lost_acknowledgements: 0.0,
-        max_stall_steps: 0,
+        stall_steps: 0,
         added_servers: 0,
         disturbances: vec![],
     }
