--- a/crates/supervisor/src/text_file.rs
+++ b/crates/supervisor/src/text_file.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Maximum length of a file, in bytes; the formats of these files allow far less.
+/// Maximum length of a file, in bytes: far longer than any file that operators write, and than the 64 KiB of a plug-in.
 const MAX_TEXT_BYTES: u64 = 1 << 20;
 
 /// Why a text file cannot be read.
