--- a/crates/records/src/clock.rs
+++ b/crates/records/src/clock.rs
@@ -30,12 +30,12 @@
 impl ListChange {
     fn from_record(record: &Record) -> Option<Self> {
         match &record.kind {
-            Some(Kind::LifeChanged(of)) => Some(ListChange {
-                server: of.server.clone(),
-                lifecycle: Some(of.life),
+            Some(Kind::LifeChanged(change)) => Some(ListChange {
+                server: change.server.clone(),
+                lifecycle: Some(change.life),
             }),
-            Some(Kind::ServerStarted(of)) => Some(ListChange {
-                server: of.server.clone(),
+            Some(Kind::ServerStarted(start)) => Some(ListChange {
+                server: start.server.clone(),
                 lifecycle: None,
             }),
             _ => None,
--- a/crates/records/src/incidents/extremes.rs
+++ b/crates/records/src/incidents/extremes.rs
@@ -10,13 +10,13 @@
 /// Adds an event within the window. `classes` are the class names that its supervisor has recorded so far.
 pub(super) fn add(reconstruction: &mut Reconstruction, event: &Event, classes: &[String]) {
     match &event.record.kind {
-        Some(Kind::Gauge(of)) => add_sample(reconstruction, event, of, classes),
-        Some(Kind::StreamLeft(of)) => {
-            let count = reconstruction.ended_streams.entry(of.reason.clone());
+        Some(Kind::Gauge(gauge)) => add_sample(reconstruction, event, gauge, classes),
+        Some(Kind::StreamLeft(stream)) => {
+            let count = reconstruction.ended_streams.entry(stream.reason.clone());
             *count.or_default() += 1;
         }
-        Some(Kind::LifeChanged(of)) if of.life() == Life::Draining => {
-            add_drain(reconstruction, event.at_us, &of.server);
+        Some(Kind::LifeChanged(change)) if change.life() == Life::Draining => {
+            add_drain(reconstruction, event.at_us, &change.server);
         }
         _ => {}
     }
--- a/crates/records/src/incidents/reconstruction.rs
+++ b/crates/records/src/incidents/reconstruction.rs
@@ -103,41 +103,49 @@
             return;
         };
         match kind {
-            Kind::StateChanged(of) => self.update_server_fault(event, of),
-            Kind::LifeChanged(of) if of.life() != Life::InService => {
+            Kind::StateChanged(change) => self.update_server_fault(event, change),
+            Kind::LifeChanged(change) if change.life() != Life::InService => {
                 // A server that drains or is removed is no longer a fault.
-                self.set_fault(event, false, Fault::Server(of.server.clone()));
-                self.set_fault(event, false, Fault::Failing(of.server.clone()));
+                self.set_fault(event, false, Fault::Server(change.server.clone()));
+                self.set_fault(event, false, Fault::Failing(change.server.clone()));
             }
-            Kind::Failing(of) => {
-                self.set_fault(event, of.failing, Fault::Failing(of.server.clone()));
+            Kind::Failing(change) => {
+                self.set_fault(event, change.failing, Fault::Failing(change.server.clone()));
             }
-            Kind::ZoneCut(of) => self.set_fault(event, of.cut, Fault::Zone(of.zone.clone())),
-            Kind::Saturation(of) => self.set_fault(event, of.refused > 0.0, Fault::LoadShedding),
-            Kind::Gauge(of) if of.refused <= 0.0 => {
+            Kind::ZoneCut(partition) => {
+                self.set_fault(event, partition.cut, Fault::Zone(partition.zone.clone()))
+            }
+            Kind::Saturation(sample) => {
+                self.set_fault(event, sample.refused > 0.0, Fault::LoadShedding)
+            }
+            Kind::Gauge(gauge) if gauge.refused <= 0.0 => {
                 self.set_fault(event, false, Fault::LoadShedding);
             }
-            Kind::ServiceLevel(of) => {
+            Kind::ServiceLevel(transition) => {
+                self.set_fault(
+                    event,
+                    transition.number > 0,
+                    Fault::ReducedServiceLevel(transition.to.clone()),
+                );
                 self.set_fault(
                     event,
-                    of.number > 0,
-                    Fault::ReducedServiceLevel(of.to.clone()),
+                    false,
+                    Fault::ReducedServiceLevel(transition.from.clone()),
                 );
-                self.set_fault(event, false, Fault::ReducedServiceLevel(of.from.clone()));
             }
-            Kind::Discovery(of) => self.set_fault(event, !of.tells, Fault::Discovery),
-            Kind::Fleet(of) => self.end_faults_of_healthy(event, of),
+            Kind::Discovery(change) => self.set_fault(event, !change.tells, Fault::Discovery),
+            Kind::Fleet(fleet) => self.end_faults_of_healthy(event, fleet),
             // A new incarnation starts without known faults.
             Kind::Started(_) => self.incidents.end_all(event.at_us, &event.supervisor),
             _ => {}
         }
     }
 
-    fn update_server_fault(&mut self, event: &Event, of: &pb::StateChanged) {
-        let fault = Fault::Server(of.server.clone());
-        self.set_fault(event, of.state() != State::Full, fault);
-        if of.state() == State::Withdrawn {
-            self.incidents.add_withdrawn(&of.server);
+    fn update_server_fault(&mut self, event: &Event, change: &pb::StateChanged) {
+        let fault = Fault::Server(change.server.clone());
+        self.set_fault(event, change.state() != State::Full, fault);
+        if change.state() == State::Withdrawn {
+            self.incidents.add_withdrawn(&change.server);
         }
     }
 
--- a/crates/records/src/kind.rs
+++ b/crates/records/src/kind.rs
@@ -92,11 +92,11 @@
 /// Returns the name of the server that a record concerns, if it concerns a single one.
 pub fn server(kind: &Kind) -> Option<&str> {
     match kind {
-        Kind::StateChanged(of) => Some(&of.server),
-        Kind::LifeChanged(of) => Some(&of.server),
-        Kind::ServerStarted(of) => Some(&of.server),
-        Kind::Withdrawn(of) => Some(&of.server),
-        Kind::Failing(of) => Some(&of.server),
+        Kind::StateChanged(change) => Some(&change.server),
+        Kind::LifeChanged(change) => Some(&change.server),
+        Kind::ServerStarted(start) => Some(&start.server),
+        Kind::Withdrawn(withdrawal) => Some(&withdrawal.server),
+        Kind::Failing(change) => Some(&change.server),
         _ => None,
     }
 }
@@ -110,19 +110,19 @@
 /// not.
 pub fn is_fault(kind: &Kind) -> bool {
     match kind {
-        Kind::StateChanged(of) => of.state() != pb::State::Full,
-        Kind::LifeChanged(of) => of.life() != pb::Life::InService,
-        Kind::Withdrawn(of) => of.out,
-        Kind::ColdHeld(of) => of.held,
-        Kind::ZoneCut(of) => of.cut,
-        Kind::Saturation(of) => of.refused > 0.0,
-        Kind::Failing(of) => of.failing,
-        Kind::Discovery(of) => !of.tells,
-        Kind::Reloaded(of) => !of.taken,
-        Kind::AdviceVoid(of) => of.void,
-        Kind::ServiceLevel(of) => of.number > 0,
-        Kind::PluginLoaded(of) => !of.refused.is_empty(),
-        Kind::PluginSaid(of) => matches!(of.what.as_str(), "fault" | "paused"),
+        Kind::StateChanged(change) => change.state() != pb::State::Full,
+        Kind::LifeChanged(change) => change.life() != pb::Life::InService,
+        Kind::Withdrawn(withdrawal) => withdrawal.out,
+        Kind::ColdHeld(withholding) => withholding.held,
+        Kind::ZoneCut(partition) => partition.cut,
+        Kind::Saturation(sample) => sample.refused > 0.0,
+        Kind::Failing(change) => change.failing,
+        Kind::Discovery(change) => !change.tells,
+        Kind::Reloaded(reload) => !reload.taken,
+        Kind::AdviceVoid(change) => change.void,
+        Kind::ServiceLevel(transition) => transition.number > 0,
+        Kind::PluginLoaded(load) => !load.refused.is_empty(),
+        Kind::PluginSaid(output) => matches!(output.what.as_str(), "fault" | "paused"),
         Kind::Lost(_) | Kind::ClockStepped(_) => true,
         _ => false,
     }
--- a/crates/records/src/replay.rs
+++ b/crates/records/src/replay.rs
@@ -54,17 +54,17 @@
 }
 
 impl From<&pb::Server> for ServerState {
-    fn from(of: &pb::Server) -> Self {
+    fn from(server: &pb::Server) -> Self {
         ServerState {
-            zone: of.zone.clone(),
-            state: of.state(),
-            lifecycle: of.life(),
-            score: of.score,
-            errors: of.errors,
-            latency: of.latency,
-            weight: of.weight,
-            warmth: of.warmth,
-            is_suspended: of.shut,
+            zone: server.zone.clone(),
+            state: server.state(),
+            lifecycle: server.life(),
+            score: server.score,
+            errors: server.errors,
+            latency: server.latency,
+            weight: server.weight,
+            warmth: server.warmth,
+            is_suspended: server.shut,
             failing: false,
             since_us: 0,
         }
@@ -113,87 +113,90 @@
         self.learned_us = record.learned_us;
         let Some(kind) = &record.kind else { return };
         match kind {
-            Kind::Started(of) => self.restart(of),
+            Kind::Started(start) => self.restart(start),
             Kind::Stopped(_) => self.is_stopped = true,
-            Kind::StateChanged(of) => self.change_state(of, record.at_us),
-            Kind::LifeChanged(of) => self.change_lifecycle(of, record.at_us),
-            Kind::ServerStarted(of) => self.start_server(of, record.at_us),
-            Kind::Withdrawn(of) => {
-                self.update_server(&of.server, |server| server.is_suspended = of.out);
+            Kind::StateChanged(change) => self.change_state(change, record.at_us),
+            Kind::LifeChanged(change) => self.change_lifecycle(change, record.at_us),
+            Kind::ServerStarted(start) => self.start_server(start, record.at_us),
+            Kind::Withdrawn(withdrawal) => {
+                self.update_server(&withdrawal.server, |server| {
+                    server.is_suspended = withdrawal.out
+                });
             }
-            Kind::Failing(of) => {
-                self.update_server(&of.server, |server| server.failing = of.failing);
+            Kind::Failing(change) => {
+                self.update_server(&change.server, |server| server.failing = change.failing);
             }
-            Kind::ColdHeld(of) => self.are_warming_servers_withheld = of.held,
-            Kind::ZoneCut(of) => self.change_partition(of),
-            Kind::Saturation(of) => self.saturation = Some(*of),
-            Kind::Level(of) => {
-                self.retry_policies.insert(of.class.clone(), of.retry);
+            Kind::ColdHeld(withholding) => self.are_warming_servers_withheld = withholding.held,
+            Kind::ZoneCut(partition) => self.change_partition(partition),
+            Kind::Saturation(sample) => self.saturation = Some(*sample),
+            Kind::Level(change) => {
+                self.retry_policies
+                    .insert(change.class.clone(), change.retry);
             }
-            Kind::StreamJoined(of) => {
-                self.proxies.insert(of.proxy);
+            Kind::StreamJoined(stream) => {
+                self.proxies.insert(stream.proxy);
             }
-            Kind::StreamLeft(of) => {
-                self.proxies.remove(&of.proxy);
+            Kind::StreamLeft(stream) => {
+                self.proxies.remove(&stream.proxy);
             }
-            Kind::ServiceLevel(of) => self.service_level = Some(of.to.clone()),
-            Kind::Gauge(of) => self.sample(of),
-            Kind::Discovery(of) => self.is_discovery_unavailable = !of.tells,
-            Kind::Fleet(of) => self.replace_servers(of, record.at_us),
+            Kind::ServiceLevel(transition) => self.service_level = Some(transition.to.clone()),
+            Kind::Gauge(gauge) => self.sample(gauge),
+            Kind::Discovery(change) => self.is_discovery_unavailable = !change.tells,
+            Kind::Fleet(fleet) => self.replace_servers(fleet, record.at_us),
             _ => {}
         }
     }
 
     /// Resets the state for a new incarnation; only the classes are known at its start.
-    fn restart(&mut self, of: &pb::Started) {
+    fn restart(&mut self, start: &pb::Started) {
         *self = FleetState {
-            classes: of.classes.clone(),
+            classes: start.classes.clone(),
             learned_us: self.learned_us,
             ..FleetState::default()
         };
     }
 
-    fn change_state(&mut self, of: &pb::StateChanged, at_us: i64) {
-        let server = self.server_mut(&of.server, &of.zone);
-        server.state = of.state();
-        server.score = of.score;
-        server.errors = of.errors;
-        server.latency = of.latency;
+    fn change_state(&mut self, change: &pb::StateChanged, at_us: i64) {
+        let server = self.server_mut(&change.server, &change.zone);
+        server.state = change.state();
+        server.score = change.score;
+        server.errors = change.errors;
+        server.latency = change.latency;
         server.since_us = at_us;
     }
 
-    fn change_lifecycle(&mut self, of: &pb::LifeChanged, at_us: i64) {
-        if of.life() == Life::Gone {
-            self.servers.remove(&of.server);
+    fn change_lifecycle(&mut self, change: &pb::LifeChanged, at_us: i64) {
+        if change.life() == Life::Gone {
+            self.servers.remove(&change.server);
             return;
         }
-        let server = self.server_mut(&of.server, &of.zone);
-        server.lifecycle = of.life();
+        let server = self.server_mut(&change.server, &change.zone);
+        server.lifecycle = change.life();
         server.since_us = at_us;
     }
 
-    fn start_server(&mut self, of: &pb::ServerStarted, at_us: i64) {
+    fn start_server(&mut self, start: &pb::ServerStarted, at_us: i64) {
         let server = ServerState {
-            zone: of.zone.clone(),
+            zone: start.zone.clone(),
             warmth: 0.0,
             since_us: at_us,
             ..ServerState::default()
         };
-        self.servers.insert(of.server.clone(), server);
+        self.servers.insert(start.server.clone(), server);
     }
 
-    fn change_partition(&mut self, of: &pb::ZoneCut) {
-        if of.cut {
-            self.partitioned_zones.insert(of.zone.clone());
+    fn change_partition(&mut self, partition: &pb::ZoneCut) {
+        if partition.cut {
+            self.partitioned_zones.insert(partition.zone.clone());
         } else {
-            self.partitioned_zones.remove(&of.zone);
+            self.partitioned_zones.remove(&partition.zone);
         }
     }
 
     /// Stores a sample of metrics, which corrects the service level if levels were disabled or a change was lost.
-    fn sample(&mut self, of: &pb::Gauge) {
-        self.service_level.clone_from(&of.service_level);
-        self.gauge = Some(of.clone());
+    fn sample(&mut self, gauge: &pb::Gauge) {
+        self.service_level.clone_from(&gauge.service_level);
+        self.gauge = Some(gauge.clone());
     }
 
     fn update_server(&mut self, name: &str, update: impl FnOnce(&mut ServerState)) {
@@ -217,17 +220,17 @@
             self.classes.clone_from(&fleet.classes);
         }
         let old = std::mem::take(&mut self.servers);
-        for of in &fleet.servers {
-            let server = recorded_server(of, old.get(&of.name), at_us);
-            self.servers.insert(of.name.clone(), server);
+        for recorded in &fleet.servers {
+            let server = recorded_server(recorded, old.get(&recorded.name), at_us);
+            self.servers.insert(recorded.name.clone(), server);
         }
     }
 }
 
 /// Returns a server from a record of the whole fleet. Fields that the record does not contain come from the former
 /// state.
-fn recorded_server(of: &pb::Server, old: Option<&ServerState>, at_us: i64) -> ServerState {
-    let server = ServerState::from(of);
+fn recorded_server(recorded: &pb::Server, old: Option<&ServerState>, at_us: i64) -> ServerState {
+    let server = ServerState::from(recorded);
     let Some(old) = old else {
         return server;
     };
--- a/crates/records/src/text/kinds.rs
+++ b/crates/records/src/text/kinds.rs
@@ -7,155 +7,166 @@
 /// Describes a record in one line, without its time.
 pub fn line(kind: &Kind) -> String {
     match kind {
-        Kind::Started(of) => started(of),
-        Kind::Stopped(of) => format!("stopped: {}", of.reason),
-        Kind::ClockStepped(of) => format!(
+        Kind::Started(start) => started(start),
+        Kind::Stopped(stop) => format!("stopped: {}", stop.reason),
+        Kind::ClockStepped(step) => format!(
             "the system's clock stepped by {}",
-            signed_duration(of.by_us)
+            signed_duration(step.by_us)
         ),
-        Kind::Lost(of) => lost(of),
-        Kind::Recovered(of) => recovered(of),
-        Kind::StateChanged(of) => state_changed(of),
-        Kind::LifeChanged(of) => format!("{} {}", of.server, lifecycle(of.life())),
-        Kind::ServerStarted(of) => format!("{} started", of.server),
-        Kind::Withdrawn(of) => withdrawn(of),
-        Kind::ColdHeld(of) => warming_servers_withheld(*of),
-        Kind::ZoneCut(of) => zone_cut(of),
-        Kind::Saturation(of) => saturation(*of),
-        Kind::Level(of) => level(of),
-        Kind::AdviceVoid(of) => advice_void(of),
-        Kind::ServiceLevel(of) => service_level(of),
-        Kind::PluginLoaded(of) => plugin_loaded(of),
-        Kind::PluginSaid(of) => format!("plug-in {} {}: {}", of.name, of.what, of.text),
-        Kind::Parts(of) => shards(*of),
-        Kind::Failing(of) => failing(of),
-        Kind::StreamJoined(of) => stream_joined(of),
-        Kind::StreamLeft(of) => stream_left(of),
-        Kind::Published(of) => published(*of),
-        Kind::Gauge(of) => gauge(of),
-        Kind::ReportsDropped(of) => format!("{} reports dropped, the last: {}", of.count, of.last),
-        Kind::Discovery(of) => discovery(of),
-        Kind::Reloaded(of) => reloaded(of),
-        Kind::Fleet(of) => format!("status of {} servers", of.servers.len()),
+        Kind::Lost(loss) => lost(loss),
+        Kind::Recovered(recovery) => recovered(recovery),
+        Kind::StateChanged(change) => state_changed(change),
+        Kind::LifeChanged(change) => format!("{} {}", change.server, lifecycle(change.life())),
+        Kind::ServerStarted(start) => format!("{} started", start.server),
+        Kind::Withdrawn(withdrawal) => withdrawn(withdrawal),
+        Kind::ColdHeld(withholding) => warming_servers_withheld(*withholding),
+        Kind::ZoneCut(partition) => zone_cut(partition),
+        Kind::Saturation(sample) => saturation(*sample),
+        Kind::Level(change) => level(change),
+        Kind::AdviceVoid(change) => advice_void(change),
+        Kind::ServiceLevel(transition) => service_level(transition),
+        Kind::PluginLoaded(load) => plugin_loaded(load),
+        Kind::PluginSaid(output) => {
+            format!("plug-in {} {}: {}", output.name, output.what, output.text)
+        }
+        Kind::Parts(division) => shards(*division),
+        Kind::Failing(change) => failing(change),
+        Kind::StreamJoined(stream) => stream_joined(stream),
+        Kind::StreamLeft(stream) => stream_left(stream),
+        Kind::Published(counts) => published(*counts),
+        Kind::Gauge(metrics) => gauge(metrics),
+        Kind::ReportsDropped(dropped) => format!(
+            "{} reports dropped, the last: {}",
+            dropped.count, dropped.last
+        ),
+        Kind::Discovery(change) => discovery(change),
+        Kind::Reloaded(reload) => reloaded(reload),
+        Kind::Fleet(fleet) => format!("status of {} servers", fleet.servers.len()),
     }
 }
 
-fn started(of: &pb::Started) -> String {
+fn started(start: &pb::Started) -> String {
     format!(
         "started, version {}, listening at {}",
-        of.version, of.listen
+        start.version, start.listen
     )
 }
 
-fn lost(of: &pb::Lost) -> String {
-    let length = duration(of.to_us.saturating_sub(of.from_us));
-    let reason = match of.reason.as_str() {
+fn lost(loss: &pb::Lost) -> String {
+    let length = duration(loss.to_us.saturating_sub(loss.from_us));
+    let reason = match loss.reason.as_str() {
         "queue" => "the writer was too slow",
         "disk" => "nothing could be written",
         other => other,
     };
-    format!("{} records lost over {length}: {reason}", of.count)
+    format!("{} records lost over {length}: {reason}", loss.count)
 }
 
-fn recovered(of: &pb::Recovered) -> String {
-    let end = if of.stopped {
+fn recovered(recovery: &pb::Recovered) -> String {
+    let end = if recovery.stopped {
         "shut down cleanly"
     } else {
         "ended without a shutdown record"
     };
     let mut text = format!(
         "start {} {end}, {} records kept",
-        of.incarnation, of.records
+        recovery.incarnation, recovery.records
     );
-    if of.torn_bytes > 0 {
-        text += &format!(", {} bytes of a torn tail dropped", of.torn_bytes);
+    if recovery.torn_bytes > 0 {
+        text += &format!(", {} bytes of a torn tail dropped", recovery.torn_bytes);
     }
-    if of.damaged_bytes > 0 {
-        text += &format!(", {} bytes damaged", of.damaged_bytes);
+    if recovery.damaged_bytes > 0 {
+        text += &format!(", {} bytes damaged", recovery.damaged_bytes);
     }
     text
 }
 
-fn state_changed(of: &pb::StateChanged) -> String {
+fn state_changed(change: &pb::StateChanged) -> String {
     format!(
         "{} {}, score {:.2}: errors {:.2} latency {:.2}, {}",
-        of.server,
-        state(of.state()),
-        of.score,
-        of.errors,
-        of.latency,
-        cause(of.cause())
+        change.server,
+        state(change.state()),
+        change.score,
+        change.errors,
+        change.latency,
+        cause(change.cause())
     )
 }
 
-fn withdrawn(of: &pb::Withdrawn) -> String {
-    let change = if of.out {
+fn withdrawn(withdrawal: &pb::Withdrawn) -> String {
+    let change = if withdrawal.out {
         "suspended in all tables"
     } else {
         "resumed"
     };
-    format!("{} {change}, {} streams notified", of.server, of.streams)
+    format!(
+        "{} {change}, {} streams notified",
+        withdrawal.server, withdrawal.streams
+    )
 }
 
-fn warming_servers_withheld(of: pb::ColdHeld) -> String {
-    let change = if of.held {
+fn warming_servers_withheld(withholding: pb::ColdHeld) -> String {
+    let change = if withholding.held {
         "withheld from tables"
     } else {
         "re-admitted"
     };
     format!(
         "warming servers {change}: {:.1} attempts per response",
-        of.tries
+        withholding.tries
     )
 }
 
-fn zone_cut(of: &pb::ZoneCut) -> String {
-    if !of.cut {
-        return format!("zone {} reachable again", of.zone);
+fn zone_cut(partition: &pb::ZoneCut) -> String {
+    if !partition.cut {
+        return format!("zone {} reachable again", partition.zone);
     }
-    let unanswered_percent = 100.0 * of.mute;
+    let unanswered_percent = 100.0 * partition.mute;
     format!(
         "zone {} partitioned from here: {unanswered_percent:.0} % of its servers answer no health check",
-        of.zone
+        partition.zone
     )
 }
 
-fn saturation(of: pb::Saturation) -> String {
+fn saturation(sample: pb::Saturation) -> String {
     format!(
         "sheds {:.1}, saturation {:.2}: queues {:.2} health checks {:.2} unanswered {:.2}",
-        of.refused, of.strain, of.queues, of.probes, of.mute
+        sample.refused, sample.strain, sample.queues, sample.probes, sample.mute
     )
 }
 
-fn level(of: &pb::Level) -> String {
+fn level(change: &pb::Level) -> String {
     format!(
         "admission level of {} {} in table {}, retries {}, saturation {:.2}",
-        of.class,
-        short_decimal(of.level),
-        of.table,
-        retry(of.retry),
-        of.strain
+        change.class,
+        short_decimal(change.level),
+        change.table,
+        retry(change.retry),
+        change.strain
     )
 }
 
-fn advice_void(of: &pb::AdviceVoid) -> String {
-    if of.void {
+fn advice_void(change: &pb::AdviceVoid) -> String {
+    if change.void {
         format!(
             "advice on table {} overruled: it would leave too little capacity",
-            of.table
+            change.table
         )
     } else {
-        format!("advice on table {} in force again", of.table)
+        format!("advice on table {} in force again", change.table)
     }
 }
 
-fn service_level(of: &pb::ServiceLevel) -> String {
-    let signals: Vec<String> = of.signals.iter().map(signal).collect();
-    let mut text = format!("service level {} after {}, {}", of.to, of.from, of.reason);
+fn service_level(transition: &pb::ServiceLevel) -> String {
+    let signals: Vec<String> = transition.signals.iter().map(signal).collect();
+    let mut text = format!(
+        "service level {} after {}, {}",
+        transition.to, transition.from, transition.reason
+    );
     let details = [
-        (": ", of.condition.clone()),
+        (": ", transition.condition.clone()),
         ("; ", signals.join(", ")),
-        ("; notify ", of.tell.join(", ")),
+        ("; notify ", transition.tell.join(", ")),
     ];
     for (separator, detail) in details {
         if !detail.is_empty() {
@@ -167,94 +178,103 @@
 }
 
 /// Describes a signal, with its age if that is a second or more.
-pub fn signal(of: &pb::Signal) -> String {
-    let value = of
+pub fn signal(signal: &pb::Signal) -> String {
+    let value = signal
         .value
         .map_or_else(|| "unknown".to_string(), short_decimal);
-    let age = if of.age_ms >= 1000 {
-        format!(" {} ago", duration(microseconds(of.age_ms)))
+    let age = if signal.age_ms >= 1000 {
+        format!(" {} ago", duration(microseconds(signal.age_ms)))
     } else {
         String::new()
     };
-    format!("{} {value}{age}", of.name)
+    format!("{} {value}{age}", signal.name)
 }
 
-fn plugin_loaded(of: &pb::PluginLoaded) -> String {
-    if !of.refused.is_empty() {
-        return format!("plug-in {} refused: {}", of.name, of.refused);
+fn plugin_loaded(load: &pb::PluginLoaded) -> String {
+    if !load.refused.is_empty() {
+        return format!("plug-in {} refused: {}", load.name, load.refused);
     }
     format!(
         "plug-in {} version {} loaded, {}",
-        of.name, of.version, of.digest
+        load.name, load.version, load.digest
     )
 }
 
-fn shards(of: pb::Parts) -> String {
-    let narrowed = if of.narrowed {
+fn shards(division: pb::Parts) -> String {
+    let narrowed = if division.narrowed {
         ", narrowed: attempts fail everywhere"
     } else {
         ""
     };
-    format!("fleet divided into {} shards{narrowed}", of.parts)
+    format!("fleet divided into {} shards{narrowed}", division.parts)
 }
 
-fn failing(of: &pb::Failing) -> String {
-    if !of.failing {
-        return format!("{} answers attempts from {} again", of.server, of.zone);
+fn failing(change: &pb::Failing) -> String {
+    if !change.failing {
+        return format!(
+            "{} answers attempts from {} again",
+            change.server, change.zone
+        );
     }
     format!(
         "{} fails {:.0} of {:.0} attempts from {}",
-        of.server, of.failed, of.tries, of.zone
+        change.server, change.failed, change.tries, change.zone
     )
 }
 
-fn stream_joined(of: &pb::StreamJoined) -> String {
-    let table = if of.new {
+fn stream_joined(stream: &pb::StreamJoined) -> String {
+    let table = if stream.new {
         "holds no table"
     } else {
         "brings a table"
     };
     format!(
         "proxy {}@{} joined with {:.1} requests/s, {table}",
-        of.proxy, of.zone, of.rate
+        stream.proxy, stream.zone, stream.rate
     )
 }
 
-fn stream_left(of: &pb::StreamLeft) -> String {
-    let lasted = duration(microseconds(of.lasted_ms));
+fn stream_left(stream: &pb::StreamLeft) -> String {
+    let lasted = duration(microseconds(stream.lasted_ms));
     format!(
         "proxy {}@{} left after {lasted}: {}",
-        of.proxy, of.zone, of.reason
+        stream.proxy, stream.zone, stream.reason
     )
 }
 
-fn published(of: pb::Published) -> String {
+fn published(counts: pb::Published) -> String {
     format!(
         "{} weights, {} assignments, {} suspensions to {} streams",
-        of.lines, of.binds, of.withdrawals, of.streams
+        counts.lines, counts.binds, counts.withdrawals, counts.streams
     )
 }
 
-fn gauge(of: &pb::Gauge) -> String {
+fn gauge(metrics: &pb::Gauge) -> String {
     format!(
         "{:.0} lines queued, sheds {:.2}, {} streams, {} full {} reduced {} withdrawn {} warming",
-        of.waiting, of.refused, of.streams, of.full, of.reduced, of.withdrawn, of.cold
+        metrics.waiting,
+        metrics.refused,
+        metrics.streams,
+        metrics.full,
+        metrics.reduced,
+        metrics.withdrawn,
+        metrics.cold
     )
 }
 
-fn discovery(of: &pb::Discovery) -> String {
-    if of.tells {
+fn discovery(change: &pb::Discovery) -> String {
+    if change.tells {
         "discovery available again".to_string()
     } else {
-        format!("discovery unavailable: {}", of.reason)
+        format!("discovery unavailable: {}", change.reason)
     }
 }
 
-fn reloaded(of: &pb::Reloaded) -> String {
-    if of.taken {
-        format!("configuration reloaded: {}", of.detail)
+fn reloaded(reload: &pb::Reloaded) -> String {
+    if reload.taken {
+        format!("configuration reloaded: {}", reload.detail)
     } else {
-        format!("the new configuration is rejected: {}", of.detail)
+        format!("the new configuration is rejected: {}", reload.detail)
     }
 }
 
