--- a/crates/plugin-advisor/benches/tick.rs
+++ b/crates/plugin-advisor/benches/tick.rs
@@ -76,7 +76,7 @@
     format!("s-{number:08x}")
 }
 
-/// An engine with all servers listed and all proxies joined.
+/// Creates an engine with all servers listed and all proxies joined.
 fn engine() -> Engine {
     let classes = names(&["status-read", "refund-order", "petition-file"]);
     let deployment = DeploymentNames {
--- a/crates/plugin-advisor/src/advice.rs
+++ b/crates/plugin-advisor/src/advice.rs
@@ -7,7 +7,7 @@
 
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// The advice with names instead of positions. Entries whose positions are not in the inputs are dropped.
+/// Returns the advice with names instead of positions. Entries whose positions are not in the inputs are dropped.
 pub fn advice_by_name(advice: &Advice, inputs: &Inputs, now: Micros) -> PluginAdvice {
     PluginAdvice {
         factors: weight_factors(advice, inputs),
--- a/crates/plugin-advisor/src/advisor.rs
+++ b/crates/plugin-advisor/src/advisor.rs
@@ -53,7 +53,7 @@
         self.host.is_empty() && !self.has_reported_advice
     }
 
-    /// Advice replaces earlier advice, so empty advice is reported only to withdraw it.
+    /// Reports advice to the engine. It replaces the previous one, so empty advice is reported only to withdraw another.
     fn report(&mut self, advice: PluginAdvice, engine: &mut Engine) {
         let has_advice = !is_empty(&advice);
         if has_advice || self.has_reported_advice {
--- a/crates/plugin-advisor/src/inputs.rs
+++ b/crates/plugin-advisor/src/inputs.rs
@@ -8,7 +8,7 @@
 use chutegrade_records::replay::{FleetState, ServerState as RecordedServer};
 use chutegrade_records::{pb, text};
 
-/// The inputs of plug-ins from the current state of an engine.
+/// Returns the inputs of plug-ins from the current state of an engine.
 pub fn inputs_from_engine(engine: &Engine) -> Inputs {
     let metrics = engine.fleet_metrics();
     let snapshot = engine.server_snapshot();
@@ -24,7 +24,7 @@
     }
 }
 
-/// The inputs of plug-ins from a recorded state of the fleet. The request rate is not recorded and is 0.
+/// Returns the inputs of plug-ins from a recorded state of the fleet. The request rate is not recorded and is 0.
 pub fn inputs_from_records(fleet: &FleetState, zones: &[String]) -> Inputs {
     let metrics = fleet.gauge.clone().unwrap_or_default();
     let classes = fleet.classes.iter().zip(admitted_shares(&metrics));
@@ -42,7 +42,7 @@
     }
 }
 
-/// The admitted share of each class; classes that the metrics do not list are admitted in full.
+/// Returns the admitted share of each class; classes that the metrics do not list are admitted in full.
 fn admitted_shares(metrics: &pb::Gauge) -> impl Iterator<Item = f64> + '_ {
     metrics.levels.iter().copied().chain(iter::repeat(1.0))
 }
@@ -56,7 +56,7 @@
     }
 }
 
-/// The value of `effect` in the hook language: whether a request can be repeated.
+/// Returns the value of `effect` in the hook language: whether a request can be repeated.
 fn idempotency_name(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "safe",
@@ -94,7 +94,7 @@
     zones.iter().map(|zone| zone.as_str().into()).collect()
 }
 
-/// `request_rate` is in requests per second.
+/// Converts metrics of the fleet. `request_rate` is in requests per second.
 fn fleet_from_metrics(metrics: &pb::Gauge, request_rate: f64) -> Fleet {
     Fleet {
         saturation: metrics.strain,
--- a/crates/plugins/src/ast.rs
+++ b/crates/plugins/src/ast.rs
@@ -12,7 +12,7 @@
 }
 
 impl<T> Spanned<T> {
-    /// A node that was parsed from the bytes of `span`.
+    /// Creates a node that was parsed from the bytes of `span`.
     pub fn new(node: T, span: Span) -> Self {
         Spanned { node, span }
     }
--- a/crates/plugins/src/cases.rs
+++ b/crates/plugins/src/cases.rs
@@ -5,7 +5,7 @@
 use crate::inputs::{Class, Fleet, Inputs, Server};
 use crate::machine::{Context, Effects, Machine, Memory};
 
-/// Maximum number of operations of one hook call.
+/// Fuel of one hook call.
 const CALL_FUEL: u64 = 100_000;
 /// Maximum number of evaluations that a case can request with `turns`.
 const MAX_TURNS: f64 = 10_000.0;
@@ -34,7 +34,7 @@
     ("turns", ""),
 ];
 
-/// Whether a case can set the input with this path.
+/// Returns whether a case can set the input with this path.
 pub fn is_input(path: &[&str]) -> bool {
     match path {
         [name] => INPUT_PATHS.contains(&(name, "")),
@@ -137,11 +137,12 @@
         fleet: case_inputs.fleet,
     };
     let (mut memory, mut machine) = (Memory::new(program), Machine::default());
-    for turn in 1..=case_inputs.turns {
+    for evaluation_number in 1..=case_inputs.turns {
         memory.decay();
         if let Some(hook) = program.hooks.turn {
             let mut fuel = CALL_FUEL;
-            let mut context = Context::new(program, &inputs, &mut memory, &mut fuel, turn);
+            let mut context =
+                Context::new(program, &inputs, &mut memory, &mut fuel, evaluation_number);
             machine
                 .call(program, hook, &[], &mut context, CALL_FUEL)
                 .map_err(|fault| fault.to_string())?;
@@ -187,7 +188,7 @@
     Ok(())
 }
 
-/// Whether two results are equal, except for rounding errors.
+/// Returns whether two results are equal, except for rounding errors.
 fn is_equal(actual: &Value, expected: &Value) -> bool {
     match (actual, expected) {
         (Value::Number(actual), Value::Number(expected)) => (actual - expected).abs() < 1e-9,
--- a/crates/plugins/src/code.rs
+++ b/crates/plugins/src/code.rs
@@ -44,7 +44,7 @@
     Range(i64, i64),
 }
 
-/// A type of the hook language. Of a set, it includes the type of the elements.
+/// A type of the hook language. The type of a set includes that of its elements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(missing_docs)]
 pub enum Type {
@@ -64,7 +64,7 @@
 }
 
 impl Type {
-    /// The name of the type in source texts and diagnostics.
+    /// Returns the name of the type in source texts and diagnostics.
     pub fn name(self) -> &'static str {
         match self {
             Type::Nothing => "nothing",
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The type that a name denotes in a function's signature, if any.
+    /// Returns the type that a name denotes in a function's signature; `None` if there is none.
     pub fn from_name(name: &str) -> Option<Self> {
         [
             Type::Number,
@@ -96,7 +96,7 @@
         .find(|known| known.name() == name)
     }
 
-    /// The type of the loop variable in a loop over it; none if it cannot be iterated.
+    /// Returns the type of the loop variable in a loop over it; `None` if it cannot be iterated.
     pub fn element_type(self) -> Option<Type> {
         match self {
             Type::Numbers | Type::Range => Some(Type::Number),
@@ -137,7 +137,7 @@
 }
 
 impl Field {
-    /// Whether it is a field of the fleet rather than of a server or class.
+    /// Returns whether it is a field of the fleet rather than of a server or class.
     pub fn is_fleet_field(self) -> bool {
         use Field::*;
         matches!(
@@ -195,7 +195,7 @@
 }
 
 impl Builtin {
-    /// Number of values that it pops from the stack.
+    /// Returns the number of values that it pops from the stack.
     pub fn argument_count(self) -> usize {
         match self {
             Builtin::Random => 0,
@@ -262,7 +262,7 @@
     pub lines: Vec<u32>,
 }
 
-/// The functions that the host calls, by their positions in [`Program::functions`]; none for a hook that is not defined.
+/// The functions that the host calls, by their positions in [`Program::functions`]; `None` for a hook that is not defined.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Hooks {
     /// `factor(server, class, zone)`: returns the share of its weight that a server keeps; 1 or more has no effect.
--- a/crates/plugins/src/compile.rs
+++ b/crates/plugins/src/compile.rs
@@ -43,11 +43,15 @@
     locals: usize,
     loops: usize,
     return_type: Type,
-    /// The hook that is being compiled; absent in a function.
+    /// The hook that is being compiled; `None` in a function.
     hook: Option<String>,
 }
 
 /// Compiles a source. The program has passed the verifier.
+///
+/// # Errors
+///
+/// All errors of the source that were found; names and types are checked only if it can be parsed.
 pub fn compile(source: &str) -> Result<Program, Vec<Diagnostic>> {
     let plugin = parse(source)?;
     let mut compiler = Compiler {
@@ -132,7 +136,8 @@
         }
     }
 
-    /// The position of a constant, which is added if it is new.
+    /// Returns the position of a constant, which is added if it is new. Reports an error and returns 0 if there are too
+    /// many.
     fn constant(&mut self, value: Value, span: &Span) -> u16 {
         if let Some(known) = self.constants.iter().position(|known| *known == value) {
             return known as u16;
@@ -207,7 +212,7 @@
         self.declare(name, Binding::State(index, kind.node.clone()));
     }
 
-    /// The value and type of a literal or a set of literals; none for an expression that has to be evaluated.
+    /// Returns the value and type of a literal or a set of literals; `None` for an expression that has to be evaluated.
     fn literal(&mut self, value: &Spanned<Expr>) -> Option<(Value, Type)> {
         Some(match &value.node {
             Expr::Number(number) => (Value::Number(*number), Type::Number),
@@ -595,7 +600,7 @@
         }
     }
 
-    /// Compiles an expression and returns its type; none if an error that is already reported leaves it unknown.
+    /// Compiles an expression and returns its type; `None` if it is unknown because of an error, which is reported.
     fn expression(&mut self, value: &Spanned<Expr>) -> Option<Type> {
         let span = &value.span;
         match &value.node {
@@ -684,7 +689,8 @@
         }
     }
 
-    /// Notes whether the factor hook reads its class or zone, which decides how many calls an evaluation needs.
+    /// Notes whether the factor hook reads its class, which requires `steers`, or its zone, which requires a call for each
+    /// zone.
     fn note_parameter_use(&mut self, local: u8, span: &Span) {
         if self.hook.as_deref() == Some("factor") {
             match local {
@@ -928,7 +934,7 @@
     }
 }
 
-/// Whether every path through a block returns.
+/// Returns whether every path through a block returns.
 fn returns(block: &[Stmt]) -> bool {
     block.iter().any(|statement| match statement {
         Stmt::Return(..) => true,
--- a/crates/plugins/src/diagnostics.rs
+++ b/crates/plugins/src/diagnostics.rs
@@ -20,7 +20,7 @@
 }
 
 impl Diagnostic {
-    /// An error at `span`, with line and column computed. Line breaks in the message become spaces.
+    /// Creates an error at `span`, with line and column computed. Line breaks in the message become spaces.
     pub fn new(source: &str, span: Span, message: impl Into<String>) -> Self {
         let before = source.get(..span.start.min(source.len())).unwrap_or(source);
         let line = before.matches('\n').count() + 1;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The error with an excerpt of the source, for a terminal.
+    /// Formats the error with an excerpt of the source, for a terminal.
     pub fn render(&self, name: &str, source: &str) -> String {
         let character = |byte: usize| {
             source
--- a/crates/plugins/src/format.rs
+++ b/crates/plugins/src/format.rs
@@ -9,7 +9,7 @@
 /// Spaces for each level of brackets.
 const INDENT_SPACES: usize = 4;
 
-/// The byte offset of the comment in a line, if any. A `#` in a text literal starts none.
+/// Returns the byte offset of the comment in a line; `None` without one. A `#` in a text literal does not start one.
 fn comment_start(line: &str) -> Option<usize> {
     let mut in_text = false;
     for (offset, c) in line.char_indices() {
@@ -22,7 +22,7 @@
     None
 }
 
-/// Whether a space separates two tokens. `is_sign` says that the first is a minus sign, which no space follows.
+/// Returns whether a space separates two tokens. `is_sign` says that the first is a minus sign, which no space follows.
 fn needs_space(before: &Token, is_sign: bool, next: &Token) -> bool {
     let ends_value = |token: &Token| {
         matches!(
@@ -41,7 +41,7 @@
     }
 }
 
-/// Whether a minus after this token is a sign rather than a subtraction.
+/// Returns whether a minus after this token is a sign rather than a subtraction.
 fn minus_is_sign(before: Option<&Token>) -> bool {
     !matches!(
         before,
@@ -65,7 +65,7 @@
     matches!(token, Token::Close | Token::CloseBlock | Token::CloseSet)
 }
 
-/// The code of one line with normalized spaces, and its tokens.
+/// Returns the code of one line with normalized spaces, and its tokens.
 fn format_line(code: &str) -> (String, Vec<Token>) {
     let (mut out, mut tokens): (String, Vec<Token>) = (String::new(), Vec::new());
     let mut after_sign = false;
@@ -85,7 +85,11 @@
     (out, tokens)
 }
 
-/// Formats a source. One that cannot be split into tokens gives diagnostics instead; it need not parse.
+/// Formats a source, which need not be valid beyond its tokens.
+///
+/// # Errors
+///
+/// The diagnostics of a source that cannot be split into tokens.
 pub fn format(source: &str) -> Result<String, Vec<Diagnostic>> {
     let (_, diagnostics) = tokenize(source);
     if !diagnostics.is_empty() {
--- a/crates/plugins/src/host.rs
+++ b/crates/plugins/src/host.rs
@@ -12,13 +12,13 @@
 
 /// Maximum number of loaded plug-ins.
 pub const MAX_PLUGINS: usize = 32;
-/// Maximum number of operations of one call of `factor`, `cap`, `retry` or `exclude`.
+/// Fuel of one call of `factor`, `cap`, `retry` or `exclude`: an operation uses one unit, or more on large values.
 const HOOK_FUEL: u64 = 2_000;
-/// Maximum number of operations of one call of `turn`.
+/// Fuel of one call of `turn`.
 const TURN_HOOK_FUEL: u64 = 50_000;
-/// Operations that a plug-in may use per evaluation for each result that its hooks can return, on average.
+/// Fuel of a plug-in per evaluation for each result that its hooks could return.
 const FUEL_PER_RESULT: u64 = 80;
-/// Operations that a plug-in may use per evaluation in addition to those for its results.
+/// Fuel of a plug-in per evaluation in addition to that for its results.
 const BASE_FUEL: u64 = 60_000;
 /// Number of faults from which a plug-in is suspended.
 const FAULTS_TO_SUSPEND: u32 = 3;
@@ -73,7 +73,7 @@
     pub advice: Advice,
     /// Events to record, each with its plug-in's name.
     pub events: Vec<(Arc<str>, PluginEvent)>,
-    /// Number of operations that each plug-in used, including those that faulted.
+    /// Fuel that each plug-in used, including those that faulted.
     pub fuel_used: Vec<(Arc<str>, u64)>,
     /// Traces of the calls about the traced server, as lines of text, each with its plug-in's name.
     pub traces: Vec<(Arc<str>, Vec<String>)>,
@@ -93,7 +93,7 @@
     successes: u32,
     /// Length of the next suspension, in evaluations.
     next_suspension: u64,
-    /// Number of the evaluation up to which the plug-in is suspended.
+    /// Number of the last evaluation in which the plug-in is suspended.
     suspended_until: u64,
     /// Advice of the previous evaluation.
     advice_texts: AdviceTexts,
@@ -104,8 +104,8 @@
 pub struct Host {
     loaded: Vec<LoadedPlugin>,
     machine: Machine,
-    /// Number of the current evaluation, from 1.
-    turn: u64,
+    /// Number of the current evaluation, from 1; 0 before the first.
+    evaluation_number: u64,
     traced_server: Option<String>,
 }
 
@@ -191,7 +191,7 @@
             Some(previous) => Memory::carried_over(&program, &previous.program, &previous.memory),
             None => Memory::new(&program),
         };
-        // A changed source starts without faults; an unchanged one stays suspended.
+        // A changed source starts without faults; an unchanged one keeps its faults and its suspension.
         let unchanged = previous.filter(|previous| previous.program.digest == program.digest);
         let (fault_count, next_suspension, suspended_until) =
             unchanged.map_or((0, MIN_SUSPENSION, 0), |previous| {
@@ -213,12 +213,12 @@
         }
     }
 
-    /// Number of loaded plug-ins, including suspended ones.
+    /// Returns the number of loaded plug-ins, including suspended ones.
     pub fn len(&self) -> usize {
         self.loaded.len()
     }
 
-    /// Whether no plug-in is loaded.
+    /// Returns whether no plug-in is loaded.
     pub fn is_empty(&self) -> bool {
         self.loaded.is_empty()
     }
@@ -228,21 +228,21 @@
         self.traced_server = Some(server.to_string());
     }
 
-    /// Whether all plug-ins are still suspended in the next evaluation, or none is loaded.
+    /// Returns whether all plug-ins are still suspended in the next evaluation, also if none is loaded.
     pub fn all_suspended(&self) -> bool {
         self.loaded
             .iter()
-            .all(|plugin| plugin.suspended_until > self.turn)
+            .all(|plugin| plugin.suspended_until > self.evaluation_number)
     }
 
     /// Counts an evaluation, which brings the end of suspensions closer, without calling any plug-in.
     pub fn skip_evaluation(&mut self) {
-        self.turn += 1;
+        self.evaluation_number += 1;
     }
 
     /// Evaluates all plug-ins that are not suspended, and merges their advice.
     pub fn evaluate(&mut self, inputs: &Inputs) -> Evaluation {
-        self.turn += 1;
+        self.evaluation_number += 1;
         let mut evaluation = Evaluation::default();
         let position = |name: &String| {
             inputs
@@ -256,14 +256,19 @@
             .and_then(position)
             .and_then(|position| u32::try_from(position).ok());
         for plugin in &mut self.loaded {
-            if plugin.suspended_until >= self.turn {
+            if plugin.suspended_until >= self.evaluation_number {
                 continue;
             }
             // Restored if the plug-in faults.
             let memory_before = plugin.memory.clone();
             let mut fuel_used = 0;
-            let result =
-                evaluate_plugin(plugin, &mut self.machine, inputs, self.turn, &mut fuel_used);
+            let result = evaluate_plugin(
+                plugin,
+                &mut self.machine,
+                inputs,
+                self.evaluation_number,
+                &mut fuel_used,
+            );
             evaluation
                 .fuel_used
                 .push((Arc::clone(&plugin.name), fuel_used));
@@ -298,7 +303,7 @@
                         .events
                         .push((Arc::clone(&plugin.name), PluginEvent::Faulted(fault)));
                     if plugin.fault_count >= FAULTS_TO_SUSPEND {
-                        plugin.suspended_until = self.turn + plugin.next_suspension;
+                        plugin.suspended_until = self.evaluation_number + plugin.next_suspension;
                         evaluation.events.push((
                             Arc::clone(&plugin.name),
                             PluginEvent::Suspended(plugin.next_suspension),
@@ -345,7 +350,7 @@
     plugin: &mut LoadedPlugin,
     machine: &mut Machine,
     inputs: &Inputs,
-    turn: u64,
+    evaluation_number: u64,
     fuel_used: &mut u64,
 ) -> Result<(Advice, Vec<String>, AdviceTexts), Fault> {
     let LoadedPlugin {
@@ -372,7 +377,7 @@
         program,
         machine,
         inputs,
-        (memory, &mut fuel, turn),
+        (memory, &mut fuel, evaluation_number),
         (steered, class_groups, zone_count),
     );
     *fuel_used = initial_fuel - fuel;
@@ -384,10 +389,10 @@
     program: &Program,
     machine: &mut Machine,
     inputs: &Inputs,
-    (memory, fuel, turn): (&mut Memory, &mut u64, u64),
+    (memory, fuel, evaluation_number): (&mut Memory, &mut u64, u64),
     (steered, class_groups, zone_count): (Vec<u32>, Vec<Option<u32>>, usize),
 ) -> Result<(Advice, Vec<String>, AdviceTexts), Fault> {
-    let mut context = Context::new(program, inputs, memory, fuel, turn);
+    let mut context = Context::new(program, inputs, memory, fuel, evaluation_number);
     let (mut advice, mut advice_texts) = (Advice::default(), AdviceTexts::new());
     if let Some(hook) = program.hooks.turn {
         machine.call(program, hook, &[], &mut context, TURN_HOOK_FUEL)?;
@@ -398,7 +403,7 @@
         for group in &class_groups {
             for zone in 0..zone_count {
                 let name = inputs.zones.get(zone).cloned().unwrap_or_else(|| "".into());
-                // A factor hook without steered classes does not read the class, so any will do.
+                // A factor hook without steered classes does not read the class, so that its value has no effect.
                 let class = Value::Class(group.unwrap_or(0));
                 for server in server_positions() {
                     let arguments = [
@@ -536,7 +541,7 @@
     )
 }
 
-/// The positions of the classes with these names; unknown names are skipped.
+/// Returns the positions of the classes with these names; unknown names are skipped.
 fn class_positions(names: &[String], inputs: &Inputs) -> Vec<u32> {
     let position = |name: &String| {
         inputs
--- a/crates/plugins/src/inputs.rs
+++ b/crates/plugins/src/inputs.rs
@@ -59,7 +59,7 @@
 }
 
 impl Server {
-    /// A healthy server, with which a test case starts.
+    /// Creates a healthy server, with which a test case starts.
     pub fn healthy(name: &str, zone: &str) -> Self {
         Server {
             name: name.into(),
@@ -76,7 +76,7 @@
 }
 
 impl Class {
-    /// A class of idempotent requests that are all admitted, with which a test case starts.
+    /// Creates a class of idempotent requests that are all admitted, with which a test case starts.
     pub fn idempotent(name: &str) -> Self {
         Class {
             name: name.into(),
--- a/crates/plugins/src/lex.rs
+++ b/crates/plugins/src/lex.rs
@@ -164,7 +164,8 @@
     }
 }
 
-/// The tokens of a source with their spans, and a diagnostic for every character sequence that is no token.
+/// Returns the tokens of a source with their spans, and a diagnostic for each part of it that is not a token, and
+/// for each limit that is exceeded.
 pub fn tokenize(source: &str) -> (Vec<(Token, Span)>, Vec<Diagnostic>) {
     let (mut tokens, mut diagnostics) = (Vec::new(), Vec::new());
     if source.len() > MAX_SOURCE_BYTES {
--- a/crates/plugins/src/machine.rs
+++ b/crates/plugins/src/machine.rs
@@ -18,7 +18,7 @@
 /// Why a call ended without a result.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Trap {
-    /// The call, or the evaluation, used up its operations.
+    /// The call, or the evaluation, used up its fuel: one unit for each operation, and more for operations on large values.
     #[error("out of fuel")]
     Fuel,
     /// A text, a map or the total text of a call exceeds its maximum size.
@@ -51,11 +51,11 @@
     Plain(Value),
     /// A decaying mean.
     Mean {
-        /** Decayed sum of the values. */
+        /// Decayed sum of the values.
         sum: f64,
-        /** Decayed number of the values. */
+        /// Decayed number of the values.
         weight: f64,
-        /** Half-life of both, in evaluations. */
+        /// Half-life of both, in evaluations.
         half_life: f64,
     },
     /// Numbers with text keys; a missing key counts as 0.
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The current value; 0 for a mean without values, and [`Value::Nothing`] for a map.
+    /// Returns the current value; 0 for a mean without values, and [`Value::Nothing`] for a map.
     pub fn read(&self) -> Value {
         match self {
             StateCell::Plain(value) => value.clone(),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sets a single value, or adds a value to a mean. A value of another type is ignored.
+    /// Sets a single value, or adds a number to a mean. Ignores other values for a mean, and all values for a map.
     pub fn write(&mut self, value: Value) {
         match (self, value) {
             (StateCell::Mean { sum, weight, .. }, Value::Number(number)) => {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// An entry of a map; 0 for a missing key, or if this is not a map.
+    /// Returns an entry of a map; 0 for a missing key, or if this is not a map.
     pub fn get(&self, key: &str) -> f64 {
         match self {
             StateCell::Map(map) => map.get(key).copied().unwrap_or(0.0),
@@ -107,6 +107,10 @@
     }
 
     /// Sets an entry of a map; the value 0 removes the entry.
+    ///
+    /// # Errors
+    ///
+    /// If the map is full, or this is not a map.
     pub fn put(&mut self, key: Arc<str>, value: f64) -> Result<(), Trap> {
         let StateCell::Map(map) = self else {
             return Err(Trap::InvalidBytecode);
@@ -127,7 +131,7 @@
 pub struct Memory(pub Vec<StateCell>);
 
 impl Memory {
-    /// The initial values.
+    /// Returns the initial values.
     pub fn new(program: &Program) -> Self {
         Memory(
             program
@@ -138,7 +142,8 @@
         )
     }
 
-    /// The initial values, replaced by those of the previous version's variables of the same name and a compatible kind.
+    /// Returns the initial values, replaced by those of the previous version's variables of the same name and a compatible
+    /// kind.
     pub fn carried_over(program: &Program, previous: &Program, memory: &Memory) -> Self {
         let mut new = Memory::new(program);
         for ((name, kind), cell) in program.states.iter().zip(&mut new.0) {
@@ -168,7 +173,8 @@
     }
 }
 
-/// Whether the value of a variable of one kind fits another: initial values may differ, the half-life of a mean may not.
+/// Returns whether the value of a variable of one kind fits another: initial values may differ, the half-life of a mean may
+/// not.
 fn is_compatible(kind: &StateKind, other: &StateKind) -> bool {
     match (kind, other) {
         (StateKind::Mean(half_life), StateKind::Mean(other)) => half_life == other,
@@ -191,10 +197,10 @@
     pub inputs: &'a Inputs,
     /// The state variables.
     pub memory: &'a mut Memory,
-    /// Operations that remain for the evaluation.
+    /// Fuel that remains for the evaluation.
     pub fuel: &'a mut u64,
-    /// Number of the evaluation, which the language calls `fleet.turn`.
-    pub turn: u64,
+    /// Number of the evaluation, from 1, which the language calls `fleet.turn`.
+    pub evaluation_number: u64,
     /// State of the random number generator.
     pub random_state: u64,
     /// Side effects so far.
@@ -204,13 +210,13 @@
 }
 
 impl<'a> Context<'a> {
-    /// The context for the calls of one program in one evaluation.
+    /// Creates the context for the calls of one program in one evaluation.
     pub fn new(
         program: &Program,
         inputs: &'a Inputs,
         memory: &'a mut Memory,
         fuel: &'a mut u64,
-        turn: u64,
+        evaluation_number: u64,
     ) -> Self {
         let seed = program
             .digest
@@ -221,8 +227,8 @@
             inputs,
             memory,
             fuel,
-            turn,
-            random_state: seed ^ turn,
+            evaluation_number,
+            random_state: seed ^ evaluation_number,
             effects: Effects::default(),
             text_bytes: 0,
         }
@@ -239,7 +245,7 @@
         }
     }
 
-    /// A new text, which counts against the limits on texts.
+    /// Creates a text, which counts against the limits on texts.
     pub fn text(&mut self, text: String) -> Result<Value, Trap> {
         self.text_bytes += text.len();
         if text.len() > MAX_TEXT_BYTES {
@@ -251,7 +257,7 @@
         Ok(Value::Text(text.into()))
     }
 
-    /// The next random number from 0, inclusive, to 1, exclusive (splitmix64).
+    /// Returns the next random number from 0, inclusive, to 1, exclusive (splitmix64).
     pub fn next_random(&mut self) -> f64 {
         self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut x = self.random_state;
@@ -260,7 +266,7 @@
         ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A field of a server or class, or of the fleet if there is no object.
+    /// Returns a field of a server or class, or of the fleet if there is no object.
     pub fn field(&self, field: Field, object: Option<&Value>) -> Result<Value, Trap> {
         let text = |text: &Arc<str>| Ok(Value::Text(Arc::clone(text)));
         let server = || match object {
@@ -299,14 +305,14 @@
             Field::Waiting => finite(fleet.waiting),
             Field::Streams => finite(fleet.streams),
             Field::Demand => finite(fleet.demand),
-            Field::Turn => finite(self.turn as f64),
+            Field::Turn => finite(self.evaluation_number as f64),
             Field::Servers => Ok(Value::Servers),
             Field::Classes => Ok(Value::Classes),
             Field::Zones => Ok(Value::Zones),
         }
     }
 
-    /// Number of elements of a collection.
+    /// Returns the number of elements of a collection.
     pub fn length(&self, collection: &Value) -> Result<usize, Trap> {
         match collection {
             Value::Set(values) => Ok(values.len()),
@@ -318,7 +324,7 @@
         }
     }
 
-    /// The element of a collection at an index; none past its end.
+    /// Returns the element of a collection at an index; `None` past its end.
     pub fn element(&self, collection: &Value, index: usize) -> Result<Option<Value>, Trap> {
         let position = u32::try_from(index).unwrap_or(u32::MAX);
         Ok(match collection {
@@ -395,7 +401,7 @@
     }
 }
 
-/// A number as a value, or a trap if it is infinite or not a number.
+/// Returns a number as a value, or a trap if it is infinite or not a number.
 pub fn finite(number: f64) -> Result<Value, Trap> {
     if number.is_finite() {
         Ok(Value::Number(number))
@@ -404,7 +410,8 @@
     }
 }
 
-/// The result of an arithmetic or comparison operation on two numbers. The remainder of a division is never negative.
+/// Returns the result of an arithmetic or comparison operation on two numbers. The remainder of a division is never
+/// negative.
 pub fn arithmetic(op: Op, left: f64, right: f64) -> Result<Value, Trap> {
     match op {
         Op::Add => finite(left + right),
@@ -433,7 +440,7 @@
     pub line: u32,
     /// The operation with its operands.
     pub op: Op,
-    /// Top of the stack before the operation; none if the stack was empty.
+    /// Top of the stack before the operation; `None` if the stack was empty.
     pub top: Option<Value>,
 }
 
@@ -448,12 +455,12 @@
     pub steps: Vec<Step>,
     /// Number of further operations.
     pub omitted: u64,
-    /// The result or fault of the call; none while it runs.
+    /// The result or fault of the call; `None` while it runs.
     pub result: Option<Result<Value, Fault>>,
 }
 
 impl Trace {
-    /// The trace as text: the call, a line for each operation, and the result.
+    /// Returns the trace as text: the call, a line for each operation, and the result.
     pub fn lines(&self, program: &Program, inputs: &Inputs) -> Vec<String> {
         let name = |function: usize| {
             program
@@ -488,7 +495,7 @@
     }
 }
 
-/// A value in the notation of the language; servers and classes by name, and sets by their length.
+/// Formats a value in the notation of the language; servers and classes by name, and sets by their length.
 fn display_value(value: &Value, inputs: &Inputs) -> String {
     let server = |position: &u32| {
         inputs
@@ -520,7 +527,7 @@
 /// Position of a function in the program, and of an operation in the function.
 type CodePosition = (usize, usize);
 
-/// The stack, locals and loops of all active functions. They are reused between calls, so that a call allocates no memory.
+/// The stack, locals and loops of all active functions. Calls reuse their memory.
 #[derive(Default)]
 pub struct Machine {
     stack: Vec<Value>,
@@ -536,7 +543,7 @@
 }
 
 impl Machine {
-    /// Calls a function of a verified program. The call may use `fuel` operations, and no more than the context has left.
+    /// Calls a function of a verified program. The call may use this fuel, and no more than the context has left.
     pub fn call(
         &mut self,
         program: &Program,
@@ -841,7 +848,7 @@
     }
 }
 
-/// Additional fuel for a comparison, in proportion to the size of the value.
+/// Returns the additional fuel for a comparison, in proportion to the size of the value.
 fn comparison_cost(value: &Value) -> u64 {
     match value {
         Value::Text(text) => text.len() as u64 / 16,
--- a/crates/plugins/src/parse.rs
+++ b/crates/plugins/src/parse.rs
@@ -26,7 +26,7 @@
         .map_with_span(spanned)
 }
 
-/// The name of a field; `state` is allowed, although it is a keyword elsewhere.
+/// Parses the name of a field; `state` is allowed, although it is a keyword elsewhere.
 fn field_name() -> impl Parser<Token, Spanned<String>, Error = ParseError> + Clone {
     let name = select! {
         Token::Name(name) => name,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The binary operators of one precedence, left-associative.
+/// Parses the binary operators of one precedence, left-associative.
 fn left_associative(
     operand: impl Parser<Token, Spanned<Expr>, Error = ParseError> + Clone + 'static,
     ops: &[(Token, Binary)],
--- a/crates/plugins/src/verify.rs
+++ b/crates/plugins/src/verify.rs
@@ -18,7 +18,7 @@
     pub reason: &'static str,
 }
 
-/// How many values an operation pops from the stack, and how many it then pushes.
+/// Returns how many values an operation pops from the stack, and how many it then pushes.
 fn stack_effect(op: Op, program: &Program) -> (usize, usize) {
     match op {
         Op::Const(_) | Op::Load(_) | Op::LoadState(_) => (0, 1),
@@ -92,7 +92,11 @@
     }
 }
 
-/// Checks a program; [`VerifyError`] names an operation that is invalid.
+/// Checks a program.
+///
+/// # Errors
+///
+/// The first violation of a rule.
 pub fn verify(program: &Program) -> Result<(), VerifyError> {
     let error = |function, operation, reason| VerifyError {
         function,
--- a/crates/plugins/src/walk.rs
+++ b/crates/plugins/src/walk.rs
@@ -12,7 +12,7 @@
 /// Maximum number of statements, expressions and loop iterations of one call.
 const MAX_STEPS: u64 = 1_000_000;
 
-/// What follows a statement.
+/// How execution continues after a statement.
 enum Flow {
     Continue,
     Return(Value),
@@ -27,7 +27,7 @@
 type Scope = HashMap<String, Value>;
 
 impl<'a> Walker<'a> {
-    /// An interpreter of a tree that compiles without errors.
+    /// Creates an interpreter of a tree that compiles without errors.
     pub fn new(plugin: &'a Plugin) -> Self {
         Walker {
             plugin,
--- a/crates/plugins/tests/corpus/mod.rs
+++ b/crates/plugins/tests/corpus/mod.rs
@@ -1,6 +1,6 @@
 //! Hostile hooks that compile, also used by the tests of the supervisor.
 
-/// The source of a plug-in with this name and body.
+/// Returns the source of a plug-in with this name and body.
 pub fn text(name: &str, body: &str) -> String {
     format!("plugin \"{name}\" version 1 host 1\n{body}")
 }
--- a/crates/plugins/tests/hostile.rs
+++ b/crates/plugins/tests/hostile.rs
@@ -223,7 +223,7 @@
     assert_eq!(with_advice, 60);
 }
 
-/// Valid programs, compiled once for all tests.
+/// Returns valid programs, compiled once for all tests.
 fn valid_programs() -> &'static [Program] {
     static PROGRAMS: std::sync::OnceLock<Vec<Program>> = std::sync::OnceLock::new();
     PROGRAMS.get_or_init(compile_all)
--- a/crates/plugins/tests/language.rs
+++ b/crates/plugins/tests/language.rs
@@ -333,7 +333,7 @@
     );
 }
 
-/// The faults of the first three evaluations, as text.
+/// Returns the faults of the first three evaluations, as text.
 fn fault_texts(text: &str) -> String {
     let mut host = host(&[text]);
     let mut faults = String::new();
