--- a/crates/records/src/incidents/reconstruction.rs
+++ b/crates/records/src/incidents/reconstruction.rs
@@ -182,7 +182,7 @@
     }
 }
 
-/// Whether the servers of the supervisor are in an unknown state during a gap.
+/// Returns whether the servers of the supervisor are in an unknown state during a gap.
 fn is_absence(gap: &Gap) -> bool {
     matches!(
         gap.reason,
--- a/crates/records/src/index/query.rs
+++ b/crates/records/src/index/query.rs
@@ -31,14 +31,15 @@
         }
     }
 
-    /// Whether the query's interval overlaps another one.
+    /// Returns whether the query's interval overlaps another one.
     pub fn overlaps(&self, min_us: i64, max_us: i64) -> bool {
         let ends_late_enough = self.from_us.is_none_or(|from_us| max_us >= from_us);
         let begins_early_enough = self.to_us.is_none_or(|to_us| min_us <= to_us);
         ends_late_enough && begins_early_enough
     }
 
-    /// Whether a block may contain matching records. The filter of servers has false positives, but no false negatives.
+    /// Returns whether a block may contain matching records. The filter of servers has false positives, but no false
+    /// negatives.
     pub fn may_match(&self, block: &Block) -> bool {
         let has_kind = |number: &u32| block.kinds & kind_bit(*number) != 0;
         let may_match_kinds = self.kinds.is_empty() || self.kinds.iter().any(has_kind);
@@ -47,7 +48,7 @@
         may_match_kinds && may_match_server && self.overlaps(block.min_at_us, block.max_at_us)
     }
 
-    /// Whether a record matches. `number` is the number of its kind.
+    /// Returns whether a record matches. `number` is the number of its kind.
     pub fn matches(&self, record: &Record, number: u32) -> bool {
         let server = record.kind.as_ref().and_then(kind::server);
         let matches_kind = self.kinds.is_empty() || self.kinds.contains(&number);
--- a/crates/records/src/kind.rs
+++ b/crates/records/src/kind.rs
@@ -101,13 +101,13 @@
     }
 }
 
-/// Whether a record is a sample of a time series, as shown in charts, rather than an event.
+/// Returns whether a record is a sample of a time series, as shown in charts, rather than an event.
 pub fn is_series(kind: &Kind) -> bool {
     matches!(kind, Kind::Gauge(_) | Kind::Fleet(_) | Kind::Published(_))
 }
 
-/// Whether an event shows a fault, a restriction of service or lost data. Recoveries and joins and ends of streams do
-/// not.
+/// Returns whether an event shows a fault, a restriction of service or lost data. Recoveries and joins and ends of streams
+/// do not.
 pub fn is_fault(kind: &Kind) -> bool {
     match kind {
         Kind::StateChanged(change) => change.state() != pb::State::Full,
--- a/crates/records/src/recorder/writer.rs
+++ b/crates/records/src/recorder/writer.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whether the next attempt to use a failing disk is not due yet. The last iteration always makes an attempt.
+    /// Returns whether the next attempt to use a failing disk is not due yet. The last iteration always makes an attempt.
     fn is_backing_off(&self) -> bool {
         let was_attempted = self
             .attempted_at
--- a/crates/records/src/replay.rs
+++ b/crates/records/src/replay.rs
@@ -72,7 +72,7 @@
 }
 
 impl ServerState {
-    /// Whether it serves requests without restrictions.
+    /// Returns whether it serves requests without restrictions.
     pub fn is_healthy(&self) -> bool {
         self.state == State::Full && self.lifecycle == Life::InService && !self.failing
     }
--- a/crates/records/src/store.rs
+++ b/crates/records/src/store.rs
@@ -183,7 +183,7 @@
         })
     }
 
-    /// Whether something was appended since the last commit.
+    /// Returns whether something was appended since the last commit.
     pub fn has_uncommitted(&self) -> bool {
         self.open_segment
             .as_ref()
--- a/crates/records/src/timeline/event.rs
+++ b/crates/records/src/timeline/event.rs
@@ -58,7 +58,7 @@
     });
 }
 
-/// Whether an event is a single occurrence rather than a sample of a time series.
+/// Returns whether an event is a single occurrence rather than a sample of a time series.
 pub fn is_discrete_event(event: &Event) -> bool {
     !event.record.kind.as_ref().is_some_and(kind::is_series)
 }
--- a/crates/records/src/timeline/verification.rs
+++ b/crates/records/src/timeline/verification.rs
@@ -28,7 +28,7 @@
 }
 
 impl VerificationReport {
-    /// Whether no damage was found. A torn tail does not count, since a crash leaves one.
+    /// Returns whether no damage was found. A torn tail does not count, since a crash leaves one.
     pub fn is_valid(&self) -> bool {
         self.damaged_bytes == 0
             && self.missing == 0
--- a/crates/scheduler/src/cost.rs
+++ b/crates/scheduler/src/cost.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether both time and bytes are within a budget.
+    /// Returns whether both time and bytes are within a budget.
     pub(crate) fn is_within(self, budget: Cost) -> bool {
         self.time <= budget.time && self.bytes <= budget.bytes
     }
