--- a/crates/limits/src/concurrency_limiter.rs
+++ b/crates/limits/src/concurrency_limiter.rs
@@ -138,7 +138,7 @@
         is_known.then_some(self.capacity_per_weight * warm_weight)
     }
 
-    /// Adjusts the share to a report, and returns it. Ignores samples with negative or non-finite values.
+    /// Adjusts the share to a report, and returns it. Ignores samples with negative or non-finite values, or of no time.
     pub fn update(&mut self, sample: &LoadSample) -> f64 {
         if !sample.is_valid() {
             return self.admitted_share;
--- a/crates/limits/src/concurrency_limiter/tests.rs
+++ b/crates/limits/src/concurrency_limiter/tests.rs
@@ -98,7 +98,9 @@
         );
         let (lowest, highest) = shares[100..]
             .iter()
-            .fold((1.0f64, 0.0f64), |(l, m), s| (l.min(*s), m.max(*s)));
+            .fold((1.0f64, 0.0f64), |(lowest, highest), share| {
+                (lowest.min(*share), highest.max(*share))
+            });
         highest - lowest
     };
     for delay in [1, 2] {
--- a/crates/limits/src/level_checks.rs
+++ b/crates/limits/src/level_checks.rs
@@ -122,18 +122,18 @@
 
 /// Returns whether two sets of tests exclude each other with a gap.
 fn are_separated(enter: &[SignalTest], leave: &[SignalTest]) -> bool {
-    let has_opposite = |one: &SignalTest| leave.iter().any(|other| have_gap(one, other));
+    let has_opposite = |test: &SignalTest| leave.iter().any(|other| have_gap(test, other));
     enter.iter().any(has_opposite)
 }
 
 /// Returns whether two tests of a signal exclude each other with the minimum gap between their bounds.
-fn have_gap(one: &SignalTest, other: &SignalTest) -> bool {
-    if one.signal != other.signal || one.comparison == other.comparison {
+fn have_gap(test: &SignalTest, other: &SignalTest) -> bool {
+    if test.signal != other.signal || test.comparison == other.comparison {
         return false;
     }
-    let (above, below) = match one.comparison {
-        Comparison::Above => (one, other),
-        Comparison::Below => (other, one),
+    let (above, below) = match test.comparison {
+        Comparison::Above => (test, other),
+        Comparison::Below => (other, test),
     };
     let min_gap = MIN_HYSTERESIS * above.bound.abs().max(below.bound.abs());
     above.bound - below.bound >= min_gap - ROUNDING_TOLERANCE
--- a/crates/limits/src/manager.rs
+++ b/crates/limits/src/manager.rs
@@ -296,9 +296,9 @@
         let Some(transitions) = &self.transitions else {
             return Vec::new();
         };
-        let class_share = |(class, of): (usize, &Class)| ClassShare {
-            class,
-            share: transitions.admitted_share(&of.name),
+        let class_share = |(position, class): (usize, &Class)| ClassShare {
+            class: position,
+            share: transitions.admitted_share(&class.name),
         };
         let shares = self.classes.iter().enumerate().map(class_share);
         shares.filter(|admitted| admitted.share < 1.0).collect()
--- a/crates/limits/src/manager/config.rs
+++ b/crates/limits/src/manager/config.rs
@@ -7,7 +7,7 @@
 use crate::service_levels::ServiceLevels;
 use crate::Class;
 
-/// Default multiple of the mean load from which a proxy is a heavy hitter.
+/// Default multiple of the mean load above which a proxy is a heavy hitter.
 const DEFAULT_HEAVY_HITTER_FACTOR: f64 = 4.0;
 
 /// The accepted range of a value, both ends included.
@@ -35,7 +35,7 @@
     pub concurrency_limit: Option<ConcurrencyLimitConfig>,
     /// Retries that are permitted per response.
     pub retry_budget: Option<RetryBudgetConfig>,
-    /// Multiple of the mean load from which a proxy is a heavy hitter, whose load is shed first.
+    /// Multiple of the mean load above which a proxy is a heavy hitter, whose load is shed first.
     pub heavy_hitter_factor: Option<f64>,
 }
 
--- a/crates/limits/src/manager/decision.rs
+++ b/crates/limits/src/manager/decision.rs
@@ -26,7 +26,8 @@
 pub struct Decision {
     /// Minimum share of requests to shed, besides what the policy sheds because of saturation; `None` without a limit.
     pub min_shed_share: Option<f64>,
-    /// The same share divided between heavy and other proxies; `None` unless some are heavy hitters.
+    /// The same share divided between heavy and other proxies; `None` if that is disabled, or if no proxy or every one is
+    /// heavy.
     pub shed_shares: Option<ShedShares>,
     /// Classes of which the service level admits only a share.
     pub admitted: Vec<ClassShare>,
--- a/crates/limits/src/manager/traffic.rs
+++ b/crates/limits/src/manager/traffic.rs
@@ -7,7 +7,8 @@
 const NEWEST_REPORT_WEIGHT: f64 = 0.5;
 /// Number of requests at which a signal derived from them has full confidence.
 const FULL_CONFIDENCE_REQUESTS: f64 = 20.0;
-/// Mean latency, as a multiple of the objective, up to which all responses count as in time; 1 above it, none does.
+/// Mean latency, as a multiple of the objective, up to which all responses count as in time. Above it, the share falls
+/// linearly, to 0 at a multiple greater by 1.
 const MAX_IN_TIME_LATENCY_RATIO: f64 = 0.5;
 
 /// Rates per second, smoothed.
--- a/crates/limits/src/retry_budget.rs
+++ b/crates/limits/src/retry_budget.rs
@@ -9,9 +9,10 @@
 pub const DEFAULT_RETRY_RATIO: f64 = 0.1;
 /// Half-life of the counts, in seconds; several report periods.
 const HALF_LIFE_SECONDS: f64 = 8.0;
-/// Responses assumed in addition to those counted, so that a few retries are always within the budget.
+/// Responses, and requests of each class, assumed in addition to those counted, so that a few retries are always within
+/// the budget.
 const PRIOR_RESPONSES: f64 = 20.0;
-/// Minimum number of reports between two suspensions: a change shows in the counts after two.
+/// Minimum number of reports between a change and a suspension: a change shows in the counts after two.
 const SUSPEND_AFTER_REPORTS: u32 = 2;
 /// Minimum number of reports between a change and a resumption.
 const RESUME_AFTER_REPORTS: u32 = 5;
--- a/crates/limits/tests/level_transitions.rs
+++ b/crates/limits/tests/level_transitions.rs
@@ -228,12 +228,12 @@
         (numbers(&timely), numbers(&batched)),
         (vec![1, 0], vec![1, 0])
     );
-    for (one, other) in timely.history.iter().zip(&batched.history) {
+    for (timely_change, batched_change) in timely.history.iter().zip(&batched.history) {
         assert!(
-            (0..=4 * SECOND_US).contains(&(other.0 - one.0)),
+            (0..=4 * SECOND_US).contains(&(batched_change.0 - timely_change.0)),
             "{} against {}",
-            other.0,
-            one.0
+            batched_change.0,
+            timely_change.0
         );
     }
 }
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -48,7 +48,7 @@
     }
 
     /// Restores the level from before a restart. Returns the record of the transition, or of the reason why the
-    /// level was not restored.
+    /// level was not restored; `None` if that was full service.
     pub fn restore(&mut self, now: Micros, saved: &limits::Saved) -> Option<Kind> {
         match self.manager.restore(now.0, saved) {
             Ok(transition) => transition.map(|transition| transition_record(&transition)),
--- a/crates/records/src/clock.rs
+++ b/crates/records/src/clock.rs
@@ -59,7 +59,8 @@
 /// The difference between two clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockDifference {
-    /// How far the second clock is ahead of the first, in microseconds; 0 if they agree or the difference is unknown.
+    /// How far the second clock is ahead of the first, in microseconds; 0 if the difference is unknown, inconsistent or
+    /// below a second.
     pub ahead_us: i64,
     /// The number of changes that were compared; 0 if there were too few.
     pub pairs: usize,
--- a/crates/records/src/frame/tests.rs
+++ b/crates/records/src/frame/tests.rs
@@ -76,11 +76,11 @@
         let mut remaining = contents.clone();
         remaining.remove(damaged);
         prop_assert_eq!(whole(&bytes), remaining);
-        let all: usize = Pieces::new(&bytes, 0).map(|piece| match piece {
+        let covered_bytes: usize = Pieces::new(&bytes, 0).map(|piece| match piece {
             Piece::Whole { content, .. } => HEADER_BYTES + content.len(),
             Piece::Damaged { bytes, .. } | Piece::Torn { bytes, .. } => bytes,
         }).sum();
-        prop_assert_eq!(all, bytes.len(), "every byte is in one piece");
+        prop_assert_eq!(covered_bytes, bytes.len(), "every byte is in one piece");
     }
 
     /// The pieces of arbitrary bytes cover each byte once, in order.
--- a/crates/records/src/replay.rs
+++ b/crates/records/src/replay.rs
@@ -23,7 +23,7 @@
     pub errors: f64,
     /// The latency term of the score; 1 at the normal latency.
     pub latency: f64,
-    /// The weight in the tables; 0 until a record of the whole fleet contains the server.
+    /// The weight in the tables; 0 until a record of the whole fleet contains the server after its start.
     pub weight: f64,
     /// The share of its capacity that it has reached during slow start; 1 after it.
     pub warmth: f64,
--- a/crates/records/src/replay/tests.rs
+++ b/crates/records/src/replay/tests.rs
@@ -36,8 +36,11 @@
             ..pb::Fleet::default()
         }),
     ));
-    let (one, two) = (&fleet_state.servers["s-1"], &fleet_state.servers["s-2"]);
-    assert_eq!((one.state, one.since_us, two.since_us), (State::Full, 5, 0));
+    let (first, second) = (&fleet_state.servers["s-1"], &fleet_state.servers["s-2"]);
+    assert_eq!(
+        (first.state, first.since_us, second.since_us),
+        (State::Full, 5, 0)
+    );
     let gone = pb::LifeChanged {
         server: "s-1".into(),
         life: Life::Gone.into(),
--- a/crates/records/src/timeline.rs
+++ b/crates/records/src/timeline.rs
@@ -108,8 +108,8 @@
         })
     }
 
-    /// Returns the matching records of all supervisors in order, and the gaps within the window of the query. These
-    /// include records that are indexed but can't be read.
+    /// Returns the matching records of all supervisors in order, and the gaps within the window of the query. The gaps
+    /// include ranges whose records are indexed but can't be read.
     pub fn read(&self, query: &Query) -> (Vec<Event>, Vec<Gap>) {
         let mut events = Vec::new();
         let mut unreadable = Vec::new();
@@ -252,8 +252,8 @@
 
 fn supervisor_rollups(supervisor: &Supervisor, window: Window) -> SupervisorRollups {
     let segments = supervisor.segments.iter();
-    let all = segments.flat_map(|segment| &segment.index.rollups);
-    let shifted = all.map(|rollup| Rollup {
+    let rollups = segments.flat_map(|segment| &segment.index.rollups);
+    let shifted = rollups.map(|rollup| Rollup {
         from_us: rollup.from_us.saturating_sub(supervisor.ahead_us),
         ..rollup.clone()
     });
--- a/crates/records/src/timeline/verification.rs
+++ b/crates/records/src/timeline/verification.rs
@@ -50,8 +50,8 @@
         let bytes = segment::bytes(&path, 0, segment::MAX_SEGMENT_BYTES).map_err(io_error)?;
         scan.add_segment(id, &bytes);
         if id.index_path(directory).exists() {
-            let is_right = segment::stored_index(directory, id) == Some(index::build(id, &bytes));
-            scan.report.mismatched_indexes += u64::from(!is_right);
+            let is_match = segment::stored_index(directory, id) == Some(index::build(id, &bytes));
+            scan.report.mismatched_indexes += u64::from(!is_match);
         }
     }
     Ok(scan.report)
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -88,8 +88,9 @@
         }
     }
 
-    /// Adds a job that is due now. `cost_bound` is an upper bound of the cost of its first step. A job does not run
-    /// again after a step that costs more than the whole budget.
+    /// Adds a job that is due now. `cost_bound` is an upper bound of the cost of its first step. A job whose bound
+    /// or step costs more than the whole budget does not run from then on; while it is due, jobs that are ordered after it wait
+    /// as well.
     pub fn add(&mut self, priority: Priority, cost_bound: Cost, now: Instant) -> JobId {
         self.jobs.push(ScheduledJob {
             priority,
