--- a/crates/plugins/src/inputs.rs
+++ b/crates/plugins/src/inputs.rs
@@ -17,7 +17,7 @@
     pub errors: f64,
     pub latency: f64,
     pub weight: f64,
-    /// Share of its capacity that it is sure to have by the time since its start, from 0 to 1.
+    /// Share of its capacity that it is certain to have, by the time since its start, from 0 to 1.
     pub warmth: f64,
 }
 
--- a/crates/plugins/src/lex.rs
+++ b/crates/plugins/src/lex.rs
@@ -6,11 +6,11 @@
 
 use crate::diagnostics::{Diagnostic, Span};
 
-/// Maximum size of a plug-in's source.
+/// Maximum size of a plug-in's source, in bytes; rules that operators write have a screen or two.
 pub const MAX_SOURCE_BYTES: usize = 64 << 10;
-/// Maximum nesting of brackets, which bounds the recursion of the parser.
+/// Maximum nesting of brackets, which bounds the recursion of the parser. Readable expressions have four levels.
 pub const MAX_NESTING: usize = 16;
-/// Maximum size of a text literal.
+/// Maximum size of a text literal, in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
 
 /// A token. Numbers keep their digits as text, so that tokens can be compared and hashed.
--- a/crates/plugins/src/machine.rs
+++ b/crates/plugins/src/machine.rs
@@ -8,9 +8,9 @@
 use crate::code::*;
 use crate::inputs::Inputs;
 
-/// Maximum size of a text that a call creates.
+/// Maximum size of a text that a call creates, in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
-/// Maximum total size of the texts that one call creates.
+/// Maximum total size of the texts that one call creates, in bytes.
 pub const MAX_CALL_TEXT_BYTES: usize = 16 << 10;
 /// Maximum number of notes of one plug-in in an evaluation; further ones are dropped, so that they do not flood the records.
 pub const MAX_NOTES: usize = 4;
--- a/crates/records/src/incidents/reconstruction.rs
+++ b/crates/records/src/incidents/reconstruction.rs
@@ -113,10 +113,10 @@
                 self.set_fault(event, change.failing, Fault::Failing(change.server.clone()));
             }
             Kind::ZoneCut(partition) => {
-                self.set_fault(event, partition.cut, Fault::Zone(partition.zone.clone()))
+                self.set_fault(event, partition.cut, Fault::Zone(partition.zone.clone()));
             }
             Kind::Saturation(sample) => {
-                self.set_fault(event, sample.refused > 0.0, Fault::LoadShedding)
+                self.set_fault(event, sample.refused > 0.0, Fault::LoadShedding);
             }
             Kind::Gauge(gauge) if gauge.refused <= 0.0 => {
                 self.set_fault(event, false, Fault::LoadShedding);
--- a/crates/records/src/replay.rs
+++ b/crates/records/src/replay.rs
@@ -120,7 +120,7 @@
             Kind::ServerStarted(start) => self.start_server(start, record.at_us),
             Kind::Withdrawn(withdrawal) => {
                 self.update_server(&withdrawal.server, |server| {
-                    server.is_suspended = withdrawal.out
+                    server.is_suspended = withdrawal.out;
                 });
             }
             Kind::Failing(change) => {
