--- a/crates/plugins/src/machine.rs
+++ b/crates/plugins/src/machine.rs
@@ -199,7 +199,7 @@
     pub memory: &'a mut Memory,
     /// Fuel that remains for the evaluation.
     pub fuel: &'a mut u64,
-    /// Number of the evaluation, from 1, which the language calls `fleet.turn`.
+    /// Number of the evaluation, which the language calls `fleet.turn`.
     pub evaluation_number: u64,
     /// State of the random number generator.
     pub random_state: u64,
--- a/crates/records/src/clock.rs
+++ b/crates/records/src/clock.rs
@@ -11,12 +11,12 @@
 pub const SERVER_STARTED: u32 = 22;
 /// Kind numbers of the records that all supervisors write for the same change in the endpoint list.
 pub const SHARED_KINDS: [u32; 2] = [LIFECYCLE_CHANGED, SERVER_STARTED];
-/// Fewest changes from which a difference is estimated.
+/// Minimum number of changes from which a difference is estimated.
 const MIN_PAIRS: usize = 3;
-/// Smallest difference that is corrected, in microseconds: less may be a delay of the endpoint list.
+/// Minimum difference that is corrected, in microseconds: less may be a delay of the endpoint list.
 const MIN_DIFFERENCE_US: i64 = 1_000_000;
-/// Greatest median deviation of the differences from their median, in microseconds. Otherwise, one change that reaches
-/// a supervisor late would shift all of its records.
+/// Maximum median deviation of the differences from their median, in microseconds. Without this limit, one change that
+/// reaches a supervisor late would shift all of its records.
 const MAX_DEVIATION_US: i64 = 500_000;
 
 /// A change in the endpoint list, which several supervisors may have recorded.
--- a/crates/records/src/frame.rs
+++ b/crates/records/src/frame.rs
@@ -8,13 +8,13 @@
 pub const MAGIC: [u8; 4] = [0xC4, 0x75, 0x7E, 0x9D];
 /// Length of the magic number, the length and the checksum, in bytes.
 pub const HEADER_BYTES: usize = 12;
-/// Longest content of a frame, in bytes: holds a record of a fleet of 10,000 servers.
+/// Maximum length of a frame's content, in bytes: holds a record of a fleet of 10,000 servers.
 pub const MAX_CONTENT_BYTES: usize = 1 << 20;
 /// Offset of the length in a frame.
 const LENGTH_OFFSET: usize = 4;
 /// Offset of the checksum in a frame.
 const CHECKSUM_OFFSET: usize = 8;
-/// Most bytes that are checksummed in the search for the next valid frame. Beyond this, the rest of the file counts as
+/// Maximum number of bytes that are checksummed in the search for the next valid frame. Beyond this, the rest of the file counts as
 /// damaged: a file that contains only magic numbers would otherwise take hours.
 const MAX_SEARCH_BYTES: usize = 64 << 20;
 
--- a/crates/records/src/incidents.rs
+++ b/crates/records/src/incidents.rs
@@ -158,9 +158,9 @@
     pub drains: Vec<Drain>,
     /// The lowest admission level, by class.
     pub lowest_levels: BTreeMap<String, Extreme>,
-    /// The greatest number of lines queued in a channel.
+    /// The maximum number of lines queued in a channel; `None` without metrics.
     pub max_waiting: Option<Extreme>,
-    /// The greatest share of requests that were rejected; `None` if there were none.
+    /// The maximum share of requests that were rejected; `None` if there were none.
     pub max_rejected: Option<Extreme>,
     /// The number of streams that ended, by reason.
     pub ended_streams: BTreeMap<String, u64>,
--- a/crates/records/src/index/rollup.rs
+++ b/crates/records/src/index/rollup.rs
@@ -6,12 +6,12 @@
 
 use crate::pb::{record::Kind, Gauge, Record, Rollup};
 
-/// Greatest number of queued lines that the histogram can represent.
+/// Maximum number of queued lines that the histogram can represent.
 const MAX_WAITING: u64 = 10_000_000;
 /// Significant decimal digits of the histogram, more than a chart shows.
 const WAITING_DIGITS: u8 = 2;
 
-/// The least and greatest number of streams.
+/// The minimum and maximum number of streams.
 #[derive(Clone, Copy)]
 struct StreamRange {
     min: u32,
--- a/crates/records/src/maintenance/indexing.rs
+++ b/crates/records/src/maintenance/indexing.rs
@@ -14,9 +14,9 @@
 
 /// Bytes of a segment that one step reads and indexes: takes about 10 ms, and holds any frame.
 const STEP_BYTES: u64 = 2 << 20;
-/// Longest frame, in bytes.
+/// Maximum length of a frame, in bytes.
 const MAX_FRAME_BYTES: u64 = (frame::HEADER_BYTES + frame::MAX_CONTENT_BYTES) as u64;
-/// The greatest expected cost of a step.
+/// Maximum expected cost of a step.
 const STEP_COST_BOUND: Cost = Cost {
     time: Duration::from_millis(100),
     bytes: 2 * STEP_BYTES,
--- a/crates/records/src/maintenance/retention.rs
+++ b/crates/records/src/maintenance/retention.rs
@@ -8,7 +8,7 @@
 use super::{ActiveSegment, CHECK_INTERVAL};
 use crate::segment::{self, SegmentId};
 
-/// The greatest expected cost of a step.
+/// Maximum expected cost of a step.
 const STEP_COST_BOUND: Cost = Cost {
     time: Duration::from_millis(20),
     bytes: 0,
@@ -17,9 +17,9 @@
 /// Limits on stored records. A segment is removed when either limit is exceeded, except the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// Most bytes of all segments of one supervisor.
+    /// Maximum size of all segments of one supervisor, in bytes.
     pub bytes: u64,
-    /// Greatest time since a segment was last written.
+    /// Maximum time since a segment was last written.
     pub age: Duration,
 }
 
--- a/crates/records/src/observe.rs
+++ b/crates/records/src/observe.rs
@@ -5,13 +5,13 @@
 
 use crate::pb::Failing;
 
-/// Fewest attempts in a report that is evaluated.
+/// Minimum number of attempts in a report that is evaluated.
 const MIN_ATTEMPTS: f64 = 4.0;
-/// Least share of failed attempts at which a server is failing.
+/// Minimum share of failed attempts at which a server is failing.
 const FAILING_FROM: f64 = 0.5;
 /// Share of failed attempts below which a failing server has recovered.
 const RECOVERED_BELOW: f64 = 0.1;
-/// Most failing servers that are tracked: all of a large fleet, as seen from several zones.
+/// Maximum number of failing servers that are tracked: all of a large fleet, as seen from several zones.
 const MAX_FAILING: usize = 20_000;
 
 /// A server as the proxies of a zone see it.
--- a/crates/records/src/recorder.rs
+++ b/crates/records/src/recorder.rs
@@ -25,7 +25,7 @@
 
 /// Capacity of the queue, in records: a burst of two for each of 8,000 proxies. A full queue takes about 3 MiB.
 const QUEUE_CAPACITY: usize = 16_384;
-/// Longest time that [`Recording::close`] waits for the threads to write the last records and end.
+/// Maximum time that [`Recording::close`] waits for the threads to write the last records and end.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time between two checks whether the threads have ended.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(2);
--- a/crates/records/src/segment.rs
+++ b/crates/records/src/segment.rs
@@ -13,7 +13,7 @@
 
 /// Version of the framing and of the schema's semantics that this program writes.
 pub const VERSION: u32 = 1;
-/// Most bytes of a segment that are read. Segments are sealed far below this size.
+/// Maximum number of bytes of a segment that are read. Segments are sealed far below this size.
 pub const MAX_SEGMENT_BYTES: u64 = 256 << 20;
 const EXTENSION: &str = "seg";
 const INDEX_EXTENSION: &str = "idx";
--- a/crates/records/src/timeline.rs
+++ b/crates/records/src/timeline.rs
@@ -20,7 +20,7 @@
 pub use supervisor::{IndexedSegment, Supervisor};
 pub use verification::{verify, VerificationReport};
 
-/// Most subdirectories of a given directory that are searched for segments. Each supervisor has one.
+/// Maximum number of subdirectories of a given directory that are searched for segments. Each supervisor has one.
 const MAX_DIRECTORIES: usize = 4096;
 
 /// Error when records can't be read.
--- a/crates/scheduler/src/runner.rs
+++ b/crates/scheduler/src/runner.rs
@@ -6,7 +6,7 @@
 use crate::job::Job;
 use crate::scheduler::{Decision, Scheduler};
 
-/// Longest time between two checks for a stop request.
+/// Maximum time between two checks for a stop request.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs jobs on this thread until `is_stopped` returns true. It is called before every step, and at least
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -15,11 +15,11 @@
 /// Consecutive decisions that may pass over a due job before it runs first once. A job of the lowest class thus gets at
 /// least one step in nine while another job never ends.
 const MAX_TIMES_PASSED_OVER: u32 = 8;
-/// Longest wait returned by [`Scheduler::next`].
+/// Maximum wait returned by [`Scheduler::next`].
 const IDLE_WAIT: Duration = Duration::from_secs(1);
 /// Added to the wait for the budget, since an expense exactly as old as the window still counts.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(1);
-/// Most expenses that are stored. Further ones are merged with the newest, so that older costs count for longer.
+/// Maximum number of expenses that are stored. Further ones are merged with the newest, so that older costs count for longer.
 const MAX_EXPENSES: usize = 4096;
 
 /// Identifies a job by the order in which jobs were added, from 0.
@@ -39,7 +39,7 @@
 struct ScheduledJob {
     priority: Priority,
     due_at: Option<Instant>,
-    /// The greatest cost of any of its steps, or the stated bound before the first.
+    /// The maximum cost of any of its steps, or the stated bound before the first.
     max_step_cost: Cost,
     /// The number of its last step among those of all jobs, for round robin within its class.
     last_step: u64,
