--- a/crates/records/src/frame.rs
+++ b/crates/records/src/frame.rs
@@ -14,8 +14,8 @@
 const LENGTH_OFFSET: usize = 4;
 /// Offset of the checksum in a frame.
 const CHECKSUM_OFFSET: usize = 8;
-/// Maximum number of bytes that are checksummed in the search for the next valid frame. Beyond this, the rest of the file counts as
-/// damaged: a file that contains only magic numbers would otherwise take hours.
+/// Maximum number of bytes that are checksummed in the search for the next valid frame. Beyond this, the rest of the file
+/// counts as damaged: a file that contains only magic numbers would otherwise take hours.
 const MAX_SEARCH_BYTES: usize = 64 << 20;
 
 fn checksum(length: [u8; 4], content: &[u8]) -> u32 {
--- a/crates/records/src/timeline.rs
+++ b/crates/records/src/timeline.rs
@@ -109,7 +109,7 @@
     }
 
     /// Returns the matching records of all supervisors in order, and the gaps within the window of the query. The gaps
-    /// include ranges whose records are indexed but can't be read.
+    /// include ranges whose records are indexed but can't be read, with times by the clock of their supervisor.
     pub fn read(&self, query: &Query) -> (Vec<Event>, Vec<Gap>) {
         let mut events = Vec::new();
         let mut unreadable = Vec::new();
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -19,7 +19,8 @@
 const IDLE_WAIT: Duration = Duration::from_secs(1);
 /// Added to the wait for the budget, since an expense exactly as old as the window still counts.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(1);
-/// Maximum number of expenses that are stored. Further ones are merged with the newest, so that older costs count for longer.
+/// Maximum number of expenses that are stored. Further ones are merged with the newest, so that older costs count for
+/// longer.
 const MAX_EXPENSES: usize = 4096;
 
 /// Identifies a job by the order in which jobs were added, from 0.
