--- a/crates/plugins/src/inputs.rs
+++ b/crates/plugins/src/inputs.rs
@@ -17,7 +17,7 @@
     pub errors: f64,
     pub latency: f64,
     pub weight: f64,
-    /// Share of its capacity that it is sure to have by the time since its start, from 0 to 1.
+    /// Share of its capacity that it is certain to have, by the time since its start, from 0 to 1.
     pub warmth: f64,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl Server {
-    /// A healthy server, with which a test case starts.
+    /// Creates a healthy server, with which a test case starts.
     pub fn healthy(name: &str, zone: &str) -> Self {
         Server {
             name: name.into(),
@@ -76,7 +76,7 @@
 }
 
 impl Class {
-    /// A class of idempotent requests that are all admitted, with which a test case starts.
+    /// Creates a class of idempotent requests that are all admitted, with which a test case starts.
     pub fn idempotent(name: &str) -> Self {
         Class {
             name: name.into(),
--- a/crates/plugins/src/lex.rs
+++ b/crates/plugins/src/lex.rs
@@ -6,11 +6,11 @@
 
 use crate::diagnostics::{Diagnostic, Span};
 
-/// Maximum size of a plug-in's source.
+/// Maximum size of a plug-in's source, in bytes; rules that operators write have a screen or two.
 pub const MAX_SOURCE_BYTES: usize = 64 << 10;
-/// Maximum nesting of brackets, which bounds the recursion of the parser.
+/// Maximum nesting of brackets, which bounds the recursion of the parser. Readable expressions have four levels.
 pub const MAX_NESTING: usize = 16;
-/// Maximum size of a text literal.
+/// Maximum size of a text literal, in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
 
 /// A token. Numbers keep their digits as text, so that tokens can be compared and hashed.
@@ -164,7 +164,8 @@
     }
 }
 
-/// The tokens of a source with their spans, and a diagnostic for every character sequence that is no token.
+/// Returns the tokens of a source with their spans, and a diagnostic for each part of it that is not a token, and
+/// for each limit that is exceeded.
 pub fn tokenize(source: &str) -> (Vec<(Token, Span)>, Vec<Diagnostic>) {
     let (mut tokens, mut diagnostics) = (Vec::new(), Vec::new());
     if source.len() > MAX_SOURCE_BYTES {
--- a/crates/records/src/clock.rs
+++ b/crates/records/src/clock.rs
@@ -11,12 +11,12 @@
 pub const SERVER_STARTED: u32 = 22;
 /// Kind numbers of the records that all supervisors write for the same change in the endpoint list.
 pub const SHARED_KINDS: [u32; 2] = [LIFECYCLE_CHANGED, SERVER_STARTED];
-/// Fewest changes from which a difference is estimated.
+/// Minimum number of changes from which a difference is estimated.
 const MIN_PAIRS: usize = 3;
-/// Smallest difference that is corrected, in microseconds: less may be a delay of the endpoint list.
+/// Minimum difference that is corrected, in microseconds: less may be a delay of the endpoint list.
 const MIN_DIFFERENCE_US: i64 = 1_000_000;
-/// Greatest median deviation of the differences from their median, in microseconds. Otherwise, one change that reaches
-/// a supervisor late would shift all of its records.
+/// Maximum median deviation of the differences from their median, in microseconds. Without this limit, one change that
+/// reaches a supervisor late would shift all of its records.
 const MAX_DEVIATION_US: i64 = 500_000;
 
 /// A change in the endpoint list, which several supervisors may have recorded.
@@ -30,12 +30,12 @@
 impl ListChange {
     fn from_record(record: &Record) -> Option<Self> {
         match &record.kind {
-            Some(Kind::LifeChanged(of)) => Some(ListChange {
-                server: of.server.clone(),
-                lifecycle: Some(of.life),
+            Some(Kind::LifeChanged(change)) => Some(ListChange {
+                server: change.server.clone(),
+                lifecycle: Some(change.life),
             }),
-            Some(Kind::ServerStarted(of)) => Some(ListChange {
-                server: of.server.clone(),
+            Some(Kind::ServerStarted(start)) => Some(ListChange {
+                server: start.server.clone(),
                 lifecycle: None,
             }),
             _ => None,
@@ -59,7 +59,8 @@
 /// The difference between two clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockDifference {
-    /// How far the second clock is ahead of the first, in microseconds; 0 if they agree or the difference is unknown.
+    /// How far the second clock is ahead of the first, in microseconds; 0 if the difference is unknown, inconsistent or
+    /// below a second.
     pub ahead_us: i64,
     /// The number of changes that were compared; 0 if there were too few.
     pub pairs: usize,
