--- a/crates/model/src/measure.rs
+++ b/crates/model/src/measure.rs
@@ -78,9 +78,11 @@
     pub broken_rules: Vec<BrokenRule>,
     /// Number of simulated events.
     pub events: u64,
-    /// Seconds from the start of a fault until no proxy could select an affected server any more; one entry for each such server.
+    /// Seconds from the start of a fault until no proxy could select an affected server any more; one entry for each such
+    /// server, for crashed, hanging and failing servers and for lost zones.
     pub shut_out_s: Vec<f64>,
-    /// Seconds from the end of a fault until a proxy could select an affected server again; one entry for each such server.
+    /// Seconds from the end of a fault until a proxy could select an affected server again; one entry for each hanging or
+    /// failing server that no proxy could select at the end of the fault.
     pub restored_s: Vec<f64>,
     /// Changes of service levels, in order of time.
     pub level_changes: Vec<LevelChange>,
@@ -156,7 +158,7 @@
         *self.counts.entry(name).or_default() += amount;
     }
 
-    /// Raises a maximum to a value that is higher.
+    /// Raises a maximum to a value if the value is higher.
     pub fn record_max(&mut self, name: &'static str, value: f64) {
         let max = self.maxima.entry(name).or_default();
         *max = max.max(value);
@@ -313,7 +315,7 @@
         let classes = classes
             .iter()
             .zip(&scenario.classes)
-            .map(|(rule, class)| rule.outcome(&class.name))
+            .map(|(class_counts, class)| class_counts.outcome(&class.name))
             .collect();
         Outcome {
             figures,
--- a/crates/model/src/proxy.rs
+++ b/crates/model/src/proxy.rs
@@ -10,7 +10,8 @@
 use crate::random::RandomSource;
 use crate::scenario::Pick;
 
-/// Random draws of one selection; if all hit ejected or excluded servers, the table is searched in order.
+/// Draws of one selection, each of two servers for [`Pick::LeastOfTwo`]; if all hit ejected or excluded servers, the
+/// table is searched in order.
 const MAX_DRAWS: usize = 8;
 /// Fractional part of the golden ratio: steps of this size are spread evenly over the unit interval.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
@@ -71,7 +72,7 @@
 pub struct Usage {
     /// Requests that arrived, with those that the admission level rejected.
     pub arrivals: f64,
-    /// Admitted requests without a response.
+    /// Admitted requests that failed or timed out, or found no server.
     pub failed: f64,
 }
 
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -10,7 +10,8 @@
 pub enum Rule {
     /// A proxy must not be left without a server for a class for long while a warm one is listed.
     Unserved,
-    /// A request that is not idempotent must not be executed twice.
+    /// A request that is not idempotent must not be executed twice, and a keyed one not again after its deduplication
+    /// window. A proxy that sends such a repeat breaks the rule even if it is not executed.
     DuplicateExecution,
     /// A draining or removed server must get no requests after the drain grace.
     Drain,
@@ -74,7 +75,7 @@
     }
 }
 
-/// Returns whether a proxy may repeat a request. `maybe_executed_us` is when the first attempt that may have been executed
+/// Returns whether a proxy or a client may repeat a request. `maybe_executed_us` is when the first attempt that may have been executed
 /// was sent, if there was one.
 pub fn may_repeat(idempotency: Idempotency, maybe_executed_us: Option<u64>, now_us: u64) -> bool {
     match (idempotency, maybe_executed_us) {
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -181,7 +181,8 @@
     chutegrade_textproto::write(SCHEMA, MESSAGE, scenario).unwrap_or_default()
 }
 
-/// Merges a change into a copy of a scenario: singular fields are replaced, repeated fields are appended.
+/// Merges a change into a copy of a scenario: singular fields are replaced, messages are merged field by field, and
+/// repeated fields are appended.
 pub fn with_change(scenario: &pb::Scenario, change: &pb::Scenario) -> pb::Scenario {
     let mut combined = scenario.clone();
     // Never fails: the bytes were encoded with the same schema.
@@ -397,7 +398,7 @@
         .iter()
         .map(|point| (point.at_s() * US_PER_S, point.factor.unwrap_or(1.0)))
         .collect();
-    if points.windows(2).any(|two| two[0].0 >= two[1].0) {
+    if points.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
         checker.report("point", "points are not in ascending order of at_s");
     }
     if points
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -83,7 +83,7 @@
     pub zone: usize,
     /// Index of the server's kind in the scenario.
     pub kind: usize,
-    /// Whether it runs.
+    /// Whether it runs, drains or is stopped.
     pub state: ServerState,
     /// Weight in the endpoint list: cores times the nominal speed.
     pub listed_weight: f64,
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -1979,8 +1979,8 @@
             request_rate: rate,
             has_no_table,
         };
-        if let Controller::Baseline(dirty) = &mut self.supervisors[supervisor].controller {
-            *dirty = true;
+        if let Controller::Baseline(has_changed) = &mut self.supervisors[supervisor].controller {
+            *has_changed = true;
         }
         self.report(supervisor, supervisor_epoch, opened);
         if supervisor != home && self.scenario.rehome_us > 0 {
@@ -2379,7 +2379,9 @@
             }
         }
         for index in 0..self.proxies.len() {
-            let Some((supervisor_index, _, since)) = self.proxies[index].control_stream else {
+            let Some((supervisor_index, _, connected_since_us)) =
+                self.proxies[index].control_stream
+            else {
                 continue;
             };
             for class in 0..scenario.classes.len() {
@@ -2393,7 +2395,7 @@
                     .zone_local
                     .then_some(self.proxies[index].zone);
                 let supervisor = &self.supervisors[supervisor_index];
-                if now_us > empty_since_us.max(since) + scenario.max_unserved_us
+                if now_us > empty_since_us.max(connected_since_us) + scenario.max_unserved_us
                     && supervisor.has_warm_server(
                         now_us,
                         &self.servers,
--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -28,7 +28,7 @@
     /// The engine with the decision module.
     #[default]
     Module,
-    /// All listed servers by their listed weights, updated with the endpoint list.
+    /// All listed servers that are in service by their listed weights, updated with the endpoint list.
     Fixed,
     /// No control: proxies keep their initial tables.
     Nobody,
@@ -88,7 +88,8 @@
 }
 
 impl Setup {
-    /// Validates the limits, and the classes and zones of the traffic, for a scenario; returns the first error as text.
+    /// Validates the limits, and the classes and zones of the traffic, for a scenario; returns all errors of the limits, or
+    /// the first of the traffic, as text.
     pub fn validate_for(&self, scenario: &Scenario) -> Result<(), String> {
         if let Some(limits) = &self.limits {
             OverloadConfig::read(limits, Some(&classes(scenario))).map_err(|faults| {
@@ -145,7 +146,7 @@
         )))
     }
 
-    /// Compiles the plug-ins; returns the first error as text.
+    /// Compiles and loads the plug-ins together; returns the first error as text.
     pub fn validate_plugins(&self) -> Result<(), String> {
         let load_errors = PluginAdvisor::default()
             .load(&self.plugins)
@@ -167,7 +168,7 @@
     /// Creates the plug-in advisor of a supervisor.
     pub fn plugin_advisor(&self) -> PluginAdvisor {
         let mut advisor = PluginAdvisor::default();
-        // `validate_plugins` reports compile errors; plug-ins with errors are left out here.
+        // `validate_plugins` reports errors; on an error no plug-in is loaded here.
         let _ = advisor.load(&self.plugins);
         advisor
     }
@@ -283,7 +284,7 @@
             .unwrap_or_default()
     }
 
-    /// Applies an update of a server, unless it is older than the last one; returns whether it was applied.
+    /// Applies an update of a server if it is newer than the last one; returns whether it was applied.
     pub fn update_server(
         &mut self,
         now_us: u64,
@@ -445,10 +446,10 @@
 
 /// Returns the number of lines of an order, without the overhead of the message.
 pub fn order_lines(order: &Order) -> f64 {
-    let update = |update: &TableUpdate| {
+    let update_lines = |update: &TableUpdate| {
         update.weights.len() + usize::from(update.replace) + usize::from(update.admission.is_some())
     };
-    let line_count: usize = order.updates.iter().map(update).sum();
+    let line_count: usize = order.updates.iter().map(update_lines).sum();
     (line_count
         + order.suspended.len()
         + order.resumed.len()
--- a/crates/model/tests/levels.rs
+++ b/crates/model/tests/levels.rs
@@ -189,7 +189,9 @@
         .collect();
     // 111 requests per second, one in ten of them with weight 6.
     assert!(
-        by_second.iter().all(|asked| (asked - 167.0).abs() < 12.0),
+        by_second
+            .iter()
+            .all(|offered| (offered - 167.0).abs() < 12.0),
         "{by_second:?}"
     );
     assert_eq!(outcome, play(&scenario, &setup, 1));
