--- a/crates/emulators/src/predict.rs
+++ b/crates/emulators/src/predict.rs
@@ -145,8 +145,8 @@
             f64::from(PROXIES) * self.rate,
             fault_texts.join("\n")
         );
-        scenario::read(&text).map_err(|faults| {
-            faults
+        scenario::read(&text).map_err(|errors| {
+            errors
                 .iter()
                 .map(ToString::to_string)
                 .collect::<Vec<_>>()
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -191,10 +191,10 @@
     }
     let (mut cases, mut arms) = (Vec::new(), Vec::new());
     for (index, case) in declaration.case.iter().enumerate() {
-        let read = read_scenario(case, directory)
+        let loaded = read_scenario(case, directory)
             .and_then(|scenario| Ok((scenario, read_traffic(case, directory)?)));
-        let (scenario, traffic) = match read {
-            Ok(read) => read,
+        let (scenario, traffic) = match loaded {
+            Ok(loaded) => loaded,
             Err(message) => {
                 add_error("case", message);
                 continue;
@@ -228,9 +228,11 @@
                         digest,
                     });
                 }
-                Err(faults) => {
-                    let messages: Vec<String> =
-                        faults.into_iter().map(|(_, message)| message).collect();
+                Err(field_errors) => {
+                    let messages: Vec<String> = field_errors
+                        .into_iter()
+                        .map(|(_, message)| message)
+                        .collect();
                     add_error(
                         "case",
                         format!("{name} with {}: {}", variant.name, messages.join("; ")),
--- a/crates/model/benches/queue.rs
+++ b/crates/model/benches/queue.rs
@@ -28,7 +28,7 @@
         2800.0 * scale,
         scaled(1057.0),
     );
-    read(&text).unwrap_or_else(|faults| panic!("{faults:?}"))
+    read(&text).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
 #[derive(Clone, Copy)]
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// Returns whether a proxy or a client may repeat a request. `maybe_executed_us` is when the first attempt that may have been executed
-/// was sent, if there was one.
+/// Returns whether a proxy or a client may repeat a request. `maybe_executed_us` is when the first attempt that may have
+/// been executed was sent, if there was one.
 pub fn may_repeat(idempotency: Idempotency, maybe_executed_us: Option<u64>, now_us: u64) -> bool {
     match (idempotency, maybe_executed_us) {
         (Idempotency::Idempotent, _) | (_, None) => true,
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -165,8 +165,8 @@
 /// Parses and validates a scenario; returns all errors, with their positions.
 pub fn read(text: &str) -> Result<Scenario, Vec<TextError>> {
     let written = parse(text).map_err(|error| vec![error])?;
-    Scenario::try_from(&written).map_err(|faults| {
-        faults
+    Scenario::try_from(&written).map_err(|errors| {
+        errors
             .into_iter()
             .map(|(field, message)| TextError {
                 position: find_field(text, field),
--- a/crates/model/src/supervisor.rs
+++ b/crates/model/src/supervisor.rs
@@ -92,8 +92,8 @@
     /// the first of the traffic, as text.
     pub fn validate_for(&self, scenario: &Scenario) -> Result<(), String> {
         if let Some(limits) = &self.limits {
-            OverloadConfig::read(limits, Some(&classes(scenario))).map_err(|faults| {
-                let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
+            OverloadConfig::read(limits, Some(&classes(scenario))).map_err(|errors| {
+                let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
                 format!("limits: {}", messages.join("; "))
             })?;
         }
--- a/crates/model/tests/levels.rs
+++ b/crates/model/tests/levels.rs
@@ -17,7 +17,7 @@
     leave { all { signal: SATURATION below: 0.15 for_s: 4 } all { signal: ROOM above: 1.15 for_s: 4 } } least_stay_s: 10 } }";
 
 fn read_scenario(text: &str) -> Scenario {
-    scenario::read(&format!("{FLEET}{text}")).unwrap_or_else(|faults| panic!("{faults:?}"))
+    scenario::read(&format!("{FLEET}{text}")).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
 fn parse_limits(text: &str) -> limits::Limits {
