--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -91,7 +91,7 @@
 
 /// Runs an experiment until every difference of its first measure has the requested precision, or the maximum number of
 /// runs is done. Runs that are in the store are not repeated. `on_progress` is called before each look's runs and after
-/// each batch, and returns whether to continue. Returns `false` if it stopped the experiment.
+/// each batch, and returns whether to continue. Returns `false` if `on_progress` stopped the experiment.
 pub fn play(
     plan: &Plan,
     build: &str,
--- a/crates/lab/src/search.rs
+++ b/crates/lab/src/search.rs
@@ -75,7 +75,7 @@
     pub service: f64,
     /// Mean service of the baseline on the same seeds.
     pub baseline_service: f64,
-    /// Runs of the search before shrinking.
+    /// Runs of the search before shrinking; in the findings that `on_progress` gets, the runs of this scenario.
     pub runs: usize,
 }
 
@@ -84,7 +84,7 @@
         self.baseline_service - self.service
     }
 
-    /// Returns the rank of a scenario: a broken rule outweighs any loss.
+    /// Returns how bad the effect is, higher for worse: a broken rule outweighs any loss.
     fn severity(&self, rules_only: bool) -> f64 {
         let rules = self.broken_rules.len() as f64 * 10.0;
         if rules_only {
@@ -224,8 +224,8 @@
 }
 
 /// Searches until `budget` runs are done, then shrinks the worst scenario. Returns `None` if it breaks no rule and its
-/// loss is not reportable. `on_progress` gets the runs done and the worst finding so far, and returns whether to
-/// continue.
+/// loss is below the minimum or not asked for. `on_progress` gets the runs done and the worst finding so far, and
+/// returns whether to continue.
 pub fn search(
     base: &Declaration,
     objective: &Objective,
@@ -262,10 +262,10 @@
             .sum::<usize>()
             .max(1);
         worst.extend(findings);
-        worst.sort_by(|one, other| {
-            other
+        worst.sort_by(|left, right| {
+            right
                 .severity(objective.rules_only)
-                .total_cmp(&one.severity(objective.rules_only))
+                .total_cmp(&left.severity(objective.rules_only))
         });
         worst.truncate(SURVIVORS_PER_ROUND);
         if !on_progress(runs, worst.first()) {
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -150,7 +150,8 @@
     corrected
 }
 
-/// Returns the sample size at which the confidence interval reaches a half width, given a pilot sample.
+/// Returns the sample size at which the confidence interval reaches a half width, given a pilot sample: up to a sixteenth
+/// above the exact one, and at most about a million. Returns the size of a pilot that shows no variation.
 pub fn required_runs(pilot: &[f64], confidence: f64, half_width: f64) -> usize {
     let (_, standard_deviation) = mean_and_deviation(pilot);
     if standard_deviation == 0.0 || pilot.len() < 2 {
--- a/crates/lab/src/store.rs
+++ b/crates/lab/src/store.rs
@@ -1,5 +1,5 @@
-//! Stored results: one JSON line per run, appended and synced to disk as runs end. An incomplete last line, left by a
-//! kill, is removed when the store is opened; a run that is stored is not counted twice.
+//! Stored results: one JSON line per run, appended and synced to disk in batches of runs. An incomplete last line, left
+//! by a kill, is removed when the store is opened; a run that is stored is not counted twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{File, OpenOptions};
@@ -135,7 +135,7 @@
         &self.results
     }
 
-    /// Returns the runs of an arm, given its digest, by seed.
+    /// Returns the runs of an arm, given its digest, with one build, by seed.
     pub fn runs_of(&self, digest: &str, build: &str) -> BTreeMap<u64, &Result> {
         let runs = self
             .results
--- a/crates/lab/tests/experiments.rs
+++ b/crates/lab/tests/experiments.rs
@@ -39,10 +39,10 @@
             .expect("complete runs");
         (report::runs_csv(&store), report::page(&plan, "b", &store))
     };
-    let one = results(1);
-    assert!(one.0.lines().count() > 12);
-    assert_eq!(one, results(3));
-    assert_eq!(one, results(8));
+    let single_threaded = results(1);
+    assert!(single_threaded.0.lines().count() > 12);
+    assert_eq!(single_threaded, results(3));
+    assert_eq!(single_threaded, results(8));
 }
 
 #[test]
@@ -121,8 +121,8 @@
     }
     assert!(stops > 1, "the experiment was not stopped");
     let resumed = report::runs_csv(&Store::open(directory.path()).expect("a store"));
-    for (one, other) in resumed.lines().zip(uninterrupted.lines()) {
-        assert_eq!(one, other);
+    for (resumed_line, uninterrupted_line) in resumed.lines().zip(uninterrupted.lines()) {
+        assert_eq!(resumed_line, uninterrupted_line);
     }
     assert_eq!(resumed.len(), uninterrupted.len());
 }
