--- a/crates/emulators/src/bin/demo.rs
+++ b/crates/emulators/src/bin/demo.rs
@@ -67,9 +67,9 @@
     }
     let out = &arguments.out;
     if out.join("operator.txtpb").exists() {
-        std::fs::remove_dir_all(out).map_err(|fault| format!("{}: {fault}", out.display()))?;
+        std::fs::remove_dir_all(out).map_err(|error| format!("{}: {error}", out.display()))?;
     }
-    let subscribe = |kind| signal(kind).map_err(|fault| format!("cannot handle signals: {fault}"));
+    let subscribe = |kind| signal(kind).map_err(|error| format!("cannot handle signals: {error}"));
     let (mut interrupt, mut terminate) = (
         subscribe(SignalKind::interrupt())?,
         subscribe(SignalKind::terminate())?,
@@ -84,7 +84,7 @@
     .await;
     let records = deployment.records();
     let result = tokio::select! {
-        ended = run_console(&arguments.program, &records, arguments.seconds) => ended.map_err(|fault| format!("cannot run the console: {fault}")),
+        ended = run_console(&arguments.program, &records, arguments.seconds) => ended.map_err(|error| format!("cannot run the console: {error}")),
         () = deployment.inject_recurring_faults() => Ok(()),
         _ = interrupt.recv() => Ok(()),
         _ = terminate.recv() => Ok(()),
@@ -113,7 +113,7 @@
     let status = report
         .status()
         .await
-        .map_err(|fault| format!("cannot run the report: {fault}"))?;
+        .map_err(|error| format!("cannot run the report: {error}"))?;
     println!(
         "records in {}, report in {}",
         records.display(),
@@ -130,8 +130,8 @@
 async fn main() -> ExitCode {
     match run_demo(&Arguments::parse()).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("demo: {fault}");
+        Err(error) => {
+            eprintln!("demo: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/emulators/src/bin/incident.rs
+++ b/crates/emulators/src/bin/incident.rs
@@ -9,7 +9,7 @@
 use chutegrade_records::Timeline;
 use clap::Parser;
 
-/// Runs a scripted incident of about 75 seconds on loopback.
+/// Runs a scripted incident of about 80 seconds on loopback.
 #[derive(Parser)]
 struct Arguments {
     /// Path of the chutegrade executable.
@@ -37,7 +37,7 @@
         ));
     }
     if is_earlier_run {
-        std::fs::remove_dir_all(out).map_err(|fault| format!("{}: {fault}", out.display()))?;
+        std::fs::remove_dir_all(out).map_err(|error| format!("{}: {error}", out.display()))?;
     }
     Ok(())
 }
@@ -52,9 +52,9 @@
     remove_earlier_run(&arguments.out)?;
     let mut deployment =
         EmulatedDeployment::start(&arguments.program, &arguments.out, arguments.seed).await;
-    println!("running the incident, about 75 seconds");
+    println!("running the incident, about 80 seconds");
     let codes = deployment.run_incident().await;
-    let to_text = |fault: chutegrade_records::timeline::ReadError| fault.to_string();
+    let to_text = |error: chutegrade_records::timeline::ReadError| error.to_string();
     let timeline = Timeline::open(&[deployment.records()]).map_err(to_text)?;
     let (events, gaps) = timeline.read(&Query::default());
     let differences = truth::compare(
@@ -89,8 +89,8 @@
 async fn main() -> ExitCode {
     match run_incident(Arguments::parse()).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("incident: {fault}");
+        Err(error) => {
+            eprintln!("incident: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/emulators/src/bin/truth.rs
+++ b/crates/emulators/src/bin/truth.rs
@@ -36,12 +36,12 @@
             let (case, program) = (case.clone(), arguments.program.clone());
             let seed = arguments.seed;
             tasks.push(tokio::spawn(async move {
-                let directory = tempfile::tempdir().map_err(|fault| fault.to_string())?;
+                let directory = tempfile::tempdir().map_err(|error| error.to_string())?;
                 Ok::<_, String>(measure(&case, &program, directory.path(), seed).await)
             }));
         }
         for (case, task) in batch.iter().zip(tasks) {
-            let measured = task.await.map_err(|fault| fault.to_string())??;
+            let measured = task.await.map_err(|error| error.to_string())??;
             let compared = compare(&predict(case)?, &measured);
             println!("{}", case.name);
             for row in &compared {
@@ -74,8 +74,8 @@
 async fn main() -> ExitCode {
     match run_comparison(Arguments::parse()).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("truth: {fault}");
+        Err(error) => {
+            eprintln!("truth: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/emulators/src/fleet.rs
+++ b/crates/emulators/src/fleet.rs
@@ -235,7 +235,7 @@
     rate: f64,
     tables: Mutex<Tables>,
     usage: Mutex<BTreeMap<&'static str, ClassUsage>>,
-    /// Index of the supervisor of its stream; `usize::MAX` while it has none.
+    /// Index of the supervisor of its stream, set while it connects; `usize::MAX` while it has none.
     supervisor: AtomicUsize,
     stream_break: Notify,
     request_count: AtomicU64,
@@ -427,7 +427,7 @@
         violations
             .iter()
             .filter(|(count, _)| *count > 0)
-            .map(|(count, what)| format!("{count} {what}"))
+            .map(|(count, description)| format!("{count} {description}"))
             .collect()
     }
 
@@ -553,11 +553,11 @@
         if let Some((supervisor, address)) = addresses.first_running_from(next) {
             proxy.supervisor.store(supervisor, Ordering::Relaxed);
             let ended = run_stream(&proxy, address).await;
-            if ended.is_err_and(|fault| fault.kind() == std::io::ErrorKind::InvalidData) {
+            if ended.is_err_and(|error| error.kind() == std::io::ErrorKind::InvalidData) {
                 counters.invalid_orders.fetch_add(1, Ordering::Relaxed);
             }
             proxy.supervisor.store(usize::MAX, Ordering::Relaxed);
-            // Reconnects to the first supervisor if it still executions, otherwise to the next one.
+            // Reconnects to the first supervisor if it runs, otherwise to the next running one.
             next = first;
         }
         sleep(RECONNECT_DELAY).await;
@@ -580,7 +580,7 @@
         while let Some(line) = lines.next_line().await? {
             let sequence = lock(&proxy.tables).apply(line.trim_end());
             let invalid_data =
-                |fault: String| std::io::Error::new(std::io::ErrorKind::InvalidData, fault);
+                |message: String| std::io::Error::new(std::io::ErrorKind::InvalidData, message);
             if let Some(sequence) = sequence.map_err(invalid_data)? {
                 let _ = acknowledgements.send(sequence);
             }
--- a/crates/emulators/src/peer.rs
+++ b/crates/emulators/src/peer.rs
@@ -174,11 +174,11 @@
     }
 
     /// Applies messages until a condition is met.
-    pub async fn apply_until(&mut self, what: &str, is_met: impl Fn(&Proxy) -> bool) {
+    pub async fn apply_until(&mut self, description: &str, is_met: impl Fn(&Proxy) -> bool) {
         while !is_met(self) {
-            let line = wait_for(what, self.peer.line())
+            let line = wait_for(description, self.peer.line())
                 .await
-                .unwrap_or_else(|| panic!("the stream ended before {what}"));
+                .unwrap_or_else(|| panic!("the stream ended before {description}"));
             self.apply_line(&line).await;
         }
     }
--- a/crates/emulators/src/predict/tests.rs
+++ b/crates/emulators/src/predict/tests.rs
@@ -26,7 +26,7 @@
     for case in comparison_cases() {
         let scenario = case
             .scenario()
-            .unwrap_or_else(|fault| panic!("{}: {fault}", case.name));
+            .unwrap_or_else(|error| panic!("{}: {error}", case.name));
         let outcome = run(&scenario, Control::Module, 1);
         assert!(
             outcome.broken_rules.is_empty() && outcome.figure("came") > 3000.0,
--- a/crates/emulators/src/program.rs
+++ b/crates/emulators/src/program.rs
@@ -118,7 +118,7 @@
         self.prepare(config, command)
     }
 
-    /// Sets the environment of the command; returns it with the path of the configuration file.
+    /// Writes the configuration file and sets the environment of the command; returns it with the path of the file.
     fn prepare(&self, config: &Value, mut command: Command) -> (Command, String) {
         let number = NEXT_CONFIG_NUMBER.fetch_add(1, Ordering::SeqCst);
         let path = format!(
@@ -150,7 +150,7 @@
         (command, path)
     }
 
-    /// Starts the program with an invalid configuration; returns its exit code and its log.
+    /// Starts the program with a configuration that it rejects, and waits until it exits; returns its exit code and its log.
     pub async fn run_until_exit(&self, config: &Value) -> (Option<i32>, String) {
         let output = wait_for("the program to exit", self.command(config).0.output())
             .await
--- a/crates/emulators/src/script.rs
+++ b/crates/emulators/src/script.rs
@@ -199,8 +199,8 @@
     /// Waits until each supervisor has logged `times` lines that contain all of these words.
     pub async fn wait_for_log_lines(&self, times: usize, words: &[&str]) {
         for supervisor in self.supervisors.iter().flatten() {
-            let what = format!("{times} log lines with {words:?}");
-            crate::wait::until(&what, || supervisor.count_log_lines(words) >= times).await;
+            let description = format!("{times} log lines with {words:?}");
+            crate::wait::until(&description, || supervisor.count_log_lines(words) >= times).await;
         }
     }
 
@@ -219,7 +219,7 @@
         codes
     }
 
-    /// Runs an incident with every kind of fault, about 75 s long. Terminates the supervisors, saves the ground truth,
+    /// Runs an incident with every kind of fault, about 80 s long. Terminates the supervisors, saves the ground truth,
     /// and returns the exit codes.
     pub async fn run_incident(&mut self) -> Vec<Option<i32>> {
         let seconds = |n| sleep(Duration::from_secs(n));
--- a/crates/emulators/src/tables.rs
+++ b/crates/emulators/src/tables.rs
@@ -42,10 +42,10 @@
 
     /// Applies one line of an order; returns the sequence number to acknowledge, if it has one.
     pub fn apply(&mut self, line: &str) -> Result<Option<String>, String> {
-        let fault = |what: &str| format!("{what} in {line:?}");
+        let error = |problem: &str| format!("{problem} in {line:?}");
         let mut tokens = line.split(' ');
         if tokens.next() != Some("push") {
-            return Err(fault("not an order"));
+            return Err(error("not an order"));
         }
         let fields: BTreeMap<&str, &str> =
             tokens.filter_map(|token| token.split_once('=')).collect();
@@ -57,7 +57,7 @@
             .split('+')
         {
             if !CLASSES.contains(&class) {
-                return Err(fault("unknown class"));
+                return Err(error("unknown class"));
             }
             let rows = self.rows.entry(class.to_string()).or_default();
             if fields.get("replace") == Some(&"1") {
@@ -72,10 +72,10 @@
             {
                 let (name, weight) = row
                     .split_once(':')
-                    .ok_or_else(|| fault("row without weight"))?;
-                let weight: f64 = weight.parse().map_err(|_| fault("malformed weight"))?;
+                    .ok_or_else(|| error("row without weight"))?;
+                let weight: f64 = weight.parse().map_err(|_| error("malformed weight"))?;
                 if !(weight.is_finite() && weight >= 0.0) {
-                    return Err(fault("negative or non-finite weight"));
+                    return Err(error("negative or non-finite weight"));
                 }
                 rows.insert(name.to_string(), weight);
             }
@@ -84,12 +84,12 @@
                 (Some(gate), Some(retry)) => {
                     let level: f64 = gate
                         .parse()
-                        .map_err(|_| fault("malformed admission level"))?;
+                        .map_err(|_| error("malformed admission level"))?;
                     self.levels.insert(class.to_string(), level);
                     self.retries.insert(class.to_string(), retry.to_string());
                 }
                 (None, None) => {}
-                _ => return Err(fault("admission level without retry policy or the reverse")),
+                _ => return Err(error("admission level without retry policy or the reverse")),
             }
         }
         let names = |field: &str| {
--- a/crates/emulators/src/truth.rs
+++ b/crates/emulators/src/truth.rs
@@ -143,11 +143,11 @@
     gaps: &[Gap],
     supervisors: &[&str],
 ) -> Vec<String> {
-    let mut faults = missing_events(truth, events, gaps, supervisors);
-    faults.extend(unexpected_events(truth, events));
-    faults.extend(unmarked_crashes(truth, gaps));
-    faults.extend(out_of_order(events));
-    faults
+    let mut differences = missing_events(truth, events, gaps, supervisors);
+    differences.extend(unexpected_events(truth, events));
+    differences.extend(unmarked_crashes(truth, gaps));
+    differences.extend(out_of_order(events));
+    differences
 }
 
 /// Returns the time ranges in which a supervisor did not run.
@@ -228,7 +228,7 @@
     gaps: &[Gap],
     supervisors: &[&str],
 ) -> Vec<String> {
-    let mut faults = Vec::new();
+    let mut differences = Vec::new();
     for entry in truth {
         // Skips events that are not recorded by themselves. `Demand` is checked below.
         let has_no_event = matches!(
@@ -274,7 +274,7 @@
                 && !is_in_gap
                 && (is_own_lifecycle || !was_down)
             {
-                faults.push(format!(
+                differences.push(format!(
                     "{supervisor} did not record {:?} at {}",
                     entry.deed, entry.at_us
                 ));
@@ -290,15 +290,15 @@
             .iter()
             .any(|event| is_timely(event, entry.at_us) && matches_event(event, &entry.deed))
         {
-            faults.push(format!("no supervisor recorded {:?}", entry.deed));
+            differences.push(format!("no supervisor recorded {:?}", entry.deed));
         }
     }
-    faults
+    differences
 }
 
 /// Describes events that only an injection can cause, but that were not injected.
 fn unexpected_events(truth: &[GroundTruthEntry], events: &[Event]) -> Vec<String> {
-    let mut faults = Vec::new();
+    let mut differences = Vec::new();
     for event in events {
         let Some(kind) = &event.record.kind else {
             continue;
@@ -322,19 +322,19 @@
                     && event.learned_us() - entry.at_us < MAX_DELAY_US
             });
         if requires_injection && !is_injected && !is_replayed {
-            faults.push(format!(
+            differences.push(format!(
                 "{} recorded an event that was not injected: {}",
                 event.supervisor,
                 event.line()
             ));
         }
     }
-    faults
+    differences
 }
 
 /// Describes crashes of a supervisor whose downtime no gap marks.
 fn unmarked_crashes(truth: &[GroundTruthEntry], gaps: &[Gap]) -> Vec<String> {
-    let mut faults = Vec::new();
+    let mut differences = Vec::new();
     for (index, entry) in truth.iter().enumerate() {
         let InjectedEvent::Killed { supervisor } = &entry.deed else {
             continue;
@@ -350,13 +350,13 @@
                 && gap.to_us >= next.at_us
         });
         if !is_marked {
-            faults.push(format!(
+            differences.push(format!(
                 "no gap marks the crash of {supervisor} from {} to {}",
                 entry.at_us, next.at_us
             ));
         }
     }
-    faults
+    differences
 }
 
 fn out_of_order(events: &[Event]) -> Vec<String> {
