--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -1134,7 +1134,7 @@
         } = attempt;
         self.record_attempt_end(proxy as usize, server, sent_us, outcome);
         if outcome == AttemptOutcome::NotExecuted {
-            // The connection was not established.
+            // A new connection to a stopped server was not established.
             self.drop_failed_connection(proxy as usize, server);
         }
         let Some(request) = self
