--- a/Makefile
+++ b/Makefile
@@ -11,7 +11,7 @@
 	@echo "make build     the release binaries, in target/release"
 	@echo "make lint      formatting and clippy, warnings are errors"
 	@echo "make run       one supervisor in the foreground; LB_CONFIG must name its configuration"
-	@echo "make incident  a scripted incident of 75 seconds; records and report in target/incident"
+	@echo "make incident  a scripted incident of some 80 seconds; records and report in target/incident"
 	@echo "make lab       an experiment on the fleet model, half a minute; its report in target/lab/picking"
 	@echo "make truth     the model against the program on loopback, some three minutes"
 	@echo "make bench     the measurements of the store, some five minutes"
