--- a/crates/policy/benches/tick.rs
+++ b/crates/policy/benches/tick.rs
@@ -90,14 +90,14 @@
         Action::RequestAcknowledgement { sequence, .. } => Some(*sequence),
         _ => None,
     });
-    let assigned_tables = actions.iter().filter_map(|action| match action {
+    let assigned_proxies = actions.iter().filter_map(|action| match action {
         Action::AssignTable { proxy, .. } => Some(*proxy),
         _ => None,
     });
     let elapsed = Micros(1000);
     let acknowledgements = sequence
         .into_iter()
-        .flat_map(|sequence| assigned_tables.clone().map(move |proxy| (proxy, sequence)));
+        .flat_map(|sequence| assigned_proxies.clone().map(move |proxy| (proxy, sequence)));
     let acknowledgements: Vec<_> = acknowledgements
         .map(|(proxy, sequence)| Event::Acknowledged {
             proxy,
--- a/crates/policy/src/decisions/admission.rs
+++ b/crates/policy/src/decisions/admission.rs
@@ -51,7 +51,7 @@
     pub limits: &'a ActiveLimits,
     /// The reference outcomes of each link.
     pub references: &'a References,
-    /// Share of servers that do not answer health checks.
+    /// Median over the reachable zones of the share of servers that do not answer health checks.
     pub unanswered_share: f64,
     /// Whether warming servers are withheld from tables.
     pub warming_withheld: bool,
--- a/crates/policy/src/decisions/advice.rs
+++ b/crates/policy/src/decisions/advice.rs
@@ -7,8 +7,8 @@
 
 use super::registry::{Registry, Weights};
 
-/// Least time between two changes of advice. An oscillating plug-in would otherwise fill the channel and delay weight
-/// changes of failing servers.
+/// Least time from accepted advice to the next. An oscillating plug-in would otherwise fill the channel and delay
+/// weight changes of failing servers.
 const MIN_CHANGE_INTERVAL: Micros = Micros(5_000_000);
 /// The longest time for which advice applies without renewal.
 const MAX_VALIDITY: Micros = Micros(15_000_000);
@@ -39,8 +39,8 @@
 }
 
 impl ActiveAdvice {
-    /// Accepts advice, unless it changes too often. In a saturated fleet, advice on servers is ignored, since all
-    /// servers are needed.
+    /// Replaces the active advice, unless that was accepted less than [`MIN_CHANGE_INTERVAL`] ago. In a saturated
+    /// fleet, advice on servers is ignored, since all servers are needed.
     pub fn accept(&mut self, now: Micros, advice: &Advice, is_saturated: bool) {
         let is_too_early = self
             .accepted_at
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Drops expired advice.
+    /// Drops expired advice, except for the separate tables.
     pub fn expire(&mut self, now: Micros) {
         if self.expires_at > now {
             return;
--- a/crates/policy/src/decisions/assignment.rs
+++ b/crates/policy/src/decisions/assignment.rs
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Returns whether the demand of a proxy exceeds what a shard can serve.
+    /// Returns whether the demand of a proxy exceeds the mean demand of a shard in its group. An unsharded fleet and
+    /// narrowed tables have no heavy proxies.
     fn is_heavy(&self, proxy: &Proxy, group: ZoneId, balance: &ShardBalance) -> bool {
         let shards = self.sharding.shards;
         if shards <= 1 || !self.sharding.is_at_baseline() {
--- a/crates/policy/src/decisions/channel.rs
+++ b/crates/policy/src/decisions/channel.rs
@@ -11,8 +11,8 @@
 const MIN_SEND_RATE_SHARE: f64 = 0.05;
 /// Factor on the send rate after a tick with a timely acknowledgement.
 const SEND_RATE_GROWTH: f64 = 1.25;
-/// Time without acknowledgements, beyond the delivery delays of both directions, after which the channel counts as
-/// empty.
+/// Time without acknowledgements, beyond the delivery delays of both directions and the sending of the largest message,
+/// after which the channel counts as empty.
 const ACKNOWLEDGEMENT_TIMEOUT: Micros = Micros(3_000_000);
 /// Lower bound on the time by which acknowledged lines are divided, in seconds.
 const MIN_ELAPSED_SECONDS: f64 = 1e-3;
--- a/crates/policy/src/decisions/class_levels.rs
+++ b/crates/policy/src/decisions/class_levels.rs
@@ -8,7 +8,7 @@
 use super::limits::ActiveLimits;
 use super::retry_policy::retry_policy;
 
-/// The least admitted share of a class, and its least admitted rate in requests per second.
+/// The least admitted share of a class, and its least admitted rate in requests per second before rounding up.
 const MIN_LEVEL: f64 = 0.1;
 /// A rate above that of any proxy, in requests per second, which admits all requests.
 pub(super) const UNLIMITED_RATE: f64 = 1e6;
--- a/crates/policy/src/decisions/events.rs
+++ b/crates/policy/src/decisions/events.rs
@@ -1,4 +1,5 @@
-//! Application of events to the state of an instance. Orders follow later, at the tick or at once.
+//! Application of events to the state of an instance. Orders are derived separately: at once after urgent events, else
+//! at the next tick.
 
 use crate::interface::{ClassId, Event, HealthCheckOutcome, LoadReport, Micros, ProxyId, ServerId};
 
--- a/crates/policy/src/decisions/health.rs
+++ b/crates/policy/src/decisions/health.rs
@@ -16,7 +16,7 @@
 const WITHDRAW_TICKS: u32 = 2;
 /// Score below which the weight is reduced.
 const REDUCE_BELOW: f64 = 0.45;
-/// Score above which the full weight is restored; a reduced weight is proportional to the score divided by it.
+/// Score above which the full weight is restored; the score divided by it limits a reduced weight.
 pub(super) const RESTORE_ABOVE: f64 = 0.55;
 /// Consecutive ticks above that score before the full weight is restored; also the first ejection period, in ticks.
 const RESTORE_TICKS: u32 = 6;
@@ -26,7 +26,8 @@
 const MAX_EJECTION_TICKS: u32 = 24;
 /// Least weight of a reduced server and first weight of a re-admitted one, as a share of its full weight.
 pub(super) const MIN_WEIGHT_SHARE: f64 = 0.1;
-/// Score and weight ceiling of a new server.
+/// Score and weight ceiling of a new server; the ceiling grows no further until the full weight is restored. Also the
+/// first score of a link after a partition.
 pub(super) const INITIAL_SCORE: f64 = 0.5;
 /// Factor by which the weight ceiling of a recovering server grows at a time.
 const CEILING_GROWTH: f64 = 2.0;
--- a/crates/policy/src/decisions/health_checks.rs
+++ b/crates/policy/src/decisions/health_checks.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Discards failures that are not due to a fault of the server. It counts as unanswered until its next check
-    /// passes: after a partition, servers respond again one after the other.
+    /// Discards failures that are not due to a fault of the server. A server with failures counts as unanswered until
+    /// its next check passes: after a partition, servers respond again one after the other.
     pub fn discard_failures(&mut self) {
         self.failed_attempts = 0.0;
         self.consecutive_failures = self.consecutive_failures.min(1);
--- a/crates/policy/src/decisions/orders.rs
+++ b/crates/policy/src/decisions/orders.rs
@@ -12,7 +12,7 @@
 /// Lower bound on the drain grace from which budgets are derived, in seconds.
 const MIN_GRACE_SECONDS: f64 = 1e-3;
 
-/// Number of lines of a suspension in addition to the header: the acknowledgement request and the server.
+/// Number of lines of a suspension in addition to the message overhead: the acknowledgement request and the server.
 pub(super) const SUSPENSION_LINES: f64 = 2.0;
 
 /// Returns the lines of a message in addition to its orders: its overhead and the acknowledgement request.
@@ -29,7 +29,7 @@
     pub message_share: f64,
     /// Share of the drain grace, in addition to the delivery delay, that sending the queued lines may take.
     pub grace_share: f64,
-    /// Whether the order counts on the nominal send rate and is always sent if nothing is queued.
+    /// Whether the nominal send rate applies instead of the current one, and the order always fits an empty queue.
     pub is_urgent: bool,
 }
 
--- a/crates/policy/src/decisions/publication.rs
+++ b/crates/policy/src/decisions/publication.rs
@@ -200,8 +200,8 @@
         })
     }
 
-    /// Returns the full size of a new server in the table's zone, else 0. Otherwise new servers of a growing fleet,
-    /// whose first weights are small, would stay idle.
+    /// Returns the full size of a server that is new to a table of its zone, else 0. Otherwise new servers of a growing
+    /// fleet, whose first weights are small, would stay idle.
     fn addition_size(&self, server: Option<&Server>, is_new: bool) -> f64 {
         server
             .filter(|server| is_new && server.endpoint.zone == self.plan.zone)
--- a/crates/policy/src/decisions/retry_policy.rs
+++ b/crates/policy/src/decisions/retry_policy.rs
@@ -5,7 +5,8 @@
 
 /// Returns the retry policy of a class: the requested one, unless a narrower one is required for safety.
 ///
-/// Retries after any failure require an idempotent class, a fleet with headroom, and limits that request them.
+/// Retries after any failure require a class that is safe to retry, a fleet with headroom, and limits that request
+/// them.
 pub(super) fn retry_policy(
     class: Option<&Class>,
     requested: Option<Retry>,
--- a/crates/policy/src/decisions/server.rs
+++ b/crates/policy/src/decisions/server.rs
@@ -31,7 +31,7 @@
     pub warm_up_share: f64,
     /// The lifecycle that was last reported.
     pub reported_lifecycle: Lifecycle,
-    /// Time of the last reported change of its lifecycle; 0 if there was none.
+    /// Time of the last reported change of its lifecycle; 0 if its incarnation had none.
     pub lifecycle_changed_at: Micros,
     /// Whether it is suspended in all tables.
     pub suspended: bool,
@@ -57,7 +57,8 @@
         self.endpoint.lifecycle != Lifecycle::InService
     }
 
-    /// Returns whether it ever left service while it was listed here, so that proxies may hold its suspension.
+    /// Returns whether it is suspended or its incarnation had a lifecycle change, so that proxies may hold its
+    /// suspension.
     pub fn has_left(&self) -> bool {
         self.suspended || self.lifecycle_changed_at > Micros(0)
     }
--- a/crates/policy/src/decisions/sharding.rs
+++ b/crates/policy/src/decisions/sharding.rs
@@ -20,9 +20,10 @@
 const NARROW_PERIOD: Micros = Micros(30_000_000);
 /// Least number of proxies in a narrowed shard.
 const MIN_NARROWED_PROXIES: f64 = 2.0;
-/// Least number of servers in a narrowed shard.
+/// Least number of servers to which failures or the drain grace may narrow a shard, before rounding.
 const MIN_NARROWED_SERVERS: f64 = 5.0;
-/// Number of lines of a complete table in addition to the header, weights and levels.
+/// Number of lines of a complete table in addition to the message overhead, weights and levels: the line of the table
+/// and the acknowledgement request.
 const TABLE_LINES: f64 = 2.0;
 /// Table numbers wrap around: the first number of each layout is below this one.
 const TABLE_NUMBERS: u16 = u16::MAX / 2;
@@ -184,7 +185,8 @@
 
     /// Returns the number of table rows for each proxy of the fleet with which all proxies can join here at once and
     /// get their tables within the drain grace. Removed servers stay in old tables until new ones arrive, and
-    /// suspensions, which take precedence, delay the last tables.
+    /// suspensions, which take precedence, delay the last tables. Infinite if the delivery delay alone takes the grace,
+    /// since no number of rows would be small enough.
     fn rows_in_grace(&self) -> f64 {
         let settings = self.settings;
         let seconds = (settings.drain_grace - settings.max_delivery_delay).secs();
--- a/crates/policy/src/decisions/slices.rs
+++ b/crates/policy/src/decisions/slices.rs
@@ -26,7 +26,8 @@
     pending_proxies: BTreeSet<ProxyId>,
     /// Sequence number of the message that clears the table.
     sequence: u16,
-    /// End of the leases of all proxies whose streams ended without an acknowledgement.
+    /// End of the leases of all proxies whose streams ended before the hand-over, or since then without an
+    /// acknowledgement.
     not_before: Micros,
 }
 
--- a/crates/policy/src/decisions/warm_up.rs
+++ b/crates/policy/src/decisions/warm_up.rs
@@ -15,7 +15,7 @@
 const WITHHOLD_SATURATION: f64 = 0.3;
 /// Demand that warming servers must withstand without warm ones, as a multiple of the size of all known servers.
 const WARMING_ONLY_DEMAND_MULTIPLE: f64 = 2.0;
-/// Largest share of a table's weight that warming servers may have together.
+/// Upper bound on the warming servers' share of a table's weight, from which the weight of the table is estimated.
 const MAX_TABLE_SHARE: f64 = 0.9;
 
 /// The demand that warming servers must withstand.
--- a/crates/policy/src/decisions/zone_affinity.rs
+++ b/crates/policy/src/decisions/zone_affinity.rs
@@ -47,7 +47,7 @@
     }
 
     /// Returns the share of the total demand that reaches the servers of an isolated zone: that of the proxies in the
-    /// zone, or 1 if it has none.
+    /// zone, or 1 if it has none; at least [`MIN_ISOLATED_DEMAND`] of an equal share.
     pub fn isolated_demand(&self, zone: ZoneId) -> f64 {
         let least = MIN_ISOLATED_DEMAND / self.demand.len().max(1) as f64;
         self.demand.get(&zone).copied().unwrap_or(1.0).max(least)
--- a/crates/policy/src/decisions/zone_links.rs
+++ b/crates/policy/src/decisions/zone_links.rs
@@ -11,7 +11,8 @@
 use super::registry::{zones, ByZone, Registry};
 use super::smoothing::smooth_quality;
 
-/// Share of servers that must answer health checks for a failed check to count against a server.
+/// Share of servers that must answer health checks for a failed check to count against a server, and for a partitioned
+/// zone to count as reachable again.
 const MIN_ANSWERED_SHARE: f64 = 0.7;
 /// A zone in which a smaller share of servers answers health checks is partitioned, if enough servers of another zone
 /// answer.
@@ -159,8 +160,8 @@
         self.partitioned.len()
     }
 
-    /// Detects zones that answer no health checks while another zone does. They must not count as saturated, since load
-    /// would be shed everywhere.
+    /// Detects zones in which hardly any server answers health checks while most of another zone do. They must not
+    /// count as saturated, since load would be shed everywhere.
     pub fn detect_partitions(
         &mut self,
         registry: &Registry,
--- a/crates/policy/src/interface/guidance.rs
+++ b/crates/policy/src/interface/guidance.rs
@@ -45,9 +45,9 @@
 /// The shares of requests to shed where heavy proxies have separate tables.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShedShares {
-    /// At proxies whose demand one shard can serve.
+    /// At proxies that use a single shard.
     pub ordinary: f64,
-    /// At proxies whose demand exceeds what one shard can serve.
+    /// At proxies that use all shards, since their demand is too large for one.
     pub heavy: f64,
 }
 
@@ -73,7 +73,8 @@
 pub struct Limits {
     /// Lower bound on the share of requests to shed at any saturation.
     pub min_shed_share: Option<f64>,
-    /// Shares to shed at ordinary and at heavy proxies, where heavy ones have separate tables.
+    /// Shares to shed at ordinary and at heavy proxies, where heavy ones have separate tables. They replace the share
+    /// derived from the saturation and `min_shed_share`.
     pub shed_shares: Option<ShedShares>,
     /// Upper bounds on the admitted share of classes.
     pub admitted: Vec<ClassShare>,
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -92,7 +92,7 @@
     pub proxy_ejection_threshold: u32,
     /// The meaning of the weights in the endpoint list.
     pub listed_weight: ListedWeight,
-    /// The channel by which servers report their load.
+    /// How servers report their load.
     pub report_source: ReportSource,
     /// Interval between load reports.
     pub report_period: Micros,
--- a/crates/policy/src/interface/status.rs
+++ b/crates/policy/src/interface/status.rs
@@ -5,10 +5,10 @@
 /// The health state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HealthState {
-    /// It has the full weight that its size and speed give it.
+    /// Its score does not reduce its weight, which may still grow after a recovery or a start.
     #[default]
     Full,
-    /// Its weight is reduced in proportion to its score.
+    /// Its weight is reduced by its score or by the slowdown of its health checks.
     Reduced,
     /// Its weight is 0: it is ejected.
     Withdrawn,
@@ -76,7 +76,7 @@
         /// Attempts per successful response.
         attempts_per_answer: f64,
     },
-    /// A zone stopped answering health checks while another zone answers them, or resumed answering.
+    /// Hardly any server of a zone answers health checks while most of another zone do, or the zone is reachable again.
     ZonePartition {
         /// The affected zone.
         zone: ZoneId,
--- a/crates/policy/tests/advice.rs
+++ b/crates/policy/tests/advice.rs
@@ -15,11 +15,11 @@
 }
 
 /// The same factors for the proxies of all zones.
-fn factors(of: &[(u32, Option<u8>, f64)]) -> Vec<WeightFactor> {
+fn factors(entries: &[(u32, Option<u8>, f64)]) -> Vec<WeightFactor> {
     let zones = [ZoneId(0), ZoneId(1)];
     let each = zones
         .into_iter()
-        .flat_map(|zone| of.iter().map(move |of| (zone, of)));
+        .flat_map(|zone| entries.iter().map(move |entry| (zone, entry)));
     each.map(|(zone, (id, class, factor))| WeightFactor {
         server: ServerId(*id),
         zone,
@@ -194,9 +194,9 @@
         fleet.run(3, &healthy(8, &[]));
         fleet.actions.clear();
         for second in 0..30 {
-            let of = if second % 2 == 0 { 0 } else { 4 };
+            let first = if second % 2 == 0 { 0 } else { 4 };
             let down: Vec<(u32, Option<u8>, f64)> =
-                (of..of + 3).map(|id| (id, None, 0.0)).collect();
+                (first..first + 3).map(|id| (id, None, 0.0)).collect();
             let advice = Advice {
                 factors: factors(&down),
                 ..far_future_advice()
@@ -348,7 +348,7 @@
             let is_warming = |id: &u32| listed.warming.contains(id) && age < settings.slow_start_period + ms(500);
             let warm: Vec<u32> = listed.in_service.iter().copied().filter(|id| !is_warming(id)).collect();
             // The tables in use: the last one that was assigned for each class of each proxy.
-            let last = |assigned_tables: &Vec<(TableId, ClassSet)>, class| assigned_tables.iter().rev().find(|(_, of)| of.has(class)).map(|b| b.0);
+            let last = |assigned_tables: &Vec<(TableId, ClassSet)>, class| assigned_tables.iter().rev().find(|(_, classes)| classes.has(class)).map(|assigned| assigned.0);
             let tables: BTreeSet<TableId> =
                 fleet.assigned_tables.values().flat_map(|assigned_tables| [last(assigned_tables, 0), last(assigned_tables, 1)]).flatten().collect();
             for table in &tables {
--- a/crates/policy/tests/channel.rs
+++ b/crates/policy/tests/channel.rs
@@ -12,11 +12,11 @@
     let mut fleet = LargeFleet::started(sparse_settings(), 0.5, 500, 1000);
     fleet.run(25, &healthy(300, &[]), &none_unresponsive);
     assert_eq!(fleet.assigned_count(), 1000, "all are assigned eventually");
-    let removed: Vec<Event> = (0..700).map(|id| Event::ProxyLeft(ProxyId(id))).collect();
-    fleet.send(&removed);
+    let left: Vec<Event> = (0..700).map(|id| Event::ProxyLeft(ProxyId(id))).collect();
+    fleet.send(&left);
     fleet.run(1, &[], &none_unresponsive);
-    let back: Vec<Event> = (0..700).map(|id| joined_with_rate(id, 2.0)).collect();
-    fleet.send(&back);
+    let rejoined: Vec<Event> = (0..700).map(|id| joined_with_rate(id, 2.0)).collect();
+    fleet.send(&rejoined);
     fleet.run(20, &healthy(300, &[]), &none_unresponsive);
     assert_eq!(fleet.assigned_count(), 1000, "and after a mass reconnect");
     let drained: Vec<Endpoint> = (0..120)
@@ -61,7 +61,7 @@
     );
 }
 
-/// Each change of a level reaches all proxies and could fill a channel at a sixth of its send rate.
+/// Each change of a level reaches all proxies and could fill a channel at 15% of its nominal send rate.
 #[test]
 fn oscillating_levels_stay_within_the_backlog_of_a_slow_channel() {
     let mut fleet = LargeFleet::started(
@@ -139,7 +139,7 @@
 }
 
 /// After the loss of other instances all proxies join this one. Suspensions, which take precedence, must not delay the
-/// last first tables beyond the drain grace of servers in the proxies' old tables.
+/// first tables of the last proxies beyond the drain grace of servers in their old tables.
 #[test]
 fn drains_during_a_mass_join_delay_no_first_table_beyond_the_grace() {
     let grace = ms(20_000);
@@ -206,14 +206,14 @@
     fleet.run(4, &healthy(100, &[]), &none_unresponsive);
     let twice: Vec<Endpoint> = (0..100).chain(0..100).map(endpoint).collect();
     let period = ms(0);
-    let idle = Event::ProxyDemand {
+    let unknown_class = Event::ProxyDemand {
         proxy: ProxyId(3),
         class: ClassId(9),
         arrivals: 4.0,
         failed: 0.0,
         period,
     };
-    let nothing = Event::ServerOutcomes {
+    let no_attempts = Event::ServerOutcomes {
         zone: ZoneId(40),
         server: ServerId(3),
         attempts: 0.0,
@@ -222,21 +222,21 @@
         period,
         load: LoadReport::default(),
     };
-    let unknown = Event::Acknowledged {
+    let unknown_proxy = Event::Acknowledged {
         proxy: ProxyId(5000),
         sequence: 9,
         elapsed: ms(1),
     };
-    let odd = [
+    let invalid_events = [
         server_outcomes(9999, 5.0, 1.0, 10.0),
-        idle,
-        nothing,
-        unknown,
+        unknown_class,
+        no_attempts,
+        unknown_proxy,
         Event::ProxyLeft(ProxyId(4999)),
         Event::Timer(77),
     ];
     fleet.send(&[Event::EndpointList(EndpointUpdateKind::Snapshot, twice)]);
-    fleet.run(4, &odd, &none_unresponsive);
+    fleet.run(4, &invalid_events, &none_unresponsive);
     assert_eq!(fleet.assigned_count(), 200);
     let weights = fleet.tables.values().flat_map(BTreeMap::values);
     assert!(
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -101,15 +101,15 @@
                 reached.insert(*proxy);
             }
             Action::SetSuspended { server, .. } => {
-                let names = |table: &TableId| {
+                let contains_server = |table: &TableId| {
                     self.tables
                         .get(table)
-                        .is_some_and(|t| t.contains_key(server))
+                        .is_some_and(|weights| weights.contains_key(server))
                 };
                 reached.extend(
                     self.tables
                         .keys()
-                        .filter(|table| names(table))
+                        .filter(|table| contains_server(table))
                         .flat_map(users),
                 );
             }
--- a/crates/policy/tests/common/large_fleet.rs
+++ b/crates/policy/tests/common/large_fleet.rs
@@ -339,11 +339,11 @@
             .get(&ProxyId(proxy))
             .into_iter()
             .flat_map(BTreeMap::values);
-        let lines = tables
+        let servers = tables
             .filter_map(|table| self.tables.get(table))
             .flat_map(BTreeMap::keys)
             .copied();
-        lines
+        servers
             .filter(|server| !self.suspended.contains(server))
             .collect()
     }
--- a/crates/policy/tests/health_checks.rs
+++ b/crates/policy/tests/health_checks.rs
@@ -22,14 +22,14 @@
     let mut fleet = Fleet::new(settings(), 4, 2);
     let mut checked = 0;
     for round in 0..200 {
-        let failed_outcomes = Event::HealthChecked {
+        let refused_check = Event::HealthChecked {
             server: ServerId(1),
             outcome: HealthCheckOutcome::Unreachable,
             elapsed: Micros(200),
             load: LoadReport::default(),
         };
         let tick = (round % 50 == 0).then_some(Event::Timer(1));
-        let events: Vec<Event> = std::iter::once(failed_outcomes).chain(tick).collect();
+        let events: Vec<Event> = std::iter::once(refused_check).chain(tick).collect();
         let actions = fleet.send(&events);
         checked += actions
             .iter()
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -93,10 +93,17 @@
         (fleet.levels[&0], fleet.levels[&1])
     };
     let unsaturated = healthy(8, &[]);
-    let own = lowest(None, &saturated);
-    assert!(own.0 <= 0.2 && own.1 <= 0.2, "{own:?}");
-    for nothing in [0.0, -1.0, f64::NAN] {
-        assert_eq!(lowest(Some(nothing), &saturated), own, "{nothing}");
+    let without_limit = lowest(None, &saturated);
+    assert!(
+        without_limit.0 <= 0.2 && without_limit.1 <= 0.2,
+        "{without_limit:?}"
+    );
+    for no_bound in [0.0, -1.0, f64::NAN] {
+        assert_eq!(
+            lowest(Some(no_bound), &saturated),
+            without_limit,
+            "{no_bound}"
+        );
     }
     let half = lowest(Some(0.5), &unsaturated);
     assert!(
@@ -164,10 +171,10 @@
         idempotency: Idempotency::Keyed(DeduplicationScope::Zone, ms(60_000)),
         ..class(Idempotency::Idempotent, false)
     };
-    let mut own = keyed_settings(10_000);
-    own.classes[2] = zone;
+    let mut zone_scoped = keyed_settings(10_000);
+    zone_scoped.classes[2] = zone;
     assert_eq!(
-        widest_retries(own, &unsaturated).2,
+        widest_retries(zone_scoped, &unsaturated).2,
         Retry::IfNotExecuted,
         "the key is not recognised in another zone"
     );
@@ -260,8 +267,8 @@
             .iter()
             .rev()
             .find(|(_, classes)| classes.has(0))
-            .map(|of| of.0);
-        let own = fleet.actions.iter().rev().find_map(|action| match action {
+            .map(|assigned| assigned.0);
+        let ordered_level = fleet.actions.iter().rev().find_map(|action| match action {
             Action::SetAdmission {
                 table: ordered,
                 classes,
@@ -270,7 +277,7 @@
             } if *ordered == table && classes.has(0) => Some(*level),
             _ => None,
         });
-        own.unwrap_or(1.0)
+        ordered_level.unwrap_or(1.0)
     };
     assert!(
         level(3) < 0.5 && level(4) == 1.0,
--- a/crates/policy/tests/reconciliation.rs
+++ b/crates/policy/tests/reconciliation.rs
@@ -73,7 +73,7 @@
 
 /// Proxies retain suspensions when they change instances. The first table corrects those of servers that left here, and
 /// the rest is corrected once the channel is free. After the loss of an instance, uncounted lines would fill the
-/// channel, and correcting all servers at once would delay the last first tables.
+/// channel, and correcting all servers at once would delay the first tables of the last proxies.
 #[test]
 fn reconciliation_of_joining_proxies_counts_against_the_channel_backlog() {
     let new = join_after_returns(0, false).assigned;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -315,14 +315,14 @@
 
     #[test]
     fn the_same_events_give_the_same_actions(rounds in prop::collection::vec(prop::collection::vec(event_strategy(), 0..6), 1..20)) {
-        let mut one = Fleet::new(settings(), 8, 6);
-        let mut two = Fleet::new(settings(), 8, 6);
+        let mut first = Fleet::new(settings(), 8, 6);
+        let mut second = Fleet::new(settings(), 8, 6);
         for events in rounds {
-            one.send(&events);
-            two.send(&events);
-            one.run(1, &[]);
-            two.run(1, &[]);
-            prop_assert_eq!(&one.actions, &two.actions);
+            first.send(&events);
+            second.send(&events);
+            first.run(1, &[]);
+            second.run(1, &[]);
+            prop_assert_eq!(&first.actions, &second.actions);
         }
     }
 }
--- a/crates/policy/tests/sharding.rs
+++ b/crates/policy/tests/sharding.rs
@@ -134,7 +134,7 @@
     );
 }
 
-/// Because of rounding, the only proxy of a zone may seem to exceed the demand of a complete fleet; an unsharded fleet
+/// Because of rounding, the only proxy of a zone may seem to exceed the demand of its zone; an unsharded fleet
 /// has no table for heavy proxies.
 #[test]
 fn the_only_proxy_of_a_zone_is_assigned_at_any_demand() {
@@ -273,7 +273,7 @@
         let heaviest = fleet
             .tables
             .values()
-            .filter_map(|lines| lines.get(&server))
+            .filter_map(|weights| weights.get(&server))
             .fold(0.0, |a, b| b.max(a));
         let age = (fleet.now - now).secs();
         assert!(
