--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -79,7 +79,8 @@
 }
 
 impl Engine {
-    /// Creates an engine with the decision module of this build. `seed` makes its random choices reproducible.
+    /// Creates an engine with the decision module of this build. `seed` determines the delay of the first
+    /// tick.
     pub fn new(settings: Settings, seed: u64, names: DeploymentNames) -> Self {
         let policy = Policy::new(settings.clone(), seed);
         Engine::with_policy(Box::new(policy), &settings, names)
@@ -119,7 +120,7 @@
     }
 
     /// Passes all reports since the last tick and the due timers to the decision module as one batch, and executes the
-    /// returned actions. Returns when the next timer is due.
+    /// returned actions. Returns when the next timer is due; `None` without timers.
     pub fn tick(&mut self, now: Micros) -> Option<Micros> {
         self.take_due_timers(now);
         if !self.events.is_empty() || !self.has_ticked {
--- a/crates/engine/src/engine/tests.rs
+++ b/crates/engine/src/engine/tests.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// Reports the requests that arrived at a proxy within a second.
+/// Returns the report of the requests that arrived at a proxy within a second.
 fn demand(proxy: u32, class: &str, arrivals: f64) -> Report {
     Report::ProxyDemand {
         proxy,
--- a/crates/engine/src/guidance.rs
+++ b/crates/engine/src/guidance.rs
@@ -56,7 +56,7 @@
     pub excluded: Vec<NamedExclusion>,
     /// Names of classes that get a separate table.
     pub separate_tables: Vec<String>,
-    /// When the advice expires, unless newer advice replaces it.
+    /// When everything but `separate_tables` expires, unless newer advice replaces it.
     pub expires_at: Micros,
 }
 
@@ -65,7 +65,8 @@
 pub struct OverloadLimits {
     /// Minimum share of requests to shed, regardless of the saturation.
     pub min_shed_share: Option<f64>,
-    /// Minimum shed shares of ordinary proxies and of heavy hitters, where these have separate tables.
+    /// Shares to shed at ordinary and at heavy proxies, where heavy ones have separate tables. They replace the share
+    /// derived from the saturation and `min_shed_share`.
     pub shed_shares: Option<ShedShares>,
     /// Upper bounds of the admitted share, by class.
     pub admitted: Vec<NamedClassShare>,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,10 +1,10 @@
 //! A synchronous facade of the decision module, without I/O.
 //!
-//! [`Engine::report`] queues an input, [`Engine::tick`] passes the queued inputs to the decision module as one batch and
-//! returns the time of the next tick, and the `take_*` methods return the outputs: orders, health checks, discovery
-//! requests, log events. The module's events and actions are internal, except to an alternative [`DecisionPolicy`]. The
-//! engine executes decisions and makes none: it stores tables, admission levels and suspensions, and translates between
-//! names and numeric ids.
+//! [`Engine::report`] queues an input, [`Engine::tick`] passes the queued inputs to the decision module as one batch
+//! and returns when the next timer is due, and the `take_*` methods return the outputs: orders, health checks,
+//! discovery requests, log events. The module's events and actions are internal, except to an alternative
+//! [`DecisionPolicy`]. The engine executes decisions and makes none: it stores tables, admission levels and
+//! suspensions, and translates between names and numeric ids.
 
 mod endpoint;
 mod engine;
--- a/crates/engine/src/log_events.rs
+++ b/crates/engine/src/log_events.rs
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Records a new start of a server, if an entry of the endpoint list has one.
+    /// Records a new start of a server, if an entry of the endpoint list has one. Removes the server's state instead if
+    /// the entry lists it as removed, or while recording is disabled.
     pub fn observe_endpoint(&mut self, server: ServerId, endpoint: &NamedEndpoint) {
         if !self.is_recording || endpoint.lifecycle == Lifecycle::Removed {
             self.remove_server(server, &endpoint.name);
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -104,7 +104,7 @@
         Some(Rc::clone(&known.name))
     }
 
-    /// Returns the listen address of a server; empty if the endpoint list never contained it.
+    /// Returns the listen address of a server: `None` if the server is unknown, empty if no entry had an address.
     pub fn address(&self, server: ServerId) -> Option<&str> {
         let known = self.servers.get(&server)?;
         Some(known.address.as_str())
--- a/crates/engine/src/policy.rs
+++ b/crates/engine/src/policy.rs
@@ -17,7 +17,7 @@
         0
     }
 
-    /// Returns the status of each known server after the last batch.
+    /// Returns the status of each server in the endpoint list after the last batch.
     fn server_statuses(&self) -> Vec<(ServerId, ServerStatus)> {
         Vec::new()
     }
--- a/crates/engine/src/records.rs
+++ b/crates/engine/src/records.rs
@@ -149,7 +149,8 @@
     pub suspensions: u32,
 }
 
-/// Converts the changes of one batch to a record, with the number of streams that have an order to write.
+/// Converts the changes of one batch to a record, with the number of streams that have a new order to
+/// write.
 pub(crate) fn published_record(counts: PublishedCounts, streams: usize) -> Kind {
     Kind::Published(pb::Published {
         lines: counts.weights,
--- a/crates/engine/src/streams.rs
+++ b/crates/engine/src/streams.rs
@@ -32,7 +32,7 @@
     by_table: BTreeMap<TableId, BTreeSet<ProxyId>>,
     /// Proxies whose orders the current batch of actions may have changed.
     changed_in_batch: BTreeSet<ProxyId>,
-    /// Streams with an order to write.
+    /// Streams with a new order to write, until they are taken.
     streams_with_orders: BTreeSet<StreamId>,
 }
 
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Number of streams with an order to write.
+    /// Returns the number of streams with a new order to write that were not taken yet.
     pub fn streams_with_orders_count(&self) -> usize {
         self.streams_with_orders.len()
     }
