--- a/crates/adapter/src/codec.rs
+++ b/crates/adapter/src/codec.rs
@@ -1,8 +1,9 @@
 //! The codec of the simulator's wire protocol: decodes messages and encodes actions, and the reverse for the decision
 //! module of another build.
 //!
-//! A line consists of a tag and `key=value` fields, separated by tabs. Unknown tags and fields are skipped; a malformed
-//! line is an error. Only this module maps the keywords of the protocol to the terms of the decision module.
+//! A line consists of a tag and `key=value` fields, separated by tabs. Unknown fields and messages with unknown tags
+//! are skipped; an action with an unknown tag and a malformed line are errors. Only this module maps the keywords of
+//! the protocol to the terms of the decision module.
 
 mod decode_action;
 mod decode_event;
--- a/crates/adapter/src/codec/encode_event.rs
+++ b/crates/adapter/src/codec/encode_event.rs
@@ -16,7 +16,7 @@
 }
 
 /// Encodes an event as lines with line breaks; `list_number` is the number of an endpoint list. Returns an empty string
-/// for an event that the wire protocol has no line for, which does not occur on the fleet model.
+/// for advice, limits, peer messages and events of slices, which are not passed to another build.
 pub(crate) fn encode_event(event: &Event, list_number: u64) -> String {
     match event {
         Event::EndpointList(kind, endpoints) => endpoint_list(*kind, endpoints, list_number),
--- a/crates/adapter/src/codec/message.rs
+++ b/crates/adapter/src/codec/message.rs
@@ -29,7 +29,7 @@
     SelectInstance(u32),
     /// The selected instance starts, or restarts without its state.
     StartInstance {
-        /// Seed of the instance's random number generator.
+        /// Seed of the decision module, which determines the delay of the first tick.
         seed: u64,
         /// Settings of the instance.
         settings: Box<Settings>,
--- a/crates/adapter/src/remote_policy.rs
+++ b/crates/adapter/src/remote_policy.rs
@@ -39,7 +39,7 @@
     pub settings: &'a Settings,
     /// Names of the deployment, which are part of the settings on the wire.
     pub names: &'a DeploymentNames,
-    /// Seed of the instance's random number generator.
+    /// Seed of the decision module in the child process.
     pub seed: u64,
 }
 
