--- a/crates/settings/src/consistency.rs
+++ b/crates/settings/src/consistency.rs
@@ -2,11 +2,12 @@
 
 use chutegrade_policy::{Settings, NO_LIMIT};
 
-/// Number of lines of a message with a complete table, in addition to the table: the acknowledgement request and
-/// `replace`.
+/// Number of lines of a message with a complete table, in addition to the message overhead, the levels and the servers:
+/// the acknowledgement request and `replace`.
 const TABLE_MESSAGE_LINES: f64 = 2.0;
 
-/// Number of lines of a message that suspends one server: the acknowledgement request and the suspension.
+/// Number of lines of a message that suspends one server, in addition to the message overhead: the acknowledgement
+/// request and the suspension.
 const SUSPENSION_MESSAGE_LINES: f64 = 2.0;
 
 /// Number of lines for each server of a complete table: its weight and its suspension.
--- a/crates/settings/src/timing.rs
+++ b/crates/settings/src/timing.rs
@@ -2,12 +2,12 @@
 
 use serde_json::Value;
 
-/// Returns the least time between two batches of events, in milliseconds; 0 if it is not set.
+/// Returns the least time between two batches of events, in milliseconds; 0 if it is not set or not above 0.
 pub fn min_tick_interval_ms(json: &Value) -> f64 {
     positive_number(json, "/tickMs").unwrap_or(0.0)
 }
 
-/// Returns the timeout for connecting to a server, in milliseconds, if it is set.
+/// Returns the timeout for connecting to a server, in milliseconds; `None` if it is not set or not above 0.
 pub fn connect_timeout_ms(json: &Value) -> Option<f64> {
     positive_number(json, "/limits/connectTimeoutMs")
 }
