--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -110,7 +110,7 @@
         Some(known.address.as_str())
     }
 
-    /// Returns the latest start of a server, if the endpoint list contains it.
+    /// Returns the latest start of a server; `None` if the server is unknown or its entry has no start.
     pub fn started_at(&self, server: ServerId) -> Option<Micros> {
         self.servers.get(&server)?.started_at
     }
