--- a/crates/supervisor/src/commands/error.rs
+++ b/crates/supervisor/src/commands/error.rs
@@ -31,7 +31,7 @@
     #[error(transparent)]
     ReadText(#[from] TextFileError),
     /// The executable of this program cannot be read.
-    #[error("{0}")]
+    #[error("the executable of this program cannot be read: {0}")]
     ReadProgram(std::io::Error),
     /// `check` was given no file.
     #[error("nothing to check: give --config FILE, --operator FILE, or both")]
@@ -161,7 +161,7 @@
     Threads(#[from] rayon::ThreadPoolBuildError),
     /// Results of an experiment cannot be read or written.
     #[error(transparent)]
-    Results(#[from] chutegrade_lab::store::Fault),
+    Results(#[from] chutegrade_lab::store::StoreError),
 }
 
 impl CommandError {
